--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -436,3 +436,7 @@
 #[cfg(test)]
 #[path = "../tests/unit/lib.rs"]
 mod tests;
+
+#[cfg(test)]
+#[path = "../tests/unit/compatibility.rs"]
+mod compatibility;
--- /dev/null
+++ b/crates/daemon/tests/unit/compatibility.rs
@@ -0,0 +1,53 @@
+//! Files and lines that an earlier release wrote (commit cc67128): a next process of a node reads them, and an
+//! operator's file goes on meaning the same.
+use crate::handover::form::{Bounds, Inherited, read, write};
+use crate::operator::{Lists, OperatorFile, Source, Syncs, Taken, Wish};
+use std::path::Path;
+use std::time::Duration;
+
+const BOUNDS: Bounds = Bounds { known: 10, ids: 10 };
+
+#[test]
+fn each_line_between_two_processes_is_read_and_written_as_before() {
+    let lines = include_str!("../fixtures/hot_restart.jsonl");
+    let mut inherited = Inherited::default();
+    let mut last = 0;
+    for (number, line) in lines.lines().enumerate() {
+        let message = read(line.as_bytes()).unwrap();
+        assert_eq!(String::from_utf8(write(&message)).unwrap().trim_end(), line);
+        if last == 0 && inherited.take(message, "n0", BOUNDS).unwrap() {
+            last = number;
+        }
+    }
+    assert_eq!((lines.lines().count(), last), (14, 9), "all is told with the tenth line");
+    assert_eq!((inherited.version, inherited.entries.len(), inherited.ids.len()), (None, 2, 2));
+    assert_eq!(inherited.out.iter().collect::<Vec<_>>(), ["s-1"], "the other one serves again");
+    let entry = &inherited.entries[0];
+    assert_eq!((entry.id.as_str(), entry.weight, entry.started_ms), ("s-1", Some(1.5), Some(5.0)));
+    let executor = &inherited.executors[0];
+    assert_eq!((executor.failed, executor.judged, executor.slots), ((0.5, 10.0), (2.0, 10.0), 4.0));
+    assert_eq!(executor.cold_spent, [(9.0, 120.0)]);
+    let work = inherited.work.unwrap();
+    assert_eq!((work.types, work.mean_run), (vec![("render".to_string(), 120.0, 31.0)], 110.0));
+    assert_eq!((work.waiting_share, work.lag, work.draws), (Some(0.1), Some(1.5), 2));
+}
+
+#[test]
+fn an_earlier_file_of_the_operator_means_the_same() {
+    let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/operator.toml"));
+    let OperatorFile { lists: Lists { sources, consul }, durable, peers } = OperatorFile::read(path).unwrap();
+    assert_eq!(sources, [Source::Consul]);
+    let (consul, durable, peers) = (consul.unwrap(), durable.unwrap(), peers.unwrap());
+    assert_eq!((consul.agents.len(), consul.services[0].name.as_str()), (1, "box"));
+    assert_eq!((consul.consistency, consul.wait), (Wish::Consistent, Duration::from_secs(10)));
+    assert_eq!((consul.panic.share, consul.damping.on, consul.damping.cutoff), (0.5, true, 1.5));
+    assert_eq!(durable.path, Path::new("/var/lib/troutknot/ledger"));
+    assert_eq!(durable.effects, [Taken::Rerunnable, Taken::Receipted, Taken::Exclusive]);
+    assert_eq!((durable.key_header.as_str(), durable.kept), ("Idempotency-Key", Duration::from_secs(600)));
+    assert_eq!(
+        (durable.sync, durable.slow_after, durable.most),
+        (Syncs::Each, Duration::from_millis(250), 9000)
+    );
+    assert_eq!((durable.lease, durable.fences), (Some(Duration::from_secs(2)), true));
+    assert_eq!((peers.listen.port(), peers.nodes.len()), (3100, 3));
+}
--- /dev/null
+++ b/crates/hosting/tests/compatibility.rs
@@ -0,0 +1,21 @@
+//! Datagrams between nodes, byte for byte as an earlier release wrote them (commit cc67128).
+use troutknot::{ProjectTypeId, Telling};
+use troutknot_hosting::{telling, told};
+
+fn datagrams() -> Vec<Vec<u8>> {
+    let lines = include_str!("fixtures/datagrams.hex").lines().filter(|line| !line.starts_with('#'));
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
+    lines.map(|line| line.as_bytes().chunks(2).map(byte).collect()).collect()
+}
+
+#[test]
+fn each_message_is_read_and_written_as_before() {
+    let classes = ["other".to_string(), "render".to_string()];
+    let messages = [Telling::Dropped, Telling::TurnedAway { token: 9, project_type: ProjectTypeId(1) }];
+    let datagrams = datagrams();
+    assert_eq!(datagrams.len(), messages.len());
+    for (bytes, message) in datagrams.iter().zip(messages) {
+        assert_eq!(told(bytes, &classes), Some(message));
+        assert_eq!(&telling(message, &classes), bytes);
+    }
+}
--- /dev/null
+++ b/crates/ledger/tests/compatibility.rs
@@ -0,0 +1,92 @@
+//! A ledger that an earlier release wrote (commit cc67128) is read as it was meant.
+use std::path::PathBuf;
+use troutknot::{AllocId, Effect, Outcome, WuId};
+use troutknot_ledger::store::{Reader, Rows, Store};
+use troutknot_ledger::{Answer, Fence, Ledger, Record, Row, Standing};
+
+/// The moment of the checks: the leases in the file hold until then or beyond.
+const NOW: f64 = 1_500_000.0;
+
+fn fixture() -> PathBuf {
+    PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/ledger.redb"))
+}
+
+fn rows() -> Vec<Row> {
+    let mut rows = Vec::new();
+    Reader::open(&fixture()).unwrap().each(|row| rows.push(row.unwrap())).unwrap();
+    rows
+}
+
+#[test]
+fn open_and_ended_work_of_an_earlier_release_is_recovered() {
+    let rows = rows();
+    let (ledger, broken) = Ledger::recover(4, &rows);
+    assert_eq!((rows.len(), ledger.len(), broken), (50, 11, None));
+    let open: Vec<u64> = ledger.open().map(|(id, _)| id.0).collect();
+    assert_eq!(open, [9, 10, 11, 12]);
+    assert_eq!((ledger.by_id("id-3"), ledger.by_key("key-10")), (None, Some(WuId(10))));
+    let effects = [Effect::Rerunnable, Effect::Receipted, Effect::Exclusive];
+    let outcomes = [
+        Outcome::Error,
+        Outcome::Full,
+        Outcome::TimedOut,
+        Outcome::NoConnection,
+        Outcome::Reset,
+        Outcome::Cancelled,
+        Outcome::NotSent,
+        Outcome::Completed,
+    ];
+    for (id, request) in ledger.all() {
+        let number = id.0 as usize;
+        assert_eq!(request.effect, effects[number % 3], "{number}");
+        assert_eq!(
+            (request.id.as_str(), request.digest),
+            (format!("id-{number}").as_str(), [number as u8; 32])
+        );
+        assert_eq!(request.key, (number % 2 == 0).then(|| format!("key-{number}")));
+        if number <= 9 {
+            assert_eq!(request.allocations[0].ended, Some(outcomes[(number - 1).min(7)]), "{number}");
+            assert_eq!(request.allocations[0].started, number % 2 == 1, "{number}");
+        }
+        assert_eq!((request.answered.is_some(), request.acknowledged), (number < 9, number < 6), "{number}");
+    }
+    let attempts = &ledger.wu(WuId(10)).unwrap().allocations;
+    assert_eq!(
+        (attempts[0].standing(NOW), attempts[1].standing(NOW)),
+        (Standing::NeverRan, Standing::Unknown)
+    );
+    assert_eq!((attempts[1].fence, attempts[1].executor.as_str()), (Fence(2), "s-2"));
+    assert_eq!(ledger.wu(WuId(11)).unwrap().allocations[0].standing(0.0), Standing::Out);
+}
+
+#[test]
+fn answers_and_signs_of_life_of_an_earlier_release_are_read() {
+    let rows = rows();
+    let answer = |id| {
+        rows.iter().find_map(|row| match &row.record {
+            Record::Answered { wu, answer } if wu.0 == id => Some(answer.clone()),
+            _ => None,
+        })
+    };
+    assert_eq!(answer(4), Some(Answer::Completed(vec![7; 40])));
+    assert_eq!(answer(5), Some(Answer::Deferred(Some(250.0))));
+    assert_eq!(answer(6), Some(Answer::Deferred(None)));
+    assert_eq!(answer(7), Some(Answer::Aborted));
+    let heartbeat = Record::Heartbeat { wu: WuId(9), alloc: AllocId(0), lease_until: 2e6 };
+    assert!(rows.iter().any(|row| row.record == heartbeat));
+}
+
+/// The file is a copy: a fixture stays as it is.
+#[test]
+fn an_earlier_ledger_is_gone_on_with() {
+    let path = std::env::temp_dir().join(format!("troutknot-compatibility-{}.redb", std::process::id()));
+    std::fs::copy(fixture(), &path).unwrap();
+    {
+        let store = Store::open(&path).unwrap();
+        let (mut ledger, _) = Ledger::recover(4, &rows());
+        let answer = Record::Answered { wu: WuId(12), answer: Answer::Aborted };
+        store.commit([&ledger.apply(NOW, answer).unwrap()]).unwrap();
+        assert_eq!(store.of(WuId(12)).unwrap().len(), 2);
+    }
+    std::fs::remove_file(path).unwrap();
+}
