--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -303,6 +303,33 @@
     assert_eq!(executor.seen.lock().unwrap().len(), before + 1);
 }
 
+/// Every attempt tells its executor at most what the client has left.
+#[test]
+fn the_deadline_passed_to_an_executor_is_what_the_client_has_left() {
+    const SLACK: f64 = 0.15;
+    let (executor, discovery) = one_executor();
+    let node = Node::start(&discovery);
+    executor.acts.lock().unwrap().extend([Act::WaitAndTurnAway, Act::WaitAndTurnAway]);
+    let wait = 20.0;
+    let sent = Instant::now();
+    let mut client = node.connect();
+    client.get_mut().write_all(work("render", &new_id(), wait, "").as_bytes()).unwrap();
+    let mut least_spent = 0.0;
+    for attempt in 1..=3 {
+        executor.wait_for(attempt);
+        let (head, _) = executor.seen.lock().unwrap()[attempt - 1].clone();
+        let told: f64 = field(&head, "request-timeout").unwrap().parse().unwrap();
+        assert!(told <= wait - least_spent + SLACK, "attempt {attempt}: {told} s, {least_spent} s are spent");
+        if attempt < 3 {
+            let next = sent.elapsed() + Duration::from_millis(300);
+            until("time passes", || sent.elapsed() >= next);
+            least_spent = sent.elapsed().as_secs_f64();
+            executor.go_on.send(()).unwrap();
+        }
+    }
+    assert_eq!(answer(&mut client).0, 200);
+}
+
 #[test]
 fn what_is_out_for_a_client_that_left_is_broken_off_where_it_may_run_again() {
     let (executor, discovery) = one_executor();
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -48,6 +48,8 @@
 /// The processes of a fleet, the attempts that are out, and the work that was sent to the cold executor.
 struct Fleet {
     chance: ChaCha8Rng,
+    /// Of each executor.
+    slots: f64,
     now: Millis,
     /// By node; a node that is handed over has two for a while.
     processes: Vec<Vec<Node>>,
@@ -57,7 +59,7 @@
 }
 
 impl Fleet {
-    fn new(nodes: usize, seed: u64) -> Self {
+    fn new(nodes: usize, seed: u64, slots: f64) -> Self {
         let fleet_seed = seed * 1000;
         let process = |node: usize| {
             let values = values_of(nodes as f64, Some(node as f64));
@@ -67,6 +69,7 @@
         };
         Fleet {
             chance: ChaCha8Rng::seed_from_u64(seed),
+            slots,
             now: WARM_UP,
             processes: (0..nodes).map(|node| vec![process(node)]).collect(),
             ends: BinaryHeap::new(),
@@ -133,11 +136,12 @@
         };
         let processes = self.processes[node].len();
         let process = if only_newest { processes - 1 } else { self.chance.random_range(0..processes) };
+        let slots = self.slots;
         let (sent_to, request) = {
             let of = &mut self.processes[node][process];
             of.now = self.now;
             let (request, actions) = of.arrive(0);
-            (push_of(&answer_with_room(of, actions)), request)
+            (push_of(&answer_with_room(of, actions, slots)), request)
         };
         let Some(sent_to) = sent_to else { return };
         let work = self.draw(MEAN_WORK);
@@ -192,25 +196,35 @@
     }
 
     /// By how many requests of mean work the fullest window of the rule is beyond the budget and chance; below
-    /// zero where it keeps within them.
-    fn beyond(&self) -> f64 {
+    /// zero where it keeps within them. `chance` is what may come on top of a budget of so many requests.
+    fn beyond(&self, chance: impl Fn(f64) -> f64) -> f64 {
         let windows = self.sent_to_cold.iter().map(|&(end, _)| {
             let warmth = COLD_SHARE + (1.0 - COLD_SHARE) * ((end - FALL - STARTED) / RAMP).max(0.0);
-            let budget = FALL_MULTIPLE * warmth * SLOTS * FALL / MEAN_WORK;
+            let budget = FALL_MULTIPLE * warmth * self.slots * FALL / MEAN_WORK;
             let inside = self.sent_to_cold.iter().filter(|&&(at, _)| at > end - FALL && at <= end);
             let requests = inside.map(|&(_, work)| work).sum::<f64>() / MEAN_WORK;
-            requests - (budget + 2.0 * budget.sqrt() + 2.0)
+            requests - (budget + chance(budget))
         });
         windows.fold(f64::NEG_INFINITY, f64::max)
     }
 }
 
+/// What may come on top of a budget of this many requests, for any budget.
+fn large_budget_chance(budget: f64) -> f64 {
+    2.0 * budget.sqrt() + 2.0
+}
+
+/// The same where budgets under 30 requests have more.
+fn chance(budget: f64) -> f64 {
+    if budget < 30.0 { 3.0 * budget.sqrt() + 3.0 } else { large_budget_chance(budget) }
+}
+
 /// Answers all probes: there is room everywhere, however much was sent.
-fn answer_with_room(process: &mut Node, mut actions: Vec<Action>) -> Vec<Action> {
+fn answer_with_room(process: &mut Node, mut actions: Vec<Action>, slots: f64) -> Vec<Action> {
     while let Some(at) = actions.iter().position(|action| matches!(action, Action::Probe { .. })) {
         let Action::Probe { executor } = actions.remove(at) else { unreachable!() };
         // Each reading differs from the one before, so that it is taken for a new one.
-        let free_slots = Some(SLOTS + process.now / 1e9);
+        let free_slots = Some(slots + process.now / 1e9);
         let reading = Reading { queue: Some(0.0), free_slots, ..Reading::default() };
         actions.extend(process.tell(Event::Probed { executor, answered: true, lag: 1.0, reading }));
     }
@@ -223,9 +237,9 @@
         for nodes in [20, 30] {
             let (mut fell, mut fullest, mut fewest) = (0, f64::NEG_INFINITY, usize::MAX);
             for seed in 0..SEEDS {
-                let mut fleet = Fleet::new(nodes, seed);
+                let mut fleet = Fleet::new(nodes, seed, SLOTS);
                 fleet.play(course);
-                let beyond = fleet.beyond();
+                let beyond = fleet.beyond(large_budget_chance);
                 fell += u32::from(beyond > 0.0);
                 fullest = fullest.max(beyond);
                 fewest = fewest.min(fleet.sent_to_cold.len());
@@ -240,3 +254,20 @@
         }
     }
 }
+
+/// The budget binds however few or many processes there are, and however small it is.
+#[test]
+fn few_and_many_processes_keep_a_cold_executor_within_its_budget_and_chance() {
+    for slots in [SLOTS, 2.0] {
+        for nodes in [1, 2, 3, 5, 100, 160] {
+            let mut fullest = f64::NEG_INFINITY;
+            for seed in 0..SEEDS / 2 {
+                let mut fleet = Fleet::new(nodes, seed, slots);
+                fleet.play(Course::Steady);
+                fullest = fullest.max(fleet.beyond(chance));
+            }
+            println!("{nodes} nodes, {slots} slots: fullest {fullest:.1}");
+            assert!(fullest <= 0.0, "{nodes} nodes, {slots} slots: {fullest:.1} requests beyond");
+        }
+    }
+}
