--- a/crates/cli/tests/rehearse.rs
+++ b/crates/cli/tests/rehearse.rs
@@ -187,9 +187,9 @@
     use troutknot_ledger::store::Store;
     use troutknot_ledger::{Answer, Fence, Record, Row};
     let path = file("ledger", "");
-    let wu = troutknot::WuId(1);
+    let wu = troutknot::RequestId(1);
     let (id, key, digest, work) = ("a1".to_string(), None, [0; 32], vec![]);
-    let effect = troutknot::Effect::Exclusive;
+    let effect = troutknot::Effect::AtMostOnce;
     let row = |place, record| Row { at: 1e12, place, record };
     let rows = [
         row(0, Record::Taken { wu, effect, limit: 2e12, id, key, digest, work }),
--- a/crates/daemon/src/clients/mod.rs
+++ b/crates/daemon/src/clients/mod.rs
@@ -21,7 +21,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
-use troutknot::WuId;
+use troutknot::RequestId;
 
 pub struct Clients {
     pub limits: Rc<Limits>,
@@ -454,7 +454,7 @@
             return Err(Some(409));
         }
         let exchange =
-            (!full).then(|| Exchange::new(WuId(self.next_wu.get()), work, limit, &self.held)).flatten();
+            (!full).then(|| Exchange::new(RequestId(self.next_wu.get()), work, limit, &self.held)).flatten();
         let exchange = exchange.ok_or(None)?;
         let token = troutknot_hosting::token(&id);
         if !self.past.borrow_mut().take(token, &self.limits) {
@@ -496,7 +496,7 @@
         work: Work,
         left: Duration,
         full: bool,
-    ) -> Result<Option<(Answer, Option<WuId>)>, u16> {
+    ) -> Result<Option<(Answer, Option<RequestId>)>, u16> {
         let come_back = Answer::Deferred(Some(1000.0));
         // The process before this one still holds the ledger.
         let Some(durable) = self.ledger() else { return Ok(Some((come_back, None))) };
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -81,7 +81,7 @@
     roster: Roster,
     /// The other nodes, where the settings let nodes talk.
     pub peers: Option<Rc<Peers>>,
-    open: BTreeMap<WuId, Open>,
+    open: BTreeMap<RequestId, Open>,
     wake: Option<Instant>,
     out_of_time: bool,
     /// Events for executors that were released, as far as the log has said.
@@ -180,7 +180,7 @@
                 }
                 let work = &exchange.work;
                 let left = exchange.limit.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
-                let told = Heard::Arrived {
+                let told = Heard::RequestArrived {
                     wu: exchange.wu,
                     project_type: work.project_type,
                     customer: work.customer,
@@ -195,9 +195,9 @@
             Event::Recovered(exchange, earlier) => return self.recovered(now, exchange, earlier),
             Event::Left(wu) => {
                 self.open.remove(&wu);
-                Heard::Withdrawn { wu }
+                Heard::RequestWithdrawn { wu }
             }
-            Event::Heard(Heard::Ended { wu, alloc, outcome, .. }) => {
+            Event::Heard(Heard::AttemptEnded { wu, alloc, outcome, .. }) => {
                 let closed = self.open.get(&wu).is_none_or(|open| open.exchange.is_over());
                 if let Some((open, (executor, at))) = self.open.get(&wu).and_then(|o| Some((o, o.pushed?))) {
                     let (ran, kind) =
@@ -208,10 +208,10 @@
                 if closed {
                     self.open.remove(&wu);
                 }
-                Heard::Ended { wu, alloc, outcome, closed }
+                Heard::AttemptEnded { wu, alloc, outcome, closed }
             }
             Event::Heard(heard) => {
-                if let Heard::Probed { executor, answered, lag, reading } = &heard {
+                if let Heard::ProbeCompleted { executor, answered, lag, reading } = &heard {
                     let name = self.name(*executor);
                     let (queue, free) = (reading.queue, reading.free_slots);
                     tracing::debug!("probed: {name} {answered} {lag:.1} ms queue {queue:?} free {free:?}");
@@ -221,7 +221,7 @@
             Event::List(list) => self.list(list),
             Event::LeaveOut { executor, out, asked } => return self.called(now, executor, out, asked),
             Event::HandOver => return self.hand_over(now),
-            Event::Beside(runs) => Heard::Beside { runs },
+            Event::Beside(runs) => Heard::SiblingChanged { runs },
             Event::Retuned(values) => return self.dispatcher.retune(now, &values),
             Event::OutOfTime => {
                 self.out_of_time = true;
@@ -233,12 +233,12 @@
                 self.ended = true;
                 for (wu, open) in std::mem::take(&mut self.open) {
                     open.exchange.answer(self.last_answer(open.allocs));
-                    self.dispatcher.tell(now, Heard::Withdrawn { wu });
+                    self.dispatcher.tell(now, Heard::RequestWithdrawn { wu });
                 }
                 return;
             }
         };
-        let is_list = matches!(told, Heard::ListTold { .. });
+        let is_list = matches!(told, Heard::EndpointsUpdated { .. });
         self.dispatcher.tell(now, told);
         if is_list && self.selection.has_waiting() {
             // There is room, and no handle is free.
@@ -261,12 +261,12 @@
         let Some(open) = self.open.get_mut(&wu) else { return };
         open.allocs = earlier.len() as u32;
         for (number, Earlier { executor: name, sent, outcome, lease }) in earlier.into_iter().enumerate() {
-            let alloc = AllocId(number as u32);
+            let alloc = AttemptId(number as u32);
             let executor = self.register(now, &name);
-            self.dispatcher.tell(now, Heard::Recovered { wu, executor, sent });
+            self.dispatcher.tell(now, Heard::AttemptRecovered { wu, executor, sent });
             match outcome {
                 Some(outcome) => {
-                    self.dispatcher.tell(now, Heard::Ended { wu, alloc, outcome, closed: false })
+                    self.dispatcher.tell(now, Heard::AttemptEnded { wu, alloc, outcome, closed: false })
                 }
                 None => {
                     let settled = self.executors.clone().settle(exchange.clone(), executor, alloc, lease);
@@ -279,7 +279,7 @@
     fn list(&mut self, list: ToldList) -> Heard {
         let ToldList { kind, entries, version, beyond } = list;
         let entries = match kind {
-            ListKind::Changes => self.select(|selection, kept| selection.changes(entries, kept)),
+            ListUpdate::Delta => self.select(|selection, kept| selection.changes(entries, kept)),
             // Who is missing from a whole list is gone.
             _ => {
                 let selected = self.select(|selection, _| selection.whole(entries, beyond));
@@ -290,10 +290,10 @@
         };
         let told = self.take_all(entries);
         self.roster.version = version.or(self.roster.version);
-        if kind != ListKind::Saved {
+        if kind != ListUpdate::Cached {
             self.stages.change(|life| life.listed = true);
         }
-        Heard::ListTold { kind, entries: told }
+        Heard::EndpointsUpdated { kind, entries: told }
     }
 
     /// Chooses whom to keep; what is to be taken follows.
@@ -334,7 +334,7 @@
     }
 
     /// Takes entries that were selected; one for which there is no handle now waits until others are released.
-    fn take_all(&mut self, entries: Vec<Entry>) -> Vec<Listing> {
+    fn take_all(&mut self, entries: Vec<Entry>) -> Vec<Endpoint> {
         let most = self.executors.limits.registered;
         let mut told = Vec::with_capacity(entries.len());
         for entry in entries {
@@ -354,7 +354,7 @@
         let selected = self.select(|selection, kept| selection.changes(Vec::new(), kept));
         let entries = self.take_all(selected);
         let is_any = !entries.is_empty();
-        self.dispatcher.tell(now, Heard::ListTold { kind: ListKind::ByHand, entries });
+        self.dispatcher.tell(now, Heard::EndpointsUpdated { kind: ListUpdate::Operator, entries });
         is_any
     }
 
@@ -370,15 +370,15 @@
     }
 
     /// Takes what the list says of one executor, under what operators say of it.
-    fn take(&mut self, executor: ExecutorId, entry: Entry) -> Listing {
+    fn take(&mut self, executor: ExecutorId, entry: Entry) -> Endpoint {
         let entry = self.roster.take(executor, entry);
         let mut listing = self.words.now().listing(&entry, executor);
         let addr = entry.addr.parse().ok();
-        if addr.is_none() && listing.phase == Phase::Healthy {
+        if addr.is_none() && listing.phase == EndpointState::Ready {
             tracing::warn!("executor {} has no usable address: `{}`", entry.id, entry.addr);
-            listing.phase = Phase::Draining;
+            listing.phase = EndpointState::Draining;
         }
-        self.executors.listed(executor, addr, listing.started, listing.phase == Phase::Healthy);
+        self.executors.listed(executor, addr, listing.started, listing.phase == EndpointState::Ready);
         tracing::debug!("listed: {} {:?} started {:?}", entry.id, listing.phase, listing.started);
         listing
     }
@@ -394,7 +394,7 @@
         let changed = executor.zip(entry);
         if let Some((executor, entry)) = changed {
             let entries = vec![self.take(executor, entry)];
-            self.dispatcher.tell(now, Heard::ListTold { kind: ListKind::ByHand, entries });
+            self.dispatcher.tell(now, Heard::EndpointsUpdated { kind: ListUpdate::Operator, entries });
         }
         match asked {
             Asked::ByHand(done) if known => {
@@ -416,7 +416,7 @@
         let entries: Vec<Entry> = listed.chain(self.selection.left_out()).cloned().collect();
         say(form::in_lines(&entries, |entries| Message::List { version, entries }));
         let learned = self.dispatcher.learned(now);
-        let known = |l: LearnedExecutor| {
+        let known = |l: ExecutorWarmState| {
             let id = self.registry.name(l.executor)?.to_string();
             let (failed, judged, slots) = (l.failed, l.judged, l.slots);
             Some(form::Known { id, failed, judged, slots, cold_spent: l.cold_spent })
@@ -424,7 +424,7 @@
         let executors: Vec<form::Known> = learned.executors.into_iter().filter_map(known).collect();
         say(form::in_lines(&executors, |executors| Message::Executors { executors }));
         let words = self.words.now();
-        let run = |(name, kind): (&str, ProjectTypeId)| {
+        let run = |(name, kind): (&str, RequestClassId)| {
             learned.runs.get(kind.0 as usize).map(|&(run, seen)| (name.to_string(), run, seen))
         };
         say(vec![
@@ -452,7 +452,7 @@
         }
         let executors = inherited.executors.into_iter();
         let executors = executors.filter_map(|known| self.take_over_executor(now, known)).collect();
-        let learned = Learned {
+        let learned = WarmState {
             executors,
             runs,
             mean_run: work.mean_run,
@@ -460,17 +460,17 @@
             lag: work.lag,
             draws: work.draws,
         };
-        self.dispatcher.tell(now, Heard::Learned(learned));
+        self.dispatcher.tell(now, Heard::WarmStateReceived(learned));
     }
 
     /// What a process before this one knew of an executor; nothing of one that is gone and needed no more.
-    fn take_over_executor(&mut self, now: Millis, known: form::Known) -> Option<LearnedExecutor> {
+    fn take_over_executor(&mut self, now: Millis, known: form::Known) -> Option<ExecutorWarmState> {
         if self.registry.get(&known.id).is_none() && known.cold_spent.is_empty() {
             return None;
         }
         let executor = self.register(now, &known.id);
         let form::Known { failed, judged, slots, cold_spent, .. } = known;
-        Some(LearnedExecutor { executor, failed, judged, slots, cold_spent })
+        Some(ExecutorWarmState { executor, failed, judged, slots, cold_spent })
     }
 
     /// The handle of an executor that an earlier life or process names; one that is not kept is gone.
@@ -481,7 +481,7 @@
         let left_out = self.selection.entry_left_out(name).cloned();
         let executor = self.registry.register(name);
         let gone = self.take(executor, left_out.map_or_else(|| Entry::gone(name), Entry::into_gone));
-        self.dispatcher.tell(now, Heard::ListTold { kind: ListKind::Changes, entries: vec![gone] });
+        self.dispatcher.tell(now, Heard::EndpointsUpdated { kind: ListUpdate::Delta, entries: vec![gone] });
         executor
     }
 
@@ -492,9 +492,9 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Push { wu, executor, cut_at, send_by } => {
+            Action::Dispatch { wu, executor, cut_at, send_by } => {
                 let Some(open) = self.open.get_mut(&wu) else { return };
-                let alloc = AllocId(open.allocs);
+                let alloc = AttemptId(open.allocs);
                 open.allocs += 1;
                 let stop: Rc<Stop> = Rc::default();
                 if self.out_of_time {
@@ -515,23 +515,23 @@
                 let stop = self.open.get(&wu).and_then(|open| open.stops.get(alloc.0 as usize));
                 stop.into_iter().for_each(|stop| stop.tell(Outcome::Cancelled));
             }
-            Action::Defer { wu, come_back } => self.finish(wu, Answer::Deferred(come_back)),
-            Action::Abort { wu } => self.finish(wu, Answer::Aborted),
+            Action::Reject { wu, come_back } => self.finish(wu, Answer::Deferred(come_back)),
+            Action::Fail { wu } => self.finish(wu, Answer::Aborted),
             Action::Probe { executor } => {
                 tracing::debug!("probe: {}", self.name(executor));
                 tokio::task::spawn_local(self.executors.clone().probe(executor));
             }
-            Action::Wake { at } => {
+            Action::SetTimer { at } => {
                 let at = self.clock.when(at);
                 self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
             }
-            Action::CloseIdle { executor } => self.executors.close_idle(executor),
-            Action::Tell(said) => {
+            Action::CloseIdleConnections { executor } => self.executors.close_idle(executor),
+            Action::Gossip(said) => {
                 let words = self.words.now();
                 self.peers.iter().for_each(|peers| peers.tell(said, words.type_names()));
             }
-            Action::FollowList => self.follow.changes.notify_one(),
-            Action::Release { executor } => self.release(executor),
+            Action::WatchEndpoints => self.follow.changes.notify_one(),
+            Action::ReleaseExecutor { executor } => self.release(executor),
             Action::Log(line) => tracing::info!("{line}"),
         }
     }
@@ -560,7 +560,7 @@
         self.stale_events = stale;
     }
 
-    fn finish(&mut self, wu: WuId, answer: Answer) {
+    fn finish(&mut self, wu: RequestId, answer: Answer) {
         if let Some(open) = self.open.remove(&wu) {
             let kind = open.exchange.work.project_type.0;
             match answer {
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
-use troutknot::{AllocId, Millis, Outcome, WuId};
+use troutknot::{AttemptId, Millis, Outcome, RequestId};
 use troutknot_ledger::{Fence, Record};
 
 pub struct Lease {
     durable: Rc<Durable>,
-    wu: WuId,
-    alloc: AllocId,
+    wu: RequestId,
+    alloc: AttemptId,
     pub fence: Fence,
     /// When it was recorded.
     at: Millis,
@@ -21,12 +21,12 @@
 }
 
 impl Lease {
-    pub fn new(durable: Rc<Durable>, wu: WuId, number: usize, fence: Fence, at: Millis) -> Self {
+    pub fn new(durable: Rc<Durable>, wu: RequestId, number: usize, fence: Fence, at: Millis) -> Self {
         let span = durable.terms.lease.unwrap_or(Duration::from_secs(86_400));
         Lease {
             durable,
             wu,
-            alloc: AllocId(number as u32),
+            alloc: AttemptId(number as u32),
             fence,
             at,
             until: Cell::new(Instant::now() + span),
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -23,7 +23,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use troutknot::{Effect, Millis, WuId};
+use troutknot::{Effect, Millis, RequestId};
 use troutknot_ledger::committer::{Committer, NotWritten};
 use troutknot_ledger::store::Store;
 use troutknot_ledger::{Answer as Kept, Digest, Ledger, Record, Row, Standing};
@@ -47,10 +47,10 @@
     committer: Committer,
     ledger: RefCell<Ledger>,
     /// Work units whose answer is not on record yet.
-    joints: RefCell<HashMap<WuId, Rc<Joint>>>,
+    joints: RefCell<HashMap<RequestId, Rc<Joint>>>,
     most_allocs: usize,
     /// Open ones that were on record at the start, and how many of them are still to be taken up.
-    before: RefCell<Vec<WuId>>,
+    before: RefCell<Vec<RequestId>>,
     to_recover: Cell<usize>,
     failing: Cell<bool>,
 }
@@ -74,7 +74,7 @@
     /// The same is open.
     Open(Rc<Joint>),
     /// The same has its answer on record.
-    Ended(WuId),
+    Ended(RequestId),
     /// Its key came with another body.
     OtherBody,
     /// Its id is on record, and it has no key that says that it is the same.
@@ -140,7 +140,7 @@
         let began = Instant::now();
         let opened = Committer::start(open, terms.sync == Syncs::Together, most_allocs);
         let (committer, ledger) = opened.map_err(|why| format!("ledger `{}`: {why}", path.display()))?;
-        let mut before: Vec<(u64, WuId)> =
+        let mut before: Vec<(u64, RequestId)> =
             ledger.open().map(|(wu, of)| (of.limit.max(0.0).to_bits(), wu)).collect();
         before.sort_unstable();
         let offset = (ledger.last() - clock.now()).max(0.0);
@@ -213,7 +213,7 @@
         why.is_none()
     }
 
-    fn joint(&self, wu: WuId) -> Rc<Joint> {
+    fn joint(&self, wu: RequestId) -> Rc<Joint> {
         let mut joints = self.joints.borrow_mut();
         joints.entry(wu).or_insert_with(|| Rc::new(Joint { answer: watch::channel(None).0 })).clone()
     }
@@ -255,7 +255,7 @@
         let come_back = Answer::Deferred(Some(1000.0));
         let record = Record::Taken {
             wu,
-            effect: self.words.now().effect(work.project_type).unwrap_or(Effect::Exclusive),
+            effect: self.words.now().effect(work.project_type).unwrap_or(Effect::AtMostOnce),
             limit: self.now() + left,
             id: work.id.clone(),
             key: work.key.clone(),
@@ -277,7 +277,7 @@
         Ok(joint)
     }
 
-    fn publish(&self, wu: WuId, joint: &Joint, answer: Answer) {
+    fn publish(&self, wu: RequestId, joint: &Joint, answer: Answer) {
         joint.answer.send_replace(Some(answer));
         self.joints.borrow_mut().remove(&wu);
     }
@@ -308,18 +308,18 @@
     }
 
     /// The answer was written to a client.
-    pub fn acknowledged(&self, wu: WuId) {
+    pub fn acknowledged(&self, wu: RequestId) {
         self.later(Record::Acknowledged { wu });
     }
 
-    async fn read(&self, wu: WuId) -> Result<Vec<Row>, String> {
+    async fn read(&self, wu: RequestId) -> Result<Vec<Row>, String> {
         let (tell, told) = oneshot::channel();
         self.committer.read(wu, move |rows| _ = tell.send(rows));
         told.await.unwrap_or_else(|_| Err("the ledger has ended".into()))
     }
 
     /// The answer on record; none where it cannot be read.
-    pub async fn recorded(&self, wu: WuId) -> Option<Answer> {
+    pub async fn recorded(&self, wu: RequestId) -> Option<Answer> {
         let rows = self.read(wu).await.inspect_err(|why| tracing::warn!("ledger: {why}")).ok()?;
         rows.into_iter().find_map(|row| match row.record {
             Record::Answered { answer, .. } => Some(answer_of(answer)),
@@ -328,7 +328,7 @@
     }
 
     /// An allocation about to be sent: once this ends well it is on disk, with its fence.
-    pub async fn lease(self: &Rc<Self>, wu: WuId, executor: &str, cut: Instant) -> Option<Lease> {
+    pub async fn lease(self: &Rc<Self>, wu: RequestId, executor: &str, cut: Instant) -> Option<Lease> {
         let now = self.now();
         let until_cut = cut.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
         let span = self.terms.lease.map_or(until_cut, |span| span.as_secs_f64() * 1000.0);
@@ -369,7 +369,7 @@
         tracing::info!("{} open work units from before are taken up, in {took:.0} ms", before.len());
     }
 
-    async fn take_up(self: &Rc<Self>, wu: WuId, held: &Rc<HeldBytes>) -> Result<(), String> {
+    async fn take_up(self: &Rc<Self>, wu: RequestId, held: &Rc<HeldBytes>) -> Result<(), String> {
         let rows = self.read(wu).await?;
         let taken = rows.iter().find_map(|row| match &row.record {
             Record::Taken { id, key, limit, work, .. } => Some((id.clone(), key.clone(), *limit, work)),
--- a/crates/daemon/src/events.rs
+++ b/crates/daemon/src/events.rs
@@ -4,7 +4,7 @@
 use crate::lists::ToldList;
 use std::rc::Rc;
 use tokio::sync::oneshot;
-use troutknot::{Event as Heard, Millis, NamedValues, Outcome, WuId};
+use troutknot::{Event as Heard, Millis, NamedValues, Outcome, RequestId};
 
 /// An allocation of an earlier life of this node.
 pub struct Earlier {
@@ -29,7 +29,7 @@
     Arrived(Rc<Exchange>),
     /// One that is open from an earlier life, with its allocations in order.
     Recovered(Rc<Exchange>, Vec<Earlier>),
-    Left(WuId),
+    Left(RequestId),
     /// What the dispatcher may be told as it is; whether an end closes the work unit is found here.
     Heard(Heard),
     List(ToldList),
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use troutknot::{CustomerId, Millis, Outcome, ProjectTypeId, WuId};
+use troutknot::{Millis, Outcome, RequestClassId, RequestId, TenantId};
 
 /// What a client handed in.
 pub struct Work {
@@ -20,8 +20,8 @@
     /// The header lines that go on unchanged.
     pub fields: Bytes,
     pub body: Bytes,
-    pub project_type: ProjectTypeId,
-    pub customer: CustomerId,
+    pub project_type: RequestClassId,
+    pub customer: TenantId,
     pub slots: f64,
     pub memory: f64,
     pub again: bool,
@@ -37,8 +37,8 @@
             target: "/render".into(),
             fields: Bytes::new(),
             body: vec![b'x'; size].into(),
-            project_type: ProjectTypeId(0),
-            customer: CustomerId(0),
+            project_type: RequestClassId(0),
+            customer: TenantId(0),
             slots: 1.0,
             memory: 0.0,
             again: false,
@@ -55,7 +55,7 @@
 }
 
 pub struct Exchange {
-    pub wu: WuId,
+    pub wu: RequestId,
     pub work: Work,
     /// When it must have its final answer.
     pub limit: Instant,
@@ -77,7 +77,7 @@
 
 impl Exchange {
     /// None where the bytes of this work unit do not fit beside what is held.
-    pub fn new(wu: WuId, work: Work, limit: Instant, held: &Rc<HeldBytes>) -> Option<Rc<Self>> {
+    pub fn new(wu: RequestId, work: Work, limit: Instant, held: &Rc<HeldBytes>) -> Option<Rc<Self>> {
         let own_bytes = work.fields.len() + work.body.len();
         held.take(own_bytes).then(|| {
             Rc::new(Exchange {
@@ -176,7 +176,7 @@
     let held = HeldBytes::new(10);
     let make = |bytes: usize| {
         let work = Work::of("1", bytes);
-        Exchange::new(WuId(1), work, Instant::now(), &held)
+        Exchange::new(RequestId(1), work, Instant::now(), &held)
     };
     let exchange = make(8).unwrap();
     assert!(make(3).is_none(), "what is held is bounded");
--- a/crates/daemon/src/executors/mod.rs
+++ b/crates/daemon/src/executors/mod.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
-use troutknot::{AllocId, Effect, Event as Heard, ExecutorId, Outcome, Reading};
+use troutknot::{AttemptId, Effect, Event as Heard, ExecutorId, LoadReport, Outcome};
 
 /// An executor that does not tell yet what became of an allocation is asked again after so long.
 const FENCE_AGAIN: Duration = Duration::from_millis(50);
@@ -103,7 +103,7 @@
     pub executor: ExecutorId,
     /// Its name, where the allocation goes on record.
     pub name: Option<String>,
-    pub alloc: AllocId,
+    pub alloc: AttemptId,
     pub decided: Instant,
     /// The start and address of its executor that it was decided for, by [`Executors::life`].
     pub life: u64,
@@ -304,7 +304,7 @@
     pub async fn allocate(self: Rc<Self>, push: Push) {
         let (wu, alloc) = (push.exchange.wu, push.alloc);
         // Whether that closes the work unit is the driver's to say.
-        let ended = |outcome| Event::Heard(Heard::Ended { wu, alloc, outcome, closed: false });
+        let ended = |outcome| Event::Heard(Heard::AttemptEnded { wu, alloc, outcome, closed: false });
         let Some(host) = self.host(push.executor) else {
             let _ = self.events.send(ended(Outcome::NotSent)).await;
             return;
@@ -339,7 +339,7 @@
         let most = self.limits.executors - (self.limits.executors / 16).max(1);
         // Guards against a late second answer that names no work unit and says that nothing ran: it must not
         // speak for what may not run twice.
-        let rerunnable = self.words.now().effect(exchange.work.project_type) == Some(Effect::Rerunnable);
+        let rerunnable = self.words.now().effect(exchange.work.project_type) == Some(Effect::Idempotent);
         // Guards against a send that was decided long before: while it connects, the grace of its executor
         // may end, its cut may come, its work unit may be over.
         let connection = tokio::select! {
@@ -471,11 +471,12 @@
                 match told {
                     Line::Started => {
                         begun = true;
-                        let _ = self.events.try_send(Event::Heard(Heard::Started { wu, alloc }));
+                        let _ = self.events.try_send(Event::Heard(Heard::AttemptStarted { wu, alloc }));
                     }
                     Line::Progress(share) => {
                         begun = true;
-                        let _ = self.events.try_send(Event::Heard(Heard::Progress { wu, alloc, share }));
+                        let _ =
+                            self.events.try_send(Event::Heard(Heard::AttemptProgressed { wu, alloc, share }));
                     }
                     Line::Result(result) => {
                         exchange.answer(Answer::Completed(result));
@@ -497,7 +498,7 @@
         self: Rc<Self>,
         exchange: Rc<Exchange>,
         executor: ExecutorId,
-        alloc: AllocId,
+        alloc: AttemptId,
         lease: Lease,
     ) {
         let fate = match self.host(executor) {
@@ -506,7 +507,7 @@
         };
         let outcome = fate.unwrap_or(Outcome::Reset);
         lease.ended(outcome);
-        let ended = Heard::Ended { wu: exchange.wu, alloc, outcome, closed: false };
+        let ended = Heard::AttemptEnded { wu: exchange.wu, alloc, outcome, closed: false };
         let _ = self.events.send(Event::Heard(ended)).await;
     }
 
@@ -570,11 +571,11 @@
         let reading = answer.ok().flatten().filter(|_| !late);
         let lag = lag.as_secs_f64() * 1000.0;
         let (answered, reading) = (reading.is_some(), reading.unwrap_or_default());
-        let probed = Heard::Probed { executor, answered, lag, reading };
+        let probed = Heard::ProbeCompleted { executor, answered, lag, reading };
         let _ = self.events.send(Event::Heard(probed)).await;
     }
 
-    async fn ask(&self, host: &Host) -> Option<Reading> {
+    async fn ask(&self, host: &Host) -> Option<LoadReport> {
         let mut connection = self.connect(host, self.limits.executors, false).await.ok()?;
         let ask = self.words.now().probe(host.addr.get()?);
         connection.write(&[ask.as_bytes()]).await.ok()?;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -49,7 +49,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 use tracing_appender::non_blocking::NonBlockingBuilder;
-use troutknot::{Dispatcher, ListKind};
+use troutknot::{Dispatcher, ListUpdate};
 use troutknot_hosting::{Catalogue, Retention};
 use words::{InForce, List, Vocabulary};
 
@@ -239,7 +239,7 @@
         if let Some(inherited) = &mut inherited {
             driver.leave_out(std::mem::take(&mut inherited.out));
         }
-        driver.tell(clock.now(), Event::List(ToldList::of(ListKind::Saved, known)));
+        driver.tell(clock.now(), Event::List(ToldList::of(ListUpdate::Cached, known)));
     }
     if let Some(mut inherited) = inherited {
         clients.taken_elsewhere(&inherited.ids);
@@ -261,7 +261,7 @@
             Source::Platform => {
                 if several {
                     // Its watch goes on from the version held before, and the node has been told of that.
-                    let _ = merge.borrow_mut().take(place, ListKind::Whole, before.clone());
+                    let _ = merge.borrow_mut().take(place, ListUpdate::Snapshot, before.clone());
                 }
                 let follower = lists::platform::Follower {
                     discovery: followed.clone(),
--- a/crates/daemon/src/lists/merge.rs
+++ b/crates/daemon/src/lists/merge.rs
@@ -3,7 +3,7 @@
 use crate::words::Entry;
 use compact_str::CompactString;
 use std::collections::BTreeMap;
-use troutknot::ListKind;
+use troutknot::ListUpdate;
 
 /// What each source last said of one executor, by the source's place in the order.
 #[derive(Default)]
@@ -41,9 +41,9 @@
     }
 
     /// What changes for the node by a source's word.
-    pub fn take(&mut self, source: usize, kind: ListKind, entries: Vec<Entry>) -> Vec<Entry> {
+    pub fn take(&mut self, source: usize, kind: ListUpdate, entries: Vec<Entry>) -> Vec<Entry> {
         let mut touched: Vec<CompactString> = entries.iter().map(|entry| entry.id.clone()).collect();
-        if kind != ListKind::Changes {
+        if kind != ListUpdate::Delta {
             // Who is missing from a whole list is gone.
             let named: std::collections::HashSet<&str> =
                 entries.iter().map(|entry| entry.id.as_str()).collect();
--- a/crates/daemon/src/lists/mod.rs
+++ b/crates/daemon/src/lists/mod.rs
@@ -10,12 +10,12 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use troutknot::ListKind;
+use troutknot::ListUpdate;
 
 /// A list, or changes of one, as it is told to the driver.
 #[derive(Debug)]
 pub struct ToldList {
-    pub kind: ListKind,
+    pub kind: ListUpdate,
     pub entries: Vec<Entry>,
     /// Where its source counts them.
     pub version: Option<u64>,
@@ -24,13 +24,13 @@
 }
 
 impl ToldList {
-    pub fn of(kind: ListKind, list: List) -> Self {
+    pub fn of(kind: ListUpdate, list: List) -> Self {
         let List { version, entries, beyond, .. } = list;
         ToldList { kind, entries, version: Some(version), beyond }
     }
 
     pub fn changes(entries: Vec<Entry>) -> Self {
-        ToldList { kind: ListKind::Changes, entries, version: None, beyond: 0 }
+        ToldList { kind: ListUpdate::Delta, entries, version: None, beyond: 0 }
     }
 
     /// That nothing has changed.
--- a/crates/daemon/src/lists/platform.rs
+++ b/crates/daemon/src/lists/platform.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout, timeout_at};
-use troutknot::{Event as Heard, ListKind};
+use troutknot::{Event as Heard, ListUpdate};
 use troutknot_hosting::Retention;
 
 /// So many watches in a row must show an older list before it is taken for a new count of versions.
@@ -65,7 +65,7 @@
 impl Versions {
     /// Guards against lists that repeat or are old: none of them may bring back an executor that drains. An
     /// older whole list that opens watch after watch is a new count of versions.
-    fn take(&mut self, list: &List, first: bool) -> Option<ListKind> {
+    fn take(&mut self, list: &List, first: bool) -> Option<ListUpdate> {
         let newer = self.known.is_none_or(|known| list.version > known);
         let same = first && list.full && self.known == Some(list.version);
         if !newer && !same {
@@ -77,7 +77,7 @@
         }
         (self.known, self.old) = (Some(list.version), 0);
         self.whole_wanted &= !list.full;
-        Some(if list.full { ListKind::Whole } else { ListKind::Changes })
+        Some(if list.full { ListUpdate::Snapshot } else { ListUpdate::Delta })
     }
 }
 
@@ -115,7 +115,7 @@
             };
             moved = false;
             tracing::warn!("watch of the list broke off: {why}");
-            if self.told.event(Event::Heard(Heard::ListLost { turned_away })).await.is_err() {
+            if self.told.event(Event::Heard(Heard::EndpointWatchLost { turned_away })).await.is_err() {
                 return;
             }
         }
@@ -146,7 +146,7 @@
         }
         tracing::debug!("watch of the list stands");
         // The watch stands, even if the list follows late.
-        let none = Heard::ListTold { kind: ListKind::Changes, entries: Vec::new() };
+        let none = Heard::EndpointsUpdated { kind: ListUpdate::Delta, entries: Vec::new() };
         self.told.event(Event::Heard(none)).await?;
         let (mut buffer, most, mut first) = (BytesMut::new(), self.limits.list_line, true);
         let (mut lists, mut due) = (self.reader(), Instant::now() + silence);
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -83,9 +83,9 @@
 impl Durably {
     pub fn takes(&self, effect: Effect) -> bool {
         self.effects.contains(&match effect {
-            Effect::Rerunnable => Taken::Rerunnable,
-            Effect::Receipted => Taken::Receipted,
-            Effect::Exclusive => Taken::Exclusive,
+            Effect::Idempotent => Taken::Rerunnable,
+            Effect::Deduplicated => Taken::Receipted,
+            Effect::AtMostOnce => Taken::Exclusive,
         })
     }
 }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -9,7 +9,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
-use troutknot::{Event as Heard, Telling};
+use troutknot::{Event as Heard, GossipMessage};
 use troutknot_hosting::{MOST_TOLD, TypeNames, telling, told};
 
 /// What was passed over is said in the log once in so long.
@@ -39,7 +39,7 @@
     }
 
     /// Tells all others. What finds no room on its way is dropped, as any of it may be.
-    pub fn tell(&self, said: Telling, types: TypeNames) {
+    pub fn tell(&self, said: GossipMessage, types: TypeNames) {
         let bytes = telling(said, types);
         for other in &self.others {
             let _ = self.socket.try_send_to(&bytes, *other);
@@ -61,7 +61,7 @@
             match told(&bytes[..length], words.now().type_names()).filter(|_| known) {
                 Some(heard) => {
                     // Guards against a crowd of messages: with no room for one, it is lost like any other.
-                    let _ = events.try_send(Event::Heard(Heard::Told(heard)));
+                    let _ = events.try_send(Event::Heard(Heard::GossipReceived(heard)));
                 }
                 None => {
                     passed_over += 1;
--- a/crates/daemon/src/words.rs
+++ b/crates/daemon/src/words.rs
@@ -137,13 +137,13 @@
         self.taken_types.values().map(limit).max().unwrap_or_default()
     }
 
-    pub fn effect(&self, project_type: ProjectTypeId) -> Option<Effect> {
+    pub fn effect(&self, project_type: RequestClassId) -> Option<Effect> {
         self.effects.get(project_type.0 as usize).copied()
     }
 
     /// Whether what is out of such work may be broken off when nobody waits for it any more.
-    pub fn may_withdraw(&self, project_type: ProjectTypeId) -> bool {
-        self.cancel && self.effect(project_type) == Some(Effect::Rerunnable)
+    pub fn may_withdraw(&self, project_type: RequestClassId) -> bool {
+        self.cancel && self.effect(project_type) == Some(Effect::Idempotent)
     }
 
     pub fn most_allocs(&self) -> usize {
@@ -207,8 +207,8 @@
             target: head.target.clone(),
             fields: fields.freeze(),
             body: Bytes::new(),
-            project_type: ProjectTypeId(named),
-            customer: CustomerId(customer),
+            project_type: RequestClassId(named),
+            customer: TenantId(customer),
             slots,
             memory,
             again: one(AGAIN)? == Some("1"),
@@ -244,15 +244,15 @@
     }
 
     /// The project types that are taken, by name.
-    pub fn taken_types(&self) -> impl Iterator<Item = (&str, ProjectTypeId)> {
-        self.taken_types.iter().map(|(name, &number)| (name.as_str(), ProjectTypeId(number)))
+    pub fn taken_types(&self) -> impl Iterator<Item = (&str, RequestClassId)> {
+        self.taken_types.iter().map(|(name, &number)| (name.as_str(), RequestClassId(number)))
     }
 
     /// What such names stand for now; none where the project type is not known.
-    pub fn places_of(&self, project_type: &str, customer: &str) -> Option<(ProjectTypeId, CustomerId)> {
+    pub fn places_of(&self, project_type: &str, customer: &str) -> Option<(RequestClassId, TenantId)> {
         let project_type = *self.taken_types.get(project_type)?;
         let customer = self.taken_customers.get(customer).copied().unwrap_or(0);
-        Some((ProjectTypeId(project_type), CustomerId(customer)))
+        Some((RequestClassId(project_type), TenantId(customer)))
     }
 
     /// The question what became of an allocation that was recorded so long ago, which from then on is refused.
@@ -295,7 +295,7 @@
     }
 
     /// What an answered probe says of load; it stands in the body, or in a field.
-    pub fn reading(&self, head: &AnswerHead, body: &[u8]) -> Reading {
+    pub fn reading(&self, head: &AnswerHead, body: &[u8]) -> LoadReport {
         let field = head.headers.one(REPORT).ok().flatten();
         named_reading(
             std::str::from_utf8(body).ok().filter(|text| text.contains('=')).or(field).unwrap_or(""),
@@ -308,21 +308,21 @@
     }
 
     /// What an executor's listing says, but for the number that this node gives it.
-    pub fn listing(&self, entry: &Entry, executor: ExecutorId) -> Listing {
+    pub fn listing(&self, entry: &Entry, executor: ExecutorId) -> Endpoint {
         let place = |name: &Option<CompactString>, names| {
             name.as_ref().map_or(0, |name| place_of(name, names).unwrap_or(u32::MAX))
         };
-        Listing {
+        Endpoint {
             executor,
             token: token(&entry.id),
-            place: PlaceId(place(&entry.zone, &self.places)),
-            kind: MachineKindId(place(&entry.kind, &self.kinds)),
-            group: GroupId(entry.cell.unwrap_or(0)),
+            place: ZoneId(place(&entry.zone, &self.places)),
+            kind: MachineTypeId(place(&entry.kind, &self.kinds)),
+            group: DeduplicationGroupId(entry.cell.unwrap_or(0)),
             phase: match entry.state.as_str() {
-                READY => Phase::Healthy,
-                GONE => Phase::Gone,
+                READY => EndpointState::Ready,
+                GONE => EndpointState::Gone,
                 // A word that is not known is taken for the one that stops new work.
-                _ => Phase::Draining,
+                _ => EndpointState::Draining,
             },
             size: entry.weight.unwrap_or(1.0),
             started: entry.started_ms.filter(|&at| at > 0.0),
@@ -335,7 +335,7 @@
     let never_ran = matches!(head.headers.one(NEVER_RAN), Ok(Some("1")));
     match head.status {
         200 => None,
-        503 | 504 if never_ran => Some(Outcome::Full),
+        503 | 504 if never_ran => Some(Outcome::Rejected),
         _ => Some(Outcome::Error),
     }
 }
@@ -423,7 +423,7 @@
             Ok(Line::Result(text.into()))
         }
         "failed" => Ok(Line::Ended(Outcome::Error)),
-        "returned" => Ok(Line::Ended(Outcome::Full)),
+        "returned" => Ok(Line::Ended(Outcome::Rejected)),
         "lost" => Ok(Line::Ended(Outcome::Reset)),
         other => Err(format!("unknown state `{other}`")),
     }
--- a/crates/daemon/tests/durable.rs
+++ b/crates/daemon/tests/durable.rs
@@ -178,8 +178,9 @@
     die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
     {
         let store = Store::open(place.ledger.as_ref()).unwrap();
-        let rows = store.of(troutknot::WuId(0)).unwrap();
-        let (wu, alloc, outcome) = (troutknot::WuId(0), troutknot::AllocId(0), troutknot::Outcome::Completed);
+        let rows = store.of(troutknot::RequestId(0)).unwrap();
+        let (wu, alloc, outcome) =
+            (troutknot::RequestId(0), troutknot::AttemptId(0), troutknot::Outcome::Completed);
         let (at, number) = (rows.last().unwrap().at, rows.len() as u32);
         store.commit(&[Row { at, place: number, record: Record::Ended { wu, alloc, outcome } }]).unwrap();
     }
@@ -303,7 +304,7 @@
         die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
         if taken_only {
             // As if it had died before the allocation was on record.
-            let of = |store: &Store| store.of(troutknot::WuId(0)).unwrap()[0].clone();
+            let of = |store: &Store| store.of(troutknot::RequestId(0)).unwrap()[0].clone();
             let first = of(&Store::open(place.ledger.as_ref()).unwrap());
             std::fs::remove_file(&place.ledger).unwrap();
             Store::open(place.ledger.as_ref()).unwrap().commit(&[first]).unwrap();
@@ -350,7 +351,7 @@
         die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("render", "m0000000", "k", "b"));
         {
             let store = Store::open(place.ledger.as_ref()).unwrap();
-            let first = store.of(troutknot::WuId(0)).unwrap()[0].clone();
+            let first = store.of(troutknot::RequestId(0)).unwrap()[0].clone();
             let Record::Taken { effect, limit, digest, work, .. } = first.record else { panic!() };
             let of = |number: u64| {
                 let id = format!("m{number:07}");
@@ -358,7 +359,7 @@
                 let mut work = work.clone();
                 let at = work.windows(8).position(|part| part == b"m0000000").unwrap();
                 work[at..at + 8].copy_from_slice(id.as_bytes());
-                let (wu, key) = (troutknot::WuId(number), Some(format!("km{number}")));
+                let (wu, key) = (troutknot::RequestId(number), Some(format!("km{number}")));
                 let record = Record::Taken { wu, effect, limit, id, key, digest, work };
                 Row { at: first.at, place: 0, record }
             };
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -43,7 +43,7 @@
         actions.into_iter().for_each(|action| self.driver.act(action));
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
+    fn list(&mut self, kind: ListUpdate, entries: Vec<Entry>) {
         self.tell(Event::List(ToldList { kind, entries, version: None, beyond: 0 }));
     }
 
@@ -58,7 +58,7 @@
         let id = self.next_request.to_string();
         let work = Work { fields: format!("{ID_FIELD}{id}\r\n").into(), ..Work::of(&id, 0) };
         let limit = Instant::now() + HARD_LIMIT;
-        let exchange = Exchange::new(WuId(self.next_request), work, limit, &self.held).unwrap();
+        let exchange = Exchange::new(RequestId(self.next_request), work, limit, &self.held).unwrap();
         self.tell(Event::Arrived(exchange.clone()));
         exchange
     }
@@ -137,7 +137,7 @@
         let mut rig = Rig::new(48);
         for replaced in 0..=20 {
             let names = (0..FLEET).map(|k| ready(&format!("fleet-{replaced}-{k}"), addr));
-            rig.list(ListKind::Whole, names.collect());
+            rig.list(ListUpdate::Snapshot, names.collect());
             assert!(rig.kept() <= 2 * FLEET, "{replaced}: before those that are gone are looked over");
             let mut completed = 0;
             for _ in 0..REQUESTS {
@@ -148,7 +148,7 @@
             rig.look_over();
             assert_eq!(rig.kept(), FLEET, "{replaced}");
         }
-        rig.list(ListKind::Whole, Vec::new());
+        rig.list(ListUpdate::Snapshot, Vec::new());
         rig.look_over();
         assert_eq!((rig.kept(), rig.driver.executors.connections()), (0, 0));
     };
@@ -166,16 +166,16 @@
         for is_released in [false, true] {
             done.iter().for_each(|done| done.set(0));
             let mut rig = Rig::new(48);
-            rig.list(ListKind::Whole, vec![ready("a", first)]);
+            rig.list(ListUpdate::Snapshot, vec![ready("a", first)]);
             let before = rig.driver.registry.get("a");
             let exchange = rig.arrive();
             assert_eq!(rig.serve(&[exchange]).await, 1);
-            rig.list(ListKind::Whole, Vec::new());
+            rig.list(ListUpdate::Snapshot, Vec::new());
             if is_released {
                 rig.look_over();
                 assert_eq!(rig.kept(), 0);
             }
-            rig.list(ListKind::Changes, vec![ready("a", second)]);
+            rig.list(ListUpdate::Delta, vec![ready("a", second)]);
             assert_eq!(rig.driver.registry.get("a") == before, !is_released);
             let exchange = rig.arrive();
             assert_eq!(rig.serve(&[exchange]).await, 1);
@@ -192,17 +192,17 @@
     let all = async {
         let addr = executors_at_one_address(Rc::default()).await;
         let mut rig = Rig::new(48);
-        rig.list(ListKind::Whole, vec![ready("a", addr)]);
+        rig.list(ListUpdate::Snapshot, vec![ready("a", addr)]);
         let released = rig.driver.registry.get("a").unwrap();
-        rig.list(ListKind::Changes, vec![Entry::gone("a"), ready("b", addr)]);
+        rig.list(ListUpdate::Delta, vec![Entry::gone("a"), ready("b", addr)]);
         rig.look_over();
-        rig.list(ListKind::Changes, vec![ready("c", addr)]);
+        rig.list(ListUpdate::Delta, vec![ready("c", addr)]);
         let (reused, executors) = (rig.driver.registry.get("c").unwrap(), rig.driver.executors.clone());
         assert!(reused != released && rig.kept() == 2);
         // The slot of "a" is that of "c" by now.
         executors.clone().probe(released).await;
         let told = rig.driver.events.recv().await.unwrap();
-        assert!(matches!(told, Event::Heard(Heard::Probed { answered: false, .. })));
+        assert!(matches!(told, Event::Heard(Heard::ProbeCompleted { answered: false, .. })));
         rig.tell(told);
         assert_eq!(rig.driver.dispatcher.stale_events(), 1);
         executors.close_idle(released);
@@ -214,7 +214,7 @@
             exchange: exchange.clone(),
             executor: released,
             name: None,
-            alloc: AllocId(7),
+            alloc: AttemptId(7),
             decided: Instant::now(),
             life,
             cut,
@@ -224,8 +224,8 @@
         executors.clone().allocate(push).await;
         for action in [
             Action::Probe { executor: released },
-            Action::CloseIdle { executor: released },
-            Action::Release { executor: released },
+            Action::CloseIdleConnections { executor: released },
+            Action::ReleaseExecutor { executor: released },
         ] {
             rig.driver.act(action);
         }
@@ -243,21 +243,21 @@
         let done: Rc<std::cell::Cell<usize>> = Rc::default();
         let addr = executors_at_one_address(done.clone()).await;
         let mut rig = Rig::new(48);
-        rig.list(ListKind::Whole, vec![ready("a", addr)]);
+        rig.list(ListUpdate::Snapshot, vec![ready("a", addr)]);
         assert!(rig.call("a", true).await);
-        rig.list(ListKind::Whole, Vec::new());
+        rig.list(ListUpdate::Snapshot, Vec::new());
         rig.look_over();
         assert_eq!(rig.kept(), 0);
         assert!(!rig.call("b", true).await, "nobody knows it");
-        rig.list(ListKind::Whole, vec![ready("a", addr)]);
+        rig.list(ListUpdate::Snapshot, vec![ready("a", addr)]);
         let exchange = rig.arrive();
         assert_eq!(rig.serve(&[exchange]).await, 0, "it is given back at once");
         assert_eq!(done.get(), 0, "and was never sent");
-        rig.list(ListKind::Whole, Vec::new());
+        rig.list(ListUpdate::Snapshot, Vec::new());
         rig.look_over();
         assert!(rig.call("a", false).await, "it is called in while it is gone");
         assert!(rig.driver.roster.out().is_empty());
-        rig.list(ListKind::Whole, vec![ready("a", addr)]);
+        rig.list(ListUpdate::Snapshot, vec![ready("a", addr)]);
         let exchange = rig.arrive();
         assert_eq!((rig.serve(&[exchange]).await, done.get()), (1, 1));
     };
@@ -290,7 +290,7 @@
         cold_spent: if id == "d" { vec![(now, 50.0)] } else { Vec::new() },
     };
     let addr = "127.0.0.1:1".parse().unwrap();
-    rig.list(ListKind::Saved, vec![ready("a", addr), Entry::gone("b")]);
+    rig.list(ListUpdate::Cached, vec![ready("a", addr), Entry::gone("b")]);
     let mut inherited = Inherited::default();
     inherited.executors = ["a", "b", "c", "d"].map(known).into();
     rig.driver.take_over(now, inherited);
@@ -314,7 +314,7 @@
     let exchange = |wu: u64| {
         let work = Work::of(&wu.to_string(), 0);
         let limit = Instant::now() + std::time::Duration::from_secs(5);
-        Exchange::new(WuId(wu), work, limit, &held).unwrap()
+        Exchange::new(RequestId(wu), work, limit, &held).unwrap()
     };
     let [before, after, sent] = [1, 2, 3].map(exchange);
     driver.tell(clock.now(), Event::Arrived(before.clone()));
--- a/crates/daemon/tests/unit/executors.rs
+++ b/crates/daemon/tests/unit/executors.rs
@@ -4,7 +4,7 @@
 use socket2::{Domain, Socket, Type};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::LocalSet;
-use troutknot::WuId;
+use troutknot::RequestId;
 
 /// The handle of the one executor.
 fn executor() -> ExecutorId {
@@ -42,7 +42,7 @@
 
 fn exchange_of(size: usize) -> Rc<Exchange> {
     let work = Work::of("1", size);
-    Exchange::new(WuId(1), work, Instant::now(), &HeldBytes::new(1 << 20)).unwrap()
+    Exchange::new(RequestId(1), work, Instant::now(), &HeldBytes::new(1 << 20)).unwrap()
 }
 
 fn push(
@@ -53,7 +53,7 @@
     [cut, send_by]: [Instant; 2],
 ) -> Push {
     let (life, exchange, stop) = (of.life(executor()), exchange.clone(), stop.clone());
-    let (executor, alloc, send_by) = (executor(), AllocId(0), send_by.min(cut));
+    let (executor, alloc, send_by) = (executor(), AttemptId(0), send_by.min(cut));
     Push { name: None, exchange, executor, alloc, decided, life, cut, send_by, stop }
 }
 
@@ -132,7 +132,7 @@
         let both = async { tokio::join!(overtake, executors.clone().allocate(push)).0 };
         let event = local.run_until(timeout(Duration::from_secs(4), both)).await.unwrap();
         assert!(
-            matches!(event, Some(Event::Heard(Heard::Ended { outcome, .. })) if outcome == expected),
+            matches!(event, Some(Event::Heard(Heard::AttemptEnded { outcome, .. })) if outcome == expected),
             "{by:?}"
         );
         if !hangs || by == RestartToldLate {
@@ -184,7 +184,7 @@
         let both = async { tokio::join!(overtake, executors.clone().allocate(push)).0 };
         let waited = local.run_until(timeout(Duration::from_secs(4), both)).await;
         let (event, mut there) = waited.unwrap_or_else(|_| panic!("{by:?}: it is still written"));
-        let Some(Event::Heard(Heard::Ended { outcome, .. })) = event else { panic!("{by:?}") };
+        let Some(Event::Heard(Heard::AttemptEnded { outcome, .. })) = event else { panic!("{by:?}") };
         assert_eq!(outcome.never_ran(), size == large, "{by:?}: {outcome:?}");
         let mut rest = Vec::new();
         let _ = std::io::Read::read_to_end(&mut there, &mut rest);
@@ -253,7 +253,7 @@
         {\"id\":\"1\",\"state\":\"done\",\"result\":\"xyz\"}";
     const NOT_STARTED: &[u8] = b"HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
     for (effect, expected) in
-        [("safe", Outcome::Full), ("keyed", Outcome::Completed), ("unsafe", Outcome::Completed)]
+        [("safe", Outcome::Rejected), ("keyed", Outcome::Completed), ("unsafe", Outcome::Completed)]
     {
         let (executors, mut told) = executors_for(effect, Duration::ZERO);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -279,7 +279,7 @@
         let both = async { tokio::join!(answers, async { (run().await, run().await) }) };
         assert!(timeout(Duration::from_secs(4), both).await.is_ok(), "{effect}: it is over");
         for expected in [Outcome::Completed, expected] {
-            let Some(Event::Heard(Heard::Ended { outcome, .. })) = told.recv().await else { panic!() };
+            let Some(Event::Heard(Heard::AttemptEnded { outcome, .. })) = told.recv().await else { panic!() };
             assert_eq!(outcome, expected, "{effect}");
         }
     }
--- a/crates/daemon/tests/unit/platform.rs
+++ b/crates/daemon/tests/unit/platform.rs
@@ -9,19 +9,19 @@
 
 #[test]
 fn lists_that_repeat_or_are_old_are_passed_over() {
-    use ListKind::{Changes, Whole};
+    use ListUpdate::{Delta, Snapshot};
     let mut versions = Versions { known: Some(10), ..Versions::default() };
     for (version, full, first, expected) in [
-        (10, true, true, Some(Whole)),
+        (10, true, true, Some(Snapshot)),
         (9, true, false, None),
         (10, false, false, None),
-        (11, false, false, Some(Changes)),
+        (11, false, false, Some(Delta)),
         (11, true, false, None),
         (4, false, true, None),
         (4, true, true, None),
         (4, true, true, None),
-        (4, true, true, Some(Whole)),
-        (5, false, false, Some(Changes)),
+        (4, true, true, Some(Snapshot)),
+        (5, false, false, Some(Delta)),
     ] {
         let list = List { version, full, entries: Vec::new(), beyond: 0 };
         assert_eq!(versions.take(&list, first), expected, "{version} {full} {first}");
@@ -122,7 +122,7 @@
         let ended = local.run_until(watched).await;
         let (took, mut told) = (start.elapsed().as_secs_f64(), 0);
         while let Ok(event) = heard.try_recv() {
-            told += usize::from(matches!(event, Event::List(list) if list.kind == ListKind::Whole));
+            told += usize::from(matches!(event, Event::List(list) if list.kind == ListUpdate::Snapshot));
         }
         assert_eq!((told, ended.is_none()), (lists, agent == Indented), "{agent:?}: {ended:?}");
         assert!(took <= latest, "{agent:?}: it ended after {took} s");
@@ -136,9 +136,9 @@
 fn a_whole_list_is_wanted_until_it_comes() {
     let mut versions = Versions { known: Some(10), whole_wanted: true, ..Versions::default() };
     let list = |version, full| List { version, full, entries: Vec::new(), beyond: 0 };
-    assert_eq!(versions.take(&list(11, false), true), Some(ListKind::Changes));
+    assert_eq!(versions.take(&list(11, false), true), Some(ListUpdate::Delta));
     assert_eq!(versions.take(&list(9, true), true), None, "an old one does not do");
     assert!(versions.whole_wanted);
-    assert_eq!(versions.take(&list(11, true), true), Some(ListKind::Whole));
+    assert_eq!(versions.take(&list(11, true), true), Some(ListUpdate::Snapshot));
     assert!(!versions.whole_wanted);
 }
--- a/crates/daemon/tests/unit/words.rs
+++ b/crates/daemon/tests/unit/words.rs
@@ -40,7 +40,7 @@
         (r#"{"id":"a1","state":"done"}"#, None),
         (r#"{"id":"b2","state":"done","result":"x"}"#, None),
         (r#"{"id":"a1","state":"failed","load":{"queue":1}}"#, Some(Line::Ended(Outcome::Error))),
-        (r#"{"id":"a1","state":"returned"}"#, Some(Line::Ended(Outcome::Full))),
+        (r#"{"id":"a1","state":"returned"}"#, Some(Line::Ended(Outcome::Rejected))),
         (r#"{"id":"a1","state":"lost"}"#, Some(Line::Ended(Outcome::Reset))),
         (r#"{"id":"a1","state":"paused"}"#, None),
         ("done", None),
@@ -57,8 +57,8 @@
 fn heads_of_executors_and_what_they_prove() {
     for (status, fields, expected) in [
         (200, "", None),
-        (503, "Not-Started: 1\r\n", Some(Outcome::Full)),
-        (504, "not-started: 1\r\n", Some(Outcome::Full)),
+        (503, "Not-Started: 1\r\n", Some(Outcome::Rejected)),
+        (504, "not-started: 1\r\n", Some(Outcome::Rejected)),
         (503, "", Some(Outcome::Error)),
         (503, "Not-Started: 0\r\n", Some(Outcome::Error)),
         (500, "Not-Started: 1\r\n", Some(Outcome::Error)),
--- a/crates/hosting/src/lib.rs
+++ b/crates/hosting/src/lib.rs
@@ -12,7 +12,7 @@
 pub use retention::{Rank, Retention, Standing};
 use serde_json::{Map, Value};
 pub use telling::{MOST_TOLD, TypeNames, telling, told, type_names};
-use troutknot::{Millis, Reading};
+use troutknot::{LoadReport, Millis};
 
 /// FNV-1a of a name, so that every node has the same number for it.
 pub fn token(name: &str) -> u64 {
@@ -44,7 +44,7 @@
         }
     }
 
-    fn put(self, value: Option<f64>, reading: &mut Reading) {
+    fn put(self, value: Option<f64>, reading: &mut LoadReport) {
         let value = value.filter(|v| v.is_finite());
         match self {
             LoadField::Queue => reading.queue = value,
@@ -71,8 +71,8 @@
         self.0.is_empty()
     }
 
-    pub fn reading(&self, values: &[Option<f64>]) -> Reading {
-        let mut reading = Reading::default();
+    pub fn reading(&self, values: &[Option<f64>]) -> LoadReport {
+        let mut reading = LoadReport::default();
         self.0.iter().zip(values).for_each(|(field, value)| field.put(*value, &mut reading));
         reading
     }
@@ -84,8 +84,8 @@
 /// let reading = troutknot_hosting::named_reading("queue=2, x0=1.5,util=0.6,x1=odd");
 /// assert_eq!((reading.queue, reading.free_slots, reading.free_memory), (Some(2.0), Some(1.5), None));
 /// ```
-pub fn named_reading(text: &str) -> Reading {
-    let mut reading = Reading::default();
+pub fn named_reading(text: &str) -> LoadReport {
+    let mut reading = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         LoadField::named(name.trim()).put(value.trim().parse().ok(), &mut reading);
     }
--- a/crates/hosting/src/telling.rs
+++ b/crates/hosting/src/telling.rs
@@ -2,7 +2,7 @@
 //! what it does not know, so that releases may differ among the nodes.
 use crate::token;
 use serde_json::{Map, Value};
-use troutknot::{ProjectTypeId, Telling};
+use troutknot::{GossipMessage, RequestClassId};
 
 /// The longest message that may be sent or is read.
 pub const MOST_TOLD: usize = 256;
@@ -22,16 +22,16 @@
 /// A message as bytes.
 ///
 /// ```
-/// use troutknot::{ProjectTypeId, Telling::TurnedAway};
+/// use troutknot::{RequestClassId, GossipMessage::WorkRejected};
 /// use troutknot_hosting::{telling, told};
 /// let (here, there) = (["a".to_string(), "b".to_string()], ["b".to_string()]);
-/// let bytes = telling(TurnedAway { token: 7, project_type: ProjectTypeId(1) }, &here);
-/// assert_eq!(told(&bytes, &there), Some(TurnedAway { token: 7, project_type: ProjectTypeId(0) }));
+/// let bytes = telling(TurnedAway { token: 7, project_type: RequestClassId(1) }, &here);
+/// assert_eq!(told(&bytes, &there), Some(TurnedAway { token: 7, project_type: RequestClassId(0) }));
 /// ```
-pub fn telling(telling: Telling, types: TypeNames) -> Vec<u8> {
+pub fn telling(telling: GossipMessage, types: TypeNames) -> Vec<u8> {
     match telling {
-        Telling::Dropped => vec![VERSION, DROPPED],
-        Telling::TurnedAway { token: executor, project_type } => {
+        GossipMessage::IdleConnectionLost => vec![VERSION, DROPPED],
+        GossipMessage::WorkRejected { token: executor, project_type } => {
             let name = types.get(project_type.0 as usize).map_or("", String::as_str);
             let mut bytes = vec![VERSION, TURNED_AWAY];
             bytes.extend_from_slice(&executor.to_le_bytes());
@@ -42,14 +42,14 @@
 }
 
 /// What a message says; none where it is cut, too long, of another form or of a type that is not known here.
-pub fn told(bytes: &[u8], types: TypeNames) -> Option<Telling> {
+pub fn told(bytes: &[u8], types: TypeNames) -> Option<GossipMessage> {
     match bytes {
-        [VERSION, DROPPED] => Some(Telling::Dropped),
+        [VERSION, DROPPED] => Some(GossipMessage::IdleConnectionLost),
         [VERSION, TURNED_AWAY, a, b, c, d, e, f] => {
             let name = u16::from_le_bytes([*e, *f]);
             let found = types.iter().rposition(|other| token(other) as u16 == name)?;
-            let project_type = ProjectTypeId(found as u32);
-            Some(Telling::TurnedAway { token: u32::from_le_bytes([*a, *b, *c, *d]), project_type })
+            let project_type = RequestClassId(found as u32);
+            Some(GossipMessage::WorkRejected { token: u32::from_le_bytes([*a, *b, *c, *d]), project_type })
         }
         _ => None,
     }
@@ -62,7 +62,7 @@
     #[test]
     fn odd_messages_say_nothing() {
         let types = ["render".to_string()];
-        let good = telling(Telling::TurnedAway { token: 9, project_type: ProjectTypeId(0) }, &types);
+        let good = telling(GossipMessage::WorkRejected { token: 9, project_type: RequestClassId(0) }, &types);
         assert!(told(&good, &types).is_some());
         for (what, bytes) in [
             ("empty", vec![]),
--- a/crates/hosting/tests/compatibility.rs
+++ b/crates/hosting/tests/compatibility.rs
@@ -1,5 +1,5 @@
 //! Datagrams between nodes, byte for byte as an earlier release wrote them (commit cc67128).
-use troutknot::{ProjectTypeId, Telling};
+use troutknot::{GossipMessage, RequestClassId};
 use troutknot_hosting::{telling, told};
 
 fn datagrams() -> Vec<Vec<u8>> {
@@ -11,7 +11,10 @@
 #[test]
 fn each_message_is_read_and_written_as_before() {
     let classes = ["other".to_string(), "render".to_string()];
-    let messages = [Telling::Dropped, Telling::TurnedAway { token: 9, project_type: ProjectTypeId(1) }];
+    let messages = [
+        GossipMessage::IdleConnectionLost,
+        GossipMessage::WorkRejected { token: 9, project_type: RequestClassId(1) },
+    ];
     let datagrams = datagrams();
     assert_eq!(datagrams.len(), messages.len());
     for (bytes, message) in datagrams.iter().zip(messages) {
--- a/crates/ledger/examples/cost.rs
+++ b/crates/ledger/examples/cost.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, mpsc};
 use std::thread;
 use std::time::{Duration, Instant};
-use troutknot::{AllocId, Effect, Outcome, WuId};
+use troutknot::{AttemptId, Effect, Outcome, RequestId};
 use troutknot_ledger::committer::Committer;
 use troutknot_ledger::store::Store;
 use troutknot_ledger::{Answer, Fence, Ledger, Record, Row, codec};
@@ -19,7 +19,7 @@
 fn taken(number: u64) -> Record {
     let (id, key, digest) = (format!("{number:016x}"), Some(format!("key-{number}")), [7; 32]);
     let work = vec![7; BODY];
-    Record::Taken { wu: WuId(number), effect: Effect::Exclusive, limit: 1e13, id, key, digest, work }
+    Record::Taken { wu: RequestId(number), effect: Effect::AtMostOnce, limit: 1e13, id, key, digest, work }
 }
 
 fn open(path: &Path, together: bool) -> (Committer, Ledger) {
@@ -51,12 +51,16 @@
     /// One work unit's life, and how long it waited for its records.
     fn life(&self) -> Duration {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let (wu, began) = (WuId(number), Instant::now());
+        let (wu, began) = (RequestId(number), Instant::now());
         self.write(taken(number));
         self.write(Record::Allocated { wu, fence: Fence(1), executor: "s-00001".into(), lease_until: 1e13 });
-        self.committer.later(self.row(Record::Started { wu, alloc: AllocId(0) }));
+        self.committer.later(self.row(Record::Started { wu, alloc: AttemptId(0) }));
         self.write(Record::Answered { wu, answer: Answer::Completed(vec![7; RESULT]) });
-        self.committer.later(self.row(Record::Ended { wu, alloc: AllocId(0), outcome: Outcome::Completed }));
+        self.committer.later(self.row(Record::Ended {
+            wu,
+            alloc: AttemptId(0),
+            outcome: Outcome::Completed,
+        }));
         began.elapsed()
     }
 }
@@ -103,7 +107,7 @@
 fn recovery(path: &Path, records: u64) {
     let store = Store::open(path).expect("the ledger opens");
     let of = |number: u64| {
-        let wu = WuId(number);
+        let wu = RequestId(number);
         let allocated =
             Record::Allocated { wu, fence: Fence(1), executor: "s-00001".into(), lease_until: 1e13 };
         let place = |place, record| Row { at: 1e12, place, record };
--- a/crates/ledger/src/codec.rs
+++ b/crates/ledger/src/codec.rs
@@ -1,26 +1,26 @@
 //! How a row is written: one byte for the format, a CRC-32 of all that follows, the time, the record in postcard.
 use crate::{Record, Row};
 use serde::{Deserialize, Serialize};
-use troutknot::{AllocId, Effect, Millis, Outcome, WuId};
+use troutknot::{AttemptId, Effect, Millis, Outcome, RequestId};
 
 /// The format that is written; those up to it are read.
 pub const FORMAT: u8 = 1;
 const HEAD: usize = 1 + 4 + 8;
 
 #[derive(Serialize, Deserialize)]
-#[serde(remote = "WuId")]
-pub struct WuIdDef(pub u64);
+#[serde(remote = "RequestId")]
+pub struct RequestIdDef(pub u64);
 
 #[derive(Serialize, Deserialize)]
-#[serde(remote = "AllocId")]
-pub struct AllocIdDef(pub u32);
+#[serde(remote = "AttemptId")]
+pub struct AttemptIdDef(pub u32);
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Effect")]
 pub enum EffectDef {
-    Rerunnable,
-    Receipted,
-    Exclusive,
+    Idempotent,
+    Deduplicated,
+    AtMostOnce,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -28,7 +28,7 @@
 pub enum OutcomeDef {
     Completed,
     Error,
-    Full,
+    Rejected,
     TimedOut,
     NoConnection,
     Reset,
--- a/crates/ledger/src/committer.rs
+++ b/crates/ledger/src/committer.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
-use troutknot::WuId;
+use troutknot::RequestId;
 
 /// So many rows at most go into one sync.
 const MOST_ROWS: usize = 4096;
@@ -29,7 +29,7 @@
     Write(Vec<Row>, Written),
     /// Nobody waits for it.
     Later(Row),
-    Read(WuId, Found),
+    Read(RequestId, Found),
 }
 
 /// How the disk does, told without waiting for it.
@@ -108,7 +108,7 @@
     }
 
     /// Reads the rows of one work unit, those that were handed over before among them.
-    pub fn read(&self, wu: WuId, found: impl FnOnce(Result<Vec<Row>, String>) + Send + 'static) {
+    pub fn read(&self, wu: RequestId, found: impl FnOnce(Result<Vec<Row>, String>) + Send + 'static) {
         if let Some(jobs) = &self.jobs {
             let _ = jobs.send(Job::Read(wu, Box::new(found)));
         }
@@ -225,7 +225,7 @@
         }
     }
 
-    fn read(&self, wu: WuId) -> Result<Vec<Row>, String> {
+    fn read(&self, wu: RequestId) -> Result<Vec<Row>, String> {
         let mut rows = match &self.store {
             Some(store) => store.of(wu).map_err(|e| e.to_string())?,
             None => return Err("the disk errs".into()),
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use troutknot::{AllocId, Effect, Millis, Outcome, WuId};
+use troutknot::{AttemptId, Effect, Millis, Outcome, RequestId};
 
 /// A number that grows with every allocation of a work unit; an executor that knows fences refuses a lower one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
@@ -32,8 +32,8 @@
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub enum Record {
     Taken {
-        #[serde(with = "codec::WuIdDef")]
-        wu: WuId,
+        #[serde(with = "codec::RequestIdDef")]
+        wu: RequestId,
         #[serde(with = "codec::EffectDef")]
         effect: Effect,
         /// When it must have its final answer.
@@ -47,61 +47,61 @@
     },
     /// On record before its first byte is sent.
     Allocated {
-        #[serde(with = "codec::WuIdDef")]
-        wu: WuId,
+        #[serde(with = "codec::RequestIdDef")]
+        wu: RequestId,
         fence: Fence,
         executor: String,
         lease_until: Millis,
     },
     Started {
-        #[serde(with = "codec::WuIdDef")]
-        wu: WuId,
-        #[serde(with = "codec::AllocIdDef")]
-        alloc: AllocId,
+        #[serde(with = "codec::RequestIdDef")]
+        wu: RequestId,
+        #[serde(with = "codec::AttemptIdDef")]
+        alloc: AttemptId,
     },
     /// A sign of life: the lease holds longer.
     Heartbeat {
-        #[serde(with = "codec::WuIdDef")]
-        wu: WuId,
-        #[serde(with = "codec::AllocIdDef")]
-        alloc: AllocId,
+        #[serde(with = "codec::RequestIdDef")]
+        wu: RequestId,
+        #[serde(with = "codec::AttemptIdDef")]
+        alloc: AttemptId,
         lease_until: Millis,
     },
     Ended {
-        #[serde(with = "codec::WuIdDef")]
-        wu: WuId,
-        #[serde(with = "codec::AllocIdDef")]
-        alloc: AllocId,
+        #[serde(with = "codec::RequestIdDef")]
+        wu: RequestId,
+        #[serde(with = "codec::AttemptIdDef")]
+        alloc: AttemptId,
         #[serde(with = "codec::OutcomeDef")]
         outcome: Outcome,
     },
     /// The executor confirms that it has not run this fence, and never will.
     Fenced {
-        #[serde(with = "codec::WuIdDef")]
-        wu: WuId,
-        #[serde(with = "codec::AllocIdDef")]
-        alloc: AllocId,
+        #[serde(with = "codec::RequestIdDef")]
+        wu: RequestId,
+        #[serde(with = "codec::AttemptIdDef")]
+        alloc: AttemptId,
     },
     /// The client's final answer, on record before it is sent.
     Answered {
-        #[serde(with = "codec::WuIdDef")]
-        wu: WuId,
+        #[serde(with = "codec::RequestIdDef")]
+        wu: RequestId,
         answer: Answer,
     },
     /// The answer was written to a client whole.
     Acknowledged {
-        #[serde(with = "codec::WuIdDef")]
-        wu: WuId,
+        #[serde(with = "codec::RequestIdDef")]
+        wu: RequestId,
     },
     /// Nothing is kept of it any longer.
     Forgotten {
-        #[serde(with = "codec::WuIdDef")]
-        wu: WuId,
+        #[serde(with = "codec::RequestIdDef")]
+        wu: RequestId,
     },
 }
 
 impl Record {
-    pub fn wu(&self) -> WuId {
+    pub fn wu(&self) -> RequestId {
         match self {
             Record::Taken { wu, .. }
             | Record::Allocated { wu, .. }
@@ -229,7 +229,7 @@
                 Standing::Unknown | Standing::MayHaveRun | Standing::Completed => may_have_run = true,
             }
         }
-        if may_have_run && self.effect == Effect::Exclusive {
+        if may_have_run && self.effect == Effect::AtMostOnce {
             return Err(Refused::MayHaveRun);
         }
         if self.allocations.len() >= most {
@@ -242,11 +242,11 @@
 /// All work units on record. What they asked and were answered is not kept here, only on disk.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Ledger {
-    wus: BTreeMap<WuId, Wu>,
-    by_id: HashMap<String, WuId>,
-    by_key: HashMap<String, WuId>,
+    wus: BTreeMap<RequestId, Wu>,
+    by_id: HashMap<String, RequestId>,
+    by_key: HashMap<String, RequestId>,
     /// Those that are answered, by when.
-    ended: BTreeSet<(u64, WuId)>,
+    ended: BTreeSet<(u64, RequestId)>,
     most: usize,
     last: Millis,
     next: u64,
@@ -296,15 +296,15 @@
         Ok(())
     }
 
-    pub fn wu(&self, wu: WuId) -> Option<&Wu> {
+    pub fn wu(&self, wu: RequestId) -> Option<&Wu> {
         self.wus.get(&wu)
     }
 
-    pub fn by_id(&self, id: &str) -> Option<WuId> {
+    pub fn by_id(&self, id: &str) -> Option<RequestId> {
         self.by_id.get(id).copied()
     }
 
-    pub fn by_key(&self, key: &str) -> Option<WuId> {
+    pub fn by_key(&self, key: &str) -> Option<RequestId> {
         self.by_key.get(key).copied()
     }
 
@@ -328,18 +328,18 @@
     }
 
     /// All work units on record.
-    pub fn all(&self) -> impl Iterator<Item = (WuId, &Wu)> {
+    pub fn all(&self) -> impl Iterator<Item = (RequestId, &Wu)> {
         self.wus.iter().map(|(id, wu)| (*id, wu))
     }
 
     /// Work units without a final answer.
-    pub fn open(&self) -> impl Iterator<Item = (WuId, &Wu)> {
+    pub fn open(&self) -> impl Iterator<Item = (RequestId, &Wu)> {
         self.wus.iter().filter(|(_, wu)| wu.answered.is_none()).map(|(id, wu)| (*id, wu))
     }
 
     /// Up to so many that were answered before then.
-    pub fn answered_before(&self, then: Millis, most: usize) -> Vec<WuId> {
-        let until = (then.max(0.0).to_bits(), WuId(0));
+    pub fn answered_before(&self, then: Millis, most: usize) -> Vec<RequestId> {
+        let until = (then.max(0.0).to_bits(), RequestId(0));
         self.ended.range(..until).take(most).map(|(_, wu)| *wu).collect()
     }
 
@@ -438,13 +438,13 @@
         Ok(())
     }
 
-    fn open_wu(&mut self, wu: WuId) -> Result<&mut Wu, Broken> {
+    fn open_wu(&mut self, wu: RequestId) -> Result<&mut Wu, Broken> {
         let wu = self.wus.get_mut(&wu).ok_or(Broken::UnknownWu)?;
         if wu.answered.is_some() { Err(Broken::Over) } else { Ok(wu) }
     }
 
     /// An allocation without an end; its word counts also after the final answer.
-    fn running(&mut self, wu: WuId, alloc: AllocId) -> Result<&mut Allocation, Broken> {
+    fn running(&mut self, wu: RequestId, alloc: AttemptId) -> Result<&mut Allocation, Broken> {
         let wu = self.wus.get_mut(&wu).ok_or(Broken::UnknownWu)?;
         let allocation = wu.allocations.get_mut(alloc.0 as usize).ok_or(Broken::UnknownAlloc)?;
         if allocation.ended.is_some() || allocation.fenced { Err(Broken::Ended) } else { Ok(allocation) }
--- a/crates/ledger/src/store.rs
+++ b/crates/ledger/src/store.rs
@@ -14,7 +14,7 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
-use troutknot::WuId;
+use troutknot::RequestId;
 
 const ROWS: TableDefinition<(u64, u32), &[u8]> = TableDefinition::new("rows");
 const ABOUT: TableDefinition<&str, u64> = TableDefinition::new("about");
@@ -214,7 +214,7 @@
     }
 }
 
-fn range(wu: WuId) -> RangeInclusive<(u64, u32)> {
+fn range(wu: RequestId) -> RangeInclusive<(u64, u32)> {
     (wu.0, 0)..=(wu.0, u32::MAX)
 }
 
@@ -254,7 +254,7 @@
     ///
     /// # Errors
     /// Where one is damaged, or the file cannot be read.
-    fn of(&self, wu: WuId) -> Result<Vec<Row>, StoreError> {
+    fn of(&self, wu: RequestId) -> Result<Vec<Row>, StoreError> {
         let txn = self.begin_read()?;
         let table = txn.open_table(ROWS).map_err(disk)?;
         let mut rows = Vec::new();
@@ -276,7 +276,7 @@
 
 fn row(wu: u64, place: u32, bytes: &[u8]) -> Result<Row, StoreError> {
     let row = codec::decode(place, bytes).map_err(|why| StoreError::Row { wu, place, why })?;
-    if row.record.wu() != WuId(wu) {
+    if row.record.wu() != RequestId(wu) {
         let why = Damaged::Record("it is of another work unit".into());
         return Err(StoreError::Row { wu, place, why });
     }
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use troutknot::{AllocId, Effect, Outcome, WuId};
+use troutknot::{AttemptId, Effect, Outcome, RequestId};
 use troutknot_ledger::{Answer, Fence, Ledger, Record, Row};
 
 #[derive(Clone, Debug)]
@@ -144,13 +144,13 @@
 pub fn taken(wu: u64) -> Record {
     let (id, key, digest) = (format!("id-{wu}"), Some(format!("key-{wu}")), [wu as u8; 32]);
     let work = vec![wu as u8; 300];
-    Record::Taken { wu: WuId(wu), effect: Effect::Exclusive, limit: 1e12, id, key, digest, work }
+    Record::Taken { wu: RequestId(wu), effect: Effect::AtMostOnce, limit: 1e12, id, key, digest, work }
 }
 
 /// The records of one work unit's life, in order.
 pub fn life(wu: u64) -> Vec<Record> {
-    let (number, alloc) = (wu, AllocId(0));
-    let wu = WuId(wu);
+    let (number, alloc) = (wu, AttemptId(0));
+    let wu = RequestId(wu);
     vec![
         taken(number),
         Record::Allocated { wu, fence: Fence(1), executor: "s-1".into(), lease_until: 10.0 },
--- a/crates/ledger/tests/compatibility.rs
+++ b/crates/ledger/tests/compatibility.rs
@@ -1,6 +1,6 @@
 //! A ledger that an earlier release wrote (commit cc67128) is read as it was meant.
 use std::path::PathBuf;
-use troutknot::{AllocId, Effect, Outcome, WuId};
+use troutknot::{AttemptId, Effect, Outcome, RequestId};
 use troutknot_ledger::store::{Reader, Rows, Store};
 use troutknot_ledger::{Answer, Fence, Ledger, Record, Row, Standing};
 
@@ -24,11 +24,11 @@
     assert_eq!((rows.len(), ledger.len(), broken), (50, 11, None));
     let open: Vec<u64> = ledger.open().map(|(id, _)| id.0).collect();
     assert_eq!(open, [9, 10, 11, 12]);
-    assert_eq!((ledger.by_id("id-3"), ledger.by_key("key-10")), (None, Some(WuId(10))));
-    let effects = [Effect::Rerunnable, Effect::Receipted, Effect::Exclusive];
+    assert_eq!((ledger.by_id("id-3"), ledger.by_key("key-10")), (None, Some(RequestId(10))));
+    let effects = [Effect::Idempotent, Effect::Deduplicated, Effect::AtMostOnce];
     let outcomes = [
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::TimedOut,
         Outcome::NoConnection,
         Outcome::Reset,
@@ -50,13 +50,13 @@
         }
         assert_eq!((request.answered.is_some(), request.acknowledged), (number < 9, number < 6), "{number}");
     }
-    let attempts = &ledger.wu(WuId(10)).unwrap().allocations;
+    let attempts = &ledger.wu(RequestId(10)).unwrap().allocations;
     assert_eq!(
         (attempts[0].standing(NOW), attempts[1].standing(NOW)),
         (Standing::NeverRan, Standing::Unknown)
     );
     assert_eq!((attempts[1].fence, attempts[1].executor.as_str()), (Fence(2), "s-2"));
-    assert_eq!(ledger.wu(WuId(11)).unwrap().allocations[0].standing(0.0), Standing::Out);
+    assert_eq!(ledger.wu(RequestId(11)).unwrap().allocations[0].standing(0.0), Standing::Out);
 }
 
 #[test]
@@ -72,7 +72,7 @@
     assert_eq!(answer(5), Some(Answer::Deferred(Some(250.0))));
     assert_eq!(answer(6), Some(Answer::Deferred(None)));
     assert_eq!(answer(7), Some(Answer::Aborted));
-    let heartbeat = Record::Heartbeat { wu: WuId(9), alloc: AllocId(0), lease_until: 2e6 };
+    let heartbeat = Record::Heartbeat { wu: RequestId(9), alloc: AttemptId(0), lease_until: 2e6 };
     assert!(rows.iter().any(|row| row.record == heartbeat));
 }
 
@@ -84,9 +84,9 @@
     {
         let store = Store::open(&path).unwrap();
         let (mut ledger, _) = Ledger::recover(4, &rows());
-        let answer = Record::Answered { wu: WuId(12), answer: Answer::Aborted };
+        let answer = Record::Answered { wu: RequestId(12), answer: Answer::Aborted };
         store.commit([&ledger.apply(NOW, answer).unwrap()]).unwrap();
-        assert_eq!(store.of(WuId(12)).unwrap().len(), 2);
+        assert_eq!(store.of(RequestId(12)).unwrap().len(), 2);
     }
     std::fs::remove_file(path).unwrap();
 }
--- a/crates/ledger/tests/crashes.rs
+++ b/crates/ledger/tests/crashes.rs
@@ -4,7 +4,7 @@
 use common::*;
 use std::sync::mpsc::{self, RecvTimeoutError};
 use std::time::{Duration, Instant};
-use troutknot::WuId;
+use troutknot::RequestId;
 use troutknot_ledger::committer::{Committer, NotWritten};
 use troutknot_ledger::store::{Reader, Rows, Store, StoreError};
 use troutknot_ledger::{Ledger, Record, Row};
@@ -23,7 +23,7 @@
 /// What is kept of each work unit, without what is not on disk.
 fn state(ledger: &Ledger) -> Vec<(u64, u32, bool)> {
     (0..200)
-        .filter_map(|wu| Some((wu, ledger.wu(WuId(wu))?)))
+        .filter_map(|wu| Some((wu, ledger.wu(RequestId(wu))?)))
         .map(|(wu, w)| (wu, w.rows, w.answered.is_some()))
         .collect()
 }
@@ -184,7 +184,7 @@
     disk.err(false);
     until("the disk is used again", || committer.ready(Duration::from_secs(1)).is_ok());
     let (tell, told) = mpsc::channel();
-    committer.read(WuId(1), move |rows| _ = tell.send(rows));
+    committer.read(RequestId(1), move |rows| _ = tell.send(rows));
     assert_eq!(told.recv().unwrap().unwrap().len(), 4, "all is there, in order");
     drop(committer);
     assert_eq!(state(&load(&Store::over(disk).unwrap())), state(&ledger));
@@ -254,7 +254,7 @@
     let byte = |k: usize| u8::from_str_radix(&first[k..k + 2], 16).unwrap();
     let bytes: Vec<u8> = (0..first.len()).step_by(2).map(byte).collect();
     let answer = troutknot_ledger::Answer::Completed(b"r".to_vec());
-    let record = Record::Answered { wu: WuId(1), answer };
+    let record = Record::Answered { wu: RequestId(1), answer };
     assert_eq!(decode(0, &bytes), Ok(Row { at: 1.0, place: 0, record: record.clone() }));
     assert_eq!(encode(1.0, &record), bytes, "what is written has changed: it needs a new format");
     let mut newer = bytes.clone();
--- a/crates/ledger/tests/interleavings.rs
+++ b/crates/ledger/tests/interleavings.rs
@@ -1,10 +1,10 @@
 //! Every order of crash, lease end, wake-up, late end and retry, until no new state comes, for one exclusive work
 //! unit: it must never run twice, nor be out twice at once. A ledger whose leases free must be caught.
 use std::collections::HashSet;
-use troutknot::{AllocId, Effect, Outcome, WuId};
+use troutknot::{AttemptId, Effect, Outcome, RequestId};
 use troutknot_ledger::{Answer, Broken, Fence, Ledger, Record, Refused, Row, Standing};
 
-const WU: WuId = WuId(1);
+const WU: RequestId = RequestId(1);
 const MOST: usize = 3;
 const DEPTH: usize = 24;
 
@@ -41,16 +41,18 @@
 
 /// The records that a world stands for: all of them are on disk whenever a step is over.
 fn records(world: &World) -> Vec<Record> {
-    let mut records = vec![taken(Effect::Exclusive)];
+    let mut records = vec![taken(Effect::AtMostOnce)];
     for (k, (_, lease_over)) in world.allocs.iter().enumerate() {
         let lease_until = if *lease_over { 0.0 } else { f64::MAX };
         let fence = Fence(k as u64 + 1);
         records.push(Record::Allocated { wu: WU, fence, executor: "s".into(), lease_until });
         match world.ended[k] {
-            Some(true) => {
-                records.push(Record::Ended { wu: WU, alloc: AllocId(k as u32), outcome: Outcome::Completed })
-            }
-            Some(false) => records.push(Record::Fenced { wu: WU, alloc: AllocId(k as u32) }),
+            Some(true) => records.push(Record::Ended {
+                wu: WU,
+                alloc: AttemptId(k as u32),
+                outcome: Outcome::Completed,
+            }),
+            Some(false) => records.push(Record::Fenced { wu: WU, alloc: AttemptId(k as u32) }),
             None => {}
         }
     }
@@ -125,15 +127,15 @@
 
 #[test]
 fn records_that_do_not_follow_are_refused_and_change_nothing() {
-    let taken = taken(Effect::Exclusive);
+    let taken = taken(Effect::AtMostOnce);
     let other = |id: &str, key: &str| {
         let (id, key, digest, work) = (id.into(), Some(key.into()), [0; 32], Vec::new());
-        Record::Taken { wu: WuId(2), effect: Effect::Exclusive, limit: 9.0, id, key, digest, work }
+        Record::Taken { wu: RequestId(2), effect: Effect::AtMostOnce, limit: 9.0, id, key, digest, work }
     };
     let answered = Record::Answered { wu: WU, answer: Answer::Aborted };
     let allocated =
         |fence| Record::Allocated { wu: WU, fence: Fence(fence), executor: "s".into(), lease_until: 5.0 };
-    let ended = |outcome| Record::Ended { wu: WU, alloc: AllocId(0), outcome };
+    let ended = |outcome| Record::Ended { wu: WU, alloc: AttemptId(0), outcome };
     let cases: Vec<(Vec<Record>, Record, Broken)> = vec![
         (vec![], allocated(1), Broken::UnknownWu),
         (vec![taken.clone()], taken.clone(), Broken::TakenTwice),
@@ -144,11 +146,15 @@
             allocated(2),
             Broken::Refused(Refused::MayHaveRun),
         ),
-        (vec![taken.clone(), allocated(7), ended(Outcome::Full)], allocated(7), Broken::Fence),
-        (vec![taken.clone(), allocated(1), ended(Outcome::Full)], ended(Outcome::Full), Broken::Ended),
+        (vec![taken.clone(), allocated(7), ended(Outcome::Rejected)], allocated(7), Broken::Fence),
         (
-            vec![taken.clone(), allocated(1), Record::Started { wu: WU, alloc: AllocId(0) }],
-            Record::Fenced { wu: WU, alloc: AllocId(0) },
+            vec![taken.clone(), allocated(1), ended(Outcome::Rejected)],
+            ended(Outcome::Rejected),
+            Broken::Ended,
+        ),
+        (
+            vec![taken.clone(), allocated(1), Record::Started { wu: WU, alloc: AttemptId(0) }],
+            Record::Fenced { wu: WU, alloc: AttemptId(0) },
             Broken::Ended,
         ),
         (vec![taken.clone(), answered.clone()], allocated(1), Broken::Over),
@@ -170,9 +176,9 @@
 #[test]
 fn leases_that_run_out_are_unknown_and_heartbeats_hold_them() {
     let mut ledger = Ledger::new(MOST);
-    let alloc = AllocId(0);
+    let alloc = AttemptId(0);
     for record in [
-        taken(Effect::Rerunnable),
+        taken(Effect::Idempotent),
         Record::Allocated { wu: WU, fence: Fence(1), executor: "s".into(), lease_until: 10.0 },
         Record::Heartbeat { wu: WU, alloc, lease_until: 20.0 },
         // One that was under way for long does not shorten it.
@@ -193,10 +199,10 @@
 
 #[test]
 fn every_prefix_of_records_is_a_state_and_a_gap_is_none() {
-    let alloc = AllocId(0);
+    let alloc = AttemptId(0);
     let mut ledger = Ledger::new(MOST);
     let records = vec![
-        taken(Effect::Exclusive),
+        taken(Effect::AtMostOnce),
         Record::Allocated { wu: WU, fence: Fence(1), executor: "s".into(), lease_until: 5.0 },
         Record::Started { wu: WU, alloc },
         Record::Ended { wu: WU, alloc, outcome: Outcome::Reset },
--- a/crates/scale/src/hollow_nodes/by_dispatcher.rs
+++ b/crates/scale/src/hollow_nodes/by_dispatcher.rs
@@ -5,7 +5,7 @@
 use super::list::{self, Entry, Keep, List, WatchEnd};
 use super::vocabulary::Vocabulary;
 use super::{Shared, add};
-use crate::request_id::RequestId;
+use crate::request_id::RequestId as WireRequestId;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use slotmap::SecondaryMap;
@@ -17,8 +17,8 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{Instant, sleep_until};
 use troutknot::{
-    Action, AllocId, CustomerId, Dispatcher, Event, ExecutorId, Given, ListKind, Listing, Millis, Outcome,
-    ProjectTypeId, WuId,
+    Action, AttemptId, Dispatcher, Endpoint, Event, ExecutorId, Given, ListUpdate, Millis, Outcome,
+    RequestClassId, RequestId, TenantId,
 };
 use troutknot_hosting::ExecutorRegistry;
 
@@ -35,7 +35,7 @@
 }
 
 struct Open {
-    id: RequestId,
+    id: WireRequestId,
     class: String,
     work: Duration,
     deadline: Instant,
@@ -53,7 +53,7 @@
     pool: Rc<Pool>,
     executors: ExecutorRegistry,
     addresses: SecondaryMap<ExecutorId, SocketAddr>,
-    open: BTreeMap<WuId, Open>,
+    open: BTreeMap<RequestId, Open>,
     /// Counts its starts.
     start: u64,
     next_request: u64,
@@ -142,13 +142,13 @@
             Told::List(list) => self.list(list),
             Told::WatchEnded(end) => {
                 self.follows = false;
-                Event::ListLost { turned_away: end == WatchEnd::TurnedAway }
+                Event::EndpointWatchLost { turned_away: end == WatchEnd::TurnedAway }
             }
-            Told::Event(Event::Ended { wu, alloc, outcome, .. }) => {
+            Told::Event(Event::AttemptEnded { wu, alloc, outcome, .. }) => {
                 if outcome == Outcome::Completed {
                     self.open.remove(&wu);
                 }
-                Event::Ended { wu, alloc, outcome, closed: !self.open.contains_key(&wu) }
+                Event::AttemptEnded { wu, alloc, outcome, closed: !self.open.contains_key(&wu) }
             }
             Told::Event(event) => event,
         };
@@ -157,12 +157,12 @@
 
     fn list(&mut self, list: List) -> Event {
         self.version = Some(list.version);
-        let kind = if list.full { ListKind::Whole } else { ListKind::Changes };
+        let kind = if list.full { ListUpdate::Snapshot } else { ListUpdate::Delta };
         let entries = list.entries.iter().map(|entry| self.listed(entry)).collect();
-        Event::ListTold { kind, entries }
+        Event::EndpointsUpdated { kind, entries }
     }
 
-    fn listed(&mut self, entry: &Entry) -> Listing {
+    fn listed(&mut self, entry: &Entry) -> Endpoint {
         let executor = self.executors.register(&entry.id);
         if let Ok(addr) = entry.addr.parse() {
             self.addresses.insert(executor, addr);
@@ -177,7 +177,7 @@
         }
         let settings = &self.shared.settings;
         self.next_request += 1;
-        let wu = WuId(self.next_request);
+        let wu = RequestId(self.next_request);
         let class = self.random.random_range(0..self.vocabulary.classes.len());
         let open = Open {
             id: settings.request_id(self.number, self.start, self.next_request),
@@ -186,10 +186,10 @@
             deadline: Instant::now() + settings.deadline,
             attempts: Vec::new(),
         };
-        let event = Event::Arrived {
+        let event = Event::RequestArrived {
             wu,
-            project_type: ProjectTypeId(class as u32),
-            customer: CustomerId(0),
+            project_type: RequestClassId(class as u32),
+            customer: TenantId(0),
             slots: 1.0,
             memory: 0.0,
             left: settings.deadline.as_secs_f64() * 1000.0,
@@ -202,24 +202,24 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Push { wu, executor, cut_at, send_by } => self.push(wu, executor, cut_at, send_by),
+            Action::Dispatch { wu, executor, cut_at, send_by } => self.push(wu, executor, cut_at, send_by),
             Action::Cancel { wu, alloc } => self.cancel(wu, alloc),
-            Action::Defer { wu, .. } | Action::Abort { wu } => _ = self.open.remove(&wu),
+            Action::Reject { wu, .. } | Action::Fail { wu } => _ = self.open.remove(&wu),
             Action::Probe { executor } => self.probe(executor),
-            Action::Wake { at } => {
+            Action::SetTimer { at } => {
                 let at = self.clock.when(at);
                 self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
             }
-            Action::CloseIdle { executor } => {
+            Action::CloseIdleConnections { executor } => {
                 self.address(executor).into_iter().for_each(|addr| self.pool.close_idle(addr));
             }
-            Action::FollowList => self.follow(),
-            Action::Release { executor } => {
+            Action::WatchEndpoints => self.follow(),
+            Action::ReleaseExecutor { executor } => {
                 self.executors.release(executor);
                 self.addresses.remove(executor);
             }
             // Hollow nodes have no peers and no log.
-            Action::Tell(_) | Action::Log(_) => {}
+            Action::Gossip(_) | Action::Log(_) => {}
         }
     }
 
@@ -227,10 +227,10 @@
         self.addresses.get(executor).copied()
     }
 
-    fn push(&mut self, wu: WuId, executor: ExecutorId, cut_at: Millis, send_by: Millis) {
+    fn push(&mut self, wu: RequestId, executor: ExecutorId, cut_at: Millis, send_by: Millis) {
         let addr = self.address(executor);
         let Some(open) = self.open.get_mut(&wu) else { return };
-        let alloc = AllocId(open.attempts.len() as u32);
+        let alloc = AttemptId(open.attempts.len() as u32);
         let attempt = addr.map(|addr| Attempt {
             id: open.id,
             class: open.class.clone(),
@@ -242,24 +242,24 @@
         let (tell, pool, counters) =
             (self.tell.clone(), self.pool.clone(), self.shared.by_dispatcher.clone());
         let pushed = async move {
-            let on_start = || _ = tell.send(Told::Event(Event::Started { wu, alloc }));
+            let on_start = || _ = tell.send(Told::Event(Event::AttemptStarted { wu, alloc }));
             let outcome = match attempt {
                 Some(attempt) => exchange::push(&pool, attempt, &counters, on_start).await,
                 None => Outcome::NoConnection,
             };
-            let _ = tell.send(Told::Event(Event::Ended { wu, alloc, outcome, closed: false }));
+            let _ = tell.send(Told::Event(Event::AttemptEnded { wu, alloc, outcome, closed: false }));
         };
         open.attempts.push(Some(self.tasks.spawn_local(pushed)));
     }
 
     /// Breaks an attempt off, unless it is over.
-    fn cancel(&mut self, wu: WuId, alloc: AllocId) {
+    fn cancel(&mut self, wu: RequestId, alloc: AttemptId) {
         let attempts = self.open.get_mut(&wu).map(|open| &mut open.attempts);
         let attempt = attempts.and_then(|attempts| attempts.get_mut(alloc.0 as usize)?.take());
         if let Some(attempt) = attempt.filter(|attempt| !attempt.is_finished()) {
             attempt.abort();
             let outcome = Outcome::Cancelled;
-            let _ = self.tell.send(Told::Event(Event::Ended { wu, alloc, outcome, closed: false }));
+            let _ = self.tell.send(Told::Event(Event::AttemptEnded { wu, alloc, outcome, closed: false }));
         }
     }
 
@@ -275,7 +275,7 @@
             };
             let lag = sent.elapsed().as_secs_f64() * 1000.0;
             let (answered, reading) = (reading.is_some(), reading.unwrap_or_default());
-            let _ = tell.send(Told::Event(Event::Probed { executor, answered, lag, reading }));
+            let _ = tell.send(Told::Event(Event::ProbeCompleted { executor, answered, lag, reading }));
         });
     }
 
--- a/crates/scale/src/hollow_nodes/exchange.rs
+++ b/crates/scale/src/hollow_nodes/exchange.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, timeout, timeout_at};
-use troutknot::{Outcome, Reading};
+use troutknot::{LoadReport, Outcome};
 use troutknot_hosting::named_reading;
 
 const MOST_BODY: usize = 64 * 1024;
@@ -61,7 +61,7 @@
 }
 
 /// The load that an executor reports; none where it did not answer in time.
-pub async fn probe(pool: &Pool, addr: SocketAddr, counters: &Counters) -> Option<Reading> {
+pub async fn probe(pool: &Pool, addr: SocketAddr, counters: &Counters) -> Option<LoadReport> {
     add(&counters.probes, 1);
     let mut connection = pool.connect(addr).await.ok()?;
     let answer = async {
@@ -127,7 +127,7 @@
 fn outcome_of_head(head: &Head) -> Option<Outcome> {
     match head.status {
         200 => None,
-        503 | 504 if head.not_started => Some(Outcome::Full),
+        503 | 504 if head.not_started => Some(Outcome::Rejected),
         _ => Some(Outcome::Error),
     }
 }
@@ -163,7 +163,7 @@
                 "started" => on_start(),
                 "done" => outcome = Some(Outcome::Completed),
                 "failed" => outcome = Some(Outcome::Error),
-                "returned" => outcome = Some(Outcome::Full),
+                "returned" => outcome = Some(Outcome::Rejected),
                 "lost" => outcome = Some(Outcome::Reset),
                 _ => {}
             }
--- a/crates/scale/src/hollow_nodes/vocabulary.rs
+++ b/crates/scale/src/hollow_nodes/vocabulary.rs
@@ -1,7 +1,9 @@
 //! What the settings of a node mean to the decision module.
 use super::list::Entry;
 use serde_json::{Map, Value};
-use troutknot::{ExecutorId, GroupId, Listing, MachineKindId, NamedValues, Phase, PlaceId};
+use troutknot::{
+    DeduplicationGroupId, Endpoint, EndpointState, ExecutorId, MachineTypeId, NamedValues, ZoneId,
+};
 use troutknot_hosting::{Catalogue, token};
 
 /// The numbers that the settings give to names.
@@ -26,21 +28,21 @@
     }
 
     /// What an executor's listing says to the decision module.
-    pub fn listing(&self, entry: &Entry, executor: ExecutorId) -> Listing {
+    pub fn listing(&self, entry: &Entry, executor: ExecutorId) -> Endpoint {
         let number = |name: &Option<String>, names: &[String]| {
             let place = |name: &String| names.iter().position(|other| other == name);
             name.as_ref().map_or(0, |name| place(name).map_or(u32::MAX, |place| place as u32))
         };
-        Listing {
+        Endpoint {
             executor,
             token: token(&entry.id),
-            place: PlaceId(number(&entry.zone, &self.zones)),
-            kind: MachineKindId(number(&entry.kind, &self.kinds)),
-            group: GroupId(entry.cell.unwrap_or(0)),
+            place: ZoneId(number(&entry.zone, &self.zones)),
+            kind: MachineTypeId(number(&entry.kind, &self.kinds)),
+            group: DeduplicationGroupId(entry.cell.unwrap_or(0)),
             phase: match entry.state.as_str() {
-                "Ready" => Phase::Healthy,
-                "Gone" => Phase::Gone,
-                _ => Phase::Draining,
+                "Ready" => EndpointState::Ready,
+                "Gone" => EndpointState::Gone,
+                _ => EndpointState::Draining,
             },
             size: entry.weight.unwrap_or(1.0),
             started: entry.started_ms.filter(|&at| at > 0.0),
--- a/crates/simulation/src/baselines.rs
+++ b/crates/simulation/src/baselines.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::str::FromStr;
 use troutknot::{
-    Action, AllocId, Effect, Event, ExecutorId, ListKind, Listing, Millis, NamedValues, Outcome, Phase,
-    Reading, RepeatScope, WuId,
+    Action, AttemptId, DeduplicationScope, Effect, Endpoint, EndpointState, Event, ExecutorId, ListUpdate,
+    LoadReport, Millis, NamedValues, Outcome, RequestId,
 };
 
 /// Part of a cold budget that is used, and of a window within which a repeat is sent.
@@ -51,7 +51,7 @@
 
 struct Kind {
     effect: Effect,
-    scope: RepeatScope,
+    scope: DeduplicationScope,
     window: Millis,
     turnaround: Millis,
 }
@@ -70,12 +70,12 @@
     allocs: Vec<Alloc>,
     /// Drawn ones that are still to answer, and what the others said.
     asked: Vec<ExecutorId>,
-    answers: Vec<(ExecutorId, Reading)>,
+    answers: Vec<(ExecutorId, LoadReport)>,
 }
 
 /// What is known of one executor. Nothing is released here: a baseline lasts for one day of the kit.
 struct Known {
-    listing: Listing,
+    listing: Endpoint,
     slots: f64,
     out: f64,
     /// What was pushed while cold: when, and how many slot-milliseconds.
@@ -104,9 +104,9 @@
     known: SecondaryMap<ExecutorId, Known>,
     healthy: Vec<ExecutorId>,
     turn: u32,
-    wus: BTreeMap<WuId, Wu>,
+    wus: BTreeMap<RequestId, Wu>,
     /// Those that found nobody.
-    held: Vec<WuId>,
+    held: Vec<RequestId>,
     actions: Vec<Action>,
 }
 
@@ -117,7 +117,7 @@
             let own = |name: &str| format!("project_types.{}.{name}", kinds.len());
             kinds.push(Kind {
                 effect: Effect::named(values.text(&own("effect"))),
-                scope: RepeatScope::named(values.text(&own("repeat_scope"))),
+                scope: DeduplicationScope::named(values.text(&own("repeat_scope"))),
                 window: values.number(&own("window"), 0.0),
                 turnaround: values.number(&own("promised_turnaround"), 0.0),
             });
@@ -141,9 +141,9 @@
         }
     }
 
-    fn list(&mut self, kind: ListKind, entries: &[Listing]) {
-        if kind != ListKind::Changes {
-            self.known.values_mut().for_each(|known| known.listing.phase = Phase::Gone);
+    fn list(&mut self, kind: ListUpdate, entries: &[Endpoint]) {
+        if kind != ListUpdate::Delta {
+            self.known.values_mut().for_each(|known| known.listing.phase = EndpointState::Gone);
         }
         for entry in entries {
             match self.known.get_mut(entry.executor) {
@@ -160,7 +160,7 @@
                 }
             }
         }
-        let well = self.known.iter().filter(|(_, known)| known.listing.phase == Phase::Healthy);
+        let well = self.known.iter().filter(|(_, known)| known.listing.phase == EndpointState::Ready);
         self.healthy = well.map(|(executor, _)| executor).collect();
     }
 
@@ -191,13 +191,13 @@
         let Some(first) = w.allocs.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran)) else {
             return (true, None, true);
         };
-        let all = kind.scope == RepeatScope::All;
+        let all = kind.scope == DeduplicationScope::All;
         match kind.effect {
-            Effect::Rerunnable => (true, None, true),
-            Effect::Exclusive => (false, None, false),
-            Effect::Receipted if now - first.sent > kind.window * HEADROOM => (false, None, all),
-            Effect::Receipted if all => (true, None, true),
-            Effect::Receipted => (true, Some(first.executor), false),
+            Effect::Idempotent => (true, None, true),
+            Effect::AtMostOnce => (false, None, false),
+            Effect::Deduplicated if now - first.sent > kind.window * HEADROOM => (false, None, all),
+            Effect::Deduplicated if all => (true, None, true),
+            Effect::Deduplicated => (true, Some(first.executor), false),
         }
     }
 
@@ -215,7 +215,7 @@
         if fresh.is_empty() { of } else { fresh }
     }
 
-    fn choose(&mut self, now: Millis, wu: WuId) {
+    fn choose(&mut self, now: Millis, wu: RequestId) {
         let Some(w) = self.wus.get(&wu) else { return };
         let (again, _, deferred) = self.may_resend(now, w);
         if now >= w.limit || w.allocs.len() >= self.most_allocs || !again {
@@ -228,7 +228,7 @@
                 return self.give_up(wu, deferred);
             }
             self.held.push(wu);
-            self.actions.push(Action::Wake { at: now + AGAIN });
+            self.actions.push(Action::SetTimer { at: now + AGAIN });
             return;
         }
         let any = |rng: &mut ChaCha8Rng| allowed[rng.random_range(0..allowed.len())];
@@ -265,7 +265,7 @@
         self.push(now, wu, chosen);
     }
 
-    fn push(&mut self, now: Millis, wu: WuId, e: ExecutorId) {
+    fn push(&mut self, now: Millis, wu: RequestId, e: ExecutorId) {
         let Some(w) = self.wus.get_mut(&wu) else { return };
         w.allocs.push(Alloc { executor: e, sent: now, outcome: None });
         let (slots, cut_at) = (w.slots, w.limit);
@@ -278,24 +278,24 @@
                 known.spent.push_back((now, cost));
             }
         }
-        self.actions.push(Action::Push { wu, executor: e, cut_at, send_by: cut_at });
+        self.actions.push(Action::Dispatch { wu, executor: e, cut_at, send_by: cut_at });
     }
 
-    fn give_up(&mut self, wu: WuId, deferred: bool) {
+    fn give_up(&mut self, wu: RequestId, deferred: bool) {
         if let Some(w) = self.wus.remove(&wu) {
             let come_back = Some(self.kinds[w.kind].turnaround);
-            self.actions.push(if deferred { Action::Defer { wu, come_back } } else { Action::Abort { wu } });
+            self.actions.push(if deferred { Action::Reject { wu, come_back } } else { Action::Fail { wu } });
         }
     }
 
-    fn probed(&mut self, now: Millis, e: ExecutorId, answered: bool, reading: Reading) {
+    fn probed(&mut self, now: Millis, e: ExecutorId, answered: bool, reading: LoadReport) {
         let Some(known) = self.known.get_mut(e) else { return };
         known.probed = false;
         if answered {
             let running = (reading.held.unwrap_or(0.0)).max(0.0);
             known.slots = known.slots.max((reading.free_slots.unwrap_or(0.0) + running).round());
         }
-        let waiting: Vec<WuId> =
+        let waiting: Vec<RequestId> =
             self.wus.iter().filter(|(_, w)| w.asked.contains(&e)).map(|(wu, _)| *wu).collect();
         for wu in waiting {
             let w = self.wus.get_mut(&wu).expect("it was there");
@@ -308,8 +308,8 @@
             }
             let answers = std::mem::take(&mut w.answers);
             let allowed = self.allowed(now, &self.wus[&wu]);
-            let length = |r: &Reading| r.queue.unwrap_or(0.0) + r.held.unwrap_or(0.0);
-            let fit: Vec<&(ExecutorId, Reading)> =
+            let length = |r: &LoadReport| r.queue.unwrap_or(0.0) + r.held.unwrap_or(0.0);
+            let fit: Vec<&(ExecutorId, LoadReport)> =
                 answers.iter().filter(|(x, _)| allowed.contains(x)).collect();
             let least = fit.iter().map(|(_, r)| length(r)).fold(f64::INFINITY, f64::min);
             let best: Vec<ExecutorId> =
@@ -336,7 +336,7 @@
         }
     }
 
-    fn ended(&mut self, now: Millis, wu: WuId, alloc: AllocId, outcome: Outcome, closed: bool) {
+    fn ended(&mut self, now: Millis, wu: RequestId, alloc: AttemptId, outcome: Outcome, closed: bool) {
         let Some(w) = self.wus.get_mut(&wu) else { return };
         let Some(a) = w.allocs.get_mut(alloc.0 as usize).filter(|a| a.outcome.is_none()) else { return };
         a.outcome = Some(outcome);
@@ -353,18 +353,18 @@
 impl Mind for Baseline {
     fn tell(&mut self, now: Millis, event: Event) {
         match event {
-            Event::ListTold { kind, entries } => self.list(kind, &entries),
-            Event::Arrived { wu, project_type, slots, left, .. } => {
+            Event::EndpointsUpdated { kind, entries } => self.list(kind, &entries),
+            Event::RequestArrived { wu, project_type, slots, left, .. } => {
                 let (kind, limit) = (project_type.0 as usize, now + left);
                 let (allocs, asked, answers) = Default::default();
                 self.wus.insert(wu, Wu { kind, slots, arrived: now, limit, allocs, asked, answers });
                 self.choose(now, wu);
             }
-            Event::Probed { executor, answered, reading, .. } => {
+            Event::ProbeCompleted { executor, answered, reading, .. } => {
                 self.probed(now, executor, answered, reading);
             }
-            Event::Ended { wu, alloc, outcome, closed } => self.ended(now, wu, alloc, outcome, closed),
-            Event::Withdrawn { wu } => {
+            Event::AttemptEnded { wu, alloc, outcome, closed } => self.ended(now, wu, alloc, outcome, closed),
+            Event::RequestWithdrawn { wu } => {
                 if let Some(w) = self.wus.remove(&wu)
                     && let Some(a) = w.allocs.last().filter(|a| a.outcome.is_none())
                 {
@@ -377,12 +377,14 @@
                     self.choose(now, wu);
                 }
             }
-            Event::ListLost { .. } => self.actions.push(Action::FollowList),
-            Event::Recovered { .. } | Event::Started { .. } | Event::Progress { .. } => {}
+            Event::EndpointWatchLost { .. } => self.actions.push(Action::WatchEndpoints),
+            Event::AttemptRecovered { .. }
+            | Event::AttemptStarted { .. }
+            | Event::AttemptProgressed { .. } => {}
             // A baseline runs in one process and forgets with it.
-            Event::Beside { .. } | Event::Learned(_) => {}
+            Event::SiblingChanged { .. } | Event::WarmStateReceived(_) => {}
             // Nor does it talk.
-            Event::Told(_) => {}
+            Event::GossipReceived(_) => {}
         }
     }
 
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -1,7 +1,7 @@
 //! A node: what decides, and what it has open.
 use slotmap::{Key, KeyData};
 use std::collections::BTreeMap;
-use troutknot::{Action, AllocId, Dispatcher, Event, ExecutorId, Millis, WuId};
+use troutknot::{Action, AttemptId, Dispatcher, Event, ExecutorId, Millis, RequestId};
 
 /// What decides: the dispatcher, or in the kit alone a baseline.
 pub trait Mind {
@@ -70,7 +70,7 @@
 
 #[derive(Clone, Copy)]
 pub struct Out {
-    pub alloc: AllocId,
+    pub alloc: AttemptId,
     pub executor: usize,
     /// Stands for this allocation in the whole world.
     pub key: u64,
@@ -83,7 +83,7 @@
     pub leaving: bool,
     /// Counts its starts: what was meant for an earlier life is dropped.
     pub life: u32,
-    pub open: BTreeMap<WuId, Open>,
+    pub open: BTreeMap<RequestId, Open>,
     pub next_wu: u64,
     pub wake: Millis,
     pub handles: Handles,
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: what they send, when they leave, and when they ask again.
 use super::{BEGAN, WAY, World, WorldEvent};
-use troutknot::{Event, WuId};
+use troutknot::{Event, RequestId};
 use troutknot_emulator::Millis;
 use troutknot_emulator::observed::{NodeNumber, Seen};
 use troutknot_rehearsal::scenario::{Effect, millis};
@@ -53,7 +53,7 @@
     }
 
     /// A client gives up a request that is open at a node, if it still waits.
-    pub(super) fn client_leaves(&mut self, node: usize, wu: WuId) {
+    pub(super) fn client_leaves(&mut self, node: usize, wu: RequestId) {
         let open = self.nodes[node].open.get_mut(&wu);
         let Some(open) = open.filter(|open| open.waits) else { return };
         open.waits = false;
@@ -63,7 +63,7 @@
         }
         let id = self.id(request, attempt);
         self.note(Seen::Left { id });
-        self.tell(node, Event::Withdrawn { wu });
+        self.tell(node, Event::RequestWithdrawn { wu });
     }
 
     /// An answer reaches its client, which may ask again.
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: the list of executors, as each node's agent has it and as nodes hear it.
 use super::{LIST_SILENCE, World, WorldEvent};
 use rand::RngExt;
-use troutknot::{Event, GroupId, ListKind, Listing, MachineKindId, Phase, PlaceId};
+use troutknot::{DeduplicationGroupId, Endpoint, EndpointState, Event, ListUpdate, MachineTypeId, ZoneId};
 use troutknot_emulator::Millis;
 use troutknot_emulator::observed::{ExecutorNumber, Listed, NodeNumber, Seen};
 use troutknot_rehearsal::plan::opens_after;
@@ -17,20 +17,20 @@
     }
 
     /// The entry of an executor, in the words of the dispatcher.
-    fn listing(&self, node: usize, executor: usize, entry: u32) -> Listing {
+    fn listing(&self, node: usize, executor: usize, entry: u32) -> Endpoint {
         let (listed, started) = self.entries[entry as usize];
         let planned = &self.plan.executors[executor];
         let kind = self.kinds.iter().position(|k| *k == planned.kind).map_or(u32::MAX, |k| k as u32);
-        Listing {
+        Endpoint {
             executor: self.nodes[node].handles.of(executor),
             token: self.tokens[executor],
-            place: PlaceId(0),
-            kind: MachineKindId(kind),
-            group: GroupId(planned.group as u32),
+            place: ZoneId(0),
+            kind: MachineTypeId(kind),
+            group: DeduplicationGroupId(planned.group as u32),
             phase: match listed {
-                Listed::Ready => Phase::Healthy,
-                Listed::Terminating => Phase::Draining,
-                Listed::Gone => Phase::Gone,
+                Listed::Ready => EndpointState::Ready,
+                Listed::Terminating => EndpointState::Draining,
+                Listed::Gone => EndpointState::Gone,
             },
             size: 1.0,
             started,
@@ -38,19 +38,19 @@
     }
 
     /// A node hears all that its agent knows.
-    pub(super) fn tell_list(&mut self, node: usize, kind: ListKind) {
+    pub(super) fn tell_list(&mut self, node: usize, kind: ListUpdate) {
         let view = self.views[node].clone();
         let known = view.iter().enumerate().filter_map(|(executor, entry)| Some((executor, (*entry)?)));
         let mut entries = Vec::new();
         for (executor, entry) in known {
             let listing = self.listing(node, executor, entry);
-            if listing.phase == Phase::Gone && self.nodes[node].shut[executor].is_infinite() {
+            if listing.phase == EndpointState::Gone && self.nodes[node].shut[executor].is_infinite() {
                 continue;
             }
             self.told(node, executor, entry);
             entries.push(listing);
         }
-        self.tell(node, Event::ListTold { kind, entries });
+        self.tell(node, Event::EndpointsUpdated { kind, entries });
     }
 
     /// Records that a node was told an entry; it soon sends nothing more to an executor that is not ready.
@@ -96,16 +96,16 @@
         if self.nodes[node].up {
             self.told(node, executor, entry);
             let entries = vec![self.listing(node, executor, entry)];
-            self.tell(node, Event::ListTold { kind: ListKind::Changes, entries });
+            self.tell(node, Event::EndpointsUpdated { kind: ListUpdate::Delta, entries });
         }
     }
 
     /// The watch of the list broke off; it is back at once where discovery answers.
     pub(super) fn list_lost(&mut self, node: usize) {
         if self.silent {
-            self.tell(node, Event::ListLost { turned_away: false });
+            self.tell(node, Event::EndpointWatchLost { turned_away: false });
         } else {
-            self.tell_list(node, ListKind::Changes);
+            self.tell_list(node, ListUpdate::Delta);
         }
     }
 
--- a/crates/simulation/src/world/events.rs
+++ b/crates/simulation/src/world/events.rs
@@ -1,6 +1,6 @@
 //! What is scheduled in the world, and which part of the world each event goes to.
 use super::World;
-use troutknot::{AllocId, Event, ExecutorId, ListKind, Outcome, Reading, WuId};
+use troutknot::{AttemptId, Event, ExecutorId, ListUpdate, LoadReport, Outcome, RequestId};
 use troutknot_emulator::Millis;
 
 /// An event in the queue. `node` and `life` name one process of a node: what was meant for an earlier one is dropped.
@@ -15,23 +15,23 @@
     /// The last byte of a request reaches a node.
     Arrives { node: u32, life: u32, request: u32, attempt: u32 },
     /// A client gives up a request that is open at a node.
-    Leaves { node: u32, life: u32, wu: WuId },
+    Leaves { node: u32, life: u32, wu: RequestId },
     /// An answer reaches its client.
     Answered { request: u32, attempt: u32, status: u16, come_back: Option<Millis> },
     /// An executor may have something to report.
     ExecutorDue(u32),
     /// The last byte of an allocation reaches its executor.
-    Sent { node: u32, life: u32, wu: WuId, out: InTransit },
+    Sent { node: u32, life: u32, wu: RequestId, out: InTransit },
     /// A node learns how an allocation ended.
-    Ended { node: u32, life: u32, wu: WuId, alloc: AllocId, outcome: Outcome },
+    Ended { node: u32, life: u32, wu: RequestId, alloc: AttemptId, outcome: Outcome },
     /// The time limit of an allocation is over.
-    Cut { node: u32, life: u32, wu: WuId, alloc: AllocId },
+    Cut { node: u32, life: u32, wu: RequestId, alloc: AttemptId },
     /// An executor sees that the connection of an allocation was closed.
     GivenUp { executor: u32, key: u64 },
     /// A probe reaches its executor.
     Asked { node: u32, life: u32, executor: ExecutorId },
     /// The answer to a probe, or its absence, reaches the node.
-    Probed { node: u32, life: u32, executor: ExecutorId, answered: bool, lag: Millis, reading: Reading },
+    Probed { node: u32, life: u32, executor: ExecutorId, answered: bool, lag: Millis, reading: LoadReport },
     /// A node's timer fires.
     Wake { node: u32, life: u32 },
     /// A change reaches a node's agent.
@@ -47,7 +47,7 @@
 /// An allocation on its way to its executor.
 #[derive(Clone, Copy)]
 pub(super) struct InTransit {
-    pub alloc: AllocId,
+    pub alloc: AttemptId,
     pub executor: u32,
     pub key: u64,
 }
@@ -57,8 +57,8 @@
 pub(super) struct Origin {
     pub node: u32,
     pub life: u32,
-    pub wu: WuId,
-    pub alloc: AllocId,
+    pub wu: RequestId,
+    pub alloc: AttemptId,
 }
 
 impl World<'_> {
@@ -98,7 +98,7 @@
             WorldEvent::Asked { node, life, executor } => self.probe_arrives(node, life, executor),
             WorldEvent::Probed { node, life, executor, answered, lag, reading } => {
                 if self.is_current(node, life) {
-                    self.tell(node as usize, Event::Probed { executor, answered, lag, reading });
+                    self.tell(node as usize, Event::ProbeCompleted { executor, answered, lag, reading });
                 }
             }
             WorldEvent::Wake { node, life } => {
@@ -116,7 +116,7 @@
             }
             WorldEvent::Follows { node, life } => {
                 if self.is_current(node, life) {
-                    self.tell_list(node as usize, ListKind::Changes);
+                    self.tell_list(node as usize, ListUpdate::Delta);
                 }
             }
             WorldEvent::TakenIn { node, taken_in } => self.front_learns(node as usize, taken_in),
--- a/crates/simulation/src/world/executors.rs
+++ b/crates/simulation/src/world/executors.rs
@@ -1,7 +1,7 @@
 //! Executors: their processes, the allocations and probes that reach them, and what they report.
 use super::events::{InTransit, Origin, WorldEvent};
 use super::{WAY, World};
-use troutknot::{ExecutorId, Outcome, Reading, WuId};
+use troutknot::{ExecutorId, LoadReport, Outcome, RequestId};
 use troutknot_emulator::observed::{ExecutorNumber, Seen};
 use troutknot_emulator::{End, Executor, Key, Millis, Offer, Output, Verdict};
 use troutknot_rehearsal::scenario::millis;
@@ -43,7 +43,7 @@
         event: WorldEvent,
         node: u32,
         life: u32,
-        wu: WuId,
+        wu: RequestId,
         out: InTransit,
     ) {
         let number = out.executor as usize;
@@ -95,7 +95,7 @@
             }
             Verdict::TurnedAway => {
                 self.note(Seen::NeverRan { alloc });
-                self.queue.at(back, came_of(Outcome::Full));
+                self.queue.at(back, came_of(Outcome::Rejected));
             }
             Verdict::Error => {
                 self.note(Seen::Errored { alloc });
@@ -129,7 +129,7 @@
                     self.seen.push((at, Seen::Ended { alloc: key.0, end }));
                     let outcome = match end {
                         End::Done => Outcome::Completed,
-                        End::Returned => Outcome::Full,
+                        End::Returned => Outcome::Rejected,
                         End::Lost | End::Reset => Outcome::Reset,
                     };
                     if let Some(Origin { node, life, wu, alloc }) = self.outs.remove(&key.0) {
@@ -168,14 +168,14 @@
         let wait = millis(self.scenario.nodes.connect_wait);
         let Some(host) = &mut self.hosts[number] else { return };
         let (after, answered, reading) = if host.is_down() {
-            (WAY, false, Reading::default())
+            (WAY, false, LoadReport::default())
         } else if host.is_silent() || host.is_paused() {
-            (wait, false, Reading::default())
+            (wait, false, LoadReport::default())
         } else {
             let load = host.probe(self.now);
             let (queue, held) = (Some(load.waiting), Some(load.running));
             let free_slots = Some(load.free_slots);
-            (WAY, true, Reading { queue, held, free_slots, ..Reading::default() })
+            (WAY, true, LoadReport { queue, held, free_slots, ..LoadReport::default() })
         };
         let lag = WAY + after;
         let probed = WorldEvent::Probed { node, life, executor, answered, lag, reading };
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -2,7 +2,9 @@
 use super::events::{InTransit, WorldEvent};
 use super::{ANSWER_MARGIN, BEGAN, HEALTH_EVERY, LIST_SILENCE, WAY, World};
 use crate::node::{Handles, Node, Open, Out};
-use troutknot::{Action, AllocId, CustomerId, Event, ExecutorId, ListKind, Outcome, ProjectTypeId, WuId};
+use troutknot::{
+    Action, AttemptId, Event, ExecutorId, ListUpdate, Outcome, RequestClassId, RequestId, TenantId,
+};
 use troutknot_emulator::Millis;
 use troutknot_emulator::observed::{NodeNumber, Seen};
 use troutknot_rehearsal::scenario::millis;
@@ -31,7 +33,7 @@
             self.nodes.push(fresh);
         }
         self.note(Seen::NodeStarted { node: node as NodeNumber });
-        self.tell_list(node, ListKind::Whole);
+        self.tell_list(node, ListUpdate::Snapshot);
     }
 
     /// Tells a node something, and takes the actions that follow.
@@ -51,27 +53,27 @@
     fn act(&mut self, node: usize, action: Action) {
         let (now, life, number) = (self.now, self.nodes[node].life, node as u32);
         match action {
-            Action::Push { wu, executor, cut_at, .. } => self.push(node, wu, executor, cut_at),
+            Action::Dispatch { wu, executor, cut_at, .. } => self.push(node, wu, executor, cut_at),
             Action::Cancel { wu, alloc } => {
                 if self.give_up(node, wu, alloc) {
                     let outcome = Outcome::Cancelled;
                     self.queue.at(now, WorldEvent::Ended { node: number, life, wu, alloc, outcome });
                 }
             }
-            Action::Defer { wu, come_back } => self.answer(node, wu, 503, come_back),
-            Action::Abort { wu } => self.answer(node, wu, 502, None),
+            Action::Reject { wu, come_back } => self.answer(node, wu, 503, come_back),
+            Action::Fail { wu } => self.answer(node, wu, 502, None),
             Action::Probe { executor } => {
                 self.counts.probes += 1;
                 self.queue.at(now + WAY, WorldEvent::Asked { node: number, life, executor });
             }
-            Action::Wake { at } => {
+            Action::SetTimer { at } => {
                 let at = at.max(now);
                 if at < self.nodes[node].wake {
                     self.nodes[node].wake = at;
                     self.queue.at(at, WorldEvent::Wake { node: number, life });
                 }
             }
-            Action::FollowList => {
+            Action::WatchEndpoints => {
                 let (at, event) = if self.silent {
                     (now + LIST_SILENCE, WorldEvent::ListLost { node: number, life })
                 } else {
@@ -80,17 +82,17 @@
                 self.queue.at(at, event);
             }
             // Ways to executors never break here, and its settings let no nodes talk.
-            Action::Release { executor } => self.nodes[node].handles.release(executor),
-            Action::CloseIdle { .. } | Action::Tell(_) | Action::Log(_) => {}
+            Action::ReleaseExecutor { executor } => self.nodes[node].handles.release(executor),
+            Action::CloseIdleConnections { .. } | Action::Gossip(_) | Action::Log(_) => {}
         }
     }
 
     /// Sends an allocation of a work unit to an executor.
-    fn push(&mut self, node: usize, wu: WuId, executor: ExecutorId, cut_at: Millis) {
+    fn push(&mut self, node: usize, wu: RequestId, executor: ExecutorId, cut_at: Millis) {
         let sender = &mut self.nodes[node];
         let Some(executor) = sender.handles.number(executor) else { return };
         let Some(open) = sender.open.get_mut(&wu) else { return };
-        let (alloc, key, cut) = (AllocId(open.allocs), self.next_key, cut_at.min(open.limit));
+        let (alloc, key, cut) = (AttemptId(open.allocs), self.next_key, cut_at.min(open.limit));
         self.next_key += 1;
         open.allocs += 1;
         open.out = Some(Out { alloc, executor, key });
@@ -101,7 +103,7 @@
     }
 
     /// The connection of an allocation that is out ends; false where none is.
-    pub(super) fn give_up(&mut self, node: usize, wu: WuId, alloc: AllocId) -> bool {
+    pub(super) fn give_up(&mut self, node: usize, wu: RequestId, alloc: AttemptId) -> bool {
         let Some(open) = self.nodes[node].open.get(&wu) else { return false };
         let Some(out) = open.out.filter(|out| out.alloc == alloc) else { return false };
         self.queue.at(self.now + WAY, WorldEvent::GivenUp { executor: out.executor as u32, key: out.key });
@@ -109,7 +111,7 @@
     }
 
     /// The final answer of a node, if its client still waits.
-    fn answer(&mut self, node: usize, wu: WuId, status: u16, come_back: Option<Millis>) {
+    fn answer(&mut self, node: usize, wu: RequestId, status: u16, come_back: Option<Millis>) {
         let Some(open) = self.nodes[node].open.get_mut(&wu) else { return };
         let (request, attempt) = (open.request, open.attempt);
         let waits = std::mem::replace(&mut open.waits, false);
@@ -127,7 +129,7 @@
         let kind = self.types[asked.project_type];
         let limit = millis(kind.hard_limit);
         let left = limit - ANSWER_MARGIN.min(limit * 0.2);
-        let wu = WuId(self.nodes[node].next_wu);
+        let wu = RequestId(self.nodes[node].next_wu);
         self.nodes[node].next_wu += 1;
         let open = Open { request, attempt, limit: self.now + left, allocs: 0, out: None, waits: true };
         self.nodes[node].open.insert(wu, open);
@@ -135,14 +137,20 @@
             let (life, number) = (self.nodes[node].life, node as u32);
             self.queue.at(BEGAN + asked.at + after, WorldEvent::Leaves { node: number, life, wu });
         }
-        let (project_type, customer) = (ProjectTypeId(asked.project_type as u32), asked.customer as u32);
-        let (customer, slots, memory) = (CustomerId(customer), kind.slots, kind.memory);
+        let (project_type, customer) = (RequestClassId(asked.project_type as u32), asked.customer as u32);
+        let (customer, slots, memory) = (TenantId(customer), kind.slots, kind.memory);
         let again = attempt > 0;
-        self.tell(node, Event::Arrived { wu, project_type, customer, slots, memory, left, again });
+        self.tell(node, Event::RequestArrived { wu, project_type, customer, slots, memory, left, again });
     }
 
     /// An allocation has ended, as far as its node hears.
-    pub(super) fn allocation_ended(&mut self, node: usize, wu: WuId, alloc: AllocId, outcome: Outcome) {
+    pub(super) fn allocation_ended(
+        &mut self,
+        node: usize,
+        wu: RequestId,
+        alloc: AttemptId,
+        outcome: Outcome,
+    ) {
         let Some(open) = self.nodes[node].open.get_mut(&wu) else { return };
         if open.out.is_none_or(|out| out.alloc != alloc) {
             return;
@@ -155,7 +163,7 @@
         if closed {
             self.nodes[node].open.remove(&wu);
         }
-        self.tell(node, Event::Ended { wu, alloc, outcome, closed });
+        self.tell(node, Event::AttemptEnded { wu, alloc, outcome, closed });
     }
 
     /// A node's timer fires, unless it was replaced by an earlier one that already has.
--- a/crates/simulation/tests/simulate.rs
+++ b/crates/simulation/tests/simulate.rs
@@ -61,13 +61,13 @@
 impl Mind for Wronged {
     fn tell(&mut self, now: Millis, mut event: Event) {
         match (&mut event, self.wrong) {
-            (Event::Ended { outcome: outcome @ Outcome::Reset, .. }, Wrong::TakesAResetForNothing) => {
+            (Event::AttemptEnded { outcome: outcome @ Outcome::Reset, .. }, Wrong::TakesAResetForNothing) => {
                 *outcome = Outcome::NotSent;
             }
-            (Event::ListTold { entries, .. }, Wrong::SendsToTheDrained) => {
-                entries.iter_mut().for_each(|entry| entry.phase = troutknot::Phase::Healthy);
+            (Event::EndpointsUpdated { entries, .. }, Wrong::SendsToTheDrained) => {
+                entries.iter_mut().for_each(|entry| entry.phase = troutknot::EndpointState::Ready);
             }
-            (Event::ListTold { entries, .. }, Wrong::PushesCold) => {
+            (Event::EndpointsUpdated { entries, .. }, Wrong::PushesCold) => {
                 entries.iter_mut().for_each(|entry| entry.started = None);
             }
             _ => {}
@@ -78,7 +78,7 @@
     fn emit(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.inner.emit(now, actions);
         if self.wrong == Wrong::NeverGivesUp {
-            actions.retain(|action| !matches!(action, Action::Defer { .. } | Action::Abort { .. }));
+            actions.retain(|action| !matches!(action, Action::Reject { .. } | Action::Fail { .. }));
         }
     }
 }
--- a/crates/wirehost/src/decode.rs
+++ b/crates/wirehost/src/decode.rs
@@ -2,7 +2,7 @@
 use base64::prelude::{BASE64_STANDARD, Engine};
 use serde::{Deserialize, Deserializer};
 use std::borrow::Cow;
-use troutknot::{Telling, WuId};
+use troutknot::{GossipMessage, RequestId};
 use troutknot_hosting::{TypeNames, told};
 
 pub fn parse<'a, T: Deserialize<'a>>(line: &'a [u8]) -> Result<T, String> {
@@ -27,12 +27,12 @@
     Ok(parse::<Named>(line)?.op)
 }
 
-fn wu<'de, D: Deserializer<'de>>(d: D) -> Result<WuId, D::Error> {
+fn wu<'de, D: Deserializer<'de>>(d: D) -> Result<RequestId, D::Error> {
     let text = Cow::<str>::deserialize(d)?;
     if text.len() != 16 || text.bytes().any(|b| !matches!(b, b'0'..=b'9' | b'a'..=b'f')) {
         return Err(serde::de::Error::custom(format!("`{text}` is not 16 lower-case hex digits")));
     }
-    u64::from_str_radix(&text, 16).map(WuId).map_err(serde::de::Error::custom)
+    u64::from_str_radix(&text, 16).map(RequestId).map_err(serde::de::Error::custom)
 }
 
 #[derive(Deserialize)]
@@ -102,7 +102,7 @@
 pub struct NewRequest {
     pub i: u64,
     #[serde(deserialize_with = "wu")]
-    pub call: WuId,
+    pub call: RequestId,
     #[serde(default)]
     pub cores_needed: Option<f64>,
     #[serde(default)]
@@ -143,7 +143,7 @@
 pub struct Returned {
     pub i: u64,
     #[serde(deserialize_with = "wu")]
-    pub call: WuId,
+    pub call: RequestId,
     pub complete: bool,
     pub n: u32,
     pub state_code: StateCode,
@@ -153,7 +153,7 @@
 pub struct Begun {
     pub i: u64,
     #[serde(deserialize_with = "wu")]
-    pub call: WuId,
+    pub call: RequestId,
     pub n: u32,
 }
 
@@ -161,7 +161,7 @@
 pub struct Heartbeat {
     pub i: u64,
     #[serde(deserialize_with = "wu")]
-    pub call: WuId,
+    pub call: RequestId,
     #[serde(default)]
     pub value: Option<f64>,
     pub n: u32,
@@ -172,7 +172,7 @@
 pub struct Withdrawn {
     pub i: u64,
     #[serde(deserialize_with = "wu")]
-    pub call: WuId,
+    pub call: RequestId,
 }
 
 #[derive(Deserialize)]
@@ -183,7 +183,7 @@
 }
 
 impl Inbox<'_> {
-    pub fn said(&self, types: TypeNames) -> Option<Telling> {
+    pub fn said(&self, types: TypeNames) -> Option<GossipMessage> {
         told(&BASE64_STANDARD.decode(self.body.as_deref()?).ok()?, types)
     }
 }
--- a/crates/wirehost/src/encode.rs
+++ b/crates/wirehost/src/encode.rs
@@ -1,6 +1,6 @@
 //! Actions as lines of the wire.
 use base64::prelude::{BASE64_STANDARD, Engine};
-use troutknot::{Action, ExecutorId, Millis, WuId};
+use troutknot::{Action, ExecutorId, Millis, RequestId};
 use troutknot_hosting::{ExecutorRegistry, TypeNames, telling};
 
 fn micros(at: Millis) -> u64 {
@@ -18,7 +18,7 @@
     number(out, "\",\"i\":", instance);
 }
 
-fn call(out: &mut Vec<u8>, wu: WuId) {
+fn call(out: &mut Vec<u8>, wu: RequestId) {
     const DIGITS: &[u8; 16] = b"0123456789abcdef";
     out.extend_from_slice(b",\"call\":\"");
     out.extend((0..16).map(|k| DIGITS[(wu.0 >> (60 - 4 * k)) as usize & 15]));
@@ -41,7 +41,7 @@
 ) {
     let name = |executor: ExecutorId| registry.name(executor).unwrap_or_default();
     match action {
-        Action::Push { wu, executor, cut_at, .. } => {
+        Action::Dispatch { wu, executor, cut_at, .. } => {
             open(out, "forward", instance);
             call(out, *wu);
             number(out, ",\"cut_at\":", micros(*cut_at));
@@ -52,14 +52,14 @@
             call(out, *wu);
             number(out, ",\"n\":", alloc.0.into());
         }
-        Action::Defer { wu, come_back } => {
+        Action::Reject { wu, come_back } => {
             open(out, "bounce", instance);
             call(out, *wu);
             if let Some(wait) = come_back {
                 number(out, ",\"wait\":", micros(*wait));
             }
         }
-        Action::Abort { wu } => {
+        Action::Fail { wu } => {
             open(out, "surrender", instance);
             call(out, *wu);
         }
@@ -67,25 +67,25 @@
             open(out, "sample", instance);
             text(out, ",\"executor\":", name(*executor));
         }
-        Action::Wake { at } => {
+        Action::SetTimer { at } => {
             open(out, "after", instance);
             number(out, ",\"at\":", (at * 1000.0).ceil() as u64);
             number(out, ",\"key_back\":", 0);
         }
-        Action::CloseIdle { executor } => {
+        Action::CloseIdleConnections { executor } => {
             open(out, "let_go", instance);
             text(out, ",\"executor\":", name(*executor));
         }
-        Action::Tell(said) => {
+        Action::Gossip(said) => {
             open(out, "announce", instance);
             out.extend_from_slice(b",\"to\":null");
             text(out, ",\"body\":", &BASE64_STANDARD.encode(telling(*said, types)));
         }
-        Action::FollowList => {
+        Action::WatchEndpoints => {
             open(out, "listen", instance);
             out.extend_from_slice(b",\"enable\":true");
         }
-        Action::Release { .. } => return,
+        Action::ReleaseExecutor { .. } => return,
         Action::Log(line) => {
             open(out, "emit", instance);
             text(out, ",\"line\":", line);
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -32,7 +32,7 @@
     match code {
         StateCode::Good => Outcome::Completed,
         StateCode::Bad => Outcome::Error,
-        StateCode::Full => Outcome::Full,
+        StateCode::Full => Outcome::Rejected,
         StateCode::Late => Outcome::TimedOut,
         StateCode::Noconn => Outcome::NoConnection,
         StateCode::Rst => Outcome::Reset,
@@ -79,10 +79,10 @@
             }
             "new_request" => {
                 let r: decode::NewRequest = decode::parse(line)?;
-                let event = Event::Arrived {
+                let event = Event::RequestArrived {
                     wu: r.call,
-                    project_type: ProjectTypeId(r.priority),
-                    customer: CustomerId(r.account.unwrap_or(0)),
+                    project_type: RequestClassId(r.priority),
+                    customer: TenantId(r.account.unwrap_or(0)),
                     slots: r.cores_needed.unwrap_or(1.0),
                     memory: r.mem_needed.unwrap_or(0.0),
                     left: millis(r.time_left),
@@ -92,7 +92,7 @@
             }
             "ping_result" => {
                 let p: decode::PingResult = decode::parse(line)?;
-                self.tell(p.i, now, |instance| Event::Probed {
+                self.tell(p.i, now, |instance| Event::ProbeCompleted {
                     // One that is not registered has no handle: what it says is dropped, and counted there.
                     executor: instance.registry.get(&p.executor).unwrap_or_default(),
                     answered: p.state_code == StateCode::Good,
@@ -102,25 +102,25 @@
             }
             "returned" => {
                 let r: decode::Returned = decode::parse(line)?;
-                self.tell(r.i, now, |_| Event::Ended {
+                self.tell(r.i, now, |_| Event::AttemptEnded {
                     wu: r.call,
-                    alloc: AllocId(r.n),
+                    alloc: AttemptId(r.n),
                     outcome: outcome(r.state_code),
                     closed: r.complete,
                 });
             }
             "begun" => {
                 let b: decode::Begun = decode::parse(line)?;
-                self.tell(b.i, now, |_| Event::Started { wu: b.call, alloc: AllocId(b.n) });
+                self.tell(b.i, now, |_| Event::AttemptStarted { wu: b.call, alloc: AttemptId(b.n) });
             }
             "heartbeat" => {
                 let h: decode::Heartbeat = decode::parse(line)?;
-                let alloc = AllocId(h.n);
+                let alloc = AttemptId(h.n);
                 match h.what {
-                    1 => self.tell(h.i, now, |_| Event::Started { wu: h.call, alloc }),
+                    1 => self.tell(h.i, now, |_| Event::AttemptStarted { wu: h.call, alloc }),
                     2 => {
                         let share = h.value.unwrap_or(0.0);
-                        self.tell(h.i, now, |_| Event::Progress { wu: h.call, alloc, share });
+                        self.tell(h.i, now, |_| Event::AttemptProgressed { wu: h.call, alloc, share });
                     }
                     _ => {}
                 }
@@ -131,14 +131,14 @@
             }
             "withdrawn" => {
                 let w: decode::Withdrawn = decode::parse(line)?;
-                self.tell(w.i, now, |_| Event::Withdrawn { wu: w.call });
+                self.tell(w.i, now, |_| Event::RequestWithdrawn { wu: w.call });
             }
             "inbox" => {
                 let inbox: decode::Inbox = decode::parse(line)?;
                 // What a node sends is not in our hands: what is not understood is passed over, and counted.
                 let types = self.instances.get(&inbox.i).map(|instance| instance.types.as_slice());
                 match inbox.said(types.unwrap_or_default()) {
-                    Some(said) => self.tell(inbox.i, now, |_| Event::Told(said)),
+                    Some(said) => self.tell(inbox.i, now, |_| Event::GossipReceived(said)),
                     None => self.passed_over(inbox.i),
                 }
             }
@@ -169,32 +169,32 @@
     fn list(&mut self, now: Millis, told: decode::PeersKnown) -> Result<(), String> {
         let kind = match told.kind {
             PeersKind::Lost => {
-                self.tell(told.i, now, |_| Event::ListLost { turned_away: true });
+                self.tell(told.i, now, |_| Event::EndpointWatchLost { turned_away: true });
                 return Ok(());
             }
-            PeersKind::Incr => ListKind::Changes,
-            PeersKind::Total => ListKind::Whole,
-            PeersKind::WarmCopy => ListKind::Saved,
+            PeersKind::Incr => ListUpdate::Delta,
+            PeersKind::Total => ListUpdate::Snapshot,
+            PeersKind::WarmCopy => ListUpdate::Cached,
         };
         let number = told.sheet.ok_or("missing field `sheet`")?;
         let sheet = self.sheets.get(&number).ok_or_else(|| format!("sheet {number} was never declared"))?;
         let Some(instance) = self.instances.get_mut(&told.i) else { return Ok(()) };
-        let listing = |entry: &decode::Entry| Listing {
+        let listing = |entry: &decode::Entry| Endpoint {
             executor: instance.registry.register(&entry.executor),
             token: token(&entry.executor),
-            place: PlaceId(entry.dc.unwrap_or(0)),
-            kind: MachineKindId(entry.hw.unwrap_or(0)),
-            group: GroupId(entry.stripe.unwrap_or(0)),
+            place: ZoneId(entry.dc.unwrap_or(0)),
+            kind: MachineTypeId(entry.hw.unwrap_or(0)),
+            group: DeduplicationGroupId(entry.stripe.unwrap_or(0)),
             phase: match entry.phase {
-                EntryPhase::Healthy => Phase::Healthy,
-                EntryPhase::Cordoned => Phase::Draining,
-                EntryPhase::Deregistered => Phase::Gone,
+                EntryPhase::Healthy => EndpointState::Ready,
+                EntryPhase::Cordoned => EndpointState::Draining,
+                EntryPhase::Deregistered => EndpointState::Gone,
             },
             size: entry.scale.unwrap_or(1.0),
             started: entry.start_time.filter(|&at| at > 0).map(millis),
         };
         let entries = sheet.iter().map(listing).collect();
-        self.tell(told.i, now, |_| Event::ListTold { kind, entries });
+        self.tell(told.i, now, |_| Event::EndpointsUpdated { kind, entries });
         Ok(())
     }
 
@@ -232,7 +232,7 @@
             }
             for action in self.actions.drain(..) {
                 encode::action(reply, i, &instance.registry, &instance.types, &action);
-                if let Action::Release { executor } = action {
+                if let Action::ReleaseExecutor { executor } = action {
                     instance.registry.release(executor);
                 }
             }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -68,13 +68,13 @@
 
 struct ProjectType {
     effect: Effect,
-    scope: RepeatScope,
+    scope: DeduplicationScope,
     window: Millis,
     turnaround: Millis,
     stretch: f64,
     limit: Millis,
     credit: f64,
-    only_kind: Option<MachineKindId>,
+    only_kind: Option<MachineTypeId>,
     most_allocs: usize,
     /// Smoothed running times, with the wait there and, where starts are told, without; first the promised one.
     run: Millis,
@@ -148,7 +148,7 @@
     wanted: Wanted,
     allocs: Vec<Alloc>,
     drawn: Vec<ExecutorId>,
-    answers: Vec<(ExecutorId, Reading)>,
+    answers: Vec<(ExecutorId, LoadReport)>,
     probed: usize,
     draws: u32,
     wake: Millis,
@@ -190,15 +190,15 @@
     nodes: f64,
     come_back_told: bool,
     /// Where this node stands, if the settings price a push to another place.
-    home: Option<PlaceId>,
+    home: Option<ZoneId>,
     fleet: Fleet,
-    wus: HashMap<WuId, Wu>,
-    held: Vec<WuId>,
+    wus: HashMap<RequestId, Wu>,
+    held: Vec<RequestId>,
     /// Work units whose wanted state may differ from what is out.
-    touched: Vec<WuId>,
+    touched: Vec<RequestId>,
     probes_wanted: Vec<ExecutorId>,
     /// When a work unit wants to be looked at again, by the bits of that time.
-    wakes: BTreeSet<(u64, WuId)>,
+    wakes: BTreeSet<(u64, RequestId)>,
     wake_set: Millis,
     monitoring: Monitoring,
     admission: Admission,
@@ -209,7 +209,7 @@
     drops_until: Millis,
     /// Whether nodes may tell one another, and what is to be told.
     talks: bool,
-    tellings: Vec<Telling>,
+    tellings: Vec<GossipMessage>,
     /// After how long work that has not begun is looked after, where copies may run and starts are told.
     looks_after: Millis,
     following: Following,
@@ -265,7 +265,13 @@
     }
 
     /// Guards against executors that turn away or swallow one project type; what is new is told.
-    fn turn_away(&mut self, e: ExecutorId, kind: ProjectTypeId, now: Millis, seen: bool) -> Option<Telling> {
+    fn turn_away(
+        &mut self,
+        e: ExecutorId,
+        kind: RequestClassId,
+        now: Millis,
+        seen: bool,
+    ) -> Option<GossipMessage> {
         let fade = self.fade(now);
         let state = self.state_mut(e)?;
         let score = state.turned_away.entry(kind.0 as usize).or_insert((0.0, now));
@@ -273,7 +279,7 @@
         let by = (fade / DISTRUST_FADE).min(MOST_FAULT);
         *score = (if seen { before + by } else { before.max(HEARSAY) }, now);
         let token = state.listing.token as u32;
-        (seen && before < HEARSAY / 2.0).then_some(Telling::TurnedAway { token, project_type: kind })
+        (seen && before < HEARSAY / 2.0).then_some(GossipMessage::WorkRejected { token, project_type: kind })
     }
 
     fn own_change(&mut self, e: ExecutorId, now: Millis, slots: f64) {
@@ -293,7 +299,7 @@
     }
 
     /// The queue that a work unit would stand in, with the slots that it lacks there now; and the free slots.
-    fn queue_for(&self, e: ExecutorId, now: Millis, slots: f64, reading: &Reading) -> (f64, f64) {
+    fn queue_for(&self, e: ExecutorId, now: Millis, slots: f64, reading: &LoadReport) -> (f64, f64) {
         let waiting = reading.queue.or(reading.held).unwrap_or(0.0);
         let Some(free) = reading.free_slots else { return (waiting.round(), f64::INFINITY) };
         let free = free - self.unseen(e, now);
@@ -338,11 +344,11 @@
     /// Takes in one event; what follows from it is emitted by the next `emit`.
     pub fn tell(&mut self, now: Millis, event: Event) {
         match event {
-            Event::ListTold { kind, entries } => self.on_list(now, kind, &entries),
-            Event::ListLost { turned_away } => {
+            Event::EndpointsUpdated { kind, entries } => self.on_list(now, kind, &entries),
+            Event::EndpointWatchLost { turned_away } => {
                 self.log.push(self.following.lost(now, self.nodes, turned_away, &mut self.rng))
             }
-            Event::Arrived { wu, project_type, customer, slots, left, again, .. } => {
+            Event::RequestArrived { wu, project_type, customer, slots, left, again, .. } => {
                 let project_type = project_type.0 as usize;
                 if project_type < self.types.len() && !self.wus.contains_key(&wu) {
                     let wanted = Wu {
@@ -358,26 +364,28 @@
                     if self.admits(project_type) { self.draw(now, wu) } else { self.give_up(now, wu) }
                 }
             }
-            Event::Probed { executor, answered, lag, reading } => {
+            Event::ProbeCompleted { executor, answered, lag, reading } => {
                 self.on_probed(now, executor, answered.then_some((lag, reading)))
             }
-            Event::Ended { wu, alloc, outcome, closed } => self.on_ended(now, wu, alloc, outcome, closed),
-            Event::Recovered { wu, executor, sent } => self.on_recovered(now, wu, executor, sent),
-            Event::Told(Telling::Dropped) => self.on_dropped(now, false),
-            Event::Told(Telling::TurnedAway { token, project_type }) => {
+            Event::AttemptEnded { wu, alloc, outcome, closed } => {
+                self.on_ended(now, wu, alloc, outcome, closed)
+            }
+            Event::AttemptRecovered { wu, executor, sent } => self.on_recovered(now, wu, executor, sent),
+            Event::GossipReceived(GossipMessage::IdleConnectionLost) => self.on_dropped(now, false),
+            Event::GossipReceived(GossipMessage::WorkRejected { token, project_type }) => {
                 let found = self.fleet.iter().find(|state| state.listing.token as u32 == token);
                 let executor = found.map_or(ExecutorId::default(), |state| state.listing.executor);
                 if self.fleet.expects(executor) {
                     self.fleet.turn_away(executor, project_type, now, false);
                 }
             }
-            Event::Beside { runs: true } => self.beside_until = f64::INFINITY,
-            Event::Beside { runs: false } => self.beside_until = now + self.cold.fall,
-            Event::Learned(learned) => self.on_learned(learned),
-            Event::Started { wu, alloc } => self.on_started(now, wu, alloc),
-            Event::Progress { .. } => {}
+            Event::SiblingChanged { runs: true } => self.beside_until = f64::INFINITY,
+            Event::SiblingChanged { runs: false } => self.beside_until = now + self.cold.fall,
+            Event::WarmStateReceived(learned) => self.on_learned(learned),
+            Event::AttemptStarted { wu, alloc } => self.on_started(now, wu, alloc),
+            Event::AttemptProgressed { .. } => {}
             Event::TimerFired => self.wake_set = f64::INFINITY,
-            Event::Withdrawn { wu } => self.forget(wu),
+            Event::RequestWithdrawn { wu } => self.forget(wu),
         }
         while let Some(&(bits, wu)) = self.wakes.first()
             && f64::from_bits(bits) <= now
@@ -421,7 +429,7 @@
         class.turnaround + (class.stretch - 1.0).max(0.0) * class.work
     }
 
-    fn on_started(&mut self, now: Millis, wu: WuId, alloc: AllocId) {
+    fn on_started(&mut self, now: Millis, wu: RequestId, alloc: AttemptId) {
         let Some(w) = self.wus.get_mut(&wu) else { return };
         let Some(attempt) = w.allocs.get_mut(alloc.0 as usize).filter(|a| a.waits()) else { return };
         attempt.begun = now;
@@ -437,7 +445,7 @@
     }
 
     /// Whether this work unit is beyond its customer's share; a client that asks again is not counted twice.
-    fn over_share(&mut self, now: Millis, customer: CustomerId, again: bool) -> bool {
+    fn over_share(&mut self, now: Millis, customer: TenantId, again: bool) -> bool {
         let Some(share) = self.shares.get_mut(customer.0 as usize) else { return false };
         let most = (share.per_ms * SPAN).max(LEAST_SAVED);
         share.left = (share.left + share.per_ms * (now - share.at)).min(most);
@@ -447,10 +455,10 @@
         over
     }
 
-    fn on_list(&mut self, now: Millis, kind: ListKind, entries: &[Listing]) {
-        let whole = matches!(kind, ListKind::Whole | ListKind::Saved);
+    fn on_list(&mut self, now: Millis, kind: ListUpdate, entries: &[Endpoint]) {
+        let whole = matches!(kind, ListUpdate::Snapshot | ListUpdate::Cached);
         self.fleet.take_list(now, whole, entries);
-        if matches!(kind, ListKind::Whole | ListKind::Changes) {
+        if matches!(kind, ListUpdate::Snapshot | ListUpdate::Delta) {
             self.log.extend(self.following.heard());
         }
         // A push decided in this very batch must not go to an executor that the list has just taken away.
@@ -466,7 +474,7 @@
         }
     }
 
-    fn on_probed(&mut self, now: Millis, executor: ExecutorId, answer: Option<(Millis, Reading)>) {
+    fn on_probed(&mut self, now: Millis, executor: ExecutorId, answer: Option<(Millis, LoadReport)>) {
         if !self.fleet.expects(executor) {
             return;
         }
@@ -508,7 +516,7 @@
         }
     }
 
-    fn on_ended(&mut self, now: Millis, wu: WuId, alloc: AllocId, outcome: Outcome, closed: bool) {
+    fn on_ended(&mut self, now: Millis, wu: RequestId, alloc: AttemptId, outcome: Outcome, closed: bool) {
         let Some(w) = self.wus.get_mut(&wu) else { return };
         let Some(a) = w.allocs.get_mut(alloc.0 as usize).filter(|a| a.outcome.is_none()) else { return };
         let (executor, e, sent, begun) = (a.executor, a.executor, a.sent, a.begun);
@@ -520,8 +528,8 @@
         // Only executors that showed room are sent to; one that is full all the same reports wrongly.
         if soon && outcome == Outcome::Reset {
             self.on_dropped(now, true);
-        } else if outcome == Outcome::Full {
-            let kind = ProjectTypeId(project_type as u32);
+        } else if outcome == Outcome::Rejected {
+            let kind = RequestClassId(project_type as u32);
             self.tellings.extend(self.fleet.turn_away(e, kind, now, true));
         } else if !matches!(outcome, Outcome::Completed | Outcome::NotSent | Outcome::Cancelled) {
             self.fleet.fault(e, now);
@@ -550,7 +558,7 @@
             true => self.forget(wu),
             // A copy that is still out, or in the making, says what follows; where nobody is asked, who is full.
             false if another_out => {}
-            false if outcome == Outcome::Full && self.monitoring.forbidden => self.hold(now, wu),
+            false if outcome == Outcome::Rejected && self.monitoring.forbidden => self.hold(now, wu),
             false => self.draw(now, wu),
         }
         if outcome == Outcome::Completed {
@@ -559,7 +567,7 @@
     }
 
     /// Takes up an allocation of an earlier life: nothing is drawn, held or given up before its end is told.
-    fn on_recovered(&mut self, now: Millis, wu: WuId, executor: ExecutorId, sent: Millis) {
+    fn on_recovered(&mut self, now: Millis, wu: RequestId, executor: ExecutorId, sent: Millis) {
         let known = self.fleet.expects(executor);
         let Some(w) = self.wus.get_mut(&wu).filter(|_| known) else { return };
         w.allocs.push(Alloc::new(executor, sent, f64::INFINITY));
@@ -573,12 +581,12 @@
     fn on_dropped(&mut self, now: Millis, seen: bool) {
         if now >= self.drops_until {
             self.log.push(format!("idle connections dropped: none is used again after {LEAST_IDLE} ms"));
-            self.tellings.extend(seen.then_some(Telling::Dropped));
+            self.tellings.extend(seen.then_some(GossipMessage::IdleConnectionLost));
         }
         self.drops_until = now + DROPS_FOR;
     }
 
-    fn forget(&mut self, wu: WuId) {
+    fn forget(&mut self, wu: RequestId) {
         let Some(w) = self.wus.remove(&wu) else { return };
         // What is still out after its answer is left to the readings to show.
         for a in w.allocs.iter().filter(|a| a.outcome.is_none()) {
@@ -589,7 +597,7 @@
         self.wakes.remove(&(w.wake.to_bits(), wu));
     }
 
-    fn want(&mut self, wu: WuId, wanted: Wanted, wake: Millis) {
+    fn want(&mut self, wu: RequestId, wanted: Wanted, wake: Millis) {
         let Some(w) = self.wus.get_mut(&wu) else { return };
         self.wakes.remove(&(w.wake.to_bits(), wu));
         self.held.retain(|&h| h != wu);
@@ -607,18 +615,18 @@
     fn may_resend(&self, now: Millis, w: &Wu) -> (Resend, bool) {
         let kind = &self.types[w.project_type];
         let Some(first) = w.first_run() else { return (Resend::Anywhere, true) };
-        let all = kind.scope == RepeatScope::All;
+        let all = kind.scope == DeduplicationScope::All;
         match kind.effect {
-            Effect::Rerunnable => (Resend::Anywhere, true),
-            Effect::Exclusive => (Resend::Never, false),
-            Effect::Receipted if now - first.sent > kind.window * WINDOW_MARGIN => (Resend::Never, all),
-            Effect::Receipted if all => (Resend::Anywhere, all),
-            Effect::Receipted => (Resend::Like(first.executor), all),
+            Effect::Idempotent => (Resend::Anywhere, true),
+            Effect::AtMostOnce => (Resend::Never, false),
+            Effect::Deduplicated if now - first.sent > kind.window * WINDOW_MARGIN => (Resend::Never, all),
+            Effect::Deduplicated if all => (Resend::Anywhere, all),
+            Effect::Deduplicated => (Resend::Like(first.executor), all),
         }
     }
 
     /// Gives up: the answer goes out with this very batch.
-    fn give_up(&mut self, now: Millis, wu: WuId) {
+    fn give_up(&mut self, now: Millis, wu: RequestId) {
         let Some(w) = self.wus.get(&wu) else { return };
         if w.is_out() {
             return self.wait(wu);
@@ -628,22 +636,22 @@
         self.want(wu, wanted, f64::INFINITY);
     }
 
-    fn wait(&mut self, wu: WuId) {
+    fn wait(&mut self, wu: RequestId) {
         let Some((w, a)) = self.wus.get(&wu).and_then(|w| Some((w, w.allocs.last()?))) else { return };
         self.want(wu, Wanted::Out(a.executor, w.limit, w.allocs.len()), f64::INFINITY);
     }
 
     /// What has not begun though its executor shows room was lost on the way.
-    fn look_after(&mut self, now: Millis, wu: WuId) {
+    fn look_after(&mut self, now: Millis, wu: RequestId) {
         let Some((w, a)) = self.wus.get(&wu).and_then(|w| Some((w, w.allocs.last()?))) else { return };
-        let roomy = |r: &Reading| r.queue.unwrap_or(1.0) < 0.5 && r.free_slots.unwrap_or(0.0) >= w.slots;
+        let roomy = |r: &LoadReport| r.queue.unwrap_or(1.0) < 0.5 && r.free_slots.unwrap_or(0.0) >= w.slots;
         if !a.waits() || !w.answers.iter().any(|(x, r)| *x == a.executor && roomy(r)) {
             return self.wait(wu);
         }
         if a.idle < self.idle_stated && now >= self.drops_until {
             self.on_dropped(now, true);
         } else {
-            let (e, kind) = (a.executor, ProjectTypeId(w.project_type as u32));
+            let (e, kind) = (a.executor, RequestClassId(w.project_type as u32));
             self.tellings.extend(self.fleet.turn_away(e, kind, now, true));
         }
         self.draw(now, wu)
@@ -686,8 +694,8 @@
     /// Whether the rules allow this executor for a work unit now.
     fn allowed(&self, now: Millis, w: &Wu, executor: ExecutorId) -> bool {
         let (kind, listing) = (&self.types[w.project_type], &self.fleet.state(executor).listing);
-        let by_place = kind.scope == RepeatScope::Place;
-        let shares = |l: &Listing| if by_place { l.place.0 } else { l.group.0 };
+        let by_place = kind.scope == DeduplicationScope::Zone;
+        let shares = |l: &Endpoint| if by_place { l.place.0 } else { l.group.0 };
         let in_scope = match self.may_resend(now, w).0 {
             Resend::Anywhere => true,
             Resend::Never => false,
@@ -700,7 +708,7 @@
     }
 
     /// Chance by warmth (among many nodes its root) and by trust decides who of the allowed is ready.
-    fn let_through(&mut self, now: Millis, wu: WuId, executor: ExecutorId) -> bool {
+    fn let_through(&mut self, now: Millis, wu: RequestId, executor: ExecutorId) -> bool {
         let (state, fade) = (self.fleet.state(executor), self.fleet.fade(now));
         let project_type = self.wus.get(&wu).map_or(0, |w| w.project_type);
         let turned_away = state.turned_away.get(&project_type).copied().unwrap_or_default();
@@ -719,7 +727,7 @@
     }
 
     /// One ready executor, each with the same chance; those that `but` names where there is no other.
-    fn pick(&mut self, now: Millis, wu: WuId, but: &[ExecutorId]) -> Option<ExecutorId> {
+    fn pick(&mut self, now: Millis, wu: RequestId, but: &[ExecutorId]) -> Option<ExecutorId> {
         // The few nodes to which a cold one's budget is dealt draw it for all the others too.
         let dealt = self.fleet.dealt.len() as f64 * (self.nodes / self.cold.dealt - 1.0);
         let to_dealt = dealt / (dealt + self.fleet.healthy.len().max(1) as f64);
@@ -746,7 +754,7 @@
     }
 
     /// Draws d ready executors with replacement and wants a probe to each distinct one.
-    fn draw(&mut self, now: Millis, wu: WuId) {
+    fn draw(&mut self, now: Millis, wu: RequestId) {
         let Some(w) = self.wus.get(&wu) else { return };
         let most = self.types[w.project_type].most_allocs;
         if now >= w.limit || w.allocs.len() >= most || self.may_resend(now, w).0 == Resend::Never {
@@ -767,7 +775,7 @@
     }
 
     /// Wants answers from these for this work unit, one after another.
-    fn probe(&mut self, now: Millis, wu: WuId, drawn: Vec<ExecutorId>) {
+    fn probe(&mut self, now: Millis, wu: RequestId, drawn: Vec<ExecutorId>) {
         let Some(w) = self.wus.get_mut(&wu) else { return };
         (w.drawn, w.probed, w.draws) = (drawn, 0, w.draws + 1);
         w.answers.clear();
@@ -775,12 +783,12 @@
             return self.probe_next(now, wu);
         }
         // Nobody may be asked: what this node has out there says who is emptier, and never that room is short.
-        let own = |&x: &ExecutorId| (x, Reading::of_free_slots(1e6 - self.fleet.state(x).slots_out));
+        let own = |&x: &ExecutorId| (x, LoadReport::of_free_slots(1e6 - self.fleet.state(x).slots_out));
         w.answers = w.drawn.iter().map(own).collect();
         self.choose(now, wu);
     }
 
-    fn probe_next(&mut self, now: Millis, wu: WuId) {
+    fn probe_next(&mut self, now: Millis, wu: RequestId) {
         let Some(w) = self.wus.get_mut(&wu) else { return };
         let Some(&executor) = w.drawn.get(w.probed) else { return self.choose(now, wu) };
         w.probed += 1;
@@ -798,13 +806,13 @@
     }
 
     /// The shortest queue first, then the node's own place, then the least part of the slots in use.
-    fn rank(&self, now: Millis, w: &Wu, executor: ExecutorId, reading: &Reading) -> (f64, bool, f64) {
+    fn rank(&self, now: Millis, w: &Wu, executor: ExecutorId, reading: &LoadReport) -> (f64, bool, f64) {
         let (queue, free) = self.fleet.queue_for(executor, now, w.slots, reading);
         (queue, self.crosses(executor), -free / self.fleet.slots_of(executor))
     }
 
     /// With all answers in, the best of those drawn; among equal ones chance decides.
-    fn choose(&mut self, now: Millis, wu: WuId) {
+    fn choose(&mut self, now: Millis, wu: RequestId) {
         let Some(w) = self.wus.get(&wu) else { return };
         if w.is_out() && w.allocs.last().is_some_and(|a| w.drawn == [a.executor]) {
             return self.look_after(now, wu);
@@ -850,7 +858,7 @@
     }
 
     /// Holds a work unit, to draw again halfway, while it may well be in time, then gives it up at once.
-    fn hold(&mut self, now: Millis, wu: WuId) {
+    fn hold(&mut self, now: Millis, wu: RequestId) {
         let Some(w) = self.wus.get(&wu) else { return };
         if w.is_out() {
             return self.wait(wu);
@@ -868,7 +876,7 @@
 
     /// Room, maybe: the held work unit of most credit for its slots, times how long it waits, asks there.
     fn room_at(&mut self, now: Millis, executor: ExecutorId) {
-        let earns = |wu: &WuId| {
+        let earns = |wu: &RequestId| {
             let w = &self.wus[wu];
             let part = if w.over { self.credit_over } else { 1.0 };
             part * self.types[w.project_type].credit / w.slots * (now - w.asked)
@@ -902,7 +910,7 @@
     pub fn emit(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if self.following.ask_at <= now {
             self.following.ask_at = f64::INFINITY;
-            actions.push(Action::FollowList);
+            actions.push(Action::WatchEndpoints);
         }
         for wu in std::mem::take(&mut self.touched) {
             let Some(w) = self.wus.get_mut(&wu) else { continue };
@@ -910,18 +918,18 @@
                 Wanted::Out(executor, cut_at, allocs) if w.allocs.len() < allocs => {
                     let idle = now - self.fleet.state(executor).last_used;
                     if now < self.drops_until && idle > LEAST_IDLE && idle < self.idle_stated {
-                        actions.push(Action::CloseIdle { executor });
+                        actions.push(Action::CloseIdleConnections { executor });
                     }
                     // A connection may come up late: what may have run goes out whole inside its window, or not.
                     let kind = &self.types[w.project_type];
-                    let first = w.first_run().filter(|_| kind.effect == Effect::Receipted);
+                    let first = w.first_run().filter(|_| kind.effect == Effect::Deduplicated);
                     let send_by = first.map_or(cut_at, |a| cut_at.min(a.sent + kind.window * WINDOW_MARGIN));
                     w.allocs.push(Alloc::new(executor, now, idle));
-                    actions.push(Action::Push { wu, executor, cut_at, send_by });
+                    actions.push(Action::Dispatch { wu, executor, cut_at, send_by });
                 }
                 Wanted::Probed | Wanted::Held | Wanted::Out(..) => {}
-                Wanted::Deferred(come_back) => actions.push(Action::Defer { wu, come_back }),
-                Wanted::Aborted => actions.push(Action::Abort { wu }),
+                Wanted::Deferred(come_back) => actions.push(Action::Reject { wu, come_back }),
+                Wanted::Aborted => actions.push(Action::Fail { wu }),
             }
             if matches!(self.wus[&wu].wanted, Wanted::Deferred(_) | Wanted::Aborted) {
                 self.forget(wu);
@@ -934,13 +942,13 @@
                 actions.push(Action::Probe { executor });
             }
         }
-        actions.extend(self.tellings.drain(..).filter(|_| self.talks).map(Action::Tell));
+        actions.extend(self.tellings.drain(..).filter(|_| self.talks).map(Action::Gossip));
         self.reclaim(now, actions);
         let first = self.wakes.first().map_or(f64::INFINITY, |&(bits, _)| f64::from_bits(bits));
         let wake = first.min(self.following.ask_at).min(self.fleet.reclaim_at());
         if wake < self.wake_set {
             self.wake_set = wake;
-            actions.push(Action::Wake { at: wake });
+            actions.push(Action::SetTimer { at: wake });
         }
         actions.extend(self.log.drain(..).map(Action::Log));
     }
--- a/src/rules/executors.rs
+++ b/src/rules/executors.rs
@@ -13,7 +13,7 @@
 
 /// What is known of one executor.
 pub(super) struct ExecutorState {
-    pub listing: Listing,
+    pub listing: Endpoint,
     /// Score for what failed there, and when it was set.
     pub failure_score: (f64, Millis),
     /// How many outcomes it was made of, fading alike.
@@ -22,7 +22,7 @@
     pub turned_away: BTreeMap<usize, (f64, Millis)>,
     /// The most slots that its reports have shown.
     pub most_slots: f64,
-    pub reading: Reading,
+    pub reading: LoadReport,
     /// When this reading was first seen; the same one comes back until the executor makes a new one.
     pub read_at: Millis,
     /// Slots that this node's own dispatches (+) and ended attempts (-) have changed of late.
@@ -30,7 +30,7 @@
     /// Slots of this node's attempts that are out.
     pub slots_out: f64,
     /// Requests that wait for the probe that is wanted or out.
-    pub awaiting_probe: Vec<WuId>,
+    pub awaiting_probe: Vec<RequestId>,
     pub probe_out: bool,
     /// What was dispatched while cold: when, and how many slot-milliseconds.
     pub cold_spent: Vec<(Millis, f64)>,
@@ -39,14 +39,14 @@
 }
 
 impl ExecutorState {
-    fn new(listing: Listing) -> Self {
+    fn new(listing: Endpoint) -> Self {
         ExecutorState {
             listing,
             failure_score: (0.0, 0.0),
             observations: (0.0, 0.0),
             turned_away: BTreeMap::new(),
             most_slots: 0.0,
-            reading: Reading::default(),
+            reading: LoadReport::default(),
             read_at: 0.0,
             recent_changes: VecDeque::new(),
             slots_out: 0.0,
@@ -59,9 +59,9 @@
 
     /// What the list says now; another start has another history. That it is gone says nothing of its start: it
     /// may be back with it, and what was spent of its cold budget counts then.
-    fn relist(&mut self, listing: Listing) {
-        if listing.phase == Phase::Gone {
-            self.listing.phase = Phase::Gone;
+    fn relist(&mut self, listing: Endpoint) {
+        if listing.phase == EndpointState::Gone {
+            self.listing.phase = EndpointState::Gone;
             return;
         }
         if self.listing.started != listing.started {
@@ -130,13 +130,13 @@
 impl Fleet {
     /// `mean_run` is the running time of work to begin with.
     pub fn new(mean_run: Millis) -> Self {
-        let nowhere = Listing {
+        let nowhere = Endpoint {
             executor: ExecutorId::default(),
             token: 0,
-            place: PlaceId(u32::MAX),
-            kind: MachineKindId(u32::MAX),
-            group: GroupId(u32::MAX),
-            phase: Phase::Gone,
+            place: ZoneId(u32::MAX),
+            kind: MachineTypeId(u32::MAX),
+            group: DeduplicationGroupId(u32::MAX),
+            phase: EndpointState::Gone,
             size: 0.0,
             started: None,
         };
@@ -189,7 +189,7 @@
     }
 
     pub fn is_ready(&self, executor: ExecutorId) -> bool {
-        self.state(executor).listing.phase == Phase::Healthy
+        self.state(executor).listing.phase == EndpointState::Ready
     }
 
     /// Makes room for the executors of a whole list at once, and for an eighth more: growing step by step would
@@ -208,9 +208,9 @@
     }
 
     /// Takes what the list says; with `whole`, who is missing is gone.
-    pub fn take_list(&mut self, now: Millis, whole: bool, entries: &[Listing]) {
+    pub fn take_list(&mut self, now: Millis, whole: bool, entries: &[Endpoint]) {
         if whole {
-            self.states.values_mut().for_each(|state| state.listing.phase = Phase::Gone);
+            self.states.values_mut().for_each(|state| state.listing.phase = EndpointState::Gone);
             self.gone = self.states.keys().collect();
             self.reserve(entries.len());
         }
@@ -223,7 +223,7 @@
         }
     }
 
-    fn list(&mut self, entry: &Listing) {
+    fn list(&mut self, entry: &Endpoint) {
         let executor = entry.executor;
         let kind_before = self.states.get(executor).map(|state| state.listing.kind.0);
         match self.states.get_mut(executor) {
@@ -237,14 +237,14 @@
             return;
         }
         match entry.phase {
-            Phase::Gone => self.gone.insert(executor),
+            EndpointState::Gone => self.gone.insert(executor),
             _ => self.gone.remove(&executor),
         };
         self.count_kind(kind_before, self.state(executor).listing);
     }
 
     /// Keeps the largest size of each kind of machine, and how many there are of it.
-    fn count_kind(&mut self, kind_before: Option<u32>, listing: Listing) {
+    fn count_kind(&mut self, kind_before: Option<u32>, listing: Endpoint) {
         let kind = listing.kind.0;
         if kind_before != Some(kind) {
             self.kind_sizes.entry(kind).or_default().executors += 1;
@@ -252,7 +252,7 @@
         }
         if let Some(size) = self.kind_sizes.get_mut(&kind)
             && self.falling
-            && listing.phase == Phase::Healthy
+            && listing.phase == EndpointState::Ready
         {
             size.largest = size.largest.max(listing.size);
         }
@@ -267,7 +267,7 @@
     }
 
     pub fn list_ready(&mut self) {
-        let ready = self.states.iter().filter(|(_, state)| state.listing.phase == Phase::Healthy);
+        let ready = self.states.iter().filter(|(_, state)| state.listing.phase == EndpointState::Ready);
         self.healthy = ready.map(|(executor, _)| executor).collect();
     }
 
--- a/src/rules/learned.rs
+++ b/src/rules/learned.rs
@@ -3,14 +3,14 @@
 
 impl Dispatcher {
     /// What a process of this node after this one goes on from.
-    pub fn learned(&self, now: Millis) -> Learned {
+    pub fn learned(&self, now: Millis) -> WarmState {
         let (f, m) = (&self.fleet, &self.monitoring);
         let counts = |spent: &(Millis, f64)| spent.0 >= now - self.cold.fall;
         // One that is gone may be back with the same start while what was spent of its cold budget counts.
         let handed_on = |state: &&ExecutorState| {
-            state.listing.phase != Phase::Gone || state.cold_spent.iter().any(counts)
+            state.listing.phase != EndpointState::Gone || state.cold_spent.iter().any(counts)
         };
-        let learned = |state: &ExecutorState| LearnedExecutor {
+        let learned = |state: &ExecutorState| ExecutorWarmState {
             executor: state.listing.executor,
             failed: state.failure_score,
             judged: state.observations,
@@ -20,10 +20,10 @@
         let (mean_run, waiting_share, lag, draws) = (f.mean_run, m.waiting_share, m.lag, m.draws);
         let executors = f.iter().filter(|state| handed_on(state)).map(learned).collect();
         let runs = self.types.iter().map(|kind| (kind.run, kind.runs_seen)).collect();
-        Learned { executors, runs, mean_run, waiting_share, lag, draws }
+        WarmState { executors, runs, mean_run, waiting_share, lag, draws }
     }
 
-    pub(super) fn on_learned(&mut self, learned: Learned) {
+    pub(super) fn on_learned(&mut self, learned: WarmState) {
         let (f, m) = (&mut self.fleet, &mut self.monitoring);
         for l in learned.executors {
             if f.expects(l.executor)
--- a/src/rules/reclaim.rs
+++ b/src/rules/reclaim.rs
@@ -25,7 +25,7 @@
         let spent_since = now - self.cold.fall;
         let named = self.wus.values().flat_map(Wu::executors);
         let released = self.fleet.reclaim(now, spent_since, named);
-        actions.extend(released.into_iter().map(|executor| Action::Release { executor }));
+        actions.extend(released.into_iter().map(|executor| Action::ReleaseExecutor { executor }));
     }
 }
 
--- a/src/rules/retune.rs
+++ b/src/rules/retune.rs
@@ -13,13 +13,13 @@
             let most_allocs = values.number("limits.most_allocations", 1.0);
             self.types.push(ProjectType {
                 effect: Effect::named(values.text(&own("effect"))),
-                scope: RepeatScope::named(values.text(&own("repeat_scope"))),
+                scope: DeduplicationScope::named(values.text(&own("repeat_scope"))),
                 window: number("window"),
                 turnaround: number("promised_turnaround"),
                 stretch: number("stretch"),
                 limit: number("hard_limit"),
                 credit: number("credit"),
-                only_kind: (kind >= 0.0).then_some(MachineKindId(kind as u32)),
+                only_kind: (kind >= 0.0).then_some(MachineTypeId(kind as u32)),
                 most_allocs: values.number(&own("most_allocations"), most_allocs) as usize,
                 run: like.map_or(number("promised_turnaround"), |like| like.run),
                 work: like.map_or(number("promised_turnaround"), |like| like.work),
@@ -48,7 +48,7 @@
         self.cold.dealt = (DEALT_A_TIME * times).round().clamp(1.0, MOST_DEALT).min(self.nodes);
         self.come_back_told = values.flag("limits.come_back_told");
         self.home = (values.number("prices.cross_place", 0.0) > 0.0)
-            .then_some(PlaceId(values.number("place", 0.0) as u32));
+            .then_some(ZoneId(values.number("place", 0.0) as u32));
         self.monitoring.price = values.number("prices.probe", 0.0);
         self.fleet.falling = values.text("list_sizes") == "falling";
         self.idle_stated = values.number("limits.idle_connection", 0.0);
--- a/src/terms.rs
+++ b/src/terms.rs
@@ -9,36 +9,36 @@
 
 /// A work unit, as its host names it; never used for two of them.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
-pub struct WuId(pub u64);
+pub struct RequestId(pub u64);
 
 slotmap::new_key_type! {
     /// An executor: the handle that the host gave it when it first heard of it, a slot and its generation.
     ///
     /// The host takes handles out of a [`slotmap::SlotMap`], whose slots stand in the order of first mention, and
-    /// gives a slot to another executor only after [`Action::Release`]; the generation tells both apart.
+    /// gives a slot to another executor only after [`Action::ReleaseExecutor`]; the generation tells both apart.
     pub struct ExecutorId;
 }
 
 /// The running number of an allocation within its work unit, from 0.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub struct AllocId(pub u32);
+pub struct AttemptId(pub u32);
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct ProjectTypeId(pub u32);
+pub struct RequestClassId(pub u32);
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct CustomerId(pub u32);
+pub struct TenantId(pub u32);
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct PlaceId(pub u32);
+pub struct ZoneId(pub u32);
 
 /// Machines of one kind share a size and a typical speed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct MachineKindId(pub u32);
+pub struct MachineTypeId(pub u32);
 
 /// Executors that know each other's marks against repeats.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct GroupId(pub u32);
+pub struct DeduplicationGroupId(pub u32);
 
 /// One value that the host hands over.
 #[derive(Clone, PartialEq, Debug)]
@@ -92,87 +92,87 @@
 /// What running twice would do.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Effect {
-    Rerunnable,
-    Receipted,
-    Exclusive,
+    Idempotent,
+    Deduplicated,
+    AtMostOnce,
 }
 
 impl Effect {
     /// A word that is not known is taken for the strictest.
     pub fn named(word: &str) -> Self {
         match word {
-            "rerunnable" => Effect::Rerunnable,
-            "receipted" => Effect::Receipted,
-            _ => Effect::Exclusive,
+            "rerunnable" => Effect::Idempotent,
+            "receipted" => Effect::Deduplicated,
+            _ => Effect::AtMostOnce,
         }
     }
 }
 
 /// Which executors know each other's marks against repeats.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum RepeatScope {
+pub enum DeduplicationScope {
     All,
-    Place,
+    Zone,
     Group,
 }
 
-impl RepeatScope {
+impl DeduplicationScope {
     /// A word that is not known is taken for the strictest.
     pub fn named(word: &str) -> Self {
         match word {
-            "all" => RepeatScope::All,
-            "place" => RepeatScope::Place,
-            _ => RepeatScope::Group,
+            "all" => DeduplicationScope::All,
+            "place" => DeduplicationScope::Zone,
+            _ => DeduplicationScope::Group,
         }
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Phase {
-    Healthy,
+pub enum EndpointState {
+    Ready,
     Draining,
     Gone,
 }
 
 /// One executor as the list shows it.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Listing {
+pub struct Endpoint {
     pub executor: ExecutorId,
     /// A number that stands for this executor at every node alike.
     pub token: u64,
-    pub place: PlaceId,
-    pub kind: MachineKindId,
-    pub group: GroupId,
-    pub phase: Phase,
+    pub place: ZoneId,
+    pub kind: MachineTypeId,
+    pub group: DeduplicationGroupId,
+    pub phase: EndpointState,
     pub size: f64,
     pub started: Option<Millis>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ListKind {
+pub enum ListUpdate {
     /// Only what changed.
-    Changes,
+    Delta,
     /// What the operators changed by hand, which is no word from the list.
-    ByHand,
+    Operator,
     /// The whole list; who is not in it is gone.
-    Whole,
+    Snapshot,
     /// The whole list as last held before a restart, perhaps out of date.
-    Saved,
+    Cached,
 }
 
 /// Load that an executor reported; what a site does not report stays `None`.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
-pub struct Reading {
+pub struct LoadReport {
     pub queue: Option<f64>,
     pub held: Option<f64>,
     pub free_slots: Option<f64>,
     pub free_memory: Option<f64>,
 }
 
-impl Reading {
+impl LoadReport {
     /// One that shows free slots and no more.
     pub fn of_free_slots(free_slots: f64) -> Self {
-        Reading { free_slots: Some(free_slots), ..Reading::default() }
+        LoadReport { free_slots: Some(free_slots), ..LoadReport::default() }
     }
 }
 
@@ -180,7 +180,7 @@
 pub enum Outcome {
     Completed,
     Error,
-    Full,
+    Rejected,
     TimedOut,
     NoConnection,
     Reset,
@@ -191,14 +191,14 @@
 impl Outcome {
     /// Whether the outcome proves that the allocation never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::NotSent)
+        matches!(self, Outcome::Rejected | Outcome::NoConnection | Outcome::NotSent)
     }
 }
 
 /// What one process of a node knows that one after it goes on from.
 #[derive(Clone, PartialEq, Default, Debug)]
-pub struct Learned {
-    pub executors: Vec<LearnedExecutor>,
+pub struct WarmState {
+    pub executors: Vec<ExecutorWarmState>,
     /// Running times by project type, and how many were seen; none seen says nothing.
     pub runs: Vec<(Millis, f64)>,
     pub mean_run: Millis,
@@ -209,7 +209,7 @@
 
 /// What is known of an executor beside its listing: faults, outcomes, slots, and its cold budget that is out.
 #[derive(Clone, PartialEq, Debug)]
-pub struct LearnedExecutor {
+pub struct ExecutorWarmState {
     pub executor: ExecutorId,
     pub failed: (f64, Millis),
     pub judged: (f64, Millis),
@@ -219,81 +219,81 @@
 
 /// What one node tells the others.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Telling {
+pub enum GossipMessage {
     /// A connection that had been idle was gone unseen.
-    Dropped,
+    IdleConnectionLost,
     /// The executor of that token (its lower half) turned work of a project type away though it showed room.
-    TurnedAway { token: u32, project_type: ProjectTypeId },
+    WorkRejected { token: u32, project_type: RequestClassId },
 }
 
 #[derive(Clone, PartialEq, Debug)]
 pub enum Event {
-    ListTold {
-        kind: ListKind,
-        entries: Vec<Listing>,
+    EndpointsUpdated {
+        kind: ListUpdate,
+        entries: Vec<Endpoint>,
     },
     /// A call for the list failed, or following it broke off; whether its source turned the call away.
-    ListLost {
+    EndpointWatchLost {
         turned_away: bool,
     },
-    Arrived {
-        wu: WuId,
-        project_type: ProjectTypeId,
-        customer: CustomerId,
+    RequestArrived {
+        wu: RequestId,
+        project_type: RequestClassId,
+        customer: TenantId,
         slots: f64,
         memory: f64,
         left: Millis,
         again: bool,
     },
-    Probed {
+    ProbeCompleted {
         executor: ExecutorId,
         answered: bool,
         lag: Millis,
-        reading: Reading,
+        reading: LoadReport,
     },
-    Ended {
-        wu: WuId,
-        alloc: AllocId,
+    AttemptEnded {
+        wu: RequestId,
+        alloc: AttemptId,
         outcome: Outcome,
         closed: bool,
     },
     /// An allocation of an earlier life of this node, which is out until its end is told; after the arrival, in
     /// order, and of an executor that is held: listed, or told as gone in the same batch.
-    Recovered {
-        wu: WuId,
+    AttemptRecovered {
+        wu: RequestId,
         executor: ExecutorId,
         sent: Millis,
     },
     /// Whether another process of this node runs, which pushes as well.
-    Beside {
+    SiblingChanged {
         runs: bool,
     },
     /// What a process of this node before this one knew; after the list.
-    Learned(Learned),
+    WarmStateReceived(WarmState),
     /// Another node says something; it may be late, lost or wrong.
-    Told(Telling),
+    GossipReceived(GossipMessage),
     /// An allocation has started to run, or to answer.
-    Started {
-        wu: WuId,
-        alloc: AllocId,
+    AttemptStarted {
+        wu: RequestId,
+        alloc: AttemptId,
     },
     /// The share of an allocation that is done.
-    Progress {
-        wu: WuId,
-        alloc: AllocId,
+    AttemptProgressed {
+        wu: RequestId,
+        alloc: AttemptId,
         share: f64,
     },
     TimerFired,
     /// The client left; nothing more is owed.
-    Withdrawn {
-        wu: WuId,
+    RequestWithdrawn {
+        wu: RequestId,
     },
 }
 
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
-    Push {
-        wu: WuId,
+    Dispatch {
+        wu: RequestId,
         executor: ExecutorId,
         /// When it is given up.
         cut_at: Millis,
@@ -301,33 +301,33 @@
         send_by: Millis,
     },
     Cancel {
-        wu: WuId,
-        alloc: AllocId,
+        wu: RequestId,
+        alloc: AttemptId,
     },
-    Defer {
-        wu: WuId,
+    Reject {
+        wu: RequestId,
         come_back: Option<Millis>,
     },
-    Abort {
-        wu: WuId,
+    Fail {
+        wu: RequestId,
     },
     Probe {
         executor: ExecutorId,
     },
-    Wake {
+    SetTimer {
         at: Millis,
     },
     /// Closes the connections to an executor that are idle: they may be gone unseen.
-    CloseIdle {
+    CloseIdleConnections {
         executor: ExecutorId,
     },
     /// Tells all other nodes, as far as it gets to them.
-    Tell(Telling),
-    FollowList,
+    Gossip(GossipMessage),
+    WatchEndpoints,
     /// The executor is gone and nothing needs it any more: its state here is dropped, and the host frees its
     /// name, its list entry and its connections. It is the last word of this handle: the host lists the executor
     /// under a new one if it comes back. What still comes under the old one is dropped and counted.
-    Release {
+    ReleaseExecutor {
         executor: ExecutorId,
     },
     Log(String),
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -32,7 +32,7 @@
         node.now += wait;
         node.tell(Event::TimerFired);
         if starts_told {
-            node.tell(Event::Started { wu, alloc: AllocId(0) });
+            node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
         }
         node.now += RUNS;
         node.end(wu, 0, Outcome::Completed);
@@ -59,12 +59,12 @@
     let late = |tells: bool| {
         let mut node = with(values_without_probes(true));
         node.warm(4);
-        let (out, _): (Vec<WuId>, Vec<_>) = (0..12).map(|_| node.arrive(0)).unzip();
+        let (out, _): (Vec<RequestId>, Vec<_>) = (0..12).map(|_| node.arrive(0)).unzip();
         node.now += 2.0 * LATEST_START;
         node.tell(Event::TimerFired);
         if tells {
             node.now += 500.0;
-            out.iter().for_each(|&wu| _ = node.tell(Event::Started { wu, alloc: AllocId(0) }));
+            out.iter().for_each(|&wu| _ = node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) }));
         }
         (0..400).filter(|_| push_of(&node.arrive(0).1).is_some()).count()
     };
@@ -98,7 +98,7 @@
         let (wu, executor) = node.pushed(0);
         node.now += 4000.0;
         node.tell(Event::TimerFired);
-        node.tell(Event::Started { wu, alloc: AllocId(0) });
+        node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
         node.now += 50.0;
         node.end(wu, 0, Outcome::Completed);
         assert!(number_of(executor) < 4);
@@ -110,12 +110,12 @@
     /// When each slot of each executor is free again.
     free_at: Vec<[Millis; 2]>,
     /// What comes next, by time and number: a start or an end of a request of a node.
-    due: BTreeMap<(u64, u64), (usize, WuId, bool)>,
+    due: BTreeMap<(u64, u64), (usize, RequestId, bool)>,
     sequence: u64,
 }
 
 impl QueueModel {
-    fn offer(&mut self, now: Millis, node: usize, wu: WuId, executor: ExecutorId, runs: Millis) {
+    fn offer(&mut self, now: Millis, node: usize, wu: RequestId, executor: ExecutorId, runs: Millis) {
         let slots = &mut self.free_at[number_of(executor) as usize];
         let slot = if slots[0] <= slots[1] { 0 } else { 1 };
         let begins = slots[slot].max(now + 1.0);
@@ -137,7 +137,7 @@
         (0..NODES).map(|seed| with_seed(values_without_probes(true), seed as u64)).collect();
     nodes.iter_mut().for_each(|node| node.warm(8));
     let mut model = QueueModel { free_at: vec![[0.0; 2]; 8], due: BTreeMap::new(), sequence: 0 };
-    let mut sent: BTreeMap<(usize, WuId), Millis> = BTreeMap::new();
+    let mut sent: BTreeMap<(usize, RequestId), Millis> = BTreeMap::new();
     let (mut in_time, mut turned_away, mut offered) = (0, 0, 0);
     while (offered as f64) * apart < 60_000.0 {
         let now = offered as f64 * apart;
@@ -145,7 +145,7 @@
             let ((bits, _), (node, wu, is_start)) = entry.remove_entry();
             nodes[node].now = f64::from_bits(bits);
             if is_start {
-                nodes[node].tell(Event::Started { wu, alloc: AllocId(0) });
+                nodes[node].tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
             } else if let Some(at) = sent.remove(&(node, wu)) {
                 in_time += usize::from(nodes[node].now - at <= 1000.0);
                 nodes[node].end(wu, 0, Outcome::Completed);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -40,9 +40,9 @@
     Killed,
 }
 
-fn listings(cold_start: Option<Millis>) -> Vec<Listing> {
-    let warm = (0..COLD).map(|number| listing(number, number, Phase::Healthy, None));
-    warm.chain([listing(COLD, COLD, Phase::Healthy, cold_start)]).collect()
+fn listings(cold_start: Option<Millis>) -> Vec<Endpoint> {
+    let warm = (0..COLD).map(|number| listing(number, number, EndpointState::Ready, None));
+    warm.chain([listing(COLD, COLD, EndpointState::Ready, cold_start)]).collect()
 }
 
 /// The processes of a fleet, the attempts that are out, and the work that was sent to the cold executor.
@@ -54,7 +54,7 @@
     /// By node; a node that is handed over has two for a while.
     processes: Vec<Vec<Node>>,
     /// When an attempt ends, by the bits of that time: node, process and request.
-    ends: BinaryHeap<Reverse<(u64, usize, usize, WuId)>>,
+    ends: BinaryHeap<Reverse<(u64, usize, usize, RequestId)>>,
     sent_to_cold: Vec<(Millis, f64)>,
 }
 
@@ -64,7 +64,7 @@
         let process = |node: usize| {
             let values = values_of(nodes as f64, Some(node as f64));
             let mut process = start_at(WARM_UP, values, fleet_seed + node as u64);
-            process.list(ListKind::Whole, &listings(None)[..COLD as usize]);
+            process.list(ListUpdate::Snapshot, &listings(None)[..COLD as usize]);
             process
         };
         Fleet {
@@ -89,12 +89,12 @@
             let learned = processes[0].node.learned(self.now);
             let values = values_of(nodes as f64, Some(node as f64));
             let mut next = start_at(self.now, values, 77 + node as u64);
-            next.list(ListKind::Saved, &listings(Some(STARTED)));
-            next.tell(Event::Learned(learned));
+            next.list(ListUpdate::Cached, &listings(Some(STARTED)));
+            next.tell(Event::WarmStateReceived(learned));
             processes.push(next);
             for process in processes {
                 process.now = self.now;
-                process.tell(Event::Beside { runs: true });
+                process.tell(Event::SiblingChanged { runs: true });
             }
         }
     }
@@ -103,7 +103,7 @@
         let now = self.now;
         for process in self.processes.iter_mut().flatten() {
             process.now = now;
-            process.list(ListKind::Whole, &listings(Some(STARTED)));
+            process.list(ListUpdate::Snapshot, &listings(Some(STARTED)));
         }
     }
 
@@ -113,7 +113,7 @@
         for node in (0..nodes).filter(|node| node % 10 < 7) {
             let values = values_of(nodes as f64, Some(node as f64));
             let mut next = start_at(self.now, values, 99 + node as u64);
-            next.list(ListKind::Whole, &listings(Some(STARTED)));
+            next.list(ListUpdate::Snapshot, &listings(Some(STARTED)));
             self.processes[node].push(next);
         }
     }
@@ -123,7 +123,7 @@
         for processes in &mut self.processes {
             let next = &mut processes[1];
             next.now = self.now;
-            next.tell(Event::Beside { runs: false });
+            next.tell(Event::SiblingChanged { runs: false });
         }
     }
 
@@ -225,8 +225,8 @@
         let Action::Probe { executor } = actions.remove(at) else { unreachable!() };
         // Each reading differs from the one before, so that it is taken for a new one.
         let free_slots = Some(slots + process.now / 1e9);
-        let reading = Reading { queue: Some(0.0), free_slots, ..Reading::default() };
-        actions.extend(process.tell(Event::Probed { executor, answered: true, lag: 1.0, reading }));
+        let reading = LoadReport { queue: Some(0.0), free_slots, ..LoadReport::default() };
+        actions.extend(process.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading }));
     }
     actions
 }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -87,15 +87,15 @@
     Node { node: Dispatcher::new(values, seed, now), now, next: 0 }
 }
 
-pub fn listing(number: u32, group: u32, phase: Phase, started: Option<Millis>) -> Listing {
-    let (place, kind) = (PlaceId(0), MachineKindId(0));
+pub fn listing(number: u32, group: u32, phase: EndpointState, started: Option<Millis>) -> Endpoint {
+    let (place, kind) = (ZoneId(0), MachineTypeId(0));
     let token = (number as u64).wrapping_mul(0x9e3779b97f4a7c15);
-    Listing {
+    Endpoint {
         executor: executor(number),
         token,
         place,
         kind,
-        group: GroupId(group),
+        group: DeduplicationGroupId(group),
         phase,
         size: 1.0,
         started,
@@ -114,27 +114,27 @@
         self.emit()
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: &[Listing]) -> Vec<Action> {
-        self.tell(Event::ListTold { kind, entries: entries.to_vec() })
+    pub fn list(&mut self, kind: ListUpdate, entries: &[Endpoint]) -> Vec<Action> {
+        self.tell(Event::EndpointsUpdated { kind, entries: entries.to_vec() })
     }
 
     /// Healthy warm executors 0..n, each in a group of its own.
     pub fn warm(&mut self, n: u32) {
-        let entries: Vec<Listing> = (0..n).map(|e| listing(e, e, Phase::Healthy, None)).collect();
-        self.list(ListKind::Whole, &entries);
+        let entries: Vec<Endpoint> = (0..n).map(|e| listing(e, e, EndpointState::Ready, None)).collect();
+        self.list(ListUpdate::Snapshot, &entries);
     }
 
-    pub fn arrive(&mut self, project_type: u32) -> (WuId, Vec<Action>) {
+    pub fn arrive(&mut self, project_type: u32) -> (RequestId, Vec<Action>) {
         self.arrive_for(project_type, 0)
     }
 
-    pub fn arrive_for(&mut self, project_type: u32, customer: u32) -> (WuId, Vec<Action>) {
+    pub fn arrive_for(&mut self, project_type: u32, customer: u32) -> (RequestId, Vec<Action>) {
         self.next += 1;
-        let wu = WuId(self.next);
-        let actions = self.tell(Event::Arrived {
+        let wu = RequestId(self.next);
+        let actions = self.tell(Event::RequestArrived {
             wu,
-            project_type: ProjectTypeId(project_type),
-            customer: CustomerId(customer),
+            project_type: RequestClassId(project_type),
+            customer: TenantId(customer),
             slots: 1.0,
             memory: 0.0,
             left: 5000.0,
@@ -150,20 +150,20 @@
             let Action::Probe { executor } = actions.remove(at) else { unreachable!() };
             let held = queue(number_of(executor));
             let free = if held > 0.0 { 0.0 } else { 4.0 };
-            let reading = Reading { queue: Some(held), free_slots: Some(free), ..Reading::default() };
-            actions.extend(self.tell(Event::Probed { executor, answered: true, lag: 1.0, reading }));
+            let reading = LoadReport { queue: Some(held), free_slots: Some(free), ..LoadReport::default() };
+            actions.extend(self.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading }));
         }
         others.append(&mut actions);
         others
     }
 
-    pub fn end(&mut self, wu: WuId, alloc: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn end(&mut self, wu: RequestId, alloc: u32, outcome: Outcome) -> Vec<Action> {
         let closed = outcome == Outcome::Completed;
-        self.tell(Event::Ended { wu, alloc: AllocId(alloc), outcome, closed })
+        self.tell(Event::AttemptEnded { wu, alloc: AttemptId(alloc), outcome, closed })
     }
 
     /// A work unit taken, probed and pushed: its id and where it went.
-    pub fn pushed(&mut self, project_type: u32) -> (WuId, ExecutorId) {
+    pub fn pushed(&mut self, project_type: u32) -> (RequestId, ExecutorId) {
         let (wu, actions) = self.arrive(project_type);
         let actions = self.answer(actions, |_| 0.0);
         (wu, push_of(&actions).expect("room everywhere"))
@@ -172,14 +172,14 @@
 
 pub fn push_of(actions: &[Action]) -> Option<ExecutorId> {
     actions.iter().find_map(|a| match a {
-        Action::Push { executor, .. } => Some(*executor),
+        Action::Dispatch { executor, .. } => Some(*executor),
         _ => None,
     })
 }
 
 /// Until when what is pushed may go out.
 pub fn send_by(actions: &[Action]) -> Option<Millis> {
-    actions.iter().find_map(|a| if let Action::Push { send_by, .. } = a { Some(*send_by) } else { None })
+    actions.iter().find_map(|a| if let Action::Dispatch { send_by, .. } = a { Some(*send_by) } else { None })
 }
 
 /// What an answer to a batch did for work units: p push or probe, d deferral, a abort, h nothing.
@@ -187,9 +187,9 @@
     let mut said = 'h';
     for action in actions {
         match action {
-            Action::Push { .. } | Action::Probe { .. } => said = 'p',
-            Action::Defer { .. } => return 'd',
-            Action::Abort { .. } => return 'a',
+            Action::Dispatch { .. } | Action::Probe { .. } => said = 'p',
+            Action::Reject { .. } => return 'd',
+            Action::Fail { .. } => return 'a',
             _ => {}
         }
     }
