--- a/tests/lifetime.rs
+++ b/tests/lifetime.rs
@@ -10,19 +10,19 @@
 
 fn released(actions: &[Action]) -> Vec<ExecutorId> {
     let release = |action: &Action| match action {
-        Action::Release { executor } => Some(*executor),
+        Action::ReleaseExecutor { executor } => Some(*executor),
         _ => None,
     };
     actions.iter().filter_map(release).collect()
 }
 
-fn gone(number: u32) -> Listing {
-    listing(number, number, Phase::Gone, None)
+fn gone(number: u32) -> Endpoint {
+    listing(number, number, EndpointState::Gone, None)
 }
 
 /// The same executor's listing under the handle that its slot has after so many releases.
-fn under(listing: Listing, releases: u32) -> Listing {
-    Listing { executor: executor_again(number_of(listing.executor), releases), ..listing }
+fn under(listing: Endpoint, releases: u32) -> Endpoint {
+    Endpoint { executor: executor_again(number_of(listing.executor), releases), ..listing }
 }
 
 impl Node {
@@ -37,16 +37,16 @@
 #[test]
 fn a_wake_is_set_while_somebody_is_gone() {
     let mut node = node(1.0);
-    let wakes = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Wake { .. }));
+    let wakes = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::SetTimer { .. }));
     node.warm(3);
     assert!(!wakes(&node.tell(Event::TimerFired)), "nobody is gone");
-    let actions = node.list(ListKind::Changes, &[gone(1)]);
-    assert!(actions.contains(&Action::Wake { at: RECLAIM_EVERY }), "{actions:?}");
+    let actions = node.list(ListUpdate::Delta, &[gone(1)]);
+    assert!(actions.contains(&Action::SetTimer { at: RECLAIM_EVERY }), "{actions:?}");
     node.now = RECLAIM_EVERY;
     let actions = node.tell(Event::TimerFired);
     assert_eq!((released(&actions), node.node.executors_held()), (vec![executor(1)], 2));
     assert!(!wakes(&actions), "nobody is gone any more");
-    assert!(!wakes(&node.list(ListKind::Changes, &[listing(0, 0, Phase::Draining, None)])));
+    assert!(!wakes(&node.list(ListUpdate::Delta, &[listing(0, 0, EndpointState::Draining, None)])));
 }
 
 /// At-most-once work is out where its executor is gone: until its end it is told apart, it has one answer, and
@@ -58,7 +58,7 @@
         node.warm(3);
         let (wu, at) = node.pushed(3);
         let number = number_of(at);
-        assert!(released(&node.list(ListKind::Changes, &[gone(number)])).is_empty());
+        assert!(released(&node.list(ListUpdate::Delta, &[gone(number)])).is_empty());
         for _ in 0..4 {
             assert!(node.look_over().is_empty(), "its attempt is out");
         }
@@ -82,12 +82,12 @@
 fn who_says_where_a_repeat_may_go_is_held() {
     let mut node = node(1.0);
     let in_groups = |phase| (0..4).map(|e| listing(e, e % 2, phase, None)).collect::<Vec<_>>();
-    node.list(ListKind::Whole, &in_groups(Phase::Healthy));
+    node.list(ListUpdate::Snapshot, &in_groups(EndpointState::Ready));
     let (wu, first) = node.pushed(2);
     let group = number_of(first) % 2;
-    let others: Vec<Listing> =
-        in_groups(Phase::Healthy).into_iter().filter(|l| l.executor != first).collect();
-    node.list(ListKind::Whole, &others);
+    let others: Vec<Endpoint> =
+        in_groups(EndpointState::Ready).into_iter().filter(|l| l.executor != first).collect();
+    node.list(ListUpdate::Snapshot, &others);
     assert!(node.look_over().is_empty());
     let actions = node.end(wu, 0, Outcome::Reset);
     let second = push_of(&node.answer(actions, |_| 0.0)).expect("another of its group");
@@ -104,7 +104,7 @@
         let pushed = push_of(&node.answer(actions, |_| 0.0)).is_some();
         // It never ran, so that room is left for the next; what was spent stays spent.
         let actions = if pushed { node.end(wu, 0, Outcome::NotSent) } else { Vec::new() };
-        node.tell(Event::Withdrawn { wu });
+        node.tell(Event::RequestWithdrawn { wu });
         node.answer(actions, |_| 0.0);
         pushed
     };
@@ -115,11 +115,11 @@
 #[test]
 fn a_spent_cold_budget_counts_for_who_is_back() {
     let start = 50_000.0;
-    let fresh = |started| listing(0, 0, Phase::Healthy, Some(started));
+    let fresh = |started| listing(0, 0, EndpointState::Ready, Some(started));
     let cold_node = || {
         let mut node = node(1.0);
         node.now = start + 2.0 * FALL;
-        node.list(ListKind::Whole, &[fresh(start)]);
+        node.list(ListUpdate::Snapshot, &[fresh(start)]);
         let spent = cold_pushes(&mut node);
         assert!((20..60).contains(&spent), "{spent}");
         assert_eq!(cold_pushes(&mut node), 0, "it is used up");
@@ -128,23 +128,23 @@
     // The same start, soon: no more than it has warmed up by since.
     let mut node = cold_node();
     node.now += 100.0;
-    node.list(ListKind::Changes, &[gone(0)]);
+    node.list(ListUpdate::Delta, &[gone(0)]);
     node.now += 100.0;
-    node.list(ListKind::Changes, &[fresh(start)]);
+    node.list(ListUpdate::Delta, &[fresh(start)]);
     assert!(cold_pushes(&mut node) <= 2);
     // The same start once what was spent counts no more, and it is released: all of it, under another handle.
     let mut node = cold_node();
-    node.list(ListKind::Changes, &[gone(0)]);
+    node.list(ListUpdate::Delta, &[gone(0)]);
     node.now += 0.9 * FALL;
     assert!(released(&node.tell(Event::TimerFired)).is_empty(), "it counts");
     assert_eq!(node.look_over(), [executor(0)]);
-    node.list(ListKind::Changes, &[under(fresh(start), 1)]);
+    node.list(ListUpdate::Delta, &[under(fresh(start), 1)]);
     assert!(cold_pushes(&mut node) > 20);
     // Another start, at once: it has a budget of its own.
     let mut node = cold_node();
-    node.list(ListKind::Changes, &[gone(0)]);
+    node.list(ListUpdate::Delta, &[gone(0)]);
     node.now += 100.0;
-    node.list(ListKind::Changes, &[fresh(node.now - 50.0)]);
+    node.list(ListUpdate::Delta, &[fresh(node.now - 50.0)]);
     assert!(cold_pushes(&mut node) > 20);
 }
 
@@ -153,23 +153,27 @@
 fn an_answer_for_an_earlier_owner_of_a_slot_is_dropped_and_counted() {
     let mut node = node(1.0);
     node.warm(1);
-    let reading = |queue| Reading { queue: Some(queue), free_slots: Some(4.0), ..Reading::default() };
-    let probed =
-        |executor, queue| Event::Probed { executor, answered: true, lag: 1.0, reading: reading(queue) };
+    let reading = |queue| LoadReport { queue: Some(queue), free_slots: Some(4.0), ..LoadReport::default() };
+    let probed = |executor, queue| Event::ProbeCompleted {
+        executor,
+        answered: true,
+        lag: 1.0,
+        reading: reading(queue),
+    };
     let (wu, actions) = node.arrive(0);
     assert!(actions.contains(&Action::Probe { executor: executor(0) }));
-    node.tell(Event::Withdrawn { wu });
-    node.list(ListKind::Whole, &[]);
+    node.tell(Event::RequestWithdrawn { wu });
+    node.list(ListUpdate::Snapshot, &[]);
     assert!(node.look_over().is_empty(), "its probe is out");
     node.tell(probed(executor(0), 0.0));
     assert_eq!((node.look_over(), node.node.stale_events()), (vec![executor(0)], 0));
     // The slot has a new owner, which is being probed.
     let second = executor_again(0, 1);
-    node.list(ListKind::Whole, &[under(listing(0, 7, Phase::Healthy, None), 1)]);
+    node.list(ListUpdate::Snapshot, &[under(listing(0, 7, EndpointState::Ready, None), 1)]);
     let (wu, actions) = node.arrive(0);
     assert!(actions.contains(&Action::Probe { executor: second }));
-    let token = listing(5, 5, Phase::Healthy, None).token as u32;
-    let learned = LearnedExecutor {
+    let token = listing(5, 5, EndpointState::Ready, None).token as u32;
+    let learned = ExecutorWarmState {
         executor: executor(0),
         failed: (100.0, node.now),
         judged: (1.0, node.now),
@@ -178,11 +182,14 @@
     };
     for (counted, stale) in [
         probed(executor(0), 9.0),
-        Event::Probed { executor: executor(0), answered: false, lag: 1.0, reading: reading(0.0) },
-        Event::Told(Telling::TurnedAway { token, project_type: ProjectTypeId(0) }),
-        Event::ListTold { kind: ListKind::Changes, entries: vec![listing(0, 0, Phase::Gone, None)] },
-        Event::Recovered { wu, executor: executor(0), sent: 0.0 },
-        Event::Learned(Learned { executors: vec![learned], draws: 2, ..Learned::default() }),
+        Event::ProbeCompleted { executor: executor(0), answered: false, lag: 1.0, reading: reading(0.0) },
+        Event::GossipReceived(GossipMessage::WorkRejected { token, project_type: RequestClassId(0) }),
+        Event::EndpointsUpdated {
+            kind: ListUpdate::Delta,
+            entries: vec![listing(0, 0, EndpointState::Gone, None)],
+        },
+        Event::AttemptRecovered { wu, executor: executor(0), sent: 0.0 },
+        Event::WarmStateReceived(WarmState { executors: vec![learned], draws: 2, ..WarmState::default() }),
     ]
     .into_iter()
     .enumerate()
@@ -195,8 +202,13 @@
     let actions = node.tell(probed(second, 0.0));
     assert_eq!(push_of(&actions), Some(second));
     assert!(
-        node.tell(Event::Ended { wu: WuId(1), alloc: AllocId(0), outcome: Outcome::Error, closed: false })
-            .is_empty()
+        node.tell(Event::AttemptEnded {
+            wu: RequestId(1),
+            alloc: AttemptId(0),
+            outcome: Outcome::Error,
+            closed: false
+        })
+        .is_empty()
     );
     assert!(released(&node.end(wu, 0, Outcome::Completed)).is_empty());
     assert_eq!(node.pushed(0).1, second, "and it is trusted");
@@ -208,8 +220,8 @@
     let mut node = node(1.0);
     node.warm(50);
     let (out, at) = node.pushed(0);
-    let next: Vec<Listing> = (50..100).map(|e| listing(e, e, Phase::Healthy, None)).collect();
-    node.list(ListKind::Whole, &next);
+    let next: Vec<Endpoint> = (50..100).map(|e| listing(e, e, EndpointState::Ready, None)).collect();
+    node.list(ListUpdate::Snapshot, &next);
     assert_eq!(node.node.executors_held(), 100);
     let first = node.look_over();
     assert_eq!((first.len(), first.contains(&at), node.node.executors_held()), (49, false, 51));
@@ -221,8 +233,9 @@
     node.end(out, 1, Outcome::Completed);
     assert_eq!(node.look_over(), [at]);
     // In the slots that are free, under other generations.
-    let reused: Vec<Listing> = (0..50).map(|e| under(listing(e, e, Phase::Healthy, None), 1)).collect();
-    node.list(ListKind::Whole, &reused);
+    let reused: Vec<Endpoint> =
+        (0..50).map(|e| under(listing(e, e, EndpointState::Ready, None), 1)).collect();
+    node.list(ListUpdate::Snapshot, &reused);
     assert_eq!(node.look_over().len(), 49, "one of them has work out");
     assert!(number_of(node.pushed(0).1) < 50);
 }
@@ -235,15 +248,15 @@
         let mine = executor_again(1, releases);
         // Every third time it is back before it is released.
         if releases % 3 == 0 {
-            node.list(ListKind::Changes, &[under(gone(1), releases)]);
-            node.list(ListKind::Changes, &[under(listing(1, 1, Phase::Healthy, None), releases)]);
+            node.list(ListUpdate::Delta, &[under(gone(1), releases)]);
+            node.list(ListUpdate::Delta, &[under(listing(1, 1, EndpointState::Ready, None), releases)]);
             assert!(node.look_over().is_empty());
         }
         let (wu, _) = node.pushed(0);
         node.end(wu, 0, Outcome::Completed);
-        node.list(ListKind::Changes, &[under(gone(1), releases)]);
+        node.list(ListUpdate::Delta, &[under(gone(1), releases)]);
         assert_eq!((node.look_over(), node.node.executors_held()), (vec![mine], 3));
-        node.list(ListKind::Changes, &[under(listing(1, 1, Phase::Healthy, None), releases + 1)]);
+        node.list(ListUpdate::Delta, &[under(listing(1, 1, EndpointState::Ready, None), releases + 1)]);
         assert_eq!(node.node.executors_held(), 4);
     }
     assert_eq!(node.node.stale_events(), 0);
@@ -256,19 +269,19 @@
     let mut old = node(1.0);
     old.warm(3);
     let (wu, at) = old.pushed(0);
-    old.list(ListKind::Changes, &[gone(number_of(at))]);
+    old.list(ListUpdate::Delta, &[gone(number_of(at))]);
     old.look_over();
     let learned = old.node.learned(old.now);
     assert_eq!((learned.executors.len(), old.node.executors_held()), (2, 3), "it is held and not handed on");
     let mut next = node(1.0);
     next.now = old.now;
-    let entries: Vec<Listing> = learned
+    let entries: Vec<Endpoint> = learned
         .executors
         .iter()
-        .map(|learned| listing(number_of(learned.executor), 0, Phase::Healthy, None))
+        .map(|learned| listing(number_of(learned.executor), 0, EndpointState::Ready, None))
         .collect();
-    next.list(ListKind::Saved, &entries);
-    next.tell(Event::Learned(learned));
+    next.list(ListUpdate::Cached, &entries);
+    next.tell(Event::WarmStateReceived(learned));
     assert_eq!((next.node.executors_held(), next.node.stale_events()), (2, 0));
     old.end(wu, 0, Outcome::Completed);
     assert_eq!((old.look_over(), next.look_over()), (vec![at], vec![]));
@@ -278,20 +291,20 @@
 #[test]
 fn a_next_process_is_told_what_was_spent_of_a_cold_budget_by_who_is_gone() {
     let start = 50_000.0;
-    let fresh = listing(0, 0, Phase::Healthy, Some(start));
+    let fresh = listing(0, 0, EndpointState::Ready, Some(start));
     for (wait, is_handed_on) in [(0.5 * FALL, true), (1.5 * FALL, false)] {
         let mut old = node(1.0);
         old.now = start + 2.0 * FALL;
-        old.list(ListKind::Whole, &[fresh]);
+        old.list(ListUpdate::Snapshot, &[fresh]);
         assert!(cold_pushes(&mut old) > 20);
-        old.list(ListKind::Whole, &[]);
+        old.list(ListUpdate::Snapshot, &[]);
         let mut next = node(1.0);
         next.now = old.now + wait;
         let learned = old.node.learned(next.now);
         assert_eq!(learned.executors.len(), usize::from(is_handed_on));
-        next.list(ListKind::Saved, &[gone(0)]);
-        next.tell(Event::Learned(learned));
-        next.list(ListKind::Changes, &[fresh]);
+        next.list(ListUpdate::Cached, &[gone(0)]);
+        next.tell(Event::WarmStateReceived(learned));
+        next.list(ListUpdate::Delta, &[fresh]);
         // It has warmed up a little since.
         assert_eq!(cold_pushes(&mut next) < 10, is_handed_on);
     }
@@ -300,24 +313,24 @@
 /// What is kept of a kind of machine goes with the last executor of that kind.
 #[test]
 fn the_largest_size_is_kept_while_there_are_machines_of_its_kind() {
-    let holders = |between: &[Listing], wait: bool| {
+    let holders = |between: &[Endpoint], wait: bool| {
         let probes = |&me: &u64| {
             let mut values = values_of(40.0, Some(me as f64));
             values.insert("list_sizes", Given::Text("falling".into()));
             values.insert("project_types.0.promised_turnaround", Given::Number(900.0));
             let mut node = with_seed(values, me);
             node.now = 50_000.0;
-            let sized = |size, started| Listing { size, ..listing(5, 5, Phase::Healthy, started) };
-            node.list(ListKind::Whole, &[sized(4.0, None)]);
-            node.list(ListKind::Whole, between);
+            let sized = |size, started| Endpoint { size, ..listing(5, 5, EndpointState::Ready, started) };
+            node.list(ListUpdate::Snapshot, &[sized(4.0, None)]);
+            node.list(ListUpdate::Snapshot, between);
             let releases = if wait { node.look_over().len() } else { 0 };
             let fresh = under(sized(1.0, Some(node.now - 5000.0)), releases as u32);
-            node.list(ListKind::Whole, &[fresh]);
+            node.list(ListUpdate::Snapshot, &[fresh]);
             node.arrive(0).1.iter().any(|action| matches!(action, Action::Probe { .. }))
         };
         (0..40).filter(probes).count()
     };
-    let other = listing(6, 6, Phase::Draining, None);
+    let other = listing(6, 6, EndpointState::Draining, None);
     for (what, between, wait, expected) in [
         ("it is gone and held", &[][..], false, 2),
         ("it is released, and another of its kind is held", &[other], true, 2),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -36,7 +36,7 @@
 #[test]
 fn what_follows_an_outcome() {
     use Outcome::*;
-    let never_ran = [Full, NoConnection, NotSent];
+    let never_ran = [Rejected, NoConnection, NotSent];
     let may_have_run = [Error, TimedOut, Reset, Cancelled];
     for (project_type, sure, unsure) in [(0, 'p', 'p'), (1, 'p', 'p'), (2, 'p', 'a'), (3, 'p', 'a')] {
         for (outcomes, expected) in [(&never_ran[..], sure), (&may_have_run[..], unsure)] {
@@ -47,8 +47,8 @@
                 // A group of one that is gone leaves a receipted work unit nowhere to go.
                 if project_type == 2 {
                     node.list(
-                        ListKind::Changes,
-                        &[listing(number_of(executor), number_of(executor), Phase::Draining, None)],
+                        ListUpdate::Delta,
+                        &[listing(number_of(executor), number_of(executor), EndpointState::Draining, None)],
                     );
                     node.now = 200.0;
                 }
@@ -71,8 +71,8 @@
         ("exclusive work that may have run", 3, &[Some(Reset)], 'a'),
         ("exclusive work that never ran", 3, &[Some(NotSent)], 'p'),
         ("exclusive work that is out", 3, &[None], 'h'),
-        ("one is out after another that never ran", 3, &[Some(Full), None], 'h'),
-        ("three that never ran", 3, &[Some(Full), Some(NotSent), Some(NoConnection)], 'd'),
+        ("one is out after another that never ran", 3, &[Some(Rejected), None], 'h'),
+        ("three that never ran", 3, &[Some(Rejected), Some(NotSent), Some(NoConnection)], 'd'),
         ("rerunnable work that may have run", 0, &[Some(Reset)], 'p'),
         (
             "rerunnable work that may have run three times",
@@ -85,17 +85,18 @@
     for (what, project_type, earlier, expected) in cases {
         let mut node = node(1.0);
         node.warm(3);
-        node.list(ListKind::Changes, &[listing(9, 9, Phase::Gone, None)]);
-        let (now, wu, executor) = (node.now, WuId(77), executor(9));
-        let (customer, slots, memory) = (CustomerId(0), 1.0, 0.0);
-        let project_type = ProjectTypeId(*project_type);
-        let arrived = Event::Arrived { wu, project_type, customer, slots, memory, left: 900.0, again: true };
+        node.list(ListUpdate::Delta, &[listing(9, 9, EndpointState::Gone, None)]);
+        let (now, wu, executor) = (node.now, RequestId(77), executor(9));
+        let (customer, slots, memory) = (TenantId(0), 1.0, 0.0);
+        let project_type = RequestClassId(*project_type);
+        let arrived =
+            Event::RequestArrived { wu, project_type, customer, slots, memory, left: 900.0, again: true };
         node.node.tell(now, arrived);
         for (number, outcome) in earlier.iter().enumerate() {
-            node.node.tell(now, Event::Recovered { wu, executor, sent: now - 50.0 });
+            node.node.tell(now, Event::AttemptRecovered { wu, executor, sent: now - 50.0 });
             if let Some(outcome) = *outcome {
-                let alloc = AllocId(number as u32);
-                node.node.tell(now, Event::Ended { wu, alloc, outcome, closed: false });
+                let alloc = AttemptId(number as u32);
+                node.node.tell(now, Event::AttemptEnded { wu, alloc, outcome, closed: false });
             }
         }
         let emitted = node.emit();
@@ -115,8 +116,8 @@
 fn receipts_hold_in_their_group_and_window() {
     for (after, expected) in [(100.0, 'p'), (1700.0, 'a')] {
         let mut node = node(1.0);
-        let entries: Vec<Listing> = (0..6).map(|e| listing(e, e % 2, Phase::Healthy, None)).collect();
-        node.list(ListKind::Whole, &entries);
+        let entries: Vec<Endpoint> = (0..6).map(|e| listing(e, e % 2, EndpointState::Ready, None)).collect();
+        node.list(ListUpdate::Snapshot, &entries);
         let (wu, executor) = node.pushed(2);
         node.now = after;
         let actions = node.end(wu, 0, Outcome::Reset);
@@ -134,11 +135,11 @@
     node.warm(6);
     let (wu, _) = node.pushed(3);
     for alloc in 0..2 {
-        let actions = node.end(wu, alloc, Outcome::Full);
+        let actions = node.end(wu, alloc, Outcome::Rejected);
         push_of(&node.answer(actions, |_| 0.0)).unwrap();
     }
-    assert_eq!(said(&node.end(wu, 2, Outcome::Full)), 'd');
-    assert!(node.end(wu, 2, Outcome::Full).is_empty(), "nothing follows a final answer");
+    assert_eq!(said(&node.end(wu, 2, Outcome::Rejected)), 'd');
+    assert!(node.end(wu, 2, Outcome::Rejected).is_empty(), "nothing follows a final answer");
 }
 
 #[test]
@@ -156,7 +157,7 @@
 /// Drains bind from the very batch, also for a work unit whose probes are all in.
 #[test]
 fn nothing_new_to_a_draining_executor() {
-    for phase in [Phase::Draining, Phase::Gone] {
+    for phase in [EndpointState::Draining, EndpointState::Gone] {
         let mut node = node(1.0);
         node.warm(2);
         let (_, actions) = node.arrive(0);
@@ -165,11 +166,11 @@
             .filter_map(|a| if let Action::Probe { executor } = a { Some(*executor) } else { None })
             .collect();
         for executor in probes {
-            let reading = Reading { queue: Some(number_of(executor) as f64), ..Reading::default() };
-            node.node.tell(node.now, Event::Probed { executor, answered: true, lag: 1.0, reading });
+            let reading = LoadReport { queue: Some(number_of(executor) as f64), ..LoadReport::default() };
+            node.node.tell(node.now, Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
         }
         let entries = vec![listing(0, 0, phase, None)];
-        node.node.tell(node.now, Event::ListTold { kind: ListKind::Changes, entries });
+        node.node.tell(node.now, Event::EndpointsUpdated { kind: ListUpdate::Delta, entries });
         let actions = node.emit();
         let actions = node.answer(actions, |_| 0.0);
         assert_eq!(push_of(&actions), Some(executor(1)));
@@ -177,7 +178,7 @@
     let mut node = node(1.0);
     node.warm(2);
     // Who is missing from a whole list is gone; with none left nothing is sent.
-    node.list(ListKind::Whole, &[]);
+    node.list(ListUpdate::Snapshot, &[]);
     assert_eq!(said(&node.arrive(0).1), 'h');
 }
 
@@ -190,7 +191,7 @@
         for me in 0..if told { nodes } else { 1 } {
             let mut node = node_of(nodes as f64, told.then_some(me as f64));
             node.now = 50_000.0;
-            node.list(ListKind::Whole, &[listing(7, 0, Phase::Healthy, Some(50_000.0))]);
+            node.list(ListUpdate::Snapshot, &[listing(7, 0, EndpointState::Ready, Some(50_000.0))]);
             for _ in 0..100 {
                 let (_, actions) = node.arrive(0);
                 sent += push_of(&node.answer(actions, |_| 0.0)).is_some() as u32;
@@ -208,13 +209,13 @@
     values.insert("list_mode", Given::Text("asked".into()));
     values.insert("rules.ask_every", Given::Number(4000.0));
     let mut node = with(values);
-    assert!(node.emit().contains(&Action::FollowList));
+    assert!(node.emit().contains(&Action::WatchEndpoints));
     node.warm(2);
     for _ in 0..10 {
         let wait = woken_after(&mut node, true);
         assert!(wait > 0.0 && wait <= 1000.0);
         node.now += wait;
-        assert!(node.tell(Event::TimerFired).contains(&Action::FollowList));
+        assert!(node.tell(Event::TimerFired).contains(&Action::WatchEndpoints));
     }
 }
 
@@ -234,7 +235,7 @@
                 let mut node = with_seed(values, seed);
                 node.warm(2);
                 if !stood {
-                    node.tell(Event::ListLost { turned_away: true });
+                    node.tell(Event::EndpointWatchLost { turned_away: true });
                     node.now = 20_000.0;
                     node.tell(Event::TimerFired);
                 }
@@ -269,7 +270,7 @@
                     "{nodes} nodes, failure {failure}: {wait} of {grace}"
                 );
                 node.now += wait;
-                assert!(node.tell(Event::TimerFired).contains(&Action::FollowList));
+                assert!(node.tell(Event::TimerFired).contains(&Action::WatchEndpoints));
             }
         }
     }
@@ -299,7 +300,7 @@
                 };
                 assert!(wait <= latest, "{mode}, grace {grace}, {turned_away}, failure {failure}: {wait}");
                 node.now += wait;
-                assert!(node.tell(Event::TimerFired).contains(&Action::FollowList));
+                assert!(node.tell(Event::TimerFired).contains(&Action::WatchEndpoints));
             }
         }
     }
@@ -307,8 +308,8 @@
 
 /// How long after the list was lost it is asked for again.
 fn woken_after(node: &mut Node, turned_away: bool) -> f64 {
-    let actions = node.tell(Event::ListLost { turned_away });
-    let at = actions.iter().find_map(|a| if let Action::Wake { at } = a { Some(*at) } else { None });
+    let actions = node.tell(Event::EndpointWatchLost { turned_away });
+    let at = actions.iter().find_map(|a| if let Action::SetTimer { at } = a { Some(*at) } else { None });
     at.expect("a time to ask again") - node.now
 }
 
@@ -329,12 +330,17 @@
                 assert!(node.end(wu, 0, Outcome::Reset).is_empty());
             }
         }
-        let stale = WuId(999);
+        let stale = RequestId(999);
         for event in [
-            Event::Withdrawn { wu: stale },
-            Event::Started { wu: stale, alloc: AllocId(3) },
-            Event::Progress { wu: stale, alloc: AllocId(0), share: 0.5 },
-            Event::Probed { executor: executor(77), answered: true, lag: 1.0, reading: Reading::default() },
+            Event::RequestWithdrawn { wu: stale },
+            Event::AttemptStarted { wu: stale, alloc: AttemptId(3) },
+            Event::AttemptProgressed { wu: stale, alloc: AttemptId(0), share: 0.5 },
+            Event::ProbeCompleted {
+                executor: executor(77),
+                answered: true,
+                lag: 1.0,
+                reading: LoadReport::default(),
+            },
         ] {
             assert!(node.tell(event).is_empty());
         }
@@ -371,7 +377,7 @@
         assert!(
             ends || (node.now < 400.0
                 && seen.iter().any(|a| matches!(a,
-            Action::Defer { wu: gone, come_back: Some(_) } if *gone == wu)))
+            Action::Reject { wu: gone, come_back: Some(_) } if *gone == wu)))
         );
     }
 }
@@ -404,8 +410,9 @@
         node.now = 50_000.0;
         let (fresh, all) = (4000, 8000);
         let started = |e| (e < fresh).then_some(47_500.0);
-        let entries: Vec<Listing> = (0..all).map(|e| listing(e, e, Phase::Healthy, started(e))).collect();
-        node.list(ListKind::Whole, &entries);
+        let entries: Vec<Endpoint> =
+            (0..all).map(|e| listing(e, e, EndpointState::Ready, started(e))).collect();
+        node.list(ListUpdate::Snapshot, &entries);
         let (mut cold, count) = (0, 3000);
         for k in 0..count + 100 {
             let (wu, actions) = node.arrive(0);
@@ -414,7 +421,7 @@
                 _ => None,
             });
             cold += (k >= 100 && drawn.expect("somebody is drawn") < fresh) as u32;
-            node.tell(Event::Withdrawn { wu });
+            node.tell(Event::RequestWithdrawn { wu });
             node.answer(actions, |_| if short { 2.0 } else { 0.0 });
         }
         // A quarter into the ramp from a quarter: warmth 0.4375 at the least, 0.4375 of 1.4375 draws, or 0.66 of 1.66.
@@ -435,8 +442,8 @@
             let mut probes = 0;
             while let [Action::Probe { executor }, ..] = actions[..] {
                 probes += 1;
-                let reading = Reading { queue: Some(0.0), ..Reading::default() };
-                actions = node.tell(Event::Probed { executor, answered: true, lag: 1.0, reading });
+                let reading = LoadReport { queue: Some(0.0), ..LoadReport::default() };
+                actions = node.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
             }
             assert!(push_of(&actions).is_some());
             if !own_work {
@@ -475,11 +482,12 @@
         let mut node = node_of(nodes, me);
         node.now = 50_000.0;
         let started = |e| if e % 2 == 0 { Some(49_000.0) } else { None };
-        let all: Vec<Listing> = (0..3000).map(|e| listing(e * 5, e, Phase::Healthy, started(e))).collect();
-        node.list(ListKind::Whole, &all);
+        let all: Vec<Endpoint> =
+            (0..3000).map(|e| listing(e * 5, e, EndpointState::Ready, started(e))).collect();
+        node.list(ListUpdate::Snapshot, &all);
         let (wu, actions) = node.arrive(3);
         // All but one leave while the probes are out; their answers come after that.
-        node.list(ListKind::Whole, &all[1..2]);
+        node.list(ListUpdate::Snapshot, &all[1..2]);
         let mut seen = node.answer(actions, |_| 0.0);
         while said(&seen) == 'h' && node.now < 56_000.0 {
             node.now += 5.0;
@@ -551,8 +559,8 @@
             };
             while let Some(executor) = probe(&actions) {
                 probes += u32::from(k >= 300);
-                let reading = Reading { queue: Some(0.0), free_slots, ..Reading::default() };
-                actions = node.tell(Event::Probed { executor, answered: true, lag: 1.0, reading });
+                let reading = LoadReport { queue: Some(0.0), free_slots, ..LoadReport::default() };
+                actions = node.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
             }
             // One job stays at each executor, the others end.
             let executor = number_of(push_of(&actions).unwrap()) as usize;
@@ -573,8 +581,8 @@
     let drawn_and_sent = |slow: bool| {
         let mut node = node(9.0);
         let fresh = |e| if e < 4 { None } else { Some(0.0) };
-        let entries: Vec<Listing> = (0..8).map(|e| listing(e, e, Phase::Healthy, fresh(e))).collect();
-        node.list(ListKind::Whole, &entries);
+        let entries: Vec<Endpoint> = (0..8).map(|e| listing(e, e, EndpointState::Ready, fresh(e))).collect();
+        node.list(ListUpdate::Snapshot, &entries);
         for _ in 0..30 {
             let (wu, executor) = node.pushed(0);
             let warmth = 0.25 + 0.75 * node.now / 10_000.0;
@@ -587,12 +595,12 @@
             let first = actions.iter().find_map(|a| {
                 if let Action::Probe { executor } = a { Some(number_of(*executor)) } else { None }
             });
-            node.tell(Event::Withdrawn { wu });
+            node.tell(Event::RequestWithdrawn { wu });
             node.answer(actions, |_| 0.0);
             first.expect("somebody is drawn") >= 4
         });
         let drawn = drawn.count();
-        node.list(ListKind::Whole, &entries[7..]);
+        node.list(ListUpdate::Snapshot, &entries[7..]);
         let sent = (0..600).filter(|_| {
             let (_, actions) = node.arrive(0);
             push_of(&node.answer(actions, |_| 0.0)).is_some()
@@ -628,7 +636,7 @@
         let draws_it = |_: &u32| {
             let (wu, actions) = node.arrive(0);
             let drawn = actions.contains(&Action::Probe { executor: bad.unwrap() });
-            node.tell(Event::Withdrawn { wu });
+            node.tell(Event::RequestWithdrawn { wu });
             node.answer(actions, |_| 0.0);
             drawn
         };
@@ -650,7 +658,7 @@
         for _ in 0..200 {
             let (wu, actions) = node.arrive(0);
             node.answer(actions, |_| if busy { 3.0 } else { 0.0 });
-            node.tell(Event::Withdrawn { wu });
+            node.tell(Event::RequestWithdrawn { wu });
             node.now += 20.0;
         }
         let probes = std::cell::Cell::new(0);
@@ -671,7 +679,7 @@
 /// within the budget of one node; nothing of it is known of an executor that started anew.
 #[test]
 fn two_processes_of_a_node_keep_to_one_cold_budget() {
-    let cold = |started| [listing(7, 0, Phase::Healthy, Some(started))];
+    let cold = |started| [listing(7, 0, EndpointState::Ready, Some(started))];
     // One more work unit, over at once, so that neither slots nor what is held stand in its way.
     let pushes = |node: &mut Node| {
         node.now += 11.0;
@@ -679,27 +687,27 @@
         let free_slots = Some(4.0 + node.now / 1e9);
         let mut pushed = push_of(&actions).is_some();
         if actions.iter().any(|a| matches!(a, Action::Probe { .. })) {
-            let reading = Reading { queue: Some(0.0), free_slots, ..Reading::default() };
-            let probed = Event::Probed { executor: executor(7), answered: true, lag: 1.0, reading };
+            let reading = LoadReport { queue: Some(0.0), free_slots, ..LoadReport::default() };
+            let probed = Event::ProbeCompleted { executor: executor(7), answered: true, lag: 1.0, reading };
             pushed |= push_of(&node.tell(probed)).is_some();
         }
-        node.tell(Event::Withdrawn { wu });
+        node.tell(Event::RequestWithdrawn { wu });
         pushed as u32
     };
     for (told, beside) in [(true, true), (true, false), (false, true), (false, false)] {
         let (mut old, mut new) = (node(1.0), node(1.0));
         (old.now, new.now) = (50_000.0, 50_000.0);
-        old.list(ListKind::Whole, &cold(50_000.0));
+        old.list(ListUpdate::Snapshot, &cold(50_000.0));
         let mut sent = (0..10).map(|_| pushes(&mut old)).sum::<u32>();
         let learned = old.node.learned(old.now);
         new.now = old.now;
-        new.list(ListKind::Saved, &cold(50_000.0));
+        new.list(ListUpdate::Cached, &cold(50_000.0));
         if told {
-            new.tell(Event::Learned(learned));
+            new.tell(Event::WarmStateReceived(learned));
         }
         if beside {
             for node in [&mut old, &mut new] {
-                node.tell(Event::Beside { runs: true });
+                node.tell(Event::SiblingChanged { runs: true });
             }
         }
         sent += (0..75).map(|_| pushes(&mut old) + pushes(&mut new)).sum::<u32>();
@@ -708,8 +716,8 @@
         assert_eq!(sent as f64 <= whole, beside, "{sent} of {whole} with {told} {beside}");
         assert!(!(told && beside) || sent as f64 > whole / 2.0, "{sent}: what is there is used");
         // The other one left: half for as long as what it pushed counts.
-        new.tell(Event::Beside { runs: false });
-        new.list(ListKind::Changes, &cold(new.now));
+        new.tell(Event::SiblingChanged { runs: false });
+        new.list(ListUpdate::Delta, &cold(new.now));
         let half = (0..75).map(|_| pushes(&mut new)).sum::<u32>();
         assert!(half >= 5 && half as f64 <= whole / 2.0, "started anew: {half} of {whole}");
     }
@@ -725,16 +733,16 @@
         let actions =
             old.end(wu, 0, if number_of(executor) == 0 { Outcome::Error } else { Outcome::Completed });
         old.answer(actions, |_| 0.0);
-        old.tell(Event::Withdrawn { wu });
+        old.tell(Event::RequestWithdrawn { wu });
     }
     let learned = old.node.learned(old.now);
     assert!(learned.runs[0].0 < 60.0 && learned.runs[0].1 > 5.0, "{:?}", learned.runs);
-    let share_of_bad = |told: Option<Learned>, started: Option<Millis>| {
+    let share_of_bad = |told: Option<WarmState>, started: Option<Millis>| {
         let mut new = node(1.0);
         new.now = old.now;
         new.warm(2);
-        told.into_iter().for_each(|learned| _ = new.tell(Event::Learned(learned)));
-        new.list(ListKind::Changes, &[listing(0, 0, Phase::Healthy, started)]);
+        told.into_iter().for_each(|learned| _ = new.tell(Event::WarmStateReceived(learned)));
+        new.list(ListUpdate::Delta, &[listing(0, 0, EndpointState::Ready, started)]);
         let mut to_bad = 0;
         for _ in 0..50 {
             let (wu, executor) = new.pushed(0);
@@ -752,7 +760,7 @@
     // One of a later or earlier list, or of executors that this one does not list, is skipped.
     let mut other = node(1.0);
     other.warm(1);
-    other.tell(Event::Learned(Learned { draws: 99, ..learned }));
+    other.tell(Event::WarmStateReceived(WarmState { draws: 99, ..learned }));
     assert_eq!(other.pushed(0).1, executor(0));
 }
 
@@ -769,7 +777,7 @@
     values.insert("project_types.4.effect", Given::Text("exclusive".into()));
     values.insert("limits.most_allocations", Given::Number(1.0));
     node.node.retune(node.now, &values);
-    let lost = |node: &mut Node, wu: WuId| {
+    let lost = |node: &mut Node, wu: RequestId| {
         let actions = node.end(wu, 0, Outcome::Reset);
         said(&node.answer(actions, |_| 0.0))
     };
@@ -777,7 +785,7 @@
     let (strict, _) = node.pushed(4);
     assert_eq!(lost(&mut node, strict), 'a');
     let (strict, _) = node.pushed(4);
-    assert_eq!(said(&node.end(strict, 0, Outcome::Full)), 'd', "one attempt");
+    assert_eq!(said(&node.end(strict, 0, Outcome::Rejected)), 'd', "one attempt");
     let (rerun, _) = node.pushed(0);
     assert_eq!(lost(&mut node, rerun), 'p', "a number keeps its terms");
 }
@@ -793,8 +801,8 @@
         values.insert("prices.cross_place", Given::Number(price));
         values.insert("place", Given::Number(0.0));
         let mut node = with(values);
-        let at = |e: u32| Listing { place: PlaceId(e % 2), ..listing(e, e, Phase::Healthy, None) };
-        node.list(ListKind::Whole, &(0..40).map(at).collect::<Vec<_>>());
+        let at = |e: u32| Endpoint { place: ZoneId(e % 2), ..listing(e, e, EndpointState::Ready, None) };
+        node.list(ListUpdate::Snapshot, &(0..40).map(at).collect::<Vec<_>>());
         let queue = |e: u32| if near_full && e.is_multiple_of(2) { 3.0 } else { 0.0 };
         let (mut sent, mut far) = (0, 0);
         for _ in 0..60 {
@@ -803,7 +811,7 @@
             if let Some(to) = push_of(&node.answer(actions, queue)) {
                 (sent, far) = (sent + 1, far + number_of(to) % 2);
             }
-            node.tell(Event::Withdrawn { wu });
+            node.tell(Event::RequestWithdrawn { wu });
         }
         let share = far as f64 / sent as f64;
         assert!(
@@ -831,14 +839,14 @@
         let (wu, actions) = node.arrive(0);
         out[number_of(push_of(&actions).expect("it is pushed at once")) as usize] += 1;
         // It begins at once: what does not has new requests turned away (tests/admission.rs).
-        node.tell(Event::Started { wu, alloc: AllocId(0) });
+        node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
         assert!(!actions.iter().any(is_probe) && out[0].abs_diff(out[1]) < 5, "{out:?} after {k}");
     }
     // Who turns it away says that room is short, who ends work that there is some; the third time is the last.
     let (wu, _) = node.arrive(0);
     for (alloc, expected) in [(0, 'h'), (1, 'h'), (2, 'd')] {
-        assert_eq!(said(&node.end(wu, alloc, Outcome::Full)), expected, "{alloc}");
-        let ended = node.end(WuId(alloc as u64 + 1), 0, Outcome::Completed);
+        assert_eq!(said(&node.end(wu, alloc, Outcome::Rejected)), expected, "{alloc}");
+        let ended = node.end(RequestId(alloc as u64 + 1), 0, Outcome::Completed);
         assert_eq!(push_of(&ended).is_some(), expected == 'h', "{alloc}: sent where work ended");
     }
     assert!(push_of(&node.arrive(0).1).is_some());
@@ -855,13 +863,13 @@
         for _ in 0..100 {
             let (wu, _) = node.arrive(0);
             node.now += 140.0;
-            _ = told.then(|| node.tell(Event::Started { wu, alloc: AllocId(0) }));
+            _ = told.then(|| node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) }));
             node.now += 50.0;
             node.end(wu, 0, Outcome::Completed);
         }
         // One that has just started, whose budget is dealt to this node.
-        let fresh = Listing { token: 300, ..listing(1, 0, Phase::Healthy, Some(node.now - 1500.0)) };
-        node.list(ListKind::Changes, &[fresh]);
+        let fresh = Endpoint { token: 300, ..listing(1, 0, EndpointState::Ready, Some(node.now - 1500.0)) };
+        node.list(ListUpdate::Delta, &[fresh]);
         assert_eq!((0..50).any(|_| push_of(&node.arrive(0).1) == Some(executor(1))), told);
     }
 }
--- a/tests/shapes.rs
+++ b/tests/shapes.rs
@@ -27,14 +27,20 @@
         node.now += idle;
         let (wu, _) = node.pushed(3);
         if begun {
-            node.tell(Event::Started { wu, alloc: AllocId(0) });
+            node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
         }
         node.now += after;
         let actions = node.end(wu, 0, Outcome::Reset);
-        assert_eq!((said(&actions), actions.contains(&Action::Tell(Telling::Dropped))), ('a', gone));
+        assert_eq!(
+            (said(&actions), actions.contains(&Action::Gossip(GossipMessage::IdleConnectionLost))),
+            ('a', gone)
+        );
         for age in 0..40 {
             let (wu, actions) = node.arrive(0);
-            let closes = node.answer(actions, |_| 0.0).iter().any(|a| matches!(a, Action::CloseIdle { .. }));
+            let closes = node
+                .answer(actions, |_| 0.0)
+                .iter()
+                .any(|a| matches!(a, Action::CloseIdleConnections { .. }));
             assert_eq!(closes, gone && (1..30).contains(&age), "{idle} {begun} {after}: {age} s");
             node.end(wu, 0, Outcome::Completed);
             node.now += 1000.0;
@@ -58,14 +64,14 @@
         node.warm(4);
         let (wu, executor) = node.pushed(project_type);
         if begun {
-            node.tell(Event::Started { wu, alloc: AllocId(0) });
+            node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
         }
         node.now += 600.0;
         let asked = node.tell(Event::TimerFired).contains(&Action::Probe { executor });
         assert_eq!(asked, flags == 3 && !begun);
-        let reading = Reading { queue: Some(queue), free_slots: Some(free), ..Reading::default() };
-        let actions = node.tell(Event::Probed { executor, answered: true, lag: 1.0, reading });
-        let told = actions.iter().any(|a| matches!(a, Action::Tell(Telling::TurnedAway { .. })));
+        let reading = LoadReport { queue: Some(queue), free_slots: Some(free), ..LoadReport::default() };
+        let actions = node.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
+        let told = actions.iter().any(|a| matches!(a, Action::Gossip(GossipMessage::WorkRejected { .. })));
         let second = push_of(&node.answer(actions, |_| 0.0));
         assert_eq!(
             (told, second.is_some_and(|second| second != executor)),
@@ -79,7 +85,7 @@
 fn two_copies_have_one_answer() {
     use Outcome::*;
     for (early, late, order, expected) in
-        [(Completed, Reset, [0, 1], 'h'), (Reset, Completed, [1, 0], 'h'), (Full, TimedOut, [1, 0], 'p')]
+        [(Completed, Reset, [0, 1], 'h'), (Reset, Completed, [1, 0], 'h'), (Rejected, TimedOut, [1, 0], 'p')]
     {
         let mut node = with(shape(&["limits.second_copies", "executors.tell_start"]));
         node.warm(6);
@@ -96,20 +102,20 @@
 /// What an executor turns away, or another says so, counts for that type alone and never shuts it out.
 #[test]
 fn what_an_executor_turns_away_is_remembered_by_type() {
-    let token = listing(2, 2, Phase::Healthy, None).token as u32;
+    let token = listing(2, 2, EndpointState::Ready, None).token as u32;
     for (seen, token, less) in [(true, 0, true), (false, token, true), (false, 5, false)] {
         let mut node = with(shape(&["limits.peers"]));
         node.warm(4);
         let mut sent = [0; 2];
         for k in 0..800 {
             node.now += 50.0;
-            let told = Telling::TurnedAway { token, project_type: ProjectTypeId(3) };
-            let echo = if seen { Vec::new() } else { node.tell(Event::Told(told)) };
-            assert!(!echo.contains(&Action::Tell(told)));
+            let told = GossipMessage::WorkRejected { token, project_type: RequestClassId(3) };
+            let echo = if seen { Vec::new() } else { node.tell(Event::GossipReceived(told)) };
+            assert!(!echo.contains(&Action::Gossip(told)));
             let (wu, executor) = node.pushed([0, 3][k % 2]);
             sent[k % 2] += usize::from(number_of(executor) == 2);
             let turned = seen && number_of(executor) == 2 && k % 2 == 1;
-            let actions = node.end(wu, 0, if turned { Outcome::Full } else { Outcome::Completed });
+            let actions = node.end(wu, 0, if turned { Outcome::Rejected } else { Outcome::Completed });
             node.answer(actions, |_| 0.0);
             node.end(wu, 1, Outcome::Completed);
         }
@@ -130,9 +136,9 @@
             values.insert("list_sizes", Given::Text(sizes.into()));
             let mut node = with_seed(values, me);
             node.now = 50_000.0;
-            let sized = |size, started| Listing { size, ..listing(5, 5, Phase::Healthy, started) };
-            node.list(ListKind::Whole, &[sized(4.0, None)]);
-            node.list(ListKind::Whole, &[sized(1.0, Some(45_000.0))]);
+            let sized = |size, started| Endpoint { size, ..listing(5, 5, EndpointState::Ready, started) };
+            node.list(ListUpdate::Snapshot, &[sized(4.0, None)]);
+            node.list(ListUpdate::Snapshot, &[sized(1.0, Some(45_000.0))]);
             node.arrive(0).1.iter().any(|a| matches!(a, Action::Probe { .. }))
         };
         assert_eq!((0..40).filter(probes).count(), holders, "{turnaround} {sizes}");
--- a/tests/unit/reclaim.rs
+++ b/tests/unit/reclaim.rs
@@ -55,7 +55,7 @@
 /// One executor by its name, as the list has it.
 struct Named {
     group: u32,
-    phase: Phase,
+    phase: EndpointState,
     started: Option<Millis>,
     handle: Option<ExecutorId>,
     /// When work went there while it was cold.
@@ -67,7 +67,7 @@
 
 /// What comes by itself at its time.
 enum Due {
-    Ends { wu: WuId, attempt: usize, outcome: Outcome },
+    Ends { wu: RequestId, attempt: usize, outcome: Outcome },
     Timer,
 }
 
@@ -93,7 +93,7 @@
     handles: SlotMap<ExecutorId, u64>,
     released: Vec<ExecutorId>,
     probes: Vec<ExecutorId>,
-    open: BTreeMap<WuId, Request>,
+    open: BTreeMap<RequestId, Request>,
     next_request: u64,
     due: BTreeMap<(u64, usize), Due>,
     next_due: usize,
@@ -160,7 +160,7 @@
 
     /// All that is open is seen to its end, and all executors leave.
     fn end(&mut self) -> Checked {
-        self.tell_list(ListKind::Whole, &[])?;
+        self.tell_list(ListUpdate::Snapshot, &[])?;
         while !self.probes.is_empty() {
             self.answer_probe()?;
         }
@@ -200,12 +200,12 @@
             return Ok(());
         }
         self.next_request += 1;
-        let (wu, project_type) = (WuId(self.next_request), self.random.random_range(0..4));
+        let (wu, project_type) = (RequestId(self.next_request), self.random.random_range(0..4));
         self.open.insert(wu, Request { project_type, sent: Vec::new() });
-        self.tell(Event::Arrived {
+        self.tell(Event::RequestArrived {
             wu,
-            project_type: ProjectTypeId(project_type),
-            customer: CustomerId(0),
+            project_type: RequestClassId(project_type),
+            customer: TenantId(0),
             slots: 1.0,
             memory: 0.0,
             left: LIMIT,
@@ -220,23 +220,24 @@
         let executor = self.probes.swap_remove(self.random.random_range(0..self.probes.len()));
         let (answered, is_full) = (self.random.random_bool(0.95), self.random.random_bool(0.1));
         let (queue, free_slots) = if is_full { (2.0, 0.0) } else { (0.0, FREE_SLOTS) };
-        let reading = Reading { queue: Some(queue), free_slots: Some(free_slots), ..Reading::default() };
-        self.tell(Event::Probed { executor, answered, lag: 1.0, reading })
+        let reading =
+            LoadReport { queue: Some(queue), free_slots: Some(free_slots), ..LoadReport::default() };
+        self.tell(Event::ProbeCompleted { executor, answered, lag: 1.0, reading })
     }
 
     fn list_change(&mut self) -> Checked {
         let name = self.listed[self.random.random_range(0..self.listed.len())];
         let Some(named) = self.names.get_mut(&name) else { return Ok(()) };
-        let was_gone = named.phase == Phase::Gone;
+        let was_gone = named.phase == EndpointState::Gone;
         (named.phase, named.started) = match self.random.random_range(0..10) {
-            0..3 => (Phase::Gone, named.started),
-            3 => (Phase::Draining, named.started),
-            4 => (Phase::Healthy, Some(self.now)),
-            _ => (Phase::Healthy, named.started),
+            0..3 => (EndpointState::Gone, named.started),
+            3 => (EndpointState::Draining, named.started),
+            4 => (EndpointState::Ready, Some(self.now)),
+            _ => (EndpointState::Ready, named.started),
         };
-        let back = was_gone && named.phase != Phase::Gone && named.handle.is_some();
+        let back = was_gone && named.phase != EndpointState::Gone && named.handle.is_some();
         self.figures.back_before_release += usize::from(back);
-        self.tell_list(ListKind::Changes, &[name])
+        self.tell_list(ListUpdate::Delta, &[name])
     }
 
     fn whole_list_of_new_names(&mut self) -> Checked {
@@ -248,7 +249,7 @@
             let started = self.random.random_bool(0.5).then_some(self.now);
             let named = Named {
                 group,
-                phase: Phase::Healthy,
+                phase: EndpointState::Ready,
                 started,
                 handle: None,
                 cold: Vec::new(),
@@ -258,22 +259,22 @@
             self.names.insert(name, named);
         }
         let all = self.listed.clone();
-        self.tell_list(ListKind::Whole, &all)
+        self.tell_list(ListUpdate::Snapshot, &all)
     }
 
     fn whole_list_of_some(&mut self) -> Checked {
         let (mut some, random) = (self.listed.clone(), &mut self.random);
         some.retain(|_| random.random_bool(0.8));
         for name in &some {
-            self.names.get_mut(name).into_iter().for_each(|named| named.phase = Phase::Healthy);
+            self.names.get_mut(name).into_iter().for_each(|named| named.phase = EndpointState::Ready);
         }
-        self.tell_list(ListKind::Whole, &some)
+        self.tell_list(ListUpdate::Snapshot, &some)
     }
 
-    fn tell_list(&mut self, kind: ListKind, told: &[u64]) -> Checked {
-        if kind == ListKind::Whole {
+    fn tell_list(&mut self, kind: ListUpdate, told: &[u64]) -> Checked {
+        if kind == ListUpdate::Snapshot {
             let missing = self.names.iter_mut().filter(|(name, _)| !told.contains(name));
-            missing.for_each(|(_, named)| named.phase = Phase::Gone);
+            missing.for_each(|(_, named)| named.phase = EndpointState::Gone);
         }
         let mut entries = Vec::new();
         for name in told {
@@ -281,18 +282,18 @@
             // It is needed by the event that tells of it.
             named.needed |= named.handle.is_none();
             let executor = *named.handle.get_or_insert_with(|| self.handles.insert(*name));
-            entries.push(Listing {
+            entries.push(Endpoint {
                 executor,
                 token: *name,
-                place: PlaceId(0),
-                kind: MachineKindId(0),
-                group: GroupId(named.group),
+                place: ZoneId(0),
+                kind: MachineTypeId(0),
+                group: DeduplicationGroupId(named.group),
                 phase: named.phase,
                 size: 1.0,
                 started: named.started,
             });
         }
-        self.tell(Event::ListTold { kind, entries })
+        self.tell(Event::EndpointsUpdated { kind, entries })
     }
 
     fn withdraw(&mut self) -> Checked {
@@ -300,7 +301,7 @@
         let Some(wu) = self.open.keys().nth(nth).copied() else { return Ok(()) };
         self.open.remove(&wu);
         self.figures.answers += 1;
-        self.tell(Event::Withdrawn { wu })
+        self.tell(Event::RequestWithdrawn { wu })
     }
 
     /// Something for an executor or a request that is no more.
@@ -308,20 +309,20 @@
         let Some(last) = self.released.len().checked_sub(1) else { return Ok(()) };
         let executor = self.released[self.random.random_range(0..=last)];
         let (before, kind) = (self.node.stale_events(), self.random.random_range(0..4));
-        let reading = Reading::of_free_slots(1000.0);
+        let reading = LoadReport::of_free_slots(1000.0);
         let event = match kind {
-            0 => Event::Probed { executor, answered: true, lag: 1.0, reading },
-            1 => Event::Probed { executor, answered: false, lag: 1.0, reading },
+            0 => Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading },
+            1 => Event::ProbeCompleted { executor, answered: false, lag: 1.0, reading },
             2 => {
-                let project_type = ProjectTypeId(0);
-                Event::Told(Telling::TurnedAway { token: u32::MAX, project_type })
+                let project_type = RequestClassId(0);
+                Event::GossipReceived(GossipMessage::WorkRejected { token: u32::MAX, project_type })
             }
             _ => {
-                let wu = WuId(self.random.random_range(0..=self.next_request));
+                let wu = RequestId(self.random.random_range(0..=self.next_request));
                 if self.open.contains_key(&wu) {
                     return Ok(());
                 }
-                Event::Ended { wu, alloc: AllocId(0), outcome: Outcome::Error, closed: false }
+                Event::AttemptEnded { wu, alloc: AttemptId(0), outcome: Outcome::Error, closed: false }
             }
         };
         self.tell(event)?;
@@ -329,7 +330,7 @@
         ensure(counted == u64::from(kind < 3), "an outdated event was not dropped and counted")
     }
 
-    fn attempt_ends(&mut self, wu: WuId, attempt: usize, outcome: Outcome) -> Checked {
+    fn attempt_ends(&mut self, wu: RequestId, attempt: usize, outcome: Outcome) -> Checked {
         if let Some(request) = self.open.get_mut(&wu) {
             request.sent[attempt].outcome = Some(outcome);
         }
@@ -338,7 +339,7 @@
             self.figures.answers += 1;
             self.figures.completed += 1;
         }
-        self.tell(Event::Ended { wu, alloc: AllocId(attempt as u32), outcome, closed })
+        self.tell(Event::AttemptEnded { wu, alloc: AttemptId(attempt as u32), outcome, closed })
     }
 
     /// Tells the module one event, and checks all that it does.
@@ -356,31 +357,31 @@
 
     fn act(&mut self, action: Action) -> Checked {
         match action {
-            Action::Push { wu, executor, cut_at, .. } => self.pushed(wu, executor, cut_at),
-            Action::Defer { wu, .. } => self.answered(wu, true),
-            Action::Abort { wu } => self.answered(wu, false),
+            Action::Dispatch { wu, executor, cut_at, .. } => self.pushed(wu, executor, cut_at),
+            Action::Reject { wu, .. } => self.answered(wu, true),
+            Action::Fail { wu } => self.answered(wu, false),
             Action::Probe { executor } => {
                 ensure(self.handles.contains_key(executor), "a probe of a released executor")?;
                 ensure(!self.probes.contains(&executor), "a second probe while one is out")?;
                 self.probes.push(executor);
                 Ok(())
             }
-            Action::Wake { at } => {
+            Action::SetTimer { at } => {
                 if at < self.timer_at {
                     self.timer_at = at.max(self.now);
                     self.at(self.timer_at, Due::Timer);
                 }
                 Ok(())
             }
-            Action::Release { executor } => self.release(executor),
+            Action::ReleaseExecutor { executor } => self.release(executor),
             _ => Ok(()),
         }
     }
 
-    fn pushed(&mut self, wu: WuId, executor: ExecutorId, cut_at: Millis) -> Checked {
+    fn pushed(&mut self, wu: RequestId, executor: ExecutorId, cut_at: Millis) -> Checked {
         let name = self.handles.get(executor).ok_or("work for a released executor")?;
         let named = self.names.get_mut(name).ok_or("work for an executor that was never listed")?;
-        ensure(named.phase == Phase::Healthy, "work for an executor that drains or is gone")?;
+        ensure(named.phase == EndpointState::Ready, "work for an executor that drains or is gone")?;
         let request = self.open.get_mut(&wu).ok_or("work is sent after its answer")?;
         ensure(request.sent.iter().all(|sent| sent.outcome.is_some()), "sent while an attempt is out")?;
         if let Some(first) = request.first_that_may_have_run() {
@@ -397,7 +398,7 @@
         let attempt = request.sent.len() - 1;
         let (at, outcome) = match self.random.random_range(0..100) {
             0..70 => (self.now + RUNNING_TIME, Outcome::Completed),
-            70..76 => (self.now + 1.0, Outcome::Full),
+            70..76 => (self.now + 1.0, Outcome::Rejected),
             76..82 => (self.now + 2.0, Outcome::NoConnection),
             82..94 => (self.now + 300.0 * self.random.random::<f64>(), Outcome::Reset),
             _ => (cut_at, Outcome::TimedOut),
@@ -419,7 +420,7 @@
         ensure(spent <= budget, "more than the cold budget")
     }
 
-    fn answered(&mut self, wu: WuId, deferred: bool) -> Checked {
+    fn answered(&mut self, wu: RequestId, deferred: bool) -> Checked {
         let request = self.open.remove(&wu).ok_or("a second answer")?;
         self.figures.answers += 1;
         ensure(request.sent.iter().all(|sent| sent.outcome.is_some()), "an answer while an attempt is out")?;
@@ -431,7 +432,7 @@
     fn release(&mut self, executor: ExecutorId) -> Checked {
         let name = self.handles.remove(executor).ok_or("released twice")?;
         let named = self.names.get_mut(&name).ok_or("released though never listed")?;
-        ensure(named.phase == Phase::Gone, "released though it is listed")?;
+        ensure(named.phase == EndpointState::Gone, "released though it is listed")?;
         ensure(!self.probes.contains(&executor), "released while a probe is out")?;
         let names_it = |request: &Request| request.sent.iter().any(|sent| sent.executor == executor);
         ensure(!self.open.values().any(names_it), "released while an open request names it")?;
@@ -462,7 +463,7 @@
                 named.needed_at = self.now;
             }
             let names_it = |wu: &Wu| wu.executors().any(|other| other == executor);
-            named.needed = named.phase != Phase::Gone
+            named.needed = named.phase != EndpointState::Gone
                 || self.probes.contains(&executor)
                 || self.node.wus.values().any(names_it);
             let spent_until = named.cold.last().map_or(f64::NEG_INFINITY, |at| at + FALL);
