--- a/crates/cli/src/emulate.rs
+++ b/crates/cli/src/emulate.rs
@@ -51,10 +51,10 @@
         let types: Vec<_> = scenario.project_types.iter().map(|t| t.get_ref().clone()).collect();
         // Any id is known here; its work is the first project type's mean, unless a header says otherwise.
         let work_of = move |id: &str| {
-            let wu = id.bytes().fold(0u64, |hash, b| hash.wrapping_mul(31).wrapping_add(b.into()));
+            let request_id = id.bytes().fold(0u64, |hash, b| hash.wrapping_mul(31).wrapping_add(b.into()));
             let kind = types.first()?;
             let (slots, memory, work) = (kind.slots, kind.memory, millis(kind.work));
-            Some(Work { wu, project_type: 0, slots, memory, work, priority: kind.credit })
+            Some(Work { request_id, project_type: 0, slots, memory, work, priority: kind.credit })
         };
         let record = Arc::new(Record::default());
         let shared = Shared::new(record.clone(), Arc::new(work_of), true);
--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -4,9 +4,9 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use troutknot_ledger::store::{Reader, Rows, Store};
-use troutknot_ledger::{Ledger, Standing, Wu};
+use troutknot_ledger::{Job, Ledger, Standing};
 
-/// As many allocations as a work unit may ever have; how many a node allows is not on record.
+/// As many attempts as a work unit may ever have; how many a node allows is not on record.
 const MOST_ALLOCATIONS: usize = 3;
 
 /// Look at a ledger of durable work units, or give its room back
@@ -60,8 +60,8 @@
     let each = reader.each(|row| {
         read.rows += 1;
         let added = row.map_err(|e| e.to_string()).and_then(|row| {
-            let (wu, place) = (row.record.wu().0, row.place);
-            read.ledger.restore(&row).map_err(|why| format!("row {place} of work unit {wu}: {why}"))
+            let (request_id, place) = (row.record.request_id().0, row.place);
+            read.ledger.restore(&row).map_err(|why| format!("row {place} of work unit {request_id}: {why}"))
         });
         read.faults.extend(added.err());
     });
@@ -77,8 +77,8 @@
     humantime::format_duration(Duration::from_millis(millis.max(0.0) as u64)).to_string()
 }
 
-fn state(wu: &Wu, now: f64) -> String {
-    match (wu.answered, wu.allocations.last()) {
+fn state(job: &Job, now: f64) -> String {
+    match (job.answered, job.attempts.last()) {
         (Some(at), _) => format!("answered {} ago", span(now - at)),
         (None, None) => "taken, not allocated".into(),
         (None, Some(last)) => {
@@ -98,18 +98,18 @@
     let Read { ledger, rows, faults } = read(path)?;
     let (now, open) = (now(), ledger.open().count());
     println!("{} work units on record, {open} open; {rows} rows", ledger.len());
-    let mut shown: Vec<&Wu> = ledger.all().map(|(_, wu)| wu).collect();
-    shown.retain(|wu| all || wu.answered.is_none());
+    let mut shown: Vec<&Job> = ledger.all().map(|(_, job)| job).collect();
+    shown.retain(|job| all || job.answered.is_none());
     shown.sort_by(|a, b| a.taken.total_cmp(&b.taken));
-    for wu in shown {
-        let left = if wu.answered.is_some() {
+    for job in shown {
+        let left = if job.answered.is_some() {
             String::new()
-        } else if wu.limit > now {
-            format!(", {} to its limit", span(wu.limit - now))
+        } else if job.limit > now {
+            format!(", {} to its limit", span(job.limit - now))
         } else {
-            format!(", {} past its limit", span(now - wu.limit))
+            format!(", {} past its limit", span(now - job.limit))
         };
-        println!("{}: taken {} ago{left}; {}", wu.id, span(now - wu.taken), state(wu, now));
+        println!("{}: taken {} ago{left}; {}", job.id, span(now - job.taken), state(job, now));
     }
     let fault = faults.first().map(|first| format!("{first}; `troutknot ledger verify` lists all faults"));
     Ok(fault.map_or(Ended::Held, |fault| Ended::Broke.because(fault)))
--- a/crates/cli/tests/rehearse.rs
+++ b/crates/cli/tests/rehearse.rs
@@ -187,13 +187,13 @@
     use troutknot_ledger::store::Store;
     use troutknot_ledger::{Answer, Fence, Record, Row};
     let path = file("ledger", "");
-    let wu = troutknot::RequestId(1);
+    let request_id = troutknot::RequestId(1);
     let (id, key, digest, work) = ("a1".to_string(), None, [0; 32], vec![]);
     let effect = troutknot::Effect::AtMostOnce;
     let row = |place, record| Row { at: 1e12, place, record };
     let rows = [
-        row(0, Record::Taken { wu, effect, limit: 2e12, id, key, digest, work }),
-        row(1, Record::Allocated { wu, fence: Fence(1), executor: "s-7".into(), lease_until: 1e12 }),
+        row(0, Record::Taken { request_id, effect, limit: 2e12, id, key, digest, work }),
+        row(1, Record::Dispatched { request_id, fence: Fence(1), executor: "s-7".into(), lease_until: 1e12 }),
     ];
     let store = Store::open(&path).unwrap();
     store.commit(&rows).unwrap();
@@ -212,8 +212,8 @@
     assert_eq!(said("compact", &at).0, 0);
     // An allocation after the answer does not follow, and is named.
     let store = Store::open(&path).unwrap();
-    let answered = Record::Answered { wu, answer: Answer::Aborted };
-    let late = Record::Allocated { wu, fence: Fence(2), executor: "s-8".into(), lease_until: 1e12 };
+    let answered = Record::Answered { request_id, answer: Answer::Aborted };
+    let late = Record::Dispatched { request_id, fence: Fence(2), executor: "s-8".into(), lease_until: 1e12 };
     store.commit(&[row(2, answered), row(3, late)]).unwrap();
     drop(store);
     let (status, found) = said("verify", &at);
--- a/crates/daemon/src/clients/mod.rs
+++ b/crates/daemon/src/clients/mod.rs
@@ -326,7 +326,7 @@
                 }
                 Ok(Came::Work { work, left, keep }) if self.is_durable(&work) => {
                     standing.worked.set(true);
-                    let (answer, wu) = match self.serve_durably(connection, work, left, full).await {
+                    let (answer, request_id) = match self.serve_durably(connection, work, left, full).await {
                         Ok(None) => return,
                         Ok(Some(answer)) => answer,
                         Err(status) => return self.reject(connection, standing, status).await,
@@ -336,8 +336,8 @@
                     let (status, fields, result) = self.words.now().answer(&answer);
                     large = result.len() > self.limits.ring;
                     let written = self.write(connection, status, keep, &fields, &result).await;
-                    if let (true, Some(durable), Some(wu)) = (written, self.ledger(), wu) {
-                        durable.acknowledged(wu);
+                    if let (true, Some(durable), Some(request_id)) = (written, self.ledger(), request_id) {
+                        durable.acknowledged(request_id);
                     }
                     written && keep
                 }
@@ -500,13 +500,13 @@
         let come_back = Answer::Deferred(Some(1000.0));
         // The process before this one still holds the ledger.
         let Some(durable) = self.ledger() else { return Ok(Some((come_back, None))) };
-        let (joint, wu, last) = match durable.find(&work) {
+        let (joint, request_id, last) = match durable.find(&work) {
             Found::OtherBody => return Err(422),
             Found::Twice => return Err(409),
-            Found::Ended(wu) => {
+            Found::Ended(request_id) => {
                 // That nothing can be read says nothing of the work: it may have run.
-                let recorded = durable.recorded(wu).await;
-                return Ok(Some((recorded.unwrap_or(Answer::Aborted), Some(wu))));
+                let recorded = durable.recorded(request_id).await;
+                return Ok(Some((recorded.unwrap_or(Answer::Aborted), Some(request_id))));
             }
             Found::Open(joint) => {
                 let margin = self.limits.last_answer_margin.min(left.mul_f64(0.1));
@@ -530,7 +530,7 @@
                     Err(answer) => return Ok(Some((answer, None))),
                 };
                 let _ = self.events.send(Event::Arrived(exchange.clone())).await;
-                (joint, Some(exchange.wu), last)
+                (joint, Some(exchange.request_id), last)
             }
         };
         let answer = tokio::select! {
@@ -539,7 +539,7 @@
             () = connection.gone() => None,
             () = sleep_until(last) => Some(Answer::Aborted),
         };
-        Ok(answer.map(|answer| (answer, wu)))
+        Ok(answer.map(|answer| (answer, request_id)))
     }
 
     /// Hands a work unit over and waits for its answer; none where the client left.
@@ -566,7 +566,7 @@
             () = sleep_until(last) => Some(Answer::Aborted),
         };
         exchange.close();
-        let _ = self.events.send(Event::Left(exchange.wu)).await;
+        let _ = self.events.send(Event::Left(exchange.request_id)).await;
         if answer.is_none() {
             tracing::debug!("left: the client of {}", exchange.work.id);
         }
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -54,7 +54,7 @@
 
 struct Open {
     exchange: Rc<Exchange>,
-    allocs: u32,
+    attempts: u32,
     /// Each stops one allocation, by its number.
     stops: Vec<Rc<Stop>>,
     /// Where the last allocation went and when it was decided, for the log.
@@ -181,7 +181,7 @@
                 let work = &exchange.work;
                 let left = exchange.limit.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
                 let told = Heard::RequestArrived {
-                    wu: exchange.wu,
+                    request_id: exchange.request_id,
                     project_type: work.project_type,
                     customer: work.customer,
                     slots: work.slots,
@@ -189,26 +189,34 @@
                     left,
                     again: work.again,
                 };
-                self.open.insert(exchange.wu, Open { exchange, allocs: 0, stops: Vec::new(), pushed: None });
+                self.open.insert(
+                    exchange.request_id,
+                    Open { exchange, attempts: 0, stops: Vec::new(), pushed: None },
+                );
                 told
             }
             Event::Recovered(exchange, earlier) => return self.recovered(now, exchange, earlier),
-            Event::Left(wu) => {
-                self.open.remove(&wu);
-                Heard::RequestWithdrawn { wu }
+            Event::Left(request_id) => {
+                self.open.remove(&request_id);
+                Heard::RequestWithdrawn { request_id }
             }
-            Event::Heard(Heard::AttemptEnded { wu, alloc, outcome, .. }) => {
-                let closed = self.open.get(&wu).is_none_or(|open| open.exchange.is_over());
-                if let Some((open, (executor, at))) = self.open.get(&wu).and_then(|o| Some((o, o.pushed?))) {
+            Event::Heard(Heard::AttemptEnded { request_id, attempt_id, outcome, .. }) => {
+                let closed = self.open.get(&request_id).is_none_or(|open| open.exchange.is_over());
+                if let Some((open, (executor, at))) =
+                    self.open.get(&request_id).and_then(|o| Some((o, o.pushed?)))
+                {
                     let (ran, kind) =
                         (at.elapsed().as_secs_f64() * 1000.0, open.exchange.work.project_type.0);
                     let name = self.name(executor);
-                    tracing::debug!("ended: type {kind} alloc {} at {name} {outcome:?} {ran:.1} ms", alloc.0);
+                    tracing::debug!(
+                        "ended: type {kind} alloc {} at {name} {outcome:?} {ran:.1} ms",
+                        attempt_id.0
+                    );
                 }
                 if closed {
-                    self.open.remove(&wu);
+                    self.open.remove(&request_id);
                 }
-                Heard::AttemptEnded { wu, alloc, outcome, closed }
+                Heard::AttemptEnded { request_id, attempt_id, outcome, closed }
             }
             Event::Heard(heard) => {
                 if let Heard::ProbeCompleted { executor, answered, lag, reading } = &heard {
@@ -231,9 +239,9 @@
             }
             Event::End => {
                 self.ended = true;
-                for (wu, open) in std::mem::take(&mut self.open) {
-                    open.exchange.answer(self.last_answer(open.allocs));
-                    self.dispatcher.tell(now, Heard::RequestWithdrawn { wu });
+                for (request_id, open) in std::mem::take(&mut self.open) {
+                    open.exchange.answer(self.last_answer(open.attempts));
+                    self.dispatcher.tell(now, Heard::RequestWithdrawn { request_id });
                 }
                 return;
             }
@@ -247,8 +255,8 @@
     }
 
     /// What a work unit is told that was open when the node ended: one that was never sent may come again.
-    fn last_answer(&self, allocs: u32) -> Answer {
-        match allocs {
+    fn last_answer(&self, attempts: u32) -> Answer {
+        match attempts {
             0 => Answer::Deferred(Some(self.executors.limits.full_come_back.as_secs_f64() * 1000.0)),
             _ => Answer::Aborted,
         }
@@ -256,20 +264,21 @@
 
     /// Tells of a work unit from an earlier life: its arrival, then each allocation and its end, as far as known.
     fn recovered(&mut self, now: Millis, exchange: Rc<Exchange>, earlier: Vec<Earlier>) {
-        let wu = exchange.wu;
+        let request_id = exchange.request_id;
         self.tell(now, Event::Arrived(exchange.clone()));
-        let Some(open) = self.open.get_mut(&wu) else { return };
-        open.allocs = earlier.len() as u32;
+        let Some(open) = self.open.get_mut(&request_id) else { return };
+        open.attempts = earlier.len() as u32;
         for (number, Earlier { executor: name, sent, outcome, lease }) in earlier.into_iter().enumerate() {
-            let alloc = AttemptId(number as u32);
+            let attempt_id = AttemptId(number as u32);
             let executor = self.register(now, &name);
-            self.dispatcher.tell(now, Heard::AttemptRecovered { wu, executor, sent });
+            self.dispatcher.tell(now, Heard::AttemptRecovered { request_id, executor, sent });
             match outcome {
-                Some(outcome) => {
-                    self.dispatcher.tell(now, Heard::AttemptEnded { wu, alloc, outcome, closed: false })
-                }
+                Some(outcome) => self
+                    .dispatcher
+                    .tell(now, Heard::AttemptEnded { request_id, attempt_id, outcome, closed: false }),
                 None => {
-                    let settled = self.executors.clone().settle(exchange.clone(), executor, alloc, lease);
+                    let settled =
+                        self.executors.clone().settle(exchange.clone(), executor, attempt_id, lease);
                     tokio::task::spawn_local(settled);
                 }
             }
@@ -492,31 +501,33 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Dispatch { wu, executor, cut_at, send_by } => {
-                let Some(open) = self.open.get_mut(&wu) else { return };
-                let alloc = AttemptId(open.allocs);
-                open.allocs += 1;
+            Action::Dispatch { request_id, executor, attempt_deadline, send_deadline } => {
+                let Some(open) = self.open.get_mut(&request_id) else { return };
+                let attempt_id = AttemptId(open.attempts);
+                open.attempts += 1;
                 let stop: Rc<Stop> = Rc::default();
                 if self.out_of_time {
                     stop.tell(Outcome::TimedOut);
                 }
-                open.stops.resize_with(alloc.0 as usize, Rc::default);
+                open.stops.resize_with(attempt_id.0 as usize, Rc::default);
                 open.stops.push(stop.clone());
-                let [cut, send_by] = [cut_at, send_by].map(|at| self.clock.when(at).min(open.exchange.limit));
+                let [cut, send_deadline] =
+                    [attempt_deadline, send_deadline].map(|at| self.clock.when(at).min(open.exchange.limit));
                 let (decided, life) = (Instant::now(), self.executors.life(executor));
                 open.pushed = Some((executor, decided));
                 let exchange = open.exchange.clone();
                 let name = exchange.durable.get().map(|_| self.name(executor).to_string());
-                tracing::debug!("push: alloc {} to {}", alloc.0, self.name(executor));
-                let push = Push { exchange, executor, name, alloc, decided, life, cut, send_by, stop };
+                tracing::debug!("push: alloc {} to {}", attempt_id.0, self.name(executor));
+                let push =
+                    Push { exchange, executor, name, attempt_id, decided, life, cut, send_deadline, stop };
                 tokio::task::spawn_local(self.executors.clone().allocate(push));
             }
-            Action::Cancel { wu, alloc } => {
-                let stop = self.open.get(&wu).and_then(|open| open.stops.get(alloc.0 as usize));
+            Action::Cancel { request_id, attempt_id } => {
+                let stop = self.open.get(&request_id).and_then(|open| open.stops.get(attempt_id.0 as usize));
                 stop.into_iter().for_each(|stop| stop.tell(Outcome::Cancelled));
             }
-            Action::Reject { wu, come_back } => self.finish(wu, Answer::Deferred(come_back)),
-            Action::Fail { wu } => self.finish(wu, Answer::Aborted),
+            Action::Reject { request_id, come_back } => self.finish(request_id, Answer::Deferred(come_back)),
+            Action::Fail { request_id } => self.finish(request_id, Answer::Aborted),
             Action::Probe { executor } => {
                 tracing::debug!("probe: {}", self.name(executor));
                 tokio::task::spawn_local(self.executors.clone().probe(executor));
@@ -560,12 +571,12 @@
         self.stale_events = stale;
     }
 
-    fn finish(&mut self, wu: RequestId, answer: Answer) {
-        if let Some(open) = self.open.remove(&wu) {
+    fn finish(&mut self, request_id: RequestId, answer: Answer) {
+        if let Some(open) = self.open.remove(&request_id) {
             let kind = open.exchange.work.project_type.0;
             match answer {
-                Answer::Deferred(_) => tracing::debug!("deferred: type {kind} after {}", open.allocs),
-                _ => tracing::debug!("aborted: type {kind} after {}", open.allocs),
+                Answer::Deferred(_) => tracing::debug!("deferred: type {kind} after {}", open.attempts),
+                _ => tracing::debug!("aborted: type {kind} after {}", open.attempts),
             }
             open.exchange.answer(answer);
         }
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -9,8 +9,8 @@
 
 pub struct Lease {
     durable: Rc<Durable>,
-    wu: RequestId,
-    alloc: AttemptId,
+    request_id: RequestId,
+    attempt_id: AttemptId,
     pub fence: Fence,
     /// When it was recorded.
     at: Millis,
@@ -21,12 +21,12 @@
 }
 
 impl Lease {
-    pub fn new(durable: Rc<Durable>, wu: RequestId, number: usize, fence: Fence, at: Millis) -> Self {
+    pub fn new(durable: Rc<Durable>, request_id: RequestId, number: usize, fence: Fence, at: Millis) -> Self {
         let span = durable.terms.lease.unwrap_or(Duration::from_secs(86_400));
         Lease {
             durable,
-            wu,
-            alloc: AttemptId(number as u32),
+            request_id,
+            attempt_id: AttemptId(number as u32),
             fence,
             at,
             until: Cell::new(Instant::now() + span),
@@ -54,9 +54,9 @@
 
     /// A sign of life came; `started` where it says that it runs.
     pub fn beat(&self, started: bool) {
-        let (wu, alloc, now) = (self.wu, self.alloc, Instant::now());
+        let (request_id, attempt_id, now) = (self.request_id, self.attempt_id, Instant::now());
         if started && !self.started.replace(true) {
-            self.durable.later(Record::Started { wu, alloc });
+            self.durable.later(Record::Started { request_id, attempt_id });
         }
         let Some(span) = self.durable.terms.lease else { return };
         self.until.set(now + span);
@@ -64,7 +64,7 @@
         if self.told.get().is_none_or(|told| now - told >= span / 3) {
             self.told.set(Some(now));
             let lease_until = self.durable.now() + span.as_secs_f64() * 1000.0;
-            self.durable.later(Record::Heartbeat { wu, alloc, lease_until });
+            self.durable.later(Record::Heartbeat { request_id, attempt_id, lease_until });
         }
     }
 
@@ -82,13 +82,21 @@
     /// Its one end.
     pub fn ended(&self, outcome: Outcome) {
         if !self.over.replace(true) {
-            self.durable.later(Record::Ended { wu: self.wu, alloc: self.alloc, outcome });
+            self.durable.later(Record::Ended {
+                request_id: self.request_id,
+                attempt_id: self.attempt_id,
+                outcome,
+            });
         }
     }
 
     /// Its executor has not run it, and refuses it from now on; false where it was seen to run.
     pub fn fenced(&self) -> bool {
-        if self.over.get() || !self.durable.later(Record::Fenced { wu: self.wu, alloc: self.alloc }) {
+        if self.over.get()
+            || !self
+                .durable
+                .later(Record::Fenced { request_id: self.request_id, attempt_id: self.attempt_id })
+        {
             return false;
         }
         self.over.set(true);
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -48,7 +48,7 @@
     ledger: RefCell<Ledger>,
     /// Work units whose answer is not on record yet.
     joints: RefCell<HashMap<RequestId, Rc<Joint>>>,
-    most_allocs: usize,
+    max_attempts: usize,
     /// Open ones that were on record at the start, and how many of them are still to be taken up.
     before: RefCell<Vec<RequestId>>,
     to_recover: Cell<usize>,
@@ -131,17 +131,17 @@
         words: &Rc<InForce<Vocabulary>>,
         events: &mpsc::Sender<Event>,
     ) -> Result<Rc<Self>, String> {
-        let most_allocs = words.now().most_allocs().clamp(1, 3);
+        let max_attempts = words.now().max_attempts().clamp(1, 3);
         let path = terms.path.clone();
         let open = Box::new({
             let path = path.clone();
             move || Store::open(&path)
         });
         let began = Instant::now();
-        let opened = Committer::start(open, terms.sync == Syncs::Together, most_allocs);
+        let opened = Committer::start(open, terms.sync == Syncs::Together, max_attempts);
         let (committer, ledger) = opened.map_err(|why| format!("ledger `{}`: {why}", path.display()))?;
         let mut before: Vec<(u64, RequestId)> =
-            ledger.open().map(|(wu, of)| (of.limit.max(0.0).to_bits(), wu)).collect();
+            ledger.open().map(|(request_id, of)| (of.limit.max(0.0).to_bits(), request_id)).collect();
         before.sort_unstable();
         let offset = (ledger.last() - clock.now()).max(0.0);
         if offset > 0.0 {
@@ -163,9 +163,9 @@
             committer,
             ledger: RefCell::new(ledger),
             joints: RefCell::default(),
-            most_allocs,
+            max_attempts,
             to_recover: Cell::new(before.len()),
-            before: RefCell::new(before.into_iter().map(|(_, wu)| wu).collect()),
+            before: RefCell::new(before.into_iter().map(|(_, request_id)| request_id).collect()),
             failing: Cell::new(false),
             terms,
         }))
@@ -183,20 +183,20 @@
 
     pub fn find(&self, work: &Work) -> Found {
         let ledger = self.ledger.borrow();
-        let Some(wu) = work.key.as_ref().and_then(|key| ledger.by_key(key)) else {
+        let Some(request_id) = work.key.as_ref().and_then(|key| ledger.by_key(key)) else {
             return if ledger.by_id(&work.id).is_some() { Found::Twice } else { Found::New };
         };
-        let Some(known) = ledger.wu(wu) else { return Found::New };
+        let Some(known) = ledger.job(request_id) else { return Found::New };
         if known.digest != digest(work) {
             return Found::OtherBody;
         }
-        match self.joints.borrow().get(&wu) {
+        match self.joints.borrow().get(&request_id) {
             Some(joint) => return Found::Open(joint.clone()),
-            None if known.answered.is_some() => return Found::Ended(wu),
+            None if known.answered.is_some() => return Found::Ended(request_id),
             None => {}
         }
         // Open from before, and not taken up yet.
-        Found::Open(self.joint(wu))
+        Found::Open(self.joint(request_id))
     }
 
     /// Whether new work may be taken.
@@ -213,9 +213,9 @@
         why.is_none()
     }
 
-    fn joint(&self, wu: RequestId) -> Rc<Joint> {
+    fn joint(&self, request_id: RequestId) -> Rc<Joint> {
         let mut joints = self.joints.borrow_mut();
-        joints.entry(wu).or_insert_with(|| Rc::new(Joint { answer: watch::channel(None).0 })).clone()
+        joints.entry(request_id).or_insert_with(|| Rc::new(Joint { answer: watch::channel(None).0 })).clone()
     }
 
     async fn write(&self, rows: Vec<Row>) -> Result<(), NotWritten> {
@@ -239,7 +239,7 @@
 
     /// Takes a work unit: once this ends well, it is on disk. Else it is answered as deferred, and was never sent.
     pub async fn take(self: &Rc<Self>, exchange: &Rc<Exchange>, last: Instant) -> Result<Rc<Joint>, Answer> {
-        let (wu, work) = (exchange.wu, &exchange.work);
+        let (request_id, work) = (exchange.request_id, &exchange.work);
         let left = exchange.limit.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
         let (project_type, customer) = self.words.now().names_of(work);
         let sent = Sent {
@@ -254,7 +254,7 @@
         };
         let come_back = Answer::Deferred(Some(1000.0));
         let record = Record::Taken {
-            wu,
+            request_id,
             effect: self.words.now().effect(work.project_type).unwrap_or(Effect::AtMostOnce),
             limit: self.now() + left,
             id: work.id.clone(),
@@ -263,38 +263,38 @@
             work: postcard::to_stdvec(&sent).map_err(|_| come_back.clone())?,
         };
         let Some(row) = self.apply(record) else { return Err(come_back) };
-        let joint = self.joint(wu);
+        let joint = self.joint(request_id);
         let written = timeout(self.terms.slow_after, self.write(vec![row])).await;
         if !matches!(written, Ok(Ok(()))) {
             tracing::debug!("ledger: a work unit is deferred, its record is not on disk in time");
             // Whoever asks again is deferred as well until that is on record, and asks anew afterwards.
-            self.later(Record::Answered { wu, answer: kept(&come_back) });
-            self.later(Record::Forgotten { wu });
-            self.publish(wu, &joint, come_back.clone());
+            self.later(Record::Answered { request_id, answer: kept(&come_back) });
+            self.later(Record::Forgotten { request_id });
+            self.publish(request_id, &joint, come_back.clone());
             return Err(come_back);
         }
         spawn_local(self.clone().see_through(exchange.clone(), joint.clone(), last));
         Ok(joint)
     }
 
-    fn publish(&self, wu: RequestId, joint: &Joint, answer: Answer) {
+    fn publish(&self, request_id: RequestId, joint: &Joint, answer: Answer) {
         joint.answer.send_replace(Some(answer));
-        self.joints.borrow_mut().remove(&wu);
+        self.joints.borrow_mut().remove(&request_id);
     }
 
     /// Waits for the answer, whoever still wants it, and tells it once it is on record.
     async fn see_through(self: Rc<Self>, exchange: Rc<Exchange>, joint: Rc<Joint>, last: Instant) {
-        let wu = exchange.wu;
+        let request_id = exchange.request_id;
         let answer = tokio::select! {
             biased;
             answer = exchange.answered() => answer,
             () = sleep_until(last) => {
                 exchange.close();
-                let _ = self.events.send(Event::Left(wu)).await;
+                let _ = self.events.send(Event::Left(request_id)).await;
                 Answer::Aborted
             }
         };
-        let row = self.apply(Record::Answered { wu, answer: kept(&answer) });
+        let row = self.apply(Record::Answered { request_id, answer: kept(&answer) });
         let mut written = self.write(row.into_iter().collect()).await;
         while written.is_err() {
             sleep(WRITE_AGAIN).await;
@@ -302,25 +302,25 @@
         }
         if let Answer::Deferred(_) = answer {
             // It did not run, or may run again: whoever comes back with its key asks anew.
-            self.later(Record::Forgotten { wu });
+            self.later(Record::Forgotten { request_id });
         }
-        self.publish(wu, &joint, answer);
+        self.publish(request_id, &joint, answer);
     }
 
     /// The answer was written to a client.
-    pub fn acknowledged(&self, wu: RequestId) {
-        self.later(Record::Acknowledged { wu });
+    pub fn acknowledged(&self, request_id: RequestId) {
+        self.later(Record::Acknowledged { request_id });
     }
 
-    async fn read(&self, wu: RequestId) -> Result<Vec<Row>, String> {
+    async fn read(&self, request_id: RequestId) -> Result<Vec<Row>, String> {
         let (tell, told) = oneshot::channel();
-        self.committer.read(wu, move |rows| _ = tell.send(rows));
+        self.committer.read(request_id, move |rows| _ = tell.send(rows));
         told.await.unwrap_or_else(|_| Err("the ledger has ended".into()))
     }
 
     /// The answer on record; none where it cannot be read.
-    pub async fn recorded(&self, wu: RequestId) -> Option<Answer> {
-        let rows = self.read(wu).await.inspect_err(|why| tracing::warn!("ledger: {why}")).ok()?;
+    pub async fn recorded(&self, request_id: RequestId) -> Option<Answer> {
+        let rows = self.read(request_id).await.inspect_err(|why| tracing::warn!("ledger: {why}")).ok()?;
         rows.into_iter().find_map(|row| match row.record {
             Record::Answered { answer, .. } => Some(answer_of(answer)),
             _ => None,
@@ -328,40 +328,48 @@
     }
 
     /// An allocation about to be sent: once this ends well it is on disk, with its fence.
-    pub async fn lease(self: &Rc<Self>, wu: RequestId, executor: &str, cut: Instant) -> Option<Lease> {
+    pub async fn lease(
+        self: &Rc<Self>,
+        request_id: RequestId,
+        executor: &str,
+        cut: Instant,
+    ) -> Option<Lease> {
         let now = self.now();
         let until_cut = cut.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
         let span = self.terms.lease.map_or(until_cut, |span| span.as_secs_f64() * 1000.0);
         let (fence, number) = {
             let ledger = self.ledger.borrow();
-            let known = ledger.wu(wu)?;
-            let may = known.may_allocate(now, self.most_allocs);
+            let known = ledger.job(request_id)?;
+            let may = known.may_dispatch(now, self.max_attempts);
             let fence = may.inspect_err(|why| tracing::warn!("ledger: not allocated: {why}")).ok()?;
-            (fence, known.allocations.len())
+            (fence, known.attempts.len())
         };
         let lease_until = now + span;
-        let row = self.apply(Record::Allocated { wu, fence, executor: executor.into(), lease_until })?;
-        let mut unsent = Unsent(Some(Lease::new(self.clone(), wu, number, fence, now)));
+        let row =
+            self.apply(Record::Dispatched { request_id, fence, executor: executor.into(), lease_until })?;
+        let mut unsent = Unsent(Some(Lease::new(self.clone(), request_id, number, fence, now)));
         self.write(vec![row]).await.ok()?;
         unsent.0.take()
     }
 
     /// Takes up what is open from before, once the list is known: each goes to the one module with its earlier
-    /// allocations. What has no room waits for it.
+    /// attempts. What has no room waits for it.
     pub async fn recover(self: Rc<Self>, mut stage: watch::Receiver<Stage>, held: Rc<HeldBytes>) {
         let before = self.before.take();
         if before.is_empty() || stage.wait_for(|stage| *stage != Stage::Starting).await.is_err() {
             return;
         }
         let began = Instant::now();
-        for wu in &before {
-            if let Err(why) = self.take_up(*wu, &held).await {
-                tracing::warn!("ledger: work unit {} cannot be taken up, it is aborted: {why}", wu.0);
-                if let Some(row) = self.apply(Record::Answered { wu: *wu, answer: Kept::Aborted }) {
+        for request_id in &before {
+            if let Err(why) = self.take_up(*request_id, &held).await {
+                tracing::warn!("ledger: work unit {} cannot be taken up, it is aborted: {why}", request_id.0);
+                if let Some(row) =
+                    self.apply(Record::Answered { request_id: *request_id, answer: Kept::Aborted })
+                {
                     let _ = self.write(vec![row]).await;
                 }
-                let joint = self.joint(*wu);
-                self.publish(*wu, &joint, Answer::Aborted);
+                let joint = self.joint(*request_id);
+                self.publish(*request_id, &joint, Answer::Aborted);
             }
             self.to_recover.set(self.to_recover.get() - 1);
         }
@@ -369,8 +377,8 @@
         tracing::info!("{} open work units from before are taken up, in {took:.0} ms", before.len());
     }
 
-    async fn take_up(self: &Rc<Self>, wu: RequestId, held: &Rc<HeldBytes>) -> Result<(), String> {
-        let rows = self.read(wu).await?;
+    async fn take_up(self: &Rc<Self>, request_id: RequestId, held: &Rc<HeldBytes>) -> Result<(), String> {
+        let rows = self.read(request_id).await?;
         let taken = rows.iter().find_map(|row| match &row.record {
             Record::Taken { id, key, limit, work, .. } => Some((id.clone(), key.clone(), *limit, work)),
             _ => None,
@@ -395,7 +403,7 @@
         };
         let when = |limit: Millis| Instant::now() + spanned((limit - self.now()).clamp(0.0, 1e9));
         let exchange = loop {
-            match Exchange::new(wu, work(), when(limit), held) {
+            match Exchange::new(request_id, work(), when(limit), held) {
                 Some(exchange) => break exchange,
                 None => sleep(ROOM_AGAIN).await,
             }
@@ -403,8 +411,8 @@
         let _ = exchange.durable.set(self.clone());
         let earlier = {
             let ledger = self.ledger.borrow();
-            let known = ledger.wu(wu).ok_or("it is not on record")?;
-            let of = |(number, a): (usize, &troutknot_ledger::Allocation)| Earlier {
+            let known = ledger.job(request_id).ok_or("it is not on record")?;
+            let of = |(number, a): (usize, &troutknot_ledger::Attempt)| Earlier {
                 executor: a.executor.clone(),
                 sent: a.at,
                 outcome: match a.ended {
@@ -413,13 +421,13 @@
                     Some(troutknot::Outcome::Completed) => None,
                     other => other,
                 },
-                lease: Lease::new(self.clone(), wu, number, a.fence, a.at),
+                lease: Lease::new(self.clone(), request_id, number, a.fence, a.at),
             };
-            known.allocations.iter().enumerate().map(of).collect()
+            known.attempts.iter().enumerate().map(of).collect()
         };
         // What is past its limit already is answered by the module as well, a moment later.
         let last = exchange.limit + self.limits.answer_margin + self.limits.times().connect_wait;
-        spawn_local(self.clone().see_through(exchange.clone(), self.joint(wu), last));
+        spawn_local(self.clone().see_through(exchange.clone(), self.joint(request_id), last));
         let _ = self.events.send(Event::Recovered(exchange, earlier)).await;
         Ok(())
     }
@@ -433,10 +441,10 @@
                 let mut old = self.ledger.borrow().answered_before(then, MOST_FORGOTTEN);
                 // Guards against a ledger that fills up as more is answered than is forgotten at a time.
                 let goes_on = old.len() == MOST_FORGOTTEN;
-                old.retain(|wu| !self.joints.borrow().contains_key(wu));
+                old.retain(|request_id| !self.joints.borrow().contains_key(request_id));
                 let some = !old.is_empty();
-                for wu in old {
-                    self.later(Record::Forgotten { wu });
+                for request_id in old {
+                    self.later(Record::Forgotten { request_id });
                 }
                 if !(goes_on && some) {
                     break;
@@ -449,8 +457,8 @@
     /// What is on record of a work unit, by its client's id, as JSON; none where nothing is.
     pub fn tell(&self, id: &str) -> Option<String> {
         let ledger = self.ledger.borrow();
-        let wu = ledger.by_id(id)?;
-        let (known, now) = (ledger.wu(wu)?, self.now());
+        let request_id = ledger.by_id(id)?;
+        let (known, now) = (ledger.job(request_id)?, self.now());
         let standing = |standing: Standing| match standing {
             Standing::Out => "out",
             Standing::Unknown => "unknown",
@@ -458,19 +466,19 @@
             Standing::MayHaveRun => "may-have-run",
             Standing::Completed => "completed",
         };
-        let of = |a: &troutknot_ledger::Allocation| {
+        let of = |a: &troutknot_ledger::Attempt| {
             serde_json::json!({"fence": a.fence.0, "executor": a.executor, "at_ms": a.at,
                 "standing": standing(a.standing(now))})
         };
-        let allocations: Vec<serde_json::Value> = known.allocations.iter().map(of).collect();
-        let state = match (known.answered, self.joints.borrow().contains_key(&wu)) {
+        let attempts: Vec<serde_json::Value> = known.attempts.iter().map(of).collect();
+        let state = match (known.answered, self.joints.borrow().contains_key(&request_id)) {
             (Some(_), false) => "answered",
-            _ if known.allocations.is_empty() => "taken",
+            _ if known.attempts.is_empty() => "taken",
             _ => "allocated",
         };
         let told = serde_json::json!({"id": id, "state": state, "taken_ms": known.taken,
             "limit_ms": known.limit, "answered_ms": known.answered, "acknowledged": known.acknowledged,
-            "allocations": allocations});
+            "allocations": attempts});
         Some(format!("{told}\n"))
     }
 
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -55,7 +55,7 @@
 }
 
 pub struct Exchange {
-    pub wu: RequestId,
+    pub request_id: RequestId,
     pub work: Work,
     /// When it must have its final answer.
     pub limit: Instant,
@@ -77,11 +77,11 @@
 
 impl Exchange {
     /// None where the bytes of this work unit do not fit beside what is held.
-    pub fn new(wu: RequestId, work: Work, limit: Instant, held: &Rc<HeldBytes>) -> Option<Rc<Self>> {
+    pub fn new(request_id: RequestId, work: Work, limit: Instant, held: &Rc<HeldBytes>) -> Option<Rc<Self>> {
         let own_bytes = work.fields.len() + work.body.len();
         held.take(own_bytes).then(|| {
             Rc::new(Exchange {
-                wu,
+                request_id,
                 work,
                 limit,
                 durable: OnceCell::new(),
--- a/crates/daemon/src/executors/mod.rs
+++ b/crates/daemon/src/executors/mod.rs
@@ -103,13 +103,13 @@
     pub executor: ExecutorId,
     /// Its name, where the allocation goes on record.
     pub name: Option<String>,
-    pub alloc: AttemptId,
+    pub attempt_id: AttemptId,
     pub decided: Instant,
     /// The start and address of its executor that it was decided for, by [`Executors::life`].
     pub life: u64,
     pub cut: Instant,
     /// Its last byte is written before that, or never.
-    pub send_by: Instant,
+    pub send_deadline: Instant,
     pub stop: Rc<Stop>,
 }
 
@@ -302,9 +302,10 @@
 
     /// Carries out a push and tells the driver its one outcome.
     pub async fn allocate(self: Rc<Self>, push: Push) {
-        let (wu, alloc) = (push.exchange.wu, push.alloc);
+        let (request_id, attempt_id) = (push.exchange.request_id, push.attempt_id);
         // Whether that closes the work unit is the driver's to say.
-        let ended = |outcome| Event::Heard(Heard::AttemptEnded { wu, alloc, outcome, closed: false });
+        let ended =
+            |outcome| Event::Heard(Heard::AttemptEnded { request_id, attempt_id, outcome, closed: false });
         let Some(host) = self.host(push.executor) else {
             let _ = self.events.send(ended(Outcome::NotSent)).await;
             return;
@@ -348,7 +349,7 @@
             () = exchange.over() => Err(Outcome::NotSent),
             () = host.shut() => Err(Outcome::NotSent),
             () = sleep_until(push.cut) => Err(Outcome::NoConnection),
-            () = sleep_until(push.send_by) => Err(Outcome::NotSent),
+            () = sleep_until(push.send_deadline) => Err(Outcome::NotSent),
             connection = self.connect(host, most, !rerunnable) => connection,
         };
         let mut connection = match connection {
@@ -362,8 +363,8 @@
                 _ = push.stop.told() => None,
                 () = exchange.over() => None,
                 () = host.shut() => None,
-                () = sleep_until(push.send_by) => None,
-                lease = durable.lease(exchange.wu, name, push.cut) => lease,
+                () = sleep_until(push.send_deadline) => None,
+                lease = durable.lease(exchange.request_id, name, push.cut) => lease,
             };
             let Some(lease) = lease else {
                 self.put_back(host, connection);
@@ -378,7 +379,7 @@
         // Guards against work for a start that has passed: while it waited to be carried out, or connected, the
         // list may have told of another start or address, whose cold budget knows nothing of it.
         let other = host.life.get() != push.life;
-        if exchange.is_over() || host.is_shut() || now >= push.send_by || stood || other {
+        if exchange.is_over() || host.is_shut() || now >= push.send_deadline || stood || other {
             self.put_back(host, connection);
             return (Outcome::NotSent, None);
         }
@@ -399,7 +400,7 @@
             _ = push.stop.told() => false,
             () = exchange.over() => false,
             () = host.shut() => false,
-            () = sleep_until(push.send_by) => false,
+            () = sleep_until(push.send_deadline) => false,
         };
         if !written {
             // The last byte was not written, so it never runs.
@@ -451,7 +452,7 @@
         push: &Push,
         lease: Option<&Lease>,
     ) -> Result<(Outcome, Option<AnswerHead>), Failed> {
-        let (exchange, wu, alloc) = (&push.exchange, push.exchange.wu, push.alloc);
+        let (exchange, request_id, attempt_id) = (&push.exchange, push.exchange.request_id, push.attempt_id);
         let mut head = connection.answer_head().await?;
         lease.iter().for_each(|lease| lease.beat(false));
         if let Some(outcome) = words::taken(&head) {
@@ -471,12 +472,17 @@
                 match told {
                     Line::Started => {
                         begun = true;
-                        let _ = self.events.try_send(Event::Heard(Heard::AttemptStarted { wu, alloc }));
+                        let _ = self
+                            .events
+                            .try_send(Event::Heard(Heard::AttemptStarted { request_id, attempt_id }));
                     }
                     Line::Progress(share) => {
                         begun = true;
-                        let _ =
-                            self.events.try_send(Event::Heard(Heard::AttemptProgressed { wu, alloc, share }));
+                        let _ = self.events.try_send(Event::Heard(Heard::AttemptProgressed {
+                            request_id,
+                            attempt_id,
+                            share,
+                        }));
                     }
                     Line::Result(result) => {
                         exchange.answer(Answer::Completed(result));
@@ -498,7 +504,7 @@
         self: Rc<Self>,
         exchange: Rc<Exchange>,
         executor: ExecutorId,
-        alloc: AttemptId,
+        attempt_id: AttemptId,
         lease: Lease,
     ) {
         let fate = match self.host(executor) {
@@ -507,7 +513,8 @@
         };
         let outcome = fate.unwrap_or(Outcome::Reset);
         lease.ended(outcome);
-        let ended = Heard::AttemptEnded { wu: exchange.wu, alloc, outcome, closed: false };
+        let ended =
+            Heard::AttemptEnded { request_id: exchange.request_id, attempt_id, outcome, closed: false };
         let _ = self.events.send(Event::Heard(ended)).await;
     }
 
--- a/crates/daemon/src/words.rs
+++ b/crates/daemon/src/words.rs
@@ -75,7 +75,7 @@
     limits: Vec<Duration>,
     effects: Vec<Effect>,
     /// How often a work unit that is taken from now on may be sent.
-    most_allocs: usize,
+    max_attempts: usize,
     /// Whether an allocation may be cancelled.
     cancel: bool,
     come_back_told: bool,
@@ -117,7 +117,7 @@
             effects: (0..project_types.len())
                 .map(|k| Effect::named(values.text(&own(k, "effect"))))
                 .collect(),
-            most_allocs: values.number("limits.most_allocations", 1.0) as usize,
+            max_attempts: values.number("limits.most_allocations", 1.0) as usize,
             taken_types: taken(&adopted.types_in_force, &project_types),
             taken_customers: taken(&adopted.customers_in_force, &customers),
             project_types,
@@ -146,8 +146,8 @@
         self.cancel && self.effect(project_type) == Some(Effect::Idempotent)
     }
 
-    pub fn most_allocs(&self) -> usize {
-        self.most_allocs
+    pub fn max_attempts(&self) -> usize {
+        self.max_attempts
     }
 
     /// Reads a work unit out of a request's head, without its body, and how long its client will wait; or
--- a/crates/daemon/tests/durable.rs
+++ b/crates/daemon/tests/durable.rs
@@ -179,10 +179,12 @@
     {
         let store = Store::open(place.ledger.as_ref()).unwrap();
         let rows = store.of(troutknot::RequestId(0)).unwrap();
-        let (wu, alloc, outcome) =
+        let (request_id, attempt_id, outcome) =
             (troutknot::RequestId(0), troutknot::AttemptId(0), troutknot::Outcome::Completed);
         let (at, number) = (rows.last().unwrap().at, rows.len() as u32);
-        store.commit(&[Row { at, place: number, record: Record::Ended { wu, alloc, outcome } }]).unwrap();
+        store
+            .commit(&[Row { at, place: number, record: Record::Ended { request_id, attempt_id, outcome } }])
+            .unwrap();
     }
     *executor.fates.lock().unwrap() = vec![json!({"state": "done", "result": "late"})].into();
     let node = start(&discovery, &place);
@@ -359,8 +361,8 @@
                 let mut work = work.clone();
                 let at = work.windows(8).position(|part| part == b"m0000000").unwrap();
                 work[at..at + 8].copy_from_slice(id.as_bytes());
-                let (wu, key) = (troutknot::RequestId(number), Some(format!("km{number}")));
-                let record = Record::Taken { wu, effect, limit, id, key, digest, work };
+                let (request_id, key) = (troutknot::RequestId(number), Some(format!("km{number}")));
+                let record = Record::Taken { request_id, effect, limit, id, key, digest, work };
                 Row { at: first.at, place: 0, record }
             };
             store.commit(&(1..count).map(of).collect::<Vec<_>>()).unwrap();
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -214,11 +214,11 @@
             exchange: exchange.clone(),
             executor: released,
             name: None,
-            alloc: AttemptId(7),
+            attempt_id: AttemptId(7),
             decided: Instant::now(),
             life,
             cut,
-            send_by: cut,
+            send_deadline: cut,
             stop,
         };
         executors.clone().allocate(push).await;
@@ -311,15 +311,15 @@
     let stages = Rc::new(Stages::new());
     let mut driver = Driver::new(dispatcher, clock, words, executors, Rc::default(), told, stages);
     let held = HeldBytes::new(100);
-    let exchange = |wu: u64| {
-        let work = Work::of(&wu.to_string(), 0);
+    let exchange = |request_id: u64| {
+        let work = Work::of(&request_id.to_string(), 0);
         let limit = Instant::now() + std::time::Duration::from_secs(5);
-        Exchange::new(RequestId(wu), work, limit, &held).unwrap()
+        Exchange::new(RequestId(request_id), work, limit, &held).unwrap()
     };
     let [before, after, sent] = [1, 2, 3].map(exchange);
     driver.tell(clock.now(), Event::Arrived(before.clone()));
     driver.tell(clock.now(), Event::Arrived(sent.clone()));
-    driver.open.get_mut(&sent.wu).unwrap().allocs = 1;
+    driver.open.get_mut(&sent.request_id).unwrap().attempts = 1;
     driver.tell(clock.now(), Event::End);
     driver.tell(clock.now(), Event::Arrived(after.clone()));
     for (what, exchange, expected) in
--- a/crates/daemon/tests/unit/executors.rs
+++ b/crates/daemon/tests/unit/executors.rs
@@ -50,11 +50,11 @@
     exchange: &Rc<Exchange>,
     stop: &Rc<Stop>,
     decided: Instant,
-    [cut, send_by]: [Instant; 2],
+    [cut, send_deadline]: [Instant; 2],
 ) -> Push {
     let (life, exchange, stop) = (of.life(executor()), exchange.clone(), stop.clone());
-    let (executor, alloc, send_by) = (executor(), AttemptId(0), send_by.min(cut));
-    Push { name: None, exchange, executor, alloc, decided, life, cut, send_by, stop }
+    let (executor, attempt_id, send_deadline) = (executor(), AttemptId(0), send_deadline.min(cut));
+    Push { name: None, exchange, executor, attempt_id, decided, life, cut, send_deadline, stop }
 }
 
 /// Listens, and with `full` so that every connection hangs: its queue is taken up.
--- a/crates/emulator/src/executors.rs
+++ b/crates/emulator/src/executors.rs
@@ -24,7 +24,7 @@
 /// What the executors know of a work unit by its id.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Work {
-    pub wu: u64,
+    pub request_id: u64,
     pub project_type: usize,
     pub slots: f64,
     pub memory: f64,
@@ -245,7 +245,7 @@
             match output {
                 Output::Started { key } => {
                     self.fate(&key, |_| Fate::Running);
-                    note(Seen::Started { alloc: key.0 });
+                    note(Seen::Started { attempt_id: key.0 });
                     if self.shared.tells {
                         say(&key, &|id| json!({"id": id, "from": self.name, "state": "started"}));
                     }
@@ -254,7 +254,7 @@
                     say(&key, &|id| json!({"id": id, "from": self.name, "state": "running", "share": share}));
                 }
                 Output::Ended { key, end } => {
-                    note(Seen::Ended { alloc: key.0, end });
+                    note(Seen::Ended { attempt_id: key.0, end });
                     self.fate(&key, |id| match end {
                         End::Done => Fate::Done(result_of(id)),
                         _ => Fate::Lost,
@@ -308,7 +308,7 @@
             of.taken = None;
             self.fenced_out.borrow_mut().remove(&key);
             drop(known);
-            self.note(Seen::NeverRan { alloc: key.0 });
+            self.note(Seen::NeverRan { attempt_id: key.0 });
             self.out.borrow_mut().remove(&key);
             self.model.borrow_mut().cancel(self.now(), key);
             self.changed.notify_one();
@@ -465,12 +465,12 @@
             answer.headers_mut().insert("not-started", hyper::header::HeaderValue::from_static("1"));
             answer
         };
-        let alloc = self.shared.next_alloc.get();
-        self.shared.next_alloc.set(alloc + 1);
-        let key = Key(alloc);
+        let attempt_id = self.shared.next_alloc.get();
+        self.shared.next_alloc.set(attempt_id + 1);
+        let key = Key(attempt_id);
         let offer = Offer {
             key,
-            wu: work.wu,
+            request_id: work.request_id,
             project_type: work.project_type,
             slots: work.slots,
             memory: work.memory,
@@ -479,7 +479,7 @@
         };
         self.note(Seen::Received {
             executor: self.number,
-            alloc,
+            attempt_id,
             id: id.clone().into(),
             first_byte,
             slots: offer.slots,
@@ -490,7 +490,7 @@
             let of = known.entry(id.clone()).or_default();
             if fence <= of.highest {
                 drop(known);
-                self.note(Seen::NeverRan { alloc });
+                self.note(Seen::NeverRan { attempt_id });
                 return turned_away();
             }
             of.highest = fence;
@@ -508,17 +508,17 @@
         match verdict {
             Verdict::Taken => {}
             Verdict::TurnedAway => {
-                self.note(Seen::NeverRan { alloc });
+                self.note(Seen::NeverRan { attempt_id });
                 self.after_a_change();
                 return turned_away();
             }
             Verdict::Error => {
-                self.note(Seen::Errored { alloc });
+                self.note(Seen::Errored { attempt_id });
                 return status(500, String::new());
             }
             Verdict::Down => {
                 // It fell over under this very allocation, or died as it came.
-                self.note(Seen::Ended { alloc, end: End::Reset });
+                self.note(Seen::Ended { attempt_id, end: End::Reset });
                 self.after_a_change();
                 self.reset_all();
                 line.cut(Cut::Reset);
@@ -541,7 +541,7 @@
 
     /// Whoever sent it has ended the connection.
     fn given_up(&self, key: Key) {
-        self.note(Seen::GivenUp { alloc: key.0 });
+        self.note(Seen::GivenUp { attempt_id: key.0 });
         if self.fenced_out.borrow().contains_key(&key) {
             // Whoever sent it will ask what became of it.
             return;
--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -27,7 +27,7 @@
 pub struct Offer {
     pub key: Key,
     /// Stands for the work unit at every executor alike.
-    pub wu: u64,
+    pub request_id: u64,
     pub project_type: usize,
     pub slots: f64,
     pub memory: f64,
@@ -234,7 +234,7 @@
         }
         let mut chance = ChaCha8Rng::seed_from_u64(mixed(self.seed, offer.key.0));
         // The same work unit is as heavy everywhere.
-        let mut weight = ChaCha8Rng::seed_from_u64(mixed(0x7461_696c, offer.wu));
+        let mut weight = ChaCha8Rng::seed_from_u64(mixed(0x7461_696c, offer.request_id));
         let mut swallowed = false;
         for (_, _, trouble) in &self.troubles {
             match *trouble {
@@ -470,7 +470,7 @@
             if self.checkpoints.len() >= MOST_CHECKPOINTS {
                 self.checkpoints.clear();
             }
-            self.checkpoints.insert(ended.offer.wu, (done / every).floor() * every);
+            self.checkpoints.insert(ended.offer.request_id, (done / every).floor() * every);
         }
         ended
     }
@@ -497,7 +497,7 @@
     }
 
     fn start(&mut self, offer: Offer) {
-        let before = self.checkpoints.remove(&offer.wu).unwrap_or(0.0).min(offer.work);
+        let before = self.checkpoints.remove(&offer.request_id).unwrap_or(0.0).min(offer.work);
         let mut left = offer.work - before;
         let mut chance = ChaCha8Rng::seed_from_u64(mixed(self.seed ^ 0x7265_7365, offer.key.0));
         let mut resets = false;
@@ -613,9 +613,9 @@
             while at < self.running.len() {
                 if self.running[at].ends_at - self.progress <= CLOSE {
                     let ended = self.stop(at);
-                    let (key, wu) = (ended.offer.key, ended.offer.wu);
+                    let (key, request_id) = (ended.offer.key, ended.offer.request_id);
                     if !ended.resets {
-                        self.checkpoints.remove(&wu);
+                        self.checkpoints.remove(&request_id);
                     }
                     let end = if ended.resets { End::Reset } else { End::Done };
                     self.outputs.push_back((self.now, Output::Ended { key, end }));
--- a/crates/emulator/src/observed.rs
+++ b/crates/emulator/src/observed.rs
@@ -23,7 +23,7 @@
     /// The last byte of an allocation came; its first one at `first_byte`.
     Received {
         executor: ExecutorNumber,
-        alloc: AllocNumber,
+        attempt_id: AllocNumber,
         id: Box<str>,
         first_byte: Millis,
         slots: f64,
@@ -36,22 +36,22 @@
     },
     /// It was answered that it never ran.
     NeverRan {
-        alloc: AllocNumber,
+        attempt_id: AllocNumber,
     },
     /// It was answered with an error.
     Errored {
-        alloc: AllocNumber,
+        attempt_id: AllocNumber,
     },
     Started {
-        alloc: AllocNumber,
+        attempt_id: AllocNumber,
     },
     Ended {
-        alloc: AllocNumber,
+        attempt_id: AllocNumber,
         end: End,
     },
     /// Whoever sent it ended the connection before the answer.
     GivenUp {
-        alloc: AllocNumber,
+        attempt_id: AllocNumber,
     },
     ExecutorUp {
         executor: ExecutorNumber,
--- a/crates/emulator/src/theory.rs
+++ b/crates/emulator/src/theory.rs
@@ -160,7 +160,7 @@
                     came.insert(key, (arrived, now));
                     let offer = Offer {
                         key,
-                        wu: key.0,
+                        request_id: key.0,
                         project_type: 0,
                         slots: 1.0,
                         memory: 0.0,
--- a/crates/emulator/tests/model.rs
+++ b/crates/emulator/tests/model.rs
@@ -2,7 +2,7 @@
 use troutknot_emulator::*;
 
 fn offer(key: u64, slots: f64, work: f64) -> Offer {
-    Offer { key: Key(key), wu: key, project_type: 0, slots, memory: 0.0, work, priority: key as f64 }
+    Offer { key: Key(key), request_id: key, project_type: 0, slots, memory: 0.0, work, priority: key as f64 }
 }
 
 /// What happened until a time, in short: what, to whom, when (whole milliseconds).
--- a/crates/emulator/tests/sockets.rs
+++ b/crates/emulator/tests/sockets.rs
@@ -32,7 +32,7 @@
     // The id says how long the work is; one that says nothing is not known.
     let work_of = |id: &str| {
         let work = id.split('-').next_back()?.parse().ok()?;
-        Some(Work { wu: 1, project_type: 0, slots: 1.0, memory: 0.0, work, priority: 0.0 })
+        Some(Work { request_id: 1, project_type: 0, slots: 1.0, memory: 0.0, work, priority: 0.0 })
     };
     let shared = Shared::new(record.clone(), Arc::new(work_of), true);
     (Host::start(&shared, 0, machine, 1, ANYWHERE.into(), true).unwrap(), record)
--- a/crates/hosting/src/telling.rs
+++ b/crates/hosting/src/telling.rs
@@ -25,8 +25,8 @@
 /// use troutknot::{RequestClassId, GossipMessage::WorkRejected};
 /// use troutknot_hosting::{telling, told};
 /// let (here, there) = (["a".to_string(), "b".to_string()], ["b".to_string()]);
-/// let bytes = telling(TurnedAway { token: 7, project_type: RequestClassId(1) }, &here);
-/// assert_eq!(told(&bytes, &there), Some(TurnedAway { token: 7, project_type: RequestClassId(0) }));
+/// let bytes = telling(WorkRejected { token: 7, project_type: RequestClassId(1) }, &here);
+/// assert_eq!(told(&bytes, &there), Some(WorkRejected { token: 7, project_type: RequestClassId(0) }));
 /// ```
 pub fn telling(telling: GossipMessage, types: TypeNames) -> Vec<u8> {
     match telling {
--- a/crates/ledger/examples/cost.rs
+++ b/crates/ledger/examples/cost.rs
@@ -19,7 +19,15 @@
 fn taken(number: u64) -> Record {
     let (id, key, digest) = (format!("{number:016x}"), Some(format!("key-{number}")), [7; 32]);
     let work = vec![7; BODY];
-    Record::Taken { wu: RequestId(number), effect: Effect::AtMostOnce, limit: 1e13, id, key, digest, work }
+    Record::Taken {
+        request_id: RequestId(number),
+        effect: Effect::AtMostOnce,
+        limit: 1e13,
+        id,
+        key,
+        digest,
+        work,
+    }
 }
 
 fn open(path: &Path, together: bool) -> (Committer, Ledger) {
@@ -51,14 +59,19 @@
     /// One work unit's life, and how long it waited for its records.
     fn life(&self) -> Duration {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let (wu, began) = (RequestId(number), Instant::now());
+        let (request_id, began) = (RequestId(number), Instant::now());
         self.write(taken(number));
-        self.write(Record::Allocated { wu, fence: Fence(1), executor: "s-00001".into(), lease_until: 1e13 });
-        self.committer.later(self.row(Record::Started { wu, alloc: AttemptId(0) }));
-        self.write(Record::Answered { wu, answer: Answer::Completed(vec![7; RESULT]) });
+        self.write(Record::Dispatched {
+            request_id,
+            fence: Fence(1),
+            executor: "s-00001".into(),
+            lease_until: 1e13,
+        });
+        self.committer.later(self.row(Record::Started { request_id, attempt_id: AttemptId(0) }));
+        self.write(Record::Answered { request_id, answer: Answer::Completed(vec![7; RESULT]) });
         self.committer.later(self.row(Record::Ended {
-            wu,
-            alloc: AttemptId(0),
+            request_id,
+            attempt_id: AttemptId(0),
             outcome: Outcome::Completed,
         }));
         began.elapsed()
@@ -89,8 +102,8 @@
     let of = |counter: &AtomicU64| counter.load(Ordering::Relaxed) as f64;
     let logical = of(&shared.logical);
     println!(
-        "{} {clients:>4} clients: {:>7.0} wu/s, waits p50 {:>7.2} ms p99 {:>7.2} ms; {:.2} syncs, {:>6.0} bytes of \
-         rows, {:>6.0} written a wu: amplification {:.1}; file {:.0} bytes a wu",
+        "{} {clients:>4} clients: {:>7.0} requests/s, waits p50 {:>7.2} ms p99 {:>7.2} ms; {:.2} syncs, {:>6.0} bytes of \
+         rows, {:>6.0} written a request: amplification {:.1}; file {:.0} bytes a request",
         if together { "together" } else { "each    " },
         count / took,
         waited[waited.len() / 2],
@@ -107,9 +120,9 @@
 fn recovery(path: &Path, records: u64) {
     let store = Store::open(path).expect("the ledger opens");
     let of = |number: u64| {
-        let wu = RequestId(number);
+        let request_id = RequestId(number);
         let allocated =
-            Record::Allocated { wu, fence: Fence(1), executor: "s-00001".into(), lease_until: 1e13 };
+            Record::Dispatched { request_id, fence: Fence(1), executor: "s-00001".into(), lease_until: 1e13 };
         let place = |place, record| Row { at: 1e12, place, record };
         [place(0, taken(number)), place(1, allocated)]
     };
--- a/crates/ledger/src/committer.rs
+++ b/crates/ledger/src/committer.rs
@@ -66,8 +66,8 @@
         let mut fault = None;
         let read = store.each(|row| {
             let added = row.map_err(|e| e.to_string()).and_then(|row| {
-                let (wu, place) = (row.record.wu().0, row.place);
-                ledger.restore(&row).map_err(|why| format!("row {place} of work unit {wu}: {why}"))
+                let (request_id, place) = (row.record.request_id().0, row.place);
+                ledger.restore(&row).map_err(|why| format!("row {place} of work unit {request_id}: {why}"))
             });
             fault = fault.take().or(added.err());
         });
@@ -108,9 +108,9 @@
     }
 
     /// Reads the rows of one work unit, those that were handed over before among them.
-    pub fn read(&self, wu: RequestId, found: impl FnOnce(Result<Vec<Row>, String>) + Send + 'static) {
+    pub fn read(&self, request_id: RequestId, found: impl FnOnce(Result<Vec<Row>, String>) + Send + 'static) {
         if let Some(jobs) = &self.jobs {
-            let _ = jobs.send(Job::Read(wu, Box::new(found)));
+            let _ = jobs.send(Job::Read(request_id, Box::new(found)));
         }
     }
 
@@ -185,10 +185,10 @@
                 },
             };
             match job {
-                Job::Read(wu, found) => {
-                    let mut read = self.read(wu);
+                Job::Read(request_id, found) => {
+                    let mut read = self.read(request_id);
                     if let Ok(read) = &mut read {
-                        read.extend(rows.iter().filter(|row| row.record.wu() == wu).cloned());
+                        read.extend(rows.iter().filter(|row| row.record.request_id() == request_id).cloned());
                     }
                     found(read);
                 }
@@ -225,12 +225,12 @@
         }
     }
 
-    fn read(&self, wu: RequestId) -> Result<Vec<Row>, String> {
+    fn read(&self, request_id: RequestId) -> Result<Vec<Row>, String> {
         let mut rows = match &self.store {
-            Some(store) => store.of(wu).map_err(|e| e.to_string())?,
+            Some(store) => store.of(request_id).map_err(|e| e.to_string())?,
             None => return Err("the disk errs".into()),
         };
-        rows.extend(self.backlog.iter().filter(|row| row.record.wu() == wu).cloned());
+        rows.extend(self.backlog.iter().filter(|row| row.record.request_id() == request_id).cloned());
         Ok(rows)
     }
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -33,7 +33,7 @@
 pub enum Record {
     Taken {
         #[serde(with = "codec::RequestIdDef")]
-        wu: RequestId,
+        request_id: RequestId,
         #[serde(with = "codec::EffectDef")]
         effect: Effect,
         /// When it must have its final answer.
@@ -46,72 +46,72 @@
         work: Vec<u8>,
     },
     /// On record before its first byte is sent.
-    Allocated {
+    Dispatched {
         #[serde(with = "codec::RequestIdDef")]
-        wu: RequestId,
+        request_id: RequestId,
         fence: Fence,
         executor: String,
         lease_until: Millis,
     },
     Started {
         #[serde(with = "codec::RequestIdDef")]
-        wu: RequestId,
+        request_id: RequestId,
         #[serde(with = "codec::AttemptIdDef")]
-        alloc: AttemptId,
+        attempt_id: AttemptId,
     },
     /// A sign of life: the lease holds longer.
     Heartbeat {
         #[serde(with = "codec::RequestIdDef")]
-        wu: RequestId,
+        request_id: RequestId,
         #[serde(with = "codec::AttemptIdDef")]
-        alloc: AttemptId,
+        attempt_id: AttemptId,
         lease_until: Millis,
     },
     Ended {
         #[serde(with = "codec::RequestIdDef")]
-        wu: RequestId,
+        request_id: RequestId,
         #[serde(with = "codec::AttemptIdDef")]
-        alloc: AttemptId,
+        attempt_id: AttemptId,
         #[serde(with = "codec::OutcomeDef")]
         outcome: Outcome,
     },
     /// The executor confirms that it has not run this fence, and never will.
     Fenced {
         #[serde(with = "codec::RequestIdDef")]
-        wu: RequestId,
+        request_id: RequestId,
         #[serde(with = "codec::AttemptIdDef")]
-        alloc: AttemptId,
+        attempt_id: AttemptId,
     },
     /// The client's final answer, on record before it is sent.
     Answered {
         #[serde(with = "codec::RequestIdDef")]
-        wu: RequestId,
+        request_id: RequestId,
         answer: Answer,
     },
     /// The answer was written to a client whole.
     Acknowledged {
         #[serde(with = "codec::RequestIdDef")]
-        wu: RequestId,
+        request_id: RequestId,
     },
     /// Nothing is kept of it any longer.
     Forgotten {
         #[serde(with = "codec::RequestIdDef")]
-        wu: RequestId,
+        request_id: RequestId,
     },
 }
 
 impl Record {
-    pub fn wu(&self) -> RequestId {
+    pub fn request_id(&self) -> RequestId {
         match self {
-            Record::Taken { wu, .. }
-            | Record::Allocated { wu, .. }
-            | Record::Started { wu, .. }
-            | Record::Heartbeat { wu, .. }
-            | Record::Ended { wu, .. }
-            | Record::Fenced { wu, .. }
-            | Record::Answered { wu, .. }
-            | Record::Acknowledged { wu }
-            | Record::Forgotten { wu } => *wu,
+            Record::Taken { request_id, .. }
+            | Record::Dispatched { request_id, .. }
+            | Record::Started { request_id, .. }
+            | Record::Heartbeat { request_id, .. }
+            | Record::Ended { request_id, .. }
+            | Record::Fenced { request_id, .. }
+            | Record::Answered { request_id, .. }
+            | Record::Acknowledged { request_id }
+            | Record::Forgotten { request_id } => *request_id,
         }
     }
 }
@@ -128,9 +128,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum Broken {
     #[error("the work unit is not known")]
-    UnknownWu,
+    UnknownJob,
     #[error("the allocation is not known")]
-    UnknownAlloc,
+    UnknownAttempt,
     #[error("the work unit was taken before")]
     TakenTwice,
     #[error("the work unit has its final answer")]
@@ -174,7 +174,7 @@
 }
 
 #[derive(Clone, PartialEq, Debug)]
-pub struct Allocation {
+pub struct Attempt {
     pub fence: Fence,
     pub executor: String,
     /// When it was recorded.
@@ -185,7 +185,7 @@
     pub fenced: bool,
 }
 
-impl Allocation {
+impl Attempt {
     pub fn standing(&self, now: Millis) -> Standing {
         match self.ended {
             _ if self.fenced => Standing::NeverRan,
@@ -199,14 +199,14 @@
 }
 
 #[derive(Clone, PartialEq, Debug)]
-pub struct Wu {
+pub struct Job {
     pub effect: Effect,
     pub taken: Millis,
     pub limit: Millis,
     pub id: String,
     pub key: Option<String>,
     pub digest: Digest,
-    pub allocations: Vec<Allocation>,
+    pub attempts: Vec<Attempt>,
     /// When its final answer was recorded.
     pub answered: Option<Millis>,
     pub acknowledged: bool,
@@ -214,13 +214,13 @@
     pub rows: u32,
 }
 
-impl Wu {
+impl Job {
     /// Whether it may be allocated at this time, and with which fence.
     ///
     /// # Errors
     /// Why not.
-    pub fn may_allocate(&self, now: Millis, most: usize) -> Result<Fence, Refused> {
-        let standings = self.allocations.iter().map(|a| a.standing(now));
+    pub fn may_dispatch(&self, now: Millis, most: usize) -> Result<Fence, Refused> {
+        let standings = self.attempts.iter().map(|a| a.standing(now));
         let mut may_have_run = false;
         for standing in standings {
             match standing {
@@ -232,17 +232,17 @@
         if may_have_run && self.effect == Effect::AtMostOnce {
             return Err(Refused::MayHaveRun);
         }
-        if self.allocations.len() >= most {
+        if self.attempts.len() >= most {
             return Err(Refused::Most);
         }
-        Ok(Fence(self.allocations.last().map_or(1, |a| a.fence.0 + 1)))
+        Ok(Fence(self.attempts.last().map_or(1, |a| a.fence.0 + 1)))
     }
 }
 
 /// All work units on record. What they asked and were answered is not kept here, only on disk.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Ledger {
-    wus: BTreeMap<RequestId, Wu>,
+    jobs: BTreeMap<RequestId, Job>,
     by_id: HashMap<String, RequestId>,
     by_key: HashMap<String, RequestId>,
     /// Those that are answered, by when.
@@ -256,7 +256,7 @@
     /// Empty; each work unit may be allocated `most` times.
     pub fn new(most: usize) -> Self {
         Ledger {
-            wus: BTreeMap::new(),
+            jobs: BTreeMap::new(),
             by_id: HashMap::new(),
             by_key: HashMap::new(),
             ended: BTreeSet::new(),
@@ -286,7 +286,7 @@
     /// # Errors
     /// As [`Ledger::apply`], and where rows before it are missing.
     pub fn restore(&mut self, row: &Row) -> Result<(), Broken> {
-        let before = self.wus.get(&row.record.wu()).map_or(0, |wu| wu.rows);
+        let before = self.jobs.get(&row.record.request_id()).map_or(0, |job| job.rows);
         if row.place != before {
             return Err(Broken::Missing);
         }
@@ -296,8 +296,8 @@
         Ok(())
     }
 
-    pub fn wu(&self, wu: RequestId) -> Option<&Wu> {
-        self.wus.get(&wu)
+    pub fn job(&self, request_id: RequestId) -> Option<&Job> {
+        self.jobs.get(&request_id)
     }
 
     pub fn by_id(&self, id: &str) -> Option<RequestId> {
@@ -310,11 +310,11 @@
 
     /// How many it knows, ended ones as well.
     pub fn len(&self) -> usize {
-        self.wus.len()
+        self.jobs.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.wus.is_empty()
+        self.jobs.is_empty()
     }
 
     /// The latest time that any record names. Guards against a clock that jumped back: no time is earlier.
@@ -328,19 +328,19 @@
     }
 
     /// All work units on record.
-    pub fn all(&self) -> impl Iterator<Item = (RequestId, &Wu)> {
-        self.wus.iter().map(|(id, wu)| (*id, wu))
+    pub fn all(&self) -> impl Iterator<Item = (RequestId, &Job)> {
+        self.jobs.iter().map(|(id, job)| (*id, job))
     }
 
     /// Work units without a final answer.
-    pub fn open(&self) -> impl Iterator<Item = (RequestId, &Wu)> {
-        self.wus.iter().filter(|(_, wu)| wu.answered.is_none()).map(|(id, wu)| (*id, wu))
+    pub fn open(&self) -> impl Iterator<Item = (RequestId, &Job)> {
+        self.jobs.iter().filter(|(_, job)| job.answered.is_none()).map(|(id, job)| (*id, job))
     }
 
     /// Up to so many that were answered before then.
     pub fn answered_before(&self, then: Millis, most: usize) -> Vec<RequestId> {
         let until = (then.max(0.0).to_bits(), RequestId(0));
-        self.ended.range(..until).take(most).map(|(_, wu)| *wu).collect()
+        self.ended.range(..until).take(most).map(|(_, request_id)| *request_id).collect()
     }
 
     /// Adds a record that is made now; the row is what is to be written.
@@ -348,7 +348,7 @@
     /// # Errors
     /// Why it does not follow; nothing is changed then.
     pub fn apply(&mut self, now: Millis, record: Record) -> Result<Row, Broken> {
-        let place = self.wus.get(&record.wu()).map_or(0, |wu| wu.rows);
+        let place = self.jobs.get(&record.request_id()).map_or(0, |job| job.rows);
         self.add(now, now, &record)?;
         self.last = self.last.max(now);
         Ok(Row { at: now, place, record })
@@ -356,39 +356,39 @@
 
     fn add(&mut self, now: Millis, at: Millis, record: &Record) -> Result<(), Broken> {
         match record {
-            Record::Taken { wu, effect, limit, id, key, digest, .. } => {
-                if self.wus.contains_key(wu) || self.by_id.contains_key(id) {
+            Record::Taken { request_id, effect, limit, id, key, digest, .. } => {
+                if self.jobs.contains_key(request_id) || self.by_id.contains_key(id) {
                     return Err(Broken::TakenTwice);
                 }
                 if key.as_ref().is_some_and(|key| self.by_key.contains_key(key)) {
                     return Err(Broken::KeyTwice);
                 }
-                self.by_id.insert(id.clone(), *wu);
+                self.by_id.insert(id.clone(), *request_id);
                 if let Some(key) = key {
-                    self.by_key.insert(key.clone(), *wu);
+                    self.by_key.insert(key.clone(), *request_id);
                 }
-                self.next = self.next.max(wu.0 + 1);
-                let taken = Wu {
+                self.next = self.next.max(request_id.0 + 1);
+                let taken = Job {
                     effect: *effect,
                     taken: at,
                     limit: *limit,
                     id: id.clone(),
                     key: key.clone(),
                     digest: *digest,
-                    allocations: Vec::new(),
+                    attempts: Vec::new(),
                     answered: None,
                     acknowledged: false,
                     rows: 0,
                 };
-                self.wus.insert(*wu, taken);
+                self.jobs.insert(*request_id, taken);
             }
-            Record::Allocated { wu, fence, executor, lease_until } => {
+            Record::Dispatched { request_id, fence, executor, lease_until } => {
                 let most = self.most;
-                let wu = self.open_wu(*wu)?;
-                if wu.may_allocate(now, most)? > *fence {
+                let job = self.open_job(*request_id)?;
+                if job.may_dispatch(now, most)? > *fence {
                     return Err(Broken::Fence);
                 }
-                wu.allocations.push(Allocation {
+                job.attempts.push(Attempt {
                     fence: *fence,
                     executor: executor.clone(),
                     at,
@@ -398,55 +398,60 @@
                     fenced: false,
                 });
             }
-            Record::Started { wu, alloc } => self.running(*wu, *alloc)?.started = true,
-            Record::Heartbeat { wu, alloc, lease_until } => {
-                let allocation = self.running(*wu, *alloc)?;
+            Record::Started { request_id, attempt_id } => {
+                self.running(*request_id, *attempt_id)?.started = true
+            }
+            Record::Heartbeat { request_id, attempt_id, lease_until } => {
+                let allocation = self.running(*request_id, *attempt_id)?;
                 allocation.lease_until = allocation.lease_until.max(*lease_until);
             }
-            Record::Ended { wu, alloc, outcome } => self.running(*wu, *alloc)?.ended = Some(*outcome),
-            Record::Fenced { wu, alloc } => {
-                let allocation = self.running(*wu, *alloc)?;
+            Record::Ended { request_id, attempt_id, outcome } => {
+                self.running(*request_id, *attempt_id)?.ended = Some(*outcome)
+            }
+            Record::Fenced { request_id, attempt_id } => {
+                let allocation = self.running(*request_id, *attempt_id)?;
                 if allocation.started {
                     return Err(Broken::Ended);
                 }
                 allocation.fenced = true;
             }
-            Record::Answered { wu, .. } => {
-                self.open_wu(*wu)?.answered = Some(at);
-                self.ended.insert((at.max(0.0).to_bits(), *wu));
+            Record::Answered { request_id, .. } => {
+                self.open_job(*request_id)?.answered = Some(at);
+                self.ended.insert((at.max(0.0).to_bits(), *request_id));
             }
-            Record::Acknowledged { wu } => {
-                let wu = self.wus.get_mut(wu).ok_or(Broken::UnknownWu)?;
-                if wu.answered.is_none() {
+            Record::Acknowledged { request_id } => {
+                let job = self.jobs.get_mut(request_id).ok_or(Broken::UnknownJob)?;
+                if job.answered.is_none() {
                     return Err(Broken::Open);
                 }
-                wu.acknowledged = true;
+                job.acknowledged = true;
             }
-            Record::Forgotten { wu } => {
-                let answered = self.wus.get(wu).ok_or(Broken::UnknownWu)?.answered.ok_or(Broken::Open)?;
-                self.ended.remove(&(answered.max(0.0).to_bits(), *wu));
-                if let Some(gone) = self.wus.remove(wu) {
+            Record::Forgotten { request_id } => {
+                let answered =
+                    self.jobs.get(request_id).ok_or(Broken::UnknownJob)?.answered.ok_or(Broken::Open)?;
+                self.ended.remove(&(answered.max(0.0).to_bits(), *request_id));
+                if let Some(gone) = self.jobs.remove(request_id) {
                     self.by_id.remove(&gone.id);
                     gone.key.map(|key| self.by_key.remove(&key));
                 }
                 return Ok(());
             }
         }
-        if let Some(wu) = self.wus.get_mut(&record.wu()) {
-            wu.rows += 1;
+        if let Some(job) = self.jobs.get_mut(&record.request_id()) {
+            job.rows += 1;
         }
         Ok(())
     }
 
-    fn open_wu(&mut self, wu: RequestId) -> Result<&mut Wu, Broken> {
-        let wu = self.wus.get_mut(&wu).ok_or(Broken::UnknownWu)?;
-        if wu.answered.is_some() { Err(Broken::Over) } else { Ok(wu) }
+    fn open_job(&mut self, request_id: RequestId) -> Result<&mut Job, Broken> {
+        let job = self.jobs.get_mut(&request_id).ok_or(Broken::UnknownJob)?;
+        if job.answered.is_some() { Err(Broken::Over) } else { Ok(job) }
     }
 
     /// An allocation without an end; its word counts also after the final answer.
-    fn running(&mut self, wu: RequestId, alloc: AttemptId) -> Result<&mut Allocation, Broken> {
-        let wu = self.wus.get_mut(&wu).ok_or(Broken::UnknownWu)?;
-        let allocation = wu.allocations.get_mut(alloc.0 as usize).ok_or(Broken::UnknownAlloc)?;
+    fn running(&mut self, request_id: RequestId, attempt_id: AttemptId) -> Result<&mut Attempt, Broken> {
+        let job = self.jobs.get_mut(&request_id).ok_or(Broken::UnknownJob)?;
+        let allocation = job.attempts.get_mut(attempt_id.0 as usize).ok_or(Broken::UnknownAttempt)?;
         if allocation.ended.is_some() || allocation.fenced { Err(Broken::Ended) } else { Ok(allocation) }
     }
 }
--- a/crates/ledger/src/store.rs
+++ b/crates/ledger/src/store.rs
@@ -30,8 +30,8 @@
     Newer(u64),
     #[error("{0}")]
     Disk(String),
-    #[error("row {place} of work unit {wu}: {why}")]
-    Row { wu: u64, place: u32, why: Damaged },
+    #[error("row {place} of work unit {request_id}: {why}")]
+    Row { request_id: u64, place: u32, why: Damaged },
     #[error("it is no ledger")]
     NoLedger,
 }
@@ -185,12 +185,12 @@
         {
             let mut table = txn.open_table(ROWS).map_err(disk)?;
             for row in rows {
-                let wu = row.record.wu();
+                let request_id = row.record.request_id();
                 if let Record::Forgotten { .. } = row.record {
-                    table.retain_in(range(wu), |_, _| false).map_err(disk)?;
+                    table.retain_in(range(request_id), |_, _| false).map_err(disk)?;
                 } else {
                     let bytes = codec::encode(row.at, &row.record);
-                    table.insert((wu.0, row.place), bytes.as_slice()).map_err(disk)?;
+                    table.insert((request_id.0, row.place), bytes.as_slice()).map_err(disk)?;
                 }
             }
         }
@@ -214,8 +214,8 @@
     }
 }
 
-fn range(wu: RequestId) -> RangeInclusive<(u64, u32)> {
-    (wu.0, 0)..=(wu.0, u32::MAX)
+fn range(request_id: RequestId) -> RangeInclusive<(u64, u32)> {
+    (request_id.0, 0)..=(request_id.0, u32::MAX)
 }
 
 fn format_of(txn: &ReadTransaction) -> Result<Option<u64>, StoreError> {
@@ -244,8 +244,8 @@
         let txn = self.begin_read()?;
         for found in txn.open_table(ROWS).map_err(disk)?.iter().map_err(disk)? {
             let (key, bytes) = found.map_err(disk)?;
-            let (wu, place) = key.value();
-            each(row(wu, place, bytes.value()));
+            let (request_id, place) = key.value();
+            each(row(request_id, place, bytes.value()));
         }
         Ok(())
     }
@@ -254,13 +254,13 @@
     ///
     /// # Errors
     /// Where one is damaged, or the file cannot be read.
-    fn of(&self, wu: RequestId) -> Result<Vec<Row>, StoreError> {
+    fn of(&self, request_id: RequestId) -> Result<Vec<Row>, StoreError> {
         let txn = self.begin_read()?;
         let table = txn.open_table(ROWS).map_err(disk)?;
         let mut rows = Vec::new();
-        for found in table.range(range(wu)).map_err(disk)? {
+        for found in table.range(range(request_id)).map_err(disk)? {
             let (key, bytes) = found.map_err(disk)?;
-            rows.push(row(wu.0, key.value().1, bytes.value())?);
+            rows.push(row(request_id.0, key.value().1, bytes.value())?);
         }
         Ok(rows)
     }
@@ -274,11 +274,11 @@
     }
 }
 
-fn row(wu: u64, place: u32, bytes: &[u8]) -> Result<Row, StoreError> {
-    let row = codec::decode(place, bytes).map_err(|why| StoreError::Row { wu, place, why })?;
-    if row.record.wu() != RequestId(wu) {
+fn row(request_id: u64, place: u32, bytes: &[u8]) -> Result<Row, StoreError> {
+    let row = codec::decode(place, bytes).map_err(|why| StoreError::Row { request_id, place, why })?;
+    if row.record.request_id() != RequestId(request_id) {
         let why = Damaged::Record("it is of another work unit".into());
-        return Err(StoreError::Row { wu, place, why });
+        return Err(StoreError::Row { request_id, place, why });
     }
     Ok(row)
 }
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -141,23 +141,32 @@
     }
 }
 
-pub fn taken(wu: u64) -> Record {
-    let (id, key, digest) = (format!("id-{wu}"), Some(format!("key-{wu}")), [wu as u8; 32]);
-    let work = vec![wu as u8; 300];
-    Record::Taken { wu: RequestId(wu), effect: Effect::AtMostOnce, limit: 1e12, id, key, digest, work }
+pub fn taken(request_id: u64) -> Record {
+    let (id, key, digest) =
+        (format!("id-{request_id}"), Some(format!("key-{request_id}")), [request_id as u8; 32]);
+    let work = vec![request_id as u8; 300];
+    Record::Taken {
+        request_id: RequestId(request_id),
+        effect: Effect::AtMostOnce,
+        limit: 1e12,
+        id,
+        key,
+        digest,
+        work,
+    }
 }
 
 /// The records of one work unit's life, in order.
-pub fn life(wu: u64) -> Vec<Record> {
-    let (number, alloc) = (wu, AttemptId(0));
-    let wu = RequestId(wu);
+pub fn life(request_id: u64) -> Vec<Record> {
+    let (number, attempt_id) = (request_id, AttemptId(0));
+    let request_id = RequestId(request_id);
     vec![
         taken(number),
-        Record::Allocated { wu, fence: Fence(1), executor: "s-1".into(), lease_until: 10.0 },
-        Record::Started { wu, alloc },
-        Record::Ended { wu, alloc, outcome: Outcome::Completed },
-        Record::Answered { wu, answer: Answer::Completed(vec![7; 40]) },
-        Record::Forgotten { wu },
+        Record::Dispatched { request_id, fence: Fence(1), executor: "s-1".into(), lease_until: 10.0 },
+        Record::Started { request_id, attempt_id },
+        Record::Ended { request_id, attempt_id, outcome: Outcome::Completed },
+        Record::Answered { request_id, answer: Answer::Completed(vec![7; 40]) },
+        Record::Forgotten { request_id },
     ]
 }
 
--- a/crates/ledger/tests/compatibility.rs
+++ b/crates/ledger/tests/compatibility.rs
@@ -45,18 +45,18 @@
         );
         assert_eq!(request.key, (number % 2 == 0).then(|| format!("key-{number}")));
         if number <= 9 {
-            assert_eq!(request.allocations[0].ended, Some(outcomes[(number - 1).min(7)]), "{number}");
-            assert_eq!(request.allocations[0].started, number % 2 == 1, "{number}");
+            assert_eq!(request.attempts[0].ended, Some(outcomes[(number - 1).min(7)]), "{number}");
+            assert_eq!(request.attempts[0].started, number % 2 == 1, "{number}");
         }
         assert_eq!((request.answered.is_some(), request.acknowledged), (number < 9, number < 6), "{number}");
     }
-    let attempts = &ledger.wu(RequestId(10)).unwrap().allocations;
+    let attempts = &ledger.job(RequestId(10)).unwrap().attempts;
     assert_eq!(
         (attempts[0].standing(NOW), attempts[1].standing(NOW)),
         (Standing::NeverRan, Standing::Unknown)
     );
     assert_eq!((attempts[1].fence, attempts[1].executor.as_str()), (Fence(2), "s-2"));
-    assert_eq!(ledger.wu(RequestId(11)).unwrap().allocations[0].standing(0.0), Standing::Out);
+    assert_eq!(ledger.job(RequestId(11)).unwrap().attempts[0].standing(0.0), Standing::Out);
 }
 
 #[test]
@@ -64,7 +64,7 @@
     let rows = rows();
     let answer = |id| {
         rows.iter().find_map(|row| match &row.record {
-            Record::Answered { wu, answer } if wu.0 == id => Some(answer.clone()),
+            Record::Answered { request_id, answer } if request_id.0 == id => Some(answer.clone()),
             _ => None,
         })
     };
@@ -72,7 +72,8 @@
     assert_eq!(answer(5), Some(Answer::Deferred(Some(250.0))));
     assert_eq!(answer(6), Some(Answer::Deferred(None)));
     assert_eq!(answer(7), Some(Answer::Aborted));
-    let heartbeat = Record::Heartbeat { wu: RequestId(9), alloc: AttemptId(0), lease_until: 2e6 };
+    let heartbeat =
+        Record::Heartbeat { request_id: RequestId(9), attempt_id: AttemptId(0), lease_until: 2e6 };
     assert!(rows.iter().any(|row| row.record == heartbeat));
 }
 
@@ -84,7 +85,7 @@
     {
         let store = Store::open(&path).unwrap();
         let (mut ledger, _) = Ledger::recover(4, &rows());
-        let answer = Record::Answered { wu: RequestId(12), answer: Answer::Aborted };
+        let answer = Record::Answered { request_id: RequestId(12), answer: Answer::Aborted };
         store.commit([&ledger.apply(NOW, answer).unwrap()]).unwrap();
         assert_eq!(store.of(RequestId(12)).unwrap().len(), 2);
     }
--- a/crates/ledger/tests/crashes.rs
+++ b/crates/ledger/tests/crashes.rs
@@ -23,8 +23,8 @@
 /// What is kept of each work unit, without what is not on disk.
 fn state(ledger: &Ledger) -> Vec<(u64, u32, bool)> {
     (0..200)
-        .filter_map(|wu| Some((wu, ledger.wu(RequestId(wu))?)))
-        .map(|(wu, w)| (wu, w.rows, w.answered.is_some()))
+        .filter_map(|request_id| Some((request_id, ledger.job(RequestId(request_id))?)))
+        .map(|(request_id, job)| (request_id, job.rows, job.answered.is_some()))
         .collect()
 }
 
@@ -140,8 +140,8 @@
     let store = Store::over(disk.clone()).unwrap();
     let mut ledger = Ledger::new(MOST);
     let mut sizes = Vec::new();
-    for wu in 0..600 {
-        let batch: Vec<Row> = life(wu).into_iter().map(|r| ledger.apply(1.0, r).unwrap()).collect();
+    for request_id in 0..600 {
+        let batch: Vec<Row> = life(request_id).into_iter().map(|r| ledger.apply(1.0, r).unwrap()).collect();
         store.commit(&batch).unwrap();
         sizes.push(disk.len());
     }
@@ -213,8 +213,9 @@
         let (committer, mut ledger) =
             Committer::start(Box::new(move || Store::over(own.clone())), together, MOST).unwrap();
         disk.slow(Duration::from_micros(100));
-        let all: Vec<_> =
-            (0..200).map(|wu| write(&committer, vec![ledger.apply(1.0, taken(wu)).unwrap()])).collect();
+        let all: Vec<_> = (0..200)
+            .map(|request_id| write(&committer, vec![ledger.apply(1.0, taken(request_id)).unwrap()]))
+            .collect();
         all.iter().for_each(|told| told.recv().unwrap().unwrap());
         let commits = committer.health().commits.load(std::sync::atomic::Ordering::Relaxed);
         assert!(expected.contains(&commits), "{commits} commits, together: {together}");
@@ -254,7 +255,7 @@
     let byte = |k: usize| u8::from_str_radix(&first[k..k + 2], 16).unwrap();
     let bytes: Vec<u8> = (0..first.len()).step_by(2).map(byte).collect();
     let answer = troutknot_ledger::Answer::Completed(b"r".to_vec());
-    let record = Record::Answered { wu: RequestId(1), answer };
+    let record = Record::Answered { request_id: RequestId(1), answer };
     assert_eq!(decode(0, &bytes), Ok(Row { at: 1.0, place: 0, record: record.clone() }));
     assert_eq!(encode(1.0, &record), bytes, "what is written has changed: it needs a new format");
     let mut newer = bytes.clone();
--- a/crates/ledger/tests/interleavings.rs
+++ b/crates/ledger/tests/interleavings.rs
@@ -10,7 +10,7 @@
 
 fn taken(effect: Effect) -> Record {
     let (id, digest, work) = ("a".into(), [0; 32], Vec::new());
-    Record::Taken { wu: WU, effect, limit: 1e9, id, key: Some("k".into()), digest, work }
+    Record::Taken { request_id: WU, effect, limit: 1e9, id, key: Some("k".into()), digest, work }
 }
 
 /// As they stand on disk.
@@ -33,7 +33,7 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 struct World {
     /// One a lease, each an own unit of time; the lease of an allocation ends by a step.
-    allocs: Vec<(At, bool)>,
+    attempts: Vec<(At, bool)>,
     /// Ends and fences on record.
     ended: Vec<Option<bool>>,
     up: bool,
@@ -42,17 +42,17 @@
 /// The records that a world stands for: all of them are on disk whenever a step is over.
 fn records(world: &World) -> Vec<Record> {
     let mut records = vec![taken(Effect::AtMostOnce)];
-    for (k, (_, lease_over)) in world.allocs.iter().enumerate() {
+    for (k, (_, lease_over)) in world.attempts.iter().enumerate() {
         let lease_until = if *lease_over { 0.0 } else { f64::MAX };
         let fence = Fence(k as u64 + 1);
-        records.push(Record::Allocated { wu: WU, fence, executor: "s".into(), lease_until });
+        records.push(Record::Dispatched { request_id: WU, fence, executor: "s".into(), lease_until });
         match world.ended[k] {
             Some(true) => records.push(Record::Ended {
-                wu: WU,
-                alloc: AttemptId(k as u32),
+                request_id: WU,
+                attempt_id: AttemptId(k as u32),
                 outcome: Outcome::Completed,
             }),
-            Some(false) => records.push(Record::Fenced { wu: WU, alloc: AttemptId(k as u32) }),
+            Some(false) => records.push(Record::Fenced { request_id: WU, attempt_id: AttemptId(k as u32) }),
             None => {}
         }
     }
@@ -73,29 +73,31 @@
         then(&|w| w.up = false);
         let (ledger, broken) = Ledger::recover(MOST, &rows(records(world)));
         assert!(broken.is_none() || frees, "{broken:?} {world:?}");
-        let wu = ledger.wu(WU).unwrap();
-        let mutant = frees && world.allocs.len() < MOST && world.allocs.iter().all(|(_, over)| *over);
-        if wu.may_allocate(1.0, MOST).is_ok() || mutant {
+        let job = ledger.job(WU).unwrap();
+        let mutant = frees && world.attempts.len() < MOST && world.attempts.iter().all(|(_, over)| *over);
+        if job.may_dispatch(1.0, MOST).is_ok() || mutant {
             then(&|w| {
-                w.allocs.push((At::Record, false));
+                w.attempts.push((At::Record, false));
                 w.ended.push(None);
             });
         }
     }
-    for (k, (at, lease_over)) in world.allocs.iter().enumerate() {
+    for (k, (at, lease_over)) in world.attempts.iter().enumerate() {
         match at {
             // A node that is down sends nothing, and one that came back does not send what it had recorded.
-            At::Record if world.up && k + 1 == world.allocs.len() => then(&|w| w.allocs[k].0 = At::Paused),
-            At::Paused => then(&|w| w.allocs[k].0 = At::Ran),
+            At::Record if world.up && k + 1 == world.attempts.len() => {
+                then(&|w| w.attempts[k].0 = At::Paused)
+            }
+            At::Paused => then(&|w| w.attempts[k].0 = At::Ran),
             At::Ran if world.up && world.ended[k].is_none() => then(&|w| w.ended[k] = Some(true)),
             _ => {}
         }
         if !lease_over {
-            then(&|w| w.allocs[k].1 = true);
+            then(&|w| w.attempts[k].1 = true);
         }
         // The executor is asked, and says that it has not run this fence and never will.
         if world.up && *lease_over && matches!(at, At::Record | At::Paused) && world.ended[k].is_none() {
-            then(&|w| (w.allocs[k].0, w.ended[k]) = (At::Refused, Some(false)));
+            then(&|w| (w.attempts[k].0, w.ended[k]) = (At::Refused, Some(false)));
         }
     }
     worlds
@@ -109,7 +111,7 @@
         let worlds: Vec<World> = edge.iter().flat_map(|world| next(world, frees)).collect();
         edge = worlds.into_iter().filter(|world| seen.insert(world.clone())).collect();
         for world in &edge {
-            most = most.max(world.allocs.iter().filter(|(at, _)| *at == At::Ran).count());
+            most = most.max(world.attempts.iter().filter(|(at, _)| *at == At::Ran).count());
         }
     }
     assert!(edge.is_empty(), "the depth reaches every state");
@@ -130,16 +132,28 @@
     let taken = taken(Effect::AtMostOnce);
     let other = |id: &str, key: &str| {
         let (id, key, digest, work) = (id.into(), Some(key.into()), [0; 32], Vec::new());
-        Record::Taken { wu: RequestId(2), effect: Effect::AtMostOnce, limit: 9.0, id, key, digest, work }
+        Record::Taken {
+            request_id: RequestId(2),
+            effect: Effect::AtMostOnce,
+            limit: 9.0,
+            id,
+            key,
+            digest,
+            work,
+        }
+    };
+    let answered = Record::Answered { request_id: WU, answer: Answer::Aborted };
+    let allocated = |fence| Record::Dispatched {
+        request_id: WU,
+        fence: Fence(fence),
+        executor: "s".into(),
+        lease_until: 5.0,
     };
-    let answered = Record::Answered { wu: WU, answer: Answer::Aborted };
-    let allocated =
-        |fence| Record::Allocated { wu: WU, fence: Fence(fence), executor: "s".into(), lease_until: 5.0 };
-    let ended = |outcome| Record::Ended { wu: WU, alloc: AttemptId(0), outcome };
+    let ended = |outcome| Record::Ended { request_id: WU, attempt_id: AttemptId(0), outcome };
     let cases: Vec<(Vec<Record>, Record, Broken)> = vec![
-        (vec![], allocated(1), Broken::UnknownWu),
+        (vec![], allocated(1), Broken::UnknownJob),
         (vec![taken.clone()], taken.clone(), Broken::TakenTwice),
-        (vec![taken.clone()], ended(Outcome::Reset), Broken::UnknownAlloc),
+        (vec![taken.clone()], ended(Outcome::Reset), Broken::UnknownAttempt),
         (vec![taken.clone(), allocated(1)], allocated(2), Broken::Refused(Refused::Out)),
         (
             vec![taken.clone(), allocated(1), ended(Outcome::Reset)],
@@ -153,16 +167,16 @@
             Broken::Ended,
         ),
         (
-            vec![taken.clone(), allocated(1), Record::Started { wu: WU, alloc: AttemptId(0) }],
-            Record::Fenced { wu: WU, alloc: AttemptId(0) },
+            vec![taken.clone(), allocated(1), Record::Started { request_id: WU, attempt_id: AttemptId(0) }],
+            Record::Fenced { request_id: WU, attempt_id: AttemptId(0) },
             Broken::Ended,
         ),
         (vec![taken.clone(), answered.clone()], allocated(1), Broken::Over),
         (vec![taken.clone()], other("a", "l"), Broken::TakenTwice),
         (vec![taken.clone()], other("b", "k"), Broken::KeyTwice),
-        (vec![taken.clone()], Record::Acknowledged { wu: WU }, Broken::Open),
+        (vec![taken.clone()], Record::Acknowledged { request_id: WU }, Broken::Open),
         (vec![taken.clone(), answered.clone()], answered, Broken::Over),
-        (vec![taken.clone()], Record::Forgotten { wu: WU }, Broken::Open),
+        (vec![taken.clone()], Record::Forgotten { request_id: WU }, Broken::Open),
     ];
     for (before, record, expected) in cases {
         let mut ledger = Ledger::new(MOST);
@@ -176,38 +190,38 @@
 #[test]
 fn leases_that_run_out_are_unknown_and_heartbeats_hold_them() {
     let mut ledger = Ledger::new(MOST);
-    let alloc = AttemptId(0);
+    let attempt_id = AttemptId(0);
     for record in [
         taken(Effect::Idempotent),
-        Record::Allocated { wu: WU, fence: Fence(1), executor: "s".into(), lease_until: 10.0 },
-        Record::Heartbeat { wu: WU, alloc, lease_until: 20.0 },
+        Record::Dispatched { request_id: WU, fence: Fence(1), executor: "s".into(), lease_until: 10.0 },
+        Record::Heartbeat { request_id: WU, attempt_id, lease_until: 20.0 },
         // One that was under way for long does not shorten it.
-        Record::Heartbeat { wu: WU, alloc, lease_until: 15.0 },
+        Record::Heartbeat { request_id: WU, attempt_id, lease_until: 15.0 },
     ] {
         ledger.apply(1.0, record).unwrap();
     }
-    let wu = ledger.wu(WU).unwrap();
+    let job = ledger.job(WU).unwrap();
     assert_eq!(
-        [9.0, 19.0, 20.0].map(|now| wu.allocations[0].standing(now)),
+        [9.0, 19.0, 20.0].map(|now| job.attempts[0].standing(now)),
         [Standing::Out, Standing::Out, Standing::Unknown]
     );
-    assert_eq!(wu.may_allocate(19.0, MOST), Err(Refused::Out));
-    assert_eq!(wu.may_allocate(20.0, MOST), Ok(Fence(2)), "rerunnable work may run again");
-    assert_eq!(wu.may_allocate(20.0, 1), Err(Refused::Most));
+    assert_eq!(job.may_dispatch(19.0, MOST), Err(Refused::Out));
+    assert_eq!(job.may_dispatch(20.0, MOST), Ok(Fence(2)), "rerunnable work may run again");
+    assert_eq!(job.may_dispatch(20.0, 1), Err(Refused::Most));
     assert_eq!(ledger.open().count(), 1);
 }
 
 #[test]
 fn every_prefix_of_records_is_a_state_and_a_gap_is_none() {
-    let alloc = AttemptId(0);
+    let attempt_id = AttemptId(0);
     let mut ledger = Ledger::new(MOST);
     let records = vec![
         taken(Effect::AtMostOnce),
-        Record::Allocated { wu: WU, fence: Fence(1), executor: "s".into(), lease_until: 5.0 },
-        Record::Started { wu: WU, alloc },
-        Record::Ended { wu: WU, alloc, outcome: Outcome::Reset },
-        Record::Answered { wu: WU, answer: Answer::Completed(b"r".to_vec()) },
-        Record::Acknowledged { wu: WU },
+        Record::Dispatched { request_id: WU, fence: Fence(1), executor: "s".into(), lease_until: 5.0 },
+        Record::Started { request_id: WU, attempt_id },
+        Record::Ended { request_id: WU, attempt_id, outcome: Outcome::Reset },
+        Record::Answered { request_id: WU, answer: Answer::Completed(b"r".to_vec()) },
+        Record::Acknowledged { request_id: WU },
     ];
     let mut written = Vec::new();
     for (at, record) in records.into_iter().enumerate() {
@@ -221,6 +235,6 @@
     assert_eq!(ledger.answered_before(4.1, 9), [WU]);
     let gap: Vec<Row> = written.iter().filter(|row| row.place != 2).cloned().collect();
     assert_eq!(Ledger::recover(MOST, &gap).1, Some((2, Broken::Missing)));
-    ledger.apply(9.0, Record::Forgotten { wu: WU }).unwrap();
+    ledger.apply(9.0, Record::Forgotten { request_id: WU }).unwrap();
     assert!(ledger.is_empty() && ledger.by_key("k").is_none() && ledger.answered_before(1e9, 9).is_empty());
 }
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -461,7 +461,7 @@
         let request = self.requests.get(number)?;
         let kind = scenario.project_types.get(request.project_type)?.get_ref();
         Some(emulator::executors::Work {
-            wu: number as u64,
+            request_id: number as u64,
             project_type: request.project_type,
             slots: kind.slots,
             memory: kind.memory,
--- a/crates/rehearsal/src/referee.rs
+++ b/crates/rehearsal/src/referee.rs
@@ -222,7 +222,7 @@
                         s.breaches.push(Breach { rule: 1, name, at, what });
                     }
                 }
-                Seen::Received { executor, alloc, id, first_byte, slots, work } => {
+                Seen::Received { executor, attempt_id: alloc, id, first_byte, slots, work } => {
                     let (executor, first_byte, slots, work) = (*executor, *first_byte, *slots, *work);
                     if let Some(t) = s.tries.get_mut(id) {
                         t.allocs.push(*alloc);
@@ -247,15 +247,15 @@
                     at,
                     what: format!("{} got `{id}`, which no client sent", facts.executor(*executor)),
                 }),
-                Seen::NeverRan { alloc } => s.with(*alloc, |a| {
+                Seen::NeverRan { attempt_id: alloc } => s.with(*alloc, |a| {
                     a.never_ran = Some(at);
                     a.over.get_or_insert(at);
                 }),
-                Seen::Errored { alloc } | Seen::GivenUp { alloc } => {
+                Seen::Errored { attempt_id: alloc } | Seen::GivenUp { attempt_id: alloc } => {
                     s.with(*alloc, |a| _ = a.over.get_or_insert(at));
                 }
-                Seen::Started { alloc } => s.with(*alloc, |a| a.started = Some(at)),
-                Seen::Ended { alloc, end } => s.with(*alloc, |a| {
+                Seen::Started { attempt_id: alloc } => s.with(*alloc, |a| a.started = Some(at)),
+                Seen::Ended { attempt_id: alloc, end } => s.with(*alloc, |a| {
                     a.over.get_or_insert(at);
                     match end {
                         End::Done => a.done = true,
--- a/crates/rehearsal/tests/referee.rs
+++ b/crates/rehearsal/tests/referee.rs
@@ -62,16 +62,16 @@
     Seen::Answered { id: id(attempt), status, fits: status == 200, come_back: None }
 }
 
-fn received(alloc: u64, executor: u32, attempt: u32, first_byte: f64) -> Seen {
-    Seen::Received { executor, alloc, id: id(attempt), first_byte, slots: 1.0, work: 90.0 }
+fn received(attempt_id: u64, executor: u32, attempt: u32, first_byte: f64) -> Seen {
+    Seen::Received { executor, attempt_id, id: id(attempt), first_byte, slots: 1.0, work: 90.0 }
 }
 
-fn done(alloc: u64) -> Seen {
-    Seen::Ended { alloc, end: End::Done }
+fn done(attempt_id: u64) -> Seen {
+    Seen::Ended { attempt_id, end: End::Done }
 }
 
-fn reset(alloc: u64) -> Seen {
-    Seen::Ended { alloc, end: End::Reset }
+fn reset(attempt_id: u64) -> Seen {
+    Seen::Ended { attempt_id, end: End::Reset }
 }
 
 fn told(listed: Listed) -> Seen {
@@ -87,7 +87,7 @@
 #[test]
 fn breaches_and_what_only_looks_like_one() {
     use RepeatScope::{All, Group};
-    let started = |alloc| Seen::Started { alloc };
+    let started = |attempt_id| Seen::Started { attempt_id };
     let knows = |listed| Seen::AgentKnows { node: 0, executor: 0, listed };
     let once = |at: f64| {
         vec![(0.0, sent(0)), (at, received(1, 0, 0, at)), (at + 20.0, done(1)), (at + 30.0, answered(0, 200))]
@@ -125,7 +125,7 @@
                 (2.0, received(1, 0, 0, 2.0)),
                 (10.0, Seen::NodeKilled { node: 0 }),
                 (11.0, cut(true)),
-                (12.0, Seen::GivenUp { alloc: 1 }),
+                (12.0, Seen::GivenUp { attempt_id: 1 }),
             ],
             &["lost"],
         ),
@@ -228,7 +228,7 @@
             vec![
                 (0.0, sent(0)),
                 (1.0, received(1, 0, 0, 1.0)),
-                (9.0, Seen::Ended { alloc: 1, end: End::Returned }),
+                (9.0, Seen::Ended { attempt_id: 1, end: End::Returned }),
                 (10.0, received(2, 1, 0, 10.0)),
                 (30.0, done(2)),
                 (31.0, answered(0, 200)),
@@ -243,7 +243,7 @@
                 (0.0, sent(0)),
                 (1.0, received(1, 0, 0, 1.0)),
                 (2.0, started(1)),
-                (9.0, Seen::Ended { alloc: 1, end: End::Returned }),
+                (9.0, Seen::Ended { attempt_id: 1, end: End::Returned }),
                 (10.0, answered(0, 503)),
                 (20.0, sent(1)),
                 (21.0, received(2, 1, 1, 21.0)),
@@ -261,7 +261,7 @@
                 (0.0, sent(0)),
                 (1.0, received(1, 0, 0, 1.0)),
                 (100.0, received(2, 1, 0, 100.0)),
-                (120.0, Seen::GivenUp { alloc: 1 }),
+                (120.0, Seen::GivenUp { attempt_id: 1 }),
                 (150.0, done(2)),
                 (151.0, answered(0, 200)),
             ],
@@ -325,7 +325,7 @@
                 (5.0, received(1, 0, 0, 5.0)),
                 (6.0, started(1)),
                 (10.0, Seen::NodeKilled { node: 0 }),
-                (10.0, Seen::GivenUp { alloc: 1 }),
+                (10.0, Seen::GivenUp { attempt_id: 1 }),
                 (11.0, cut(false)),
                 (50.0, sent(1)),
                 (60.0, done(1)),
@@ -342,7 +342,7 @@
                 (5.0, received(1, 0, 0, 5.0)),
                 (6.0, started(1)),
                 (10.0, Seen::NodeKilled { node: 0 }),
-                (10.0, Seen::GivenUp { alloc: 1 }),
+                (10.0, Seen::GivenUp { attempt_id: 1 }),
                 (11.0, cut(false)),
                 (50.0, sent(1)),
                 (55.0, received(2, 1, 0, 55.0)),
--- a/crates/scale/src/hollow_nodes/by_dispatcher.rs
+++ b/crates/scale/src/hollow_nodes/by_dispatcher.rs
@@ -144,11 +144,16 @@
                 self.follows = false;
                 Event::EndpointWatchLost { turned_away: end == WatchEnd::TurnedAway }
             }
-            Told::Event(Event::AttemptEnded { wu, alloc, outcome, .. }) => {
+            Told::Event(Event::AttemptEnded { request_id, attempt_id, outcome, .. }) => {
                 if outcome == Outcome::Completed {
-                    self.open.remove(&wu);
+                    self.open.remove(&request_id);
+                }
+                Event::AttemptEnded {
+                    request_id,
+                    attempt_id,
+                    outcome,
+                    closed: !self.open.contains_key(&request_id),
                 }
-                Event::AttemptEnded { wu, alloc, outcome, closed: !self.open.contains_key(&wu) }
             }
             Told::Event(event) => event,
         };
@@ -177,7 +182,7 @@
         }
         let settings = &self.shared.settings;
         self.next_request += 1;
-        let wu = RequestId(self.next_request);
+        let request_id = RequestId(self.next_request);
         let class = self.random.random_range(0..self.vocabulary.classes.len());
         let open = Open {
             id: settings.request_id(self.number, self.start, self.next_request),
@@ -187,7 +192,7 @@
             attempts: Vec::new(),
         };
         let event = Event::RequestArrived {
-            wu,
+            request_id,
             project_type: RequestClassId(class as u32),
             customer: TenantId(0),
             slots: 1.0,
@@ -196,15 +201,19 @@
             again: false,
         };
         add(&self.shared.by_dispatcher.requests, 1);
-        self.open.insert(wu, open);
+        self.open.insert(request_id, open);
         self.dispatcher.tell(self.clock.now(), event);
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Dispatch { wu, executor, cut_at, send_by } => self.push(wu, executor, cut_at, send_by),
-            Action::Cancel { wu, alloc } => self.cancel(wu, alloc),
-            Action::Reject { wu, .. } | Action::Fail { wu } => _ = self.open.remove(&wu),
+            Action::Dispatch { request_id, executor, attempt_deadline, send_deadline } => {
+                self.push(request_id, executor, attempt_deadline, send_deadline)
+            }
+            Action::Cancel { request_id, attempt_id } => self.cancel(request_id, attempt_id),
+            Action::Reject { request_id, .. } | Action::Fail { request_id } => {
+                _ = self.open.remove(&request_id)
+            }
             Action::Probe { executor } => self.probe(executor),
             Action::SetTimer { at } => {
                 let at = self.clock.when(at);
@@ -227,39 +236,55 @@
         self.addresses.get(executor).copied()
     }
 
-    fn push(&mut self, wu: RequestId, executor: ExecutorId, cut_at: Millis, send_by: Millis) {
+    fn push(
+        &mut self,
+        request_id: RequestId,
+        executor: ExecutorId,
+        attempt_deadline: Millis,
+        send_deadline: Millis,
+    ) {
         let addr = self.address(executor);
-        let Some(open) = self.open.get_mut(&wu) else { return };
-        let alloc = AttemptId(open.attempts.len() as u32);
+        let Some(open) = self.open.get_mut(&request_id) else { return };
+        let attempt_id = AttemptId(open.attempts.len() as u32);
         let attempt = addr.map(|addr| Attempt {
             id: open.id,
             class: open.class.clone(),
             addr,
             work: open.work,
-            cut: self.clock.when(cut_at).min(open.deadline),
-            send_by: self.clock.when(send_by).min(open.deadline),
+            cut: self.clock.when(attempt_deadline).min(open.deadline),
+            send_by: self.clock.when(send_deadline).min(open.deadline),
         });
         let (tell, pool, counters) =
             (self.tell.clone(), self.pool.clone(), self.shared.by_dispatcher.clone());
         let pushed = async move {
-            let on_start = || _ = tell.send(Told::Event(Event::AttemptStarted { wu, alloc }));
+            let on_start = || _ = tell.send(Told::Event(Event::AttemptStarted { request_id, attempt_id }));
             let outcome = match attempt {
                 Some(attempt) => exchange::push(&pool, attempt, &counters, on_start).await,
                 None => Outcome::NoConnection,
             };
-            let _ = tell.send(Told::Event(Event::AttemptEnded { wu, alloc, outcome, closed: false }));
+            let _ = tell.send(Told::Event(Event::AttemptEnded {
+                request_id,
+                attempt_id,
+                outcome,
+                closed: false,
+            }));
         };
         open.attempts.push(Some(self.tasks.spawn_local(pushed)));
     }
 
     /// Breaks an attempt off, unless it is over.
-    fn cancel(&mut self, wu: RequestId, alloc: AttemptId) {
-        let attempts = self.open.get_mut(&wu).map(|open| &mut open.attempts);
-        let attempt = attempts.and_then(|attempts| attempts.get_mut(alloc.0 as usize)?.take());
+    fn cancel(&mut self, request_id: RequestId, attempt_id: AttemptId) {
+        let attempts = self.open.get_mut(&request_id).map(|open| &mut open.attempts);
+        let attempt = attempts.and_then(|attempts| attempts.get_mut(attempt_id.0 as usize)?.take());
         if let Some(attempt) = attempt.filter(|attempt| !attempt.is_finished()) {
             attempt.abort();
             let outcome = Outcome::Cancelled;
-            let _ = self.tell.send(Told::Event(Event::AttemptEnded { wu, alloc, outcome, closed: false }));
+            let _ = self.tell.send(Told::Event(Event::AttemptEnded {
+                request_id,
+                attempt_id,
+                outcome,
+                closed: false,
+            }));
         }
     }
 
--- a/crates/scale/tests/hollow_nodes.rs
+++ b/crates/scale/tests/hollow_nodes.rs
@@ -64,7 +64,8 @@
 
 fn serve(record: &Arc<Record>, told: &mpsc::Sender<SocketAddr>, elsewhere: Option<SocketAddr>) -> Running {
     let work_of = |id: &str| {
-        let hollow = Work { wu: 1, project_type: 0, slots: 1.0, memory: 0.0, work: 1.0, priority: 0.0 };
+        let hollow =
+            Work { request_id: 1, project_type: 0, slots: 1.0, memory: 0.0, work: 1.0, priority: 0.0 };
         RequestId::parse(id).map(|_| hollow)
     };
     let shared = Shared::new(record.clone(), Arc::new(work_of), true);
--- a/crates/simulation/src/baselines.rs
+++ b/crates/simulation/src/baselines.rs
@@ -67,7 +67,7 @@
     slots: f64,
     arrived: Millis,
     limit: Millis,
-    allocs: Vec<Alloc>,
+    attempts: Vec<Alloc>,
     /// Drawn ones that are still to answer, and what the others said.
     asked: Vec<ExecutorId>,
     answers: Vec<(ExecutorId, LoadReport)>,
@@ -95,7 +95,7 @@
     policy: Policy,
     rng: ChaCha8Rng,
     kinds: Vec<Kind>,
-    most_allocs: usize,
+    max_attempts: usize,
     nodes: f64,
     cold_share: f64,
     ramp: Millis,
@@ -104,7 +104,7 @@
     known: SecondaryMap<ExecutorId, Known>,
     healthy: Vec<ExecutorId>,
     turn: u32,
-    wus: BTreeMap<RequestId, Wu>,
+    requests: BTreeMap<RequestId, Wu>,
     /// Those that found nobody.
     held: Vec<RequestId>,
     actions: Vec<Action>,
@@ -126,7 +126,7 @@
             policy,
             rng: ChaCha8Rng::seed_from_u64(seed),
             kinds,
-            most_allocs: values.number("limits.most_allocations", 1.0) as usize,
+            max_attempts: values.number("limits.most_allocations", 1.0) as usize,
             nodes: values.number("nodes", 1.0).max(1.0),
             cold_share: values.number("rules.cold_share", 1.0),
             ramp: values.number("rules.ramp_time", 0.0),
@@ -135,7 +135,7 @@
             known: SecondaryMap::new(),
             healthy: Vec::new(),
             turn: FIRST_SLOT,
-            wus: BTreeMap::new(),
+            requests: BTreeMap::new(),
             held: Vec::new(),
             actions: Vec::new(),
         }
@@ -188,7 +188,7 @@
     /// Whether it may be sent again, to whom only, and whether it may be deferred.
     fn may_resend(&self, now: Millis, w: &Wu) -> (bool, Option<ExecutorId>, bool) {
         let kind = &self.kinds[w.kind];
-        let Some(first) = w.allocs.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran)) else {
+        let Some(first) = w.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran)) else {
             return (true, None, true);
         };
         let all = kind.scope == DeduplicationScope::All;
@@ -211,23 +211,23 @@
         };
         let of: Vec<ExecutorId> = self.healthy.iter().copied().filter(may).collect();
         let fresh: Vec<ExecutorId> =
-            of.iter().copied().filter(|e| w.allocs.iter().all(|a| a.executor != *e)).collect();
+            of.iter().copied().filter(|e| w.attempts.iter().all(|a| a.executor != *e)).collect();
         if fresh.is_empty() { of } else { fresh }
     }
 
-    fn choose(&mut self, now: Millis, wu: RequestId) {
-        let Some(w) = self.wus.get(&wu) else { return };
+    fn choose(&mut self, now: Millis, request_id: RequestId) {
+        let Some(w) = self.requests.get(&request_id) else { return };
         let (again, _, deferred) = self.may_resend(now, w);
-        if now >= w.limit || w.allocs.len() >= self.most_allocs || !again {
-            return self.give_up(wu, deferred);
+        if now >= w.limit || w.attempts.len() >= self.max_attempts || !again {
+            return self.give_up(request_id, deferred);
         }
         let allowed = self.allowed(now, w);
         if allowed.is_empty() {
             let turnaround = self.kinds[w.kind].turnaround;
             if now >= w.arrived + PATIENCE * turnaround {
-                return self.give_up(wu, deferred);
+                return self.give_up(request_id, deferred);
             }
-            self.held.push(wu);
+            self.held.push(request_id);
             self.actions.push(Action::SetTimer { at: now + AGAIN });
             return;
         }
@@ -256,19 +256,19 @@
                         self.actions.push(Action::Probe { executor: e });
                     }
                 }
-                let w = self.wus.get_mut(&wu).expect("it is open");
+                let w = self.requests.get_mut(&request_id).expect("it is open");
                 w.asked = asked;
                 w.answers.clear();
                 return;
             }
         };
-        self.push(now, wu, chosen);
+        self.push(now, request_id, chosen);
     }
 
-    fn push(&mut self, now: Millis, wu: RequestId, e: ExecutorId) {
-        let Some(w) = self.wus.get_mut(&wu) else { return };
-        w.allocs.push(Alloc { executor: e, sent: now, outcome: None });
-        let (slots, cut_at) = (w.slots, w.limit);
+    fn push(&mut self, now: Millis, request_id: RequestId, e: ExecutorId) {
+        let Some(w) = self.requests.get_mut(&request_id) else { return };
+        w.attempts.push(Alloc { executor: e, sent: now, outcome: None });
+        let (slots, attempt_deadline) = (w.slots, w.limit);
         let cost = slots * self.kinds[w.kind].turnaround;
         let (is_cold, since) = (self.warmth(e, now - self.fall) < 1.0, now - self.fall);
         if let Some(known) = self.known.get_mut(e) {
@@ -278,13 +278,22 @@
                 known.spent.push_back((now, cost));
             }
         }
-        self.actions.push(Action::Dispatch { wu, executor: e, cut_at, send_by: cut_at });
+        self.actions.push(Action::Dispatch {
+            request_id,
+            executor: e,
+            attempt_deadline,
+            send_deadline: attempt_deadline,
+        });
     }
 
-    fn give_up(&mut self, wu: RequestId, deferred: bool) {
-        if let Some(w) = self.wus.remove(&wu) {
+    fn give_up(&mut self, request_id: RequestId, deferred: bool) {
+        if let Some(w) = self.requests.remove(&request_id) {
             let come_back = Some(self.kinds[w.kind].turnaround);
-            self.actions.push(if deferred { Action::Reject { wu, come_back } } else { Action::Fail { wu } });
+            self.actions.push(if deferred {
+                Action::Reject { request_id, come_back }
+            } else {
+                Action::Fail { request_id }
+            });
         }
     }
 
@@ -295,10 +304,14 @@
             let running = (reading.held.unwrap_or(0.0)).max(0.0);
             known.slots = known.slots.max((reading.free_slots.unwrap_or(0.0) + running).round());
         }
-        let waiting: Vec<RequestId> =
-            self.wus.iter().filter(|(_, w)| w.asked.contains(&e)).map(|(wu, _)| *wu).collect();
-        for wu in waiting {
-            let w = self.wus.get_mut(&wu).expect("it was there");
+        let waiting: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|(_, w)| w.asked.contains(&e))
+            .map(|(request_id, _)| *request_id)
+            .collect();
+        for request_id in waiting {
+            let w = self.requests.get_mut(&request_id).expect("it was there");
             w.asked.retain(|x| *x != e);
             if answered {
                 w.answers.push((e, reading));
@@ -307,7 +320,7 @@
                 continue;
             }
             let answers = std::mem::take(&mut w.answers);
-            let allowed = self.allowed(now, &self.wus[&wu]);
+            let allowed = self.allowed(now, &self.requests[&request_id]);
             let length = |r: &LoadReport| r.queue.unwrap_or(0.0) + r.held.unwrap_or(0.0);
             let fit: Vec<&(ExecutorId, LoadReport)> =
                 answers.iter().filter(|(x, _)| allowed.contains(x)).collect();
@@ -317,15 +330,15 @@
             if best.is_empty() {
                 // Nobody answered: chance decides.
                 match allowed.is_empty() {
-                    true => self.choose(now, wu),
+                    true => self.choose(now, request_id),
                     false => {
                         let e = allowed[self.rng.random_range(0..allowed.len())];
-                        self.push(now, wu, e);
+                        self.push(now, request_id, e);
                     }
                 }
             } else {
                 let e = best[self.rng.random_range(0..best.len())];
-                self.push(now, wu, e);
+                self.push(now, request_id, e);
             }
         }
     }
@@ -336,16 +349,25 @@
         }
     }
 
-    fn ended(&mut self, now: Millis, wu: RequestId, alloc: AttemptId, outcome: Outcome, closed: bool) {
-        let Some(w) = self.wus.get_mut(&wu) else { return };
-        let Some(a) = w.allocs.get_mut(alloc.0 as usize).filter(|a| a.outcome.is_none()) else { return };
+    fn ended(
+        &mut self,
+        now: Millis,
+        request_id: RequestId,
+        attempt_id: AttemptId,
+        outcome: Outcome,
+        closed: bool,
+    ) {
+        let Some(w) = self.requests.get_mut(&request_id) else { return };
+        let Some(a) = w.attempts.get_mut(attempt_id.0 as usize).filter(|a| a.outcome.is_none()) else {
+            return;
+        };
         a.outcome = Some(outcome);
         let (e, slots) = (a.executor, w.slots);
         self.no_longer_out(e, slots);
         if closed || outcome == Outcome::Completed {
-            self.wus.remove(&wu);
+            self.requests.remove(&request_id);
         } else {
-            self.choose(now, wu);
+            self.choose(now, request_id);
         }
     }
 }
@@ -354,27 +376,30 @@
     fn tell(&mut self, now: Millis, event: Event) {
         match event {
             Event::EndpointsUpdated { kind, entries } => self.list(kind, &entries),
-            Event::RequestArrived { wu, project_type, slots, left, .. } => {
+            Event::RequestArrived { request_id, project_type, slots, left, .. } => {
                 let (kind, limit) = (project_type.0 as usize, now + left);
-                let (allocs, asked, answers) = Default::default();
-                self.wus.insert(wu, Wu { kind, slots, arrived: now, limit, allocs, asked, answers });
-                self.choose(now, wu);
+                let (attempts, asked, answers) = Default::default();
+                self.requests
+                    .insert(request_id, Wu { kind, slots, arrived: now, limit, attempts, asked, answers });
+                self.choose(now, request_id);
             }
             Event::ProbeCompleted { executor, answered, reading, .. } => {
                 self.probed(now, executor, answered, reading);
             }
-            Event::AttemptEnded { wu, alloc, outcome, closed } => self.ended(now, wu, alloc, outcome, closed),
-            Event::RequestWithdrawn { wu } => {
-                if let Some(w) = self.wus.remove(&wu)
-                    && let Some(a) = w.allocs.last().filter(|a| a.outcome.is_none())
+            Event::AttemptEnded { request_id, attempt_id, outcome, closed } => {
+                self.ended(now, request_id, attempt_id, outcome, closed)
+            }
+            Event::RequestWithdrawn { request_id } => {
+                if let Some(w) = self.requests.remove(&request_id)
+                    && let Some(a) = w.attempts.last().filter(|a| a.outcome.is_none())
                 {
                     let (executor, slots) = (a.executor, w.slots);
                     self.no_longer_out(executor, slots);
                 }
             }
             Event::TimerFired => {
-                for wu in std::mem::take(&mut self.held) {
-                    self.choose(now, wu);
+                for request_id in std::mem::take(&mut self.held) {
+                    self.choose(now, request_id);
                 }
             }
             Event::EndpointWatchLost { .. } => self.actions.push(Action::WatchEndpoints),
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -62,7 +62,7 @@
     pub attempt: u32,
     pub limit: Millis,
     /// The number of allocations, and the one that is out.
-    pub allocs: u32,
+    pub attempts: u32,
     pub out: Option<Out>,
     /// Whether the client still waits.
     pub waits: bool,
@@ -70,7 +70,7 @@
 
 #[derive(Clone, Copy)]
 pub struct Out {
-    pub alloc: AttemptId,
+    pub attempt_id: AttemptId,
     pub executor: usize,
     /// Stands for this allocation in the whole world.
     pub key: u64,
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -53,17 +53,17 @@
     }
 
     /// A client gives up a request that is open at a node, if it still waits.
-    pub(super) fn client_leaves(&mut self, node: usize, wu: RequestId) {
-        let open = self.nodes[node].open.get_mut(&wu);
+    pub(super) fn client_leaves(&mut self, node: usize, request_id: RequestId) {
+        let open = self.nodes[node].open.get_mut(&request_id);
         let Some(open) = open.filter(|open| open.waits) else { return };
         open.waits = false;
         let (request, attempt, out) = (open.request, open.attempt, open.out.is_some());
         if !out {
-            self.nodes[node].open.remove(&wu);
+            self.nodes[node].open.remove(&request_id);
         }
         let id = self.id(request, attempt);
         self.note(Seen::Left { id });
-        self.tell(node, Event::RequestWithdrawn { wu });
+        self.tell(node, Event::RequestWithdrawn { request_id });
     }
 
     /// An answer reaches its client, which may ask again.
--- a/crates/simulation/src/world/events.rs
+++ b/crates/simulation/src/world/events.rs
@@ -15,17 +15,17 @@
     /// The last byte of a request reaches a node.
     Arrives { node: u32, life: u32, request: u32, attempt: u32 },
     /// A client gives up a request that is open at a node.
-    Leaves { node: u32, life: u32, wu: RequestId },
+    Leaves { node: u32, life: u32, request_id: RequestId },
     /// An answer reaches its client.
     Answered { request: u32, attempt: u32, status: u16, come_back: Option<Millis> },
     /// An executor may have something to report.
     ExecutorDue(u32),
     /// The last byte of an allocation reaches its executor.
-    Sent { node: u32, life: u32, wu: RequestId, out: InTransit },
+    Sent { node: u32, life: u32, request_id: RequestId, out: InTransit },
     /// A node learns how an allocation ended.
-    Ended { node: u32, life: u32, wu: RequestId, alloc: AttemptId, outcome: Outcome },
+    Ended { node: u32, life: u32, request_id: RequestId, attempt_id: AttemptId, outcome: Outcome },
     /// The time limit of an allocation is over.
-    Cut { node: u32, life: u32, wu: RequestId, alloc: AttemptId },
+    Cut { node: u32, life: u32, request_id: RequestId, attempt_id: AttemptId },
     /// An executor sees that the connection of an allocation was closed.
     GivenUp { executor: u32, key: u64 },
     /// A probe reaches its executor.
@@ -47,7 +47,7 @@
 /// An allocation on its way to its executor.
 #[derive(Clone, Copy)]
 pub(super) struct InTransit {
-    pub alloc: AttemptId,
+    pub attempt_id: AttemptId,
     pub executor: u32,
     pub key: u64,
 }
@@ -57,8 +57,8 @@
 pub(super) struct Origin {
     pub node: u32,
     pub life: u32,
-    pub wu: RequestId,
-    pub alloc: AttemptId,
+    pub request_id: RequestId,
+    pub attempt_id: AttemptId,
 }
 
 impl World<'_> {
@@ -74,24 +74,26 @@
                 }
                 self.request_arrives(node as usize, request, attempt);
             }
-            WorldEvent::Leaves { node, life, wu } => {
+            WorldEvent::Leaves { node, life, request_id } => {
                 if self.is_current(node, life) {
-                    self.client_leaves(node as usize, wu);
+                    self.client_leaves(node as usize, request_id);
                 }
             }
             WorldEvent::Answered { request, attempt, status, come_back } => {
                 self.answer_arrives(request, attempt, status, come_back);
             }
             WorldEvent::ExecutorDue(number) => self.check_executor(number as usize),
-            WorldEvent::Sent { node, life, wu, out } => self.allocation_sent(event, node, life, wu, out),
-            WorldEvent::Ended { node, life, wu, alloc, outcome } => {
+            WorldEvent::Sent { node, life, request_id, out } => {
+                self.allocation_sent(event, node, life, request_id, out)
+            }
+            WorldEvent::Ended { node, life, request_id, attempt_id, outcome } => {
                 if self.is_current(node, life) {
-                    self.allocation_ended(node as usize, wu, alloc, outcome);
+                    self.attempt_ended(node as usize, request_id, attempt_id, outcome);
                 }
             }
-            WorldEvent::Cut { node, life, wu, alloc } => {
-                if self.is_current(node, life) && self.give_up(node as usize, wu, alloc) {
-                    self.allocation_ended(node as usize, wu, alloc, Outcome::TimedOut);
+            WorldEvent::Cut { node, life, request_id, attempt_id } => {
+                if self.is_current(node, life) && self.give_up(node as usize, request_id, attempt_id) {
+                    self.attempt_ended(node as usize, request_id, attempt_id, Outcome::TimedOut);
                 }
             }
             WorldEvent::GivenUp { executor, key } => self.allocation_given_up(executor as usize, key),
--- a/crates/simulation/src/world/executors.rs
+++ b/crates/simulation/src/world/executors.rs
@@ -43,15 +43,18 @@
         event: WorldEvent,
         node: u32,
         life: u32,
-        wu: RequestId,
+        request_id: RequestId,
         out: InTransit,
     ) {
         let number = out.executor as usize;
         let from = &self.nodes[node as usize];
-        let open = from.open.get(&wu).filter(|_| from.up && from.life == life);
-        let Some(open) = open.filter(|open| open.out.is_some_and(|o| o.alloc == out.alloc)) else { return };
+        let open = from.open.get(&request_id).filter(|_| from.up && from.life == life);
+        let Some(open) = open.filter(|open| open.out.is_some_and(|o| o.attempt_id == out.attempt_id)) else {
+            return;
+        };
         let (request, attempt, waits) = (open.request, open.attempt, open.waits);
-        let came_of = |outcome| WorldEvent::Ended { node, life, wu, alloc: out.alloc, outcome };
+        let came_of =
+            |outcome| WorldEvent::Ended { node, life, request_id, attempt_id: out.attempt_id, outcome };
         if !waits || from.shut[number] <= self.now {
             return self.queue.at(self.now, came_of(Outcome::NotSent));
         }
@@ -64,7 +67,12 @@
             Some(host) if !host.is_down() => {}
             _ => return self.queue.at(self.now + WAY, came_of(Outcome::NoConnection)),
         }
-        self.offer_allocation(request, attempt, Origin { node, life, wu, alloc: out.alloc }, out);
+        self.offer_allocation(
+            request,
+            attempt,
+            Origin { node, life, request_id, attempt_id: out.attempt_id },
+            out,
+        );
     }
 
     /// An executor that is up takes an allocation, or turns it away.
@@ -74,7 +82,7 @@
         let kind = self.types[asked.project_type];
         let offer = Offer {
             key: Key(out.key),
-            wu: u64::from(request),
+            request_id: u64::from(request),
             project_type: asked.project_type,
             slots: kind.slots,
             memory: kind.memory,
@@ -82,27 +90,28 @@
             priority: kind.credit,
         };
         let id = self.id(request, attempt);
-        let (first_byte, alloc) = (self.now, out.key);
+        let (first_byte, attempt_id) = (self.now, out.key);
         let (slots, work) = (offer.slots, offer.work);
-        self.note(Seen::Received { executor: out.executor, alloc, id, first_byte, slots, work });
+        self.note(Seen::Received { executor: out.executor, attempt_id, id, first_byte, slots, work });
         let verdict = self.hosts[number].as_mut().expect("it is up").offer(self.now, offer);
         let back = self.now + WAY;
-        let Origin { node, life, wu, .. } = origin;
-        let came_of = |outcome| WorldEvent::Ended { node, life, wu, alloc: out.alloc, outcome };
+        let Origin { node, life, request_id, .. } = origin;
+        let came_of =
+            |outcome| WorldEvent::Ended { node, life, request_id, attempt_id: out.attempt_id, outcome };
         match verdict {
             Verdict::Taken => {
                 self.outs.insert(out.key, origin);
             }
             Verdict::TurnedAway => {
-                self.note(Seen::NeverRan { alloc });
+                self.note(Seen::NeverRan { attempt_id });
                 self.queue.at(back, came_of(Outcome::Rejected));
             }
             Verdict::Error => {
-                self.note(Seen::Errored { alloc });
+                self.note(Seen::Errored { attempt_id });
                 self.queue.at(back, came_of(Outcome::Error));
             }
             Verdict::Down => {
-                self.note(Seen::Ended { alloc, end: End::Reset });
+                self.note(Seen::Ended { attempt_id, end: End::Reset });
                 self.queue.at(back, came_of(Outcome::Reset));
             }
         }
@@ -123,17 +132,20 @@
             let Some(host) = &mut self.hosts[number] else { return };
             let Some((at, output)) = host.take(self.now) else { break };
             match output {
-                Output::Started { key } => self.seen.push((at, Seen::Started { alloc: key.0 })),
+                Output::Started { key } => self.seen.push((at, Seen::Started { attempt_id: key.0 })),
                 Output::Progress { .. } => {}
                 Output::Ended { key, end } => {
-                    self.seen.push((at, Seen::Ended { alloc: key.0, end }));
+                    self.seen.push((at, Seen::Ended { attempt_id: key.0, end }));
                     let outcome = match end {
                         End::Done => Outcome::Completed,
                         End::Returned => Outcome::Rejected,
                         End::Lost | End::Reset => Outcome::Reset,
                     };
-                    if let Some(Origin { node, life, wu, alloc }) = self.outs.remove(&key.0) {
-                        self.queue.at(self.now + WAY, WorldEvent::Ended { node, life, wu, alloc, outcome });
+                    if let Some(Origin { node, life, request_id, attempt_id }) = self.outs.remove(&key.0) {
+                        self.queue.at(
+                            self.now + WAY,
+                            WorldEvent::Ended { node, life, request_id, attempt_id, outcome },
+                        );
                     }
                 }
                 Output::FellOver { sent, stood } => {
@@ -155,7 +167,7 @@
         if self.outs.remove(&key).is_none() {
             return;
         }
-        self.note(Seen::GivenUp { alloc: key });
+        self.note(Seen::GivenUp { attempt_id: key });
         if let Some(host) = &mut self.hosts[number] {
             host.cancel(self.now, Key(key));
         }
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -53,15 +53,18 @@
     fn act(&mut self, node: usize, action: Action) {
         let (now, life, number) = (self.now, self.nodes[node].life, node as u32);
         match action {
-            Action::Dispatch { wu, executor, cut_at, .. } => self.push(node, wu, executor, cut_at),
-            Action::Cancel { wu, alloc } => {
-                if self.give_up(node, wu, alloc) {
+            Action::Dispatch { request_id, executor, attempt_deadline, .. } => {
+                self.push(node, request_id, executor, attempt_deadline)
+            }
+            Action::Cancel { request_id, attempt_id } => {
+                if self.give_up(node, request_id, attempt_id) {
                     let outcome = Outcome::Cancelled;
-                    self.queue.at(now, WorldEvent::Ended { node: number, life, wu, alloc, outcome });
+                    self.queue
+                        .at(now, WorldEvent::Ended { node: number, life, request_id, attempt_id, outcome });
                 }
             }
-            Action::Reject { wu, come_back } => self.answer(node, wu, 503, come_back),
-            Action::Fail { wu } => self.answer(node, wu, 502, None),
+            Action::Reject { request_id, come_back } => self.answer(node, request_id, 503, come_back),
+            Action::Fail { request_id } => self.answer(node, request_id, 502, None),
             Action::Probe { executor } => {
                 self.counts.probes += 1;
                 self.queue.at(now + WAY, WorldEvent::Asked { node: number, life, executor });
@@ -88,35 +91,36 @@
     }
 
     /// Sends an allocation of a work unit to an executor.
-    fn push(&mut self, node: usize, wu: RequestId, executor: ExecutorId, cut_at: Millis) {
+    fn push(&mut self, node: usize, request_id: RequestId, executor: ExecutorId, attempt_deadline: Millis) {
         let sender = &mut self.nodes[node];
         let Some(executor) = sender.handles.number(executor) else { return };
-        let Some(open) = sender.open.get_mut(&wu) else { return };
-        let (alloc, key, cut) = (AttemptId(open.allocs), self.next_key, cut_at.min(open.limit));
+        let Some(open) = sender.open.get_mut(&request_id) else { return };
+        let (attempt_id, key, cut) =
+            (AttemptId(open.attempts), self.next_key, attempt_deadline.min(open.limit));
         self.next_key += 1;
-        open.allocs += 1;
-        open.out = Some(Out { alloc, executor, key });
+        open.attempts += 1;
+        open.out = Some(Out { attempt_id, executor, key });
         let (life, node) = (sender.life, node as u32);
-        let out = InTransit { alloc, executor: executor as u32, key };
-        self.queue.at(self.now + WAY, WorldEvent::Sent { node, life, wu, out });
-        self.queue.at(cut, WorldEvent::Cut { node, life, wu, alloc });
+        let out = InTransit { attempt_id, executor: executor as u32, key };
+        self.queue.at(self.now + WAY, WorldEvent::Sent { node, life, request_id, out });
+        self.queue.at(cut, WorldEvent::Cut { node, life, request_id, attempt_id });
     }
 
     /// The connection of an allocation that is out ends; false where none is.
-    pub(super) fn give_up(&mut self, node: usize, wu: RequestId, alloc: AttemptId) -> bool {
-        let Some(open) = self.nodes[node].open.get(&wu) else { return false };
-        let Some(out) = open.out.filter(|out| out.alloc == alloc) else { return false };
+    pub(super) fn give_up(&mut self, node: usize, request_id: RequestId, attempt_id: AttemptId) -> bool {
+        let Some(open) = self.nodes[node].open.get(&request_id) else { return false };
+        let Some(out) = open.out.filter(|out| out.attempt_id == attempt_id) else { return false };
         self.queue.at(self.now + WAY, WorldEvent::GivenUp { executor: out.executor as u32, key: out.key });
         true
     }
 
     /// The final answer of a node, if its client still waits.
-    fn answer(&mut self, node: usize, wu: RequestId, status: u16, come_back: Option<Millis>) {
-        let Some(open) = self.nodes[node].open.get_mut(&wu) else { return };
+    fn answer(&mut self, node: usize, request_id: RequestId, status: u16, come_back: Option<Millis>) {
+        let Some(open) = self.nodes[node].open.get_mut(&request_id) else { return };
         let (request, attempt) = (open.request, open.attempt);
         let waits = std::mem::replace(&mut open.waits, false);
         if open.out.is_none() {
-            self.nodes[node].open.remove(&wu);
+            self.nodes[node].open.remove(&request_id);
         }
         if waits {
             self.queue.at(self.now + WAY, WorldEvent::Answered { request, attempt, status, come_back });
@@ -129,41 +133,44 @@
         let kind = self.types[asked.project_type];
         let limit = millis(kind.hard_limit);
         let left = limit - ANSWER_MARGIN.min(limit * 0.2);
-        let wu = RequestId(self.nodes[node].next_wu);
+        let request_id = RequestId(self.nodes[node].next_wu);
         self.nodes[node].next_wu += 1;
-        let open = Open { request, attempt, limit: self.now + left, allocs: 0, out: None, waits: true };
-        self.nodes[node].open.insert(wu, open);
+        let open = Open { request, attempt, limit: self.now + left, attempts: 0, out: None, waits: true };
+        self.nodes[node].open.insert(request_id, open);
         if let Some(after) = asked.leaves_after {
             let (life, number) = (self.nodes[node].life, node as u32);
-            self.queue.at(BEGAN + asked.at + after, WorldEvent::Leaves { node: number, life, wu });
+            self.queue.at(BEGAN + asked.at + after, WorldEvent::Leaves { node: number, life, request_id });
         }
         let (project_type, customer) = (RequestClassId(asked.project_type as u32), asked.customer as u32);
         let (customer, slots, memory) = (TenantId(customer), kind.slots, kind.memory);
         let again = attempt > 0;
-        self.tell(node, Event::RequestArrived { wu, project_type, customer, slots, memory, left, again });
+        self.tell(
+            node,
+            Event::RequestArrived { request_id, project_type, customer, slots, memory, left, again },
+        );
     }
 
     /// An allocation has ended, as far as its node hears.
-    pub(super) fn allocation_ended(
+    pub(super) fn attempt_ended(
         &mut self,
         node: usize,
-        wu: RequestId,
-        alloc: AttemptId,
+        request_id: RequestId,
+        attempt_id: AttemptId,
         outcome: Outcome,
     ) {
-        let Some(open) = self.nodes[node].open.get_mut(&wu) else { return };
-        if open.out.is_none_or(|out| out.alloc != alloc) {
+        let Some(open) = self.nodes[node].open.get_mut(&request_id) else { return };
+        if open.out.is_none_or(|out| out.attempt_id != attempt_id) {
             return;
         }
         open.out = None;
         if outcome == Outcome::Completed && open.waits {
-            self.answer(node, wu, 200, None);
+            self.answer(node, request_id, 200, None);
         }
-        let closed = self.nodes[node].open.get(&wu).is_none_or(|open| !open.waits);
+        let closed = self.nodes[node].open.get(&request_id).is_none_or(|open| !open.waits);
         if closed {
-            self.nodes[node].open.remove(&wu);
+            self.nodes[node].open.remove(&request_id);
         }
-        self.tell(node, Event::AttemptEnded { wu, alloc, outcome, closed });
+        self.tell(node, Event::AttemptEnded { request_id, attempt_id, outcome, closed });
     }
 
     /// A node's timer fires, unless it was replaced by an earlier one that already has.
--- a/crates/wirehost/src/decode.rs
+++ b/crates/wirehost/src/decode.rs
@@ -27,7 +27,7 @@
     Ok(parse::<Named>(line)?.op)
 }
 
-fn wu<'de, D: Deserializer<'de>>(d: D) -> Result<RequestId, D::Error> {
+fn request_id<'de, D: Deserializer<'de>>(d: D) -> Result<RequestId, D::Error> {
     let text = Cow::<str>::deserialize(d)?;
     if text.len() != 16 || text.bytes().any(|b| !matches!(b, b'0'..=b'9' | b'a'..=b'f')) {
         return Err(serde::de::Error::custom(format!("`{text}` is not 16 lower-case hex digits")));
@@ -101,7 +101,7 @@
 #[derive(Deserialize)]
 pub struct NewRequest {
     pub i: u64,
-    #[serde(deserialize_with = "wu")]
+    #[serde(deserialize_with = "request_id")]
     pub call: RequestId,
     #[serde(default)]
     pub cores_needed: Option<f64>,
@@ -142,7 +142,7 @@
 #[derive(Deserialize)]
 pub struct Returned {
     pub i: u64,
-    #[serde(deserialize_with = "wu")]
+    #[serde(deserialize_with = "request_id")]
     pub call: RequestId,
     pub complete: bool,
     pub n: u32,
@@ -152,7 +152,7 @@
 #[derive(Deserialize)]
 pub struct Begun {
     pub i: u64,
-    #[serde(deserialize_with = "wu")]
+    #[serde(deserialize_with = "request_id")]
     pub call: RequestId,
     pub n: u32,
 }
@@ -160,7 +160,7 @@
 #[derive(Deserialize)]
 pub struct Heartbeat {
     pub i: u64,
-    #[serde(deserialize_with = "wu")]
+    #[serde(deserialize_with = "request_id")]
     pub call: RequestId,
     #[serde(default)]
     pub value: Option<f64>,
@@ -171,7 +171,7 @@
 #[derive(Deserialize)]
 pub struct Withdrawn {
     pub i: u64,
-    #[serde(deserialize_with = "wu")]
+    #[serde(deserialize_with = "request_id")]
     pub call: RequestId,
 }
 
--- a/crates/wirehost/src/encode.rs
+++ b/crates/wirehost/src/encode.rs
@@ -18,10 +18,10 @@
     number(out, "\",\"i\":", instance);
 }
 
-fn call(out: &mut Vec<u8>, wu: RequestId) {
+fn call(out: &mut Vec<u8>, request_id: RequestId) {
     const DIGITS: &[u8; 16] = b"0123456789abcdef";
     out.extend_from_slice(b",\"call\":\"");
-    out.extend((0..16).map(|k| DIGITS[(wu.0 >> (60 - 4 * k)) as usize & 15]));
+    out.extend((0..16).map(|k| DIGITS[(request_id.0 >> (60 - 4 * k)) as usize & 15]));
     out.push(b'"');
 }
 
@@ -41,27 +41,27 @@
 ) {
     let name = |executor: ExecutorId| registry.name(executor).unwrap_or_default();
     match action {
-        Action::Dispatch { wu, executor, cut_at, .. } => {
+        Action::Dispatch { request_id, executor, attempt_deadline, .. } => {
             open(out, "forward", instance);
-            call(out, *wu);
-            number(out, ",\"cut_at\":", micros(*cut_at));
+            call(out, *request_id);
+            number(out, ",\"cut_at\":", micros(*attempt_deadline));
             text(out, ",\"executor\":", name(*executor));
         }
-        Action::Cancel { wu, alloc } => {
+        Action::Cancel { request_id, attempt_id } => {
             open(out, "undo_send", instance);
-            call(out, *wu);
-            number(out, ",\"n\":", alloc.0.into());
+            call(out, *request_id);
+            number(out, ",\"n\":", attempt_id.0.into());
         }
-        Action::Reject { wu, come_back } => {
+        Action::Reject { request_id, come_back } => {
             open(out, "bounce", instance);
-            call(out, *wu);
+            call(out, *request_id);
             if let Some(wait) = come_back {
                 number(out, ",\"wait\":", micros(*wait));
             }
         }
-        Action::Fail { wu } => {
+        Action::Fail { request_id } => {
             open(out, "surrender", instance);
-            call(out, *wu);
+            call(out, *request_id);
         }
         Action::Probe { executor } => {
             open(out, "sample", instance);
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -80,7 +80,7 @@
             "new_request" => {
                 let r: decode::NewRequest = decode::parse(line)?;
                 let event = Event::RequestArrived {
-                    wu: r.call,
+                    request_id: r.call,
                     project_type: RequestClassId(r.priority),
                     customer: TenantId(r.account.unwrap_or(0)),
                     slots: r.cores_needed.unwrap_or(1.0),
@@ -103,24 +103,31 @@
             "returned" => {
                 let r: decode::Returned = decode::parse(line)?;
                 self.tell(r.i, now, |_| Event::AttemptEnded {
-                    wu: r.call,
-                    alloc: AttemptId(r.n),
+                    request_id: r.call,
+                    attempt_id: AttemptId(r.n),
                     outcome: outcome(r.state_code),
                     closed: r.complete,
                 });
             }
             "begun" => {
                 let b: decode::Begun = decode::parse(line)?;
-                self.tell(b.i, now, |_| Event::AttemptStarted { wu: b.call, alloc: AttemptId(b.n) });
+                self.tell(b.i, now, |_| Event::AttemptStarted {
+                    request_id: b.call,
+                    attempt_id: AttemptId(b.n),
+                });
             }
             "heartbeat" => {
                 let h: decode::Heartbeat = decode::parse(line)?;
-                let alloc = AttemptId(h.n);
+                let attempt_id = AttemptId(h.n);
                 match h.what {
-                    1 => self.tell(h.i, now, |_| Event::AttemptStarted { wu: h.call, alloc }),
+                    1 => self.tell(h.i, now, |_| Event::AttemptStarted { request_id: h.call, attempt_id }),
                     2 => {
                         let share = h.value.unwrap_or(0.0);
-                        self.tell(h.i, now, |_| Event::AttemptProgressed { wu: h.call, alloc, share });
+                        self.tell(h.i, now, |_| Event::AttemptProgressed {
+                            request_id: h.call,
+                            attempt_id,
+                            share,
+                        });
                     }
                     _ => {}
                 }
@@ -131,7 +138,7 @@
             }
             "withdrawn" => {
                 let w: decode::Withdrawn = decode::parse(line)?;
-                self.tell(w.i, now, |_| Event::RequestWithdrawn { wu: w.call });
+                self.tell(w.i, now, |_| Event::RequestWithdrawn { request_id: w.call });
             }
             "inbox" => {
                 let inbox: decode::Inbox = decode::parse(line)?;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -75,7 +75,7 @@
     limit: Millis,
     credit: f64,
     only_kind: Option<MachineTypeId>,
-    most_allocs: usize,
+    max_attempts: usize,
     /// Smoothed running times, with the wait there and, where starts are told, without; first the promised one.
     run: Millis,
     work: Millis,
@@ -95,7 +95,7 @@
 }
 
 #[derive(Clone, Copy)]
-struct Alloc {
+struct Attempt {
     executor: ExecutorId,
     sent: Millis,
     /// How long the executor's connections had not been used.
@@ -105,9 +105,9 @@
     outcome: Option<Outcome>,
 }
 
-impl Alloc {
+impl Attempt {
     fn new(executor: ExecutorId, sent: Millis, idle: Millis) -> Self {
-        Alloc { executor, sent, idle, begun: f64::NEG_INFINITY, outcome: None }
+        Attempt { executor, sent, idle, begun: f64::NEG_INFINITY, outcome: None }
     }
 
     fn waits(&self) -> bool {
@@ -115,14 +115,14 @@
     }
 }
 
-impl Wu {
+impl Request {
     fn is_out(&self) -> bool {
-        self.allocs.iter().any(|a| a.outcome.is_none())
+        self.attempts.iter().any(|a| a.outcome.is_none())
     }
 
     /// The first allocation that may have run, or may yet.
-    fn first_run(&self) -> Option<&Alloc> {
-        self.allocs.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran))
+    fn first_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran))
     }
 }
 
@@ -138,7 +138,7 @@
 }
 
 #[derive(Default)]
-struct Wu {
+struct Request {
     project_type: usize,
     slots: f64,
     over: bool,
@@ -146,7 +146,7 @@
     asked: Millis,
     limit: Millis,
     wanted: Wanted,
-    allocs: Vec<Alloc>,
+    attempts: Vec<Attempt>,
     drawn: Vec<ExecutorId>,
     answers: Vec<(ExecutorId, LoadReport)>,
     probed: usize,
@@ -192,7 +192,7 @@
     /// Where this node stands, if the settings price a push to another place.
     home: Option<ZoneId>,
     fleet: Fleet,
-    wus: HashMap<RequestId, Wu>,
+    requests: HashMap<RequestId, Request>,
     held: Vec<RequestId>,
     /// Work units whose wanted state may differ from what is out.
     touched: Vec<RequestId>,
@@ -319,7 +319,7 @@
             come_back_told: false,
             home: None,
             fleet: Fleet::new(READING_LIFE),
-            wus: HashMap::new(),
+            requests: HashMap::new(),
             held: Vec::new(),
             touched: Vec::new(),
             probes_wanted: Vec::new(),
@@ -348,29 +348,35 @@
             Event::EndpointWatchLost { turned_away } => {
                 self.log.push(self.following.lost(now, self.nodes, turned_away, &mut self.rng))
             }
-            Event::RequestArrived { wu, project_type, customer, slots, left, again, .. } => {
+            Event::RequestArrived { request_id, project_type, customer, slots, left, again, .. } => {
                 let project_type = project_type.0 as usize;
-                if project_type < self.types.len() && !self.wus.contains_key(&wu) {
-                    let wanted = Wu {
+                if project_type < self.types.len() && !self.requests.contains_key(&request_id) {
+                    let wanted = Request {
                         project_type,
                         slots: slots.max(1.0),
                         over: self.over_share(now, customer, again),
                         asked: now + left - self.types[project_type].limit.max(left),
                         limit: now + left,
                         wake: f64::INFINITY,
-                        ..Wu::default()
+                        ..Request::default()
                     };
-                    self.wus.insert(wu, wanted);
-                    if self.admits(project_type) { self.draw(now, wu) } else { self.give_up(now, wu) }
+                    self.requests.insert(request_id, wanted);
+                    if self.admits(project_type) {
+                        self.draw(now, request_id)
+                    } else {
+                        self.give_up(now, request_id)
+                    }
                 }
             }
             Event::ProbeCompleted { executor, answered, lag, reading } => {
                 self.on_probed(now, executor, answered.then_some((lag, reading)))
             }
-            Event::AttemptEnded { wu, alloc, outcome, closed } => {
-                self.on_ended(now, wu, alloc, outcome, closed)
+            Event::AttemptEnded { request_id, attempt_id, outcome, closed } => {
+                self.on_ended(now, request_id, attempt_id, outcome, closed)
+            }
+            Event::AttemptRecovered { request_id, executor, sent } => {
+                self.on_recovered(now, request_id, executor, sent)
             }
-            Event::AttemptRecovered { wu, executor, sent } => self.on_recovered(now, wu, executor, sent),
             Event::GossipReceived(GossipMessage::IdleConnectionLost) => self.on_dropped(now, false),
             Event::GossipReceived(GossipMessage::WorkRejected { token, project_type }) => {
                 let found = self.fleet.iter().find(|state| state.listing.token as u32 == token);
@@ -382,28 +388,28 @@
             Event::SiblingChanged { runs: true } => self.beside_until = f64::INFINITY,
             Event::SiblingChanged { runs: false } => self.beside_until = now + self.cold.fall,
             Event::WarmStateReceived(learned) => self.on_learned(learned),
-            Event::AttemptStarted { wu, alloc } => self.on_started(now, wu, alloc),
+            Event::AttemptStarted { request_id, attempt_id } => self.on_started(now, request_id, attempt_id),
             Event::AttemptProgressed { .. } => {}
             Event::TimerFired => self.wake_set = f64::INFINITY,
-            Event::RequestWithdrawn { wu } => self.forget(wu),
+            Event::RequestWithdrawn { request_id } => self.forget(request_id),
         }
-        while let Some(&(bits, wu)) = self.wakes.first()
+        while let Some(&(bits, request_id)) = self.wakes.first()
             && f64::from_bits(bits) <= now
         {
-            self.wakes.remove(&(bits, wu));
-            let Some(w) = self.wus.get_mut(&wu) else { continue };
+            self.wakes.remove(&(bits, request_id));
+            let Some(w) = self.requests.get_mut(&request_id) else { continue };
             w.wake = f64::INFINITY;
             match w.wanted {
-                Wanted::Probed => self.probe_next(now, wu),
+                Wanted::Probed => self.probe_next(now, request_id),
                 // It has not begun yet: its executor is asked why, where it may be asked.
-                Wanted::Out(executor, ..) => match w.allocs.last() {
+                Wanted::Out(executor, ..) => match w.attempts.last() {
                     Some(last) if last.waits() && self.monitoring.forbidden => self.admission.late(),
-                    Some(last) if last.waits() => self.probe(now, wu, vec![executor]),
+                    Some(last) if last.waits() => self.probe(now, request_id, vec![executor]),
                     _ => {}
                 },
                 Wanted::Held => {
                     w.draws = 1;
-                    self.draw(now, wu)
+                    self.draw(now, request_id)
                 }
                 _ => {}
             }
@@ -429,9 +435,9 @@
         class.turnaround + (class.stretch - 1.0).max(0.0) * class.work
     }
 
-    fn on_started(&mut self, now: Millis, wu: RequestId, alloc: AttemptId) {
-        let Some(w) = self.wus.get_mut(&wu) else { return };
-        let Some(attempt) = w.allocs.get_mut(alloc.0 as usize).filter(|a| a.waits()) else { return };
+    fn on_started(&mut self, now: Millis, request_id: RequestId, attempt_id: AttemptId) {
+        let Some(w) = self.requests.get_mut(&request_id) else { return };
+        let Some(attempt) = w.attempts.get_mut(attempt_id.0 as usize).filter(|a| a.waits()) else { return };
         attempt.begun = now;
         let (waited, project_type) = (now - attempt.sent, w.project_type);
         self.observe_wait(project_type, waited);
@@ -462,14 +468,14 @@
             self.log.extend(self.following.heard());
         }
         // A push decided in this very batch must not go to an executor that the list has just taken away.
-        for wu in self.touched.clone() {
-            let Some(w) = self.wus.get(&wu) else { continue };
-            if let Wanted::Out(executor, _, allocs) = w.wanted
-                && w.allocs.len() < allocs
+        for request_id in self.touched.clone() {
+            let Some(w) = self.requests.get(&request_id) else { continue };
+            if let Wanted::Out(executor, _, attempts) = w.wanted
+                && w.attempts.len() < attempts
                 && !self.fleet.is_ready(executor)
             {
                 self.fleet.own_change(executor, now, -w.slots);
-                self.draw(now, wu);
+                self.draw(now, request_id);
             }
         }
     }
@@ -499,26 +505,36 @@
         }
         let Some(state) = self.fleet.state_mut(executor) else { return };
         state.probe_out = false;
-        for wu in std::mem::take(&mut state.awaiting_probe) {
-            let Some(w) = self.wus.get_mut(&wu) else { continue };
+        for request_id in std::mem::take(&mut state.awaiting_probe) {
+            let Some(w) = self.requests.get_mut(&request_id) else { continue };
             let asked = w.drawn.iter().take(w.probed).position(|x| *x == executor);
             let Some(nth) = asked.filter(|_| w.wanted == Wanted::Probed) else { continue };
             let last = nth + 1 >= w.probed;
             w.answers.extend(answer.map(|(_, reading)| (executor, reading)));
             // Those still to be probed could at best tie, or are emptier, which is not worth a price.
-            let rank = answer.map(|(_, reading)| self.rank(now, &self.wus[&wu], executor, &reading));
+            let rank =
+                answer.map(|(_, reading)| self.rank(now, &self.requests[&request_id], executor, &reading));
             let enough = self.fleet.state(executor).slots_out < 0.5 || self.monitoring.price > 0.0;
             match rank.is_some_and(|r| r.0 < 0.5 && !r.1 && enough) {
-                true => self.choose(now, wu),
-                false if last => self.probe_next(now, wu),
+                true => self.choose(now, request_id),
+                false if last => self.probe_next(now, request_id),
                 false => {}
             }
         }
     }
 
-    fn on_ended(&mut self, now: Millis, wu: RequestId, alloc: AttemptId, outcome: Outcome, closed: bool) {
-        let Some(w) = self.wus.get_mut(&wu) else { return };
-        let Some(a) = w.allocs.get_mut(alloc.0 as usize).filter(|a| a.outcome.is_none()) else { return };
+    fn on_ended(
+        &mut self,
+        now: Millis,
+        request_id: RequestId,
+        attempt_id: AttemptId,
+        outcome: Outcome,
+        closed: bool,
+    ) {
+        let Some(w) = self.requests.get_mut(&request_id) else { return };
+        let Some(a) = w.attempts.get_mut(attempt_id.0 as usize).filter(|a| a.outcome.is_none()) else {
+            return;
+        };
         let (executor, e, sent, begun) = (a.executor, a.executor, a.sent, a.begun);
         let soon = now - sent < BROKE_WITHIN && a.waits() && a.idle < self.idle_stated;
         a.outcome = Some(outcome);
@@ -555,11 +571,11 @@
             }
         }
         match closed {
-            true => self.forget(wu),
+            true => self.forget(request_id),
             // A copy that is still out, or in the making, says what follows; where nobody is asked, who is full.
             false if another_out => {}
-            false if outcome == Outcome::Rejected && self.monitoring.forbidden => self.hold(now, wu),
-            false => self.draw(now, wu),
+            false if outcome == Outcome::Rejected && self.monitoring.forbidden => self.hold(now, request_id),
+            false => self.draw(now, request_id),
         }
         if outcome == Outcome::Completed {
             self.room_at(now, executor);
@@ -567,14 +583,14 @@
     }
 
     /// Takes up an allocation of an earlier life: nothing is drawn, held or given up before its end is told.
-    fn on_recovered(&mut self, now: Millis, wu: RequestId, executor: ExecutorId, sent: Millis) {
+    fn on_recovered(&mut self, now: Millis, request_id: RequestId, executor: ExecutorId, sent: Millis) {
         let known = self.fleet.expects(executor);
-        let Some(w) = self.wus.get_mut(&wu).filter(|_| known) else { return };
-        w.allocs.push(Alloc::new(executor, sent, f64::INFINITY));
+        let Some(w) = self.requests.get_mut(&request_id).filter(|_| known) else { return };
+        w.attempts.push(Attempt::new(executor, sent, f64::INFINITY));
         w.draws = 0;
-        let (slots, limit, allocs) = (w.slots, w.limit, w.allocs.len());
+        let (slots, limit, attempts) = (w.slots, w.limit, w.attempts.len());
         self.fleet.own_change(executor, now, slots);
-        self.want(wu, Wanted::Out(executor, limit, allocs), f64::INFINITY);
+        self.want(request_id, Wanted::Out(executor, limit, attempts), f64::INFINITY);
     }
 
     /// Guards against connections that are dropped unseen while idle; whoever sees it tells the others.
@@ -586,33 +602,33 @@
         self.drops_until = now + DROPS_FOR;
     }
 
-    fn forget(&mut self, wu: RequestId) {
-        let Some(w) = self.wus.remove(&wu) else { return };
+    fn forget(&mut self, request_id: RequestId) {
+        let Some(w) = self.requests.remove(&request_id) else { return };
         // What is still out after its answer is left to the readings to show.
-        for a in w.allocs.iter().filter(|a| a.outcome.is_none()) {
+        for a in w.attempts.iter().filter(|a| a.outcome.is_none()) {
             let Some(state) = self.fleet.state_mut(a.executor) else { continue };
             state.slots_out = (state.slots_out - w.slots).max(0.0);
         }
-        self.held.retain(|&h| h != wu);
-        self.wakes.remove(&(w.wake.to_bits(), wu));
+        self.held.retain(|&h| h != request_id);
+        self.wakes.remove(&(w.wake.to_bits(), request_id));
     }
 
-    fn want(&mut self, wu: RequestId, wanted: Wanted, wake: Millis) {
-        let Some(w) = self.wus.get_mut(&wu) else { return };
-        self.wakes.remove(&(w.wake.to_bits(), wu));
-        self.held.retain(|&h| h != wu);
+    fn want(&mut self, request_id: RequestId, wanted: Wanted, wake: Millis) {
+        let Some(w) = self.requests.get_mut(&request_id) else { return };
+        self.wakes.remove(&(w.wake.to_bits(), request_id));
+        self.held.retain(|&h| h != request_id);
         if wanted == Wanted::Held {
-            self.held.push(wu);
+            self.held.push(request_id);
         }
         (w.wanted, w.wake) = (wanted, wake);
         if wake.is_finite() {
-            self.wakes.insert((wake.to_bits(), wu));
+            self.wakes.insert((wake.to_bits(), request_id));
         }
-        self.touched.push(wu);
+        self.touched.push(request_id);
     }
 
     /// Whether and where a work unit may be sent again, and whether it may be deferred, said here alone.
-    fn may_resend(&self, now: Millis, w: &Wu) -> (Resend, bool) {
+    fn may_resend(&self, now: Millis, w: &Request) -> (Resend, bool) {
         let kind = &self.types[w.project_type];
         let Some(first) = w.first_run() else { return (Resend::Anywhere, true) };
         let all = kind.scope == DeduplicationScope::All;
@@ -626,27 +642,31 @@
     }
 
     /// Gives up: the answer goes out with this very batch.
-    fn give_up(&mut self, now: Millis, wu: RequestId) {
-        let Some(w) = self.wus.get(&wu) else { return };
+    fn give_up(&mut self, now: Millis, request_id: RequestId) {
+        let Some(w) = self.requests.get(&request_id) else { return };
         if w.is_out() {
-            return self.wait(wu);
+            return self.wait(request_id);
         }
         let deferred = Wanted::Deferred(self.come_back_told.then_some(self.types[w.project_type].turnaround));
         let wanted = if self.may_resend(now, w).1 { deferred } else { Wanted::Aborted };
-        self.want(wu, wanted, f64::INFINITY);
+        self.want(request_id, wanted, f64::INFINITY);
     }
 
-    fn wait(&mut self, wu: RequestId) {
-        let Some((w, a)) = self.wus.get(&wu).and_then(|w| Some((w, w.allocs.last()?))) else { return };
-        self.want(wu, Wanted::Out(a.executor, w.limit, w.allocs.len()), f64::INFINITY);
+    fn wait(&mut self, request_id: RequestId) {
+        let Some((w, a)) = self.requests.get(&request_id).and_then(|w| Some((w, w.attempts.last()?))) else {
+            return;
+        };
+        self.want(request_id, Wanted::Out(a.executor, w.limit, w.attempts.len()), f64::INFINITY);
     }
 
     /// What has not begun though its executor shows room was lost on the way.
-    fn look_after(&mut self, now: Millis, wu: RequestId) {
-        let Some((w, a)) = self.wus.get(&wu).and_then(|w| Some((w, w.allocs.last()?))) else { return };
+    fn look_after(&mut self, now: Millis, request_id: RequestId) {
+        let Some((w, a)) = self.requests.get(&request_id).and_then(|w| Some((w, w.attempts.last()?))) else {
+            return;
+        };
         let roomy = |r: &LoadReport| r.queue.unwrap_or(1.0) < 0.5 && r.free_slots.unwrap_or(0.0) >= w.slots;
         if !a.waits() || !w.answers.iter().any(|(x, r)| *x == a.executor && roomy(r)) {
-            return self.wait(wu);
+            return self.wait(request_id);
         }
         if a.idle < self.idle_stated && now >= self.drops_until {
             self.on_dropped(now, true);
@@ -654,7 +674,7 @@
             let (e, kind) = (a.executor, RequestClassId(w.project_type as u32));
             self.tellings.extend(self.fleet.turn_away(e, kind, now, true));
         }
-        self.draw(now, wu)
+        self.draw(now, request_id)
     }
 
     /// 1 for a warm executor, less while it may still be cold; the slowest ramp is assumed.
@@ -687,12 +707,12 @@
         COLD_HEADROOM * whole * half * self.cold_part(e) - spent.map(|&(_, work)| work).sum::<f64>()
     }
 
-    fn cost(&self, w: &Wu) -> f64 {
+    fn cost(&self, w: &Request) -> f64 {
         w.slots * self.types[w.project_type].work
     }
 
     /// Whether the rules allow this executor for a work unit now.
-    fn allowed(&self, now: Millis, w: &Wu, executor: ExecutorId) -> bool {
+    fn allowed(&self, now: Millis, w: &Request, executor: ExecutorId) -> bool {
         let (kind, listing) = (&self.types[w.project_type], &self.fleet.state(executor).listing);
         let by_place = kind.scope == DeduplicationScope::Zone;
         let shares = |l: &Endpoint| if by_place { l.place.0 } else { l.group.0 };
@@ -708,9 +728,9 @@
     }
 
     /// Chance by warmth (among many nodes its root) and by trust decides who of the allowed is ready.
-    fn let_through(&mut self, now: Millis, wu: RequestId, executor: ExecutorId) -> bool {
+    fn let_through(&mut self, now: Millis, request_id: RequestId, executor: ExecutorId) -> bool {
         let (state, fade) = (self.fleet.state(executor), self.fleet.fade(now));
-        let project_type = self.wus.get(&wu).map_or(0, |w| w.project_type);
+        let project_type = self.requests.get(&request_id).map_or(0, |w| w.project_type);
         let turned_away = state.turned_away.get(&project_type).copied().unwrap_or_default();
         let kind = &self.types[project_type];
         let spare = (kind.turnaround + (kind.stretch - 1.0) * kind.run) / kind.run;
@@ -727,7 +747,7 @@
     }
 
     /// One ready executor, each with the same chance; those that `but` names where there is no other.
-    fn pick(&mut self, now: Millis, wu: RequestId, but: &[ExecutorId]) -> Option<ExecutorId> {
+    fn pick(&mut self, now: Millis, request_id: RequestId, but: &[ExecutorId]) -> Option<ExecutorId> {
         // The few nodes to which a cold one's budget is dealt draw it for all the others too.
         let dealt = self.fleet.dealt.len() as f64 * (self.nodes / self.cold.dealt - 1.0);
         let to_dealt = dealt / (dealt + self.fleet.healthy.len().max(1) as f64);
@@ -735,11 +755,14 @@
         for _ in 0..if self.fleet.healthy.is_empty() { 0 } else { PICKS } {
             let of = if self.rng.random_bool(to_dealt) { &self.fleet.dealt } else { &self.fleet.healthy };
             let x = of[self.rng.random_range(0..of.len())];
-            if !but.contains(&x) && self.allowed(now, self.wus.get(&wu)?, x) && self.let_through(now, wu, x) {
+            if !but.contains(&x)
+                && self.allowed(now, self.requests.get(&request_id)?, x)
+                && self.let_through(now, request_id, x)
+            {
                 return Some(x);
             }
         }
-        let (mut left, w) = (self.fleet.healthy.clone(), self.wus.get(&wu)?);
+        let (mut left, w) = (self.fleet.healthy.clone(), self.requests.get(&request_id)?);
         left.retain(|&x| self.allowed(now, w, x));
         if !left.iter().all(|x| but.contains(x)) {
             left.retain(|x| !but.contains(x));
@@ -754,68 +777,68 @@
     }
 
     /// Draws d ready executors with replacement and wants a probe to each distinct one.
-    fn draw(&mut self, now: Millis, wu: RequestId) {
-        let Some(w) = self.wus.get(&wu) else { return };
-        let most = self.types[w.project_type].most_allocs;
-        if now >= w.limit || w.allocs.len() >= most || self.may_resend(now, w).0 == Resend::Never {
-            return self.give_up(now, wu);
+    fn draw(&mut self, now: Millis, request_id: RequestId) {
+        let Some(w) = self.requests.get(&request_id) else { return };
+        let most = self.types[w.project_type].max_attempts;
+        if now >= w.limit || w.attempts.len() >= most || self.may_resend(now, w).0 == Resend::Never {
+            return self.give_up(now, request_id);
         }
-        let mut but: Vec<ExecutorId> = w.allocs.iter().map(|a| a.executor).collect();
+        let mut but: Vec<ExecutorId> = w.attempts.iter().map(|a| a.executor).collect();
         but.extend(w.drawn.iter().filter(|_| w.draws == 1));
         self.recompute_draws(now);
         // Where room is short everywhere: one draw, for each probe is priced.
         let draws = if self.room_is_short() { 1 } else { self.monitoring.draws };
         let mut drawn: Vec<ExecutorId> = Vec::new();
         for _ in 0..draws {
-            drawn.extend(self.pick(now, wu, &but).filter(|x| !drawn.contains(x)));
+            drawn.extend(self.pick(now, request_id, &but).filter(|x| !drawn.contains(x)));
         }
         // Who is near is asked first: where it shows room, the others need not be.
         drawn.sort_by_key(|&x| self.crosses(x));
-        if drawn.is_empty() { self.hold(now, wu) } else { self.probe(now, wu, drawn) }
+        if drawn.is_empty() { self.hold(now, request_id) } else { self.probe(now, request_id, drawn) }
     }
 
     /// Wants answers from these for this work unit, one after another.
-    fn probe(&mut self, now: Millis, wu: RequestId, drawn: Vec<ExecutorId>) {
-        let Some(w) = self.wus.get_mut(&wu) else { return };
+    fn probe(&mut self, now: Millis, request_id: RequestId, drawn: Vec<ExecutorId>) {
+        let Some(w) = self.requests.get_mut(&request_id) else { return };
         (w.drawn, w.probed, w.draws) = (drawn, 0, w.draws + 1);
         w.answers.clear();
         if !self.monitoring.forbidden {
-            return self.probe_next(now, wu);
+            return self.probe_next(now, request_id);
         }
         // Nobody may be asked: what this node has out there says who is emptier, and never that room is short.
         let own = |&x: &ExecutorId| (x, LoadReport::of_free_slots(1e6 - self.fleet.state(x).slots_out));
         w.answers = w.drawn.iter().map(own).collect();
-        self.choose(now, wu);
+        self.choose(now, request_id);
     }
 
-    fn probe_next(&mut self, now: Millis, wu: RequestId) {
-        let Some(w) = self.wus.get_mut(&wu) else { return };
-        let Some(&executor) = w.drawn.get(w.probed) else { return self.choose(now, wu) };
+    fn probe_next(&mut self, now: Millis, request_id: RequestId) {
+        let Some(w) = self.requests.get_mut(&request_id) else { return };
+        let Some(&executor) = w.drawn.get(w.probed) else { return self.choose(now, request_id) };
         w.probed += 1;
         if let Some(state) = self.fleet.state_mut(executor) {
             if !state.probe_out && state.awaiting_probe.is_empty() {
                 self.probes_wanted.push(executor);
             }
-            if !state.awaiting_probe.contains(&wu) {
-                state.awaiting_probe.push(wu);
+            if !state.awaiting_probe.contains(&request_id) {
+                state.awaiting_probe.push(request_id);
             }
         }
         // The wait for a probe is bounded by what it usually takes; a deep one may queue like a work unit.
         let wake = (now + 8.0 * self.monitoring.lag.unwrap_or(15.0) + 5.0).min(w.limit);
-        self.want(wu, Wanted::Probed, wake);
+        self.want(request_id, Wanted::Probed, wake);
     }
 
     /// The shortest queue first, then the node's own place, then the least part of the slots in use.
-    fn rank(&self, now: Millis, w: &Wu, executor: ExecutorId, reading: &LoadReport) -> (f64, bool, f64) {
+    fn rank(&self, now: Millis, w: &Request, executor: ExecutorId, reading: &LoadReport) -> (f64, bool, f64) {
         let (queue, free) = self.fleet.queue_for(executor, now, w.slots, reading);
         (queue, self.crosses(executor), -free / self.fleet.slots_of(executor))
     }
 
     /// With all answers in, the best of those drawn; among equal ones chance decides.
-    fn choose(&mut self, now: Millis, wu: RequestId) {
-        let Some(w) = self.wus.get(&wu) else { return };
-        if w.is_out() && w.allocs.last().is_some_and(|a| w.drawn == [a.executor]) {
-            return self.look_after(now, wu);
+    fn choose(&mut self, now: Millis, request_id: RequestId) {
+        let Some(w) = self.requests.get(&request_id) else { return };
+        if w.is_out() && w.attempts.last().is_some_and(|a| w.drawn == [a.executor]) {
+            return self.look_after(now, request_id);
         }
         let mut best: Vec<ExecutorId> = Vec::new();
         let mut least = (f64::INFINITY, true, 0.0);
@@ -831,17 +854,18 @@
         let (draws, answered, long) = (w.draws, !best.is_empty(), least.0 >= 0.5);
         if !answered && draws >= 2 {
             // No answer at all: one more draw, then one of the ready at random.
-            best.extend(self.pick(now, wu, &[]));
+            best.extend(self.pick(now, request_id, &[]));
         } else if answered && long && (draws >= 2 || self.room_is_short()) {
             // Every answer is long: one more draw, then a short hold, as what is in a queue cannot be moved.
-            return self.hold(now, wu);
+            return self.hold(now, request_id);
         }
         if best.is_empty() || (answered && long) {
-            return self.draw(now, wu);
+            return self.draw(now, request_id);
         }
         let executor = best[self.rng.random_range(0..best.len())];
-        let (w, e) = (&self.wus[&wu], executor);
-        let (cut_at, slots, cost, allocs) = (w.limit, w.slots, self.cost(w), w.allocs.len() + 1);
+        let (w, e) = (&self.requests[&request_id], executor);
+        let (attempt_deadline, slots, cost, attempts) =
+            (w.limit, w.slots, self.cost(w), w.attempts.len() + 1);
         if self.warmth(e, now - self.cold.fall) < 1.0 {
             let since = now - self.cold.fall;
             let Some(state) = self.fleet.state_mut(e) else { return };
@@ -854,36 +878,38 @@
         } else {
             now + self.types[w.project_type].turnaround.max(self.looks_after)
         };
-        self.want(wu, Wanted::Out(executor, cut_at, allocs), wake);
+        self.want(request_id, Wanted::Out(executor, attempt_deadline, attempts), wake);
     }
 
     /// Holds a work unit, to draw again halfway, while it may well be in time, then gives it up at once.
-    fn hold(&mut self, now: Millis, wu: RequestId) {
-        let Some(w) = self.wus.get(&wu) else { return };
+    fn hold(&mut self, now: Millis, request_id: RequestId) {
+        let Some(w) = self.requests.get(&request_id) else { return };
         if w.is_out() {
-            return self.wait(wu);
+            return self.wait(request_id);
         }
         let kind = &self.types[w.project_type];
         let patience = PATIENCE * (kind.turnaround + (kind.stretch - 1.0).max(0.0) * kind.run);
         let until = (w.asked + patience).min(w.limit);
-        let spent = w.allocs.len() >= kind.most_allocs || self.may_resend(now, w).0 == Resend::Never;
+        let spent = w.attempts.len() >= kind.max_attempts || self.may_resend(now, w).0 == Resend::Never;
         // Where room is short, what exceeds a customer's share goes first.
         if now >= until || spent || (w.over && !self.held.is_empty()) {
-            return self.give_up(now, wu);
+            return self.give_up(now, request_id);
         }
-        self.want(wu, Wanted::Held, (now + patience / 2.0).min(until));
+        self.want(request_id, Wanted::Held, (now + patience / 2.0).min(until));
     }
 
     /// Room, maybe: the held work unit of most credit for its slots, times how long it waits, asks there.
     fn room_at(&mut self, now: Millis, executor: ExecutorId) {
-        let earns = |wu: &RequestId| {
-            let w = &self.wus[wu];
+        let earns = |request_id: &RequestId| {
+            let w = &self.requests[request_id];
             let part = if w.over { self.credit_over } else { 1.0 };
             part * self.types[w.project_type].credit / w.slots * (now - w.asked)
         };
         let best = self.held.iter().max_by(|a, b| earns(a).total_cmp(&earns(b))).copied();
-        if let Some(wu) = best.filter(|wu| self.allowed(now, &self.wus[wu], executor)) {
-            self.probe(now, wu, vec![executor]);
+        if let Some(request_id) =
+            best.filter(|request_id| self.allowed(now, &self.requests[request_id], executor))
+        {
+            self.probe(now, request_id, vec![executor]);
         }
     }
 
@@ -912,10 +938,10 @@
             self.following.ask_at = f64::INFINITY;
             actions.push(Action::WatchEndpoints);
         }
-        for wu in std::mem::take(&mut self.touched) {
-            let Some(w) = self.wus.get_mut(&wu) else { continue };
+        for request_id in std::mem::take(&mut self.touched) {
+            let Some(w) = self.requests.get_mut(&request_id) else { continue };
             match w.wanted {
-                Wanted::Out(executor, cut_at, allocs) if w.allocs.len() < allocs => {
+                Wanted::Out(executor, attempt_deadline, attempts) if w.attempts.len() < attempts => {
                     let idle = now - self.fleet.state(executor).last_used;
                     if now < self.drops_until && idle > LEAST_IDLE && idle < self.idle_stated {
                         actions.push(Action::CloseIdleConnections { executor });
@@ -923,16 +949,18 @@
                     // A connection may come up late: what may have run goes out whole inside its window, or not.
                     let kind = &self.types[w.project_type];
                     let first = w.first_run().filter(|_| kind.effect == Effect::Deduplicated);
-                    let send_by = first.map_or(cut_at, |a| cut_at.min(a.sent + kind.window * WINDOW_MARGIN));
-                    w.allocs.push(Alloc::new(executor, now, idle));
-                    actions.push(Action::Dispatch { wu, executor, cut_at, send_by });
+                    let send_deadline = first.map_or(attempt_deadline, |a| {
+                        attempt_deadline.min(a.sent + kind.window * WINDOW_MARGIN)
+                    });
+                    w.attempts.push(Attempt::new(executor, now, idle));
+                    actions.push(Action::Dispatch { request_id, executor, attempt_deadline, send_deadline });
                 }
                 Wanted::Probed | Wanted::Held | Wanted::Out(..) => {}
-                Wanted::Deferred(come_back) => actions.push(Action::Reject { wu, come_back }),
-                Wanted::Aborted => actions.push(Action::Fail { wu }),
+                Wanted::Deferred(come_back) => actions.push(Action::Reject { request_id, come_back }),
+                Wanted::Aborted => actions.push(Action::Fail { request_id }),
             }
-            if matches!(self.wus[&wu].wanted, Wanted::Deferred(_) | Wanted::Aborted) {
-                self.forget(wu);
+            if matches!(self.requests[&request_id].wanted, Wanted::Deferred(_) | Wanted::Aborted) {
+                self.forget(request_id);
             }
         }
         for executor in std::mem::take(&mut self.probes_wanted) {
--- a/src/rules/reclaim.rs
+++ b/src/rules/reclaim.rs
@@ -23,17 +23,17 @@
             return;
         }
         let spent_since = now - self.cold.fall;
-        let named = self.wus.values().flat_map(Wu::executors);
+        let named = self.requests.values().flat_map(Request::executors);
         let released = self.fleet.reclaim(now, spent_since, named);
         actions.extend(released.into_iter().map(|executor| Action::ReleaseExecutor { executor }));
     }
 }
 
-impl Wu {
+impl Request {
     /// Those that it names: where it was sent, which says where it may be sent again, and while it waits for
     /// answers those that were drawn for it.
     fn executors(&self) -> impl Iterator<Item = ExecutorId> {
-        let sent = self.allocs.iter().map(|alloc| alloc.executor);
+        let sent = self.attempts.iter().map(|attempt_id| attempt_id.executor);
         let drawn = if self.wanted == Wanted::Probed { &self.drawn[..] } else { &[] };
         sent.chain(drawn.iter().copied())
     }
--- a/src/rules/retune.rs
+++ b/src/rules/retune.rs
@@ -10,7 +10,7 @@
             let number = |name: &str| values.number(&own(name), 0.0);
             let kind = values.number(&own("only_kind"), -1.0);
             let like = self.types.get(values.number(&own("like"), f64::INFINITY) as usize);
-            let most_allocs = values.number("limits.most_allocations", 1.0);
+            let max_attempts = values.number("limits.most_allocations", 1.0);
             self.types.push(ProjectType {
                 effect: Effect::named(values.text(&own("effect"))),
                 scope: DeduplicationScope::named(values.text(&own("repeat_scope"))),
@@ -20,7 +20,7 @@
                 limit: number("hard_limit"),
                 credit: number("credit"),
                 only_kind: (kind >= 0.0).then_some(MachineTypeId(kind as u32)),
-                most_allocs: values.number(&own("most_allocations"), most_allocs) as usize,
+                max_attempts: values.number(&own("most_allocations"), max_attempts) as usize,
                 run: like.map_or(number("promised_turnaround"), |like| like.run),
                 work: like.map_or(number("promised_turnaround"), |like| like.work),
                 runs_seen: like.map_or(0.0, |like| like.runs_seen),
--- a/src/terms.rs
+++ b/src/terms.rs
@@ -237,7 +237,7 @@
         turned_away: bool,
     },
     RequestArrived {
-        wu: RequestId,
+        request_id: RequestId,
         project_type: RequestClassId,
         customer: TenantId,
         slots: f64,
@@ -252,15 +252,15 @@
         reading: LoadReport,
     },
     AttemptEnded {
-        wu: RequestId,
-        alloc: AttemptId,
+        request_id: RequestId,
+        attempt_id: AttemptId,
         outcome: Outcome,
         closed: bool,
     },
     /// An allocation of an earlier life of this node, which is out until its end is told; after the arrival, in
     /// order, and of an executor that is held: listed, or told as gone in the same batch.
     AttemptRecovered {
-        wu: RequestId,
+        request_id: RequestId,
         executor: ExecutorId,
         sent: Millis,
     },
@@ -274,42 +274,42 @@
     GossipReceived(GossipMessage),
     /// An allocation has started to run, or to answer.
     AttemptStarted {
-        wu: RequestId,
-        alloc: AttemptId,
+        request_id: RequestId,
+        attempt_id: AttemptId,
     },
     /// The share of an allocation that is done.
     AttemptProgressed {
-        wu: RequestId,
-        alloc: AttemptId,
+        request_id: RequestId,
+        attempt_id: AttemptId,
         share: f64,
     },
     TimerFired,
     /// The client left; nothing more is owed.
     RequestWithdrawn {
-        wu: RequestId,
+        request_id: RequestId,
     },
 }
 
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
     Dispatch {
-        wu: RequestId,
+        request_id: RequestId,
         executor: ExecutorId,
         /// When it is given up.
-        cut_at: Millis,
+        attempt_deadline: Millis,
         /// From then on nothing of it is sent any more, and its last byte not at all.
-        send_by: Millis,
+        send_deadline: Millis,
     },
     Cancel {
-        wu: RequestId,
-        alloc: AttemptId,
+        request_id: RequestId,
+        attempt_id: AttemptId,
     },
     Reject {
-        wu: RequestId,
+        request_id: RequestId,
         come_back: Option<Millis>,
     },
     Fail {
-        wu: RequestId,
+        request_id: RequestId,
     },
     Probe {
         executor: ExecutorId,
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -22,7 +22,7 @@
 fn taken_of(node: &mut Node, requests: usize, project_type: u32, wait: Millis, starts_told: bool) -> usize {
     let mut taken = 0;
     for _ in 0..requests {
-        let (wu, actions) = node.arrive(project_type);
+        let (request_id, actions) = node.arrive(project_type);
         if push_of(&actions).is_none() {
             assert_eq!(said(&actions), 'd', "what is not taken is answered at once");
             node.now += 1.0;
@@ -32,10 +32,10 @@
         node.now += wait;
         node.tell(Event::TimerFired);
         if starts_told {
-            node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
+            node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
         }
         node.now += RUNS;
-        node.end(wu, 0, Outcome::Completed);
+        node.end(request_id, 0, Outcome::Completed);
     }
     taken
 }
@@ -64,7 +64,9 @@
         node.tell(Event::TimerFired);
         if tells {
             node.now += 500.0;
-            out.iter().for_each(|&wu| _ = node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) }));
+            out.iter().for_each(|&request_id| {
+                _ = node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) })
+            });
         }
         (0..400).filter(|_| push_of(&node.arrive(0).1).is_some()).count()
     };
@@ -95,12 +97,12 @@
     let mut node = node_of(300.0, Some(0.0));
     node.warm(4);
     for _ in 0..100 {
-        let (wu, executor) = node.pushed(0);
+        let (request_id, executor) = node.pushed(0);
         node.now += 4000.0;
         node.tell(Event::TimerFired);
-        node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
+        node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
         node.now += 50.0;
-        node.end(wu, 0, Outcome::Completed);
+        node.end(request_id, 0, Outcome::Completed);
         assert!(number_of(executor) < 4);
     }
 }
@@ -115,14 +117,14 @@
 }
 
 impl QueueModel {
-    fn offer(&mut self, now: Millis, node: usize, wu: RequestId, executor: ExecutorId, runs: Millis) {
+    fn offer(&mut self, now: Millis, node: usize, request_id: RequestId, executor: ExecutorId, runs: Millis) {
         let slots = &mut self.free_at[number_of(executor) as usize];
         let slot = if slots[0] <= slots[1] { 0 } else { 1 };
         let begins = slots[slot].max(now + 1.0);
         slots[slot] = begins + runs;
         for (at, is_start) in [(begins, true), (begins + runs, false)] {
             self.sequence += 1;
-            self.due.insert((at.to_bits(), self.sequence), (node, wu, is_start));
+            self.due.insert((at.to_bits(), self.sequence), (node, request_id, is_start));
         }
     }
 }
@@ -142,24 +144,24 @@
     while (offered as f64) * apart < 60_000.0 {
         let now = offered as f64 * apart;
         while let Some(entry) = model.due.first_entry().filter(|due| f64::from_bits(due.key().0) <= now) {
-            let ((bits, _), (node, wu, is_start)) = entry.remove_entry();
+            let ((bits, _), (node, request_id, is_start)) = entry.remove_entry();
             nodes[node].now = f64::from_bits(bits);
             if is_start {
-                nodes[node].tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
-            } else if let Some(at) = sent.remove(&(node, wu)) {
+                nodes[node].tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
+            } else if let Some(at) = sent.remove(&(node, request_id)) {
                 in_time += usize::from(nodes[node].now - at <= 1000.0);
-                nodes[node].end(wu, 0, Outcome::Completed);
+                nodes[node].end(request_id, 0, Outcome::Completed);
             }
         }
         let node = offered % NODES;
         offered += 1;
         nodes[node].now = now;
         nodes[node].tell(Event::TimerFired);
-        let (wu, actions) = nodes[node].arrive(0);
+        let (request_id, actions) = nodes[node].arrive(0);
         match push_of(&actions) {
             Some(executor) => {
-                sent.insert((node, wu), now);
-                model.offer(now, node, wu, executor, WORK);
+                sent.insert((node, request_id), now);
+                model.offer(now, node, request_id, executor, WORK);
             }
             None => turned_away += 1,
         }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -130,9 +130,9 @@
 
     pub fn arrive_for(&mut self, project_type: u32, customer: u32) -> (RequestId, Vec<Action>) {
         self.next += 1;
-        let wu = RequestId(self.next);
+        let request_id = RequestId(self.next);
         let actions = self.tell(Event::RequestArrived {
-            wu,
+            request_id,
             project_type: RequestClassId(project_type),
             customer: TenantId(customer),
             slots: 1.0,
@@ -140,7 +140,7 @@
             left: 5000.0,
             again: false,
         });
-        (wu, actions)
+        (request_id, actions)
     }
 
     /// Answers every probe among the actions with the queue that `queue` gives, until no probe is asked for.
@@ -157,16 +157,16 @@
         others
     }
 
-    pub fn end(&mut self, wu: RequestId, alloc: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn end(&mut self, request_id: RequestId, attempt_id: u32, outcome: Outcome) -> Vec<Action> {
         let closed = outcome == Outcome::Completed;
-        self.tell(Event::AttemptEnded { wu, alloc: AttemptId(alloc), outcome, closed })
+        self.tell(Event::AttemptEnded { request_id, attempt_id: AttemptId(attempt_id), outcome, closed })
     }
 
     /// A work unit taken, probed and pushed: its id and where it went.
     pub fn pushed(&mut self, project_type: u32) -> (RequestId, ExecutorId) {
-        let (wu, actions) = self.arrive(project_type);
+        let (request_id, actions) = self.arrive(project_type);
         let actions = self.answer(actions, |_| 0.0);
-        (wu, push_of(&actions).expect("room everywhere"))
+        (request_id, push_of(&actions).expect("room everywhere"))
     }
 }
 
@@ -178,8 +178,10 @@
 }
 
 /// Until when what is pushed may go out.
-pub fn send_by(actions: &[Action]) -> Option<Millis> {
-    actions.iter().find_map(|a| if let Action::Dispatch { send_by, .. } = a { Some(*send_by) } else { None })
+pub fn send_deadline(actions: &[Action]) -> Option<Millis> {
+    actions.iter().find_map(|a| {
+        if let Action::Dispatch { send_deadline, .. } = a { Some(*send_deadline) } else { None }
+    })
 }
 
 /// What an answer to a batch did for work units: p push or probe, d deferral, a abort, h nothing.
