--- a/tests/lifetime.rs
+++ b/tests/lifetime.rs
@@ -56,24 +56,24 @@
     for (outcome, answered) in [(Outcome::TimedOut, 'a'), (Outcome::NotSent, 'p')] {
         let mut node = node(1.0);
         node.warm(3);
-        let (wu, at) = node.pushed(3);
+        let (request_id, at) = node.pushed(3);
         let number = number_of(at);
         assert!(released(&node.list(ListUpdate::Delta, &[gone(number)])).is_empty());
         for _ in 0..4 {
             assert!(node.look_over().is_empty(), "its attempt is out");
         }
         node.now = 4999.0;
-        let actions = node.end(wu, 0, outcome);
+        let actions = node.end(request_id, 0, outcome);
         assert_eq!(said(&actions), answered, "{outcome:?}");
         let pushed = push_of(&node.answer(actions, |_| 0.0));
         assert_eq!(pushed.is_some(), answered == 'p', "what never ran goes elsewhere, in time");
         assert_ne!(pushed, Some(at));
         if answered == 'p' {
             assert!(node.look_over().is_empty(), "the request is open and names it");
-            node.end(wu, 1, Outcome::Completed);
+            node.end(request_id, 1, Outcome::Completed);
         }
         assert_eq!(node.look_over(), [at], "{outcome:?}");
-        assert!(node.end(wu, 0, Outcome::Completed).is_empty(), "no second answer");
+        assert!(node.end(request_id, 0, Outcome::Completed).is_empty(), "no second answer");
     }
 }
 
@@ -83,28 +83,28 @@
     let mut node = node(1.0);
     let in_groups = |phase| (0..4).map(|e| listing(e, e % 2, phase, None)).collect::<Vec<_>>();
     node.list(ListUpdate::Snapshot, &in_groups(EndpointState::Ready));
-    let (wu, first) = node.pushed(2);
+    let (request_id, first) = node.pushed(2);
     let group = number_of(first) % 2;
     let others: Vec<Endpoint> =
         in_groups(EndpointState::Ready).into_iter().filter(|l| l.executor != first).collect();
     node.list(ListUpdate::Snapshot, &others);
     assert!(node.look_over().is_empty());
-    let actions = node.end(wu, 0, Outcome::Reset);
+    let actions = node.end(request_id, 0, Outcome::Reset);
     let second = push_of(&node.answer(actions, |_| 0.0)).expect("another of its group");
     assert_eq!((number_of(second) % 2, second == first), (group, false));
     assert!(node.look_over().is_empty());
-    node.end(wu, 1, Outcome::Completed);
+    node.end(request_id, 1, Outcome::Completed);
     assert_eq!(node.look_over(), [first]);
 }
 
 /// How much cold work the only executor takes at once; nothing of it is left open.
 fn cold_pushes(node: &mut Node) -> usize {
     let takes = |_: &usize| {
-        let (wu, actions) = node.arrive(0);
+        let (request_id, actions) = node.arrive(0);
         let pushed = push_of(&node.answer(actions, |_| 0.0)).is_some();
         // It never ran, so that room is left for the next; what was spent stays spent.
-        let actions = if pushed { node.end(wu, 0, Outcome::NotSent) } else { Vec::new() };
-        node.tell(Event::RequestWithdrawn { wu });
+        let actions = if pushed { node.end(request_id, 0, Outcome::NotSent) } else { Vec::new() };
+        node.tell(Event::RequestWithdrawn { request_id });
         node.answer(actions, |_| 0.0);
         pushed
     };
@@ -160,9 +160,9 @@
         lag: 1.0,
         reading: reading(queue),
     };
-    let (wu, actions) = node.arrive(0);
+    let (request_id, actions) = node.arrive(0);
     assert!(actions.contains(&Action::Probe { executor: executor(0) }));
-    node.tell(Event::RequestWithdrawn { wu });
+    node.tell(Event::RequestWithdrawn { request_id });
     node.list(ListUpdate::Snapshot, &[]);
     assert!(node.look_over().is_empty(), "its probe is out");
     node.tell(probed(executor(0), 0.0));
@@ -170,7 +170,7 @@
     // The slot has a new owner, which is being probed.
     let second = executor_again(0, 1);
     node.list(ListUpdate::Snapshot, &[under(listing(0, 7, EndpointState::Ready, None), 1)]);
-    let (wu, actions) = node.arrive(0);
+    let (request_id, actions) = node.arrive(0);
     assert!(actions.contains(&Action::Probe { executor: second }));
     let token = listing(5, 5, EndpointState::Ready, None).token as u32;
     let learned = ExecutorWarmState {
@@ -188,7 +188,7 @@
             kind: ListUpdate::Delta,
             entries: vec![listing(0, 0, EndpointState::Gone, None)],
         },
-        Event::AttemptRecovered { wu, executor: executor(0), sent: 0.0 },
+        Event::AttemptRecovered { request_id, executor: executor(0), sent: 0.0 },
         Event::WarmStateReceived(WarmState { executors: vec![learned], draws: 2, ..WarmState::default() }),
     ]
     .into_iter()
@@ -203,14 +203,14 @@
     assert_eq!(push_of(&actions), Some(second));
     assert!(
         node.tell(Event::AttemptEnded {
-            wu: RequestId(1),
-            alloc: AttemptId(0),
+            request_id: RequestId(1),
+            attempt_id: AttemptId(0),
             outcome: Outcome::Error,
             closed: false
         })
         .is_empty()
     );
-    assert!(released(&node.end(wu, 0, Outcome::Completed)).is_empty());
+    assert!(released(&node.end(request_id, 0, Outcome::Completed)).is_empty());
     assert_eq!(node.pushed(0).1, second, "and it is trusted");
 }
 
@@ -252,8 +252,8 @@
             node.list(ListUpdate::Delta, &[under(listing(1, 1, EndpointState::Ready, None), releases)]);
             assert!(node.look_over().is_empty());
         }
-        let (wu, _) = node.pushed(0);
-        node.end(wu, 0, Outcome::Completed);
+        let (request_id, _) = node.pushed(0);
+        node.end(request_id, 0, Outcome::Completed);
         node.list(ListUpdate::Delta, &[under(gone(1), releases)]);
         assert_eq!((node.look_over(), node.node.executors_held()), (vec![mine], 3));
         node.list(ListUpdate::Delta, &[under(listing(1, 1, EndpointState::Ready, None), releases + 1)]);
@@ -268,7 +268,7 @@
 fn a_next_process_is_told_of_who_is_in_force() {
     let mut old = node(1.0);
     old.warm(3);
-    let (wu, at) = old.pushed(0);
+    let (request_id, at) = old.pushed(0);
     old.list(ListUpdate::Delta, &[gone(number_of(at))]);
     old.look_over();
     let learned = old.node.learned(old.now);
@@ -283,7 +283,7 @@
     next.list(ListUpdate::Cached, &entries);
     next.tell(Event::WarmStateReceived(learned));
     assert_eq!((next.node.executors_held(), next.node.stale_events()), (2, 0));
-    old.end(wu, 0, Outcome::Completed);
+    old.end(request_id, 0, Outcome::Completed);
     assert_eq!((old.look_over(), next.look_over()), (vec![at], vec![]));
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -43,7 +43,7 @@
             for &outcome in outcomes {
                 let mut node = node(1.0);
                 node.warm(3);
-                let (wu, executor) = node.pushed(project_type);
+                let (request_id, executor) = node.pushed(project_type);
                 // A group of one that is gone leaves a receipted work unit nowhere to go.
                 if project_type == 2 {
                     node.list(
@@ -52,12 +52,16 @@
                     );
                     node.now = 200.0;
                 }
-                let actions = node.end(wu, 0, outcome);
+                let actions = node.end(request_id, 0, outcome);
                 assert_eq!(said(&actions), expected, "type {project_type} after {outcome:?}");
                 // A connection may come up late: by then the window may be over in which repeats are dropped.
                 let until = if project_type == 1 && !outcome.never_ran() { 1600.0 } else { 5000.0 };
                 let until = (expected == 'p').then_some(until);
-                assert_eq!(send_by(&node.answer(actions, |_| 0.0)), until, "{project_type} {outcome:?}");
+                assert_eq!(
+                    send_deadline(&node.answer(actions, |_| 0.0)),
+                    until,
+                    "{project_type} {outcome:?}"
+                );
             }
         }
     }
@@ -86,17 +90,24 @@
         let mut node = node(1.0);
         node.warm(3);
         node.list(ListUpdate::Delta, &[listing(9, 9, EndpointState::Gone, None)]);
-        let (now, wu, executor) = (node.now, RequestId(77), executor(9));
+        let (now, request_id, executor) = (node.now, RequestId(77), executor(9));
         let (customer, slots, memory) = (TenantId(0), 1.0, 0.0);
         let project_type = RequestClassId(*project_type);
-        let arrived =
-            Event::RequestArrived { wu, project_type, customer, slots, memory, left: 900.0, again: true };
+        let arrived = Event::RequestArrived {
+            request_id,
+            project_type,
+            customer,
+            slots,
+            memory,
+            left: 900.0,
+            again: true,
+        };
         node.node.tell(now, arrived);
         for (number, outcome) in earlier.iter().enumerate() {
-            node.node.tell(now, Event::AttemptRecovered { wu, executor, sent: now - 50.0 });
+            node.node.tell(now, Event::AttemptRecovered { request_id, executor, sent: now - 50.0 });
             if let Some(outcome) = *outcome {
-                let alloc = AttemptId(number as u32);
-                node.node.tell(now, Event::AttemptEnded { wu, alloc, outcome, closed: false });
+                let attempt_id = AttemptId(number as u32);
+                node.node.tell(now, Event::AttemptEnded { request_id, attempt_id, outcome, closed: false });
             }
         }
         let emitted = node.emit();
@@ -105,7 +116,7 @@
         assert_eq!(if pushed { 'p' } else { said(&actions) }, *expected, "{what}");
         if earlier.last() == Some(&None) {
             // Its end is told in the end, by whoever was asked.
-            let ended = node.end(wu, earlier.len() as u32 - 1, NotSent);
+            let ended = node.end(request_id, earlier.len() as u32 - 1, NotSent);
             assert!(push_of(&node.answer(ended, |_| 0.0)).is_some(), "{what}");
         }
     }
@@ -118,9 +129,9 @@
         let mut node = node(1.0);
         let entries: Vec<Endpoint> = (0..6).map(|e| listing(e, e % 2, EndpointState::Ready, None)).collect();
         node.list(ListUpdate::Snapshot, &entries);
-        let (wu, executor) = node.pushed(2);
+        let (request_id, executor) = node.pushed(2);
         node.now = after;
-        let actions = node.end(wu, 0, Outcome::Reset);
+        let actions = node.end(request_id, 0, Outcome::Reset);
         assert_eq!(said(&actions), expected);
         if expected == 'p' {
             let actions = node.answer(actions, |_| 0.0);
@@ -133,13 +144,13 @@
 fn attempts_are_counted_and_answers_final() {
     let mut node = node(1.0);
     node.warm(6);
-    let (wu, _) = node.pushed(3);
-    for alloc in 0..2 {
-        let actions = node.end(wu, alloc, Outcome::Rejected);
+    let (request_id, _) = node.pushed(3);
+    for attempt_id in 0..2 {
+        let actions = node.end(request_id, attempt_id, Outcome::Rejected);
         push_of(&node.answer(actions, |_| 0.0)).unwrap();
     }
-    assert_eq!(said(&node.end(wu, 2, Outcome::Rejected)), 'd');
-    assert!(node.end(wu, 2, Outcome::Rejected).is_empty(), "nothing follows a final answer");
+    assert_eq!(said(&node.end(request_id, 2, Outcome::Rejected)), 'd');
+    assert!(node.end(request_id, 2, Outcome::Rejected).is_empty(), "nothing follows a final answer");
 }
 
 #[test]
@@ -147,10 +158,10 @@
     let mut node = node(1.0);
     node.warm(2);
     for _ in 0..20 {
-        let (wu, actions) = node.arrive(0);
+        let (request_id, actions) = node.arrive(0);
         let pushed = push_of(&node.answer(actions, |e| 3.0 * e as f64)).unwrap();
         assert_eq!(number_of(pushed), 0, "a first draw of only the longer queue is followed by a second");
-        node.end(wu, 0, Outcome::Completed);
+        node.end(request_id, 0, Outcome::Completed);
     }
 }
 
@@ -322,19 +333,19 @@
         let mut all = Vec::new();
         for k in 0..30 {
             node.now = k as f64;
-            let (wu, actions) = node.arrive(k % 4);
+            let (request_id, actions) = node.arrive(k % 4);
             let actions = node.answer(actions, |e| (e % 3) as f64);
             all.extend(actions.clone());
             if push_of(&actions).is_some() {
-                all.extend(node.end(wu, 0, Outcome::Completed));
-                assert!(node.end(wu, 0, Outcome::Reset).is_empty());
+                all.extend(node.end(request_id, 0, Outcome::Completed));
+                assert!(node.end(request_id, 0, Outcome::Reset).is_empty());
             }
         }
         let stale = RequestId(999);
         for event in [
-            Event::RequestWithdrawn { wu: stale },
-            Event::AttemptStarted { wu: stale, alloc: AttemptId(3) },
-            Event::AttemptProgressed { wu: stale, alloc: AttemptId(0), share: 0.5 },
+            Event::RequestWithdrawn { request_id: stale },
+            Event::AttemptStarted { request_id: stale, attempt_id: AttemptId(3) },
+            Event::AttemptProgressed { request_id: stale, attempt_id: AttemptId(0), share: 0.5 },
             Event::ProbeCompleted {
                 executor: executor(77),
                 answered: true,
@@ -357,7 +368,7 @@
         let mut node = node(1.0);
         node.warm(2);
         let (running, executor) = node.pushed(0);
-        let (wu, actions) = node.arrive(3);
+        let (request_id, actions) = node.arrive(3);
         let actions = node.answer(actions, |_| 5.0);
         assert_eq!(said(&actions), 'h', "nothing is pushed into a queue");
         let mut seen = actions;
@@ -377,7 +388,7 @@
         assert!(
             ends || (node.now < 400.0
                 && seen.iter().any(|a| matches!(a,
-            Action::Reject { wu: gone, come_back: Some(_) } if *gone == wu)))
+            Action::Reject { request_id: gone, come_back: Some(_) } if *gone == request_id)))
         );
     }
 }
@@ -415,13 +426,13 @@
         node.list(ListUpdate::Snapshot, &entries);
         let (mut cold, count) = (0, 3000);
         for k in 0..count + 100 {
-            let (wu, actions) = node.arrive(0);
+            let (request_id, actions) = node.arrive(0);
             let drawn = actions.iter().find_map(|a| match a {
                 Action::Probe { executor } => Some(number_of(*executor)),
                 _ => None,
             });
             cold += (k >= 100 && drawn.expect("somebody is drawn") < fresh) as u32;
-            node.tell(Event::RequestWithdrawn { wu });
+            node.tell(Event::RequestWithdrawn { request_id });
             node.answer(actions, |_| if short { 2.0 } else { 0.0 });
         }
         // A quarter into the ramp from a quarter: warmth 0.4375 at the least, 0.4375 of 1.4375 draws, or 0.66 of 1.66.
@@ -438,7 +449,7 @@
         node.warm(2);
         let mut most = 0;
         for _ in 0..20 {
-            let (wu, mut actions) = node.arrive(0);
+            let (request_id, mut actions) = node.arrive(0);
             let mut probes = 0;
             while let [Action::Probe { executor }, ..] = actions[..] {
                 probes += 1;
@@ -447,7 +458,7 @@
             }
             assert!(push_of(&actions).is_some());
             if !own_work {
-                node.end(wu, 0, Outcome::Completed);
+                node.end(request_id, 0, Outcome::Completed);
             }
             most = most.max(probes);
         }
@@ -463,10 +474,10 @@
     let share_of_slow = |node: &mut Node, slow: Millis| {
         let mut at_slow = 0;
         for _ in 0..200 {
-            let (wu, executor) = node.pushed(0);
+            let (request_id, executor) = node.pushed(0);
             at_slow += (number_of(executor) == 0) as u32;
             node.now += if number_of(executor) == 0 { slow } else { 50.0 };
-            node.end(wu, 0, Outcome::Completed);
+            node.end(request_id, 0, Outcome::Completed);
         }
         at_slow
     };
@@ -485,7 +496,7 @@
         let all: Vec<Endpoint> =
             (0..3000).map(|e| listing(e * 5, e, EndpointState::Ready, started(e))).collect();
         node.list(ListUpdate::Snapshot, &all);
-        let (wu, actions) = node.arrive(3);
+        let (request_id, actions) = node.arrive(3);
         // All but one leave while the probes are out; their answers come after that.
         node.list(ListUpdate::Snapshot, &all[1..2]);
         let mut seen = node.answer(actions, |_| 0.0);
@@ -497,7 +508,7 @@
         assert!(push_of(&seen).is_none_or(|executor| executor == all[1].executor), "{nodes} {me:?}");
         assert_ne!(said(&seen), 'h', "{nodes} {me:?}");
         if push_of(&seen).is_some() {
-            assert_eq!(said(&node.end(wu, 0, Outcome::Reset)), 'a');
+            assert_eq!(said(&node.end(request_id, 0, Outcome::Reset)), 'a');
         }
     }
 }
@@ -523,14 +534,14 @@
     node.warm(4);
     let mut sent = [0; 4];
     for k in 0..2000 {
-        let (wu, executor) = node.pushed(0);
+        let (request_id, executor) = node.pushed(0);
         sent[number_of(executor) as usize] += usize::from(k >= 1000);
         node.now += if k % 4 == 0 { 25.0 } else { 5.0 };
         let fails = number_of(executor) == 3 && k % 4 != 0;
-        let actions = node.end(wu, 0, if fails { Outcome::Error } else { Outcome::Completed });
+        let actions = node.end(request_id, 0, if fails { Outcome::Error } else { Outcome::Completed });
         if fails {
             push_of(&node.answer(actions, |_| 0.0)).unwrap();
-            node.end(wu, 1, Outcome::Completed);
+            node.end(request_id, 1, Outcome::Completed);
         }
     }
     assert!(sent[3] < 50 && sent[..3].iter().all(|&n| n > 200), "{sent:?} of 1000 by executor");
@@ -550,7 +561,7 @@
         for k in 0..400 {
             node.now += 1000.0;
             let free_slots = Some(if own == [true; 8] { free } else { 4.0 });
-            let (wu, mut actions) = node.arrive(0);
+            let (request_id, mut actions) = node.arrive(0);
             let probe = |actions: &[Action]| {
                 actions.iter().find_map(|a| match a {
                     Action::Probe { executor } => Some(*executor),
@@ -565,7 +576,7 @@
             // One job stays at each executor, the others end.
             let executor = number_of(push_of(&actions).unwrap()) as usize;
             if std::mem::replace(&mut own[executor], true) {
-                node.end(wu, 0, Outcome::Completed);
+                node.end(request_id, 0, Outcome::Completed);
             }
         }
         assert!(own == [true; 8]);
@@ -584,18 +595,18 @@
         let entries: Vec<Endpoint> = (0..8).map(|e| listing(e, e, EndpointState::Ready, fresh(e))).collect();
         node.list(ListUpdate::Snapshot, &entries);
         for _ in 0..30 {
-            let (wu, executor) = node.pushed(0);
+            let (request_id, executor) = node.pushed(0);
             let warmth = 0.25 + 0.75 * node.now / 10_000.0;
             node.now += if number_of(executor) >= 4 && slow { 50.0 / warmth } else { 50.0 };
-            node.end(wu, 0, Outcome::Completed);
+            node.end(request_id, 0, Outcome::Completed);
         }
         node.now = node.now.max(4000.0);
         let drawn = (0..600).filter(|_| {
-            let (wu, actions) = node.arrive(0);
+            let (request_id, actions) = node.arrive(0);
             let first = actions.iter().find_map(|a| {
                 if let Action::Probe { executor } = a { Some(number_of(*executor)) } else { None }
             });
-            node.tell(Event::RequestWithdrawn { wu });
+            node.tell(Event::RequestWithdrawn { request_id });
             node.answer(actions, |_| 0.0);
             first.expect("somebody is drawn") >= 4
         });
@@ -621,22 +632,22 @@
         node.warm(executors);
         let mut bad = None;
         for k in 0..100 {
-            let (wu, executor) = node.pushed(0);
+            let (request_id, executor) = node.pushed(0);
             node.now += 100.0;
             if k == 40 {
                 bad = Some(executor);
-                let actions = node.end(wu, 0, Outcome::Error);
+                let actions = node.end(request_id, 0, Outcome::Error);
                 push_of(&node.answer(actions, |_| 0.0)).expect("it may run again");
-                node.end(wu, 1, Outcome::Completed);
+                node.end(request_id, 1, Outcome::Completed);
             } else {
-                node.end(wu, 0, Outcome::Completed);
+                node.end(request_id, 0, Outcome::Completed);
             }
         }
         let arrivals = 40 * executors;
         let draws_it = |_: &u32| {
-            let (wu, actions) = node.arrive(0);
+            let (request_id, actions) = node.arrive(0);
             let drawn = actions.contains(&Action::Probe { executor: bad.unwrap() });
-            node.tell(Event::RequestWithdrawn { wu });
+            node.tell(Event::RequestWithdrawn { request_id });
             node.answer(actions, |_| 0.0);
             drawn
         };
@@ -656,9 +667,9 @@
         let mut node = node(nodes);
         node.warm(20);
         for _ in 0..200 {
-            let (wu, actions) = node.arrive(0);
+            let (request_id, actions) = node.arrive(0);
             node.answer(actions, |_| if busy { 3.0 } else { 0.0 });
-            node.tell(Event::RequestWithdrawn { wu });
+            node.tell(Event::RequestWithdrawn { request_id });
             node.now += 20.0;
         }
         let probes = std::cell::Cell::new(0);
@@ -683,7 +694,7 @@
     // One more work unit, over at once, so that neither slots nor what is held stand in its way.
     let pushes = |node: &mut Node| {
         node.now += 11.0;
-        let (wu, actions) = node.arrive(0);
+        let (request_id, actions) = node.arrive(0);
         let free_slots = Some(4.0 + node.now / 1e9);
         let mut pushed = push_of(&actions).is_some();
         if actions.iter().any(|a| matches!(a, Action::Probe { .. })) {
@@ -691,7 +702,7 @@
             let probed = Event::ProbeCompleted { executor: executor(7), answered: true, lag: 1.0, reading };
             pushed |= push_of(&node.tell(probed)).is_some();
         }
-        node.tell(Event::RequestWithdrawn { wu });
+        node.tell(Event::RequestWithdrawn { request_id });
         pushed as u32
     };
     for (told, beside) in [(true, true), (true, false), (false, true), (false, false)] {
@@ -728,12 +739,15 @@
     let mut old = node(1.0);
     old.warm(2);
     for _ in 0..40 {
-        let (wu, executor) = old.pushed(0);
+        let (request_id, executor) = old.pushed(0);
         old.now += 20.0;
-        let actions =
-            old.end(wu, 0, if number_of(executor) == 0 { Outcome::Error } else { Outcome::Completed });
+        let actions = old.end(
+            request_id,
+            0,
+            if number_of(executor) == 0 { Outcome::Error } else { Outcome::Completed },
+        );
         old.answer(actions, |_| 0.0);
-        old.tell(Event::RequestWithdrawn { wu });
+        old.tell(Event::RequestWithdrawn { request_id });
     }
     let learned = old.node.learned(old.now);
     assert!(learned.runs[0].0 < 60.0 && learned.runs[0].1 > 5.0, "{:?}", learned.runs);
@@ -745,9 +759,9 @@
         new.list(ListUpdate::Delta, &[listing(0, 0, EndpointState::Ready, started)]);
         let mut to_bad = 0;
         for _ in 0..50 {
-            let (wu, executor) = new.pushed(0);
+            let (request_id, executor) = new.pushed(0);
             to_bad += (number_of(executor) == 0) as u32;
-            new.end(wu, 0, Outcome::Completed);
+            new.end(request_id, 0, Outcome::Completed);
         }
         to_bad
     };
@@ -777,8 +791,8 @@
     values.insert("project_types.4.effect", Given::Text("exclusive".into()));
     values.insert("limits.most_allocations", Given::Number(1.0));
     node.node.retune(node.now, &values);
-    let lost = |node: &mut Node, wu: RequestId| {
-        let actions = node.end(wu, 0, Outcome::Reset);
+    let lost = |node: &mut Node, request_id: RequestId| {
+        let actions = node.end(request_id, 0, Outcome::Reset);
         said(&node.answer(actions, |_| 0.0))
     };
     assert_eq!((lost(&mut node, rerun), lost(&mut node, never)), ('p', 'a'), "terms of their arrival");
@@ -807,11 +821,11 @@
         let (mut sent, mut far) = (0, 0);
         for _ in 0..60 {
             node.now += 5.0;
-            let (wu, actions) = node.arrive(0);
+            let (request_id, actions) = node.arrive(0);
             if let Some(to) = push_of(&node.answer(actions, queue)) {
                 (sent, far) = (sent + 1, far + number_of(to) % 2);
             }
-            node.tell(Event::RequestWithdrawn { wu });
+            node.tell(Event::RequestWithdrawn { request_id });
         }
         let share = far as f64 / sent as f64;
         assert!(
@@ -836,18 +850,18 @@
     let (is_probe, mut out) = (|a: &Action| matches!(a, Action::Probe { .. }), [0_u32; 2]);
     for k in 0..200 {
         node.now = 10.0 * k as f64;
-        let (wu, actions) = node.arrive(0);
+        let (request_id, actions) = node.arrive(0);
         out[number_of(push_of(&actions).expect("it is pushed at once")) as usize] += 1;
         // It begins at once: what does not has new requests turned away (tests/admission.rs).
-        node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
+        node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
         assert!(!actions.iter().any(is_probe) && out[0].abs_diff(out[1]) < 5, "{out:?} after {k}");
     }
     // Who turns it away says that room is short, who ends work that there is some; the third time is the last.
-    let (wu, _) = node.arrive(0);
-    for (alloc, expected) in [(0, 'h'), (1, 'h'), (2, 'd')] {
-        assert_eq!(said(&node.end(wu, alloc, Outcome::Rejected)), expected, "{alloc}");
-        let ended = node.end(RequestId(alloc as u64 + 1), 0, Outcome::Completed);
-        assert_eq!(push_of(&ended).is_some(), expected == 'h', "{alloc}: sent where work ended");
+    let (request_id, _) = node.arrive(0);
+    for (attempt_id, expected) in [(0, 'h'), (1, 'h'), (2, 'd')] {
+        assert_eq!(said(&node.end(request_id, attempt_id, Outcome::Rejected)), expected, "{attempt_id}");
+        let ended = node.end(RequestId(attempt_id as u64 + 1), 0, Outcome::Completed);
+        assert_eq!(push_of(&ended).is_some(), expected == 'h', "{attempt_id}: sent where work ended");
     }
     assert!(push_of(&node.arrive(0).1).is_some());
     node.now += 2500.0;
@@ -861,11 +875,11 @@
         node.warm(1);
         // Work that waits for 140 ms, which is not late yet, and runs for 50 ms.
         for _ in 0..100 {
-            let (wu, _) = node.arrive(0);
+            let (request_id, _) = node.arrive(0);
             node.now += 140.0;
-            _ = told.then(|| node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) }));
+            _ = told.then(|| node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) }));
             node.now += 50.0;
-            node.end(wu, 0, Outcome::Completed);
+            node.end(request_id, 0, Outcome::Completed);
         }
         // One that has just started, whose budget is dealt to this node.
         let fresh = Endpoint { token: 300, ..listing(1, 0, EndpointState::Ready, Some(node.now - 1500.0)) };
--- a/tests/shapes.rs
+++ b/tests/shapes.rs
@@ -22,27 +22,27 @@
     ] {
         let mut node = with(shape(&["limits.peers"]));
         node.warm(1);
-        let (wu, _) = node.pushed(0);
-        node.end(wu, 0, Outcome::Completed);
+        let (request_id, _) = node.pushed(0);
+        node.end(request_id, 0, Outcome::Completed);
         node.now += idle;
-        let (wu, _) = node.pushed(3);
+        let (request_id, _) = node.pushed(3);
         if begun {
-            node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
+            node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
         }
         node.now += after;
-        let actions = node.end(wu, 0, Outcome::Reset);
+        let actions = node.end(request_id, 0, Outcome::Reset);
         assert_eq!(
             (said(&actions), actions.contains(&Action::Gossip(GossipMessage::IdleConnectionLost))),
             ('a', gone)
         );
         for age in 0..40 {
-            let (wu, actions) = node.arrive(0);
+            let (request_id, actions) = node.arrive(0);
             let closes = node
                 .answer(actions, |_| 0.0)
                 .iter()
                 .any(|a| matches!(a, Action::CloseIdleConnections { .. }));
             assert_eq!(closes, gone && (1..30).contains(&age), "{idle} {begun} {after}: {age} s");
-            node.end(wu, 0, Outcome::Completed);
+            node.end(request_id, 0, Outcome::Completed);
             node.now += 1000.0;
         }
     }
@@ -62,9 +62,9 @@
         let mut node =
             with(shape(&["limits.peers", "executors.tell_start", "limits.second_copies"][..flags]));
         node.warm(4);
-        let (wu, executor) = node.pushed(project_type);
+        let (request_id, executor) = node.pushed(project_type);
         if begun {
-            node.tell(Event::AttemptStarted { wu, alloc: AttemptId(0) });
+            node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
         }
         node.now += 600.0;
         let asked = node.tell(Event::TimerFired).contains(&Action::Probe { executor });
@@ -89,12 +89,12 @@
     {
         let mut node = with(shape(&["limits.second_copies", "executors.tell_start"]));
         node.warm(6);
-        let (wu, _) = node.pushed(0);
+        let (request_id, _) = node.pushed(0);
         node.now += 600.0;
         let actions = node.tell(Event::TimerFired);
         push_of(&node.answer(actions, |_| 0.0)).expect("a second copy");
-        assert_eq!(said(&node.end(wu, order[0], early)), 'h', "answered, or the other is out");
-        let actions = node.end(wu, order[1], late);
+        assert_eq!(said(&node.end(request_id, order[0], early)), 'h', "answered, or the other is out");
+        let actions = node.end(request_id, order[1], late);
         assert_eq!(said(&actions), expected, "{early:?} {late:?}");
     }
 }
@@ -112,12 +112,13 @@
             let told = GossipMessage::WorkRejected { token, project_type: RequestClassId(3) };
             let echo = if seen { Vec::new() } else { node.tell(Event::GossipReceived(told)) };
             assert!(!echo.contains(&Action::Gossip(told)));
-            let (wu, executor) = node.pushed([0, 3][k % 2]);
+            let (request_id, executor) = node.pushed([0, 3][k % 2]);
             sent[k % 2] += usize::from(number_of(executor) == 2);
             let turned = seen && number_of(executor) == 2 && k % 2 == 1;
-            let actions = node.end(wu, 0, if turned { Outcome::Rejected } else { Outcome::Completed });
+            let actions =
+                node.end(request_id, 0, if turned { Outcome::Rejected } else { Outcome::Completed });
             node.answer(actions, |_| 0.0);
-            node.end(wu, 1, Outcome::Completed);
+            node.end(request_id, 1, Outcome::Completed);
         }
         assert!(sent[0] > 60 && sent[1] > 0 && (sent[1] < 60) == less, "{sent:?}");
     }
--- a/tests/unit/reclaim.rs
+++ b/tests/unit/reclaim.rs
@@ -67,7 +67,7 @@
 
 /// What comes by itself at its time.
 enum Due {
-    Ends { wu: RequestId, attempt: usize, outcome: Outcome },
+    Ends { request_id: RequestId, attempt: usize, outcome: Outcome },
     Timer,
 }
 
@@ -183,7 +183,9 @@
                     self.tell(Event::TimerFired)?;
                 }
                 Due::Timer => {}
-                Due::Ends { wu, attempt, outcome } => self.attempt_ends(wu, attempt, outcome)?,
+                Due::Ends { request_id, attempt, outcome } => {
+                    self.attempt_ends(request_id, attempt, outcome)?
+                }
             }
         }
         self.now = self.now.max(until);
@@ -200,10 +202,10 @@
             return Ok(());
         }
         self.next_request += 1;
-        let (wu, project_type) = (RequestId(self.next_request), self.random.random_range(0..4));
-        self.open.insert(wu, Request { project_type, sent: Vec::new() });
+        let (request_id, project_type) = (RequestId(self.next_request), self.random.random_range(0..4));
+        self.open.insert(request_id, Request { project_type, sent: Vec::new() });
         self.tell(Event::RequestArrived {
-            wu,
+            request_id,
             project_type: RequestClassId(project_type),
             customer: TenantId(0),
             slots: 1.0,
@@ -298,10 +300,10 @@
 
     fn withdraw(&mut self) -> Checked {
         let nth = self.random.random_range(0..self.open.len().max(1));
-        let Some(wu) = self.open.keys().nth(nth).copied() else { return Ok(()) };
-        self.open.remove(&wu);
+        let Some(request_id) = self.open.keys().nth(nth).copied() else { return Ok(()) };
+        self.open.remove(&request_id);
         self.figures.answers += 1;
-        self.tell(Event::RequestWithdrawn { wu })
+        self.tell(Event::RequestWithdrawn { request_id })
     }
 
     /// Something for an executor or a request that is no more.
@@ -318,11 +320,16 @@
                 Event::GossipReceived(GossipMessage::WorkRejected { token: u32::MAX, project_type })
             }
             _ => {
-                let wu = RequestId(self.random.random_range(0..=self.next_request));
-                if self.open.contains_key(&wu) {
+                let request_id = RequestId(self.random.random_range(0..=self.next_request));
+                if self.open.contains_key(&request_id) {
                     return Ok(());
                 }
-                Event::AttemptEnded { wu, alloc: AttemptId(0), outcome: Outcome::Error, closed: false }
+                Event::AttemptEnded {
+                    request_id,
+                    attempt_id: AttemptId(0),
+                    outcome: Outcome::Error,
+                    closed: false,
+                }
             }
         };
         self.tell(event)?;
@@ -330,16 +337,16 @@
         ensure(counted == u64::from(kind < 3), "an outdated event was not dropped and counted")
     }
 
-    fn attempt_ends(&mut self, wu: RequestId, attempt: usize, outcome: Outcome) -> Checked {
-        if let Some(request) = self.open.get_mut(&wu) {
+    fn attempt_ends(&mut self, request_id: RequestId, attempt: usize, outcome: Outcome) -> Checked {
+        if let Some(request) = self.open.get_mut(&request_id) {
             request.sent[attempt].outcome = Some(outcome);
         }
         let closed = outcome == Outcome::Completed;
-        if closed && self.open.remove(&wu).is_some() {
+        if closed && self.open.remove(&request_id).is_some() {
             self.figures.answers += 1;
             self.figures.completed += 1;
         }
-        self.tell(Event::AttemptEnded { wu, alloc: AttemptId(attempt as u32), outcome, closed })
+        self.tell(Event::AttemptEnded { request_id, attempt_id: AttemptId(attempt as u32), outcome, closed })
     }
 
     /// Tells the module one event, and checks all that it does.
@@ -357,9 +364,11 @@
 
     fn act(&mut self, action: Action) -> Checked {
         match action {
-            Action::Dispatch { wu, executor, cut_at, .. } => self.pushed(wu, executor, cut_at),
-            Action::Reject { wu, .. } => self.answered(wu, true),
-            Action::Fail { wu } => self.answered(wu, false),
+            Action::Dispatch { request_id, executor, attempt_deadline, .. } => {
+                self.pushed(request_id, executor, attempt_deadline)
+            }
+            Action::Reject { request_id, .. } => self.answered(request_id, true),
+            Action::Fail { request_id } => self.answered(request_id, false),
             Action::Probe { executor } => {
                 ensure(self.handles.contains_key(executor), "a probe of a released executor")?;
                 ensure(!self.probes.contains(&executor), "a second probe while one is out")?;
@@ -378,11 +387,11 @@
         }
     }
 
-    fn pushed(&mut self, wu: RequestId, executor: ExecutorId, cut_at: Millis) -> Checked {
+    fn pushed(&mut self, request_id: RequestId, executor: ExecutorId, attempt_deadline: Millis) -> Checked {
         let name = self.handles.get(executor).ok_or("work for a released executor")?;
         let named = self.names.get_mut(name).ok_or("work for an executor that was never listed")?;
         ensure(named.phase == EndpointState::Ready, "work for an executor that drains or is gone")?;
-        let request = self.open.get_mut(&wu).ok_or("work is sent after its answer")?;
+        let request = self.open.get_mut(&request_id).ok_or("work is sent after its answer")?;
         ensure(request.sent.iter().all(|sent| sent.outcome.is_some()), "sent while an attempt is out")?;
         if let Some(first) = request.first_that_may_have_run() {
             self.figures.repeated += 1;
@@ -401,9 +410,9 @@
             70..76 => (self.now + 1.0, Outcome::Rejected),
             76..82 => (self.now + 2.0, Outcome::NoConnection),
             82..94 => (self.now + 300.0 * self.random.random::<f64>(), Outcome::Reset),
-            _ => (cut_at, Outcome::TimedOut),
+            _ => (attempt_deadline, Outcome::TimedOut),
         };
-        self.at(at, Due::Ends { wu, attempt, outcome });
+        self.at(at, Due::Ends { request_id, attempt, outcome });
         Ok(())
     }
 
@@ -420,8 +429,8 @@
         ensure(spent <= budget, "more than the cold budget")
     }
 
-    fn answered(&mut self, wu: RequestId, deferred: bool) -> Checked {
-        let request = self.open.remove(&wu).ok_or("a second answer")?;
+    fn answered(&mut self, request_id: RequestId, deferred: bool) -> Checked {
+        let request = self.open.remove(&request_id).ok_or("a second answer")?;
         self.figures.answers += 1;
         ensure(request.sent.iter().all(|sent| sent.outcome.is_some()), "an answer while an attempt is out")?;
         let strict = request.project_type == EXCLUSIVE || request.project_type == IN_GROUP;
@@ -462,10 +471,10 @@
             if named.needed {
                 named.needed_at = self.now;
             }
-            let names_it = |wu: &Wu| wu.executors().any(|other| other == executor);
+            let names_it = |request: &super::Request| request.executors().any(|other| other == executor);
             named.needed = named.phase != EndpointState::Gone
                 || self.probes.contains(&executor)
-                || self.node.wus.values().any(names_it);
+                || self.node.requests.values().any(names_it);
             let spent_until = named.cold.last().map_or(f64::NEG_INFINITY, |at| at + FALL);
             let stands = self.now - named.needed_at.max(spent_until);
             let in_time = named.needed || stands <= LOOKED_AT_WITHIN + 1.0;
