--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decisions of a dispatcher that pushes work units to executors: sans-IO, clockless, one instance a node.
 //!
-//! [`rules`] holds every decision, [`terms`] the words spoken with it. A host makes a [`Dispatcher`] from
+//! [`policy`] holds every decision, [`terms`] the words spoken with it. A host makes a [`Dispatcher`] from
 //! named values, a seed and the time, tells it events and carries out the actions that it emits:
 //!
 //! ```
@@ -21,8 +21,9 @@
 #[cfg(test)]
 extern crate self as troutknot;
 
-pub mod rules;
+pub mod policy;
+mod state;
 pub mod terms;
 
-pub use rules::Dispatcher;
+pub use policy::Dispatcher;
 pub use terms::*;
--- a/src/rules.rs
+++ b/src/policy/mod.rs
@@ -2,16 +2,14 @@
 //! How to call it: `Dispatcher::new(values, seed, now)`, then `tell(now, event)` for each event of a moment
 //! and one `emit(now, &mut actions)` after them, which alone works out the difference of wanted and present.
 mod admission;
-mod executors;
-mod following;
 mod learned;
 mod reclaim;
 mod retune;
 
+use crate::state::discovery_backoff::Following;
+use crate::state::executor_table::{ExecutorState, Fleet};
 use crate::terms::*;
 use admission::Admission;
-use executors::{ExecutorState, Fleet};
-use following::Following;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeSet, HashMap};
--- a/src/rules/executors.rs
+++ b/src/state/executor_table.rs
@@ -12,7 +12,7 @@
 const RECLAIM_EVERY: Millis = 1000.0;
 
 /// What is known of one executor.
-pub(super) struct ExecutorState {
+pub(crate) struct ExecutorState {
     pub listing: Endpoint,
     /// Score for what failed there, and when it was set.
     pub failure_score: (f64, Millis),
@@ -90,7 +90,7 @@
 }
 
 /// All executors that are held.
-pub(super) struct Fleet {
+pub(crate) struct Fleet {
     states: SecondaryMap<ExecutorId, ExecutorState>,
     /// Stands in for an executor that is not held.
     absent: ExecutorState,
@@ -118,7 +118,7 @@
 /// How the tests have state reclaimed, to compare with what is right.
 #[cfg(test)]
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(super) enum Reclaiming {
+pub(crate) enum Reclaiming {
     Unneeded,
     Never,
     /// Wrong: also while open requests name it.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Tables of cases for the module alone.
 mod helpers;
 use helpers::*;
-use troutknot::rules::{best_draws, time_in_system};
+use troutknot::policy::{best_draws, time_in_system};
 use troutknot::*;
 
 /// Figure 1 of the paper: C = 0.003.
--- a/tests/unit/reclaim.rs
+++ b/tests/unit/reclaim.rs
@@ -4,7 +4,7 @@
 //! The host here keeps its own books. Everything that the module does is checked against these, and a faulty
 //! way to reclaim has to be found out by the same check.
 use super::*;
-use crate::rules::executors::Reclaiming;
+use crate::state::executor_table::Reclaiming;
 use rand::{RngExt, SeedableRng};
 use slotmap::SlotMap;
 use std::collections::BTreeMap;
