--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -182,12 +182,12 @@
                 let left = exchange.limit.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
                 let told = Heard::RequestArrived {
                     request_id: exchange.request_id,
-                    project_type: work.project_type,
-                    customer: work.customer,
+                    class: work.project_type,
+                    tenant: work.customer,
                     slots: work.slots,
                     memory: work.memory,
-                    left,
-                    again: work.again,
+                    time_left: left,
+                    is_retry: work.again,
                 };
                 self.open.insert(
                     exchange.request_id,
@@ -216,12 +216,12 @@
                 if closed {
                     self.open.remove(&request_id);
                 }
-                Heard::AttemptEnded { request_id, attempt_id, outcome, closed }
+                Heard::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: closed }
             }
             Event::Heard(heard) => {
                 if let Heard::ProbeCompleted { executor, answered, lag, reading } = &heard {
                     let name = self.name(*executor);
-                    let (queue, free) = (reading.queue, reading.free_slots);
+                    let (queue, free) = (reading.queue_length, reading.free_slots);
                     tracing::debug!("probed: {name} {answered} {lag:.1} ms queue {queue:?} free {free:?}");
                 }
                 heard
@@ -229,7 +229,7 @@
             Event::List(list) => self.list(list),
             Event::LeaveOut { executor, out, asked } => return self.called(now, executor, out, asked),
             Event::HandOver => return self.hand_over(now),
-            Event::Beside(runs) => Heard::SiblingChanged { runs },
+            Event::Beside(runs) => Heard::SiblingChanged { is_running: runs },
             Event::Retuned(values) => return self.dispatcher.retune(now, &values),
             Event::OutOfTime => {
                 self.out_of_time = true;
@@ -271,11 +271,12 @@
         for (number, Earlier { executor: name, sent, outcome, lease }) in earlier.into_iter().enumerate() {
             let attempt_id = AttemptId(number as u32);
             let executor = self.register(now, &name);
-            self.dispatcher.tell(now, Heard::AttemptRecovered { request_id, executor, sent });
+            self.dispatcher.tell(now, Heard::AttemptRecovered { request_id, executor, sent_at: sent });
             match outcome {
-                Some(outcome) => self
-                    .dispatcher
-                    .tell(now, Heard::AttemptEnded { request_id, attempt_id, outcome, closed: false }),
+                Some(outcome) => self.dispatcher.tell(
+                    now,
+                    Heard::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: false },
+                ),
                 None => {
                     let settled =
                         self.executors.clone().settle(exchange.clone(), executor, attempt_id, lease);
@@ -302,7 +303,7 @@
         if kind != ListUpdate::Cached {
             self.stages.change(|life| life.listed = true);
         }
-        Heard::EndpointsUpdated { kind, entries: told }
+        Heard::EndpointsUpdated { update: kind, endpoints: told }
     }
 
     /// Chooses whom to keep; what is to be taken follows.
@@ -363,7 +364,8 @@
         let selected = self.select(|selection, kept| selection.changes(Vec::new(), kept));
         let entries = self.take_all(selected);
         let is_any = !entries.is_empty();
-        self.dispatcher.tell(now, Heard::EndpointsUpdated { kind: ListUpdate::Operator, entries });
+        self.dispatcher
+            .tell(now, Heard::EndpointsUpdated { update: ListUpdate::Operator, endpoints: entries });
         is_any
     }
 
@@ -383,12 +385,12 @@
         let entry = self.roster.take(executor, entry);
         let mut listing = self.words.now().listing(&entry, executor);
         let addr = entry.addr.parse().ok();
-        if addr.is_none() && listing.phase == EndpointState::Ready {
+        if addr.is_none() && listing.state == EndpointState::Ready {
             tracing::warn!("executor {} has no usable address: `{}`", entry.id, entry.addr);
-            listing.phase = EndpointState::Draining;
+            listing.state = EndpointState::Draining;
         }
-        self.executors.listed(executor, addr, listing.started, listing.phase == EndpointState::Ready);
-        tracing::debug!("listed: {} {:?} started {:?}", entry.id, listing.phase, listing.started);
+        self.executors.listed(executor, addr, listing.started_at, listing.state == EndpointState::Ready);
+        tracing::debug!("listed: {} {:?} started {:?}", entry.id, listing.state, listing.started_at);
         listing
     }
 
@@ -403,7 +405,8 @@
         let changed = executor.zip(entry);
         if let Some((executor, entry)) = changed {
             let entries = vec![self.take(executor, entry)];
-            self.dispatcher.tell(now, Heard::EndpointsUpdated { kind: ListUpdate::Operator, entries });
+            self.dispatcher
+                .tell(now, Heard::EndpointsUpdated { update: ListUpdate::Operator, endpoints: entries });
         }
         match asked {
             Asked::ByHand(done) if known => {
@@ -427,22 +430,22 @@
         let learned = self.dispatcher.learned(now);
         let known = |l: ExecutorWarmState| {
             let id = self.registry.name(l.executor)?.to_string();
-            let (failed, judged, slots) = (l.failed, l.judged, l.slots);
-            Some(form::Known { id, failed, judged, slots, cold_spent: l.cold_spent })
+            let (failed, judged, slots) = (l.failure_score, l.observations, l.max_slots);
+            Some(form::Known { id, failed, judged, slots, cold_spent: l.warm_up_spent })
         };
         let executors: Vec<form::Known> = learned.executors.into_iter().filter_map(known).collect();
         say(form::in_lines(&executors, |executors| Message::Executors { executors }));
         let words = self.words.now();
         let run = |(name, kind): (&str, RequestClassId)| {
-            learned.runs.get(kind.0 as usize).map(|&(run, seen)| (name.to_string(), run, seen))
+            learned.class_running_times.get(kind.0 as usize).map(|&(run, seen)| (name.to_string(), run, seen))
         };
         say(vec![
             Message::Work(form::Work {
                 types: words.taken_types().filter_map(run).collect(),
-                mean_run: learned.mean_run,
-                waiting_share: learned.waiting_share,
-                lag: learned.lag,
-                draws: learned.draws,
+                mean_run: learned.mean_running_time,
+                waiting_share: learned.busy_probe_ratio,
+                lag: learned.probe_latency,
+                draws: learned.sample_size,
             }),
             Message::Told,
         ]);
@@ -463,11 +466,11 @@
         let executors = executors.filter_map(|known| self.take_over_executor(now, known)).collect();
         let learned = WarmState {
             executors,
-            runs,
-            mean_run: work.mean_run,
-            waiting_share: work.waiting_share,
-            lag: work.lag,
-            draws: work.draws,
+            class_running_times: runs,
+            mean_running_time: work.mean_run,
+            busy_probe_ratio: work.waiting_share,
+            probe_latency: work.lag,
+            sample_size: work.draws,
         };
         self.dispatcher.tell(now, Heard::WarmStateReceived(learned));
     }
@@ -479,7 +482,13 @@
         }
         let executor = self.register(now, &known.id);
         let form::Known { failed, judged, slots, cold_spent, .. } = known;
-        Some(ExecutorWarmState { executor, failed, judged, slots, cold_spent })
+        Some(ExecutorWarmState {
+            executor,
+            failure_score: failed,
+            observations: judged,
+            max_slots: slots,
+            warm_up_spent: cold_spent,
+        })
     }
 
     /// The handle of an executor that an earlier life or process names; one that is not kept is gone.
@@ -490,7 +499,8 @@
         let left_out = self.selection.entry_left_out(name).cloned();
         let executor = self.registry.register(name);
         let gone = self.take(executor, left_out.map_or_else(|| Entry::gone(name), Entry::into_gone));
-        self.dispatcher.tell(now, Heard::EndpointsUpdated { kind: ListUpdate::Delta, entries: vec![gone] });
+        self.dispatcher
+            .tell(now, Heard::EndpointsUpdated { update: ListUpdate::Delta, endpoints: vec![gone] });
         executor
     }
 
@@ -526,7 +536,9 @@
                 let stop = self.open.get(&request_id).and_then(|open| open.stops.get(attempt_id.0 as usize));
                 stop.into_iter().for_each(|stop| stop.tell(Outcome::Cancelled));
             }
-            Action::Reject { request_id, come_back } => self.finish(request_id, Answer::Deferred(come_back)),
+            Action::Reject { request_id, retry_after: come_back } => {
+                self.finish(request_id, Answer::Deferred(come_back))
+            }
             Action::Fail { request_id } => self.finish(request_id, Answer::Aborted),
             Action::Probe { executor } => {
                 tracing::debug!("probe: {}", self.name(executor));
--- a/crates/daemon/src/executors/mod.rs
+++ b/crates/daemon/src/executors/mod.rs
@@ -304,8 +304,9 @@
     pub async fn allocate(self: Rc<Self>, push: Push) {
         let (request_id, attempt_id) = (push.exchange.request_id, push.attempt_id);
         // Whether that closes the work unit is the driver's to say.
-        let ended =
-            |outcome| Event::Heard(Heard::AttemptEnded { request_id, attempt_id, outcome, closed: false });
+        let ended = |outcome| {
+            Event::Heard(Heard::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: false })
+        };
         let Some(host) = self.host(push.executor) else {
             let _ = self.events.send(ended(Outcome::NotSent)).await;
             return;
@@ -513,8 +514,12 @@
         };
         let outcome = fate.unwrap_or(Outcome::Reset);
         lease.ended(outcome);
-        let ended =
-            Heard::AttemptEnded { request_id: exchange.request_id, attempt_id, outcome, closed: false };
+        let ended = Heard::AttemptEnded {
+            request_id: exchange.request_id,
+            attempt_id,
+            outcome,
+            is_request_closed: false,
+        };
         let _ = self.events.send(Event::Heard(ended)).await;
     }
 
--- a/crates/daemon/src/lists/platform.rs
+++ b/crates/daemon/src/lists/platform.rs
@@ -115,7 +115,12 @@
             };
             moved = false;
             tracing::warn!("watch of the list broke off: {why}");
-            if self.told.event(Event::Heard(Heard::EndpointWatchLost { turned_away })).await.is_err() {
+            if self
+                .told
+                .event(Event::Heard(Heard::EndpointWatchLost { is_rejected: turned_away }))
+                .await
+                .is_err()
+            {
                 return;
             }
         }
@@ -146,7 +151,7 @@
         }
         tracing::debug!("watch of the list stands");
         // The watch stands, even if the list follows late.
-        let none = Heard::EndpointsUpdated { kind: ListUpdate::Delta, entries: Vec::new() };
+        let none = Heard::EndpointsUpdated { update: ListUpdate::Delta, endpoints: Vec::new() };
         self.told.event(Event::Heard(none)).await?;
         let (mut buffer, most, mut first) = (BytesMut::new(), self.limits.list_line, true);
         let (mut lists, mut due) = (self.reader(), Instant::now() + silence);
--- a/crates/daemon/src/words.rs
+++ b/crates/daemon/src/words.rs
@@ -315,17 +315,17 @@
         Endpoint {
             executor,
             token: token(&entry.id),
-            place: ZoneId(place(&entry.zone, &self.places)),
-            kind: MachineTypeId(place(&entry.kind, &self.kinds)),
-            group: DeduplicationGroupId(entry.cell.unwrap_or(0)),
-            phase: match entry.state.as_str() {
+            zone: ZoneId(place(&entry.zone, &self.places)),
+            machine_type: MachineTypeId(place(&entry.kind, &self.kinds)),
+            deduplication_group: DeduplicationGroupId(entry.cell.unwrap_or(0)),
+            state: match entry.state.as_str() {
                 READY => EndpointState::Ready,
                 GONE => EndpointState::Gone,
                 // A word that is not known is taken for the one that stops new work.
                 _ => EndpointState::Draining,
             },
-            size: entry.weight.unwrap_or(1.0),
-            started: entry.started_ms.filter(|&at| at > 0.0),
+            weight: entry.weight.unwrap_or(1.0),
+            started_at: entry.started_ms.filter(|&at| at > 0.0),
         }
     }
 }
--- a/crates/hosting/src/lib.rs
+++ b/crates/hosting/src/lib.rs
@@ -47,8 +47,8 @@
     fn put(self, value: Option<f64>, reading: &mut LoadReport) {
         let value = value.filter(|v| v.is_finite());
         match self {
-            LoadField::Queue => reading.queue = value,
-            LoadField::Held => reading.held = value,
+            LoadField::Queue => reading.queue_length = value,
+            LoadField::Held => reading.in_flight = value,
             LoadField::FreeSlots => reading.free_slots = value,
             LoadField::FreeMemory => reading.free_memory = value,
             LoadField::Unused => {}
@@ -82,7 +82,7 @@
 ///
 /// ```
 /// let reading = troutknot_hosting::named_reading("queue=2, x0=1.5,util=0.6,x1=odd");
-/// assert_eq!((reading.queue, reading.free_slots, reading.free_memory), (Some(2.0), Some(1.5), None));
+/// assert_eq!((reading.queue_length, reading.free_slots, reading.free_memory), (Some(2.0), Some(1.5), None));
 /// ```
 pub fn named_reading(text: &str) -> LoadReport {
     let mut reading = LoadReport::default();
--- a/crates/hosting/src/telling.rs
+++ b/crates/hosting/src/telling.rs
@@ -25,13 +25,13 @@
 /// use troutknot::{RequestClassId, GossipMessage::WorkRejected};
 /// use troutknot_hosting::{telling, told};
 /// let (here, there) = (["a".to_string(), "b".to_string()], ["b".to_string()]);
-/// let bytes = telling(WorkRejected { token: 7, project_type: RequestClassId(1) }, &here);
-/// assert_eq!(told(&bytes, &there), Some(WorkRejected { token: 7, project_type: RequestClassId(0) }));
+/// let bytes = telling(WorkRejected { token: 7, class: RequestClassId(1) }, &here);
+/// assert_eq!(told(&bytes, &there), Some(WorkRejected { token: 7, class: RequestClassId(0) }));
 /// ```
 pub fn telling(telling: GossipMessage, types: TypeNames) -> Vec<u8> {
     match telling {
         GossipMessage::IdleConnectionLost => vec![VERSION, DROPPED],
-        GossipMessage::WorkRejected { token: executor, project_type } => {
+        GossipMessage::WorkRejected { token: executor, class: project_type } => {
             let name = types.get(project_type.0 as usize).map_or("", String::as_str);
             let mut bytes = vec![VERSION, TURNED_AWAY];
             bytes.extend_from_slice(&executor.to_le_bytes());
@@ -49,7 +49,10 @@
             let name = u16::from_le_bytes([*e, *f]);
             let found = types.iter().rposition(|other| token(other) as u16 == name)?;
             let project_type = RequestClassId(found as u32);
-            Some(GossipMessage::WorkRejected { token: u32::from_le_bytes([*a, *b, *c, *d]), project_type })
+            Some(GossipMessage::WorkRejected {
+                token: u32::from_le_bytes([*a, *b, *c, *d]),
+                class: project_type,
+            })
         }
         _ => None,
     }
@@ -62,7 +65,7 @@
     #[test]
     fn odd_messages_say_nothing() {
         let types = ["render".to_string()];
-        let good = telling(GossipMessage::WorkRejected { token: 9, project_type: RequestClassId(0) }, &types);
+        let good = telling(GossipMessage::WorkRejected { token: 9, class: RequestClassId(0) }, &types);
         assert!(told(&good, &types).is_some());
         for (what, bytes) in [
             ("empty", vec![]),
--- a/crates/hosting/tests/compatibility.rs
+++ b/crates/hosting/tests/compatibility.rs
@@ -13,7 +13,7 @@
     let classes = ["other".to_string(), "render".to_string()];
     let messages = [
         GossipMessage::IdleConnectionLost,
-        GossipMessage::WorkRejected { token: 9, project_type: RequestClassId(1) },
+        GossipMessage::WorkRejected { token: 9, class: RequestClassId(1) },
     ];
     let datagrams = datagrams();
     assert_eq!(datagrams.len(), messages.len());
--- a/crates/scale/src/hollow_nodes/by_dispatcher.rs
+++ b/crates/scale/src/hollow_nodes/by_dispatcher.rs
@@ -142,7 +142,7 @@
             Told::List(list) => self.list(list),
             Told::WatchEnded(end) => {
                 self.follows = false;
-                Event::EndpointWatchLost { turned_away: end == WatchEnd::TurnedAway }
+                Event::EndpointWatchLost { is_rejected: end == WatchEnd::TurnedAway }
             }
             Told::Event(Event::AttemptEnded { request_id, attempt_id, outcome, .. }) => {
                 if outcome == Outcome::Completed {
@@ -152,7 +152,7 @@
                     request_id,
                     attempt_id,
                     outcome,
-                    closed: !self.open.contains_key(&request_id),
+                    is_request_closed: !self.open.contains_key(&request_id),
                 }
             }
             Told::Event(event) => event,
@@ -164,7 +164,7 @@
         self.version = Some(list.version);
         let kind = if list.full { ListUpdate::Snapshot } else { ListUpdate::Delta };
         let entries = list.entries.iter().map(|entry| self.listed(entry)).collect();
-        Event::EndpointsUpdated { kind, entries }
+        Event::EndpointsUpdated { update: kind, endpoints: entries }
     }
 
     fn listed(&mut self, entry: &Entry) -> Endpoint {
@@ -193,12 +193,12 @@
         };
         let event = Event::RequestArrived {
             request_id,
-            project_type: RequestClassId(class as u32),
-            customer: TenantId(0),
+            class: RequestClassId(class as u32),
+            tenant: TenantId(0),
             slots: 1.0,
             memory: 0.0,
-            left: settings.deadline.as_secs_f64() * 1000.0,
-            again: false,
+            time_left: settings.deadline.as_secs_f64() * 1000.0,
+            is_retry: false,
         };
         add(&self.shared.by_dispatcher.requests, 1);
         self.open.insert(request_id, open);
@@ -266,7 +266,7 @@
                 request_id,
                 attempt_id,
                 outcome,
-                closed: false,
+                is_request_closed: false,
             }));
         };
         open.attempts.push(Some(self.tasks.spawn_local(pushed)));
@@ -283,7 +283,7 @@
                 request_id,
                 attempt_id,
                 outcome,
-                closed: false,
+                is_request_closed: false,
             }));
         }
     }
--- a/crates/scale/src/hollow_nodes/vocabulary.rs
+++ b/crates/scale/src/hollow_nodes/vocabulary.rs
@@ -36,16 +36,16 @@
         Endpoint {
             executor,
             token: token(&entry.id),
-            place: ZoneId(number(&entry.zone, &self.zones)),
-            kind: MachineTypeId(number(&entry.kind, &self.kinds)),
-            group: DeduplicationGroupId(entry.cell.unwrap_or(0)),
-            phase: match entry.state.as_str() {
+            zone: ZoneId(number(&entry.zone, &self.zones)),
+            machine_type: MachineTypeId(number(&entry.kind, &self.kinds)),
+            deduplication_group: DeduplicationGroupId(entry.cell.unwrap_or(0)),
+            state: match entry.state.as_str() {
                 "Ready" => EndpointState::Ready,
                 "Gone" => EndpointState::Gone,
                 _ => EndpointState::Draining,
             },
-            size: entry.weight.unwrap_or(1.0),
-            started: entry.started_ms.filter(|&at| at > 0.0),
+            weight: entry.weight.unwrap_or(1.0),
+            started_at: entry.started_ms.filter(|&at| at > 0.0),
         }
     }
 }
--- a/crates/simulation/src/baselines.rs
+++ b/crates/simulation/src/baselines.rs
@@ -143,12 +143,12 @@
 
     fn list(&mut self, kind: ListUpdate, entries: &[Endpoint]) {
         if kind != ListUpdate::Delta {
-            self.known.values_mut().for_each(|known| known.listing.phase = EndpointState::Gone);
+            self.known.values_mut().for_each(|known| known.listing.state = EndpointState::Gone);
         }
         for entry in entries {
             match self.known.get_mut(entry.executor) {
                 Some(known) => {
-                    if known.listing.started != entry.started {
+                    if known.listing.started_at != entry.started_at {
                         known.spent.clear();
                     }
                     known.listing = *entry;
@@ -160,12 +160,12 @@
                 }
             }
         }
-        let well = self.known.iter().filter(|(_, known)| known.listing.phase == EndpointState::Ready);
+        let well = self.known.iter().filter(|(_, known)| known.listing.state == EndpointState::Ready);
         self.healthy = well.map(|(executor, _)| executor).collect();
     }
 
     fn warmth(&self, e: ExecutorId, at: Millis) -> f64 {
-        match self.known.get(e).and_then(|known| known.listing.started) {
+        match self.known.get(e).and_then(|known| known.listing.started_at) {
             Some(start) if at < start + self.ramp => {
                 self.cold_share + (1.0 - self.cold_share) * ((at - start) / self.ramp).max(0.0)
             }
@@ -203,7 +203,7 @@
 
     fn allowed(&self, now: Millis, w: &Wu) -> Vec<ExecutorId> {
         let (_, like, _) = self.may_resend(now, w);
-        let group = |e: ExecutorId| self.known.get(e).map(|known| known.listing.group);
+        let group = |e: ExecutorId| self.known.get(e).map(|known| known.listing.deduplication_group);
         let kind = &self.kinds[w.kind];
         let cost = w.slots * kind.turnaround;
         let may = |&e: &ExecutorId| {
@@ -290,7 +290,7 @@
         if let Some(w) = self.requests.remove(&request_id) {
             let come_back = Some(self.kinds[w.kind].turnaround);
             self.actions.push(if deferred {
-                Action::Reject { request_id, come_back }
+                Action::Reject { request_id, retry_after: come_back }
             } else {
                 Action::Fail { request_id }
             });
@@ -301,7 +301,7 @@
         let Some(known) = self.known.get_mut(e) else { return };
         known.probed = false;
         if answered {
-            let running = (reading.held.unwrap_or(0.0)).max(0.0);
+            let running = (reading.in_flight.unwrap_or(0.0)).max(0.0);
             known.slots = known.slots.max((reading.free_slots.unwrap_or(0.0) + running).round());
         }
         let waiting: Vec<RequestId> = self
@@ -321,7 +321,7 @@
             }
             let answers = std::mem::take(&mut w.answers);
             let allowed = self.allowed(now, &self.requests[&request_id]);
-            let length = |r: &LoadReport| r.queue.unwrap_or(0.0) + r.held.unwrap_or(0.0);
+            let length = |r: &LoadReport| r.queue_length.unwrap_or(0.0) + r.in_flight.unwrap_or(0.0);
             let fit: Vec<&(ExecutorId, LoadReport)> =
                 answers.iter().filter(|(x, _)| allowed.contains(x)).collect();
             let least = fit.iter().map(|(_, r)| length(r)).fold(f64::INFINITY, f64::min);
@@ -375,8 +375,8 @@
 impl Mind for Baseline {
     fn tell(&mut self, now: Millis, event: Event) {
         match event {
-            Event::EndpointsUpdated { kind, entries } => self.list(kind, &entries),
-            Event::RequestArrived { request_id, project_type, slots, left, .. } => {
+            Event::EndpointsUpdated { update: kind, endpoints: entries } => self.list(kind, &entries),
+            Event::RequestArrived { request_id, class: project_type, slots, time_left: left, .. } => {
                 let (kind, limit) = (project_type.0 as usize, now + left);
                 let (attempts, asked, answers) = Default::default();
                 self.requests
@@ -386,7 +386,7 @@
             Event::ProbeCompleted { executor, answered, reading, .. } => {
                 self.probed(now, executor, answered, reading);
             }
-            Event::AttemptEnded { request_id, attempt_id, outcome, closed } => {
+            Event::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: closed } => {
                 self.ended(now, request_id, attempt_id, outcome, closed)
             }
             Event::RequestWithdrawn { request_id } => {
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -24,16 +24,16 @@
         Endpoint {
             executor: self.nodes[node].handles.of(executor),
             token: self.tokens[executor],
-            place: ZoneId(0),
-            kind: MachineTypeId(kind),
-            group: DeduplicationGroupId(planned.group as u32),
-            phase: match listed {
+            zone: ZoneId(0),
+            machine_type: MachineTypeId(kind),
+            deduplication_group: DeduplicationGroupId(planned.group as u32),
+            state: match listed {
                 Listed::Ready => EndpointState::Ready,
                 Listed::Terminating => EndpointState::Draining,
                 Listed::Gone => EndpointState::Gone,
             },
-            size: 1.0,
-            started,
+            weight: 1.0,
+            started_at: started,
         }
     }
 
@@ -44,13 +44,13 @@
         let mut entries = Vec::new();
         for (executor, entry) in known {
             let listing = self.listing(node, executor, entry);
-            if listing.phase == EndpointState::Gone && self.nodes[node].shut[executor].is_infinite() {
+            if listing.state == EndpointState::Gone && self.nodes[node].shut[executor].is_infinite() {
                 continue;
             }
             self.told(node, executor, entry);
             entries.push(listing);
         }
-        self.tell(node, Event::EndpointsUpdated { kind, entries });
+        self.tell(node, Event::EndpointsUpdated { update: kind, endpoints: entries });
     }
 
     /// Records that a node was told an entry; it soon sends nothing more to an executor that is not ready.
@@ -96,14 +96,14 @@
         if self.nodes[node].up {
             self.told(node, executor, entry);
             let entries = vec![self.listing(node, executor, entry)];
-            self.tell(node, Event::EndpointsUpdated { kind: ListUpdate::Delta, entries });
+            self.tell(node, Event::EndpointsUpdated { update: ListUpdate::Delta, endpoints: entries });
         }
     }
 
     /// The watch of the list broke off; it is back at once where discovery answers.
     pub(super) fn list_lost(&mut self, node: usize) {
         if self.silent {
-            self.tell(node, Event::EndpointWatchLost { turned_away: false });
+            self.tell(node, Event::EndpointWatchLost { is_rejected: false });
         } else {
             self.tell_list(node, ListUpdate::Delta);
         }
--- a/crates/simulation/src/world/executors.rs
+++ b/crates/simulation/src/world/executors.rs
@@ -187,7 +187,11 @@
             let load = host.probe(self.now);
             let (queue, held) = (Some(load.waiting), Some(load.running));
             let free_slots = Some(load.free_slots);
-            (WAY, true, LoadReport { queue, held, free_slots, ..LoadReport::default() })
+            (
+                WAY,
+                true,
+                LoadReport { queue_length: queue, in_flight: held, free_slots, ..LoadReport::default() },
+            )
         };
         let lag = WAY + after;
         let probed = WorldEvent::Probed { node, life, executor, answered, lag, reading };
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -63,7 +63,9 @@
                         .at(now, WorldEvent::Ended { node: number, life, request_id, attempt_id, outcome });
                 }
             }
-            Action::Reject { request_id, come_back } => self.answer(node, request_id, 503, come_back),
+            Action::Reject { request_id, retry_after: come_back } => {
+                self.answer(node, request_id, 503, come_back)
+            }
             Action::Fail { request_id } => self.answer(node, request_id, 502, None),
             Action::Probe { executor } => {
                 self.counts.probes += 1;
@@ -146,7 +148,15 @@
         let again = attempt > 0;
         self.tell(
             node,
-            Event::RequestArrived { request_id, project_type, customer, slots, memory, left, again },
+            Event::RequestArrived {
+                request_id,
+                class: project_type,
+                tenant: customer,
+                slots,
+                memory,
+                time_left: left,
+                is_retry: again,
+            },
         );
     }
 
@@ -170,7 +180,7 @@
         if closed {
             self.nodes[node].open.remove(&request_id);
         }
-        self.tell(node, Event::AttemptEnded { request_id, attempt_id, outcome, closed });
+        self.tell(node, Event::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: closed });
     }
 
     /// A node's timer fires, unless it was replaced by an earlier one that already has.
--- a/crates/simulation/src/world/steps.rs
+++ b/crates/simulation/src/world/steps.rs
@@ -74,7 +74,7 @@
             Step::RestartDiscovery => {
                 for node in 0..self.nodes.len() {
                     if self.nodes[node].up {
-                        self.tell(node, Event::EndpointWatchLost { turned_away: false });
+                        self.tell(node, Event::EndpointWatchLost { is_rejected: false });
                     }
                 }
             }
--- a/crates/simulation/tests/simulate.rs
+++ b/crates/simulation/tests/simulate.rs
@@ -64,11 +64,11 @@
             (Event::AttemptEnded { outcome: outcome @ Outcome::Reset, .. }, Wrong::TakesAResetForNothing) => {
                 *outcome = Outcome::NotSent;
             }
-            (Event::EndpointsUpdated { entries, .. }, Wrong::SendsToTheDrained) => {
-                entries.iter_mut().for_each(|entry| entry.phase = troutknot::EndpointState::Ready);
+            (Event::EndpointsUpdated { endpoints: entries, .. }, Wrong::SendsToTheDrained) => {
+                entries.iter_mut().for_each(|entry| entry.state = troutknot::EndpointState::Ready);
             }
-            (Event::EndpointsUpdated { entries, .. }, Wrong::PushesCold) => {
-                entries.iter_mut().for_each(|entry| entry.started = None);
+            (Event::EndpointsUpdated { endpoints: entries, .. }, Wrong::PushesCold) => {
+                entries.iter_mut().for_each(|entry| entry.started_at = None);
             }
             _ => {}
         }
--- a/crates/wirehost/src/encode.rs
+++ b/crates/wirehost/src/encode.rs
@@ -52,7 +52,7 @@
             call(out, *request_id);
             number(out, ",\"n\":", attempt_id.0.into());
         }
-        Action::Reject { request_id, come_back } => {
+        Action::Reject { request_id, retry_after: come_back } => {
             open(out, "bounce", instance);
             call(out, *request_id);
             if let Some(wait) = come_back {
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -81,12 +81,12 @@
                 let r: decode::NewRequest = decode::parse(line)?;
                 let event = Event::RequestArrived {
                     request_id: r.call,
-                    project_type: RequestClassId(r.priority),
-                    customer: TenantId(r.account.unwrap_or(0)),
+                    class: RequestClassId(r.priority),
+                    tenant: TenantId(r.account.unwrap_or(0)),
                     slots: r.cores_needed.unwrap_or(1.0),
                     memory: r.mem_needed.unwrap_or(0.0),
-                    left: millis(r.time_left),
-                    again: r.retry.unwrap_or(false),
+                    time_left: millis(r.time_left),
+                    is_retry: r.retry.unwrap_or(false),
                 };
                 self.tell(r.i, now, |_| event);
             }
@@ -106,7 +106,7 @@
                     request_id: r.call,
                     attempt_id: AttemptId(r.n),
                     outcome: outcome(r.state_code),
-                    closed: r.complete,
+                    is_request_closed: r.complete,
                 });
             }
             "begun" => {
@@ -176,7 +176,7 @@
     fn list(&mut self, now: Millis, told: decode::PeersKnown) -> Result<(), String> {
         let kind = match told.kind {
             PeersKind::Lost => {
-                self.tell(told.i, now, |_| Event::EndpointWatchLost { turned_away: true });
+                self.tell(told.i, now, |_| Event::EndpointWatchLost { is_rejected: true });
                 return Ok(());
             }
             PeersKind::Incr => ListUpdate::Delta,
@@ -189,19 +189,19 @@
         let listing = |entry: &decode::Entry| Endpoint {
             executor: instance.registry.register(&entry.executor),
             token: token(&entry.executor),
-            place: ZoneId(entry.dc.unwrap_or(0)),
-            kind: MachineTypeId(entry.hw.unwrap_or(0)),
-            group: DeduplicationGroupId(entry.stripe.unwrap_or(0)),
-            phase: match entry.phase {
+            zone: ZoneId(entry.dc.unwrap_or(0)),
+            machine_type: MachineTypeId(entry.hw.unwrap_or(0)),
+            deduplication_group: DeduplicationGroupId(entry.stripe.unwrap_or(0)),
+            state: match entry.phase {
                 EntryPhase::Healthy => EndpointState::Ready,
                 EntryPhase::Cordoned => EndpointState::Draining,
                 EntryPhase::Deregistered => EndpointState::Gone,
             },
-            size: entry.scale.unwrap_or(1.0),
-            started: entry.start_time.filter(|&at| at > 0).map(millis),
+            weight: entry.scale.unwrap_or(1.0),
+            started_at: entry.start_time.filter(|&at| at > 0).map(millis),
         };
         let entries = sheet.iter().map(listing).collect();
-        self.tell(told.i, now, |_| Event::EndpointsUpdated { kind, entries });
+        self.tell(told.i, now, |_| Event::EndpointsUpdated { update: kind, endpoints: entries });
         Ok(())
     }
 
--- a/src/policy/learned.rs
+++ b/src/policy/learned.rs
@@ -8,19 +8,26 @@
         let counts = |spent: &(Millis, f64)| spent.0 >= now - self.cold.fall;
         // One that is gone may be back with the same start while what was spent of its cold budget counts.
         let handed_on = |state: &&ExecutorState| {
-            state.listing.phase != EndpointState::Gone || state.cold_spent.iter().any(counts)
+            state.listing.state != EndpointState::Gone || state.cold_spent.iter().any(counts)
         };
         let learned = |state: &ExecutorState| ExecutorWarmState {
             executor: state.listing.executor,
-            failed: state.failure_score,
-            judged: state.observations,
-            slots: state.most_slots,
-            cold_spent: state.cold_spent.iter().copied().filter(counts).collect(),
+            failure_score: state.failure_score,
+            observations: state.observations,
+            max_slots: state.most_slots,
+            warm_up_spent: state.cold_spent.iter().copied().filter(counts).collect(),
         };
         let (mean_run, waiting_share, lag, draws) = (f.mean_run, m.waiting_share, m.lag, m.draws);
         let executors = f.iter().filter(|state| handed_on(state)).map(learned).collect();
         let runs = self.types.iter().map(|kind| (kind.run, kind.runs_seen)).collect();
-        WarmState { executors, runs, mean_run, waiting_share, lag, draws }
+        WarmState {
+            executors,
+            class_running_times: runs,
+            mean_running_time: mean_run,
+            busy_probe_ratio: waiting_share,
+            probe_latency: lag,
+            sample_size: draws,
+        }
     }
 
     pub(super) fn on_learned(&mut self, learned: WarmState) {
@@ -29,17 +36,19 @@
             if f.expects(l.executor)
                 && let Some(state) = f.state_mut(l.executor)
             {
-                (state.failure_score, state.observations) = (l.failed, l.judged);
-                (state.most_slots, state.cold_spent) = (l.slots, l.cold_spent);
+                (state.failure_score, state.observations) = (l.failure_score, l.observations);
+                (state.most_slots, state.cold_spent) = (l.max_slots, l.warm_up_spent);
             }
         }
-        for (kind, (run, seen)) in self.types.iter_mut().zip(learned.runs).filter(|(_, run)| run.1 > 0.0) {
+        for (kind, (run, seen)) in
+            self.types.iter_mut().zip(learned.class_running_times).filter(|(_, run)| run.1 > 0.0)
+        {
             // What it waited is not told apart; that is less than the truth for fresh executors.
             (kind.run, kind.work, kind.runs_seen) = (run, run, seen);
         }
-        (f.mean_run, m.lag) = (learned.mean_run, learned.lag);
-        m.waiting_share = if m.forbidden { m.waiting_share } else { learned.waiting_share };
+        (f.mean_run, m.lag) = (learned.mean_running_time, learned.probe_latency);
+        m.waiting_share = if m.forbidden { m.waiting_share } else { learned.busy_probe_ratio };
         m.seen = if m.waiting_share.is_some() { 1.0 / ANSWER_WEIGHT } else { 0.0 };
-        m.draws = learned.draws.clamp(2, MOST_DRAWS);
+        m.draws = learned.sample_size.clamp(2, MOST_DRAWS);
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -277,7 +277,7 @@
         let by = (fade / DISTRUST_FADE).min(MOST_FAULT);
         *score = (if seen { before + by } else { before.max(HEARSAY) }, now);
         let token = state.listing.token as u32;
-        (seen && before < HEARSAY / 2.0).then_some(GossipMessage::WorkRejected { token, project_type: kind })
+        (seen && before < HEARSAY / 2.0).then_some(GossipMessage::WorkRejected { token, class: kind })
     }
 
     fn own_change(&mut self, e: ExecutorId, now: Millis, slots: f64) {
@@ -298,7 +298,7 @@
 
     /// The queue that a work unit would stand in, with the slots that it lacks there now; and the free slots.
     fn queue_for(&self, e: ExecutorId, now: Millis, slots: f64, reading: &LoadReport) -> (f64, f64) {
-        let waiting = reading.queue.or(reading.held).unwrap_or(0.0);
+        let waiting = reading.queue_length.or(reading.in_flight).unwrap_or(0.0);
         let Some(free) = reading.free_slots else { return (waiting.round(), f64::INFINITY) };
         let free = free - self.unseen(e, now);
         ((waiting + (slots - free).max(0.0)).round(), free)
@@ -342,11 +342,19 @@
     /// Takes in one event; what follows from it is emitted by the next `emit`.
     pub fn tell(&mut self, now: Millis, event: Event) {
         match event {
-            Event::EndpointsUpdated { kind, entries } => self.on_list(now, kind, &entries),
-            Event::EndpointWatchLost { turned_away } => {
+            Event::EndpointsUpdated { update: kind, endpoints: entries } => self.on_list(now, kind, &entries),
+            Event::EndpointWatchLost { is_rejected: turned_away } => {
                 self.log.push(self.following.lost(now, self.nodes, turned_away, &mut self.rng))
             }
-            Event::RequestArrived { request_id, project_type, customer, slots, left, again, .. } => {
+            Event::RequestArrived {
+                request_id,
+                class: project_type,
+                tenant: customer,
+                slots,
+                time_left: left,
+                is_retry: again,
+                ..
+            } => {
                 let project_type = project_type.0 as usize;
                 if project_type < self.types.len() && !self.requests.contains_key(&request_id) {
                     let wanted = Request {
@@ -369,22 +377,22 @@
             Event::ProbeCompleted { executor, answered, lag, reading } => {
                 self.on_probed(now, executor, answered.then_some((lag, reading)))
             }
-            Event::AttemptEnded { request_id, attempt_id, outcome, closed } => {
+            Event::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: closed } => {
                 self.on_ended(now, request_id, attempt_id, outcome, closed)
             }
-            Event::AttemptRecovered { request_id, executor, sent } => {
+            Event::AttemptRecovered { request_id, executor, sent_at: sent } => {
                 self.on_recovered(now, request_id, executor, sent)
             }
             Event::GossipReceived(GossipMessage::IdleConnectionLost) => self.on_dropped(now, false),
-            Event::GossipReceived(GossipMessage::WorkRejected { token, project_type }) => {
+            Event::GossipReceived(GossipMessage::WorkRejected { token, class: project_type }) => {
                 let found = self.fleet.iter().find(|state| state.listing.token as u32 == token);
                 let executor = found.map_or(ExecutorId::default(), |state| state.listing.executor);
                 if self.fleet.expects(executor) {
                     self.fleet.turn_away(executor, project_type, now, false);
                 }
             }
-            Event::SiblingChanged { runs: true } => self.beside_until = f64::INFINITY,
-            Event::SiblingChanged { runs: false } => self.beside_until = now + self.cold.fall,
+            Event::SiblingChanged { is_running: true } => self.beside_until = f64::INFINITY,
+            Event::SiblingChanged { is_running: false } => self.beside_until = now + self.cold.fall,
             Event::WarmStateReceived(learned) => self.on_learned(learned),
             Event::AttemptStarted { request_id, attempt_id } => self.on_started(now, request_id, attempt_id),
             Event::AttemptProgressed { .. } => {}
@@ -486,12 +494,12 @@
             let m = &mut self.monitoring;
             let usual = m.lag.get_or_insert(lag);
             *usual += 0.05 * (lag - *usual);
-            let waiting = if reading.queue.unwrap_or(0.0) >= 0.5 { 1.0 } else { 0.0 };
+            let waiting = if reading.queue_length.unwrap_or(0.0) >= 0.5 { 1.0 } else { 0.0 };
             // Guards against what a node holds at its start, which one that sees little would keep all day.
             m.seen += 1.0;
             let share = m.waiting_share.get_or_insert(0.25);
             *share += ANSWER_WEIGHT.max(1.0 / (m.seen + 4.0)) * (waiting - *share);
-            let running = (reading.held.unwrap_or(0.0) - reading.queue.unwrap_or(0.0)).max(0.0);
+            let running = (reading.in_flight.unwrap_or(0.0) - reading.queue_length.unwrap_or(0.0)).max(0.0);
             let shown = reading.free_slots.unwrap_or(0.0) + running;
             let Some(state) = self.fleet.state_mut(executor) else { return };
             state.most_slots = state.most_slots.max(shown.round());
@@ -662,7 +670,8 @@
         let Some((w, a)) = self.requests.get(&request_id).and_then(|w| Some((w, w.attempts.last()?))) else {
             return;
         };
-        let roomy = |r: &LoadReport| r.queue.unwrap_or(1.0) < 0.5 && r.free_slots.unwrap_or(0.0) >= w.slots;
+        let roomy =
+            |r: &LoadReport| r.queue_length.unwrap_or(1.0) < 0.5 && r.free_slots.unwrap_or(0.0) >= w.slots;
         if !a.waits() || !w.answers.iter().any(|(x, r)| *x == a.executor && roomy(r)) {
             return self.wait(request_id);
         }
@@ -678,7 +687,7 @@
     /// 1 for a warm executor, less while it may still be cold; the slowest ramp is assumed.
     fn warmth(&self, e: ExecutorId, at: Millis) -> f64 {
         let ColdRule { share, ramp, .. } = self.cold;
-        match self.fleet.state(e).listing.started {
+        match self.fleet.state(e).listing.started_at {
             Some(start) if at < start + ramp => share + (1.0 - share) * ((at - start) / ramp).max(0.0),
             _ => 1.0,
         }
@@ -713,7 +722,7 @@
     fn allowed(&self, now: Millis, w: &Request, executor: ExecutorId) -> bool {
         let (kind, listing) = (&self.types[w.project_type], &self.fleet.state(executor).listing);
         let by_place = kind.scope == DeduplicationScope::Zone;
-        let shares = |l: &Endpoint| if by_place { l.place.0 } else { l.group.0 };
+        let shares = |l: &Endpoint| if by_place { l.zone.0 } else { l.deduplication_group.0 };
         let in_scope = match self.may_resend(now, w).0 {
             Resend::Anywhere => true,
             Resend::Never => false,
@@ -721,7 +730,7 @@
                 self.fleet.holds(other) && shares(listing) == shares(&self.fleet.state(other).listing)
             }
         };
-        let able = kind.only_kind.is_none_or(|k| k == listing.kind) && self.fleet.is_ready(executor);
+        let able = kind.only_kind.is_none_or(|k| k == listing.machine_type) && self.fleet.is_ready(executor);
         in_scope && able && self.cold_room(executor, now) >= self.cost(w)
     }
 
@@ -741,7 +750,7 @@
     }
 
     fn crosses(&self, executor: ExecutorId) -> bool {
-        self.home.is_some_and(|home| self.fleet.state(executor).listing.place != home)
+        self.home.is_some_and(|home| self.fleet.state(executor).listing.zone != home)
     }
 
     /// One ready executor, each with the same chance; those that `but` names where there is no other.
@@ -954,7 +963,9 @@
                     actions.push(Action::Dispatch { request_id, executor, attempt_deadline, send_deadline });
                 }
                 Wanted::Probed | Wanted::Held | Wanted::Out(..) => {}
-                Wanted::Deferred(come_back) => actions.push(Action::Reject { request_id, come_back }),
+                Wanted::Deferred(come_back) => {
+                    actions.push(Action::Reject { request_id, retry_after: come_back })
+                }
                 Wanted::Aborted => actions.push(Action::Fail { request_id }),
             }
             if matches!(self.requests[&request_id].wanted, Wanted::Deferred(_) | Wanted::Aborted) {
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -60,13 +60,13 @@
     /// What the list says now; another start has another history. That it is gone says nothing of its start: it
     /// may be back with it, and what was spent of its cold budget counts then.
     fn relist(&mut self, listing: Endpoint) {
-        if listing.phase == EndpointState::Gone {
-            self.listing.phase = EndpointState::Gone;
+        if listing.state == EndpointState::Gone {
+            self.listing.state = EndpointState::Gone;
             return;
         }
-        if self.listing.started != listing.started {
+        if self.listing.started_at != listing.started_at {
             // A process before this one may have handed on what it spent there, and not under which start.
-            if self.listing.started.is_some() {
+            if self.listing.started_at.is_some() {
                 self.cold_spent.clear();
             }
             self.failure_score = (0.0, 0.0);
@@ -133,12 +133,12 @@
         let nowhere = Endpoint {
             executor: ExecutorId::default(),
             token: 0,
-            place: ZoneId(u32::MAX),
-            kind: MachineTypeId(u32::MAX),
-            group: DeduplicationGroupId(u32::MAX),
-            phase: EndpointState::Gone,
-            size: 0.0,
-            started: None,
+            zone: ZoneId(u32::MAX),
+            machine_type: MachineTypeId(u32::MAX),
+            deduplication_group: DeduplicationGroupId(u32::MAX),
+            state: EndpointState::Gone,
+            weight: 0.0,
+            started_at: None,
         };
         Fleet {
             states: SecondaryMap::new(),
@@ -189,7 +189,7 @@
     }
 
     pub fn is_ready(&self, executor: ExecutorId) -> bool {
-        self.state(executor).listing.phase == EndpointState::Ready
+        self.state(executor).listing.state == EndpointState::Ready
     }
 
     /// Makes room for the executors of a whole list at once, and for an eighth more: growing step by step would
@@ -210,7 +210,7 @@
     /// Takes what the list says; with `whole`, who is missing is gone.
     pub fn take_list(&mut self, now: Millis, whole: bool, entries: &[Endpoint]) {
         if whole {
-            self.states.values_mut().for_each(|state| state.listing.phase = EndpointState::Gone);
+            self.states.values_mut().for_each(|state| state.listing.state = EndpointState::Gone);
             self.gone = self.states.keys().collect();
             self.reserve(entries.len());
         }
@@ -225,7 +225,7 @@
 
     fn list(&mut self, entry: &Endpoint) {
         let executor = entry.executor;
-        let kind_before = self.states.get(executor).map(|state| state.listing.kind.0);
+        let kind_before = self.states.get(executor).map(|state| state.listing.machine_type.0);
         match self.states.get_mut(executor) {
             Some(state) => state.relist(*entry),
             None => {
@@ -236,7 +236,7 @@
         if !self.expects(executor) {
             return;
         }
-        match entry.phase {
+        match entry.state {
             EndpointState::Gone => self.gone.insert(executor),
             _ => self.gone.remove(&executor),
         };
@@ -245,16 +245,16 @@
 
     /// Keeps the largest size of each kind of machine, and how many there are of it.
     fn count_kind(&mut self, kind_before: Option<u32>, listing: Endpoint) {
-        let kind = listing.kind.0;
+        let kind = listing.machine_type.0;
         if kind_before != Some(kind) {
             self.kind_sizes.entry(kind).or_default().executors += 1;
             kind_before.into_iter().for_each(|before| self.drop_kind(before));
         }
         if let Some(size) = self.kind_sizes.get_mut(&kind)
             && self.falling
-            && listing.phase == EndpointState::Ready
+            && listing.state == EndpointState::Ready
         {
-            size.largest = size.largest.max(listing.size);
+            size.largest = size.largest.max(listing.weight);
         }
     }
 
@@ -267,7 +267,7 @@
     }
 
     pub fn list_ready(&mut self) {
-        let ready = self.states.iter().filter(|(_, state)| state.listing.phase == EndpointState::Ready);
+        let ready = self.states.iter().filter(|(_, state)| state.listing.state == EndpointState::Ready);
         self.healthy = ready.map(|(executor, _)| executor).collect();
     }
 
@@ -279,7 +279,7 @@
 
     /// What an executor can do when warm, in slots: by its size where that falls with load and hides slots.
     pub fn capacity(&self, executor: ExecutorId) -> f64 {
-        let kind = self.state(executor).listing.kind.0;
+        let kind = self.state(executor).listing.machine_type.0;
         let size = self.kind_sizes.get(&kind).map_or(0.0, |size| size.largest);
         if size > 0.0 { size } else { self.slots_of(executor) }
     }
@@ -322,7 +322,7 @@
     fn release(&mut self, executor: ExecutorId) {
         self.gone.remove(&executor);
         if let Some(state) = self.states.remove(executor) {
-            self.drop_kind(state.listing.kind.0);
+            self.drop_kind(state.listing.machine_type.0);
         }
     }
 }
--- a/src/terms.rs
+++ b/src/terms.rs
@@ -140,12 +140,12 @@
     pub executor: ExecutorId,
     /// A number that stands for this executor at every node alike.
     pub token: u64,
-    pub place: ZoneId,
-    pub kind: MachineTypeId,
-    pub group: DeduplicationGroupId,
-    pub phase: EndpointState,
-    pub size: f64,
-    pub started: Option<Millis>,
+    pub zone: ZoneId,
+    pub machine_type: MachineTypeId,
+    pub deduplication_group: DeduplicationGroupId,
+    pub state: EndpointState,
+    pub weight: f64,
+    pub started_at: Option<Millis>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -163,8 +163,8 @@
 /// Load that an executor reported; what a site does not report stays `None`.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
 pub struct LoadReport {
-    pub queue: Option<f64>,
-    pub held: Option<f64>,
+    pub queue_length: Option<f64>,
+    pub in_flight: Option<f64>,
     pub free_slots: Option<f64>,
     pub free_memory: Option<f64>,
 }
@@ -200,21 +200,21 @@
 pub struct WarmState {
     pub executors: Vec<ExecutorWarmState>,
     /// Running times by project type, and how many were seen; none seen says nothing.
-    pub runs: Vec<(Millis, f64)>,
-    pub mean_run: Millis,
-    pub waiting_share: Option<f64>,
-    pub lag: Option<Millis>,
-    pub draws: u32,
+    pub class_running_times: Vec<(Millis, f64)>,
+    pub mean_running_time: Millis,
+    pub busy_probe_ratio: Option<f64>,
+    pub probe_latency: Option<Millis>,
+    pub sample_size: u32,
 }
 
 /// What is known of an executor beside its listing: faults, outcomes, slots, and its cold budget that is out.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ExecutorWarmState {
     pub executor: ExecutorId,
-    pub failed: (f64, Millis),
-    pub judged: (f64, Millis),
-    pub slots: f64,
-    pub cold_spent: Vec<(Millis, f64)>,
+    pub failure_score: (f64, Millis),
+    pub observations: (f64, Millis),
+    pub max_slots: f64,
+    pub warm_up_spent: Vec<(Millis, f64)>,
 }
 
 /// What one node tells the others.
@@ -223,27 +223,27 @@
     /// A connection that had been idle was gone unseen.
     IdleConnectionLost,
     /// The executor of that token (its lower half) turned work of a project type away though it showed room.
-    WorkRejected { token: u32, project_type: RequestClassId },
+    WorkRejected { token: u32, class: RequestClassId },
 }
 
 #[derive(Clone, PartialEq, Debug)]
 pub enum Event {
     EndpointsUpdated {
-        kind: ListUpdate,
-        entries: Vec<Endpoint>,
+        update: ListUpdate,
+        endpoints: Vec<Endpoint>,
     },
     /// A call for the list failed, or following it broke off; whether its source turned the call away.
     EndpointWatchLost {
-        turned_away: bool,
+        is_rejected: bool,
     },
     RequestArrived {
         request_id: RequestId,
-        project_type: RequestClassId,
-        customer: TenantId,
+        class: RequestClassId,
+        tenant: TenantId,
         slots: f64,
         memory: f64,
-        left: Millis,
-        again: bool,
+        time_left: Millis,
+        is_retry: bool,
     },
     ProbeCompleted {
         executor: ExecutorId,
@@ -255,18 +255,18 @@
         request_id: RequestId,
         attempt_id: AttemptId,
         outcome: Outcome,
-        closed: bool,
+        is_request_closed: bool,
     },
     /// An allocation of an earlier life of this node, which is out until its end is told; after the arrival, in
     /// order, and of an executor that is held: listed, or told as gone in the same batch.
     AttemptRecovered {
         request_id: RequestId,
         executor: ExecutorId,
-        sent: Millis,
+        sent_at: Millis,
     },
     /// Whether another process of this node runs, which pushes as well.
     SiblingChanged {
-        runs: bool,
+        is_running: bool,
     },
     /// What a process of this node before this one knew; after the list.
     WarmStateReceived(WarmState),
@@ -306,7 +306,7 @@
     },
     Reject {
         request_id: RequestId,
-        come_back: Option<Millis>,
+        retry_after: Option<Millis>,
     },
     Fail {
         request_id: RequestId,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -94,7 +94,7 @@
             processes.push(next);
             for process in processes {
                 process.now = self.now;
-                process.tell(Event::SiblingChanged { runs: true });
+                process.tell(Event::SiblingChanged { is_running: true });
             }
         }
     }
@@ -123,7 +123,7 @@
         for processes in &mut self.processes {
             let next = &mut processes[1];
             next.now = self.now;
-            next.tell(Event::SiblingChanged { runs: false });
+            next.tell(Event::SiblingChanged { is_running: false });
         }
     }
 
@@ -225,7 +225,7 @@
         let Action::Probe { executor } = actions.remove(at) else { unreachable!() };
         // Each reading differs from the one before, so that it is taken for a new one.
         let free_slots = Some(slots + process.now / 1e9);
-        let reading = LoadReport { queue: Some(0.0), free_slots, ..LoadReport::default() };
+        let reading = LoadReport { queue_length: Some(0.0), free_slots, ..LoadReport::default() };
         actions.extend(process.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading }));
     }
     actions
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -93,12 +93,12 @@
     Endpoint {
         executor: executor(number),
         token,
-        place,
-        kind,
-        group: DeduplicationGroupId(group),
-        phase,
-        size: 1.0,
-        started,
+        zone: place,
+        machine_type: kind,
+        deduplication_group: DeduplicationGroupId(group),
+        state: phase,
+        weight: 1.0,
+        started_at: started,
     }
 }
 
@@ -115,7 +115,7 @@
     }
 
     pub fn list(&mut self, kind: ListUpdate, entries: &[Endpoint]) -> Vec<Action> {
-        self.tell(Event::EndpointsUpdated { kind, entries: entries.to_vec() })
+        self.tell(Event::EndpointsUpdated { update: kind, endpoints: entries.to_vec() })
     }
 
     /// Healthy warm executors 0..n, each in a group of its own.
@@ -133,12 +133,12 @@
         let request_id = RequestId(self.next);
         let actions = self.tell(Event::RequestArrived {
             request_id,
-            project_type: RequestClassId(project_type),
-            customer: TenantId(customer),
+            class: RequestClassId(project_type),
+            tenant: TenantId(customer),
             slots: 1.0,
             memory: 0.0,
-            left: 5000.0,
-            again: false,
+            time_left: 5000.0,
+            is_retry: false,
         });
         (request_id, actions)
     }
@@ -150,7 +150,8 @@
             let Action::Probe { executor } = actions.remove(at) else { unreachable!() };
             let held = queue(number_of(executor));
             let free = if held > 0.0 { 0.0 } else { 4.0 };
-            let reading = LoadReport { queue: Some(held), free_slots: Some(free), ..LoadReport::default() };
+            let reading =
+                LoadReport { queue_length: Some(held), free_slots: Some(free), ..LoadReport::default() };
             actions.extend(self.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading }));
         }
         others.append(&mut actions);
@@ -159,7 +160,12 @@
 
     pub fn end(&mut self, request_id: RequestId, attempt_id: u32, outcome: Outcome) -> Vec<Action> {
         let closed = outcome == Outcome::Completed;
-        self.tell(Event::AttemptEnded { request_id, attempt_id: AttemptId(attempt_id), outcome, closed })
+        self.tell(Event::AttemptEnded {
+            request_id,
+            attempt_id: AttemptId(attempt_id),
+            outcome,
+            is_request_closed: closed,
+        })
     }
 
     /// A work unit taken, probed and pushed: its id and where it went.
--- a/tests/lifetime.rs
+++ b/tests/lifetime.rs
@@ -153,7 +153,8 @@
 fn an_answer_for_an_earlier_owner_of_a_slot_is_dropped_and_counted() {
     let mut node = node(1.0);
     node.warm(1);
-    let reading = |queue| LoadReport { queue: Some(queue), free_slots: Some(4.0), ..LoadReport::default() };
+    let reading =
+        |queue| LoadReport { queue_length: Some(queue), free_slots: Some(4.0), ..LoadReport::default() };
     let probed = |executor, queue| Event::ProbeCompleted {
         executor,
         answered: true,
@@ -175,21 +176,25 @@
     let token = listing(5, 5, EndpointState::Ready, None).token as u32;
     let learned = ExecutorWarmState {
         executor: executor(0),
-        failed: (100.0, node.now),
-        judged: (1.0, node.now),
-        slots: 1.0,
-        cold_spent: Vec::new(),
+        failure_score: (100.0, node.now),
+        observations: (1.0, node.now),
+        max_slots: 1.0,
+        warm_up_spent: Vec::new(),
     };
     for (counted, stale) in [
         probed(executor(0), 9.0),
         Event::ProbeCompleted { executor: executor(0), answered: false, lag: 1.0, reading: reading(0.0) },
-        Event::GossipReceived(GossipMessage::WorkRejected { token, project_type: RequestClassId(0) }),
+        Event::GossipReceived(GossipMessage::WorkRejected { token, class: RequestClassId(0) }),
         Event::EndpointsUpdated {
-            kind: ListUpdate::Delta,
-            entries: vec![listing(0, 0, EndpointState::Gone, None)],
+            update: ListUpdate::Delta,
+            endpoints: vec![listing(0, 0, EndpointState::Gone, None)],
         },
-        Event::AttemptRecovered { request_id, executor: executor(0), sent: 0.0 },
-        Event::WarmStateReceived(WarmState { executors: vec![learned], draws: 2, ..WarmState::default() }),
+        Event::AttemptRecovered { request_id, executor: executor(0), sent_at: 0.0 },
+        Event::WarmStateReceived(WarmState {
+            executors: vec![learned],
+            sample_size: 2,
+            ..WarmState::default()
+        }),
     ]
     .into_iter()
     .enumerate()
@@ -206,7 +211,7 @@
             request_id: RequestId(1),
             attempt_id: AttemptId(0),
             outcome: Outcome::Error,
-            closed: false
+            is_request_closed: false
         })
         .is_empty()
     );
@@ -320,7 +325,8 @@
             values.insert("project_types.0.promised_turnaround", Given::Number(900.0));
             let mut node = with_seed(values, me);
             node.now = 50_000.0;
-            let sized = |size, started| Endpoint { size, ..listing(5, 5, EndpointState::Ready, started) };
+            let sized =
+                |size, started| Endpoint { weight: size, ..listing(5, 5, EndpointState::Ready, started) };
             node.list(ListUpdate::Snapshot, &[sized(4.0, None)]);
             node.list(ListUpdate::Snapshot, between);
             let releases = if wait { node.look_over().len() } else { 0 };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -95,19 +95,22 @@
         let project_type = RequestClassId(*project_type);
         let arrived = Event::RequestArrived {
             request_id,
-            project_type,
-            customer,
+            class: project_type,
+            tenant: customer,
             slots,
             memory,
-            left: 900.0,
-            again: true,
+            time_left: 900.0,
+            is_retry: true,
         };
         node.node.tell(now, arrived);
         for (number, outcome) in earlier.iter().enumerate() {
-            node.node.tell(now, Event::AttemptRecovered { request_id, executor, sent: now - 50.0 });
+            node.node.tell(now, Event::AttemptRecovered { request_id, executor, sent_at: now - 50.0 });
             if let Some(outcome) = *outcome {
                 let attempt_id = AttemptId(number as u32);
-                node.node.tell(now, Event::AttemptEnded { request_id, attempt_id, outcome, closed: false });
+                node.node.tell(
+                    now,
+                    Event::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: false },
+                );
             }
         }
         let emitted = node.emit();
@@ -177,11 +180,12 @@
             .filter_map(|a| if let Action::Probe { executor } = a { Some(*executor) } else { None })
             .collect();
         for executor in probes {
-            let reading = LoadReport { queue: Some(number_of(executor) as f64), ..LoadReport::default() };
+            let reading =
+                LoadReport { queue_length: Some(number_of(executor) as f64), ..LoadReport::default() };
             node.node.tell(node.now, Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
         }
         let entries = vec![listing(0, 0, phase, None)];
-        node.node.tell(node.now, Event::EndpointsUpdated { kind: ListUpdate::Delta, entries });
+        node.node.tell(node.now, Event::EndpointsUpdated { update: ListUpdate::Delta, endpoints: entries });
         let actions = node.emit();
         let actions = node.answer(actions, |_| 0.0);
         assert_eq!(push_of(&actions), Some(executor(1)));
@@ -246,7 +250,7 @@
                 let mut node = with_seed(values, seed);
                 node.warm(2);
                 if !stood {
-                    node.tell(Event::EndpointWatchLost { turned_away: true });
+                    node.tell(Event::EndpointWatchLost { is_rejected: true });
                     node.now = 20_000.0;
                     node.tell(Event::TimerFired);
                 }
@@ -319,7 +323,7 @@
 
 /// How long after the list was lost it is asked for again.
 fn woken_after(node: &mut Node, turned_away: bool) -> f64 {
-    let actions = node.tell(Event::EndpointWatchLost { turned_away });
+    let actions = node.tell(Event::EndpointWatchLost { is_rejected: turned_away });
     let at = actions.iter().find_map(|a| if let Action::SetTimer { at } = a { Some(*at) } else { None });
     at.expect("a time to ask again") - node.now
 }
@@ -388,7 +392,7 @@
         assert!(
             ends || (node.now < 400.0
                 && seen.iter().any(|a| matches!(a,
-            Action::Reject { request_id: gone, come_back: Some(_) } if *gone == request_id)))
+            Action::Reject { request_id: gone, retry_after: Some(_) } if *gone == request_id)))
         );
     }
 }
@@ -453,7 +457,7 @@
             let mut probes = 0;
             while let [Action::Probe { executor }, ..] = actions[..] {
                 probes += 1;
-                let reading = LoadReport { queue: Some(0.0), ..LoadReport::default() };
+                let reading = LoadReport { queue_length: Some(0.0), ..LoadReport::default() };
                 actions = node.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
             }
             assert!(push_of(&actions).is_some());
@@ -570,7 +574,7 @@
             };
             while let Some(executor) = probe(&actions) {
                 probes += u32::from(k >= 300);
-                let reading = LoadReport { queue: Some(0.0), free_slots, ..LoadReport::default() };
+                let reading = LoadReport { queue_length: Some(0.0), free_slots, ..LoadReport::default() };
                 actions = node.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
             }
             // One job stays at each executor, the others end.
@@ -698,7 +702,7 @@
         let free_slots = Some(4.0 + node.now / 1e9);
         let mut pushed = push_of(&actions).is_some();
         if actions.iter().any(|a| matches!(a, Action::Probe { .. })) {
-            let reading = LoadReport { queue: Some(0.0), free_slots, ..LoadReport::default() };
+            let reading = LoadReport { queue_length: Some(0.0), free_slots, ..LoadReport::default() };
             let probed = Event::ProbeCompleted { executor: executor(7), answered: true, lag: 1.0, reading };
             pushed |= push_of(&node.tell(probed)).is_some();
         }
@@ -718,7 +722,7 @@
         }
         if beside {
             for node in [&mut old, &mut new] {
-                node.tell(Event::SiblingChanged { runs: true });
+                node.tell(Event::SiblingChanged { is_running: true });
             }
         }
         sent += (0..75).map(|_| pushes(&mut old) + pushes(&mut new)).sum::<u32>();
@@ -727,7 +731,7 @@
         assert_eq!(sent as f64 <= whole, beside, "{sent} of {whole} with {told} {beside}");
         assert!(!(told && beside) || sent as f64 > whole / 2.0, "{sent}: what is there is used");
         // The other one left: half for as long as what it pushed counts.
-        new.tell(Event::SiblingChanged { runs: false });
+        new.tell(Event::SiblingChanged { is_running: false });
         new.list(ListUpdate::Delta, &cold(new.now));
         let half = (0..75).map(|_| pushes(&mut new)).sum::<u32>();
         assert!(half >= 5 && half as f64 <= whole / 2.0, "started anew: {half} of {whole}");
@@ -750,7 +754,11 @@
         old.tell(Event::RequestWithdrawn { request_id });
     }
     let learned = old.node.learned(old.now);
-    assert!(learned.runs[0].0 < 60.0 && learned.runs[0].1 > 5.0, "{:?}", learned.runs);
+    assert!(
+        learned.class_running_times[0].0 < 60.0 && learned.class_running_times[0].1 > 5.0,
+        "{:?}",
+        learned.class_running_times
+    );
     let share_of_bad = |told: Option<WarmState>, started: Option<Millis>| {
         let mut new = node(1.0);
         new.now = old.now;
@@ -774,7 +782,7 @@
     // One of a later or earlier list, or of executors that this one does not list, is skipped.
     let mut other = node(1.0);
     other.warm(1);
-    other.tell(Event::WarmStateReceived(WarmState { draws: 99, ..learned }));
+    other.tell(Event::WarmStateReceived(WarmState { sample_size: 99, ..learned }));
     assert_eq!(other.pushed(0).1, executor(0));
 }
 
@@ -815,7 +823,7 @@
         values.insert("prices.cross_place", Given::Number(price));
         values.insert("place", Given::Number(0.0));
         let mut node = with(values);
-        let at = |e: u32| Endpoint { place: ZoneId(e % 2), ..listing(e, e, EndpointState::Ready, None) };
+        let at = |e: u32| Endpoint { zone: ZoneId(e % 2), ..listing(e, e, EndpointState::Ready, None) };
         node.list(ListUpdate::Snapshot, &(0..40).map(at).collect::<Vec<_>>());
         let queue = |e: u32| if near_full && e.is_multiple_of(2) { 3.0 } else { 0.0 };
         let (mut sent, mut far) = (0, 0);
--- a/tests/shapes.rs
+++ b/tests/shapes.rs
@@ -69,7 +69,8 @@
         node.now += 600.0;
         let asked = node.tell(Event::TimerFired).contains(&Action::Probe { executor });
         assert_eq!(asked, flags == 3 && !begun);
-        let reading = LoadReport { queue: Some(queue), free_slots: Some(free), ..LoadReport::default() };
+        let reading =
+            LoadReport { queue_length: Some(queue), free_slots: Some(free), ..LoadReport::default() };
         let actions = node.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
         let told = actions.iter().any(|a| matches!(a, Action::Gossip(GossipMessage::WorkRejected { .. })));
         let second = push_of(&node.answer(actions, |_| 0.0));
@@ -109,7 +110,7 @@
         let mut sent = [0; 2];
         for k in 0..800 {
             node.now += 50.0;
-            let told = GossipMessage::WorkRejected { token, project_type: RequestClassId(3) };
+            let told = GossipMessage::WorkRejected { token, class: RequestClassId(3) };
             let echo = if seen { Vec::new() } else { node.tell(Event::GossipReceived(told)) };
             assert!(!echo.contains(&Action::Gossip(told)));
             let (request_id, executor) = node.pushed([0, 3][k % 2]);
@@ -137,7 +138,8 @@
             values.insert("list_sizes", Given::Text(sizes.into()));
             let mut node = with_seed(values, me);
             node.now = 50_000.0;
-            let sized = |size, started| Endpoint { size, ..listing(5, 5, EndpointState::Ready, started) };
+            let sized =
+                |size, started| Endpoint { weight: size, ..listing(5, 5, EndpointState::Ready, started) };
             node.list(ListUpdate::Snapshot, &[sized(4.0, None)]);
             node.list(ListUpdate::Snapshot, &[sized(1.0, Some(45_000.0))]);
             node.arrive(0).1.iter().any(|a| matches!(a, Action::Probe { .. }))
--- a/tests/unit/reclaim.rs
+++ b/tests/unit/reclaim.rs
@@ -206,12 +206,12 @@
         self.open.insert(request_id, Request { project_type, sent: Vec::new() });
         self.tell(Event::RequestArrived {
             request_id,
-            project_type: RequestClassId(project_type),
-            customer: TenantId(0),
+            class: RequestClassId(project_type),
+            tenant: TenantId(0),
             slots: 1.0,
             memory: 0.0,
-            left: LIMIT,
-            again: false,
+            time_left: LIMIT,
+            is_retry: false,
         })
     }
 
@@ -223,7 +223,7 @@
         let (answered, is_full) = (self.random.random_bool(0.95), self.random.random_bool(0.1));
         let (queue, free_slots) = if is_full { (2.0, 0.0) } else { (0.0, FREE_SLOTS) };
         let reading =
-            LoadReport { queue: Some(queue), free_slots: Some(free_slots), ..LoadReport::default() };
+            LoadReport { queue_length: Some(queue), free_slots: Some(free_slots), ..LoadReport::default() };
         self.tell(Event::ProbeCompleted { executor, answered, lag: 1.0, reading })
     }
 
@@ -287,15 +287,15 @@
             entries.push(Endpoint {
                 executor,
                 token: *name,
-                place: ZoneId(0),
-                kind: MachineTypeId(0),
-                group: DeduplicationGroupId(named.group),
-                phase: named.phase,
-                size: 1.0,
-                started: named.started,
+                zone: ZoneId(0),
+                machine_type: MachineTypeId(0),
+                deduplication_group: DeduplicationGroupId(named.group),
+                state: named.phase,
+                weight: 1.0,
+                started_at: named.started,
             });
         }
-        self.tell(Event::EndpointsUpdated { kind, entries })
+        self.tell(Event::EndpointsUpdated { update: kind, endpoints: entries })
     }
 
     fn withdraw(&mut self) -> Checked {
@@ -317,7 +317,7 @@
             1 => Event::ProbeCompleted { executor, answered: false, lag: 1.0, reading },
             2 => {
                 let project_type = RequestClassId(0);
-                Event::GossipReceived(GossipMessage::WorkRejected { token: u32::MAX, project_type })
+                Event::GossipReceived(GossipMessage::WorkRejected { token: u32::MAX, class: project_type })
             }
             _ => {
                 let request_id = RequestId(self.random.random_range(0..=self.next_request));
@@ -328,7 +328,7 @@
                     request_id,
                     attempt_id: AttemptId(0),
                     outcome: Outcome::Error,
-                    closed: false,
+                    is_request_closed: false,
                 }
             }
         };
@@ -346,7 +346,12 @@
             self.figures.answers += 1;
             self.figures.completed += 1;
         }
-        self.tell(Event::AttemptEnded { request_id, attempt_id: AttemptId(attempt as u32), outcome, closed })
+        self.tell(Event::AttemptEnded {
+            request_id,
+            attempt_id: AttemptId(attempt as u32),
+            outcome,
+            is_request_closed: closed,
+        })
     }
 
     /// Tells the module one event, and checks all that it does.
