--- a/crates/daemon/src/briefing.rs
+++ b/crates/daemon/src/briefing.rs
@@ -11,15 +11,12 @@
 use std::time::Duration;
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
-use troutknot::{Given, NamedValues};
-use troutknot_hosting::{Catalogue, named_values};
+use troutknot::{Millis, Settings};
+use troutknot_hosting::{IdCatalog, parse_settings};
 
 /// A file that is longer is not read.
 const MOST_BYTES: u64 = 16 * 1024 * 1024;
 
-/// The span in which nodes that fail to get the list ask for it again.
-const ASK_EVERY: &str = "rules.ask_every";
-
 /// Names the address where operators call this process, before what the file says.
 const MANAGEMENT: &str = "ROUTER_MANAGEMENT";
 
@@ -46,13 +43,13 @@
 /// The same in the forms that the parts of the node take it in.
 pub struct Understood {
     pub seed: u64,
-    pub values: NamedValues,
+    pub settings: Settings,
     pub words: Vocabulary,
 }
 
 /// What new settings change while the node runs.
 pub struct Retuned {
-    pub catalogue: Catalogue,
+    pub catalog: IdCatalog,
     pub limits: Rc<Limits>,
     pub words: Rc<InForce<Vocabulary>>,
     pub events: mpsc::Sender<Event>,
@@ -61,35 +58,38 @@
 impl Retuned {
     /// Takes new settings as one, or nothing of them.
     async fn take(&mut self, settings: &serde_json::Map<String, serde_json::Value>) -> Result<(), String> {
-        let adopted = self.catalogue.adopt(settings)?;
-        let values = asked_in_time(adopted.values.clone());
-        let words = Vocabulary::of(settings, adopted);
-        self.limits.retune(&stated(&values, &words));
+        let mut resolved = self.catalog.resolve(settings).map_err(|errors| errors.to_string())?;
+        bound_poll_interval(&mut resolved.settings);
+        let settings_in_force = resolved.settings.clone();
+        let words = Vocabulary::of(settings, resolved);
+        self.limits.retune(&stated(&settings_in_force, &words));
         // The module has heard of a project type before the first work unit of it comes.
-        self.events.send(Event::Retuned(values)).await.map_err(|_| "the node ends".to_string())?;
+        self.events
+            .send(Event::Retuned(Box::new(settings_in_force)))
+            .await
+            .map_err(|_| "the node ends".to_string())?;
         self.words.replace(words);
         Ok(())
     }
 }
 
 /// Bounds the span in which the list is asked for again, for settings that leave more time than a change has.
-fn asked_in_time(mut values: NamedValues) -> NamedValues {
-    let most = LIST_ASKED_WITHIN.as_secs_f64() * 1000.0;
-    let stated = values.number(ASK_EVERY, most);
-    values.insert(ASK_EVERY, Given::Number(stated.min(most)));
-    values
+fn bound_poll_interval(settings: &mut Settings) {
+    let longest = LIST_ASKED_WITHIN.as_secs_f64() * 1000.0;
+    let stated = settings.rules.poll_interval.unwrap_or(longest);
+    settings.rules.poll_interval = Some(stated.min(longest));
 }
 
 /// What the settings state of times.
-pub fn stated(values: &NamedValues, words: &Vocabulary) -> Stated {
-    let span = |name: &str| {
-        let millis = values.number(name, -1.0);
-        (0.0..1e9).contains(&millis).then(|| Duration::from_secs_f64(millis / 1000.0))
+pub fn stated(settings: &Settings, words: &Vocabulary) -> Stated {
+    let span = |stated: Option<Millis>| {
+        let millis = stated.filter(|millis| (0.0..1e9).contains(millis))?;
+        Some(Duration::from_secs_f64(millis / 1000.0))
     };
     Stated {
-        connect_wait: span("limits.connect_wait"),
-        executors_idle: span("limits.idle_connection"),
-        drain_grace: span("rules.drain_grace"),
+        connect_wait: span(settings.limits.connect_timeout),
+        executors_idle: span(settings.limits.idle_timeout),
+        drain_grace: span(settings.rules.drain_grace),
         longest: words.longest(),
         ..Stated::default()
     }
@@ -143,11 +143,12 @@
         u64::from_str_radix(&self.seed, 16).map_err(|_| format!("odd seed `{}`", self.seed))
     }
 
-    pub fn understood(&self, catalogue: &mut Catalogue) -> Result<Understood, String> {
+    pub fn understood(&self, catalog: &mut IdCatalog) -> Result<Understood, String> {
         let seed = self.seed()?;
-        let adopted = catalogue.adopt(&self.settings)?;
-        let values = asked_in_time(adopted.values.clone());
-        Ok(Understood { seed, values, words: Vocabulary::of(&self.settings, adopted) })
+        let mut resolved = catalog.resolve(&self.settings).map_err(|errors| errors.to_string())?;
+        bound_poll_interval(&mut resolved.settings);
+        let settings = resolved.settings.clone();
+        Ok(Understood { seed, settings, words: Vocabulary::of(&self.settings, resolved) })
     }
 
     /// What a newer one says otherwise that holds until the node's end.
@@ -176,7 +177,10 @@
             // Guards against a new file that is bad: it is checked to its end before anything of it is taken.
             let newer = match Briefing::read(&path) {
                 Ok(newer) => match newer.seed() {
-                    Ok(_) => match named_values(&newer.settings).and_then(|values| own.file.fits(&values)) {
+                    Ok(_) => match parse_settings(&newer.settings)
+                        .map_err(|error| error.to_string())
+                        .and_then(|settings| own.file.fits(&settings))
+                    {
                         Ok(()) => retuned.take(&newer.settings).await.map(|()| newer),
                         Err(why) => Err(why),
                     },
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -155,7 +155,7 @@
                 self.tell(now, event);
             }
             loop {
-                self.dispatcher.emit(now, &mut actions);
+                self.dispatcher.poll_actions(now, &mut actions);
                 for action in actions.drain(..) {
                     self.act(action);
                 }
@@ -219,10 +219,15 @@
                 Heard::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: closed }
             }
             Event::Heard(heard) => {
-                if let Heard::ProbeCompleted { executor, answered, lag, reading } = &heard {
+                if let Heard::ProbeCompleted { executor, reply } = &heard {
                     let name = self.name(*executor);
-                    let (queue, free) = (reading.queue_length, reading.free_slots);
-                    tracing::debug!("probed: {name} {answered} {lag:.1} ms queue {queue:?} free {free:?}");
+                    match reply {
+                        Some(ProbeReply { latency, report }) => {
+                            let (queue, free) = (report.queue_length, report.free_slots);
+                            tracing::debug!("probed: {name} {latency:.1} ms queue {queue:?} free {free:?}");
+                        }
+                        None => tracing::debug!("probed: {name} has not answered"),
+                    }
                 }
                 heard
             }
@@ -230,7 +235,7 @@
             Event::LeaveOut { executor, out, asked } => return self.called(now, executor, out, asked),
             Event::HandOver => return self.hand_over(now),
             Event::Beside(runs) => Heard::SiblingChanged { is_running: runs },
-            Event::Retuned(values) => return self.dispatcher.retune(now, &values),
+            Event::Retuned(settings) => return self.dispatcher.apply_settings(now, &settings),
             Event::OutOfTime => {
                 self.out_of_time = true;
                 let stops = self.open.values().flat_map(|open| &open.stops);
@@ -241,13 +246,13 @@
                 self.ended = true;
                 for (request_id, open) in std::mem::take(&mut self.open) {
                     open.exchange.answer(self.last_answer(open.attempts));
-                    self.dispatcher.tell(now, Heard::RequestWithdrawn { request_id });
+                    self.dispatcher.handle_event(now, Heard::RequestWithdrawn { request_id });
                 }
                 return;
             }
         };
         let is_list = matches!(told, Heard::EndpointsUpdated { .. });
-        self.dispatcher.tell(now, told);
+        self.dispatcher.handle_event(now, told);
         if is_list && self.selection.has_waiting() {
             // There is room, and no handle is free.
             self.dispatcher.reclaim_now();
@@ -271,9 +276,10 @@
         for (number, Earlier { executor: name, sent, outcome, lease }) in earlier.into_iter().enumerate() {
             let attempt_id = AttemptId(number as u32);
             let executor = self.register(now, &name);
-            self.dispatcher.tell(now, Heard::AttemptRecovered { request_id, executor, sent_at: sent });
+            self.dispatcher
+                .handle_event(now, Heard::AttemptRecovered { request_id, executor, sent_at: sent });
             match outcome {
-                Some(outcome) => self.dispatcher.tell(
+                Some(outcome) => self.dispatcher.handle_event(
                     now,
                     Heard::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: false },
                 ),
@@ -365,7 +371,7 @@
         let entries = self.take_all(selected);
         let is_any = !entries.is_empty();
         self.dispatcher
-            .tell(now, Heard::EndpointsUpdated { update: ListUpdate::Operator, endpoints: entries });
+            .handle_event(now, Heard::EndpointsUpdated { update: ListUpdate::Operator, endpoints: entries });
         is_any
     }
 
@@ -405,8 +411,10 @@
         let changed = executor.zip(entry);
         if let Some((executor, entry)) = changed {
             let entries = vec![self.take(executor, entry)];
-            self.dispatcher
-                .tell(now, Heard::EndpointsUpdated { update: ListUpdate::Operator, endpoints: entries });
+            self.dispatcher.handle_event(
+                now,
+                Heard::EndpointsUpdated { update: ListUpdate::Operator, endpoints: entries },
+            );
         }
         match asked {
             Asked::ByHand(done) if known => {
@@ -427,17 +435,26 @@
         let (listed, version) = (self.roster.listed(), self.roster.version);
         let entries: Vec<Entry> = listed.chain(self.selection.left_out()).cloned().collect();
         say(form::in_lines(&entries, |entries| Message::List { version, entries }));
-        let learned = self.dispatcher.learned(now);
+        let learned = self.dispatcher.export_state(now);
         let known = |l: ExecutorWarmState| {
             let id = self.registry.name(l.executor)?.to_string();
-            let (failed, judged, slots) = (l.failure_score, l.observations, l.max_slots);
-            Some(form::Known { id, failed, judged, slots, cold_spent: l.warm_up_spent })
+            let score = |score: DecayingScore| (score.value, score.set_at);
+            Some(form::Known {
+                id,
+                failed: score(l.failure_score),
+                judged: score(l.observations),
+                slots: l.max_slots,
+                cold_spent: l.warm_up_spent.iter().map(|spent| (spent.at, spent.work)).collect(),
+            })
         };
         let executors: Vec<form::Known> = learned.executors.into_iter().filter_map(known).collect();
         say(form::in_lines(&executors, |executors| Message::Executors { executors }));
         let words = self.words.now();
         let run = |(name, kind): (&str, RequestClassId)| {
-            learned.class_running_times.get(kind.0 as usize).map(|&(run, seen)| (name.to_string(), run, seen))
+            learned
+                .class_running_times
+                .get(kind.0 as usize)
+                .map(|time| (name.to_string(), time.mean, time.observations))
         };
         say(vec![
             Message::Work(form::Work {
@@ -454,12 +471,14 @@
     /// Begins with what a process before this one knew; the list was told.
     pub fn take_over(&mut self, now: Millis, inherited: Inherited) {
         let words = self.words.now();
-        let mut runs =
-            vec![(0.0, 0.0); words.taken_types().map(|(_, kind)| kind.0 as usize + 1).max().unwrap_or(0)];
+        let mut runs = vec![
+            ObservedMean::default();
+            words.taken_types().map(|(_, kind)| kind.0 as usize + 1).max().unwrap_or(0)
+        ];
         let work = inherited.work.unwrap_or_default();
         for (name, kind) in words.taken_types() {
             if let Some((_, run, seen)) = work.types.iter().find(|(other, ..)| other == name) {
-                runs[kind.0 as usize] = (*run, *seen);
+                runs[kind.0 as usize] = ObservedMean { mean: *run, observations: *seen };
             }
         }
         let executors = inherited.executors.into_iter();
@@ -472,7 +491,7 @@
             probe_latency: work.lag,
             sample_size: work.draws,
         };
-        self.dispatcher.tell(now, Heard::WarmStateReceived(learned));
+        self.dispatcher.handle_event(now, Heard::WarmStateReceived(learned));
     }
 
     /// What a process before this one knew of an executor; nothing of one that is gone and needed no more.
@@ -482,12 +501,13 @@
         }
         let executor = self.register(now, &known.id);
         let form::Known { failed, judged, slots, cold_spent, .. } = known;
+        let score = |(value, set_at)| DecayingScore { value, set_at };
         Some(ExecutorWarmState {
             executor,
-            failure_score: failed,
-            observations: judged,
+            failure_score: score(failed),
+            observations: score(judged),
             max_slots: slots,
-            warm_up_spent: cold_spent,
+            warm_up_spent: cold_spent.into_iter().map(|(at, work)| WarmUpDispatch { at, work }).collect(),
         })
     }
 
@@ -500,7 +520,7 @@
         let executor = self.registry.register(name);
         let gone = self.take(executor, left_out.map_or_else(|| Entry::gone(name), Entry::into_gone));
         self.dispatcher
-            .tell(now, Heard::EndpointsUpdated { update: ListUpdate::Delta, endpoints: vec![gone] });
+            .handle_event(now, Heard::EndpointsUpdated { update: ListUpdate::Delta, endpoints: vec![gone] });
         executor
     }
 
--- a/crates/daemon/src/events.rs
+++ b/crates/daemon/src/events.rs
@@ -4,7 +4,7 @@
 use crate::lists::ToldList;
 use std::rc::Rc;
 use tokio::sync::oneshot;
-use troutknot::{Event as Heard, Millis, NamedValues, Outcome, RequestId};
+use troutknot::{Event as Heard, Millis, Outcome, RequestId, Settings};
 
 /// An allocation of an earlier life of this node.
 pub struct Earlier {
@@ -44,7 +44,7 @@
     /// Whether another process of this node runs.
     Beside(bool),
     /// New settings.
-    Retuned(NamedValues),
+    Retuned(Box<Settings>),
     /// The node ends soon: what is out is cut, and nothing more is sent.
     OutOfTime,
     /// The node ends now: what is open gets its last answer.
--- a/crates/daemon/src/executors/mod.rs
+++ b/crates/daemon/src/executors/mod.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
-use troutknot::{AttemptId, Effect, Event as Heard, ExecutorId, LoadReport, Outcome};
+use troutknot::{AttemptId, Effect, Event as Heard, ExecutorId, LoadReport, Outcome, ProbeReply};
 
 /// An executor that does not tell yet what became of an allocation is asked again after so long.
 const FENCE_AGAIN: Duration = Duration::from_millis(50);
@@ -577,13 +577,13 @@
             // Guards against connections to a machine that is cut off: they stay open and silent.
             self.close_idle(executor);
         }
-        let lag = start.elapsed();
+        let latency = start.elapsed();
         // Guards against a node that stood still: an answer that waited for it says nothing of now.
-        let late = lag > self.limits.times().probe_wait + self.limits.standstill;
-        let reading = answer.ok().flatten().filter(|_| !late);
-        let lag = lag.as_secs_f64() * 1000.0;
-        let (answered, reading) = (reading.is_some(), reading.unwrap_or_default());
-        let probed = Heard::ProbeCompleted { executor, answered, lag, reading };
+        let is_late = latency > self.limits.times().probe_wait + self.limits.standstill;
+        let report = answer.ok().flatten().filter(|_| !is_late);
+        let latency = latency.as_secs_f64() * 1000.0;
+        let reply = report.map(|report| ProbeReply { latency, report });
+        let probed = Heard::ProbeCompleted { executor, reply };
         let _ = self.events.send(Event::Heard(probed)).await;
     }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -50,7 +50,7 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing_appender::non_blocking::NonBlockingBuilder;
 use troutknot::{Dispatcher, ListUpdate};
-use troutknot_hosting::{Catalogue, Retention};
+use troutknot_hosting::{IdCatalog, Retention};
 use words::{InForce, List, Vocabulary};
 
 /// A node that ends is empty once nobody was connected so often in a row.
@@ -120,7 +120,7 @@
 /// # Errors
 /// One plain line that says why not.
 pub fn check(path: &Path) -> Result<(), String> {
-    let understood = Briefing::read(path)?.understood(&mut Catalogue::default());
+    let understood = Briefing::read(path)?.understood(&mut IdCatalog::default());
     understood.map(|_| ()).map_err(|why| format!("`{}`: {why}", path.display()))
 }
 
@@ -147,11 +147,11 @@
     signals: Signals,
 ) -> Result<(), String> {
     let Signals { mut terminate, mut interrupt, reread } = signals;
-    let mut catalogue = Catalogue::default();
-    let Understood { seed, values, words } = told.understood(&mut catalogue)?;
+    let mut catalog = IdCatalog::default();
+    let Understood { seed, settings, words } = told.understood(&mut catalog)?;
     let own_path = OperatorFile::named();
     let file = own_path.as_deref().map(OperatorFile::read).transpose()?.unwrap_or_default();
-    file.fits(&values)?;
+    file.fits(&settings)?;
     let peers = file.peers.clone().map(|p| Peers::listen(p.listen, p.nodes, passed.is_some())).transpose()?;
     let limits = Rc::new(Limits::of(&Stated {
         memory_mb: told.limits.memory_mb,
@@ -159,7 +159,7 @@
         consul: file.lists.sources.contains(&Source::Consul),
         durable: file.durable.is_some(),
         passed: passed.is_some(),
-        ..stated(&values, &words)
+        ..stated(&settings, &words)
     }));
     let words = InForce::new(words);
     let cannot = |at: SocketAddr| move |e| format!("cannot listen at {at}: {e}");
@@ -215,7 +215,7 @@
             }
         }
     }
-    let dispatcher = Dispatcher::new(values, seed, clock.now());
+    let dispatcher = Dispatcher::new(&settings, seed, clock.now());
     let mut driver = Driver::new(
         dispatcher,
         clock,
@@ -321,7 +321,7 @@
         spawn_local(handover.run(older));
     }
     let own = Own { path: own_path, file, consul };
-    let retuned = Retuned { catalogue, limits: limits.clone(), words: words.clone(), events: events.clone() };
+    let retuned = Retuned { catalog, limits: limits.clone(), words: words.clone(), events: events.clone() };
     spawn_local(told.reread(path, reread, discovery, own, retuned));
     let unlisted = sleep(limits.ready_wait);
     tokio::pin!(driver, unlisted);
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use troutknot::{Effect, NamedValues};
+use troutknot::{Effect, Settings};
 use troutknot_consul::blocking::{Consistency, Pace, Watched};
 use troutknot_consul::roster::{Damping, Panic, Terms};
 
@@ -262,8 +262,8 @@
     ///
     /// # Errors
     /// One plain line that names the key.
-    pub fn fits(&self, values: &NamedValues) -> Result<(), String> {
-        let (talks, copies) = (values.flag("limits.peers"), values.flag("limits.second_copies"));
+    pub fn fits(&self, settings: &Settings) -> Result<(), String> {
+        let (talks, copies) = (settings.limits.gossip_enabled, settings.limits.hedging_enabled);
         match (talks, &self.peers) {
             (true, None) => {
                 Err("setting `limits.peers`: true needs [peers] in the operator's own file".into())
--- a/crates/daemon/src/words.rs
+++ b/crates/daemon/src/words.rs
@@ -11,8 +11,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use troutknot::settings::ClassSettings;
 use troutknot::*;
-use troutknot_hosting::{Adopted, LoadFields, named_reading, token};
+use troutknot_hosting::{LoadFields, ResolvedSettings, named_reading, token};
 use troutknot_ledger::Fence;
 
 const ID: &str = "Request-Id";
@@ -32,6 +33,8 @@
 /// The state of an executor that is no longer listed.
 const GONE: &str = "Gone";
 const READY: &str = "Ready";
+/// Stands for a deadline that is not stated, in milliseconds.
+const LEAST_DEADLINE: Millis = 1.0;
 /// The longest idempotency key.
 const MOST_KEY: usize = 255;
 
@@ -105,28 +108,27 @@
 }
 
 impl Vocabulary {
-    pub fn of(settings: &Map<String, Value>, adopted: Adopted) -> Self {
-        let Adopted { values, project_types, customers, places, kinds, .. } = adopted;
-        let own = |k: usize, name: &str| format!("project_types.{k}.{name}");
-        let limit = |k: usize| Duration::from_secs_f64(values.number(&own(k, "hard_limit"), 1.0) / 1000.0);
-        let taken = |numbers: &[u32], names: &[String]| {
-            numbers.iter().map(|&number| (names[number as usize].clone(), number)).collect()
+    pub fn of(settings: &Map<String, Value>, resolved_settings: ResolvedSettings) -> Self {
+        let ResolvedSettings { settings: resolved, classes, tenants, zones, machine_types, .. } =
+            &resolved_settings;
+        let deadline = |class: &ClassSettings| {
+            Duration::from_secs_f64(class.deadline.unwrap_or(LEAST_DEADLINE) / 1000.0)
         };
+        let in_force =
+            |ids: &[u32], names: &[String]| ids.iter().map(|&id| (names[id as usize].clone(), id)).collect();
         Vocabulary {
-            limits: (0..project_types.len()).map(limit).collect(),
-            effects: (0..project_types.len())
-                .map(|k| Effect::named(values.text(&own(k, "effect"))))
-                .collect(),
-            max_attempts: values.number("limits.most_allocations", 1.0) as usize,
-            taken_types: taken(&adopted.types_in_force, &project_types),
-            taken_customers: taken(&adopted.customers_in_force, &customers),
-            project_types,
-            customers,
-            places,
-            kinds,
-            cancel: values.flag("limits.cancel"),
-            come_back_told: values.flag("limits.come_back_told"),
-            longest_come_back: values.number("limits.longest_come_back", f64::INFINITY),
+            limits: resolved.classes.iter().map(deadline).collect(),
+            effects: resolved.classes.iter().map(|class| class.effect).collect(),
+            max_attempts: resolved.limits.max_attempts.unwrap_or(1.0) as usize,
+            taken_types: in_force(&resolved_settings.current_classes, classes),
+            taken_customers: in_force(&resolved_settings.current_tenants, tenants),
+            project_types: classes.clone(),
+            customers: tenants.clone(),
+            places: zones.clone(),
+            kinds: machine_types.clone(),
+            cancel: resolved.limits.cancel_enabled,
+            come_back_told: resolved.limits.retry_after_enabled,
+            longest_come_back: resolved.limits.max_retry_after.unwrap_or(f64::INFINITY),
             probe_path: if LoadFields::stated(settings).is_empty() { PROBE_PATH } else { REPORT_PATH },
         }
     }
--- a/crates/daemon/tests/shape.rs
+++ b/crates/daemon/tests/shape.rs
@@ -71,9 +71,9 @@
     node.logged("messages passed over");
     other.send_to(&[1; 1000], at).unwrap();
     other.send_to(&[1, 1], at).unwrap();
-    node.logged("idle connections dropped");
+    node.logged("idle connections were lost");
     let before = node.before.lock().unwrap().join("\n");
-    assert!(!before.contains("idle connections dropped"), "only a peer's word counts: {before}");
+    assert!(!before.contains("idle connections were lost"), "only a peer's word counts: {before}");
 
     let (node, other, at) = start();
     assert_eq!(node.ask(work("publish", &new_id(), 3.0, "")).0, 200);
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -25,12 +25,12 @@
 
 impl Rig {
     fn new(memory_mb: u64) -> Self {
-        let (values, words) = Vocabulary::of_one_type(HARD_LIMIT.as_micros() as u64);
+        let (settings, words) = Vocabulary::of_one_type(HARD_LIMIT.as_micros() as u64);
         let limits = Rc::new(Limits::of(&Stated { memory_mb, sockets: 1024, ..Stated::default() }));
         let (events, told) = mpsc::channel(limits.events);
         let executors = Executors::new(limits, words.clone(), events, Rc::default());
         let clock = Clock::start();
-        let dispatcher = Dispatcher::new(values, 1, clock.now());
+        let dispatcher = Dispatcher::new(&settings, 1, clock.now());
         let stages = Rc::new(Stages::new());
         let driver = Driver::new(dispatcher, clock, words, executors, Rc::default(), told, stages);
         Rig { driver, ahead: 0.0, held: HeldBytes::new(1 << 20), next_request: 0 }
@@ -39,7 +39,7 @@
     fn tell(&mut self, event: Event) {
         let (now, mut actions) = (self.driver.clock.now() + self.ahead, Vec::new());
         self.driver.tell(now, event);
-        self.driver.dispatcher.emit(now, &mut actions);
+        self.driver.dispatcher.poll_actions(now, &mut actions);
         actions.into_iter().for_each(|action| self.driver.act(action));
     }
 
@@ -81,7 +81,7 @@
         let kept = self.driver.registry.len();
         assert_eq!(self.driver.executors.kept(), kept, "the executor side");
         assert_eq!(self.driver.roster.kept(), kept, "the list");
-        assert_eq!(self.driver.dispatcher.executors_held(), kept, "the dispatcher");
+        assert_eq!(self.driver.dispatcher.executor_count(), kept, "the dispatcher");
         kept
     }
 
@@ -202,7 +202,7 @@
         // The slot of "a" is that of "c" by now.
         executors.clone().probe(released).await;
         let told = rig.driver.events.recv().await.unwrap();
-        assert!(matches!(told, Event::Heard(Heard::ProbeCompleted { answered: false, .. })));
+        assert!(matches!(told, Event::Heard(Heard::ProbeCompleted { reply: None, .. })));
         rig.tell(told);
         assert_eq!(rig.driver.dispatcher.stale_events(), 1);
         executors.close_idle(released);
@@ -302,12 +302,12 @@
 /// What the driver is told after the word to end, or in the same moment, is answered as well.
 #[tokio::test]
 async fn work_that_comes_once_the_node_ends_is_answered_at_once() {
-    let (values, words) = Vocabulary::of_one_type(5_000_000);
+    let (settings, words) = Vocabulary::of_one_type(5_000_000);
     let limits = Rc::new(Limits::of(&Stated { memory_mb: 64, sockets: 128, ..Stated::default() }));
     let (events, told) = mpsc::channel(16);
     let executors = Executors::new(limits, words.clone(), events, Rc::default());
     let clock = Clock::start();
-    let dispatcher = Dispatcher::new(values, 1, clock.now());
+    let dispatcher = Dispatcher::new(&settings, 1, clock.now());
     let stages = Rc::new(Stages::new());
     let mut driver = Driver::new(dispatcher, clock, words, executors, Rc::default(), told, stages);
     let held = HeldBytes::new(100);
--- a/crates/daemon/tests/unit/words.rs
+++ b/crates/daemon/tests/unit/words.rs
@@ -2,8 +2,8 @@
 use super::*;
 
 impl Vocabulary {
-    /// With one project type, `render`, and its values.
-    pub fn of_one_type(hard_limit_us: u64) -> (NamedValues, Rc<InForce<Vocabulary>>) {
+    /// With one project type, `render`, and its settings.
+    pub fn of_one_type(hard_limit_us: u64) -> (Settings, Rc<InForce<Vocabulary>>) {
         Self::told(serde_json::json!({"name": "render", "hard_limit": hard_limit_us}))
     }
 
@@ -12,11 +12,11 @@
         Self::told(serde_json::json!({"name": "render", "hard_limit": 5_000_000, "effect": effect})).1
     }
 
-    fn told(project_type: Value) -> (NamedValues, Rc<InForce<Vocabulary>>) {
+    fn told(project_type: Value) -> (Settings, Rc<InForce<Vocabulary>>) {
         let settings = serde_json::json!({"project_types": [project_type]});
         let settings = settings.as_object().unwrap();
-        let adopted = troutknot_hosting::Catalogue::default().adopt(settings).unwrap();
-        (adopted.values.clone(), InForce::new(Vocabulary::of(settings, adopted)))
+        let resolved = troutknot_hosting::IdCatalog::default().resolve(settings).unwrap();
+        (resolved.settings.clone(), InForce::new(Vocabulary::of(settings, resolved)))
     }
 }
 
--- /dev/null
+++ b/crates/hosting/src/error.rs
@@ -0,0 +1,131 @@
+//! What makes settings unusable.
+use serde_json::Value;
+use std::fmt;
+
+/// One fault of the settings: which key, and what is allowed.
+#[derive(Clone, PartialEq, Debug, thiserror::Error)]
+pub enum SettingsError {
+    /// A value is of another type than its key's.
+    #[error("setting `{key}`: {value} is of the wrong type")]
+    WrongType {
+        /// The key, with a star for a place in a list.
+        key: String,
+        /// What stands there.
+        value: Value,
+    },
+    /// An entry of a list of named things has no name.
+    #[error("setting `{key}`: entry {entry} has no name")]
+    Unnamed {
+        /// The list.
+        key: &'static str,
+        /// The entry, from 0.
+        entry: usize,
+    },
+    /// A name stands in a list more than once.
+    #[error("setting `{key}`: `{name}` stands there twice")]
+    Repeated {
+        /// The list.
+        key: &'static str,
+        /// The name.
+        name: String,
+    },
+    /// There is no request class.
+    #[error("setting `project_types` names none; it is a list of at least one")]
+    NoClasses,
+    /// There are more request classes than are kept.
+    #[error("setting `project_types` names {count}, at most {MAX} are kept in mind", MAX = crate::MAX_NAMES)]
+    TooManyClasses {
+        /// How many it names.
+        count: usize,
+    },
+    /// There were more names over the node's life than are kept.
+    #[error("setting `{key}`: {count} were named so far, at most {MAX} are kept in mind", MAX = crate::MAX_NAMES)]
+    TooManyNames {
+        /// The list.
+        key: &'static str,
+        /// How many were named.
+        count: usize,
+    },
+    /// There were more request classes over the node's life, each with its terms, than are kept.
+    #[error("with its terms this is project type {count}, {MAX} are kept in mind", MAX = crate::MAX_NAMES)]
+    TooManyTerms {
+        /// How many there were.
+        count: usize,
+    },
+    /// A class needs a type of machine that is not listed.
+    #[error("project type `{class}`: there is no kind {machine_type}")]
+    UnknownMachineType {
+        /// The class.
+        class: String,
+        /// The number that it names.
+        machine_type: u32,
+    },
+    /// A limit on attempts is no positive number.
+    #[error("setting `limits.max_allocations` is not a positive number")]
+    MaxAttempts,
+    /// Second copies need a second attempt.
+    #[error("setting `limits.second_copies`: true needs `limits.max_allocations` of 2 or more")]
+    Hedging,
+    /// The source of weights is not known.
+    #[error("setting `weight_source`: `{word}`; silent, none, nominal, rough and live are allowed")]
+    WeightSource {
+        /// What stands there.
+        word: String,
+    },
+    /// The node's number is not among those of the nodes.
+    #[error("setting `me`: {node} is not under `balancers`, which is {nodes}")]
+    NodeNumber {
+        /// The node's number.
+        node: f64,
+        /// How many nodes there are.
+        nodes: f64,
+    },
+    /// A term of a class is no positive number.
+    #[error("project type `{class}`: `{term}` is not a positive number")]
+    NotPositive {
+        /// The class.
+        class: String,
+        /// The term's key.
+        term: &'static str,
+    },
+    /// A term of a class is missing.
+    #[error("project type `{class}`: `{term}` is missing")]
+    MissingTerm {
+        /// The class.
+        class: String,
+        /// The term's key.
+        term: String,
+    },
+    /// A class has a deadline out of bounds.
+    #[error("project type `{class}`: `hard_limit` is from 1 ms to 1e9 ms")]
+    Deadline {
+        /// The class.
+        class: String,
+    },
+    /// A key is missing that the settings in force have.
+    #[error("setting `{key}` is missing")]
+    Missing {
+        /// The key.
+        key: String,
+    },
+}
+
+/// All faults that were found in settings, in one line.
+#[derive(Clone, PartialEq, Debug, thiserror::Error)]
+pub struct SettingsErrors(pub Vec<SettingsError>);
+
+impl fmt::Display for SettingsErrors {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (number, error) in self.0.iter().enumerate() {
+            let separator = if number == 0 { "" } else { "; " };
+            write!(formatter, "{separator}{error}")?;
+        }
+        Ok(())
+    }
+}
+
+impl From<SettingsError> for SettingsErrors {
+    fn from(error: SettingsError) -> Self {
+        SettingsErrors(vec![error])
+    }
+}
--- a/crates/hosting/src/lib.rs
+++ b/crates/hosting/src/lib.rs
@@ -1,17 +1,21 @@
 //! What every host of the dispatcher needs, said once: the settings under our own names, load readings, the
 //! registry of executors, and the tokens that stand for them at every node alike.
-mod catalogue;
-mod naming;
+mod catalog;
+mod document;
+mod error;
+mod names;
 mod registry;
 mod retention;
 mod telling;
 
-pub use catalogue::{Adopted, Catalogue};
-pub use naming::named_values;
+pub use catalog::{IdCatalog, MAX_NAMES, ResolvedSettings};
+pub use document::parse_settings;
+pub use error::{SettingsError, SettingsErrors};
+pub use names::class_names;
 pub use registry::ExecutorRegistry;
 pub use retention::{Rank, Retention, Standing};
 use serde_json::{Map, Value};
-pub use telling::{MOST_TOLD, TypeNames, telling, told, type_names};
+pub use telling::{MOST_TOLD, TypeNames, telling, told};
 use troutknot::{LoadReport, Millis};
 
 /// FNV-1a of a name, so that every node has the same number for it.
--- a/crates/hosting/src/telling.rs
+++ b/crates/hosting/src/telling.rs
@@ -1,7 +1,6 @@
 //! What nodes tell one another, as bytes: a version, a kind, and what the kind holds. Whoever reads passes over
 //! what it does not know, so that releases may differ among the nodes.
 use crate::token;
-use serde_json::{Map, Value};
 use troutknot::{GossipMessage, RequestClassId};
 
 /// The longest message that may be sent or is read.
@@ -13,12 +12,6 @@
 /// The names of project types by their numbers here, which may be others at another node.
 pub type TypeNames<'a> = &'a [String];
 
-/// The names of the project types as the settings list them; empty where one has none.
-pub fn type_names(settings: &Map<String, Value>) -> Vec<String> {
-    let entries = settings.get("project_types").and_then(Value::as_array).into_iter().flatten();
-    entries.map(|entry| entry.get("name").and_then(Value::as_str).unwrap_or("").to_string()).collect()
-}
-
 /// A message as bytes.
 ///
 /// ```
--- a/crates/ledger/tests/compatibility.rs
+++ b/crates/ledger/tests/compatibility.rs
@@ -43,7 +43,7 @@
             (request.id.as_str(), request.digest),
             (format!("id-{number}").as_str(), [number as u8; 32])
         );
-        assert_eq!(request.key, (number % 2 == 0).then(|| format!("key-{number}")));
+        assert_eq!(request.key, number.is_multiple_of(2).then(|| format!("key-{number}")));
         if number <= 9 {
             assert_eq!(request.attempts[0].ended, Some(outcomes[(number - 1).min(7)]), "{number}");
             assert_eq!(request.attempts[0].started, number % 2 == 1, "{number}");
--- a/crates/rehearsal/src/briefing.rs
+++ b/crates/rehearsal/src/briefing.rs
@@ -1,6 +1,6 @@
 //! What a node is told at its start, in the platform's words (`config.json`).
 use crate::scenario::{Effect, RepeatScope, Scenario};
-use serde_json::{Value, json};
+use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 }
 
 /// The settings that a node of a scenario is told.
-pub fn settings(scenario: &Scenario, node: usize) -> Value {
+pub fn settings(scenario: &Scenario, node: usize) -> Map<String, Value> {
     let rules = &scenario.rules;
     let types: Vec<Value> = scenario
         .project_types
@@ -47,7 +47,7 @@
         .collect();
     let customers: Vec<Value> =
         scenario.customers.iter().map(|c| json!({"name": c.get_ref().name})).collect();
-    json!({
+    let settings = json!({
         "balancers": scenario.nodes.count, "me": node, "zone": 0, "failure_domains": [PLACE],
         "kinds": kinds(scenario), "registry_mode": "subscribe", "credit_by": "request",
         "limits": {"max_allocations": rules.most_allocations, "probes": true, "cancel": true,
@@ -60,7 +60,11 @@
         "family_info": {"queue_order": "in_order", "tells_start": true},
         "tariffs": {"probe": scenario.nodes.probe_price},
         "project_types": types, "customers": customers,
-    })
+    });
+    match settings {
+        Value::Object(settings) => settings,
+        _ => Map::new(),
+    }
 }
 
 /// The whole file of one node.
--- a/crates/scale/src/hollow_nodes/by_dispatcher.rs
+++ b/crates/scale/src/hollow_nodes/by_dispatcher.rs
@@ -17,7 +17,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{Instant, sleep_until};
 use troutknot::{
-    Action, AttemptId, Dispatcher, Endpoint, Event, ExecutorId, Given, ListUpdate, Millis, Outcome,
+    Action, AttemptId, Dispatcher, Endpoint, Event, ExecutorId, ListUpdate, Millis, Outcome, ProbeReply,
     RequestClassId, RequestId, TenantId,
 };
 use troutknot_hosting::ExecutorRegistry;
@@ -72,10 +72,10 @@
         let clock = Clock::start();
         let (tell, told) = mpsc::unbounded_channel();
         let pool = Rc::new(exchange::pool(&shared.settings, number, shared.by_dispatcher.clone()));
-        let mut values = vocabulary.values.clone();
-        values.insert("node", Given::Number((shared.settings.first_number + number) as f64));
+        let mut settings = vocabulary.settings.clone();
+        settings.node = Some((shared.settings.first_number + number) as f64);
         let mut random = shared.settings.random(number, start);
-        let dispatcher = Dispatcher::new(values, random.random(), clock.now());
+        let dispatcher = Dispatcher::new(&settings, random.random(), clock.now());
         let mut node = DispatcherNode {
             shared,
             number,
@@ -116,7 +116,7 @@
                 }
                 () = async { sleep_until(wake.unwrap_or_else(Instant::now)).await }, if wake.is_some() => {
                     self.wake = None;
-                    self.dispatcher.tell(self.clock.now(), Event::TimerFired);
+                    self.dispatcher.handle_event(self.clock.now(), Event::TimerFired);
                 }
                 () = sleep_until(arrival) => {
                     self.arrive();
@@ -130,7 +130,7 @@
                 }
                 Some(_) = self.tasks.join_next() => continue,
             }
-            self.dispatcher.emit(self.clock.now(), &mut actions);
+            self.dispatcher.poll_actions(self.clock.now(), &mut actions);
             for action in actions.drain(..) {
                 self.act(action);
             }
@@ -157,7 +157,7 @@
             }
             Told::Event(event) => event,
         };
-        self.dispatcher.tell(self.clock.now(), event);
+        self.dispatcher.handle_event(self.clock.now(), event);
     }
 
     fn list(&mut self, list: List) -> Event {
@@ -202,7 +202,7 @@
         };
         add(&self.shared.by_dispatcher.requests, 1);
         self.open.insert(request_id, open);
-        self.dispatcher.tell(self.clock.now(), event);
+        self.dispatcher.handle_event(self.clock.now(), event);
     }
 
     fn act(&mut self, action: Action) {
@@ -299,8 +299,8 @@
                 None => None,
             };
             let lag = sent.elapsed().as_secs_f64() * 1000.0;
-            let (answered, reading) = (reading.is_some(), reading.unwrap_or_default());
-            let _ = tell.send(Told::Event(Event::ProbeCompleted { executor, answered, lag, reading }));
+            let reply = reading.map(|report| ProbeReply { latency: lag, report });
+            let _ = tell.send(Told::Event(Event::ProbeCompleted { executor, reply }));
         });
     }
 
--- a/crates/scale/src/hollow_nodes/vocabulary.rs
+++ b/crates/scale/src/hollow_nodes/vocabulary.rs
@@ -1,14 +1,12 @@
 //! What the settings of a node mean to the decision module.
 use super::list::Entry;
 use serde_json::{Map, Value};
-use troutknot::{
-    DeduplicationGroupId, Endpoint, EndpointState, ExecutorId, MachineTypeId, NamedValues, ZoneId,
-};
-use troutknot_hosting::{Catalogue, token};
+use troutknot::{DeduplicationGroupId, Endpoint, EndpointState, ExecutorId, MachineTypeId, Settings, ZoneId};
+use troutknot_hosting::{IdCatalog, SettingsErrors, token};
 
 /// The numbers that the settings give to names.
 pub struct Vocabulary {
-    pub values: NamedValues,
+    pub settings: Settings,
     pub classes: Vec<String>,
     zones: Vec<String>,
     kinds: Vec<String>,
@@ -17,13 +15,13 @@
 impl Vocabulary {
     /// # Errors
     /// What cannot be used, in one plain line.
-    pub fn of(settings: &Map<String, Value>) -> Result<Self, String> {
-        let adopted = Catalogue::default().adopt(settings)?;
+    pub fn of(settings: &Map<String, Value>) -> Result<Self, SettingsErrors> {
+        let resolved = IdCatalog::default().resolve(settings)?;
         Ok(Vocabulary {
-            values: adopted.values,
-            classes: adopted.project_types,
-            zones: adopted.places,
-            kinds: adopted.kinds,
+            settings: resolved.settings,
+            classes: resolved.classes,
+            zones: resolved.zones,
+            kinds: resolved.machine_types,
         })
     }
 
--- a/crates/simulation/src/baselines.rs
+++ b/crates/simulation/src/baselines.rs
@@ -1,14 +1,15 @@
 //! Other policies, to compare with: in the kit alone. They keep the same rules by the same figures: what may be sent
 //! again and where, who drains, and each node's even part of a cold executor's budget. They differ in whom they choose.
-use crate::node::Mind;
+use crate::node::DecisionModule;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use slotmap::{Key, SecondaryMap};
 use std::collections::{BTreeMap, VecDeque};
 use std::str::FromStr;
+use troutknot::settings::ClassSettings;
 use troutknot::{
     Action, AttemptId, DeduplicationScope, Effect, Endpoint, EndpointState, Event, ExecutorId, ListUpdate,
-    LoadReport, Millis, NamedValues, Outcome, RequestId,
+    LoadReport, Millis, Outcome, RequestId, Settings,
 };
 
 /// Part of a cold budget that is used, and of a window within which a repeat is sent.
@@ -111,27 +112,24 @@
 }
 
 impl Baseline {
-    pub fn new(policy: Policy, values: &NamedValues, seed: u64) -> Self {
-        let mut kinds = Vec::new();
-        while values.holds(&format!("project_types.{}.hard_limit", kinds.len())) {
-            let own = |name: &str| format!("project_types.{}.{name}", kinds.len());
-            kinds.push(Kind {
-                effect: Effect::named(values.text(&own("effect"))),
-                scope: DeduplicationScope::named(values.text(&own("repeat_scope"))),
-                window: values.number(&own("window"), 0.0),
-                turnaround: values.number(&own("promised_turnaround"), 0.0),
-            });
-        }
+    pub fn new(policy: Policy, settings: &Settings, seed: u64) -> Self {
+        let classes = settings.classes.iter().take_while(|class| class.deadline.is_some());
+        let kind = |class: &ClassSettings| Kind {
+            effect: class.effect,
+            scope: class.deduplication_scope,
+            window: class.deduplication_window,
+            turnaround: class.latency_objective.unwrap_or(0.0),
+        };
         Baseline {
             policy,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            kinds,
-            max_attempts: values.number("limits.most_allocations", 1.0) as usize,
-            nodes: values.number("nodes", 1.0).max(1.0),
-            cold_share: values.number("rules.cold_share", 1.0),
-            ramp: values.number("rules.ramp_time", 0.0),
-            fall: values.number("rules.fall", 0.0),
-            multiple: values.number("rules.fall_multiple", 1.0),
+            kinds: classes.map(kind).collect(),
+            max_attempts: settings.limits.max_attempts.unwrap_or(1.0) as usize,
+            nodes: settings.nodes.max(1.0),
+            cold_share: settings.rules.initial_capacity,
+            ramp: settings.rules.ramp_duration,
+            fall: settings.rules.budget_window,
+            multiple: settings.rules.budget_multiple,
             known: SecondaryMap::new(),
             healthy: Vec::new(),
             turn: FIRST_SLOT,
@@ -372,8 +370,8 @@
     }
 }
 
-impl Mind for Baseline {
-    fn tell(&mut self, now: Millis, event: Event) {
+impl DecisionModule for Baseline {
+    fn handle_event(&mut self, now: Millis, event: Event) {
         match event {
             Event::EndpointsUpdated { update: kind, endpoints: entries } => self.list(kind, &entries),
             Event::RequestArrived { request_id, class: project_type, slots, time_left: left, .. } => {
@@ -383,8 +381,9 @@
                     .insert(request_id, Wu { kind, slots, arrived: now, limit, attempts, asked, answers });
                 self.choose(now, request_id);
             }
-            Event::ProbeCompleted { executor, answered, reading, .. } => {
-                self.probed(now, executor, answered, reading);
+            Event::ProbeCompleted { executor, reply } => {
+                let report = reply.map(|reply| reply.report);
+                self.probed(now, executor, report.is_some(), report.unwrap_or_default());
             }
             Event::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: closed } => {
                 self.ended(now, request_id, attempt_id, outcome, closed)
@@ -413,7 +412,7 @@
         }
     }
 
-    fn emit(&mut self, _now: Millis, actions: &mut Vec<Action>) {
+    fn poll_actions(&mut self, _now: Millis, actions: &mut Vec<Action>) {
         actions.append(&mut self.actions);
     }
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -10,12 +10,12 @@
 pub mod stats;
 mod world;
 
-pub use node::Mind;
+pub use node::DecisionModule;
 
 use baselines::{Baseline, Policy};
 
 use serde::Serialize;
-use troutknot::{Dispatcher, Millis, NamedValues};
+use troutknot::{Dispatcher, Millis, Settings};
 use troutknot_rehearsal::plan::Plan;
 use troutknot_rehearsal::referee::{self, Verdict};
 use troutknot_rehearsal::run::facts;
@@ -30,7 +30,7 @@
     #[error("calls, upgrades and new settings need real nodes: rehearse it")]
     Operated,
     #[error("the scenario gives a node settings that cannot be used: {0}")]
-    Values(String),
+    Settings(#[from] troutknot_hosting::SettingsError),
 }
 
 /// All that a run tells; nothing in it hangs on the machine.
@@ -57,8 +57,8 @@
     }
 }
 
-/// Makes what decides at a node, from its settings' values, a seed and the time.
-pub type MakeMind<'a> = &'a dyn Fn(&NamedValues, u64, Millis) -> Box<dyn Mind>;
+/// Makes what decides at a node, from its settings, a seed and the time.
+pub type MakeModule<'a> = &'a dyn Fn(&Settings, u64, Millis) -> Box<dyn DecisionModule>;
 
 /// Plays a scenario with the dispatcher as it is.
 ///
@@ -73,9 +73,9 @@
 /// # Errors
 /// As [`simulate`].
 pub fn simulate_by(scenario: &Scenario, seed: u64, policy: Policy) -> Result<Report, Unable> {
-    simulate_with(scenario, seed, &move |values, seed, now| match policy {
-        Policy::Adaptive => Box::new(Dispatcher::new(values.clone(), seed, now)),
-        other => Box::new(Baseline::new(other, values, seed)),
+    simulate_with(scenario, seed, &move |settings, seed, now| match policy {
+        Policy::Adaptive => Box::new(Dispatcher::new(settings, seed, now)),
+        other => Box::new(Baseline::new(other, settings, seed)),
     })
 }
 
@@ -83,7 +83,7 @@
 ///
 /// # Errors
 /// As [`simulate`].
-pub fn simulate_with(scenario: &Scenario, seed: u64, make: MakeMind) -> Result<Report, Unable> {
+pub fn simulate_with(scenario: &Scenario, seed: u64, make: MakeModule) -> Result<Report, Unable> {
     if scenario.durable.is_some() {
         return Err(Unable::Durable);
     }
@@ -91,7 +91,7 @@
         return Err(Unable::Operated);
     }
     let plan = Plan::draw(scenario, seed);
-    let mut world = World::new(scenario, &plan, make).map_err(Unable::Values)?;
+    let mut world = World::new(scenario, &plan, make).map_err(Unable::Settings)?;
     world.play();
     let (seen, counts) = world.end();
     let verdict = referee::judge(&facts(scenario, &plan, world::BEGAN), &seen);
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -3,19 +3,19 @@
 use std::collections::BTreeMap;
 use troutknot::{Action, AttemptId, Dispatcher, Event, ExecutorId, Millis, RequestId};
 
-/// What decides: the dispatcher, or in the kit alone a baseline.
-pub trait Mind {
-    fn tell(&mut self, now: Millis, event: Event);
-    fn emit(&mut self, now: Millis, actions: &mut Vec<Action>);
+/// What decides at a node: the dispatcher, or in the kit alone a baseline.
+pub trait DecisionModule {
+    fn handle_event(&mut self, now: Millis, event: Event);
+    fn poll_actions(&mut self, now: Millis, actions: &mut Vec<Action>);
 }
 
-impl Mind for Dispatcher {
-    fn tell(&mut self, now: Millis, event: Event) {
-        Dispatcher::tell(self, now, event);
+impl DecisionModule for Dispatcher {
+    fn handle_event(&mut self, now: Millis, event: Event) {
+        Dispatcher::handle_event(self, now, event);
     }
 
-    fn emit(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        Dispatcher::emit(self, now, actions);
+    fn poll_actions(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        Dispatcher::poll_actions(self, now, actions);
     }
 }
 
@@ -77,7 +77,7 @@
 }
 
 pub struct Node {
-    pub mind: Box<dyn Mind>,
+    pub module: Box<dyn DecisionModule>,
     pub up: bool,
     /// Asked to end.
     pub leaving: bool,
--- a/crates/simulation/src/world/events.rs
+++ b/crates/simulation/src/world/events.rs
@@ -1,6 +1,6 @@
 //! What is scheduled in the world, and which part of the world each event goes to.
 use super::World;
-use troutknot::{AttemptId, Event, ExecutorId, ListUpdate, LoadReport, Outcome, RequestId};
+use troutknot::{AttemptId, Event, ExecutorId, ListUpdate, LoadReport, Outcome, ProbeReply, RequestId};
 use troutknot_emulator::Millis;
 
 /// An event in the queue. `node` and `life` name one process of a node: what was meant for an earlier one is dropped.
@@ -100,7 +100,8 @@
             WorldEvent::Asked { node, life, executor } => self.probe_arrives(node, life, executor),
             WorldEvent::Probed { node, life, executor, answered, lag, reading } => {
                 if self.is_current(node, life) {
-                    self.tell(node as usize, Event::ProbeCompleted { executor, answered, lag, reading });
+                    let reply = answered.then_some(ProbeReply { latency: lag, report: reading });
+                    self.tell(node as usize, Event::ProbeCompleted { executor, reply });
                 }
             }
             WorldEvent::Wake { node, life } => {
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -8,16 +8,17 @@
 mod nodes;
 mod steps;
 
-use crate::MakeMind;
+use crate::MakeModule;
 use crate::node::Node;
 use crate::queue::Queue;
 use events::{Origin, WorldEvent};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
-use troutknot::{Action, NamedValues};
+use troutknot::{Action, Settings};
 use troutknot_emulator::observed::{Listed, Seen};
 use troutknot_emulator::{Executor, Millis};
+use troutknot_hosting::SettingsError;
 use troutknot_rehearsal::briefing;
 use troutknot_rehearsal::plan::Plan;
 use troutknot_rehearsal::scenario::{ProjectType, Scenario};
@@ -49,10 +50,10 @@
     scenario: &'a Scenario,
     plan: &'a Plan,
     /// Makes what decides at a node.
-    make: MakeMind<'a>,
+    make: MakeModule<'a>,
     types: Vec<&'a ProjectType>,
     /// The settings of each node.
-    values: Vec<NamedValues>,
+    settings: Vec<Settings>,
     /// Machine kinds, in the order of their numbers.
     kinds: Vec<String>,
     /// The token of each executor.
@@ -93,13 +94,11 @@
     ///
     /// # Errors
     /// Where the scenario gives a node settings that cannot be used.
-    pub fn new(scenario: &'a Scenario, plan: &'a Plan, make: MakeMind<'a>) -> Result<Self, String> {
+    pub fn new(scenario: &'a Scenario, plan: &'a Plan, make: MakeModule<'a>) -> Result<Self, SettingsError> {
         let kinds = briefing::kinds(scenario);
-        let mut values = Vec::new();
+        let mut settings = Vec::new();
         for node in 0..scenario.nodes.count {
-            let settings = briefing::settings(scenario, node);
-            let settings = settings.as_object().ok_or("they are no object")?;
-            values.push(troutknot_hosting::named_values(settings)?);
+            settings.push(troutknot_hosting::parse_settings(&briefing::settings(scenario, node))?);
         }
         let count = plan.executors.len();
         let mut world = World {
@@ -107,7 +106,7 @@
             plan,
             make,
             types: scenario.project_types.iter().map(|t| t.get_ref()).collect(),
-            values,
+            settings,
             kinds,
             tokens: (0..count).map(|k| troutknot_hosting::token(&format!("s-{k:05}"))).collect(),
             queue: Queue::default(),
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -15,7 +15,7 @@
         let life = self.nodes.get(node).map_or(0, |n| n.life + 1);
         let seed = self.plan.seed ^ (node as u64) << 32 ^ u64::from(life) << 48;
         let fresh = Node {
-            mind: (self.make)(&self.values[node], seed, self.now),
+            module: (self.make)(&self.settings[node], seed, self.now),
             up: true,
             leaving: false,
             life,
@@ -39,9 +39,9 @@
     /// Tells a node something, and takes the actions that follow.
     pub(super) fn tell(&mut self, node: usize, event: Event) {
         let now = self.now;
-        self.nodes[node].mind.tell(now, event);
+        self.nodes[node].module.handle_event(now, event);
         let mut actions = std::mem::take(&mut self.actions);
-        self.nodes[node].mind.emit(now, &mut actions);
+        self.nodes[node].module.poll_actions(now, &mut actions);
         self.counts.decisions += 1;
         for action in actions.drain(..) {
             self.act(node, action);
--- a/crates/simulation/tests/simulate.rs
+++ b/crates/simulation/tests/simulate.rs
@@ -6,7 +6,7 @@
 use troutknot_rehearsal::scenario::Scenario;
 use troutknot_simulation::baselines::Policy;
 use troutknot_simulation::experiment::{Failed, Planned, summary};
-use troutknot_simulation::{Mind, simulate, simulate_by, simulate_with};
+use troutknot_simulation::{DecisionModule, simulate, simulate_by, simulate_with};
 
 const SHIPPED: [&str; 5] = ["calm", "iftar", "deploy", "storm", "consul"];
 const POLICIES: [&str; 7] = ["adaptive", "random", "round-robin", "least-outstanding", "d1", "d2", "d4"];
@@ -58,8 +58,8 @@
     wrong: Wrong,
 }
 
-impl Mind for Wronged {
-    fn tell(&mut self, now: Millis, mut event: Event) {
+impl DecisionModule for Wronged {
+    fn handle_event(&mut self, now: Millis, mut event: Event) {
         match (&mut event, self.wrong) {
             (Event::AttemptEnded { outcome: outcome @ Outcome::Reset, .. }, Wrong::TakesAResetForNothing) => {
                 *outcome = Outcome::NotSent;
@@ -72,11 +72,11 @@
             }
             _ => {}
         }
-        self.inner.tell(now, event);
+        self.inner.handle_event(now, event);
     }
 
-    fn emit(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        self.inner.emit(now, actions);
+    fn poll_actions(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        self.inner.poll_actions(now, actions);
         if self.wrong == Wrong::NeverGivesUp {
             actions.retain(|action| !matches!(action, Action::Reject { .. } | Action::Fail { .. }));
         }
@@ -98,8 +98,8 @@
             scenario.rules.fall_multiple = 0.4;
             assert!(simulate(&scenario, scenario.seed).unwrap().verdict.breaches.is_empty(), "a sound node");
         }
-        let make = move |values: &troutknot::NamedValues, seed, now| -> Box<dyn Mind> {
-            Box::new(Wronged { inner: Dispatcher::new(values.clone(), seed, now), wrong })
+        let make = move |settings: &troutknot::Settings, seed, now| -> Box<dyn DecisionModule> {
+            Box::new(Wronged { inner: Dispatcher::new(settings, seed, now), wrong })
         };
         let report = simulate_with(&scenario, scenario.seed, &make).unwrap();
         let named = report.verdict.breaches.iter().any(|b| b.name == expected);
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -3,7 +3,7 @@
 use crate::encode;
 use std::collections::BTreeMap;
 use troutknot::*;
-use troutknot_hosting::{ExecutorRegistry, LoadFields, millis, named_values, token, type_names};
+use troutknot_hosting::{ExecutorRegistry, LoadFields, class_names, millis, parse_settings, token};
 
 #[derive(Default)]
 pub struct Host {
@@ -95,9 +95,10 @@
                 self.tell(p.i, now, |instance| Event::ProbeCompleted {
                     // One that is not registered has no handle: what it says is dropped, and counted there.
                     executor: instance.registry.get(&p.executor).unwrap_or_default(),
-                    answered: p.state_code == StateCode::Good,
-                    lag: millis(p.lag),
-                    reading: instance.load_fields.reading(&p.metrics.unwrap_or_default()),
+                    reply: (p.state_code == StateCode::Good).then(|| ProbeReply {
+                        latency: millis(p.lag),
+                        report: instance.load_fields.reading(&p.metrics.unwrap_or_default()),
+                    }),
                 });
             }
             "returned" => {
@@ -158,10 +159,11 @@
     }
 
     fn create(&mut self, now: Millis, create: decode::Create) -> Result<(), String> {
+        let settings = parse_settings(&create.profile_data).map_err(|error| error.to_string())?;
         let instance = Instance {
             load_fields: LoadFields::stated(&create.profile_data),
-            types: type_names(&create.profile_data),
-            node: Dispatcher::new(named_values(&create.profile_data)?, create.nonce64, now),
+            types: class_names(&create.profile_data),
+            node: Dispatcher::new(&settings, create.nonce64, now),
             registry: ExecutorRegistry::default(),
             called: true,
             passed_over: 0,
@@ -213,7 +215,7 @@
             self.called.push(i);
         }
         let event = event(instance);
-        instance.node.tell(now, event);
+        instance.node.handle_event(now, event);
     }
 
     fn passed_over(&mut self, i: u64) {
@@ -232,7 +234,7 @@
         for i in self.called.drain(..) {
             let Some(instance) = self.instances.get_mut(&i) else { continue };
             instance.called = false;
-            instance.node.emit(now, &mut self.actions);
+            instance.node.poll_actions(now, &mut self.actions);
             if std::mem::take(&mut instance.says_so) {
                 let count = instance.passed_over;
                 self.actions.push(Action::Log(format!("{count} messages passed over: not understood")));
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -36,7 +36,7 @@
     let peer = |body: &str| format!(r#"{{"op":"inbox","i":3,"origin_peer":1,"body":{body}}}"#);
     let (dropped, odd) =
         (peer("\"AQE=\""), [peer("\"AQ==\""), peer("\"AQEB\""), peer("\"?\""), peer("null")]);
-    let heard = r#"{"op":"emit","i":3,"line":"idle connections dropped: none is used again after 200 ms"}"#;
+    let heard = r#"{"op":"emit","i":3,"line":"idle connections were lost: no connection is used again that was idle for 200 ms"}"#;
     let counted = r#"{"op":"emit","i":3,"line":"4 messages passed over: not understood"}"#;
     let probe_b = PROBE.replace("executor_a", "executor_b");
     for (input, expected) in [
--- a/src/state/discovery_backoff.rs
+++ b/src/state/discovery_backoff.rs
@@ -1,61 +1,101 @@
-//! When the list is asked for, where it must be asked. Nothing is decided here of where work goes.
-use crate::terms::{Millis, NamedValues};
+//! When the endpoint list is asked for, where it must be asked: a backoff with jitter.
+use crate::settings::{DiscoveryMode, Settings};
+use crate::time::Millis;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// How far apart nodes that were not answered ask for the list, and the part of the asking span they take.
-const ASK_APART: Millis = 100.0;
-const ASK_WITHIN: f64 = 0.7;
-/// The longest back-off, as a part of the asking span.
-const OF_SPAN: f64 = 0.25;
-/// A list that is told by itself and falls silent is asked for again within this part of the grace, in which what
-/// is told at its return must be known.
-const OF_GRACE: f64 = 0.25;
-const LEAST_WAIT: Millis = 100.0;
+/// How far apart nodes that were not answered ask for the list.
+const CALL_SPACING: Millis = 100.0;
+/// The part of the poll interval over which their calls are spread at most.
+const MAX_SPREAD: f64 = 0.7;
+/// The longest backoff, as a part of the poll interval.
+const MAX_BACKOFF: f64 = 0.25;
+/// A list that is pushed and falls silent is asked for again within this part of the grace, in which what is
+/// told at its return must be known.
+const MAX_BACKOFF_OF_GRACE: f64 = 0.25;
+const LEAST_MAX_BACKOFF: Millis = 100.0;
+/// The backoff before the first failure is doubled.
+const BASE_BACKOFF: Millis = 100.0;
+/// Failures past so many do not make the backoff longer.
+const MAX_FAILURES: u32 = 6;
 
-pub struct Following {
-    pub ask_at: Millis,
+/// The backoff of calls for the endpoint list.
+pub(crate) struct DiscoveryBackoff {
+    /// When the list is asked for next; infinite while a call or a watch stands.
+    pub next_call_at: Millis,
     /// Whether the list has been told, and at most one call has failed since it was lost.
-    pub stood: bool,
-    pub failures: u32,
-    pub ask_every: Millis,
-    /// Where the list is told without being asked: the grace of an executor that drains.
-    pub grace: Option<Millis>,
+    was_followed: bool,
+    failures: u32,
+    poll_interval: Millis,
+    /// Where the list is pushed: the grace of an executor that drains.
+    push_grace: Option<Millis>,
 }
 
-impl Following {
-    pub fn new(values: &NamedValues, now: Millis) -> Self {
-        let ask_at = if values.text("list_mode") == "asked" { now } else { f64::INFINITY };
-        Following { ask_at, stood: false, failures: 0, ask_every: 0.0, grace: None }
+impl DiscoveryBackoff {
+    /// Asks at once where the settings have the node ask.
+    pub fn new(settings: &Settings, now: Millis) -> Self {
+        let asks = settings.discovery_mode == DiscoveryMode::Subscribe;
+        let next_call_at = if asks { now } else { f64::INFINITY };
+        DiscoveryBackoff {
+            next_call_at,
+            was_followed: false,
+            failures: 0,
+            poll_interval: 0.0,
+            push_grace: None,
+        }
     }
 
-    /// The list was told: what to say of it, if calls had failed.
-    pub fn heard(&mut self) -> Option<String> {
-        self.stood = true;
+    /// Goes by these settings from now on.
+    pub fn apply_settings(&mut self, settings: &Settings) {
+        self.poll_interval = settings.rules.poll_interval();
+        let is_pushed = settings.discovery_mode == DiscoveryMode::Push;
+        self.push_grace = is_pushed.then(|| settings.rules.drain_grace.unwrap_or(0.0));
+    }
+
+    /// Whether a call is due, which is taken as made then.
+    pub fn take_due_call(&mut self, now: Millis) -> bool {
+        let is_due = self.next_call_at <= now;
+        if is_due {
+            self.next_call_at = f64::INFINITY;
+        }
+        is_due
+    }
+
+    /// The list was told: what to log of it, if calls had failed.
+    pub fn record_success(&mut self) -> Option<String> {
+        self.was_followed = true;
         let failures = std::mem::take(&mut self.failures);
-        (failures > 0).then(|| format!("list back after {failures} failures"))
+        (failures > 0).then(|| format!("endpoint list received after {failures} failed calls"))
     }
 
-    /// A call failed, or following broke off: when to ask again, and what to say of it.
-    pub fn lost(&mut self, now: Millis, nodes: f64, turned_away: bool, rng: &mut ChaCha8Rng) -> String {
+    /// A call failed, or a watch broke off: when to ask again, and what to log of it.
+    pub fn record_failure(
+        &mut self,
+        now: Millis,
+        nodes: f64,
+        is_rejected: bool,
+        random: &mut ChaCha8Rng,
+    ) -> String {
         // Waits grow, with jitter against asking in step, well inside the span that counts as told.
-        self.failures = (self.failures + 1).min(6);
-        // What a silent source knows counts as told when it is back, and whoever waits longer goes on pushing to
-        // executors that drain. One that turns calls away is there, and has too many of them.
-        let soon = self.grace.filter(|_| !turned_away);
-        let longest = self.ask_every * OF_SPAN;
-        let longest = soon.map_or(longest, |grace| (grace * OF_GRACE).max(LEAST_WAIT).min(longest));
-        let wait = (100.0 * f64::powi(2.0, self.failures as i32)).min(longest);
+        self.failures = (self.failures + 1).min(MAX_FAILURES);
+        // What a silent source knows counts as told when it is back, and whoever waits longer goes on
+        // dispatching to executors that drain. One that rejects calls is there, and has too many of them.
+        let grace = self.push_grace.filter(|_| !is_rejected);
+        let longest = self.poll_interval * MAX_BACKOFF;
+        let longest =
+            grace.map_or(longest, |grace| (grace * MAX_BACKOFF_OF_GRACE).max(LEAST_MAX_BACKOFF).min(longest));
+        let backoff = (BASE_BACKOFF * f64::powi(2.0, self.failures as i32)).min(longest);
         // Guards against many nodes that ask so often together that each call waits past its time
         // and none is answered: what failed is asked again spread over a span for all of them.
-        let apart = if soon.is_some() { 0.0 } else { ASK_APART };
-        let all = ((nodes - 1.0) * apart).min(self.ask_every * ASK_WITHIN);
-        // A list that fell silent, one call in vain and such a wait are together longer than a change may take.
-        let first_silence = self.failures == 1 || !turned_away;
-        let spread = if self.stood && first_silence { 0.0 } else { all };
-        self.stood &= self.failures == 1;
-        let wait = wait * rng.random_range(0.5..1.0) + spread * rng.random::<f64>();
-        self.ask_at = now + wait;
-        format!("list lost: failure {}, asking in {wait:.0} ms", self.failures)
+        let spacing = if grace.is_some() { 0.0 } else { CALL_SPACING };
+        let span = ((nodes - 1.0) * spacing).min(self.poll_interval * MAX_SPREAD);
+        // A list that fell silent, one call in vain and such a wait are together longer than a change may
+        // take.
+        let is_first_silence = self.failures == 1 || !is_rejected;
+        let spread = if self.was_followed && is_first_silence { 0.0 } else { span };
+        self.was_followed &= self.failures == 1;
+        let wait = backoff * random.random_range(0.5..1.0) + spread * random.random::<f64>();
+        self.next_call_at = now + wait;
+        format!("endpoint list lost: failure {}, next call in {wait:.0} ms", self.failures)
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,3 +1,15 @@
-//! State that decides nothing and knows no dispatching.
+//! State that decides nothing: what is held of executors, requests, probes, timers and quotas.
+pub(crate) mod adaptive_share;
 pub(crate) mod discovery_backoff;
 pub(crate) mod executor_table;
+pub(crate) mod probe_statistics;
+pub(crate) mod request;
+pub(crate) mod timer_queue;
+pub(crate) mod token_bucket;
+
+use crate::time::Millis;
+
+/// Moves an exponential average towards a sample by this weight.
+pub(crate) fn smooth(average: &mut Millis, sample: Millis, weight: f64) {
+    *average += weight * (sample - *average);
+}
--- /dev/null
+++ b/src/state/probe_statistics.rs
@@ -0,0 +1,63 @@
+//! What probes said of the load, and the sample size that was worked out from it last.
+use crate::event::ProbeReply;
+use crate::state::smooth;
+use crate::time::Millis;
+
+/// Weight of one reply in the smoothed share of executors with a queue: about the last hundred count.
+const REPLY_WEIGHT: f64 = 0.01;
+/// That share before the first reply, which counts for so many.
+const PRIOR_BUSY_RATIO: f64 = 0.25;
+const PRIOR_REPLIES: f64 = 4.0;
+/// Weight of one probe in their smoothed latency.
+const LATENCY_WEIGHT: f64 = 0.05;
+/// From this length on a queue is one.
+pub(crate) const SHORTEST_QUEUE: f64 = 0.5;
+/// The sample size to begin with, and the least.
+pub(crate) const LEAST_SAMPLE_SIZE: u32 = 2;
+/// Probes are given up after so many usual latencies and this span.
+const PROBE_TIMEOUT_LATENCIES: f64 = 8.0;
+const PROBE_TIMEOUT_MARGIN: Millis = 5.0;
+const INITIAL_PROBE_LATENCY: Millis = 15.0;
+
+/// Smoothed figures of probes.
+#[derive(Default)]
+pub(crate) struct ProbeStatistics {
+    pub sample_size: u32,
+    /// When the sample size was worked out last.
+    pub updated_at: Millis,
+    /// Smoothed share of replies that showed a queue.
+    pub busy_ratio: Option<f64>,
+    replies: f64,
+    pub latency: Option<Millis>,
+    /// What a probe costs, in parts of the value of a request.
+    pub price: f64,
+    /// Whether the settings forbid probes.
+    pub is_forbidden: bool,
+}
+
+impl ProbeStatistics {
+    pub fn new(now: Millis) -> Self {
+        ProbeStatistics { sample_size: LEAST_SAMPLE_SIZE, updated_at: now, ..ProbeStatistics::default() }
+    }
+
+    pub fn observe(&mut self, reply: &ProbeReply) {
+        smooth(self.latency.get_or_insert(reply.latency), reply.latency, LATENCY_WEIGHT);
+        let is_busy = reply.report.queue_length.unwrap_or(0.0) >= SHORTEST_QUEUE;
+        // Guards against what a node holds at its start, which one that sees little would keep all day.
+        self.replies += 1.0;
+        let weight = REPLY_WEIGHT.max(1.0 / (self.replies + PRIOR_REPLIES));
+        smooth(self.busy_ratio.get_or_insert(PRIOR_BUSY_RATIO), f64::from(is_busy), weight);
+    }
+
+    /// Goes on from what a process before this one saw.
+    pub fn import(&mut self, busy_ratio: Option<f64>, latency: Option<Millis>) {
+        self.latency = latency;
+        self.busy_ratio = if self.is_forbidden { self.busy_ratio } else { busy_ratio };
+        self.replies = if self.busy_ratio.is_some() { 1.0 / REPLY_WEIGHT } else { 0.0 };
+    }
+
+    /// How long a reply is waited for.
+    pub fn timeout(&self) -> Millis {
+        PROBE_TIMEOUT_LATENCIES * self.latency.unwrap_or(INITIAL_PROBE_LATENCY) + PROBE_TIMEOUT_MARGIN
+    }
+}
--- /dev/null
+++ b/src/state/request.rs
@@ -0,0 +1,134 @@
+//! Request classes, requests with their attempts, and what is desired of each. What is desired is decided in
+//! [`crate::policy`].
+use crate::endpoint::{Endpoint, LoadReport};
+use crate::event::Outcome;
+use crate::ids::ExecutorId;
+use crate::settings::{ClassSettings, DeduplicationScope, Settings};
+use crate::time::Millis;
+use crate::warm_state::ObservedMean;
+
+/// A class with what was observed of its requests.
+pub(crate) struct RequestClass {
+    pub terms: ClassSettings,
+    pub latency_objective: Millis,
+    pub deadline: Millis,
+    pub max_attempts: usize,
+    /// Smoothed time that an attempt takes at its executor, with its wait there; at first the objective.
+    pub response_time: ObservedMean,
+    /// The same without the wait, where executors report starts.
+    pub service_time: ObservedMean,
+}
+
+impl RequestClass {
+    /// A class of these terms, which begins with the times of an earlier one where it inherits from one.
+    pub fn new(terms: &ClassSettings, settings: &Settings, classes: &[RequestClass]) -> Self {
+        let latency_objective = terms.latency_objective.unwrap_or(0.0);
+        let inherited = terms.inherits_from.and_then(|number| classes.get(number));
+        let unobserved = ObservedMean { mean: latency_objective, observations: 0.0 };
+        RequestClass {
+            terms: terms.clone(),
+            latency_objective,
+            deadline: terms.deadline.unwrap_or(0.0),
+            max_attempts: settings.max_attempts(terms),
+            response_time: inherited.map_or(unobserved, |class| class.response_time),
+            service_time: inherited.map_or(unobserved, |class| class.service_time),
+        }
+    }
+
+    /// The objective of a request of mean length, by this mean.
+    pub fn mean_objective(&self, mean: Millis) -> Millis {
+        self.latency_objective + (self.terms.stretch - 1.0).max(0.0) * mean
+    }
+
+    /// Whether both executors recognize each other's repeats.
+    pub fn is_same_deduplication_domain(&self, one: &Endpoint, other: &Endpoint) -> bool {
+        match self.terms.deduplication_scope {
+            DeduplicationScope::Zone => one.zone == other.zone,
+            _ => one.deduplication_group == other.deduplication_group,
+        }
+    }
+}
+
+#[derive(Clone, Copy)]
+pub(crate) struct Attempt {
+    pub executor: ExecutorId,
+    pub sent_at: Millis,
+    /// How long the executor's connections had not been used.
+    pub idle_time: Millis,
+    /// When it began to run, where that was told.
+    pub started_at: Option<Millis>,
+    pub outcome: Option<Outcome>,
+}
+
+impl Attempt {
+    pub fn new(executor: ExecutorId, sent_at: Millis, idle_time: Millis) -> Self {
+        Attempt { executor, sent_at, idle_time, started_at: None, outcome: None }
+    }
+
+    pub fn is_in_flight(&self) -> bool {
+        self.outcome.is_none()
+    }
+}
+
+/// What is desired of a request.
+#[derive(Clone, Copy, PartialEq, Default)]
+pub(crate) enum DesiredState {
+    #[default]
+    Probing,
+    /// So many attempts in all, the last one at this executor and given up at the deadline.
+    Dispatched {
+        executor: ExecutorId,
+        deadline: Millis,
+        attempts: usize,
+    },
+    Queued,
+    Rejected {
+        retry_after: Option<Millis>,
+    },
+    Failed,
+}
+
+/// The load that a candidate reported.
+#[derive(Clone, Copy)]
+pub(crate) struct CandidateReport {
+    pub executor: ExecutorId,
+    pub report: LoadReport,
+}
+
+#[derive(Default)]
+pub(crate) struct Request {
+    pub class: usize,
+    pub slots: f64,
+    pub is_over_quota: bool,
+    /// When the client first asked, for an earlier try perhaps.
+    pub asked_at: Millis,
+    pub deadline: Millis,
+    pub desired: DesiredState,
+    pub attempts: Vec<Attempt>,
+    /// Those sampled last, and how many of them were asked.
+    pub candidates: Vec<ExecutorId>,
+    pub probed: usize,
+    pub reports: Vec<CandidateReport>,
+    /// How often executors were sampled for it.
+    pub sampling_rounds: u32,
+    pub timer_at: Millis,
+}
+
+impl Request {
+    pub fn is_in_flight(&self) -> bool {
+        self.attempts.iter().any(Attempt::is_in_flight)
+    }
+
+    /// The first attempt that may have run, or may yet.
+    pub fn first_possible_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
+    }
+
+    /// Those that it names: where it was sent, which says where it may be sent again, and while it waits for
+    /// probes those that were sampled for it.
+    pub fn executors(&self) -> impl Iterator<Item = ExecutorId> {
+        let sent = self.attempts.iter().map(|attempt| attempt.executor);
+        let sampled = if self.desired == DesiredState::Probing { &self.candidates[..] } else { &[] };
+        sent.chain(sampled.iter().copied())
+    }
+}
--- /dev/null
+++ b/src/state/token_bucket.rs
@@ -0,0 +1,30 @@
+//! A token bucket: a quota that fills up at a rate, up to a capacity.
+use crate::time::Millis;
+
+/// Tokens that are left, and how fast more come. It begins full, whatever its capacity.
+pub(crate) struct TokenBucket {
+    tokens: f64,
+    refilled_at: Millis,
+    pub rate_per_ms: f64,
+}
+
+impl TokenBucket {
+    pub fn new(now: Millis) -> Self {
+        TokenBucket { tokens: f64::INFINITY, refilled_at: now, rate_per_ms: 0.0 }
+    }
+
+    /// Adds what has come since the last time.
+    pub fn refill(&mut self, now: Millis, capacity: f64) {
+        self.tokens = (self.tokens + self.rate_per_ms * (now - self.refilled_at)).min(capacity);
+        self.refilled_at = now;
+    }
+
+    pub fn has_token(&self) -> bool {
+        self.tokens >= 1.0
+    }
+
+    /// Takes one token, which has to be there.
+    pub fn take(&mut self) {
+        self.tokens -= 1.0;
+    }
+}
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -11,11 +11,11 @@
 /// Where starts are not told, what ends later ended late: a quarter of the hard limit of 5 s.
 const LATEST_END: Millis = 1250.0;
 
-fn values_without_probes(starts_told: bool) -> NamedValues {
-    let mut values = values_of(300.0, Some(0.0));
-    values.insert("limits.probes", Given::Flag(false));
-    values.insert("executors.tell_start", Given::Flag(starts_told));
-    values
+fn settings_without_probes(starts_told: bool) -> Settings {
+    let mut settings = settings_of(300.0, Some(0.0));
+    settings.limits.probes_enabled = false;
+    settings.executors.reports_start = starts_told;
+    settings
 }
 
 /// So many requests in turn of which each waits so long and runs for [`RUNS`]; how many of them were taken.
@@ -43,7 +43,7 @@
 #[test]
 fn requests_are_turned_away_at_once_while_attempts_begin_late_and_taken_again_after() {
     for (starts_told, latest) in [(true, LATEST_START), (false, LATEST_END)] {
-        let mut node = with(values_without_probes(starts_told));
+        let mut node = with(settings_without_probes(starts_told));
         node.warm(4);
         let in_time = latest - 2.0 * RUNS;
         assert_eq!(taken_of(&mut node, 200, 0, in_time, starts_told), 200, "nothing is late");
@@ -57,7 +57,7 @@
 #[test]
 fn a_start_that_is_late_is_observed_before_it_comes_and_once() {
     let late = |tells: bool| {
-        let mut node = with(values_without_probes(true));
+        let mut node = with(settings_without_probes(true));
         node.warm(4);
         let (out, _): (Vec<RequestId>, Vec<_>) = (0..12).map(|_| node.arrive(0)).unzip();
         node.now += 2.0 * LATEST_START;
@@ -77,10 +77,10 @@
 
 #[test]
 fn what_needs_more_work_for_its_value_is_turned_away_first() {
-    let mut values = values_without_probes(true);
-    values.insert("project_types.0.credit", Given::Number(10.0));
-    values.insert("project_types.1.credit", Given::Number(1.0));
-    let mut node = with(values);
+    let mut settings = settings_without_probes(true);
+    settings.classes[0].value = 10.0;
+    settings.classes[1].value = 1.0;
+    let mut node = with(settings);
     node.warm(4);
     taken_of(&mut node, 5, 0, 3000.0, true);
     let mut taken = [0, 0];
@@ -136,7 +136,7 @@
     const WORK: Millis = 400.0;
     let apart = WORK / (8.0 * 2.0) / load;
     let mut nodes: Vec<Node> =
-        (0..NODES).map(|seed| with_seed(values_without_probes(true), seed as u64)).collect();
+        (0..NODES).map(|seed| with_seed(settings_without_probes(true), seed as u64)).collect();
     nodes.iter_mut().for_each(|node| node.warm(8));
     let mut model = QueueModel { free_at: vec![[0.0; 2]; 8], due: BTreeMap::new(), sequence: 0 };
     let mut sent: BTreeMap<(usize, RequestId), Millis> = BTreeMap::new();
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -18,7 +18,7 @@
 /// More than all executors can do, and they show room all the same, as to a herd.
 const ARRIVALS_PER_MS: f64 = 1.2;
 const MEAN_WORK: Millis = 100.0;
-/// The rule on cold executors, as the values of the helpers state it.
+/// The rule on cold executors, as the settings of the helpers state it.
 const COLD_SHARE: f64 = 0.25;
 const RAMP: Millis = 10_000.0;
 const FALL: Millis = 1000.0;
@@ -62,8 +62,8 @@
     fn new(nodes: usize, seed: u64, slots: f64) -> Self {
         let fleet_seed = seed * 1000;
         let process = |node: usize| {
-            let values = values_of(nodes as f64, Some(node as f64));
-            let mut process = start_at(WARM_UP, values, fleet_seed + node as u64);
+            let settings = settings_of(nodes as f64, Some(node as f64));
+            let mut process = start_at(WARM_UP, settings, fleet_seed + node as u64);
             process.list(ListUpdate::Snapshot, &listings(None)[..COLD as usize]);
             process
         };
@@ -86,9 +86,9 @@
     fn start_next_processes(&mut self) {
         let nodes = self.processes.len();
         for (node, processes) in self.processes.iter_mut().enumerate() {
-            let learned = processes[0].node.learned(self.now);
-            let values = values_of(nodes as f64, Some(node as f64));
-            let mut next = start_at(self.now, values, 77 + node as u64);
+            let learned = processes[0].node.export_state(self.now);
+            let settings = settings_of(nodes as f64, Some(node as f64));
+            let mut next = start_at(self.now, settings, 77 + node as u64);
             next.list(ListUpdate::Cached, &listings(Some(STARTED)));
             next.tell(Event::WarmStateReceived(learned));
             processes.push(next);
@@ -111,8 +111,8 @@
     fn kill_and_restart(&mut self) {
         let nodes = self.processes.len();
         for node in (0..nodes).filter(|node| node % 10 < 7) {
-            let values = values_of(nodes as f64, Some(node as f64));
-            let mut next = start_at(self.now, values, 99 + node as u64);
+            let settings = settings_of(nodes as f64, Some(node as f64));
+            let mut next = start_at(self.now, settings, 99 + node as u64);
             next.list(ListUpdate::Snapshot, &listings(Some(STARTED)));
             self.processes[node].push(next);
         }
@@ -226,7 +226,7 @@
         // Each reading differs from the one before, so that it is taken for a new one.
         let free_slots = Some(slots + process.now / 1e9);
         let reading = LoadReport { queue_length: Some(0.0), free_slots, ..LoadReport::default() };
-        actions.extend(process.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading }));
+        actions.extend(process.tell(replied(executor, 1.0, reading)));
     }
     actions
 }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,6 +1,7 @@
-//! Shared by the tests: a node with given values and short ways to tell it things.
+//! Shared by the tests: a node with given settings and short ways to tell it things.
 #![allow(dead_code)]
 use slotmap::{Key, KeyData};
+use troutknot::settings::{ClassSettings, RuleSettings, TenantSettings};
 use troutknot::*;
 
 /// The handle in the slot of this number, the first one that it had.
@@ -33,58 +34,61 @@
 
 /// The same, told its own number among the nodes.
 pub fn node_of(nodes: f64, me: Option<f64>) -> Node {
-    with(values_of(nodes, me))
-}
-
-pub fn values_of(nodes: f64, me: Option<f64>) -> NamedValues {
-    let mut values = NamedValues::default();
-    let kinds = [("rerunnable", ""), ("receipted", "all"), ("receipted", "group"), ("exclusive", "")];
-    for (k, (effect, scope)) in kinds.iter().enumerate() {
-        let own = |name: &str| format!("project_types.{k}.{name}");
-        values.insert(own("effect"), Given::Text(effect.to_string()));
-        values.insert(own("repeat_scope"), Given::Text(scope.to_string()));
-        for (name, n) in
-            [("hard_limit", 5000.0), ("window", 2000.0), ("promised_turnaround", 100.0), ("credit", 1.0)]
-        {
-            values.insert(own(name), Given::Number(n));
-        }
-        values.insert(own("stretch"), Given::Number(2.0));
-    }
-    for (name, n) in [
-        ("nodes", nodes),
-        ("limits.most_allocations", 3.0),
-        ("limits.longest_come_back", 2000.0),
-        ("rules.cold_share", 0.25),
-        ("rules.ramp_time", 10_000.0),
-        ("rules.fall", 1000.0),
-        ("rules.fall_multiple", 4.0),
-        ("rules.ask_every", 10_000.0),
-    ] {
-        values.insert(name, Given::Number(n));
-    }
-    values.insert("limits.come_back_told", Given::Flag(true));
-    // Customer 0 has a share without end, customer 1 hardly any.
-    for (k, share) in [1e9, 1.0].into_iter().enumerate() {
-        values.insert(format!("customers.{k}.share_per_s"), Given::Number(share));
-    }
-    if let Some(me) = me {
-        values.insert("node", Given::Number(me));
-    }
-    values.insert("credit_over_share", Given::Number(0.2));
-    values
+    with(settings_of(nodes, me))
 }
 
-pub fn with(values: NamedValues) -> Node {
-    with_seed(values, 11)
+pub fn settings_of(nodes: f64, me: Option<f64>) -> Settings {
+    let class = |(effect, deduplication_scope)| ClassSettings {
+        effect,
+        deduplication_scope,
+        deadline: Some(5000.0),
+        deduplication_window: 2000.0,
+        latency_objective: Some(100.0),
+        value: 1.0,
+        stretch: 2.0,
+        ..ClassSettings::default()
+    };
+    let classes = [
+        (Effect::Idempotent, DeduplicationScope::Group),
+        (Effect::Deduplicated, DeduplicationScope::All),
+        (Effect::Deduplicated, DeduplicationScope::Group),
+        (Effect::AtMostOnce, DeduplicationScope::Group),
+    ];
+    // Tenant 0 has a quota without end, tenant 1 hardly any.
+    let tenants = [1e9, 1.0].map(|quota| TenantSettings { quota_per_s: Some(quota) });
+    let mut settings = Settings {
+        nodes,
+        node: me,
+        classes: classes.map(class).into(),
+        tenants: tenants.into(),
+        over_quota_value: 0.2,
+        ..Settings::default()
+    };
+    settings.limits.max_attempts = Some(3.0);
+    settings.limits.max_retry_after = Some(2000.0);
+    settings.limits.retry_after_enabled = true;
+    settings.rules = RuleSettings {
+        initial_capacity: 0.25,
+        ramp_duration: 10_000.0,
+        budget_window: 1000.0,
+        budget_multiple: 4.0,
+        poll_interval: Some(10_000.0),
+        ..RuleSettings::default()
+    };
+    settings
 }
 
-pub fn with_seed(values: NamedValues, seed: u64) -> Node {
-    start_at(0.0, values, seed)
+pub fn with(settings: Settings) -> Node {
+    with_seed(settings, 11)
+}
+
+pub fn with_seed(settings: Settings, seed: u64) -> Node {
+    start_at(0.0, settings, seed)
 }
 
 /// A process that starts then.
-pub fn start_at(now: Millis, values: NamedValues, seed: u64) -> Node {
-    Node { node: Dispatcher::new(values, seed, now), now, next: 0 }
+pub fn start_at(now: Millis, settings: Settings, seed: u64) -> Node {
+    Node { node: Dispatcher::new(&settings, seed, now), now, next: 0 }
 }
 
 pub fn listing(number: u32, group: u32, phase: EndpointState, started: Option<Millis>) -> Endpoint {
@@ -102,15 +106,20 @@
     }
 }
 
+/// A probe that was answered.
+pub fn replied(executor: ExecutorId, latency: Millis, report: LoadReport) -> Event {
+    Event::ProbeCompleted { executor, reply: Some(ProbeReply { latency, report }) }
+}
+
 impl Node {
     pub fn emit(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.node.emit(self.now, &mut actions);
+        self.node.poll_actions(self.now, &mut actions);
         actions
     }
 
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        self.node.tell(self.now, event);
+        self.node.handle_event(self.now, event);
         self.emit()
     }
 
@@ -152,7 +161,7 @@
             let free = if held > 0.0 { 0.0 } else { 4.0 };
             let reading =
                 LoadReport { queue_length: Some(held), free_slots: Some(free), ..LoadReport::default() };
-            actions.extend(self.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading }));
+            actions.extend(self.tell(replied(executor, 1.0, reading)));
         }
         others.append(&mut actions);
         others
--- a/tests/lifetime.rs
+++ b/tests/lifetime.rs
@@ -1,6 +1,7 @@
 //! From when to when the module holds an executor, by events alone.
 mod helpers;
 use helpers::*;
+use troutknot::settings::WeightSource;
 use troutknot::*;
 
 /// Executors that are gone are looked over this often.
@@ -44,7 +45,7 @@
     assert!(actions.contains(&Action::SetTimer { at: RECLAIM_EVERY }), "{actions:?}");
     node.now = RECLAIM_EVERY;
     let actions = node.tell(Event::TimerFired);
-    assert_eq!((released(&actions), node.node.executors_held()), (vec![executor(1)], 2));
+    assert_eq!((released(&actions), node.node.executor_count()), (vec![executor(1)], 2));
     assert!(!wakes(&actions), "nobody is gone any more");
     assert!(!wakes(&node.list(ListUpdate::Delta, &[listing(0, 0, EndpointState::Draining, None)])));
 }
@@ -155,12 +156,7 @@
     node.warm(1);
     let reading =
         |queue| LoadReport { queue_length: Some(queue), free_slots: Some(4.0), ..LoadReport::default() };
-    let probed = |executor, queue| Event::ProbeCompleted {
-        executor,
-        answered: true,
-        lag: 1.0,
-        reading: reading(queue),
-    };
+    let probed = |executor, queue| replied(executor, 1.0, reading(queue));
     let (request_id, actions) = node.arrive(0);
     assert!(actions.contains(&Action::Probe { executor: executor(0) }));
     node.tell(Event::RequestWithdrawn { request_id });
@@ -176,14 +172,14 @@
     let token = listing(5, 5, EndpointState::Ready, None).token as u32;
     let learned = ExecutorWarmState {
         executor: executor(0),
-        failure_score: (100.0, node.now),
-        observations: (1.0, node.now),
+        failure_score: DecayingScore { value: 100.0, set_at: node.now },
+        observations: DecayingScore { value: 1.0, set_at: node.now },
         max_slots: 1.0,
         warm_up_spent: Vec::new(),
     };
     for (counted, stale) in [
         probed(executor(0), 9.0),
-        Event::ProbeCompleted { executor: executor(0), answered: false, lag: 1.0, reading: reading(0.0) },
+        Event::ProbeCompleted { executor: executor(0), reply: None },
         Event::GossipReceived(GossipMessage::WorkRejected { token, class: RequestClassId(0) }),
         Event::EndpointsUpdated {
             update: ListUpdate::Delta,
@@ -202,7 +198,7 @@
         assert_eq!(node.tell(stale), [], "nothing follows");
         assert_eq!(node.node.stale_events(), counted as u64 + 1);
     }
-    assert_eq!(node.node.executors_held(), 1);
+    assert_eq!(node.node.executor_count(), 1);
     // The new owner's own answer counts, and so does its end; one for an attempt of before does not.
     let actions = node.tell(probed(second, 0.0));
     assert_eq!(push_of(&actions), Some(second));
@@ -227,9 +223,9 @@
     let (out, at) = node.pushed(0);
     let next: Vec<Endpoint> = (50..100).map(|e| listing(e, e, EndpointState::Ready, None)).collect();
     node.list(ListUpdate::Snapshot, &next);
-    assert_eq!(node.node.executors_held(), 100);
+    assert_eq!(node.node.executor_count(), 100);
     let first = node.look_over();
-    assert_eq!((first.len(), first.contains(&at), node.node.executors_held()), (49, false, 51));
+    assert_eq!((first.len(), first.contains(&at), node.node.executor_count()), (49, false, 51));
     assert!(number_of(node.pushed(0).1) >= 50);
     let actions = node.end(out, 0, Outcome::Reset);
     let again = push_of(&node.answer(actions, |_| 0.0)).expect("it goes to the next fleet");
@@ -260,9 +256,9 @@
         let (request_id, _) = node.pushed(0);
         node.end(request_id, 0, Outcome::Completed);
         node.list(ListUpdate::Delta, &[under(gone(1), releases)]);
-        assert_eq!((node.look_over(), node.node.executors_held()), (vec![mine], 3));
+        assert_eq!((node.look_over(), node.node.executor_count()), (vec![mine], 3));
         node.list(ListUpdate::Delta, &[under(listing(1, 1, EndpointState::Ready, None), releases + 1)]);
-        assert_eq!(node.node.executors_held(), 4);
+        assert_eq!(node.node.executor_count(), 4);
     }
     assert_eq!(node.node.stale_events(), 0);
 }
@@ -276,8 +272,8 @@
     let (request_id, at) = old.pushed(0);
     old.list(ListUpdate::Delta, &[gone(number_of(at))]);
     old.look_over();
-    let learned = old.node.learned(old.now);
-    assert_eq!((learned.executors.len(), old.node.executors_held()), (2, 3), "it is held and not handed on");
+    let learned = old.node.export_state(old.now);
+    assert_eq!((learned.executors.len(), old.node.executor_count()), (2, 3), "it is held and not handed on");
     let mut next = node(1.0);
     next.now = old.now;
     let entries: Vec<Endpoint> = learned
@@ -287,7 +283,7 @@
         .collect();
     next.list(ListUpdate::Cached, &entries);
     next.tell(Event::WarmStateReceived(learned));
-    assert_eq!((next.node.executors_held(), next.node.stale_events()), (2, 0));
+    assert_eq!((next.node.executor_count(), next.node.stale_events()), (2, 0));
     old.end(request_id, 0, Outcome::Completed);
     assert_eq!((old.look_over(), next.look_over()), (vec![at], vec![]));
 }
@@ -305,7 +301,7 @@
         old.list(ListUpdate::Snapshot, &[]);
         let mut next = node(1.0);
         next.now = old.now + wait;
-        let learned = old.node.learned(next.now);
+        let learned = old.node.export_state(next.now);
         assert_eq!(learned.executors.len(), usize::from(is_handed_on));
         next.list(ListUpdate::Cached, &[gone(0)]);
         next.tell(Event::WarmStateReceived(learned));
@@ -320,10 +316,10 @@
 fn the_largest_size_is_kept_while_there_are_machines_of_its_kind() {
     let holders = |between: &[Endpoint], wait: bool| {
         let probes = |&me: &u64| {
-            let mut values = values_of(40.0, Some(me as f64));
-            values.insert("list_sizes", Given::Text("falling".into()));
-            values.insert("project_types.0.promised_turnaround", Given::Number(900.0));
-            let mut node = with_seed(values, me);
+            let mut settings = settings_of(40.0, Some(me as f64));
+            settings.weight_source = WeightSource::Live;
+            settings.classes[0].latency_objective = Some(900.0);
+            let mut node = with_seed(settings, me);
             node.now = 50_000.0;
             let sized =
                 |size, started| Endpoint { weight: size, ..listing(5, 5, EndpointState::Ready, started) };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,7 +1,8 @@
 //! Tables of cases for the module alone.
 mod helpers;
 use helpers::*;
-use troutknot::policy::{best_draws, time_in_system};
+use troutknot::policy::{best_sample_size, time_in_system};
+use troutknot::settings::{ClassSettings, DiscoveryMode};
 use troutknot::*;
 
 /// Figure 1 of the paper: C = 0.003.
@@ -28,7 +29,7 @@
     }
     // Unstable: every d is skipped and none is left.
     for (share, cost, expected) in [(0.99, 0.6, None), (0.2, 0.0, Some(8)), (0.001, 0.5, Some(2))] {
-        assert_eq!(best_draws(share, 2, cost, 8), expected, "share {share} C {cost}");
+        assert_eq!(best_sample_size(share, 2, cost, 8), expected, "share {share} C {cost}");
     }
 }
 
@@ -102,12 +103,13 @@
             time_left: 900.0,
             is_retry: true,
         };
-        node.node.tell(now, arrived);
+        node.node.handle_event(now, arrived);
         for (number, outcome) in earlier.iter().enumerate() {
-            node.node.tell(now, Event::AttemptRecovered { request_id, executor, sent_at: now - 50.0 });
+            node.node
+                .handle_event(now, Event::AttemptRecovered { request_id, executor, sent_at: now - 50.0 });
             if let Some(outcome) = *outcome {
                 let attempt_id = AttemptId(number as u32);
-                node.node.tell(
+                node.node.handle_event(
                     now,
                     Event::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: false },
                 );
@@ -182,10 +184,13 @@
         for executor in probes {
             let reading =
                 LoadReport { queue_length: Some(number_of(executor) as f64), ..LoadReport::default() };
-            node.node.tell(node.now, Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
+            node.node.handle_event(node.now, replied(executor, 1.0, reading));
         }
         let entries = vec![listing(0, 0, phase, None)];
-        node.node.tell(node.now, Event::EndpointsUpdated { update: ListUpdate::Delta, endpoints: entries });
+        node.node.handle_event(
+            node.now,
+            Event::EndpointsUpdated { update: ListUpdate::Delta, endpoints: entries },
+        );
         let actions = node.emit();
         let actions = node.answer(actions, |_| 0.0);
         assert_eq!(push_of(&actions), Some(executor(1)));
@@ -220,10 +225,9 @@
 
 #[test]
 fn a_lost_list_is_asked_for_again_inside_the_span() {
-    let mut values = NamedValues::default();
-    values.insert("list_mode", Given::Text("asked".into()));
-    values.insert("rules.ask_every", Given::Number(4000.0));
-    let mut node = with(values);
+    let mut settings = Settings { discovery_mode: DiscoveryMode::Subscribe, ..Settings::default() };
+    settings.rules.poll_interval = Some(4000.0);
+    let mut node = with(settings);
     assert!(node.emit().contains(&Action::WatchEndpoints));
     node.warm(2);
     for _ in 0..10 {
@@ -243,11 +247,12 @@
     {
         let waits: Vec<f64> = (0..100)
             .map(|seed| {
-                let mut values = values_of(nodes, None);
+                let mut settings = settings_of(nodes, None);
                 // Also where the list is told by itself: its source is there and has too many calls.
-                values.insert("list_mode", Given::Text(if seed % 2 == 0 { "told" } else { "asked" }.into()));
-                values.insert("rules.drain_grace", Given::Number(2000.0));
-                let mut node = with_seed(values, seed);
+                settings.discovery_mode =
+                    if seed % 2 == 0 { DiscoveryMode::Push } else { DiscoveryMode::Subscribe };
+                settings.rules.drain_grace = Some(2000.0);
+                let mut node = with_seed(settings, seed);
                 node.warm(2);
                 if !stood {
                     node.tell(Event::EndpointWatchLost { is_rejected: true });
@@ -273,11 +278,11 @@
 #[test]
 fn a_list_that_is_told_by_itself_is_asked_for_again_well_within_the_grace() {
     for (nodes, grace, latest) in [(300.0, 2000.0, 500.0), (6.0, 2000.0, 500.0), (300.0, 250.0, 100.0)] {
-        let mut values = values_of(nodes, None);
-        values.insert("list_mode", Given::Text("told".into()));
-        values.insert("rules.drain_grace", Given::Number(grace));
+        let mut settings = settings_of(nodes, None);
+        settings.discovery_mode = DiscoveryMode::Push;
+        settings.rules.drain_grace = Some(grace);
         for seed in 0..100 {
-            let mut node = with_seed(values.clone(), seed);
+            let mut node = with_seed(settings.clone(), seed);
             for failure in 1..10 {
                 let wait = woken_after(&mut node, false);
                 assert!(
@@ -296,15 +301,15 @@
 #[test]
 fn calls_for_the_list_stay_within_the_span_for_asking() {
     const SPAN: f64 = 3000.0;
-    let modes = ["told", "asked"];
+    let modes = [DiscoveryMode::Push, DiscoveryMode::Subscribe];
     let cases = modes.into_iter().flat_map(|mode| [500.0, 30_000.0].map(|grace| (mode, grace)));
     for ((mode, grace), seed) in cases.flat_map(|case| (0..100).map(move |seed| (case, seed))) {
-        let mut values = values_of(300.0, None);
-        values.insert("list_mode", Given::Text(mode.into()));
-        values.insert("rules.ask_every", Given::Number(SPAN));
-        values.insert("rules.drain_grace", Given::Number(grace));
+        let mut settings = settings_of(300.0, None);
+        settings.discovery_mode = mode;
+        settings.rules.poll_interval = Some(SPAN);
+        settings.rules.drain_grace = Some(grace);
         for turned_away in [true, false] {
-            let mut node = with_seed(values.clone(), seed);
+            let mut node = with_seed(settings.clone(), seed);
             node.warm(2);
             for failure in 1..10 {
                 let wait = woken_after(&mut node, turned_away);
@@ -313,7 +318,7 @@
                     2 if !turned_away => 400.0,
                     _ => SPAN,
                 };
-                assert!(wait <= latest, "{mode}, grace {grace}, {turned_away}, failure {failure}: {wait}");
+                assert!(wait <= latest, "{mode:?}, grace {grace}, {turned_away}, failure {failure}: {wait}");
                 node.now += wait;
                 assert!(node.tell(Event::TimerFired).contains(&Action::WatchEndpoints));
             }
@@ -350,12 +355,7 @@
             Event::RequestWithdrawn { request_id: stale },
             Event::AttemptStarted { request_id: stale, attempt_id: AttemptId(3) },
             Event::AttemptProgressed { request_id: stale, attempt_id: AttemptId(0), share: 0.5 },
-            Event::ProbeCompleted {
-                executor: executor(77),
-                answered: true,
-                lag: 1.0,
-                reading: LoadReport::default(),
-            },
+            replied(executor(77), 1.0, LoadReport::default()),
         ] {
             assert!(node.tell(event).is_empty());
         }
@@ -458,7 +458,7 @@
             while let [Action::Probe { executor }, ..] = actions[..] {
                 probes += 1;
                 let reading = LoadReport { queue_length: Some(0.0), ..LoadReport::default() };
-                actions = node.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
+                actions = node.tell(replied(executor, 1.0, reading));
             }
             assert!(push_of(&actions).is_some());
             if !own_work {
@@ -557,9 +557,9 @@
     // The price, the free slots that each of eight shows besides an own job, and whether one probe is enough.
     for (price, free, enough) in [(0.01, 3.0, true), (0.01, 1.0, true), (0.001, 3.0, true), (0.0, 3.0, false)]
     {
-        let mut values = values_of(1.0, None);
-        values.insert("prices.probe", Given::Number(price));
-        let mut node = with(values);
+        let mut settings = settings_of(1.0, None);
+        settings.prices.probe = price;
+        let mut node = with(settings);
         node.warm(8);
         let (mut own, mut probes) = ([false; 8], 0);
         for k in 0..400 {
@@ -575,7 +575,7 @@
             while let Some(executor) = probe(&actions) {
                 probes += u32::from(k >= 300);
                 let reading = LoadReport { queue_length: Some(0.0), free_slots, ..LoadReport::default() };
-                actions = node.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
+                actions = node.tell(replied(executor, 1.0, reading));
             }
             // One job stays at each executor, the others end.
             let executor = number_of(push_of(&actions).unwrap()) as usize;
@@ -703,7 +703,7 @@
         let mut pushed = push_of(&actions).is_some();
         if actions.iter().any(|a| matches!(a, Action::Probe { .. })) {
             let reading = LoadReport { queue_length: Some(0.0), free_slots, ..LoadReport::default() };
-            let probed = Event::ProbeCompleted { executor: executor(7), answered: true, lag: 1.0, reading };
+            let probed = replied(executor(7), 1.0, reading);
             pushed |= push_of(&node.tell(probed)).is_some();
         }
         node.tell(Event::RequestWithdrawn { request_id });
@@ -714,7 +714,7 @@
         (old.now, new.now) = (50_000.0, 50_000.0);
         old.list(ListUpdate::Snapshot, &cold(50_000.0));
         let mut sent = (0..10).map(|_| pushes(&mut old)).sum::<u32>();
-        let learned = old.node.learned(old.now);
+        let learned = old.node.export_state(old.now);
         new.now = old.now;
         new.list(ListUpdate::Cached, &cold(50_000.0));
         if told {
@@ -753,9 +753,9 @@
         old.answer(actions, |_| 0.0);
         old.tell(Event::RequestWithdrawn { request_id });
     }
-    let learned = old.node.learned(old.now);
+    let learned = old.node.export_state(old.now);
     assert!(
-        learned.class_running_times[0].0 < 60.0 && learned.class_running_times[0].1 > 5.0,
+        learned.class_running_times[0].mean < 60.0 && learned.class_running_times[0].observations > 5.0,
         "{:?}",
         learned.class_running_times
     );
@@ -791,14 +791,17 @@
     let mut node = node(1.0);
     node.warm(6);
     let ((rerun, _), (never, _)) = (node.pushed(0), node.pushed(3));
-    let mut values = values_of(1.0, None);
+    let mut settings = settings_of(1.0, None);
     // Type 4 is type 0 with a stricter effect and one attempt; all else stays under its number.
-    for (name, given) in [("hard_limit", 900.0), ("promised_turnaround", 90.0), ("most_allocations", 1.0)] {
-        values.insert(format!("project_types.4.{name}"), Given::Number(given));
-    }
-    values.insert("project_types.4.effect", Given::Text("exclusive".into()));
-    values.insert("limits.most_allocations", Given::Number(1.0));
-    node.node.retune(node.now, &values);
+    settings.classes.push(ClassSettings {
+        effect: Effect::AtMostOnce,
+        deadline: Some(900.0),
+        latency_objective: Some(90.0),
+        max_attempts: Some(1.0),
+        ..ClassSettings::default()
+    });
+    settings.limits.max_attempts = Some(1.0);
+    node.node.apply_settings(node.now, &settings);
     let lost = |node: &mut Node, request_id: RequestId| {
         let actions = node.end(request_id, 0, Outcome::Reset);
         said(&node.answer(actions, |_| 0.0))
@@ -819,10 +822,10 @@
     for (price, near_full, least, most) in
         [(0.0, false, 0.35, 0.65), (0.03, false, 0.02, 0.3), (0.03, true, 1.0, 1.0)]
     {
-        let mut values = values_of(1.0, None);
-        values.insert("prices.cross_place", Given::Number(price));
-        values.insert("place", Given::Number(0.0));
-        let mut node = with(values);
+        let mut settings = settings_of(1.0, None);
+        settings.prices.cross_zone = price;
+        settings.zone = Some(0.0);
+        let mut node = with(settings);
         let at = |e: u32| Endpoint { zone: ZoneId(e % 2), ..listing(e, e, EndpointState::Ready, None) };
         node.list(ListUpdate::Snapshot, &(0..40).map(at).collect::<Vec<_>>());
         let queue = |e: u32| if near_full && e.is_multiple_of(2) { 3.0 } else { 0.0 };
@@ -844,11 +847,11 @@
 }
 
 fn without_probes(starts_told: bool) -> Node {
-    let mut values = values_of(300.0, Some(0.0));
-    values.insert("limits.probes", Given::Flag(false));
-    values.insert("limits.second_copies", Given::Flag(true));
-    values.insert("executors.tell_start", Given::Flag(starts_told));
-    with(values)
+    let mut settings = settings_of(300.0, Some(0.0));
+    settings.limits.probes_enabled = false;
+    settings.limits.hedging_enabled = true;
+    settings.executors.reports_start = starts_told;
+    with(settings)
 }
 
 #[test]
--- a/tests/shapes.rs
+++ b/tests/shapes.rs
@@ -1,14 +1,27 @@
 //! What deployments of another shape ask of the module, by events alone.
 mod helpers;
 use helpers::*;
+use troutknot::settings::WeightSource;
 use troutknot::*;
 
-/// The values of the tests, with idle connections kept for 15 s and flags as named.
-fn shape(flags: &[&str]) -> NamedValues {
-    let mut values = values_of(1.0, None);
-    values.insert("limits.idle_connection", Given::Number(15_000.0));
-    flags.iter().for_each(|flag| values.insert(*flag, Given::Flag(true)));
-    values
+enum Flag {
+    Gossip,
+    Hedging,
+    ReportsStart,
+}
+
+/// The settings of the tests, with idle connections kept for 15 s and flags as named.
+fn shape(flags: &[Flag]) -> Settings {
+    let mut settings = settings_of(1.0, None);
+    settings.limits.idle_timeout = Some(15_000.0);
+    for flag in flags {
+        match flag {
+            Flag::Gossip => settings.limits.gossip_enabled = true,
+            Flag::Hedging => settings.limits.hedging_enabled = true,
+            Flag::ReportsStart => settings.executors.reports_start = true,
+        }
+    }
+    settings
 }
 
 /// A reset before any start over a connection that was idle is told, and idle ones are closed for 30 s.
@@ -20,7 +33,7 @@
         (2e3, false, 900.0, false),
         (16e3, false, 1.0, false),
     ] {
-        let mut node = with(shape(&["limits.peers"]));
+        let mut node = with(shape(&[Flag::Gossip]));
         node.warm(1);
         let (request_id, _) = node.pushed(0);
         node.end(request_id, 0, Outcome::Completed);
@@ -59,8 +72,7 @@
         (3, 0, false, 2.0, 4.0, false),
         (2, 0, false, 0.0, 4.0, false),
     ] {
-        let mut node =
-            with(shape(&["limits.peers", "executors.tell_start", "limits.second_copies"][..flags]));
+        let mut node = with(shape(&[Flag::Gossip, Flag::ReportsStart, Flag::Hedging][..flags]));
         node.warm(4);
         let (request_id, executor) = node.pushed(project_type);
         if begun {
@@ -71,7 +83,7 @@
         assert_eq!(asked, flags == 3 && !begun);
         let reading =
             LoadReport { queue_length: Some(queue), free_slots: Some(free), ..LoadReport::default() };
-        let actions = node.tell(Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading });
+        let actions = node.tell(replied(executor, 1.0, reading));
         let told = actions.iter().any(|a| matches!(a, Action::Gossip(GossipMessage::WorkRejected { .. })));
         let second = push_of(&node.answer(actions, |_| 0.0));
         assert_eq!(
@@ -88,7 +100,7 @@
     for (early, late, order, expected) in
         [(Completed, Reset, [0, 1], 'h'), (Reset, Completed, [1, 0], 'h'), (Rejected, TimedOut, [1, 0], 'p')]
     {
-        let mut node = with(shape(&["limits.second_copies", "executors.tell_start"]));
+        let mut node = with(shape(&[Flag::Hedging, Flag::ReportsStart]));
         node.warm(6);
         let (request_id, _) = node.pushed(0);
         node.now += 600.0;
@@ -105,7 +117,7 @@
 fn what_an_executor_turns_away_is_remembered_by_type() {
     let token = listing(2, 2, EndpointState::Ready, None).token as u32;
     for (seen, token, less) in [(true, 0, true), (false, token, true), (false, 5, false)] {
-        let mut node = with(shape(&["limits.peers"]));
+        let mut node = with(shape(&[Flag::Gossip]));
         node.warm(4);
         let mut sent = [0; 2];
         for k in 0..800 {
@@ -128,15 +140,18 @@
 /// Few nodes have a fresh executor's budget where work is long; falling sizes say how much by the largest.
 #[test]
 fn a_cold_budget_goes_by_settings_and_sizes() {
-    for (turnaround, sizes, holders) in
-        [(50.0, "", 8), (500.0, "", 3), (700.0, "", 2), (900.0, "", 0), (900.0, "falling", 2)]
-    {
+    for (turnaround, weight_source, holders) in [
+        (50.0, WeightSource::Unstated, 8),
+        (500.0, WeightSource::Unstated, 3),
+        (700.0, WeightSource::Unstated, 2),
+        (900.0, WeightSource::Unstated, 0),
+        (900.0, WeightSource::Live, 2),
+    ] {
         let probes = |&me: &u64| {
-            let mut values = values_of(40.0, Some(me as f64));
-            let longest = "project_types.0.promised_turnaround";
-            values.insert(longest, Given::Number(turnaround));
-            values.insert("list_sizes", Given::Text(sizes.into()));
-            let mut node = with_seed(values, me);
+            let mut settings = settings_of(40.0, Some(me as f64));
+            settings.classes[0].latency_objective = Some(turnaround);
+            settings.weight_source = weight_source.clone();
+            let mut node = with_seed(settings, me);
             node.now = 50_000.0;
             let sized =
                 |size, started| Endpoint { weight: size, ..listing(5, 5, EndpointState::Ready, started) };
@@ -144,6 +159,6 @@
             node.list(ListUpdate::Snapshot, &[sized(1.0, Some(45_000.0))]);
             node.arrive(0).1.iter().any(|a| matches!(a, Action::Probe { .. }))
         };
-        assert_eq!((0..40).filter(probes).count(), holders, "{turnaround} {sizes}");
+        assert_eq!((0..40).filter(probes).count(), holders, "{turnaround} {weight_source:?}");
     }
 }
--- a/tests/unit/reclaim.rs
+++ b/tests/unit/reclaim.rs
@@ -3,9 +3,12 @@
 //!
 //! The host here keeps its own books. Everything that the module does is checked against these, and a faulty
 //! way to reclaim has to be found out by the same check.
-use super::*;
+use super::Dispatcher;
 use crate::state::executor_table::Reclaiming;
+use crate::*;
+use helpers::replied;
 use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
 use slotmap::SlotMap;
 use std::collections::BTreeMap;
 
@@ -109,10 +112,10 @@
 }
 
 fn play(seed: u64, reclaiming: Reclaiming, steps: usize) -> Result<Figures, String> {
-    let mut values = helpers::values_of(1.0, None);
-    values.insert("rules.fall_multiple", Given::Number(FALL_MULTIPLE));
-    let mut node = Dispatcher::new(values, seed, 0.0);
-    node.fleet.reclaiming = reclaiming;
+    let mut settings = helpers::settings_of(1.0, None);
+    settings.rules.budget_multiple = FALL_MULTIPLE;
+    let mut node = Dispatcher::new(&settings, seed, 0.0);
+    node.executors.reclaiming = reclaiming;
     let mut day = Day {
         node,
         random: ChaCha8Rng::seed_from_u64(seed),
@@ -167,7 +170,7 @@
         self.pass(self.now + 2.0 * LIMIT)?;
         ensure(self.open.is_empty(), "a request was never answered")?;
         let left = if self.reclaiming == Reclaiming::Never { self.handles.len() } else { 0 };
-        ensure(self.node.executors_held() == left, "an executor is held that nothing needs")
+        ensure(self.node.executor_count() == left, "an executor is held that nothing needs")
     }
 
     /// Lets time pass, and what is due happen.
@@ -224,7 +227,8 @@
         let (queue, free_slots) = if is_full { (2.0, 0.0) } else { (0.0, FREE_SLOTS) };
         let reading =
             LoadReport { queue_length: Some(queue), free_slots: Some(free_slots), ..LoadReport::default() };
-        self.tell(Event::ProbeCompleted { executor, answered, lag: 1.0, reading })
+        let reply = answered.then_some(ProbeReply { latency: 1.0, report: reading });
+        self.tell(Event::ProbeCompleted { executor, reply })
     }
 
     fn list_change(&mut self) -> Checked {
@@ -313,8 +317,8 @@
         let (before, kind) = (self.node.stale_events(), self.random.random_range(0..4));
         let reading = LoadReport::of_free_slots(1000.0);
         let event = match kind {
-            0 => Event::ProbeCompleted { executor, answered: true, lag: 1.0, reading },
-            1 => Event::ProbeCompleted { executor, answered: false, lag: 1.0, reading },
+            0 => replied(executor, 1.0, reading),
+            1 => Event::ProbeCompleted { executor, reply: None },
             2 => {
                 let project_type = RequestClassId(0);
                 Event::GossipReceived(GossipMessage::WorkRejected { token: u32::MAX, class: project_type })
@@ -359,8 +363,8 @@
         self.events += 1;
         ensure(self.events < MOST_EVENTS, "the day does not end")?;
         let mut actions = Vec::new();
-        self.node.tell(self.now, event);
-        self.node.emit(self.now, &mut actions);
+        self.node.handle_event(self.now, event);
+        self.node.poll_actions(self.now, &mut actions);
         for action in actions {
             self.act(action)?;
         }
@@ -464,7 +468,7 @@
 
     /// Who is held is in force, or needed, or was so a moment ago.
     fn check_what_is_held(&mut self) -> Checked {
-        let held = self.node.executors_held();
+        let held = self.node.executor_count();
         ensure(held == self.handles.len(), "host and module do not hold the same")?;
         self.figures.most_held = self.figures.most_held.max(held);
         if self.reclaiming == Reclaiming::Never {
@@ -476,7 +480,8 @@
             if named.needed {
                 named.needed_at = self.now;
             }
-            let names_it = |request: &super::Request| request.executors().any(|other| other == executor);
+            let names_it =
+                |request: &crate::state::request::Request| request.executors().any(|other| other == executor);
             named.needed = named.phase != EndpointState::Gone
                 || self.probes.contains(&executor)
                 || self.node.requests.values().any(names_it);
