--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -272,5 +272,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/reclaim.rs"]
+#[path = "../../tests/unit/random_days.rs"]
 mod tests;
