--- a/crates/hosting/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -11,7 +11,7 @@
 ///
 /// ```
 /// let settings = serde_json::json!({"balancers": 3, "limits": {"conn_idle": 1500000}});
-/// let settings = troutknot_hosting::parse_settings(settings.as_object().unwrap()).unwrap();
+/// let settings = troutknot_configuration::parse_settings(settings.as_object().unwrap()).unwrap();
 /// assert_eq!((settings.nodes, settings.limits.idle_timeout), (3.0, Some(1500.0)));
 /// ```
 ///
--- /dev/null
+++ b/crates/configuration/src/lib.rs
@@ -0,0 +1,23 @@
+//! Settings of a node out of the platform's configuration: read, checked and with ids for their names. Without I/O.
+//!
+//! [`parse_settings`] reads one configuration. A host whose settings may be replaced while it runs resolves each
+//! of them by one [`IdCatalog`], so that an id keeps its name.
+mod catalog;
+mod document;
+mod error;
+mod load_report;
+mod names;
+
+pub use catalog::{IdCatalog, MAX_NAMES, ResolvedSettings};
+pub use document::parse_settings;
+pub use error::{SettingsError, SettingsErrors};
+pub use load_report::{LoadFields, parse_load_report};
+pub use names::class_names;
+use troutknot::Millis;
+
+const MICROS_PER_MILLI: f64 = 1000.0;
+
+/// The configuration's microseconds as milliseconds.
+pub fn millis(micros: u64) -> Millis {
+    micros as f64 / MICROS_PER_MILLI
+}
--- a/crates/hosting/tests/catalog.rs
+++ b/crates/configuration/tests/catalog.rs
@@ -1,7 +1,7 @@
 //! Ids that hold over new settings, and files of which nothing is taken.
 use serde_json::{Map, Value, json};
 use troutknot::Effect;
-use troutknot_hosting::{IdCatalog, MAX_NAMES};
+use troutknot_configuration::{IdCatalog, MAX_NAMES};
 
 fn settings(types: &[(&str, &str, i64)], attempts: Value) -> Value {
     let of = |(name, effect, limit): &(&str, &str, i64)| json!({"name": name, "effect": effect, "hard_limit": limit});
@@ -121,3 +121,32 @@
     assert!(catalog.resolve(map(&many(MAX_NAMES))).is_err(), "no more are kept in mind");
     assert!(catalog.resolve(map(&many(7))).is_ok());
 }
+
+#[test]
+fn all_faults_of_a_file_are_listed_in_one_line() {
+    let mut file = settings(&[("a", "safe", 5000), ("b", "unsafe", 0)], json!(0));
+    file["weight_source"] = json!("loud");
+    let errors = IdCatalog::default().resolve(map(&file)).expect_err("three faults");
+    assert_eq!(
+        errors.to_string(),
+        "setting `limits.max_allocations` is not a positive number; \
+         setting `weight_source`: `loud`; silent, none, nominal, rough and live are allowed; \
+         project type `b`: `hard_limit` is not a positive number"
+    );
+}
+
+/// Keys that a file gives as `null` stand for nothing, and a tenant may be a name alone.
+#[test]
+fn nulls_and_names_alone_are_read() {
+    let mut file = settings(&[("a", "safe", 5000)], json!(3));
+    file["customers"] = json!(["c", {"name": "d", "quota_per_s": 7}]);
+    file["contract"]["fall_multiple"] = json!(null);
+    file["limits"]["conn_idle"] = json!(null);
+    let resolved = IdCatalog::default().resolve(map(&file)).expect("it can be used");
+    assert_eq!(resolved.settings.quotas().collect::<Vec<_>>(), [0.0, 7.0]);
+    assert_eq!(resolved.settings.rules.budget_multiple, 1.0);
+    assert_eq!(resolved.settings.limits.idle_timeout, None);
+    file["contract"] = json!(5);
+    let error = IdCatalog::default().resolve(map(&file)).expect_err("no object").to_string();
+    assert_eq!(error, "setting `contract`: 5 is of the wrong type");
+}
--- a/crates/daemon/src/briefing.rs
+++ b/crates/daemon/src/briefing.rs
@@ -12,7 +12,7 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
 use troutknot::{Millis, Settings};
-use troutknot_hosting::{IdCatalog, parse_settings};
+use troutknot_configuration::{IdCatalog, parse_settings};
 
 /// A file that is longer is not read.
 const MOST_BYTES: u64 = 16 * 1024 * 1024;
--- a/crates/daemon/src/clients/mod.rs
+++ b/crates/daemon/src/clients/mod.rs
@@ -456,7 +456,7 @@
         let exchange =
             (!full).then(|| Exchange::new(RequestId(self.next_wu.get()), work, limit, &self.held)).flatten();
         let exchange = exchange.ok_or(None)?;
-        let token = troutknot_hosting::token(&id);
+        let token = troutknot_membership::token(&id);
         if !self.past.borrow_mut().take(token, &self.limits) {
             return Err(Some(409));
         }
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep_until};
 use troutknot::{Event as Heard, *};
-use troutknot_hosting::ExecutorRegistry;
+use troutknot_membership::ExecutorRegistry;
 
 /// So many events at most are told before the actions that follow from them are taken.
 const MOST_AT_ONCE: usize = 64;
@@ -354,7 +354,7 @@
         let most = self.executors.limits.registered;
         let mut told = Vec::with_capacity(entries.len());
         for entry in entries {
-            match self.registry.register_at_most(&entry.id, most) {
+            match self.registry.register_within(&entry.id, most) {
                 Some(executor) => told.push(self.take(executor, entry)),
                 None => self.selection.give_back(entry),
             }
--- a/crates/daemon/src/handover/mod.rs
+++ b/crates/daemon/src/handover/mod.rs
@@ -128,7 +128,7 @@
     if folder.is_none() {
         tracing::warn!("TMPDIR is not set: nothing is handed over from one process to the next");
     }
-    Some(Path::new(&folder?).join(format!("troutknot-{:016x}.sock", troutknot_hosting::token(name))))
+    Some(Path::new(&folder?).join(format!("troutknot-{:016x}.sock", troutknot_membership::token(name))))
 }
 
 /// Asks the process that runs, if one does, for what this one begins with. What cannot be taken over is one line
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -50,7 +50,8 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing_appender::non_blocking::NonBlockingBuilder;
 use troutknot::{Dispatcher, ListUpdate};
-use troutknot_hosting::{IdCatalog, Retention};
+use troutknot_configuration::IdCatalog;
+use troutknot_membership::Retention;
 use words::{InForce, List, Vocabulary};
 
 /// A node that ends is empty once nobody was connected so often in a row.
--- a/crates/daemon/src/lists/platform.rs
+++ b/crates/daemon/src/lists/platform.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout, timeout_at};
 use troutknot::{Event as Heard, ListUpdate};
-use troutknot_hosting::Retention;
+use troutknot_membership::Retention;
 
 /// So many watches in a row must show an older list before it is taken for a new count of versions.
 const OLD_LISTS: u32 = 3;
--- a/crates/daemon/src/lists/reader.rs
+++ b/crates/daemon/src/lists/reader.rs
@@ -7,7 +7,7 @@
 use bytes::{Buf, BytesMut};
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use troutknot_hosting::{Rank, Retention};
+use troutknot_membership::{Rank, Retention};
 
 /// Stands in the rest of a list where an entry was taken out.
 const TAKEN: &str = "0";
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use troutknot::{Event as Heard, GossipMessage};
-use troutknot_hosting::{MOST_TOLD, TypeNames, telling, told};
+use troutknot_gossip::{ClassNames, MAX_MESSAGE_BYTES, decode, encode};
 
 /// What was passed over is said in the log once in so long.
 const SAID_EVERY: Duration = Duration::from_secs(10);
@@ -39,8 +39,8 @@
     }
 
     /// Tells all others. What finds no room on its way is dropped, as any of it may be.
-    pub fn tell(&self, said: GossipMessage, types: TypeNames) {
-        let bytes = telling(said, types);
+    pub fn tell(&self, said: GossipMessage, types: ClassNames) {
+        let bytes = encode(said, types);
         for other in &self.others {
             let _ = self.socket.try_send_to(&bytes, *other);
         }
@@ -49,7 +49,7 @@
     /// Hears the others until the node ends.
     pub async fn hear(self: Rc<Self>, words: Rc<InForce<Vocabulary>>, events: mpsc::Sender<Event>) {
         // One byte over the most shows what is longer.
-        let mut bytes = [0; MOST_TOLD + 1];
+        let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
         let (mut passed_over, mut said) = (0u64, Instant::now() - SAID_EVERY);
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut bytes).await else {
@@ -58,7 +58,7 @@
                 continue;
             };
             let known = self.others.contains(&from);
-            match told(&bytes[..length], words.now().type_names()).filter(|_| known) {
+            match decode(&bytes[..length], words.now().type_names()).filter(|_| known) {
                 Some(heard) => {
                     // Guards against a crowd of messages: with no room for one, it is lost like any other.
                     let _ = events.try_send(Event::Heard(Heard::GossipReceived(heard)));
--- a/crates/daemon/src/selection.rs
+++ b/crates/daemon/src/selection.rs
@@ -7,7 +7,7 @@
 use crate::words::Entry;
 use compact_str::CompactString;
 use std::collections::{HashMap, HashSet};
-use troutknot_hosting::{Rank, Retention, Standing};
+use troutknot_membership::{Rank, Readiness, Retention};
 
 /// How many executors are listed, and what becomes of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -58,7 +58,7 @@
 
 /// The place of an executor in a node's order.
 pub fn rank(retention: &Retention, entry: &Entry) -> Rank {
-    let standing = if entry.is_ready() { Standing::Ready } else { Standing::Draining };
+    let standing = if entry.is_ready() { Readiness::Ready } else { Readiness::Draining };
     retention.rank(&entry.id, standing)
 }
 
--- a/crates/daemon/src/words.rs
+++ b/crates/daemon/src/words.rs
@@ -13,8 +13,9 @@
 use std::time::Duration;
 use troutknot::settings::ClassSettings;
 use troutknot::*;
-use troutknot_hosting::{LoadFields, ResolvedSettings, named_reading, token};
+use troutknot_configuration::{LoadFields, ResolvedSettings, parse_load_report};
 use troutknot_ledger::Fence;
+use troutknot_membership::token;
 
 const ID: &str = "Request-Id";
 const TYPE: &str = "Request-Class";
@@ -129,7 +130,7 @@
             cancel: resolved.limits.cancel_enabled,
             come_back_told: resolved.limits.retry_after_enabled,
             longest_come_back: resolved.limits.max_retry_after.unwrap_or(f64::INFINITY),
-            probe_path: if LoadFields::stated(settings).is_empty() { PROBE_PATH } else { REPORT_PATH },
+            probe_path: if LoadFields::from_document(settings).is_empty() { PROBE_PATH } else { REPORT_PATH },
         }
     }
 
@@ -299,7 +300,7 @@
     /// What an answered probe says of load; it stands in the body, or in a field.
     pub fn reading(&self, head: &AnswerHead, body: &[u8]) -> LoadReport {
         let field = head.headers.one(REPORT).ok().flatten();
-        named_reading(
+        parse_load_report(
             std::str::from_utf8(body).ok().filter(|text| text.contains('=')).or(field).unwrap_or(""),
         )
     }
--- a/crates/daemon/tests/unit/executors.rs
+++ b/crates/daemon/tests/unit/executors.rs
@@ -8,7 +8,7 @@
 
 /// The handle of the one executor.
 fn executor() -> ExecutorId {
-    troutknot_hosting::ExecutorRegistry::default().register("a")
+    troutknot_membership::ExecutorRegistry::default().register("a")
 }
 
 fn executors() -> (Rc<Executors>, mpsc::Receiver<Event>) {
--- a/crates/daemon/tests/unit/roster.rs
+++ b/crates/daemon/tests/unit/roster.rs
@@ -1,6 +1,6 @@
 //! Who is out by hand lies over the list.
 use super::*;
-use troutknot_hosting::ExecutorRegistry;
+use troutknot_membership::ExecutorRegistry;
 
 #[test]
 fn who_is_out_drains_whatever_the_list_says_until_one_call_back() {
--- a/crates/daemon/tests/unit/words.rs
+++ b/crates/daemon/tests/unit/words.rs
@@ -15,7 +15,7 @@
     fn told(project_type: Value) -> (Settings, Rc<InForce<Vocabulary>>) {
         let settings = serde_json::json!({"project_types": [project_type]});
         let settings = settings.as_object().unwrap();
-        let resolved = troutknot_hosting::IdCatalog::default().resolve(settings).unwrap();
+        let resolved = troutknot_configuration::IdCatalog::default().resolve(settings).unwrap();
         (resolved.settings.clone(), InForce::new(Vocabulary::of(settings, resolved)))
     }
 }
--- a/crates/hosting/tests/compatibility.rs
+++ b/crates/gossip/tests/compatibility.rs
@@ -1,10 +1,11 @@
 //! Datagrams between nodes, byte for byte as an earlier release wrote them (commit cc67128).
 use troutknot::{GossipMessage, RequestClassId};
-use troutknot_hosting::{telling, told};
+use troutknot_gossip::{decode, encode};
 
 fn datagrams() -> Vec<Vec<u8>> {
     let lines = include_str!("fixtures/datagrams.hex").lines().filter(|line| !line.starts_with('#'));
-    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
+    let byte =
+        |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("text"), 16).expect("a byte");
     lines.map(|line| line.as_bytes().chunks(2).map(byte).collect()).collect()
 }
 
@@ -18,7 +19,7 @@
     let datagrams = datagrams();
     assert_eq!(datagrams.len(), messages.len());
     for (bytes, message) in datagrams.iter().zip(messages) {
-        assert_eq!(told(bytes, &classes), Some(message));
-        assert_eq!(&telling(message, &classes), bytes);
+        assert_eq!(decode(bytes, &classes), Some(message));
+        assert_eq!(&encode(message, &classes), bytes);
     }
 }
--- a/crates/hosting/src/registry.rs
+++ b/crates/membership/src/executor_registry.rs
@@ -9,7 +9,7 @@
 /// generation, so a handle from before finds nothing.
 ///
 /// ```
-/// use troutknot_hosting::ExecutorRegistry;
+/// use troutknot_membership::ExecutorRegistry;
 /// let mut registry = ExecutorRegistry::default();
 /// let (a, b) = (registry.register("a"), registry.register("b"));
 /// assert_eq!((registry.register("a"), registry.name(b)), (a, Some("b")));
@@ -34,18 +34,18 @@
         executor
     }
 
-    /// The same where there are at most so many at a time; none for one name more. This guards against a list
-    /// that names more executors than there is memory for.
+    /// The same where at most `limit` are registered at a time; none for one name more. Guards against a list that
+    /// names more executors than there is memory for.
     ///
     /// ```
-    /// let mut registry = troutknot_hosting::ExecutorRegistry::default();
-    /// let a = registry.register_at_most("a", 1);
-    /// assert_eq!((registry.register_at_most("b", 1), registry.register_at_most("a", 1)), (None, a));
+    /// let mut registry = troutknot_membership::ExecutorRegistry::default();
+    /// let a = registry.register_within("a", 1);
+    /// assert_eq!((registry.register_within("b", 1), registry.register_within("a", 1)), (None, a));
     /// registry.release(a.unwrap());
-    /// assert!(registry.register_at_most("b", 1).is_some());
+    /// assert!(registry.register_within("b", 1).is_some());
     /// ```
-    pub fn register_at_most(&mut self, name: &str, most: usize) -> Option<ExecutorId> {
-        let fits = self.names.len() < most || self.handles.contains_key(name);
+    pub fn register_within(&mut self, name: &str, limit: usize) -> Option<ExecutorId> {
+        let fits = self.names.len() < limit || self.handles.contains_key(name);
         fits.then(|| self.register(name))
     }
 
@@ -76,10 +76,12 @@
         self.names.keys()
     }
 
+    /// How many are registered.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
+    /// Whether none is registered.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/crates/hosting/src/retention.rs
+++ b/crates/membership/src/retention.rs
@@ -9,26 +9,27 @@
 
 /// What the list says of an executor, the better later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
-    /// It finishes what it has, and is kept only where there is room beside those that are ready.
+pub enum Readiness {
+    /// It finishes what it has, and is kept only where there is space beside those that are ready.
     Draining,
+    /// It takes new work.
     Ready,
 }
 
 /// An executor's place in the order of one node; the highest are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    standing: Standing,
+    readiness: Readiness,
     weight: u64,
 }
 
 /// The choice of one node.
 ///
 /// ```
-/// use troutknot_hosting::{Retention, Standing::{Draining, Ready}};
+/// use troutknot_membership::{Retention, Readiness::{Draining, Ready}};
 /// let retention = Retention::of_node("n0");
 /// let ranks: Vec<_> = [("a", Ready), ("b", Draining), ("c", Ready)]
-///     .map(|(name, standing)| retention.rank(name, standing))
+///     .map(|(name, readiness)| retention.rank(name, readiness))
 ///     .into();
 /// assert_eq!(Retention::choose(&ranks, 2), [true, false, true]);
 /// ```
@@ -50,23 +51,24 @@
         Retention { node: mix(token(name)) }
     }
 
-    pub fn rank(&self, executor: &str, standing: Standing) -> Rank {
+    /// The place of an executor in this node's order.
+    pub fn rank(&self, executor: &str, readiness: Readiness) -> Rank {
         let weight = mix(mix(token(executor) ^ self.node).wrapping_add(self.node));
-        Rank { standing, weight }
+        Rank { readiness, weight }
     }
 
-    /// Whether each one is kept where there is room for so many.
-    pub fn choose(ranks: &[Rank], most: usize) -> Vec<bool> {
-        if ranks.len() <= most {
+    /// Whether each one is kept where `limit` fit, in the order of `ranks`.
+    pub fn choose(ranks: &[Rank], limit: usize) -> Vec<bool> {
+        if ranks.len() <= limit {
             return vec![true; ranks.len()];
         }
         let mut order: Vec<usize> = (0..ranks.len()).collect();
         // Equal ranks, which two names could have, are told apart by their places.
         let by_rank = |&a: &usize, &b: &usize| ranks[b].cmp(&ranks[a]).then(a.cmp(&b));
         let mut chosen = vec![false; ranks.len()];
-        if most > 0 {
-            order.select_nth_unstable_by(most - 1, by_rank);
-            order[..most].iter().for_each(|&place| chosen[place] = true);
+        if limit > 0 {
+            order.select_nth_unstable_by(limit - 1, by_rank);
+            order[..limit].iter().for_each(|&place| chosen[place] = true);
         }
         chosen
     }
--- a/crates/hosting/tests/retention.rs
+++ b/crates/membership/tests/retention.rs
@@ -1,6 +1,6 @@
 //! The choice of executors to keep: fair over many nodes, and steady while the list changes.
-use troutknot_hosting::Standing::{self, Draining, Ready};
-use troutknot_hosting::{Rank, Retention};
+use troutknot_membership::Readiness::{self, Draining, Ready};
+use troutknot_membership::{Rank, Retention};
 
 const NODES: usize = 300;
 const BOUND: usize = 1_000;
@@ -14,8 +14,8 @@
     (0..NODES).map(|number| Retention::of_node(&format!("n{number}"))).collect()
 }
 
-fn ranks(retention: &Retention, names: &[String], standing: Standing) -> Vec<Rank> {
-    names.iter().map(|name| retention.rank(name, standing)).collect()
+fn ranks(retention: &Retention, names: &[String], readiness: Readiness) -> Vec<Rank> {
+    names.iter().map(|name| retention.rank(name, readiness)).collect()
 }
 
 /// The names that a node keeps.
@@ -85,8 +85,8 @@
     let names = names(LISTED);
     for retention in nodes() {
         for ready in [0, 10, BOUND - 1, BOUND, LISTED] {
-            let standing = |number: usize| if number < ready { Ready } else { Draining };
-            let rank = |(number, name): (usize, &String)| retention.rank(name, standing(number));
+            let readiness = |number: usize| if number < ready { Ready } else { Draining };
+            let rank = |(number, name): (usize, &String)| retention.rank(name, readiness(number));
             let ranks: Vec<Rank> = names.iter().enumerate().map(rank).collect();
             let chosen = Retention::choose(&ranks, BOUND);
             let kept_ready = chosen[..ready].iter().filter(|&&is_kept| is_kept).count();
--- a/crates/scale/src/hollow_nodes.rs
+++ b/crates/scale/src/hollow_nodes.rs
@@ -182,7 +182,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error("hollow nodes are told settings that cannot be used: {0}")]
-    Settings(troutknot_hosting::SettingsErrors),
+    Settings(troutknot_configuration::SettingsErrors),
     #[error("hollow nodes have no address of discovery")]
     NoDiscovery,
     #[error("hollow nodes: {0}")]
--- a/crates/scale/src/hollow_nodes/by_dispatcher.rs
+++ b/crates/scale/src/hollow_nodes/by_dispatcher.rs
@@ -20,7 +20,7 @@
     Action, AttemptId, Dispatcher, Endpoint, Event, ExecutorId, ListUpdate, Millis, Outcome, ProbeReply,
     RequestClassId, RequestId, TenantId,
 };
-use troutknot_hosting::ExecutorRegistry;
+use troutknot_membership::ExecutorRegistry;
 
 /// Requests of one node that are open at most; more are not taken.
 const MOST_OPEN: usize = 512;
--- a/crates/scale/src/hollow_nodes/exchange.rs
+++ b/crates/scale/src/hollow_nodes/exchange.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout, timeout_at};
 use troutknot::{LoadReport, Outcome};
-use troutknot_hosting::named_reading;
+use troutknot_configuration::parse_load_report;
 
 const MOST_BODY: usize = 64 * 1024;
 const DEFAULT_CONNECT_WAIT: Duration = Duration::from_secs(1);
@@ -75,7 +75,7 @@
         pool.put_back(connection);
     }
     add(&counters.probed, 1);
-    (head.status == 200).then(|| named_reading(&String::from_utf8_lossy(&body)))
+    (head.status == 200).then(|| parse_load_report(&String::from_utf8_lossy(&body)))
 }
 
 /// Sends a request to an executor; `on_start` is called where it tells of a start.
--- a/crates/scale/src/hollow_nodes/vocabulary.rs
+++ b/crates/scale/src/hollow_nodes/vocabulary.rs
@@ -2,7 +2,8 @@
 use super::list::Entry;
 use serde_json::{Map, Value};
 use troutknot::{DeduplicationGroupId, Endpoint, EndpointState, ExecutorId, MachineTypeId, Settings, ZoneId};
-use troutknot_hosting::{IdCatalog, SettingsErrors, token};
+use troutknot_configuration::{IdCatalog, SettingsErrors};
+use troutknot_membership::token;
 
 /// The numbers that the settings give to names.
 pub struct Vocabulary {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -30,7 +30,7 @@
     #[error("calls, upgrades and new settings need real nodes: rehearse it")]
     Operated,
     #[error("the scenario gives a node settings that cannot be used: {0}")]
-    Settings(#[from] troutknot_hosting::SettingsError),
+    Settings(#[from] troutknot_configuration::SettingsError),
 }
 
 /// All that a run tells; nothing in it hangs on the machine.
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -16,9 +16,9 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 use troutknot::{Action, Settings};
+use troutknot_configuration::SettingsError;
 use troutknot_emulator::observed::{Listed, Seen};
 use troutknot_emulator::{Executor, Millis};
-use troutknot_hosting::SettingsError;
 use troutknot_rehearsal::briefing;
 use troutknot_rehearsal::plan::Plan;
 use troutknot_rehearsal::scenario::{ProjectType, Scenario};
@@ -98,7 +98,7 @@
         let kinds = briefing::kinds(scenario);
         let mut settings = Vec::new();
         for node in 0..scenario.nodes.count {
-            settings.push(troutknot_hosting::parse_settings(&briefing::settings(scenario, node))?);
+            settings.push(troutknot_configuration::parse_settings(&briefing::settings(scenario, node))?);
         }
         let count = plan.executors.len();
         let mut world = World {
@@ -108,7 +108,7 @@
             types: scenario.project_types.iter().map(|t| t.get_ref()).collect(),
             settings,
             kinds,
-            tokens: (0..count).map(|k| troutknot_hosting::token(&format!("s-{k:05}"))).collect(),
+            tokens: (0..count).map(|k| troutknot_membership::token(&format!("s-{k:05}"))).collect(),
             queue: Queue::default(),
             now: 0.0,
             hosts: (0..count).map(|_| None).collect(),
--- a/crates/wirehost/src/decode.rs
+++ b/crates/wirehost/src/decode.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Deserializer};
 use std::borrow::Cow;
 use troutknot::{GossipMessage, RequestId};
-use troutknot_hosting::{TypeNames, told};
+use troutknot_gossip::ClassNames;
 
 pub fn parse<'a, T: Deserialize<'a>>(line: &'a [u8]) -> Result<T, String> {
     serde_json::from_slice(line).map_err(|e| e.to_string().replace(" at line 1 column ", ", column "))
@@ -183,7 +183,7 @@
 }
 
 impl Inbox<'_> {
-    pub fn said(&self, types: TypeNames) -> Option<GossipMessage> {
-        told(&BASE64_STANDARD.decode(self.body.as_deref()?).ok()?, types)
+    pub fn said(&self, types: ClassNames) -> Option<GossipMessage> {
+        troutknot_gossip::decode(&BASE64_STANDARD.decode(self.body.as_deref()?).ok()?, types)
     }
 }
--- a/crates/wirehost/src/encode.rs
+++ b/crates/wirehost/src/encode.rs
@@ -1,7 +1,8 @@
 //! Actions as lines of the wire.
 use base64::prelude::{BASE64_STANDARD, Engine};
 use troutknot::{Action, ExecutorId, Millis, RequestId};
-use troutknot_hosting::{ExecutorRegistry, TypeNames, telling};
+use troutknot_gossip::ClassNames;
+use troutknot_membership::ExecutorRegistry;
 
 fn micros(at: Millis) -> u64 {
     (at * 1000.0).round().max(0.0) as u64
@@ -36,7 +37,7 @@
     out: &mut Vec<u8>,
     instance: u64,
     registry: &ExecutorRegistry,
-    types: TypeNames,
+    types: ClassNames,
     action: &Action,
 ) {
     let name = |executor: ExecutorId| registry.name(executor).unwrap_or_default();
@@ -79,7 +80,7 @@
         Action::Gossip(said) => {
             open(out, "announce", instance);
             out.extend_from_slice(b",\"to\":null");
-            text(out, ",\"body\":", &BASE64_STANDARD.encode(telling(*said, types)));
+            text(out, ",\"body\":", &BASE64_STANDARD.encode(troutknot_gossip::encode(*said, types)));
         }
         Action::WatchEndpoints => {
             open(out, "listen", instance);
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -3,7 +3,8 @@
 use crate::encode;
 use std::collections::BTreeMap;
 use troutknot::*;
-use troutknot_hosting::{ExecutorRegistry, LoadFields, class_names, millis, parse_settings, token};
+use troutknot_configuration::{LoadFields, class_names, millis, parse_settings};
+use troutknot_membership::{ExecutorRegistry, token};
 
 #[derive(Default)]
 pub struct Host {
@@ -97,7 +98,7 @@
                     executor: instance.registry.get(&p.executor).unwrap_or_default(),
                     reply: (p.state_code == StateCode::Good).then(|| ProbeReply {
                         latency: millis(p.lag),
-                        report: instance.load_fields.reading(&p.metrics.unwrap_or_default()),
+                        report: instance.load_fields.report(&p.metrics.unwrap_or_default()),
                     }),
                 });
             }
@@ -161,7 +162,7 @@
     fn create(&mut self, now: Millis, create: decode::Create) -> Result<(), String> {
         let settings = parse_settings(&create.profile_data).map_err(|error| error.to_string())?;
         let instance = Instance {
-            load_fields: LoadFields::stated(&create.profile_data),
+            load_fields: LoadFields::from_document(&create.profile_data),
             types: class_names(&create.profile_data),
             node: Dispatcher::new(&settings, create.nonce64, now),
             registry: ExecutorRegistry::default(),
