--- a/crates/daemon/src/briefing.rs
+++ b/crates/daemon/src/briefing.rs
@@ -1,5 +1,5 @@
 //! What a node is told: read at its start, and again whenever it is asked to.
-use crate::events::Event;
+use crate::event::Event;
 use crate::limits::{LIST_ASKED_WITHIN, Limits, Stated};
 use crate::operator::{Consul, OperatorFile};
 use crate::words::{InForce, List, Vocabulary};
--- a/crates/daemon/src/clients/mod.rs
+++ b/crates/daemon/src/clients/mod.rs
@@ -1,16 +1,16 @@
 //! The client side: accepts connections, takes work units in, and writes each its one final answer.
+use crate::byte_budget::HeldBytes;
 use crate::durable::{Durable, Found, Joint};
-use crate::events::Event;
-use crate::exchange::{Answer, Exchange, Work};
-use crate::handover::{
+use crate::event::Event;
+use crate::hot_restart::{
     Beside,
-    form::{Holds, Message},
+    codec::{Holds, Message},
 };
-use crate::held::HeldBytes;
 use crate::http1::{self, Connection, Failed};
+use crate::in_flight::{Answer, Exchange, Work};
+use crate::lifecycle::Stage;
 use crate::limits::Limits;
 use crate::operator::Durably;
-use crate::stage::Stage;
 use crate::words::{self, InForce, READY_PATH, TELL_PATH, Vocabulary};
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
@@ -586,7 +586,7 @@
         let stated = crate::limits::Stated { memory_mb: 64, sockets: 128, ..Default::default() };
         let limits = Rc::new(Limits::of(&stated));
         let (events, mut told) = mpsc::channel(16);
-        let stages = crate::stage::Stages::new();
+        let stages = crate::lifecycle::Stages::new();
         stages.change(|life| life.listed = true);
         let clients = Clients::new(limits, words, events, stages.watch(), Rc::default(), None, Rc::default());
         let whole = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nConnection: close\r\n\
@@ -634,7 +634,7 @@
         let stated = crate::limits::Stated { memory_mb: 64, sockets: 128, ..Default::default() };
         let limits = Rc::new(Limits::of(&stated));
         let (events, mut told) = mpsc::channel(16);
-        let stages = crate::stage::Stages::new();
+        let stages = crate::lifecycle::Stages::new();
         let clients = Clients::new(limits, words, events, stages.watch(), Rc::default(), None, Rc::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let send = |id: &str| {
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -1,15 +1,15 @@
 //! Owns the dispatcher: tells it what the sides saw, and hands each of its actions to the side that acts.
 use crate::clock::Clock;
-use crate::events::{Asked, Earlier, Event};
-use crate::exchange::{Answer, Exchange, Stop};
+use crate::event::{Asked, Earlier, Event};
 use crate::executors::{Executors, Push};
-use crate::handover::Beside;
-use crate::handover::form::{self, Inherited, Message};
+use crate::gossip::Peers;
+use crate::hot_restart::Beside;
+use crate::hot_restart::codec::{self, Inherited, Message};
+use crate::in_flight::{Answer, Exchange, Stop};
+use crate::lifecycle::{Drain, Stages};
 use crate::lists::ToldList;
-use crate::peers::Peers;
-use crate::roster::Roster;
-use crate::selection::{Figures, Kept, Selected, Selection};
-use crate::stage::{Drain, Stages};
+use crate::membership::Roster;
+use crate::retention::{Figures, Kept, Selected, Selection};
 use crate::words::{Entry, InForce, Vocabulary};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -430,16 +430,16 @@
         let beside = &self.beside;
         let say = |messages: Vec<Message>| messages.into_iter().for_each(|message| beside.say(message));
         let out: Vec<String> = self.roster.out().iter().cloned().collect();
-        say(form::in_lines(&out, |executors| Message::Out { executors }));
+        say(codec::in_lines(&out, |executors| Message::Out { executors }));
         say(vec![Message::Drained { drained: self.stages.life().drain != Drain::None, number: 0 }]);
         let (listed, version) = (self.roster.listed(), self.roster.version);
         let entries: Vec<Entry> = listed.chain(self.selection.left_out()).cloned().collect();
-        say(form::in_lines(&entries, |entries| Message::List { version, entries }));
+        say(codec::in_lines(&entries, |entries| Message::List { version, entries }));
         let learned = self.dispatcher.export_state(now);
         let known = |l: ExecutorWarmState| {
             let id = self.registry.name(l.executor)?.to_string();
             let score = |score: DecayingScore| (score.value, score.set_at);
-            Some(form::Known {
+            Some(codec::Known {
                 id,
                 failed: score(l.failure_score),
                 judged: score(l.observations),
@@ -447,8 +447,8 @@
                 cold_spent: l.warm_up_spent.iter().map(|spent| (spent.at, spent.work)).collect(),
             })
         };
-        let executors: Vec<form::Known> = learned.executors.into_iter().filter_map(known).collect();
-        say(form::in_lines(&executors, |executors| Message::Executors { executors }));
+        let executors: Vec<codec::Known> = learned.executors.into_iter().filter_map(known).collect();
+        say(codec::in_lines(&executors, |executors| Message::Executors { executors }));
         let words = self.words.now();
         let run = |(name, kind): (&str, RequestClassId)| {
             learned
@@ -457,7 +457,7 @@
                 .map(|time| (name.to_string(), time.mean, time.observations))
         };
         say(vec![
-            Message::Work(form::Work {
+            Message::Work(codec::Work {
                 types: words.taken_types().filter_map(run).collect(),
                 mean_run: learned.mean_running_time,
                 waiting_share: learned.busy_probe_ratio,
@@ -495,12 +495,12 @@
     }
 
     /// What a process before this one knew of an executor; nothing of one that is gone and needed no more.
-    fn take_over_executor(&mut self, now: Millis, known: form::Known) -> Option<ExecutorWarmState> {
+    fn take_over_executor(&mut self, now: Millis, known: codec::Known) -> Option<ExecutorWarmState> {
         if self.registry.get(&known.id).is_none() && known.cold_spent.is_empty() {
             return None;
         }
         let executor = self.register(now, &known.id);
-        let form::Known { failed, judged, slots, cold_spent, .. } = known;
+        let codec::Known { failed, judged, slots, cold_spent, .. } = known;
         let score = |(value, set_at)| DecayingScore { value, set_at };
         Some(ExecutorWarmState {
             executor,
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -4,13 +4,13 @@
 
 pub use lease::Lease;
 
+use crate::byte_budget::HeldBytes;
 use crate::clock::Clock;
-use crate::events::{Earlier, Event};
-use crate::exchange::{Answer, Exchange, Work};
-use crate::held::HeldBytes;
+use crate::event::{Earlier, Event};
+use crate::in_flight::{Answer, Exchange, Work};
+use crate::lifecycle::Stage;
 use crate::limits::Limits;
 use crate::operator::{Durably, Syncs};
-use crate::stage::Stage;
 use crate::words::{InForce, Vocabulary};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
--- a/crates/daemon/src/events.rs
+++ b/crates/daemon/src/event.rs
@@ -1,6 +1,6 @@
 //! What the sides tell the driver, and nothing of how it is carried out.
 use crate::durable::Lease;
-use crate::exchange::Exchange;
+use crate::in_flight::Exchange;
 use crate::lists::ToldList;
 use std::rc::Rc;
 use tokio::sync::oneshot;
--- a/crates/daemon/src/executors/mod.rs
+++ b/crates/daemon/src/executors/mod.rs
@@ -1,11 +1,11 @@
 //! The executor side: pooled connections, allocations and probes. It carries out what the driver says and
 //! tells it what came of it; what it may give a client goes into the exchange.
+use crate::byte_budget::HeldBytes;
 use crate::durable::Lease;
-use crate::events::Event;
-use crate::exchange::{Answer, Exchange, Stop};
-use crate::handover::Beside;
-use crate::held::HeldBytes;
+use crate::event::Event;
+use crate::hot_restart::Beside;
 use crate::http1::{AnswerHead, Connection, Failed};
+use crate::in_flight::{Answer, Exchange, Stop};
 use crate::limits::Limits;
 use crate::words::{self, Fate, InForce, Line, Vocabulary};
 use bytes::BytesMut;
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/gossip.rs
@@ -1,6 +1,6 @@
 //! What nodes tell one another, as datagrams between addresses that the operator's file names. They may be lost,
 //! late, doubled or forged: no rule rests on one, and what is not understood or comes from elsewhere is counted.
-use crate::events::Event;
+use crate::event::Event;
 use crate::words::{InForce, Vocabulary};
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
--- a/crates/daemon/src/handover/mod.rs
+++ b/crates/daemon/src/hot_restart/mod.rs
@@ -1,14 +1,15 @@
 //! Two processes that are one node while one follows the other. The newer asks the older over a Unix socket in
 //! `$TMPDIR` and takes over what it is told; from then on each tells the other what changes. Only where the
 //! platform passes the clients' socket on.
-pub mod form;
+pub mod codec;
+pub mod inherited_socket;
 
 use crate::clients::Clients;
-use crate::events::{Asked, Event};
+use crate::event::{Asked, Event};
 use crate::executors::Executors;
+use crate::lifecycle::{Stage, Stages, Way};
 use crate::limits::Limits;
-use crate::stage::{Stage, Stages, Way};
-use form::{Bounds, Holds, Inherited, Message};
+use codec::{Bounds, Holds, Inherited, Message};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
@@ -107,16 +108,16 @@
 }
 
 async fn say(write: &mut OwnedWriteHalf, message: &Message) -> io::Result<()> {
-    let line = form::write(message);
+    let line = codec::write(message);
     timeout(SAY_WAIT, write.write_all(&line)).await.map_err(|_| io::ErrorKind::TimedOut)?
 }
 
 async fn next(read: &mut BufReader<OwnedReadHalf>) -> Result<Message, String> {
     let mut line = Vec::new();
-    let most = form::MOST_LINE as u64;
+    let most = codec::MOST_LINE as u64;
     read.take(most).read_until(b'\n', &mut line).await.map_err(|e| e.to_string())?;
     match line.last() {
-        Some(b'\n') => form::read(&line),
+        Some(b'\n') => codec::read(&line),
         _ if line.len() as u64 == most => Err("a line is too long".into()),
         _ => Err("it ended".into()),
     }
@@ -147,7 +148,7 @@
     };
     let told = async {
         let mut link = Link::new(stream).map_err(|e| e.to_string())?;
-        let hello = Message::Hello { form: form::FORM, name: name.to_string() };
+        let hello = Message::Hello { form: codec::FORM, name: name.to_string() };
         link.say(&hello).await.map_err(|e| e.to_string())?;
         let mut inherited = Inherited::default();
         while !inherited.take(link.next().await?, name, bounds)? {}
@@ -249,9 +250,9 @@
         self.beside.link.replace(Some(say_it));
         let _ = self.events.send(Event::Beside(true)).await;
         if older {
-            self.beside.say(Message::Hello { form: form::FORM, name: self.name.clone() });
+            self.beside.say(Message::Hello { form: codec::FORM, name: self.name.clone() });
             let ids = self.clients.ids_lately();
-            form::in_lines(&ids, |ids| Message::Ids { ids }).into_iter().for_each(|m| self.beside.say(m));
+            codec::in_lines(&ids, |ids| Message::Ids { ids }).into_iter().for_each(|m| self.beside.say(m));
             // The rest is the driver's to tell, in order with what changes.
             let _ = self.events.send(Event::HandOver).await;
         }
--- a/crates/daemon/src/http1.rs
+++ b/crates/daemon/src/http1.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 on a connection: heads, framing, and the socket with its two rings. What the heads mean to the
 //! dispatcher stands in `words.rs`.
-use crate::held::HeldBytes;
-use crate::ring::Ring;
+use crate::byte_budget::HeldBytes;
+use crate::ring_buffer::Ring;
 use bytes::{Bytes, BytesMut};
 use std::fmt;
 use std::io;
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/in_flight.rs
@@ -1,7 +1,7 @@
 //! One work unit between the client that asked and the executors that may run it: the only place where the
 //! client side and the executor side meet.
+use crate::byte_budget::HeldBytes;
 use crate::durable::Durable;
-use crate::held::HeldBytes;
 use bytes::Bytes;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::rc::Rc;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,26 +1,25 @@
 //! One real node: the dispatcher on sockets. Here it starts and stops; each concern has a file or a room of
 //! its own. `troutknotd` and `troutknot node` are thin programs round [`start`].
 mod briefing;
+mod byte_budget;
 mod clients;
 mod clock;
 mod driver;
 mod durable;
-mod events;
-mod exchange;
+mod event;
 mod executors;
-mod handover;
-mod held;
+mod gossip;
+mod hot_restart;
 mod http1;
+mod in_flight;
+mod lifecycle;
 mod limits;
 mod lists;
 mod management;
+mod membership;
 mod operator;
-mod passed;
-mod peers;
-mod ring;
-mod roster;
-mod selection;
-mod stage;
+mod retention;
+mod ring_buffer;
 mod words;
 
 use briefing::{Briefing, Own, Retuned, Understood, stated};
@@ -28,16 +27,16 @@
 use clock::Clock;
 use driver::{Driver, Follow};
 use durable::Durable;
-use events::Event;
+use event::Event;
 use executors::Executors;
-use handover::{Beside, Handover, form::Bounds};
+use gossip::Peers;
+use hot_restart::{Beside, Handover, codec::Bounds, inherited_socket};
+use lifecycle::{Drain, Stages, Way};
 use limits::{Limits, Stated};
 use lists::{Told, ToldList, merge::Merge};
 use management::Management;
 use operator::{Durably, OperatorFile, Source};
-use peers::Peers;
-use selection::Selection;
-use stage::{Drain, Stages, Way};
+use retention::Selection;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -89,7 +88,7 @@
 /// One plain line that says why the node cannot start, or that its driver has ended.
 pub fn start(path: &Path) -> Result<(), String> {
     // Before anything else is opened, so that the descriptor is the one that was passed on.
-    let passed = passed::listener(std::env::var("ROUTER_PASSED_SOCKET").ok().as_deref())?;
+    let passed = inherited_socket::listener(std::env::var("ROUTER_PASSED_SOCKET").ok().as_deref())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
     // Before anything is read, which may take a while: a signal that comes meanwhile is seen once the node runs.
@@ -175,10 +174,10 @@
 
     let clock = Clock::start();
     let beside: Rc<Beside> = Rc::default();
-    let place = was_passed.then(|| handover::meeting_place(&told.name)).flatten();
+    let place = was_passed.then(|| hot_restart::meeting_place(&told.name)).flatten();
     let bounds = Bounds { known: limits.listed, ids: 2 * limits.past_ids };
     let older = match &place {
-        Some(place) => handover::ask(place, &told.name, bounds).await,
+        Some(place) => hot_restart::ask(place, &told.name, bounds).await,
         None => None,
     };
     let (mut inherited, older) = older.unzip();
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -1,5 +1,5 @@
 //! Sizes, counts and times that the node keeps to. They are filled once, at start, and handed down.
-use crate::ring::FIRST;
+use crate::ring_buffer::FIRST;
 use std::cell::Cell;
 use std::time::Duration;
 
--- a/crates/daemon/src/lists/consul.rs
+++ b/crates/daemon/src/lists/consul.rs
@@ -1,7 +1,7 @@
 //! Follows Consul: a task for each watched service, which asks the agents in turn, and one for what the roster
 //! does by itself. What a roster says becomes changes of the list, told like the platform's.
+use crate::byte_budget::HeldBytes;
 use crate::clock::Clock;
-use crate::held::HeldBytes;
 use crate::http1::{Connection, Failed};
 use crate::limits::Limits;
 use crate::lists::{Told, ToldList};
--- a/crates/daemon/src/lists/mod.rs
+++ b/crates/daemon/src/lists/mod.rs
@@ -4,7 +4,7 @@
 pub mod platform;
 pub mod reader;
 
-use crate::events::Event;
+use crate::event::Event;
 use crate::words::{Entry, List};
 use merge::Merge;
 use std::cell::RefCell;
--- a/crates/daemon/src/lists/platform.rs
+++ b/crates/daemon/src/lists/platform.rs
@@ -1,7 +1,7 @@
 //! Follows the list of executors: one watch at a time, opened when the dispatcher asks for it.
+use crate::byte_budget::HeldBytes;
 use crate::driver::Follow;
-use crate::events::Event;
-use crate::held::HeldBytes;
+use crate::event::Event;
 use crate::http1::{Bad, Connection, Failed};
 use crate::limits::Limits;
 use crate::lists::reader::{self, ListReader, ReadBounds};
--- a/crates/daemon/src/lists/reader.rs
+++ b/crates/daemon/src/lists/reader.rs
@@ -2,7 +2,7 @@
 //!
 //! Each byte is looked at once, where a parser would begin anew with each piece. Entries are taken as soon as they
 //! are whole, so a list of many thousands is never held as text. Without I/O.
-use crate::selection;
+use crate::retention;
 use crate::words::{Entry, List};
 use bytes::{Buf, BytesMut};
 use serde::Deserialize;
@@ -203,7 +203,7 @@
     /// Leaves so many entries as may be kept in mind.
     fn cut(&mut self) {
         let ranks: Vec<Rank> =
-            self.entries.iter().map(|entry| selection::rank(&self.retention, entry)).collect();
+            self.entries.iter().map(|entry| retention::rank(&self.retention, entry)).collect();
         let mut chosen = Retention::choose(&ranks, self.bounds.entries).into_iter();
         self.entries.retain(|_| chosen.next() == Some(true));
         self.beyond += ranks.len() - self.entries.len();
--- a/crates/daemon/src/management/mod.rs
+++ b/crates/daemon/src/management/mod.rs
@@ -2,13 +2,13 @@
 //! its own and carries one call, which is answered once what it asks for holds.
 mod calls;
 
-use crate::events::{Asked, Event};
-use crate::handover::{Beside, form::Message};
-use crate::held::HeldBytes;
+use crate::byte_budget::HeldBytes;
+use crate::event::{Asked, Event};
+use crate::hot_restart::{Beside, codec::Message};
 use crate::http1::{self, Connection, Failed};
+use crate::lifecycle::{Drain, Stage, Stages, Way};
 use crate::limits::Limits;
-use crate::selection::Figures;
-use crate::stage::{Drain, Stage, Stages, Way};
+use crate::retention::Figures;
 use calls::{Call, NoCall};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/membership.rs
@@ -112,5 +112,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/roster.rs"]
+#[path = "../tests/unit/membership.rs"]
 mod tests;
--- a/crates/daemon/src/selection.rs
+++ b/crates/daemon/src/retention.rs
@@ -200,5 +200,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/selection.rs"]
+#[path = "../tests/unit/retention.rs"]
 mod tests;
--- a/crates/daemon/src/ring.rs
+++ b/crates/daemon/src/ring_buffer.rs
@@ -1,5 +1,5 @@
 //! The ring buffer that stands between a socket and the codec, one a direction of each connection.
-use crate::held::HeldBytes;
+use crate::byte_budget::HeldBytes;
 use std::io::{self, IoSlice, IoSliceMut};
 use std::rc::Rc;
 
--- a/crates/daemon/src/words.rs
+++ b/crates/daemon/src/words.rs
@@ -1,6 +1,6 @@
 //! The words of the protocol and what they mean to the dispatcher. They end here.
-use crate::exchange::{Answer, Work};
 use crate::http1::{self, AnswerHead, RequestHead};
+use crate::in_flight::{Answer, Work};
 use bytes::{Bytes, BytesMut};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
--- a/crates/daemon/tests/unit/compatibility.rs
+++ b/crates/daemon/tests/unit/compatibility.rs
@@ -1,6 +1,6 @@
 //! Files and lines that an earlier release wrote (commit cc67128): a next process of a node reads them, and an
 //! operator's file goes on meaning the same.
-use crate::handover::form::{Bounds, Inherited, read, write};
+use crate::hot_restart::codec::{Bounds, Inherited, read, write};
 use crate::operator::{Lists, OperatorFile, Source, Syncs, Taken, Wish};
 use std::path::Path;
 use std::time::Duration;
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -1,7 +1,7 @@
 //! The driver, told events one after another.
 use super::*;
-use crate::exchange::Work;
-use crate::held::HeldBytes;
+use crate::byte_budget::HeldBytes;
+use crate::in_flight::Work;
 use crate::limits::{Limits, Stated};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -272,7 +272,7 @@
         let (executor, asked) = (format!("s-{number}"), Asked::ByOther(number));
         rig.tell(Event::LeaveOut { executor, out: true, asked });
     }
-    assert_eq!((rig.kept(), rig.driver.roster.out().len()), (0, crate::roster::MOST_ABSENT));
+    assert_eq!((rig.kept(), rig.driver.roster.out().len()), (0, crate::membership::MOST_ABSENT));
     assert!(rig.driver.roster.out().contains("s-4999"));
 }
 
--- a/crates/daemon/tests/unit/executors.rs
+++ b/crates/daemon/tests/unit/executors.rs
@@ -1,6 +1,6 @@
 //! Connections to executors, by sockets.
 use super::*;
-use crate::exchange::Work;
+use crate::in_flight::Work;
 use socket2::{Domain, Socket, Type};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::LocalSet;
--- a/crates/daemon/tests/unit/lib.rs
+++ b/crates/daemon/tests/unit/lib.rs
@@ -29,12 +29,12 @@
     let ended = async {
         spawn_local(clients.clone().accept(listener, false));
         let comes = async {
-            staged.wait_for(|stage| *stage == stage::Stage::Closing).await.unwrap();
+            staged.wait_for(|stage| *stage == lifecycle::Stage::Closing).await.unwrap();
             let mut client = std::net::TcpStream::connect(addr).unwrap();
             let work = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nContent-Length: 0\r\n\r\n";
             client.write_all(work.as_bytes()).unwrap();
             let Some(Event::Arrived(exchange)) = told.recv().await else { panic!("it is not taken") };
-            assert!(exchange.answer(exchange::Answer::Completed("done".into())));
+            assert!(exchange.answer(in_flight::Answer::Completed("done".into())));
             client
         };
         let ends = end(&limits, &clients, &stages, &events, false);
--- a/crates/daemon/tests/unit/list_reader.rs
+++ b/crates/daemon/tests/unit/list_reader.rs
@@ -140,7 +140,7 @@
     assert!(why.is_none(), "{why:?}");
     let retention = Retention::of_node("n0");
     let all: Vec<Entry> = texts.iter().map(|text| serde_json::from_str(text).unwrap()).collect();
-    let ranks: Vec<Rank> = all.iter().map(|entry| selection::rank(&retention, entry)).collect();
+    let ranks: Vec<Rank> = all.iter().map(|entry| retention::rank(&retention, entry)).collect();
     let chosen = Retention::choose(&ranks, BOUNDS.entries);
     let expected: Vec<Entry> =
         all.into_iter().zip(chosen).filter_map(|(entry, is_chosen)| is_chosen.then_some(entry)).collect();
