--- a/crates/daemon/src/briefing.rs
+++ b/crates/daemon/src/briefing.rs
@@ -1,5 +1,5 @@
 //! What a node is told: read at its start, and again whenever it is asked to.
-use crate::event::Event;
+use crate::event::NodeEvent;
 use crate::limits::{LIST_ASKED_WITHIN, Limits, Stated};
 use crate::operator::{Consul, OperatorFile};
 use crate::words::{InForce, List, Vocabulary};
@@ -52,7 +52,7 @@
     pub catalog: IdCatalog,
     pub limits: Rc<Limits>,
     pub words: Rc<InForce<Vocabulary>>,
-    pub events: mpsc::Sender<Event>,
+    pub events: mpsc::Sender<NodeEvent>,
 }
 
 impl Retuned {
@@ -65,7 +65,7 @@
         self.limits.retune(&stated(&settings_in_force, &words));
         // The module has heard of a project type before the first work unit of it comes.
         self.events
-            .send(Event::Retuned(Box::new(settings_in_force)))
+            .send(NodeEvent::SettingsChanged(Box::new(settings_in_force)))
             .await
             .map_err(|_| "the node ends".to_string())?;
         self.words.replace(words);
--- a/crates/daemon/src/byte_budget.rs
+++ b/crates/daemon/src/byte_budget.rs
@@ -1,56 +1,63 @@
-//! Bytes that many hold together, against the most that they may.
+//! A budget of bytes that many share. Without I/O.
 use std::cell::Cell;
 use std::rc::Rc;
 
-pub struct HeldBytes {
-    held: Cell<usize>,
-    /// Held by another process that shares the most.
-    elsewhere: Cell<usize>,
-    most: usize,
+/// How many bytes are reserved, against the most that may be, here and in a sibling process together.
+pub struct ByteBudget {
+    used: Cell<usize>,
+    used_by_sibling: Cell<usize>,
+    limit: usize,
 }
 
-impl HeldBytes {
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(HeldBytes { held: Cell::new(0), elsewhere: Cell::new(0), most })
+impl ByteBudget {
+    /// A budget of so many bytes.
+    pub fn new(limit: usize) -> Rc<Self> {
+        Rc::new(ByteBudget { used: Cell::new(0), used_by_sibling: Cell::new(0), limit })
     }
 
-    pub fn fits(&self, n: usize) -> bool {
-        self.held.get() + self.elsewhere.get() + n <= self.most
+    /// Whether so many more fit.
+    pub fn fits(&self, bytes: usize) -> bool {
+        self.used.get() + self.used_by_sibling.get() + bytes <= self.limit
     }
 
-    pub fn held(&self) -> usize {
-        self.held.get()
+    /// How many bytes this process has reserved.
+    pub fn used(&self) -> usize {
+        self.used.get()
     }
 
-    pub fn set_elsewhere(&self, held: usize) {
-        self.elsewhere.set(held);
+    /// Notes what the sibling process has reserved.
+    pub fn set_used_by_sibling(&self, bytes: usize) {
+        self.used_by_sibling.set(bytes);
     }
 
-    pub fn take(&self, n: usize) -> bool {
-        let fits = self.fits(n);
+    /// Reserves so many bytes; false where they do not fit, and nothing is reserved then.
+    pub fn try_reserve(&self, bytes: usize) -> bool {
+        let fits = self.fits(bytes);
         if fits {
-            self.held.set(self.held.get() + n);
+            self.used.set(self.used.get() + bytes);
         }
         fits
     }
 
-    pub fn give_back(&self, n: usize) {
-        self.held.set(self.held.get() - n);
+    /// Gives back bytes that were reserved.
+    pub fn release(&self, bytes: usize) {
+        self.used.set(self.used.get() - bytes);
     }
 
-    /// Holds so many until what is returned is dropped; none where they do not fit.
-    pub fn hold(self: &Rc<Self>, n: usize) -> Option<Hold> {
-        self.take(n).then(|| Hold { of: self.clone(), n })
+    /// Reserves so many bytes until what is returned is dropped; none where they do not fit.
+    pub fn reserve(self: &Rc<Self>, bytes: usize) -> Option<Reservation> {
+        self.try_reserve(bytes).then(|| Reservation { budget: self.clone(), bytes })
     }
 }
 
-pub struct Hold {
-    of: Rc<HeldBytes>,
-    n: usize,
+/// Bytes of a budget, given back when this is dropped.
+pub struct Reservation {
+    budget: Rc<ByteBudget>,
+    bytes: usize,
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.of.give_back(self.n);
+        self.budget.release(self.bytes);
     }
 }
--- a/crates/daemon/src/clients/mod.rs
+++ b/crates/daemon/src/clients/mod.rs
@@ -1,14 +1,14 @@
 //! The client side: accepts connections, takes work units in, and writes each its one final answer.
-use crate::byte_budget::HeldBytes;
+use crate::byte_budget::ByteBudget;
 use crate::durable::{Durable, Found, Joint};
-use crate::event::Event;
+use crate::event::NodeEvent;
 use crate::hot_restart::{
     Beside,
-    codec::{Holds, Message},
+    codec::{Message, Usage},
 };
 use crate::http1::{self, Connection, Failed};
-use crate::in_flight::{Answer, Exchange, Work};
-use crate::lifecycle::Stage;
+use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
+use crate::lifecycle::LifecycleState;
 use crate::limits::Limits;
 use crate::operator::Durably;
 use crate::words::{self, InForce, READY_PATH, TELL_PATH, Vocabulary};
@@ -26,8 +26,8 @@
 pub struct Clients {
     pub limits: Rc<Limits>,
     pub words: Rc<InForce<Vocabulary>>,
-    pub events: mpsc::Sender<Event>,
-    pub stage: watch::Receiver<Stage>,
+    pub events: mpsc::Sender<NodeEvent>,
+    pub stage: watch::Receiver<LifecycleState>,
     /// What is said beside the health, where the operator's file asks for more than the platform has.
     status: Rc<RefCell<String>>,
     /// On which terms work units are taken durably, and the ledger, which a process before this one may still hold.
@@ -35,10 +35,10 @@
     durable: RefCell<Option<Rc<Durable>>>,
     /// Another process of this node, if one runs.
     beside: Rc<Beside>,
-    pub held: Rc<HeldBytes>,
-    pub rings: Rc<HeldBytes>,
+    pub held: Rc<ByteBudget>,
+    pub rings: Rc<ByteBudget>,
     /// For bodies that do not come whole with their heads, each counted as the largest.
-    pub slow_bodies: Rc<HeldBytes>,
+    pub slow_bodies: Rc<ByteBudget>,
     /// Ids of open work units, and of those that are over.
     ids: RefCell<HashSet<String>>,
     past: RefCell<PastIds>,
@@ -93,8 +93,8 @@
         id: String,
         keep: bool,
     },
-    Work {
-        work: Work,
+    ClientRequest {
+        work: ClientRequest,
         left: Duration,
         keep: bool,
     },
@@ -110,8 +110,8 @@
     pub fn new(
         limits: Rc<Limits>,
         words: Rc<InForce<Vocabulary>>,
-        events: mpsc::Sender<Event>,
-        stage: watch::Receiver<Stage>,
+        events: mpsc::Sender<NodeEvent>,
+        stage: watch::Receiver<LifecycleState>,
         status: Rc<RefCell<String>>,
         durably: Option<Durably>,
         beside: Rc<Beside>,
@@ -124,9 +124,9 @@
             events,
             stage,
             status,
-            held: HeldBytes::new(limits.held_bytes),
-            rings: HeldBytes::new(limits.client_rings),
-            slow_bodies: HeldBytes::new(limits.slow_bodies * limits.body),
+            held: ByteBudget::new(limits.held_bytes),
+            rings: ByteBudget::new(limits.client_rings),
+            slow_bodies: ByteBudget::new(limits.slow_bodies * limits.body),
             ids: RefCell::default(),
             past: RefCell::new(PastIds {
                 newer: HashSet::new(),
@@ -159,10 +159,10 @@
     }
 
     /// What another process of this node holds of what both may hold together.
-    pub fn set_elsewhere(&self, holds: Holds) {
-        self.held.set_elsewhere(holds.bytes);
-        self.rings.set_elsewhere(holds.rings);
-        self.slow_bodies.set_elsewhere(holds.slow_bodies);
+    pub fn set_sibling_usage(&self, usage: Usage) {
+        self.held.set_used_by_sibling(usage.bytes);
+        self.rings.set_used_by_sibling(usage.rings);
+        self.slow_bodies.set_used_by_sibling(usage.slow_bodies);
     }
 
     /// Clients that this process may serve beside what another one of the node has open.
@@ -174,19 +174,19 @@
     /// the node has its list, nor once it is asked to end: another process has it, too.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, passed: bool) {
         let mut stage = self.stage.clone();
-        if passed && stage.wait_for(|stage| *stage != Stage::Starting).await.is_err() {
+        if passed && stage.wait_for(|stage| *stage != LifecycleState::Starting).await.is_err() {
             return;
         }
         loop {
             // Another process may have the clients only as long as it lives.
             let now = *stage.borrow_and_update();
-            if passed && now == Stage::Closing {
+            if passed && now == LifecycleState::Closing {
                 return;
             }
             let accepted = tokio::select! {
                 biased;
                 changed = stage.changed(), if passed => if changed.is_ok() { continue } else { return },
-                accepted = self.accept_one(&listener), if !passed || now != Stage::Passing => accepted,
+                accepted = self.accept_one(&listener), if !passed || now != LifecycleState::HandingOver => accepted,
             };
             match accepted {
                 Ok((stream, _)) => {
@@ -298,19 +298,19 @@
                 () = sleep_until(due) => Err(Some(408)),
             };
             standing.waits.set(None);
-            let drained = *self.stage.borrow() == Stage::Drained;
+            let drained = *self.stage.borrow() == LifecycleState::Drained;
             // An answer that its client may not have got whole when it is written; a small one is there by then.
             let mut large = false;
             let goes = match came {
-                Ok(Came::Work { .. }) if drained => {
-                    let bad = Answer::Deferred(Some(self.limits.bad_come_back.as_secs_f64() * 1000.0));
+                Ok(Came::ClientRequest { .. }) if drained => {
+                    let bad = Answer::Rejected(Some(self.limits.bad_come_back.as_secs_f64() * 1000.0));
                     let (status, fields, result) = self.words.now().answer(&bad);
                     self.write(connection, status, false, &fields, &result).await;
                     false
                 }
                 Ok(Came::AsksReady) => {
                     // Whoever asks that needs no connection afterwards.
-                    let ready = *self.stage.borrow() == Stage::Serving;
+                    let ready = *self.stage.borrow() == LifecycleState::Serving;
                     let mut said = self.status.borrow().clone();
                     self.ledger().iter().for_each(|durable| said += &durable.said());
                     self.write(connection, if ready { 200 } else { 503 }, false, &[], said.as_bytes()).await;
@@ -324,7 +324,7 @@
                     };
                     self.write(connection, status, keep, &[], said.as_bytes()).await && keep
                 }
-                Ok(Came::Work { work, left, keep }) if self.is_durable(&work) => {
+                Ok(Came::ClientRequest { work, left, keep }) if self.is_durable(&work) => {
                     standing.worked.set(true);
                     let (answer, request_id) = match self.serve_durably(connection, work, left, full).await {
                         Ok(None) => return,
@@ -332,7 +332,7 @@
                         Err(status) => return self.reject(connection, standing, status).await,
                     };
                     let room = self.connections() <= self.most() && !connection.is_overrun();
-                    let keep = keep && room && !self.stage.borrow().ends_connections();
+                    let keep = keep && room && !self.stage.borrow().closes_after_answer();
                     let (status, fields, result) = self.words.now().answer(&answer);
                     large = result.len() > self.limits.ring;
                     let written = self.write(connection, status, keep, &fields, &result).await;
@@ -341,24 +341,24 @@
                     }
                     written && keep
                 }
-                Ok(Came::Work { work, left, keep }) => {
+                Ok(Came::ClientRequest { work, left, keep }) => {
                     let (answer, room) = match self.open(work, left, full) {
-                        Ok((exchange, last)) => {
+                        Ok((in_flight, last)) => {
                             standing.worked.set(true);
-                            let answer = self.wait(connection, &exchange, last).await;
-                            self.ids.borrow_mut().remove(&exchange.work.id);
+                            let answer = self.wait(connection, &in_flight, last).await;
+                            self.ids.borrow_mut().remove(&in_flight.request.id);
                             // Over its limit the node keeps no connection, so that those that wait are taken.
                             (answer, self.connections() <= self.most())
                         }
                         Err(None) => {
                             let soon = self.limits.full_come_back.as_secs_f64() * 1000.0;
-                            (Some(Answer::Deferred(Some(soon))), false)
+                            (Some(Answer::Rejected(Some(soon))), false)
                         }
                         Err(Some(status)) => return self.reject(connection, standing, status).await,
                     };
                     let Some(answer) = answer else { return };
                     let room = room && !connection.is_overrun();
-                    let keep = keep && room && !self.stage.borrow().ends_connections();
+                    let keep = keep && room && !self.stage.borrow().closes_after_answer();
                     let (status, fields, result) = self.words.now().answer(&answer);
                     large = result.len() > self.limits.ring;
                     self.write(connection, status, keep, &fields, &result).await && keep
@@ -433,18 +433,23 @@
         let whole = connection.body_so_far(&mut head.body, &mut body, most);
         if !whole.map_err(|bad| Some(bad.status()))? {
             // Guards against many that send long bodies at leisure; most come whole with their heads.
-            let _slow = self.slow_bodies.hold(most).ok_or(Some(503))?;
+            let _slow = self.slow_bodies.reserve(most).ok_or(Some(503))?;
             if head.asks_first {
                 connection.write(&[http1::GO_ON]).await.map_err(|_| None)?;
             }
             connection.body(&mut head.body, &mut body, most, false).await.map_err(none)?;
         }
         work.body = body.freeze();
-        Ok(Came::Work { work, left, keep: head.keep })
+        Ok(Came::ClientRequest { work, left, keep: head.keep })
     }
 
     /// Opens a work unit; else a status that says why not, or none where there is no room for it.
-    fn open(&self, work: Work, left: Duration, full: bool) -> Result<(Rc<Exchange>, Instant), Option<u16>> {
+    fn open(
+        &self,
+        work: ClientRequest,
+        left: Duration,
+        full: bool,
+    ) -> Result<(Rc<InFlightRequest>, Instant), Option<u16>> {
         let (taken, id) = (Instant::now(), work.id.clone());
         let part = |margin: Duration, part: f64| left - margin.min(left.mul_f64(part));
         let limit = taken + part(self.limits.answer_margin, 0.2);
@@ -453,9 +458,10 @@
             // Guards against a second copy: this very work unit is open, so a repeat promises nothing.
             return Err(Some(409));
         }
-        let exchange =
-            (!full).then(|| Exchange::new(RequestId(self.next_wu.get()), work, limit, &self.held)).flatten();
-        let exchange = exchange.ok_or(None)?;
+        let in_flight = (!full)
+            .then(|| InFlightRequest::new(RequestId(self.next_wu.get()), work, limit, &self.held))
+            .flatten();
+        let in_flight = in_flight.ok_or(None)?;
         let token = troutknot_membership::token(&id);
         if !self.past.borrow_mut().take(token, &self.limits) {
             return Err(Some(409));
@@ -463,11 +469,11 @@
         self.beside.say(Message::Ids { ids: vec![token] });
         self.next_wu.set(self.next_wu.get() + 1);
         self.ids.borrow_mut().insert(id);
-        Ok((exchange, last))
+        Ok((in_flight, last))
     }
 
-    fn is_durable(&self, work: &Work) -> bool {
-        let effect = self.words.now().effect(work.project_type);
+    fn is_durable(&self, work: &ClientRequest) -> bool {
+        let effect = self.words.now().effect(work.class);
         let takes = |terms: &Durably| work.key.is_some() || effect.is_some_and(|effect| terms.takes(effect));
         self.durably.as_ref().is_some_and(takes)
     }
@@ -493,11 +499,11 @@
     async fn serve_durably(
         &self,
         connection: &mut Connection,
-        work: Work,
+        work: ClientRequest,
         left: Duration,
         full: bool,
     ) -> Result<Option<(Answer, Option<RequestId>)>, u16> {
-        let come_back = Answer::Deferred(Some(1000.0));
+        let come_back = Answer::Rejected(Some(1000.0));
         // The process before this one still holds the ledger.
         let Some(durable) = self.ledger() else { return Ok(Some((come_back, None))) };
         let (joint, request_id, last) = match durable.find(&work) {
@@ -506,7 +512,7 @@
             Found::Ended(request_id) => {
                 // That nothing can be read says nothing of the work: it may have run.
                 let recorded = durable.recorded(request_id).await;
-                return Ok(Some((recorded.unwrap_or(Answer::Aborted), Some(request_id))));
+                return Ok(Some((recorded.unwrap_or(Answer::Failed), Some(request_id))));
             }
             Found::Open(joint) => {
                 let margin = self.limits.last_answer_margin.min(left.mul_f64(0.1));
@@ -516,28 +522,28 @@
                 if !durable.is_ready() {
                     return Ok(Some((come_back, None)));
                 }
-                let (exchange, last) = match self.open(work, left, full) {
+                let (in_flight, last) = match self.open(work, left, full) {
                     Ok(opened) => opened,
                     Err(Some(status)) => return Err(status),
                     Err(None) => return Ok(Some((come_back, None))),
                 };
                 // From here on the ledger knows its id.
-                let _ = exchange.durable.set(durable.clone());
-                let taken = durable.take(&exchange, last).await;
-                self.ids.borrow_mut().remove(&exchange.work.id);
+                let _ = in_flight.durable.set(durable.clone());
+                let taken = durable.take(&in_flight, last).await;
+                self.ids.borrow_mut().remove(&in_flight.request.id);
                 let joint: Rc<Joint> = match taken {
                     Ok(joint) => joint,
                     Err(answer) => return Ok(Some((answer, None))),
                 };
-                let _ = self.events.send(Event::Arrived(exchange.clone())).await;
-                (joint, Some(exchange.request_id), last)
+                let _ = self.events.send(NodeEvent::RequestArrived(in_flight.clone())).await;
+                (joint, Some(in_flight.request_id), last)
             }
         };
         let answer = tokio::select! {
             biased;
             answer = joint.answered() => Some(answer),
             () = connection.gone() => None,
-            () = sleep_until(last) => Some(Answer::Aborted),
+            () = sleep_until(last) => Some(Answer::Failed),
         };
         Ok(answer.map(|answer| (answer, request_id)))
     }
@@ -546,7 +552,7 @@
     async fn wait(
         &self,
         connection: &mut Connection,
-        exchange: &Rc<Exchange>,
+        in_flight: &Rc<InFlightRequest>,
         last: Instant,
     ) -> Option<Answer> {
         let answered = async {
@@ -554,122 +560,27 @@
             // executor that has drained meanwhile, which counts as told from this process's first moment.
             // A source that has too many calls, or is down, keeps nobody waiting for longer.
             let mut stage = self.stage.clone();
-            let _ = timeout_at(self.list_due, stage.wait_for(|stage| *stage != Stage::Starting)).await;
-            let _ = self.events.send(Event::Arrived(exchange.clone())).await;
-            exchange.answered().await
+            let _ =
+                timeout_at(self.list_due, stage.wait_for(|stage| *stage != LifecycleState::Starting)).await;
+            let _ = self.events.send(NodeEvent::RequestArrived(in_flight.clone())).await;
+            in_flight.answered().await
         };
         let answer = tokio::select! {
             biased;
             answer = answered => return Some(answer),
             () = connection.gone() => None,
             // Guards against a work unit without its answer at its hard limit, whatever went wrong before.
-            () = sleep_until(last) => Some(Answer::Aborted),
+            () = sleep_until(last) => Some(Answer::Failed),
         };
-        exchange.close();
-        let _ = self.events.send(Event::Left(exchange.request_id)).await;
+        in_flight.close();
+        let _ = self.events.send(NodeEvent::ClientLeft(in_flight.request_id)).await;
         if answer.is_none() {
-            tracing::debug!("left: the client of {}", exchange.work.id);
+            tracing::debug!("left: the client of {}", in_flight.request.id);
         }
         answer
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::io::{Read, Write};
-
-    /// The clock stands still until nothing else is left to do, so that long waits take no time.
-    #[tokio::test(start_paused = true)]
-    async fn half_sent_requests_time_out_and_idle_connections_end() {
-        let (_, words) = Vocabulary::of_one_type(5_000_000);
-        let stated = crate::limits::Stated { memory_mb: 64, sockets: 128, ..Default::default() };
-        let limits = Rc::new(Limits::of(&stated));
-        let (events, mut told) = mpsc::channel(16);
-        let stages = crate::lifecycle::Stages::new();
-        stages.change(|life| life.listed = true);
-        let clients = Clients::new(limits, words, events, stages.watch(), Rc::default(), None, Rc::default());
-        let whole = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nConnection: close\r\n\
-                     Content-Length: 2\r\n\r\nab";
-        let local = tokio::task::LocalSet::new();
-        for (sent, expected) in [
-            ("", ""),
-            (&whole[..9], "HTTP/1.1 408"),
-            (&whole[..whole.len() - 1], "HTTP/1.1 408"),
-            // Nobody answers it, so its own side does, before the client gives up.
-            (whole, "HTTP/1.1 502"),
-        ] {
-            let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-            client.write_all(sent.as_bytes()).unwrap();
-            let clients = &clients;
-            let serve = async {
-                let (stream, _) = listener.accept().await.unwrap();
-                clients.take(stream, false);
-                while clients.connections() > 0 {
-                    sleep(Duration::from_millis(10)).await;
-                }
-            };
-            let whole_test = Duration::from_secs(300);
-            timeout(whole_test, local.run_until(serve)).await.expect("the connection ends");
-            let mut got = vec![0; expected.len()];
-            client.read_exact(&mut got).unwrap();
-            assert_eq!(String::from_utf8(got).unwrap(), expected, "{sent}");
-        }
-        assert!(matches!(told.try_recv(), Ok(Event::Arrived(exchange)) if exchange.is_over()));
-        assert!(matches!(told.try_recv(), Ok(Event::Left(_))));
-    }
-
-    /// Until the list has come, what arrives waits at the door, though not for long; a client that leaves
-    /// meanwhile is never heard of.
-    #[tokio::test(start_paused = true)]
-    async fn work_that_comes_before_the_list_waits_for_it() {
-        for comes in [true, false] {
-            before_the_list(comes).await;
-        }
-    }
-
-    async fn before_the_list(comes: bool) {
-        let (_, words) = Vocabulary::of_one_type(5_000_000);
-        let stated = crate::limits::Stated { memory_mb: 64, sockets: 128, ..Default::default() };
-        let limits = Rc::new(Limits::of(&stated));
-        let (events, mut told) = mpsc::channel(16);
-        let stages = crate::lifecycle::Stages::new();
-        let clients = Clients::new(limits, words, events, stages.watch(), Rc::default(), None, Rc::default());
-        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let send = |id: &str| {
-            let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-            write!(
-                client,
-                "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"
-            )
-            .unwrap();
-            client
-        };
-        let play = async {
-            let (_stays, leaves) = (send("stays"), send("leaves"));
-            for _ in 0..2 {
-                let (stream, _) = listener.accept().await.unwrap();
-                clients.take(stream, false);
-            }
-            sleep(Duration::from_millis(50)).await;
-            assert_eq!(clients.ids.borrow().len(), 2, "both are taken");
-            assert!(told.try_recv().is_err(), "nothing is decided before the list has come");
-            drop(leaves);
-            while clients.connections() > 1 {
-                sleep(Duration::from_millis(10)).await;
-            }
-            if comes {
-                stages.change(|life| life.listed = true);
-            }
-            let mut arrived = Vec::new();
-            while let Ok(Some(event)) = timeout(Duration::from_millis(500), told.recv()).await {
-                if let Event::Arrived(exchange) = event {
-                    arrived.push(exchange.work.id.clone());
-                }
-            }
-            assert_eq!(arrived, ["stays"], "the list comes: {comes}");
-        };
-        tokio::task::LocalSet::new().run_until(play).await;
-    }
-}
+#[path = "../../tests/unit/clients.rs"]
+mod tests;
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -1,22 +1,22 @@
 //! Owns the dispatcher: tells it what the sides saw, and hands each of its actions to the side that acts.
-use crate::clock::Clock;
-use crate::event::{Asked, Earlier, Event};
+use crate::event::{CallOrigin, NodeEvent, RecoveredAttempt};
 use crate::executors::{Executors, Push};
-use crate::gossip::Peers;
+use crate::gossip::GossipSocket;
 use crate::hot_restart::Beside;
 use crate::hot_restart::codec::{self, Inherited, Message};
-use crate::in_flight::{Answer, Exchange, Stop};
-use crate::lifecycle::{Drain, Stages};
+use crate::in_flight::{Answer, CancelSignal, InFlightRequest};
+use crate::lifecycle::{Drain, Lifecycle};
 use crate::lists::ToldList;
-use crate::membership::Roster;
-use crate::retention::{Figures, Kept, Selected, Selection};
+use crate::membership::Membership;
+use crate::retention::{EndpointRetention, RetainedEntries, RetentionChange, RetentionStatistics};
 use crate::words::{Entry, InForce, Vocabulary};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep_until};
-use troutknot::{Event as Heard, *};
+use troutknot::{Event as CoreEvent, *};
+use troutknot_clock::Clock;
 use troutknot_membership::ExecutorRegistry;
 
 /// So many events at most are told before the actions that follow from them are taken.
@@ -37,26 +37,26 @@
 }
 
 /// The executors that are kept now.
-struct KeptNow<'a> {
+struct RetainedNow<'a> {
     registry: &'a ExecutorRegistry,
-    roster: &'a Roster,
+    membership: &'a Membership,
 }
 
-impl Kept for KeptNow<'_> {
+impl RetainedEntries for RetainedNow<'_> {
     fn entry(&self, name: &str) -> Option<&Entry> {
-        self.roster.entry(self.registry.get(name)?)
+        self.membership.entry(self.registry.get(name)?)
     }
 
     fn entries(&self) -> impl Iterator<Item = &Entry> {
-        self.roster.listed()
+        self.membership.listed()
     }
 }
 
 struct Open {
-    exchange: Rc<Exchange>,
+    in_flight: Rc<InFlightRequest>,
     attempts: u32,
     /// Each stops one allocation, by its number.
-    stops: Vec<Rc<Stop>>,
+    stops: Vec<Rc<CancelSignal>>,
     /// Where the last allocation went and when it was decided, for the log.
     pushed: Option<(ExecutorId, Instant)>,
 }
@@ -69,18 +69,18 @@
     follow: Rc<Follow>,
     registry: ExecutorRegistry,
     /// Which of the listed executors are kept.
-    pub selection: Selection,
+    pub retention: EndpointRetention,
     /// How many these are, where operators ask.
-    pub figures: Rc<Cell<Figures>>,
+    pub figures: Rc<Cell<RetentionStatistics>>,
     /// Executors were released since those left out were looked at.
     has_released: bool,
-    events: mpsc::Receiver<Event>,
-    stages: Rc<Stages>,
+    events: mpsc::Receiver<NodeEvent>,
+    lifecycle: Rc<Lifecycle>,
     /// Another process of this node, if one runs.
     beside: Rc<Beside>,
-    roster: Roster,
+    membership: Membership,
     /// The other nodes, where the settings let nodes talk.
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<GossipSocket>>,
     open: BTreeMap<RequestId, Open>,
     wake: Option<Instant>,
     out_of_time: bool,
@@ -97,8 +97,8 @@
         words: Rc<InForce<Vocabulary>>,
         executors: Rc<Executors>,
         follow: Rc<Follow>,
-        events: mpsc::Receiver<Event>,
-        stages: Rc<Stages>,
+        events: mpsc::Receiver<NodeEvent>,
+        lifecycle: Rc<Lifecycle>,
     ) -> Self {
         Driver {
             dispatcher,
@@ -106,14 +106,14 @@
             words,
             follow,
             registry: ExecutorRegistry::default(),
-            selection: Selection::new("", executors.limits.known, executors.limits.left_out),
+            retention: EndpointRetention::new("", executors.limits.known, executors.limits.left_out),
             figures: Rc::default(),
             has_released: false,
             events,
-            stages,
+            lifecycle,
             beside: executors.beside.clone(),
             executors,
-            roster: Roster::default(),
+            membership: Membership::default(),
             peers: None,
             open: BTreeMap::new(),
             wake: None,
@@ -133,7 +133,7 @@
                 event = self.events.recv() => event,
                 () = async { sleep_until(wake.unwrap_or_else(Instant::now)).await }, if wake.is_some() => {
                     self.wake = None;
-                    Some(Event::Heard(Heard::TimerFired))
+                    Some(NodeEvent::Core(CoreEvent::TimerFired))
                 }
             };
             if self.clock.now() - looked > standstill {
@@ -148,7 +148,7 @@
                 let Ok(event) = self.events.try_recv() else { break };
                 batch.push(event);
             }
-            batch.sort_by_key(|event| !matches!(event, Event::List(..)));
+            batch.sort_by_key(|event| !matches!(event, NodeEvent::ListReceived(..)));
             let now = self.clock.now();
             looked = now;
             for event in batch.drain(..) {
@@ -168,45 +168,47 @@
         }
     }
 
-    pub fn tell(&mut self, now: Millis, event: Event) {
+    pub fn tell(&mut self, now: Millis, event: NodeEvent) {
         let told = match event {
-            Event::Arrived(exchange) => {
-                if exchange.is_over() {
+            NodeEvent::RequestArrived(in_flight) => {
+                if in_flight.is_over() {
                     return;
                 }
                 if self.ended {
-                    _ = exchange.answer(self.last_answer(0));
+                    _ = in_flight.answer(self.last_answer(0));
                     return;
                 }
-                let work = &exchange.work;
-                let left = exchange.limit.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
-                let told = Heard::RequestArrived {
-                    request_id: exchange.request_id,
-                    class: work.project_type,
-                    tenant: work.customer,
+                let work = &in_flight.request;
+                let left =
+                    in_flight.deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
+                let told = CoreEvent::RequestArrived {
+                    request_id: in_flight.request_id,
+                    class: work.class,
+                    tenant: work.tenant,
                     slots: work.slots,
                     memory: work.memory,
                     time_left: left,
-                    is_retry: work.again,
+                    is_retry: work.is_retry,
                 };
                 self.open.insert(
-                    exchange.request_id,
-                    Open { exchange, attempts: 0, stops: Vec::new(), pushed: None },
+                    in_flight.request_id,
+                    Open { in_flight, attempts: 0, stops: Vec::new(), pushed: None },
                 );
                 told
             }
-            Event::Recovered(exchange, earlier) => return self.recovered(now, exchange, earlier),
-            Event::Left(request_id) => {
+            NodeEvent::RequestRecovered(in_flight, earlier) => {
+                return self.recovered(now, in_flight, earlier);
+            }
+            NodeEvent::ClientLeft(request_id) => {
                 self.open.remove(&request_id);
-                Heard::RequestWithdrawn { request_id }
+                CoreEvent::RequestWithdrawn { request_id }
             }
-            Event::Heard(Heard::AttemptEnded { request_id, attempt_id, outcome, .. }) => {
-                let closed = self.open.get(&request_id).is_none_or(|open| open.exchange.is_over());
+            NodeEvent::Core(CoreEvent::AttemptEnded { request_id, attempt_id, outcome, .. }) => {
+                let closed = self.open.get(&request_id).is_none_or(|open| open.in_flight.is_over());
                 if let Some((open, (executor, at))) =
                     self.open.get(&request_id).and_then(|o| Some((o, o.pushed?)))
                 {
-                    let (ran, kind) =
-                        (at.elapsed().as_secs_f64() * 1000.0, open.exchange.work.project_type.0);
+                    let (ran, kind) = (at.elapsed().as_secs_f64() * 1000.0, open.in_flight.request.class.0);
                     let name = self.name(executor);
                     tracing::debug!(
                         "ended: type {kind} alloc {} at {name} {outcome:?} {ran:.1} ms",
@@ -216,10 +218,10 @@
                 if closed {
                     self.open.remove(&request_id);
                 }
-                Heard::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: closed }
+                CoreEvent::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: closed }
             }
-            Event::Heard(heard) => {
-                if let Heard::ProbeCompleted { executor, reply } = &heard {
+            NodeEvent::Core(heard) => {
+                if let CoreEvent::ProbeCompleted { executor, reply } = &heard {
                     let name = self.name(*executor);
                     match reply {
                         Some(ProbeReply { latency, report }) => {
@@ -231,29 +233,31 @@
                 }
                 heard
             }
-            Event::List(list) => self.list(list),
-            Event::LeaveOut { executor, out, asked } => return self.called(now, executor, out, asked),
-            Event::HandOver => return self.hand_over(now),
-            Event::Beside(runs) => Heard::SiblingChanged { is_running: runs },
-            Event::Retuned(settings) => return self.dispatcher.apply_settings(now, &settings),
-            Event::OutOfTime => {
+            NodeEvent::ListReceived(list) => self.list(list),
+            NodeEvent::SetExcluded { executor, is_excluded, origin } => {
+                return self.set_excluded(now, executor, is_excluded, origin);
+            }
+            NodeEvent::ExportState => return self.hand_over(now),
+            NodeEvent::SiblingChanged(runs) => CoreEvent::SiblingChanged { is_running: runs },
+            NodeEvent::SettingsChanged(settings) => return self.dispatcher.apply_settings(now, &settings),
+            NodeEvent::CancelInFlight => {
                 self.out_of_time = true;
                 let stops = self.open.values().flat_map(|open| &open.stops);
-                stops.for_each(|stop| stop.tell(Outcome::TimedOut));
+                stops.for_each(|stop| stop.cancel(Outcome::TimedOut));
                 return;
             }
-            Event::End => {
+            NodeEvent::ShutDown => {
                 self.ended = true;
                 for (request_id, open) in std::mem::take(&mut self.open) {
-                    open.exchange.answer(self.last_answer(open.attempts));
-                    self.dispatcher.handle_event(now, Heard::RequestWithdrawn { request_id });
+                    open.in_flight.answer(self.last_answer(open.attempts));
+                    self.dispatcher.handle_event(now, CoreEvent::RequestWithdrawn { request_id });
                 }
                 return;
             }
         };
-        let is_list = matches!(told, Heard::EndpointsUpdated { .. });
+        let is_list = matches!(told, CoreEvent::EndpointsUpdated { .. });
         self.dispatcher.handle_event(now, told);
-        if is_list && self.selection.has_waiting() {
+        if is_list && self.retention.has_waiting() {
             // There is room, and no handle is free.
             self.dispatcher.reclaim_now();
         }
@@ -262,64 +266,68 @@
     /// What a work unit is told that was open when the node ended: one that was never sent may come again.
     fn last_answer(&self, attempts: u32) -> Answer {
         match attempts {
-            0 => Answer::Deferred(Some(self.executors.limits.full_come_back.as_secs_f64() * 1000.0)),
-            _ => Answer::Aborted,
+            0 => Answer::Rejected(Some(self.executors.limits.full_come_back.as_secs_f64() * 1000.0)),
+            _ => Answer::Failed,
         }
     }
 
     /// Tells of a work unit from an earlier life: its arrival, then each allocation and its end, as far as known.
-    fn recovered(&mut self, now: Millis, exchange: Rc<Exchange>, earlier: Vec<Earlier>) {
-        let request_id = exchange.request_id;
-        self.tell(now, Event::Arrived(exchange.clone()));
+    fn recovered(&mut self, now: Millis, in_flight: Rc<InFlightRequest>, earlier: Vec<RecoveredAttempt>) {
+        let request_id = in_flight.request_id;
+        self.tell(now, NodeEvent::RequestArrived(in_flight.clone()));
         let Some(open) = self.open.get_mut(&request_id) else { return };
         open.attempts = earlier.len() as u32;
-        for (number, Earlier { executor: name, sent, outcome, lease }) in earlier.into_iter().enumerate() {
+        for (number, RecoveredAttempt { executor: name, sent_at, outcome, lease }) in
+            earlier.into_iter().enumerate()
+        {
             let attempt_id = AttemptId(number as u32);
             let executor = self.register(now, &name);
-            self.dispatcher
-                .handle_event(now, Heard::AttemptRecovered { request_id, executor, sent_at: sent });
+            self.dispatcher.handle_event(now, CoreEvent::AttemptRecovered { request_id, executor, sent_at });
             match outcome {
                 Some(outcome) => self.dispatcher.handle_event(
                     now,
-                    Heard::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: false },
+                    CoreEvent::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: false },
                 ),
                 None => {
                     let settled =
-                        self.executors.clone().settle(exchange.clone(), executor, attempt_id, lease);
+                        self.executors.clone().settle(in_flight.clone(), executor, attempt_id, lease);
                     tokio::task::spawn_local(settled);
                 }
             }
         }
     }
 
-    fn list(&mut self, list: ToldList) -> Heard {
+    fn list(&mut self, list: ToldList) -> CoreEvent {
         let ToldList { kind, entries, version, beyond } = list;
         let entries = match kind {
-            ListUpdate::Delta => self.select(|selection, kept| selection.changes(entries, kept)),
+            ListUpdate::Delta => self.select(|retention, kept| retention.apply_delta(entries, kept)),
             // Who is missing from a whole list is gone.
             _ => {
-                let selected = self.select(|selection, _| selection.whole(entries, beyond));
+                let selected = self.select(|retention, _| retention.apply_snapshot(entries, beyond));
                 self.shut_missing(&selected);
                 self.reserve(selected.len());
                 selected
             }
         };
         let told = self.take_all(entries);
-        self.roster.version = version.or(self.roster.version);
+        self.membership.version = version.or(self.membership.version);
         if kind != ListUpdate::Cached {
-            self.stages.change(|life| life.listed = true);
+            self.lifecycle.update(|facts| facts.is_listed = true);
         }
-        Heard::EndpointsUpdated { update: kind, endpoints: told }
+        CoreEvent::EndpointsUpdated { update: kind, endpoints: told }
     }
 
     /// Chooses whom to keep; what is to be taken follows.
-    fn select(&mut self, choose: impl FnOnce(&mut Selection, &KeptNow) -> Selected) -> Vec<Entry> {
-        let kept = KeptNow { registry: &self.registry, roster: &self.roster };
-        let selected = choose(&mut self.selection, &kept);
+    fn select(
+        &mut self,
+        choose: impl FnOnce(&mut EndpointRetention, &RetainedNow) -> RetentionChange,
+    ) -> Vec<Entry> {
+        let kept = RetainedNow { registry: &self.registry, membership: &self.membership };
+        let selected = choose(&mut self.retention, &kept);
         if selected.repeated > 0 {
             tracing::warn!("{} entries of a list are repeated in it, the last ones count", selected.repeated);
         }
-        if selected.ask_whole {
+        if selected.needs_snapshot {
             self.follow.whole.notify_one();
         }
         selected.entries
@@ -333,7 +341,7 @@
         }
         let executors = executors + executors / 8;
         self.registry.reserve(executors);
-        self.roster.reserve(executors);
+        self.membership.reserve(executors);
         self.executors.reserve(executors);
     }
 
@@ -344,7 +352,7 @@
             self.registry.get(&entry.id).iter().for_each(|executor| _ = missing.remove(executor));
         }
         for executor in missing {
-            self.roster.gone(executor);
+            self.membership.mark_gone(executor);
             self.executors.shut(executor);
         }
     }
@@ -356,7 +364,7 @@
         for entry in entries {
             match self.registry.register_within(&entry.id, most) {
                 Some(executor) => told.push(self.take(executor, entry)),
-                None => self.selection.give_back(entry),
+                None => self.retention.defer(entry),
             }
         }
         told
@@ -364,20 +372,22 @@
 
     /// Takes executors in that are left out, once others are released; whether there were any.
     fn take_waiting(&mut self, now: Millis) -> bool {
-        if !std::mem::take(&mut self.has_released) || !self.selection.has_waiting() {
+        if !std::mem::take(&mut self.has_released) || !self.retention.has_waiting() {
             return false;
         }
-        let selected = self.select(|selection, kept| selection.changes(Vec::new(), kept));
+        let selected = self.select(|retention, kept| retention.apply_delta(Vec::new(), kept));
         let entries = self.take_all(selected);
         let is_any = !entries.is_empty();
-        self.dispatcher
-            .handle_event(now, Heard::EndpointsUpdated { update: ListUpdate::Operator, endpoints: entries });
+        self.dispatcher.handle_event(
+            now,
+            CoreEvent::EndpointsUpdated { update: ListUpdate::Operator, endpoints: entries },
+        );
         is_any
     }
 
     /// Says how many executors are left out, whenever that is another figure.
     fn log_figures(&mut self) {
-        let figures = self.selection.figures();
+        let figures = self.retention.statistics();
         if figures.left_out != self.figures.replace(figures).left_out {
             match figures.left_out {
                 0 => tracing::info!("executors: {figures}"),
@@ -388,7 +398,7 @@
 
     /// Takes what the list says of one executor, under what operators say of it.
     fn take(&mut self, executor: ExecutorId, entry: Entry) -> Endpoint {
-        let entry = self.roster.take(executor, entry);
+        let entry = self.membership.update(executor, entry);
         let mut listing = self.words.now().listing(&entry, executor);
         let addr = entry.addr.parse().ok();
         if addr.is_none() && listing.state == EndpointState::Ready {
@@ -401,27 +411,28 @@
     }
 
     /// Leaves an executor out by hand, or lets it serve again, here and in the other process of this node.
-    fn called(&mut self, now: Millis, name: String, out: bool, asked: Asked) {
+    fn set_excluded(&mut self, now: Millis, name: String, is_excluded: bool, origin: CallOrigin) {
         let executor = self.registry.get(&name);
         // One that is gone and out can be let in again under its name.
-        let is_left_out = self.selection.entry_left_out(&name).is_some();
-        let known = executor.is_some() || is_left_out || self.roster.out().contains(&name);
-        let takes = known || matches!(asked, Asked::ByOther(_));
-        let entry = if takes { self.roster.leave_out(executor, &name, out) } else { None };
+        let is_left_out = self.retention.unretained_entry(&name).is_some();
+        let known = executor.is_some() || is_left_out || self.membership.excluded().contains(&name);
+        let takes = known || matches!(origin, CallOrigin::Sibling(_));
+        let entry = if takes { self.membership.set_excluded(executor, &name, is_excluded) } else { None };
         let changed = executor.zip(entry);
         if let Some((executor, entry)) = changed {
             let entries = vec![self.take(executor, entry)];
             self.dispatcher.handle_event(
                 now,
-                Heard::EndpointsUpdated { update: ListUpdate::Operator, endpoints: entries },
+                CoreEvent::EndpointsUpdated { update: ListUpdate::Operator, endpoints: entries },
             );
         }
-        match asked {
-            Asked::ByHand(done) if known => {
-                self.beside.mirror(|number| Message::LeaveOut { executor: name, out, number }, done);
+        match origin {
+            CallOrigin::Operator(done) if known => {
+                self.beside
+                    .mirror(|number| Message::SetExcluded { executor: name, is_excluded, number }, done);
             }
-            Asked::ByHand(done) => _ = done.send(false),
-            Asked::ByOther(number) => self.beside.say(Message::Done { number }),
+            CallOrigin::Operator(done) => _ = done.send(false),
+            CallOrigin::Sibling(number) => self.beside.say(Message::Acknowledged { number }),
         }
     }
 
@@ -429,85 +440,76 @@
     fn hand_over(&mut self, now: Millis) {
         let beside = &self.beside;
         let say = |messages: Vec<Message>| messages.into_iter().for_each(|message| beside.say(message));
-        let out: Vec<String> = self.roster.out().iter().cloned().collect();
-        say(codec::in_lines(&out, |executors| Message::Out { executors }));
-        say(vec![Message::Drained { drained: self.stages.life().drain != Drain::None, number: 0 }]);
-        let (listed, version) = (self.roster.listed(), self.roster.version);
-        let entries: Vec<Entry> = listed.chain(self.selection.left_out()).cloned().collect();
+        let out: Vec<String> = self.membership.excluded().iter().cloned().collect();
+        say(codec::in_lines(&out, |executors| Message::Excluded { executors }));
+        say(vec![Message::Drained { drained: self.lifecycle.facts().drain != Drain::None, number: 0 }]);
+        let (listed, version) = (self.membership.listed(), self.membership.version);
+        let entries: Vec<Entry> = listed.chain(self.retention.unretained()).cloned().collect();
         say(codec::in_lines(&entries, |entries| Message::List { version, entries }));
-        let learned = self.dispatcher.export_state(now);
-        let known = |l: ExecutorWarmState| {
-            let id = self.registry.name(l.executor)?.to_string();
-            let score = |score: DecayingScore| (score.value, score.set_at);
-            Some(codec::Known {
-                id,
-                failed: score(l.failure_score),
-                judged: score(l.observations),
-                slots: l.max_slots,
-                cold_spent: l.warm_up_spent.iter().map(|spent| (spent.at, spent.work)).collect(),
-            })
-        };
-        let executors: Vec<codec::Known> = learned.executors.into_iter().filter_map(known).collect();
+        let state = self.dispatcher.export_state(now);
+        let executors: Vec<codec::ExecutorState> =
+            state.executors.iter().filter_map(|executor| self.export_executor(executor)).collect();
         say(codec::in_lines(&executors, |executors| Message::Executors { executors }));
         let words = self.words.now();
-        let run = |(name, kind): (&str, RequestClassId)| {
-            learned
-                .class_running_times
-                .get(kind.0 as usize)
-                .map(|time| (name.to_string(), time.mean, time.observations))
+        let running_time = |(name, class): (&str, RequestClassId)| {
+            let time = *state.class_running_times.get(class.0 as usize)?;
+            Some(codec::ClassRunningTime { class: name.to_string(), time })
+        };
+        let running_times = codec::RunningTimes {
+            classes: words.taken_types().filter_map(running_time).collect(),
+            mean_running_time: state.mean_running_time,
+            busy_probe_ratio: state.busy_probe_ratio,
+            probe_latency: state.probe_latency,
+            sample_size: state.sample_size,
         };
-        say(vec![
-            Message::Work(codec::Work {
-                types: words.taken_types().filter_map(run).collect(),
-                mean_run: learned.mean_running_time,
-                waiting_share: learned.busy_probe_ratio,
-                lag: learned.probe_latency,
-                draws: learned.sample_size,
-            }),
-            Message::Told,
-        ]);
+        say(vec![Message::RunningTimes(running_times), Message::Complete]);
+    }
+
+    fn export_executor(&self, state: &ExecutorWarmState) -> Option<codec::ExecutorState> {
+        Some(codec::ExecutorState {
+            id: self.registry.name(state.executor)?.to_string(),
+            failure_score: codec::Score(state.failure_score),
+            observations: codec::Score(state.observations),
+            max_slots: state.max_slots,
+            warm_up_spent: state.warm_up_spent.iter().copied().map(codec::Spent).collect(),
+        })
     }
 
     /// Begins with what a process before this one knew; the list was told.
     pub fn take_over(&mut self, now: Millis, inherited: Inherited) {
         let words = self.words.now();
-        let mut runs = vec![
-            ObservedMean::default();
-            words.taken_types().map(|(_, kind)| kind.0 as usize + 1).max().unwrap_or(0)
-        ];
-        let work = inherited.work.unwrap_or_default();
-        for (name, kind) in words.taken_types() {
-            if let Some((_, run, seen)) = work.types.iter().find(|(other, ..)| other == name) {
-                runs[kind.0 as usize] = ObservedMean { mean: *run, observations: *seen };
+        let classes = words.taken_types().map(|(_, class)| class.0 as usize + 1).max().unwrap_or(0);
+        let mut class_running_times = vec![ObservedMean::default(); classes];
+        let running_times = inherited.running_times.unwrap_or_default();
+        for (name, class) in words.taken_types() {
+            if let Some(known) = running_times.classes.iter().find(|known| known.class == name) {
+                class_running_times[class.0 as usize] = known.time;
             }
         }
         let executors = inherited.executors.into_iter();
-        let executors = executors.filter_map(|known| self.take_over_executor(now, known)).collect();
-        let learned = WarmState {
+        let executors = executors.filter_map(|state| self.import_executor(now, state)).collect();
+        let state = WarmState {
             executors,
-            class_running_times: runs,
-            mean_running_time: work.mean_run,
-            busy_probe_ratio: work.waiting_share,
-            probe_latency: work.lag,
-            sample_size: work.draws,
+            class_running_times,
+            mean_running_time: running_times.mean_running_time,
+            busy_probe_ratio: running_times.busy_probe_ratio,
+            probe_latency: running_times.probe_latency,
+            sample_size: running_times.sample_size,
         };
-        self.dispatcher.handle_event(now, Heard::WarmStateReceived(learned));
+        self.dispatcher.handle_event(now, CoreEvent::WarmStateReceived(state));
     }
 
     /// What a process before this one knew of an executor; nothing of one that is gone and needed no more.
-    fn take_over_executor(&mut self, now: Millis, known: codec::Known) -> Option<ExecutorWarmState> {
-        if self.registry.get(&known.id).is_none() && known.cold_spent.is_empty() {
+    fn import_executor(&mut self, now: Millis, state: codec::ExecutorState) -> Option<ExecutorWarmState> {
+        if self.registry.get(&state.id).is_none() && state.warm_up_spent.is_empty() {
             return None;
         }
-        let executor = self.register(now, &known.id);
-        let codec::Known { failed, judged, slots, cold_spent, .. } = known;
-        let score = |(value, set_at)| DecayingScore { value, set_at };
         Some(ExecutorWarmState {
-            executor,
-            failure_score: score(failed),
-            observations: score(judged),
-            max_slots: slots,
-            warm_up_spent: cold_spent.into_iter().map(|(at, work)| WarmUpDispatch { at, work }).collect(),
+            executor: self.register(now, &state.id),
+            failure_score: state.failure_score.0,
+            observations: state.observations.0,
+            max_slots: state.max_slots,
+            warm_up_spent: state.warm_up_spent.into_iter().map(|codec::Spent(spent)| spent).collect(),
         })
     }
 
@@ -516,17 +518,19 @@
         if let Some(executor) = self.registry.get(name) {
             return executor;
         }
-        let left_out = self.selection.entry_left_out(name).cloned();
+        let left_out = self.retention.unretained_entry(name).cloned();
         let executor = self.registry.register(name);
         let gone = self.take(executor, left_out.map_or_else(|| Entry::gone(name), Entry::into_gone));
-        self.dispatcher
-            .handle_event(now, Heard::EndpointsUpdated { update: ListUpdate::Delta, endpoints: vec![gone] });
+        self.dispatcher.handle_event(
+            now,
+            CoreEvent::EndpointsUpdated { update: ListUpdate::Delta, endpoints: vec![gone] },
+        );
         executor
     }
 
     /// Who is out by hand from the start.
     pub fn leave_out(&mut self, out: BTreeSet<String>) {
-        self.roster.inherit(out);
+        self.membership.import_excluded(out);
     }
 
     fn act(&mut self, action: Action) {
@@ -535,43 +539,43 @@
                 let Some(open) = self.open.get_mut(&request_id) else { return };
                 let attempt_id = AttemptId(open.attempts);
                 open.attempts += 1;
-                let stop: Rc<Stop> = Rc::default();
+                let stop: Rc<CancelSignal> = Rc::default();
                 if self.out_of_time {
-                    stop.tell(Outcome::TimedOut);
+                    stop.cancel(Outcome::TimedOut);
                 }
                 open.stops.resize_with(attempt_id.0 as usize, Rc::default);
                 open.stops.push(stop.clone());
-                let [cut, send_deadline] =
-                    [attempt_deadline, send_deadline].map(|at| self.clock.when(at).min(open.exchange.limit));
+                let [cut, send_deadline] = [attempt_deadline, send_deadline]
+                    .map(|at| self.clock.instant_of(at).min(open.in_flight.deadline));
                 let (decided, life) = (Instant::now(), self.executors.life(executor));
                 open.pushed = Some((executor, decided));
-                let exchange = open.exchange.clone();
-                let name = exchange.durable.get().map(|_| self.name(executor).to_string());
+                let in_flight = open.in_flight.clone();
+                let name = in_flight.durable.get().map(|_| self.name(executor).to_string());
                 tracing::debug!("push: alloc {} to {}", attempt_id.0, self.name(executor));
                 let push =
-                    Push { exchange, executor, name, attempt_id, decided, life, cut, send_deadline, stop };
+                    Push { in_flight, executor, name, attempt_id, decided, life, cut, send_deadline, stop };
                 tokio::task::spawn_local(self.executors.clone().allocate(push));
             }
             Action::Cancel { request_id, attempt_id } => {
                 let stop = self.open.get(&request_id).and_then(|open| open.stops.get(attempt_id.0 as usize));
-                stop.into_iter().for_each(|stop| stop.tell(Outcome::Cancelled));
+                stop.into_iter().for_each(|stop| stop.cancel(Outcome::Cancelled));
             }
             Action::Reject { request_id, retry_after: come_back } => {
-                self.finish(request_id, Answer::Deferred(come_back))
+                self.finish(request_id, Answer::Rejected(come_back))
             }
-            Action::Fail { request_id } => self.finish(request_id, Answer::Aborted),
+            Action::Fail { request_id } => self.finish(request_id, Answer::Failed),
             Action::Probe { executor } => {
                 tracing::debug!("probe: {}", self.name(executor));
                 tokio::task::spawn_local(self.executors.clone().probe(executor));
             }
             Action::SetTimer { at } => {
-                let at = self.clock.when(at);
+                let at = self.clock.instant_of(at);
                 self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
             }
             Action::CloseIdleConnections { executor } => self.executors.close_idle(executor),
             Action::Gossip(said) => {
                 let words = self.words.now();
-                self.peers.iter().for_each(|peers| peers.tell(said, words.type_names()));
+                self.peers.iter().for_each(|peers| peers.broadcast(said, words.type_names()));
             }
             Action::WatchEndpoints => self.follow.changes.notify_one(),
             Action::ReleaseExecutor { executor } => self.release(executor),
@@ -581,7 +585,7 @@
 
     /// Frees what is kept of an executor that is gone and that nothing can need any more.
     fn release(&mut self, executor: ExecutorId) {
-        self.roster.release(executor);
+        self.membership.release(executor);
         self.executors.release(executor);
         self.has_released = true;
         if let Some(name) = self.registry.release(executor) {
@@ -605,12 +609,12 @@
 
     fn finish(&mut self, request_id: RequestId, answer: Answer) {
         if let Some(open) = self.open.remove(&request_id) {
-            let kind = open.exchange.work.project_type.0;
+            let kind = open.in_flight.request.class.0;
             match answer {
-                Answer::Deferred(_) => tracing::debug!("deferred: type {kind} after {}", open.attempts),
+                Answer::Rejected(_) => tracing::debug!("deferred: type {kind} after {}", open.attempts),
                 _ => tracing::debug!("aborted: type {kind} after {}", open.attempts),
             }
-            open.exchange.answer(answer);
+            open.in_flight.answer(answer);
         }
     }
 }
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -4,11 +4,10 @@
 
 pub use lease::Lease;
 
-use crate::byte_budget::HeldBytes;
-use crate::clock::Clock;
-use crate::event::{Earlier, Event};
-use crate::in_flight::{Answer, Exchange, Work};
-use crate::lifecycle::Stage;
+use crate::byte_budget::ByteBudget;
+use crate::event::{NodeEvent, RecoveredAttempt};
+use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
+use crate::lifecycle::LifecycleState;
 use crate::limits::Limits;
 use crate::operator::{Durably, Syncs};
 use crate::words::{InForce, Vocabulary};
@@ -24,6 +23,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use troutknot::{Effect, Millis, RequestId};
+use troutknot_clock::Clock;
 use troutknot_ledger::committer::{Committer, NotWritten, ReadError, SyncMode};
 use troutknot_ledger::store::Store;
 use troutknot_ledger::{Answer as RecordedAnswer, AttemptStatus, Digest, Ledger, Record, Row};
@@ -43,7 +43,7 @@
     /// Added to the clock's times, where it had jumped back since the last record.
     offset: Millis,
     words: Rc<InForce<Vocabulary>>,
-    events: mpsc::Sender<Event>,
+    events: mpsc::Sender<NodeEvent>,
     committer: Committer,
     ledger: RefCell<Ledger>,
     /// Work units whose answer is not on record yet.
@@ -64,7 +64,7 @@
     pub async fn answered(&self) -> Answer {
         let mut told = self.answer.subscribe();
         let answer = told.wait_for(Option::is_some).await;
-        answer.ok().and_then(|answer| answer.clone()).unwrap_or(Answer::Aborted)
+        answer.ok().and_then(|answer| answer.clone()).unwrap_or(Answer::Failed)
     }
 }
 
@@ -94,7 +94,7 @@
     memory: f64,
 }
 
-fn digest(work: &Work) -> Digest {
+fn digest(work: &ClientRequest) -> Digest {
     let mut hash = Sha256::new();
     for part in [work.method.as_bytes(), work.target.as_bytes(), &work.body] {
         hash.update((part.len() as u64).to_le_bytes());
@@ -106,16 +106,16 @@
 fn kept(answer: &Answer) -> RecordedAnswer {
     match answer {
         Answer::Completed(result) => RecordedAnswer::Completed(result.to_vec()),
-        Answer::Deferred(come_back) => RecordedAnswer::Rejected(*come_back),
-        Answer::Aborted => RecordedAnswer::Failed,
+        Answer::Rejected(come_back) => RecordedAnswer::Rejected(*come_back),
+        Answer::Failed => RecordedAnswer::Failed,
     }
 }
 
 fn answer_of(kept: RecordedAnswer) -> Answer {
     match kept {
         RecordedAnswer::Completed(result) => Answer::Completed(result.into()),
-        RecordedAnswer::Rejected(come_back) => Answer::Deferred(come_back),
-        RecordedAnswer::Failed => Answer::Aborted,
+        RecordedAnswer::Rejected(come_back) => Answer::Rejected(come_back),
+        RecordedAnswer::Failed => Answer::Failed,
     }
 }
 
@@ -129,7 +129,7 @@
         limits: &Rc<Limits>,
         clock: Clock,
         words: &Rc<InForce<Vocabulary>>,
-        events: &mpsc::Sender<Event>,
+        events: &mpsc::Sender<NodeEvent>,
     ) -> Result<Rc<Self>, String> {
         let max_attempts = words.now().max_attempts().clamp(1, 3);
         let path = terms.path.clone();
@@ -185,7 +185,7 @@
         self.ledger.borrow().next_number()
     }
 
-    pub fn find(&self, work: &Work) -> Found {
+    pub fn find(&self, work: &ClientRequest) -> Found {
         let ledger = self.ledger.borrow();
         let Some(request_id) = work.key.as_ref().and_then(|key| ledger.find_by_key(key)) else {
             return if ledger.find_by_client_id(&work.id).is_some() { Found::Twice } else { Found::New };
@@ -242,9 +242,13 @@
     }
 
     /// Takes a work unit: once this ends well, it is on disk. Else it is answered as deferred, and was never sent.
-    pub async fn take(self: &Rc<Self>, exchange: &Rc<Exchange>, last: Instant) -> Result<Rc<Joint>, Answer> {
-        let (request_id, work) = (exchange.request_id, &exchange.work);
-        let left = exchange.limit.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
+    pub async fn take(
+        self: &Rc<Self>,
+        in_flight: &Rc<InFlightRequest>,
+        last: Instant,
+    ) -> Result<Rc<Joint>, Answer> {
+        let (request_id, work) = (in_flight.request_id, &in_flight.request);
+        let left = in_flight.deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
         let (project_type, customer) = self.words.now().names_of(work);
         let sent = Sent {
             method: work.method.clone(),
@@ -256,10 +260,10 @@
             slots: work.slots,
             memory: work.memory,
         };
-        let come_back = Answer::Deferred(Some(1000.0));
+        let come_back = Answer::Rejected(Some(1000.0));
         let record = Record::Taken {
             request_id,
-            effect: self.words.now().effect(work.project_type).unwrap_or(Effect::AtMostOnce),
+            effect: self.words.now().effect(work.class).unwrap_or(Effect::AtMostOnce),
             deadline: self.now() + left,
             client_id: work.id.clone(),
             key: work.key.clone(),
@@ -277,7 +281,7 @@
             self.publish(request_id, &joint, come_back.clone());
             return Err(come_back);
         }
-        spawn_local(self.clone().see_through(exchange.clone(), joint.clone(), last));
+        spawn_local(self.clone().see_through(in_flight.clone(), joint.clone(), last));
         Ok(joint)
     }
 
@@ -287,15 +291,15 @@
     }
 
     /// Waits for the answer, whoever still wants it, and tells it once it is on record.
-    async fn see_through(self: Rc<Self>, exchange: Rc<Exchange>, joint: Rc<Joint>, last: Instant) {
-        let request_id = exchange.request_id;
+    async fn see_through(self: Rc<Self>, in_flight: Rc<InFlightRequest>, joint: Rc<Joint>, last: Instant) {
+        let request_id = in_flight.request_id;
         let answer = tokio::select! {
             biased;
-            answer = exchange.answered() => answer,
+            answer = in_flight.answered() => answer,
             () = sleep_until(last) => {
-                exchange.close();
-                let _ = self.events.send(Event::Left(request_id)).await;
-                Answer::Aborted
+                in_flight.close();
+                let _ = self.events.send(NodeEvent::ClientLeft(request_id)).await;
+                Answer::Failed
             }
         };
         let row = self.apply(Record::Answered { request_id, answer: kept(&answer) });
@@ -304,7 +308,7 @@
             sleep(WRITE_AGAIN).await;
             written = self.write(Vec::new()).await;
         }
-        if let Answer::Deferred(_) = answer {
+        if let Answer::Rejected(_) = answer {
             // It did not run, or may run again: whoever comes back with its key asks anew.
             self.later(Record::Forgotten { request_id });
         }
@@ -358,9 +362,9 @@
 
     /// Takes up what is open from before, once the list is known: each goes to the one module with its earlier
     /// attempts. What has no room waits for it.
-    pub async fn recover(self: Rc<Self>, mut stage: watch::Receiver<Stage>, held: Rc<HeldBytes>) {
+    pub async fn recover(self: Rc<Self>, mut stage: watch::Receiver<LifecycleState>, held: Rc<ByteBudget>) {
         let before = self.before.take();
-        if before.is_empty() || stage.wait_for(|stage| *stage != Stage::Starting).await.is_err() {
+        if before.is_empty() || stage.wait_for(|stage| *stage != LifecycleState::Starting).await.is_err() {
             return;
         }
         let began = Instant::now();
@@ -373,7 +377,7 @@
                     let _ = self.write(vec![row]).await;
                 }
                 let joint = self.joint(*request_id);
-                self.publish(*request_id, &joint, Answer::Aborted);
+                self.publish(*request_id, &joint, Answer::Failed);
             }
             self.to_recover.set(self.to_recover.get() - 1);
         }
@@ -381,7 +385,7 @@
         tracing::info!("{} open work units from before are taken up, in {took:.0} ms", before.len());
     }
 
-    async fn take_up(self: &Rc<Self>, request_id: RequestId, held: &Rc<HeldBytes>) -> Result<(), String> {
+    async fn take_up(self: &Rc<Self>, request_id: RequestId, held: &Rc<ByteBudget>) -> Result<(), String> {
         let rows = self.read(request_id).await.map_err(|error| error.to_string())?;
         let taken = rows.iter().find_map(|row| match &row.record {
             Record::Taken { client_id, key, deadline, payload, .. } => {
@@ -394,33 +398,33 @@
         let places = self.words.now().places_of(&sent.project_type, &sent.customer);
         let (project_type, customer) =
             places.ok_or_else(|| format!("project type `{}` is no longer known", sent.project_type))?;
-        let work = || Work {
+        let work = || ClientRequest {
             id: id.clone(),
             key: key.clone(),
             method: sent.method.clone(),
             target: sent.target.clone(),
             fields: Bytes::copy_from_slice(&sent.fields),
             body: Bytes::copy_from_slice(&sent.body),
-            project_type,
-            customer,
+            class: project_type,
+            tenant: customer,
             slots: sent.slots,
             memory: sent.memory,
-            again: true,
+            is_retry: true,
         };
         let when = |limit: Millis| Instant::now() + spanned((limit - self.now()).clamp(0.0, 1e9));
-        let exchange = loop {
-            match Exchange::new(request_id, work(), when(limit), held) {
-                Some(exchange) => break exchange,
+        let in_flight = loop {
+            match InFlightRequest::new(request_id, work(), when(limit), held) {
+                Some(in_flight) => break in_flight,
                 None => sleep(ROOM_AGAIN).await,
             }
         };
-        let _ = exchange.durable.set(self.clone());
+        let _ = in_flight.durable.set(self.clone());
         let earlier = {
             let ledger = self.ledger.borrow();
             let known = ledger.job(request_id).ok_or("it is not on record")?;
-            let of = |(number, a): (usize, &troutknot_ledger::Attempt)| Earlier {
+            let of = |(number, a): (usize, &troutknot_ledger::Attempt)| RecoveredAttempt {
                 executor: a.executor.clone(),
-                sent: a.recorded_at,
+                sent_at: a.recorded_at,
                 outcome: match a.outcome {
                     _ if a.is_fenced => Some(troutknot::Outcome::NotSent),
                     // Its answer is not on record: its executor may still have the result.
@@ -432,9 +436,9 @@
             known.attempts.iter().enumerate().map(of).collect()
         };
         // What is past its limit already is answered by the module as well, a moment later.
-        let last = exchange.limit + self.limits.answer_margin + self.limits.times().connect_wait;
-        spawn_local(self.clone().see_through(exchange.clone(), self.joint(request_id), last));
-        let _ = self.events.send(Event::Recovered(exchange, earlier)).await;
+        let last = in_flight.deadline + self.limits.answer_margin + self.limits.times().connect_wait;
+        spawn_local(self.clone().see_through(in_flight.clone(), self.joint(request_id), last));
+        let _ = self.events.send(NodeEvent::RequestRecovered(in_flight, earlier)).await;
         Ok(())
     }
 
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -1,52 +1,51 @@
-//! What the sides tell the driver, and nothing of how it is carried out.
+//! What the sides of a node tell its driver, and nothing of how it is carried out.
 use crate::durable::Lease;
-use crate::in_flight::Exchange;
+use crate::in_flight::InFlightRequest;
 use crate::lists::ToldList;
 use std::rc::Rc;
 use tokio::sync::oneshot;
-use troutknot::{Event as Heard, Millis, Outcome, RequestId, Settings};
+use troutknot::{Event as CoreEvent, Millis, Outcome, RequestId, Settings};
 
-/// An allocation of an earlier life of this node.
-pub struct Earlier {
-    /// By the name that the list gives it.
+/// An attempt of an earlier process of this node.
+pub struct RecoveredAttempt {
+    /// The name that the list gives its executor.
     pub executor: String,
-    pub sent: Millis,
+    pub sent_at: Millis,
     /// None where it is not known.
     pub outcome: Option<Outcome>,
     pub lease: Lease,
 }
 
-/// Where a call came.
-pub enum Asked {
+/// Where an operator's call came.
+pub enum CallOrigin {
     /// Here; who waits hears whether the executor is known.
-    ByHand(oneshot::Sender<bool>),
-    /// To the other process of this node, which knows it and counts what it asks for.
-    ByOther(u64),
+    Operator(oneshot::Sender<bool>),
+    /// To the sibling process, which knows the executor and numbers what it asks for.
+    Sibling(u64),
 }
 
 /// What the sides tell the driver.
-pub enum Event {
-    Arrived(Rc<Exchange>),
-    /// One that is open from an earlier life, with its allocations in order.
-    Recovered(Rc<Exchange>, Vec<Earlier>),
-    Left(RequestId),
-    /// What the dispatcher may be told as it is; whether an end closes the work unit is found here.
-    Heard(Heard),
-    List(ToldList),
-    /// An operator leaves an executor out, or lets it serve again.
-    LeaveOut {
-        executor: String,
-        out: bool,
-        asked: Asked,
-    },
+pub enum NodeEvent {
+    /// A request was taken.
+    RequestArrived(Rc<InFlightRequest>),
+    /// One is open from an earlier process, with its attempts in order.
+    RequestRecovered(Rc<InFlightRequest>, Vec<RecoveredAttempt>),
+    /// The client of a request has left.
+    ClientLeft(RequestId),
+    /// What the dispatcher may be told as it is; whether an end closes the request is found by the driver.
+    Core(CoreEvent),
+    /// A source told of executors.
+    ListReceived(ToldList),
+    /// An operator excludes an executor, or lets it serve again.
+    SetExcluded { executor: String, is_excluded: bool, origin: CallOrigin },
     /// A next process of this node is to be told all that is known here.
-    HandOver,
-    /// Whether another process of this node runs.
-    Beside(bool),
+    ExportState,
+    /// Whether a sibling process runs.
+    SiblingChanged(bool),
     /// New settings.
-    Retuned(Box<Settings>),
-    /// The node ends soon: what is out is cut, and nothing more is sent.
-    OutOfTime,
+    SettingsChanged(Box<Settings>),
+    /// The node ends soon: what is in flight is cancelled, and nothing more is sent.
+    CancelInFlight,
     /// The node ends now: what is open gets its last answer.
-    End,
+    ShutDown,
 }
--- a/crates/daemon/src/executors/mod.rs
+++ b/crates/daemon/src/executors/mod.rs
@@ -1,11 +1,11 @@
 //! The executor side: pooled connections, allocations and probes. It carries out what the driver says and
 //! tells it what came of it; what it may give a client goes into the exchange.
-use crate::byte_budget::HeldBytes;
+use crate::byte_budget::ByteBudget;
 use crate::durable::Lease;
-use crate::event::Event;
+use crate::event::NodeEvent;
 use crate::hot_restart::Beside;
 use crate::http1::{AnswerHead, Connection, Failed};
-use crate::in_flight::{Answer, Exchange, Stop};
+use crate::in_flight::{Answer, CancelSignal, InFlightRequest};
 use crate::limits::Limits;
 use crate::words::{self, Fate, InForce, Line, Vocabulary};
 use bytes::BytesMut;
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
-use troutknot::{AttemptId, Effect, Event as Heard, ExecutorId, LoadReport, Outcome, ProbeReply};
+use troutknot::{AttemptId, Effect, Event as CoreEvent, ExecutorId, LoadReport, Outcome, ProbeReply};
 
 /// An executor that does not tell yet what became of an allocation is asked again after so long.
 const FENCE_AGAIN: Duration = Duration::from_millis(50);
@@ -37,12 +37,12 @@
 pub struct Executors {
     pub limits: Rc<Limits>,
     pub words: Rc<InForce<Vocabulary>>,
-    pub events: mpsc::Sender<Event>,
+    pub events: mpsc::Sender<NodeEvent>,
     /// Another process of this node, if one runs.
     pub beside: Rc<Beside>,
     hosts: RefCell<SecondaryMap<ExecutorId, Rc<Host>>>,
     open: Rc<Cell<usize>>,
-    rings: Rc<HeldBytes>,
+    rings: Rc<ByteBudget>,
 }
 
 /// One executor as the list last told it.
@@ -99,7 +99,7 @@
 
 /// One push to carry out.
 pub struct Push {
-    pub exchange: Rc<Exchange>,
+    pub in_flight: Rc<InFlightRequest>,
     pub executor: ExecutorId,
     /// Its name, where the allocation goes on record.
     pub name: Option<String>,
@@ -110,7 +110,7 @@
     pub cut: Instant,
     /// Its last byte is written before that, or never.
     pub send_deadline: Instant,
-    pub stop: Rc<Stop>,
+    pub stop: Rc<CancelSignal>,
 }
 
 impl Host {
@@ -152,10 +152,10 @@
     pub fn new(
         limits: Rc<Limits>,
         words: Rc<InForce<Vocabulary>>,
-        events: mpsc::Sender<Event>,
+        events: mpsc::Sender<NodeEvent>,
         beside: Rc<Beside>,
     ) -> Rc<Self> {
-        let rings = HeldBytes::new(limits.executors * 2 * limits.ring);
+        let rings = ByteBudget::new(limits.executors * 2 * limits.ring);
         let (hosts, open) = (RefCell::default(), Rc::default());
         Rc::new(Executors { limits, words, events, beside, hosts, open, rings })
     }
@@ -302,10 +302,15 @@
 
     /// Carries out a push and tells the driver its one outcome.
     pub async fn allocate(self: Rc<Self>, push: Push) {
-        let (request_id, attempt_id) = (push.exchange.request_id, push.attempt_id);
+        let (request_id, attempt_id) = (push.in_flight.request_id, push.attempt_id);
         // Whether that closes the work unit is the driver's to say.
         let ended = |outcome| {
-            Event::Heard(Heard::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: false })
+            NodeEvent::Core(CoreEvent::AttemptEnded {
+                request_id,
+                attempt_id,
+                outcome,
+                is_request_closed: false,
+            })
         };
         let Some(host) = self.host(push.executor) else {
             let _ = self.events.send(ended(Outcome::NotSent)).await;
@@ -315,8 +320,8 @@
         let (mut outcome, rest) = self.run(&host, &push, &mut lease).await;
         if let Some(lease) = &lease {
             let may_have_run = !outcome.never_ran() && outcome != Outcome::Completed;
-            if may_have_run && !push.stop.is_told() {
-                outcome = self.fate(&host, &push.exchange, lease).await.unwrap_or(outcome);
+            if may_have_run && !push.stop.is_cancelled() {
+                outcome = self.fate(&host, &push.in_flight, lease).await.unwrap_or(outcome);
             }
             lease.ended(outcome);
         }
@@ -337,17 +342,17 @@
         push: &Push,
         recorded: &mut Option<Lease>,
     ) -> (Outcome, Option<(Counted, AnswerHead)>) {
-        let exchange = &push.exchange;
+        let in_flight = &push.in_flight;
         let most = self.limits.executors - (self.limits.executors / 16).max(1);
         // Guards against a late second answer that names no work unit and says that nothing ran: it must not
         // speak for what may not run twice.
-        let rerunnable = self.words.now().effect(exchange.work.project_type) == Some(Effect::Idempotent);
+        let rerunnable = self.words.now().effect(in_flight.request.class) == Some(Effect::Idempotent);
         // Guards against a send that was decided long before: while it connects, the grace of its executor
         // may end, its cut may come, its work unit may be over.
         let connection = tokio::select! {
             biased;
-            _ = push.stop.told() => Err(Outcome::NotSent),
-            () = exchange.over() => Err(Outcome::NotSent),
+            _ = push.stop.cancelled() => Err(Outcome::NotSent),
+            () = in_flight.over() => Err(Outcome::NotSent),
             () = host.shut() => Err(Outcome::NotSent),
             () = sleep_until(push.cut) => Err(Outcome::NoConnection),
             () = sleep_until(push.send_deadline) => Err(Outcome::NotSent),
@@ -357,15 +362,15 @@
             Ok(connection) => connection,
             Err(outcome) => return (outcome, None),
         };
-        if let (Some(durable), Some(name)) = (exchange.durable.get(), &push.name) {
+        if let (Some(durable), Some(name)) = (in_flight.durable.get(), &push.name) {
             // Nothing of it is written before it is on record.
             let lease = tokio::select! {
                 biased;
-                _ = push.stop.told() => None,
-                () = exchange.over() => None,
+                _ = push.stop.cancelled() => None,
+                () = in_flight.over() => None,
                 () = host.shut() => None,
                 () = sleep_until(push.send_deadline) => None,
-                lease = durable.lease(exchange.request_id, name, push.cut) => lease,
+                lease = durable.lease(in_flight.request_id, name, push.cut) => lease,
             };
             let Some(lease) = lease else {
                 self.put_back(host, connection);
@@ -380,7 +385,7 @@
         // Guards against work for a start that has passed: while it waited to be carried out, or connected, the
         // list may have told of another start or address, whose cold budget knows nothing of it.
         let other = host.life.get() != push.life;
-        if exchange.is_over() || host.is_shut() || now >= push.send_deadline || stood || other {
+        if in_flight.is_over() || host.is_shut() || now >= push.send_deadline || stood || other {
             self.put_back(host, connection);
             return (Outcome::NotSent, None);
         }
@@ -390,16 +395,16 @@
         }
         let addr = host.addr.get().expect("it was connected to");
         let told = recorded.as_ref().and_then(Lease::told_to_executor);
-        let head = self.words.now().allocation(&exchange.work, addr, push.cut - now, told);
-        let parts: [&[u8]; 2] = [&head, &exchange.work.body];
+        let head = self.words.now().allocation(&in_flight.request, addr, push.cut - now, told);
+        let parts: [&[u8]; 2] = [&head, &in_flight.request.body];
         // Guards against an executor that reads slowly: until the last byte is written the client may leave, the
         // work unit may get its answer, the grace may end, and the window in which a repeat of it would be
         // dropped; what is written in part never runs.
         let written = tokio::select! {
             biased;
             written = connection.write(&parts) => written.is_ok(),
-            _ = push.stop.told() => false,
-            () = exchange.over() => false,
+            _ = push.stop.cancelled() => false,
+            () = in_flight.over() => false,
             () = host.shut() => false,
             () = sleep_until(push.send_deadline) => false,
         };
@@ -410,8 +415,8 @@
         }
         // Guards against work that nobody waits for: where it may run again, breaking it off harms nothing.
         let withdrawn = async {
-            match self.words.now().may_withdraw(exchange.work.project_type) {
-                true => exchange.over().await,
+            match self.words.now().may_withdraw(in_flight.request.class) {
+                true => in_flight.over().await,
                 false => std::future::pending().await,
             }
         };
@@ -419,7 +424,7 @@
             biased;
             read = self.read(&mut connection, push, recorded.as_ref()) => read,
             () = run_out(recorded.as_ref()) => Ok((Outcome::TimedOut, None)),
-            why = push.stop.told() => Ok((why, None)),
+            why = push.stop.cancelled() => Ok((why, None)),
             () = withdrawn => Ok((Outcome::Cancelled, None)),
             () = sleep_until(push.cut) => Ok((Outcome::TimedOut, None)),
         };
@@ -453,7 +458,8 @@
         push: &Push,
         lease: Option<&Lease>,
     ) -> Result<(Outcome, Option<AnswerHead>), Failed> {
-        let (exchange, request_id, attempt_id) = (&push.exchange, push.exchange.request_id, push.attempt_id);
+        let (in_flight, request_id, attempt_id) =
+            (&push.in_flight, push.in_flight.request_id, push.attempt_id);
         let mut head = connection.answer_head().await?;
         lease.iter().for_each(|lease| lease.beat(false));
         if let Some(outcome) = words::taken(&head) {
@@ -465,7 +471,7 @@
         loop {
             let ended = connection.body(&mut head.body, &mut buffer, most, true).await?;
             while let Some(line) = words::next_line(&mut buffer, ended) {
-                let told = words::line(&line, &exchange.work.id).map_err(|why| {
+                let told = words::line(&line, &in_flight.request.id).map_err(|why| {
                     tracing::warn!("executor line not understood: {why}");
                     Failed::Ended
                 })?;
@@ -475,18 +481,18 @@
                         begun = true;
                         let _ = self
                             .events
-                            .try_send(Event::Heard(Heard::AttemptStarted { request_id, attempt_id }));
+                            .try_send(NodeEvent::Core(CoreEvent::AttemptStarted { request_id, attempt_id }));
                     }
                     Line::Progress(share) => {
                         begun = true;
-                        let _ = self.events.try_send(Event::Heard(Heard::AttemptProgressed {
+                        let _ = self.events.try_send(NodeEvent::Core(CoreEvent::AttemptProgressed {
                             request_id,
                             attempt_id,
                             share,
                         }));
                     }
                     Line::Result(result) => {
-                        exchange.answer(Answer::Completed(result));
+                        in_flight.answer(Answer::Completed(result));
                         return Ok((Outcome::Completed, Some(head)));
                     }
                     // Guards against a contradiction: what has begun and is handed back unstarted may have run.
@@ -503,58 +509,58 @@
     /// Finds out what became of an allocation of an earlier life, and tells the driver its one outcome.
     pub async fn settle(
         self: Rc<Self>,
-        exchange: Rc<Exchange>,
+        in_flight: Rc<InFlightRequest>,
         executor: ExecutorId,
         attempt_id: AttemptId,
         lease: Lease,
     ) {
         let fate = match self.host(executor) {
-            Some(host) => self.fate(&host, &exchange, &lease).await,
+            Some(host) => self.fate(&host, &in_flight, &lease).await,
             None => None,
         };
         let outcome = fate.unwrap_or(Outcome::Reset);
         lease.ended(outcome);
-        let ended = Heard::AttemptEnded {
-            request_id: exchange.request_id,
+        let ended = CoreEvent::AttemptEnded {
+            request_id: in_flight.request_id,
             attempt_id,
             outcome,
             is_request_closed: false,
         };
-        let _ = self.events.send(Event::Heard(ended)).await;
+        let _ = self.events.send(NodeEvent::Core(ended)).await;
     }
 
     /// What an allocation came to that may have run, by its executor's word, as long as its work unit is open;
     /// none where it does not know, or nobody can be asked. A lease that ran out frees nothing.
-    async fn fate(&self, host: &Host, exchange: &Exchange, lease: &Lease) -> Option<Outcome> {
+    async fn fate(&self, host: &Host, in_flight: &InFlightRequest, lease: &Lease) -> Option<Outcome> {
         if !lease.fences_known() {
             return None;
         }
         loop {
             let fate = tokio::select! {
                 biased;
-                () = exchange.over() => return None,
-                () = sleep_until(exchange.limit) => return None,
-                fate = timeout(self.limits.times().probe_wait, self.ask_fence(host, exchange, lease)) => fate.ok().flatten(),
+                () = in_flight.over() => return None,
+                () = sleep_until(in_flight.deadline) => return None,
+                fate = timeout(self.limits.times().probe_wait, self.ask_fence(host, in_flight, lease)) => fate.ok().flatten(),
             };
             match fate {
                 Some(Fate::Never) if lease.fenced() => return Some(Outcome::NoConnection),
                 Some(Fate::Done(result)) => {
-                    exchange.answer(Answer::Completed(result));
+                    in_flight.answer(Answer::Completed(result));
                     return Some(Outcome::Completed);
                 }
                 Some(Fate::Never | Fate::Lost) => return None,
                 Some(Fate::Running) | None => {}
             }
             tokio::select! {
-                () = exchange.over() => return None,
+                () = in_flight.over() => return None,
                 () = sleep(FENCE_AGAIN) => {}
             }
         }
     }
 
-    async fn ask_fence(&self, host: &Host, exchange: &Exchange, lease: &Lease) -> Option<Fate> {
+    async fn ask_fence(&self, host: &Host, in_flight: &InFlightRequest, lease: &Lease) -> Option<Fate> {
         let mut connection = self.connect(host, self.limits.executors, false).await.ok()?;
-        let ask = self.words.now().fence(&exchange.work.id, lease.fence, lease.age(), host.addr.get()?);
+        let ask = self.words.now().fence(&in_flight.request.id, lease.fence, lease.age(), host.addr.get()?);
         connection.write(&[&ask]).await.ok()?;
         let mut head = connection.answer_head().await.ok()?;
         let mut body = BytesMut::new();
@@ -583,8 +589,8 @@
         let report = answer.ok().flatten().filter(|_| !is_late);
         let latency = latency.as_secs_f64() * 1000.0;
         let reply = report.map(|report| ProbeReply { latency, report });
-        let probed = Heard::ProbeCompleted { executor, reply };
-        let _ = self.events.send(Event::Heard(probed)).await;
+        let probed = CoreEvent::ProbeCompleted { executor, reply };
+        let _ = self.events.send(NodeEvent::Core(probed)).await;
     }
 
     async fn ask(&self, host: &Host) -> Option<LoadReport> {
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -1,6 +1,6 @@
 //! What nodes tell one another, as datagrams between addresses that the operator's file names. They may be lost,
 //! late, doubled or forged: no rule rests on one, and what is not understood or comes from elsewhere is counted.
-use crate::event::Event;
+use crate::event::NodeEvent;
 use crate::words::{InForce, Vocabulary};
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
@@ -9,18 +9,18 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
-use troutknot::{Event as Heard, GossipMessage};
+use troutknot::{Event as CoreEvent, GossipMessage};
 use troutknot_gossip::{ClassNames, MAX_MESSAGE_BYTES, decode, encode};
 
 /// What was passed over is said in the log once in so long.
 const SAID_EVERY: Duration = Duration::from_secs(10);
 
-pub struct Peers {
+pub struct GossipSocket {
     socket: UdpSocket,
     others: Vec<SocketAddr>,
 }
 
-impl Peers {
+impl GossipSocket {
     /// Where `shared`, the process before this one may still have the address; each datagram then comes to one.
     ///
     /// # Errors
@@ -35,11 +35,14 @@
         };
         let socket = bound();
         let socket = socket.map_err(|e| format!("`peers.listen`: cannot listen at {at}: {e}"))?;
-        Ok(Rc::new(Peers { socket, others: others.into_iter().filter(|other| *other != at).collect() }))
+        Ok(Rc::new(GossipSocket {
+            socket,
+            others: others.into_iter().filter(|other| *other != at).collect(),
+        }))
     }
 
     /// Tells all others. What finds no room on its way is dropped, as any of it may be.
-    pub fn tell(&self, said: GossipMessage, types: ClassNames) {
+    pub fn broadcast(&self, said: GossipMessage, types: ClassNames) {
         let bytes = encode(said, types);
         for other in &self.others {
             let _ = self.socket.try_send_to(&bytes, *other);
@@ -47,7 +50,7 @@
     }
 
     /// Hears the others until the node ends.
-    pub async fn hear(self: Rc<Self>, words: Rc<InForce<Vocabulary>>, events: mpsc::Sender<Event>) {
+    pub async fn receive(self: Rc<Self>, words: Rc<InForce<Vocabulary>>, events: mpsc::Sender<NodeEvent>) {
         // One byte over the most shows what is longer.
         let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
         let (mut passed_over, mut said) = (0u64, Instant::now() - SAID_EVERY);
@@ -61,7 +64,7 @@
             match decode(&bytes[..length], words.now().type_names()).filter(|_| known) {
                 Some(heard) => {
                     // Guards against a crowd of messages: with no room for one, it is lost like any other.
-                    let _ = events.try_send(Event::Heard(Heard::GossipReceived(heard)));
+                    let _ = events.try_send(NodeEvent::Core(CoreEvent::GossipReceived(heard)));
                 }
                 None => {
                     passed_over += 1;
@@ -77,9 +80,6 @@
     }
 }
 
-#[tokio::test]
-async fn only_a_next_process_shares_an_address() {
-    let free = std::net::UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).unwrap();
-    let _first = Peers::listen(free, Vec::new(), true).expect("it is free");
-    assert!(Peers::listen(free, Vec::new(), true).is_ok() && Peers::listen(free, Vec::new(), false).is_err());
-}
+#[cfg(test)]
+#[path = "../tests/unit/gossip.rs"]
+mod tests;
--- a/crates/daemon/src/hot_restart/mod.rs
+++ b/crates/daemon/src/hot_restart/mod.rs
@@ -5,11 +5,11 @@
 pub mod inherited_socket;
 
 use crate::clients::Clients;
-use crate::event::{Asked, Event};
+use crate::event::{CallOrigin, NodeEvent};
 use crate::executors::Executors;
-use crate::lifecycle::{Stage, Stages, Way};
+use crate::lifecycle::{Lifecycle, LifecycleState, Shutdown};
 use crate::limits::Limits;
-use codec::{Bounds, Holds, Inherited, Message};
+use codec::{Bounds, Inherited, Message, Usage};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
@@ -40,11 +40,11 @@
     waiting: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
     next: Cell<u64>,
     /// What the other one has open.
-    other: Cell<Holds>,
+    other: Cell<Usage>,
 }
 
 impl Beside {
-    pub fn other(&self) -> Holds {
+    pub fn other(&self) -> Usage {
         self.other.get()
     }
 
@@ -77,7 +77,7 @@
 
     fn unlink(&self) {
         self.link.replace(None);
-        self.other.set(Holds::default());
+        self.other.set(Usage::default());
         self.waiting.borrow_mut().drain().for_each(|(_, done)| _ = done.send(true));
     }
 }
@@ -114,10 +114,10 @@
 
 async fn next(read: &mut BufReader<OwnedReadHalf>) -> Result<Message, String> {
     let mut line = Vec::new();
-    let most = codec::MOST_LINE as u64;
+    let most = codec::MAX_LINE_BYTES as u64;
     read.take(most).read_until(b'\n', &mut line).await.map_err(|e| e.to_string())?;
     match line.last() {
-        Some(b'\n') => codec::read(&line),
+        Some(b'\n') => codec::read(&line).map_err(|error| error.to_string()),
         _ if line.len() as u64 == most => Err("a line is too long".into()),
         _ => Err("it ended".into()),
     }
@@ -151,7 +151,7 @@
         let hello = Message::Hello { form: codec::FORM, name: name.to_string() };
         link.say(&hello).await.map_err(|e| e.to_string())?;
         let mut inherited = Inherited::default();
-        while !inherited.take(link.next().await?, name, bounds)? {}
+        while !inherited.take(link.next().await?, name, bounds).map_err(|error| error.to_string())? {}
         Ok((inherited, link))
     };
     let told = timeout(ASK_WAIT, told).await.unwrap_or_else(|_| Err("it says nothing".to_string()));
@@ -162,9 +162,9 @@
     tracing::info!(
         "taken over: {} executors listed, {} of them out by hand, {} ids, drained {}",
         inherited.entries.len(),
-        inherited.out.len(),
+        inherited.excluded.len(),
         inherited.ids.len(),
-        inherited.drained
+        inherited.is_drained
     );
     Some((inherited, link))
 }
@@ -175,8 +175,8 @@
     pub place: PathBuf,
     pub beside: Rc<Beside>,
     pub limits: Rc<Limits>,
-    pub events: mpsc::Sender<Event>,
-    pub stages: Rc<Stages>,
+    pub events: mpsc::Sender<NodeEvent>,
+    pub lifecycle: Rc<Lifecycle>,
     pub clients: Rc<Clients>,
     pub executors: Rc<Executors>,
     /// Where a next process asks, once the one before this one leaves.
@@ -195,9 +195,9 @@
             Ok(listener) => listener,
             Err(e) => return tracing::warn!("nothing can be handed over to a next process: {e}"),
         };
-        let mut stage = self.stages.watch();
-        let (stages, place) = (self.stages.clone(), self.place.clone());
-        let ends = |_: &Stage| stages.life().way != Way::None;
+        let mut stage = self.lifecycle.watch();
+        let (lifecycle, place) = (self.lifecycle.clone(), self.place.clone());
+        let ends = |_: &LifecycleState| lifecycle.facts().shutdown != Shutdown::None;
         loop {
             let stream = tokio::select! {
                 biased;
@@ -223,8 +223,8 @@
 
     /// The newer process says when it takes clients.
     async fn say_ready(self: Rc<Self>) {
-        let mut stage = self.stages.watch();
-        if stage.wait_for(|stage| *stage != Stage::Starting).await.is_ok() {
+        let mut stage = self.lifecycle.watch();
+        if stage.wait_for(|stage| *stage != LifecycleState::Starting).await.is_ok() {
             self.beside.say(Message::Ready);
         }
     }
@@ -238,8 +238,8 @@
         }
         tracing::info!("a next process has started, it is told what this one knows");
         self.go_on(link, true).await;
-        self.stages.change(|life| life.yielded = false);
-        if self.stages.life().way == Way::None {
+        self.lifecycle.update(|facts| facts.has_yielded = false);
+        if self.lifecycle.facts().shutdown == Shutdown::None {
             tracing::warn!("the next process has ended, this one goes on");
         }
     }
@@ -248,21 +248,21 @@
     async fn go_on(self: &Rc<Self>, link: Link, older: bool) {
         let (say_it, to_say) = mpsc::channel(QUEUE);
         self.beside.link.replace(Some(say_it));
-        let _ = self.events.send(Event::Beside(true)).await;
+        let _ = self.events.send(NodeEvent::SiblingChanged(true)).await;
         if older {
             self.beside.say(Message::Hello { form: codec::FORM, name: self.name.clone() });
             let ids = self.clients.ids_lately();
             codec::in_lines(&ids, |ids| Message::Ids { ids }).into_iter().for_each(|m| self.beside.say(m));
             // The rest is the driver's to tell, in order with what changes.
-            let _ = self.events.send(Event::HandOver).await;
+            let _ = self.events.send(NodeEvent::ExportState).await;
         }
         let Link { mut read, write } = link;
         let (said, heard, holds) =
             (write_all(to_say, write), self.hear_all(&mut read, older), self.say_holds());
         let leaving = async {
             if older {
-                let mut stage = self.stages.watch();
-                let ends = |_: &Stage| self.stages.life().way != Way::None;
+                let mut stage = self.lifecycle.watch();
+                let ends = |_: &LifecycleState| self.lifecycle.facts().shutdown != Shutdown::None;
                 if stage.wait_for(ends).await.is_ok() {
                     // The next process is the one that a further one asks.
                     let _ = std::fs::remove_file(&self.place);
@@ -280,23 +280,23 @@
         tracing::debug!("the other process is gone: {why}");
         self.beside.unlink();
         // What it held has gone with it, however it ended.
-        self.clients.set_elsewhere(Holds::default());
-        let _ = self.events.send(Event::Beside(false)).await;
+        self.clients.set_sibling_usage(Usage::default());
+        let _ = self.events.send(NodeEvent::SiblingChanged(false)).await;
     }
 
     async fn say_holds(&self) {
-        let mut told = Holds::default();
+        let mut told = Usage::default();
         loop {
-            let holds = Holds {
+            let holds = Usage {
                 clients: self.clients.connections(),
                 executors: self.executors.connections(),
-                bytes: self.clients.held.held(),
-                rings: self.clients.rings.held(),
-                slow_bodies: self.clients.slow_bodies.held(),
+                bytes: self.clients.held.used(),
+                rings: self.clients.rings.used(),
+                slow_bodies: self.clients.slow_bodies.used(),
             };
             if holds != told {
                 told = holds;
-                self.beside.say(Message::Holds(holds));
+                self.beside.say(Message::Usage(holds));
             }
             sleep(HOLDS_EVERY).await;
         }
@@ -317,23 +317,24 @@
 
     async fn hear(self: &Rc<Self>, message: Message, older: bool) -> Result<(), ()> {
         match message {
-            Message::LeaveOut { executor, out, number } => {
-                let event = Event::LeaveOut { executor, out, asked: Asked::ByOther(number) };
+            Message::SetExcluded { executor, is_excluded, number } => {
+                let event =
+                    NodeEvent::SetExcluded { executor, is_excluded, origin: CallOrigin::Sibling(number) };
                 self.events.send(event).await.map_err(|_| ())?;
             }
             Message::Drained { drained, number } => {
-                crate::management::drain(&self.stages, self.limits.drain_settle, drained, true);
-                self.beside.say(Message::Done { number });
+                crate::management::drain(&self.lifecycle, self.limits.drain_settle, drained, true);
+                self.beside.say(Message::Acknowledged { number });
             }
-            Message::Done { number } => self.beside.done(number),
+            Message::Acknowledged { number } => self.beside.done(number),
             Message::Ids { ids } => self.clients.taken_elsewhere(&ids),
-            Message::Holds(holds) => {
+            Message::Usage(holds) => {
                 self.beside.other.set(holds);
-                self.clients.set_elsewhere(holds);
+                self.clients.set_sibling_usage(holds);
             }
             Message::Ready if older => {
                 tracing::info!("the next process takes clients from now on");
-                self.stages.change(|life| life.yielded = true);
+                self.lifecycle.update(|facts| facts.has_yielded = true);
             }
             Message::Leaving if !older => {
                 tracing::info!("the process before this one was asked to end");
--- a/crates/daemon/src/http1.rs
+++ b/crates/daemon/src/http1.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 on a connection: heads, framing, and the socket with its two rings. What the heads mean to the
 //! dispatcher stands in `words.rs`.
-use crate::byte_budget::HeldBytes;
-use crate::ring_buffer::Ring;
+use crate::byte_budget::ByteBudget;
+use crate::ring_buffer::RingBuffer;
 use bytes::{Bytes, BytesMut};
 use std::fmt;
 use std::io;
@@ -157,7 +157,7 @@
     /// Moves what has come of the body from the ring to `out`, which may hold `most`; true with its end.
     ///
     /// Framing that is broken, or more than `most`, is an error.
-    pub fn take(&mut self, input: &mut Ring, out: &mut BytesMut, most: usize) -> Result<bool, Bad> {
+    pub fn take(&mut self, input: &mut RingBuffer, out: &mut BytesMut, most: usize) -> Result<bool, Bad> {
         loop {
             let bytes = input.bytes();
             let have = bytes.len();
@@ -291,17 +291,22 @@
 /// A socket with its two rings.
 pub struct Connection {
     stream: TcpStream,
-    input: Ring,
-    output: Ring,
+    input: RingBuffer,
+    output: RingBuffer,
     /// So many bytes that came ahead were dropped.
     dropped: usize,
 }
 
 impl Connection {
-    pub fn new(stream: TcpStream, ring: usize, held: &Rc<HeldBytes>) -> Self {
+    pub fn new(stream: TcpStream, ring: usize, held: &Rc<ByteBudget>) -> Self {
         // Messages are small and waited for; one that the system refuses this is served all the same.
         let _ = stream.set_nodelay(true);
-        Connection { stream, input: Ring::new(ring, held), output: Ring::new(ring, held), dropped: 0 }
+        Connection {
+            stream,
+            input: RingBuffer::new(ring, held),
+            output: RingBuffer::new(ring, held),
+            dropped: 0,
+        }
     }
 
     /// Waits for more bytes; 0 says that the other side has ended its sending.
--- a/crates/daemon/src/in_flight.rs
+++ b/crates/daemon/src/in_flight.rs
@@ -1,6 +1,6 @@
-//! One work unit between the client that asked and the executors that may run it: the only place where the
-//! client side and the executor side meet.
-use crate::byte_budget::HeldBytes;
+//! One request between the client that asked and the executors that may run it: the only place where the client
+//! side and the executor side meet.
+use crate::byte_budget::ByteBudget;
 use crate::durable::Durable;
 use bytes::Bytes;
 use std::cell::{Cell, OnceCell, RefCell};
@@ -10,7 +10,7 @@
 use troutknot::{Millis, Outcome, RequestClassId, RequestId, TenantId};
 
 /// What a client handed in.
-pub struct Work {
+pub struct ClientRequest {
     /// The id that the client gave, which goes on unchanged.
     pub id: String,
     /// By which its client asks for it again, where it is taken durably.
@@ -20,52 +20,39 @@
     /// The header lines that go on unchanged.
     pub fields: Bytes,
     pub body: Bytes,
-    pub project_type: RequestClassId,
-    pub customer: TenantId,
+    pub class: RequestClassId,
+    pub tenant: TenantId,
     pub slots: f64,
     pub memory: f64,
-    pub again: bool,
-}
-
-#[cfg(test)]
-impl Work {
-    pub fn of(id: &str, size: usize) -> Self {
-        Work {
-            id: id.into(),
-            key: None,
-            method: "POST".into(),
-            target: "/render".into(),
-            fields: Bytes::new(),
-            body: vec![b'x'; size].into(),
-            project_type: RequestClassId(0),
-            customer: TenantId(0),
-            slots: 1.0,
-            memory: 0.0,
-            again: false,
-        }
-    }
+    /// Whether the client has asked before.
+    pub is_retry: bool,
 }
 
 /// The final answer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
+    /// The result.
     Completed(Bytes),
-    Deferred(Option<Millis>),
-    Aborted,
+    /// Not served; after how long the client may ask again, where that is said.
+    Rejected(Option<Millis>),
+    /// Failed, and perhaps run.
+    Failed,
 }
 
-pub struct Exchange {
+/// A request that is open, or over with an attempt still in flight. Its bytes count against a budget until it is
+/// dropped.
+pub struct InFlightRequest {
     pub request_id: RequestId,
-    pub work: Work,
+    pub request: ClientRequest,
     /// When it must have its final answer.
-    pub limit: Instant,
-    /// Set where it is on record; each allocation is then recorded before it is sent.
+    pub deadline: Instant,
+    /// Set where it is on record; each attempt is then recorded before it is sent.
     pub durable: OnceCell<Rc<Durable>>,
     state: RefCell<State>,
-    changed: Notify,
+    answered: Notify,
     over: Notify,
-    held: Rc<HeldBytes>,
-    own_bytes: usize,
+    budget: Rc<ByteBudget>,
+    reserved_bytes: usize,
 }
 
 enum State {
@@ -75,21 +62,26 @@
     Closed,
 }
 
-impl Exchange {
-    /// None where the bytes of this work unit do not fit beside what is held.
-    pub fn new(request_id: RequestId, work: Work, limit: Instant, held: &Rc<HeldBytes>) -> Option<Rc<Self>> {
-        let own_bytes = work.fields.len() + work.body.len();
-        held.take(own_bytes).then(|| {
-            Rc::new(Exchange {
+impl InFlightRequest {
+    /// None where the bytes of this request do not fit into the budget.
+    pub fn new(
+        request_id: RequestId,
+        request: ClientRequest,
+        deadline: Instant,
+        budget: &Rc<ByteBudget>,
+    ) -> Option<Rc<Self>> {
+        let reserved_bytes = request.fields.len() + request.body.len();
+        budget.try_reserve(reserved_bytes).then(|| {
+            Rc::new(InFlightRequest {
                 request_id,
-                work,
-                limit,
+                request,
+                deadline,
                 durable: OnceCell::new(),
                 state: RefCell::new(State::Open),
-                changed: Notify::new(),
+                answered: Notify::new(),
                 over: Notify::new(),
-                held: held.clone(),
-                own_bytes,
+                budget: budget.clone(),
+                reserved_bytes,
             })
         })
     }
@@ -97,33 +89,34 @@
     /// Gives the final answer; only the first one counts, and only while the client is there.
     pub fn answer(&self, answer: Answer) -> bool {
         let mut state = self.state.borrow_mut();
-        let first = matches!(*state, State::Open);
-        if first {
+        let is_first = matches!(*state, State::Open);
+        if is_first {
             *state = State::Answered(answer);
-            self.changed.notify_one();
+            self.answered.notify_one();
             self.over.notify_waiters();
         }
-        first
+        is_first
     }
 
     /// The client left, or will be told by its own side; nothing more is owed. False where it was over.
     pub fn close(&self) -> bool {
-        let was = std::mem::replace(&mut *self.state.borrow_mut(), State::Closed);
+        let before = std::mem::replace(&mut *self.state.borrow_mut(), State::Closed);
         self.over.notify_waiters();
-        matches!(was, State::Open)
+        matches!(before, State::Open)
     }
 
+    /// Whether there is an answer, or the client left.
     pub fn is_over(&self) -> bool {
         !matches!(*self.state.borrow(), State::Open)
     }
 
-    /// Waits for the final answer and takes it away; for the client side alone.
+    /// Waits for the final answer; for the client side alone.
     pub async fn answered(&self) -> Answer {
         loop {
             if let State::Answered(answer) = &*self.state.borrow() {
                 return answer.clone();
             }
-            self.changed.notified().await;
+            self.answered.notified().await;
         }
     }
 
@@ -136,55 +129,41 @@
     }
 }
 
-/// Tells an allocation that it must end, and how.
+impl Drop for InFlightRequest {
+    fn drop(&mut self) {
+        self.budget.release(self.reserved_bytes);
+    }
+}
+
+/// Tells one attempt that it must end, and with which outcome.
 #[derive(Default)]
-pub struct Stop {
-    why: Cell<Option<Outcome>>,
-    told: Notify,
+pub struct CancelSignal {
+    outcome: Cell<Option<Outcome>>,
+    changed: Notify,
 }
 
-impl Stop {
-    pub fn tell(&self, why: Outcome) {
-        self.why.set(Some(why));
-        self.told.notify_waiters();
+impl CancelSignal {
+    pub fn cancel(&self, outcome: Outcome) {
+        self.outcome.set(Some(outcome));
+        self.changed.notify_waiters();
     }
 
-    pub fn is_told(&self) -> bool {
-        self.why.get().is_some()
+    pub fn is_cancelled(&self) -> bool {
+        self.outcome.get().is_some()
     }
 
     /// Waits until it is told; it may be asked any number of times.
-    pub async fn told(&self) -> Outcome {
+    pub async fn cancelled(&self) -> Outcome {
         loop {
-            let told = self.told.notified();
-            if let Some(why) = self.why.get() {
-                return why;
+            let changed = self.changed.notified();
+            if let Some(outcome) = self.outcome.get() {
+                return outcome;
             }
-            told.await;
+            changed.await;
         }
     }
 }
 
-impl Drop for Exchange {
-    fn drop(&mut self) {
-        self.held.give_back(self.own_bytes);
-    }
-}
-
-#[tokio::test]
-async fn the_first_answer_counts_and_none_after_the_client_left() {
-    let held = HeldBytes::new(10);
-    let make = |bytes: usize| {
-        let work = Work::of("1", bytes);
-        Exchange::new(RequestId(1), work, Instant::now(), &held)
-    };
-    let exchange = make(8).unwrap();
-    assert!(make(3).is_none(), "what is held is bounded");
-    assert!(exchange.answer(Answer::Aborted) && !exchange.answer(Answer::Deferred(None)));
-    assert_eq!(exchange.answered().await, Answer::Aborted);
-    exchange.over().await;
-    drop(exchange);
-    let left = make(10).unwrap();
-    assert!(left.close() && left.is_over() && !left.answer(Answer::Aborted));
-    left.over().await;
-}
+#[cfg(test)]
+#[path = "../tests/unit/in_flight.rs"]
+mod tests;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -3,7 +3,6 @@
 mod briefing;
 mod byte_budget;
 mod clients;
-mod clock;
 mod driver;
 mod durable;
 mod event;
@@ -24,19 +23,18 @@
 
 use briefing::{Briefing, Own, Retuned, Understood, stated};
 use clients::Clients;
-use clock::Clock;
 use driver::{Driver, Follow};
 use durable::Durable;
-use event::Event;
+use event::NodeEvent;
 use executors::Executors;
-use gossip::Peers;
+use gossip::GossipSocket;
 use hot_restart::{Beside, Handover, codec::Bounds, inherited_socket};
-use lifecycle::{Drain, Stages, Way};
+use lifecycle::{Drain, Lifecycle, Shutdown};
 use limits::{Limits, Stated};
 use lists::{Told, ToldList, merge::Merge};
 use management::Management;
 use operator::{Durably, OperatorFile, Source};
-use retention::Selection;
+use retention::EndpointRetention;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -49,6 +47,7 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing_appender::non_blocking::NonBlockingBuilder;
 use troutknot::{Dispatcher, ListUpdate};
+use troutknot_clock::Clock;
 use troutknot_configuration::IdCatalog;
 use troutknot_membership::Retention;
 use words::{InForce, List, Vocabulary};
@@ -152,7 +151,8 @@
     let own_path = OperatorFile::named();
     let file = own_path.as_deref().map(OperatorFile::read).transpose()?.unwrap_or_default();
     file.fits(&settings)?;
-    let peers = file.peers.clone().map(|p| Peers::listen(p.listen, p.nodes, passed.is_some())).transpose()?;
+    let peers =
+        file.peers.clone().map(|p| GossipSocket::listen(p.listen, p.nodes, passed.is_some())).transpose()?;
     let limits = Rc::new(Limits::of(&Stated {
         memory_mb: told.limits.memory_mb,
         sockets: told.limits.sockets,
@@ -175,7 +175,7 @@
     let clock = Clock::start();
     let beside: Rc<Beside> = Rc::default();
     let place = was_passed.then(|| hot_restart::meeting_place(&told.name)).flatten();
-    let bounds = Bounds { known: limits.listed, ids: 2 * limits.past_ids };
+    let bounds = Bounds { executors: limits.listed, ids: 2 * limits.past_ids };
     let older = match &place {
         Some(place) => hot_restart::ask(place, &told.name, bounds).await,
         None => None,
@@ -188,7 +188,7 @@
         told.known = Some(List { version: version.unwrap_or(0), full: true, entries, beyond: 0 });
     }
     let (events, told_events) = mpsc::channel(limits.events);
-    let stages = Rc::new(Stages::new());
+    let lifecycle = Rc::new(Lifecycle::new());
     let follow: Rc<Follow> = Rc::default();
     let executors = Executors::new(limits.clone(), words.clone(), events.clone(), beside.clone());
     let status: Rc<RefCell<String>> = Rc::default();
@@ -196,7 +196,7 @@
         limits.clone(),
         words.clone(),
         events.clone(),
-        stages.watch(),
+        lifecycle.watch(),
         status.clone(),
         file.durable.clone(),
         beside.clone(),
@@ -207,11 +207,11 @@
         let held =
             if older.is_some() { Err("the process before this one has it".into()) } else { ledger.open() };
         match held {
-            Ok(durable) => take_durably(durable, &clients, &stages),
+            Ok(durable) => take_durably(durable, &clients, &lifecycle),
             Err(why) if !was_passed => return Err(why),
             Err(_) => {
                 clients.number_from(clock.now().max(0.0) as u64 * 1000);
-                spawn_local(ledger.wait(clients.clone(), stages.clone()));
+                spawn_local(ledger.wait(clients.clone(), lifecycle.clone()));
             }
         }
     }
@@ -223,12 +223,12 @@
         executors.clone(),
         follow.clone(),
         told_events,
-        stages.clone(),
+        lifecycle.clone(),
     );
     driver.peers = peers.clone();
-    driver.selection = Selection::new(&told.name, limits.known, limits.left_out);
+    driver.retention = EndpointRetention::new(&told.name, limits.known, limits.left_out);
     if let Some(peers) = peers {
-        spawn_local(peers.hear(words.clone(), events.clone()));
+        spawn_local(peers.receive(words.clone(), events.clone()));
     }
     let version = told.known.as_ref().map(|known| known.version);
     // A platform's list that is followed alone goes on from its version, and needs no second copy of it.
@@ -237,14 +237,14 @@
     let before = before.map_or(Vec::new(), |known| known.entries.clone());
     if let Some(known) = told.known.take() {
         if let Some(inherited) = &mut inherited {
-            driver.leave_out(std::mem::take(&mut inherited.out));
+            driver.leave_out(std::mem::take(&mut inherited.excluded));
         }
-        driver.tell(clock.now(), Event::List(ToldList::of(ListUpdate::Cached, known)));
+        driver.tell(clock.now(), NodeEvent::ListReceived(ToldList::of(ListUpdate::Cached, known)));
     }
     if let Some(mut inherited) = inherited {
         clients.taken_elsewhere(&inherited.ids);
-        if inherited.drained {
-            stages.change(|life| (life.drain, life.inherited) = (Drain::Settled, true));
+        if inherited.is_drained {
+            lifecycle.update(|facts| (facts.drain, facts.is_drain_inherited) = (Drain::Settled, true));
         }
         inherited.ids = Vec::new();
         driver.take_over(clock.now(), inherited);
@@ -302,7 +302,7 @@
         let at = listener.local_addr().map_err(|e| format!("no address to be called at: {e}"))?;
         tracing::info!("operators call at {at}");
         spawn_local(
-            Management::new(limits.clone(), events.clone(), stages.clone(), beside.clone(), figures)
+            Management::new(limits.clone(), events.clone(), lifecycle.clone(), beside.clone(), figures)
                 .accept(listener),
         );
     }
@@ -313,7 +313,7 @@
             beside,
             limits: limits.clone(),
             events: events.clone(),
-            stages: stages.clone(),
+            lifecycle: lifecycle.clone(),
             clients: clients.clone(),
             executors: executors.clone(),
             bound: RefCell::default(),
@@ -331,15 +331,15 @@
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             () = &mut unlisted, if !unlisted.is_elapsed() => {
-                if !stages.life().listed {
+                if !lifecycle.facts().is_listed {
                     tracing::warn!("no word from the list yet, serving by the one held before");
-                    stages.change(|life| life.listed = true);
+                    lifecycle.update(|facts| facts.is_listed = true);
                 }
             }
         }
     }
     tracing::info!("asked to end, {} connections from clients", clients.connections());
-    let ending = end(&limits, &clients, &stages, &events, was_passed);
+    let ending = end(&limits, &clients, &lifecycle, &events, was_passed);
     tokio::select! {
         _ = &mut driver => Err("the driver has ended".into()),
         () = ending => Ok(()),
@@ -347,9 +347,9 @@
 }
 
 /// Takes durable work from now on, and takes up what is open on record.
-fn take_durably(durable: Rc<Durable>, clients: &Clients, stages: &Stages) {
+fn take_durably(durable: Rc<Durable>, clients: &Clients, lifecycle: &Lifecycle) {
     clients.open_ledger(durable.clone());
-    spawn_local(durable.clone().recover(stages.watch(), clients.held.clone()));
+    spawn_local(durable.clone().recover(lifecycle.watch(), clients.held.clone()));
     spawn_local(durable.forget());
 }
 
@@ -359,7 +359,7 @@
     limits: Rc<Limits>,
     clock: Clock,
     words: Rc<InForce<Vocabulary>>,
-    events: mpsc::Sender<Event>,
+    events: mpsc::Sender<NodeEvent>,
 }
 
 impl OpenLedger {
@@ -368,13 +368,13 @@
     }
 
     /// Opens it once the process before this one has ended; until then durable work is deferred.
-    async fn wait(self, clients: Rc<Clients>, stages: Rc<Stages>) {
+    async fn wait(self, clients: Rc<Clients>, lifecycle: Rc<Lifecycle>) {
         tracing::info!("durable work is deferred until the process before this one has ended");
         let mut said = String::new();
         loop {
             sleep(LEDGER_AGAIN).await;
             match self.open() {
-                Ok(durable) => return take_durably(durable, &clients, &stages),
+                Ok(durable) => return take_durably(durable, &clients, &lifecycle),
                 Err(why) if why != said => {
                     tracing::info!("not yet: {why}");
                     said = why;
@@ -397,12 +397,13 @@
 async fn end(
     limits: &Limits,
     clients: &Clients,
-    stages: &Stages,
-    events: &mpsc::Sender<Event>,
+    lifecycle: &Lifecycle,
+    events: &mpsc::Sender<NodeEvent>,
     passed: bool,
 ) {
     let (asked, times) = (Instant::now(), limits.times());
-    stages.change(|life| life.way = if passed { Way::Passed } else { Way::Out });
+    lifecycle
+        .update(|facts| facts.shutdown = if passed { Shutdown::HandedOver } else { Shutdown::Requested });
     // Until then after the signal, or until nobody is connected. Guards against a connection that came up just
     // before it was counted and is yet to be accepted: nobody must be seen twice, with a turn to accept between.
     let wait = async |until: Duration| {
@@ -416,18 +417,18 @@
         // Another process takes what still comes.
         wait(times.linger).await;
     } else {
-        let mut staged = stages.watch();
+        let mut staged = lifecycle.watch();
         let _ = timeout(times.linger, staged.wait_for(|stage| stage.closes_idle())).await;
     }
-    stages.change(|life| life.way = Way::Closing);
+    lifecycle.update(|facts| facts.shutdown = Shutdown::Closing);
     wait(times.cut_after).await;
     if clients.connections() > 0 {
-        let _ = events.send(Event::OutOfTime).await;
+        let _ = events.send(NodeEvent::CancelInFlight).await;
         wait(times.end_after).await;
     }
     let left = clients.connections();
     if left > 0 {
-        let _ = events.send(Event::End).await;
+        let _ = events.send(NodeEvent::ShutDown).await;
         wait(times.end_after + limits.last_words).await;
     }
     tracing::info!("ended with {left} connections still open");
--- a/crates/daemon/src/lists/consul.rs
+++ b/crates/daemon/src/lists/consul.rs
@@ -1,7 +1,6 @@
 //! Follows Consul: a task for each watched service, which asks the agents in turn, and one for what the roster
 //! does by itself. What a roster says becomes changes of the list, told like the platform's.
-use crate::byte_budget::HeldBytes;
-use crate::clock::Clock;
+use crate::byte_budget::ByteBudget;
 use crate::http1::{Connection, Failed};
 use crate::limits::Limits;
 use crate::lists::{Told, ToldList};
@@ -18,6 +17,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
+use troutknot_clock::Clock;
 use troutknot_consul::blocking::{Blocking, Head, Watched};
 use troutknot_consul::health::{Bounds, Health, Member, Reader, Start};
 use troutknot_consul::roster::{Change, Notice, Roster, State, WatchNumber};
@@ -188,7 +188,7 @@
             let stream =
                 stream.map_err(|_| "no connection in time".to_string())?.map_err(|e| e.to_string())?;
             let mut connection =
-                Connection::new(stream, self.limits.ring, &HeldBytes::new(2 * self.limits.ring));
+                Connection::new(stream, self.limits.ring, &ByteBudget::new(2 * self.limits.ring));
             let token = asks.token.as_ref().map_or(String::new(), |t| format!("X-Consul-Token: {t}\r\n"));
             let ask = format!(
                 "GET {} HTTP/1.1\r\nHost: {addr}\r\n{token}Connection: close\r\n\r\n",
--- a/crates/daemon/src/lists/mod.rs
+++ b/crates/daemon/src/lists/mod.rs
@@ -4,7 +4,7 @@
 pub mod platform;
 pub mod reader;
 
-use crate::event::Event;
+use crate::event::NodeEvent;
 use crate::words::{Entry, List};
 use merge::Merge;
 use std::cell::RefCell;
@@ -42,18 +42,18 @@
 /// Where a source tells what it has; with several, what follows from all of them is told on.
 #[derive(Clone)]
 pub struct Told {
-    events: mpsc::Sender<Event>,
+    events: mpsc::Sender<NodeEvent>,
     merge: Option<(usize, Rc<RefCell<Merge>>)>,
 }
 
 impl Told {
     /// For the only source.
-    pub fn alone(events: mpsc::Sender<Event>) -> Self {
+    pub fn alone(events: mpsc::Sender<NodeEvent>) -> Self {
         Told { events, merge: None }
     }
 
     /// For each of several sources, by its place in the order.
-    pub fn among(events: mpsc::Sender<Event>, place: usize, merge: &Rc<RefCell<Merge>>) -> Self {
+    pub fn among(events: mpsc::Sender<NodeEvent>, place: usize, merge: &Rc<RefCell<Merge>>) -> Self {
         Told { events, merge: Some((place, merge.clone())) }
     }
 
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// Once the node ends.
-    pub async fn event(&self, event: Event) -> Result<(), String> {
+    pub async fn event(&self, event: NodeEvent) -> Result<(), String> {
         self.events.send(event).await.map_err(|_| "the node ends".to_string())
     }
 
@@ -69,17 +69,17 @@
     ///
     /// # Errors
     /// Once the node ends.
-    pub async fn room(&self) -> Result<mpsc::Permit<'_, Event>, String> {
+    pub async fn room(&self) -> Result<mpsc::Permit<'_, NodeEvent>, String> {
         self.events.reserve().await.map_err(|_| "the node ends".to_string())
     }
 
     /// What to tell of a list, or of changes to it.
-    pub fn list(&self, list: ToldList) -> Event {
+    pub fn list(&self, list: ToldList) -> NodeEvent {
         match &self.merge {
-            None => Event::List(list),
+            None => NodeEvent::ListReceived(list),
             Some((place, merge)) => {
                 let changes = merge.borrow_mut().take(*place, list.kind, list.entries);
-                Event::List(ToldList::changes(changes))
+                NodeEvent::ListReceived(ToldList::changes(changes))
             }
         }
     }
--- a/crates/daemon/src/lists/platform.rs
+++ b/crates/daemon/src/lists/platform.rs
@@ -1,7 +1,7 @@
 //! Follows the list of executors: one watch at a time, opened when the dispatcher asks for it.
-use crate::byte_budget::HeldBytes;
+use crate::byte_budget::ByteBudget;
 use crate::driver::Follow;
-use crate::event::Event;
+use crate::event::NodeEvent;
 use crate::http1::{Bad, Connection, Failed};
 use crate::limits::Limits;
 use crate::lists::reader::{self, ListReader, ReadBounds};
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout, timeout_at};
-use troutknot::{Event as Heard, ListUpdate};
+use troutknot::{Event as CoreEvent, ListUpdate};
 use troutknot_membership::Retention;
 
 /// So many watches in a row must show an older list before it is taken for a new count of versions.
@@ -117,7 +117,7 @@
             tracing::warn!("watch of the list broke off: {why}");
             if self
                 .told
-                .event(Event::Heard(Heard::EndpointWatchLost { is_rejected: turned_away }))
+                .event(NodeEvent::Core(CoreEvent::EndpointWatchLost { is_rejected: turned_away }))
                 .await
                 .is_err()
             {
@@ -135,7 +135,7 @@
             let stream = timeout(self.limits.times().connect_wait, TcpStream::connect(discovery)).await;
             let stream = stream.map_err(silent)?.map_err(|e| e.to_string())?;
             let mut connection =
-                Connection::new(stream, self.limits.ring, &HeldBytes::new(2 * self.limits.ring));
+                Connection::new(stream, self.limits.ring, &ByteBudget::new(2 * self.limits.ring));
             let after = versions.known.filter(|_| !versions.whole_wanted);
             let ask = self.words.now().watch(discovery, after);
             // Whoever takes a connection and ends it unserved is there.
@@ -151,8 +151,8 @@
         }
         tracing::debug!("watch of the list stands");
         // The watch stands, even if the list follows late.
-        let none = Heard::EndpointsUpdated { update: ListUpdate::Delta, endpoints: Vec::new() };
-        self.told.event(Event::Heard(none)).await?;
+        let none = CoreEvent::EndpointsUpdated { update: ListUpdate::Delta, endpoints: Vec::new() };
+        self.told.event(NodeEvent::Core(none)).await?;
         let (mut buffer, most, mut first) = (BytesMut::new(), self.limits.list_line, true);
         let (mut lists, mut due) = (self.reader(), Instant::now() + silence);
         // Guards against a source with another count of versions, that of a new address perhaps: passed over for as
--- a/crates/daemon/src/management/mod.rs
+++ b/crates/daemon/src/management/mod.rs
@@ -2,13 +2,13 @@
 //! its own and carries one call, which is answered once what it asks for holds.
 mod calls;
 
-use crate::byte_budget::HeldBytes;
-use crate::event::{Asked, Event};
+use crate::byte_budget::ByteBudget;
+use crate::event::{CallOrigin, NodeEvent};
 use crate::hot_restart::{Beside, codec::Message};
 use crate::http1::{self, Connection, Failed};
-use crate::lifecycle::{Drain, Stage, Stages, Way};
+use crate::lifecycle::{Drain, Lifecycle, LifecycleState, Shutdown};
 use crate::limits::Limits;
-use crate::retention::Figures;
+use crate::retention::RetentionStatistics;
 use calls::{Call, NoCall};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
@@ -22,12 +22,12 @@
 
 pub struct Management {
     limits: Rc<Limits>,
-    events: mpsc::Sender<Event>,
-    stages: Rc<Stages>,
+    events: mpsc::Sender<NodeEvent>,
+    lifecycle: Rc<Lifecycle>,
     beside: Rc<Beside>,
     /// How many executors are listed, and what becomes of them.
-    figures: Rc<Cell<Figures>>,
-    rings: Rc<HeldBytes>,
+    figures: Rc<Cell<RetentionStatistics>>,
+    rings: Rc<ByteBudget>,
     /// Connections whose call is not whole, by their number, the longest first.
     waiting: RefCell<VecDeque<(u64, Rc<Notify>)>>,
     open: Cell<usize>,
@@ -41,16 +41,16 @@
 impl Management {
     pub fn new(
         limits: Rc<Limits>,
-        events: mpsc::Sender<Event>,
-        stages: Rc<Stages>,
+        events: mpsc::Sender<NodeEvent>,
+        lifecycle: Rc<Lifecycle>,
         beside: Rc<Beside>,
-        figures: Rc<Cell<Figures>>,
+        figures: Rc<Cell<RetentionStatistics>>,
     ) -> Rc<Self> {
         Rc::new(Management {
-            rings: HeldBytes::new(limits.callers * 2 * limits.call_ring),
+            rings: ByteBudget::new(limits.callers * 2 * limits.call_ring),
             limits,
             events,
-            stages,
+            lifecycle,
             beside,
             figures,
             waiting: RefCell::default(),
@@ -139,15 +139,15 @@
 
     async fn answer(&self, call: &Call) -> Answered {
         match call {
-            Call::IsReady if self.stages.life().is_ready() => (200, "ready".into()),
+            Call::IsReady if self.lifecycle.facts().is_ready() => (200, "ready".into()),
             Call::IsReady => (503, "not ready".into()),
             Call::Executors => (200, self.figures.get().to_string().into()),
             Call::Out { executor, out } => self.leave_out(executor, *out).await,
             Call::Drain(to_drain) => {
-                if self.stages.life().way != Way::None {
+                if self.lifecycle.facts().shutdown != Shutdown::None {
                     return (503, "the node ends".into());
                 }
-                drain(&self.stages, self.limits.drain_settle, *to_drain, false);
+                drain(&self.lifecycle, self.limits.drain_settle, *to_drain, false);
                 let (done, holds) = oneshot::channel();
                 let drained = |number| Message::Drained { drained: *to_drain, number };
                 self.beside.mirror(drained, done);
@@ -162,10 +162,14 @@
     async fn leave_out(&self, executor: &str, out: bool) -> Answered {
         let until = Instant::now() + self.limits.call_wait;
         // An executor may be known only once there is a list.
-        let mut stage = self.stages.watch();
-        let _ = timeout_at(until, stage.wait_for(|stage| *stage != Stage::Starting)).await;
+        let mut stage = self.lifecycle.watch();
+        let _ = timeout_at(until, stage.wait_for(|stage| *stage != LifecycleState::Starting)).await;
         let (done, holds) = oneshot::channel();
-        let event = Event::LeaveOut { executor: executor.to_string(), out, asked: Asked::ByHand(done) };
+        let event = NodeEvent::SetExcluded {
+            executor: executor.to_string(),
+            is_excluded: out,
+            origin: CallOrigin::Operator(done),
+        };
         let told = async {
             self.events.send(event).await.ok()?;
             holds.await.ok()
@@ -180,22 +184,22 @@
 
 /// Empties the node, or ends that; again the same changes nothing. `inherited` says that another process of the
 /// node was told so.
-pub fn drain(stages: &Rc<Stages>, settle: Duration, drain: bool, inherited: bool) {
-    let before = stages.life();
+pub fn drain(lifecycle: &Rc<Lifecycle>, settle: Duration, drain: bool, inherited: bool) {
+    let before = lifecycle.facts();
     if drain == (before.drain != Drain::None) {
         return;
     }
-    let number = before.drains + 1;
-    stages.change(|life| {
-        (life.drain, life.drains) = (if drain { Drain::Begun } else { Drain::None }, number);
-        life.inherited = drain && inherited;
+    let number = before.drain_changes + 1;
+    lifecycle.update(|facts| {
+        (facts.drain, facts.drain_changes) = (if drain { Drain::Begun } else { Drain::None }, number);
+        facts.is_drain_inherited = drain && inherited;
     });
-    let stages = stages.clone();
+    let lifecycle = lifecycle.clone();
     spawn_local(async move {
         sleep(settle).await;
-        stages.change(|life| {
-            if drain && life.drains == number {
-                life.drain = Drain::Settled;
+        lifecycle.update(|facts| {
+            if drain && facts.drain_changes == number {
+                facts.drain = Drain::Settled;
             }
         });
     });
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -11,7 +11,7 @@
 
 /// How many executors are listed, and what becomes of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct RetentionStatistics {
     pub listed: usize,
     pub kept: usize,
     /// Not kept; as of the last whole list where they are more than are held.
@@ -19,37 +19,37 @@
     pub bound: usize,
 }
 
-impl std::fmt::Display for Figures {
+impl std::fmt::Display for RetentionStatistics {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let Figures { listed, kept, left_out, bound } = self;
+        let RetentionStatistics { listed, kept, left_out, bound } = self;
         write!(f, "{listed} listed, {kept} kept, {left_out} left out, bound {bound}")
     }
 }
 
 /// What a list changes for the node.
 #[derive(Debug, Default, PartialEq)]
-pub struct Selected {
+pub struct RetentionChange {
     /// Entries to take, in order; one that was kept and loses its place stands there as gone.
     pub entries: Vec<Entry>,
     /// How many entries named an executor that the same list names again later.
     pub repeated: usize,
     /// The source must tell its whole list, for there is room and what fits is not held.
-    pub ask_whole: bool,
+    pub needs_snapshot: bool,
 }
 
 /// The executors that are kept now, as the list last told them.
-pub trait Kept {
+pub trait RetainedEntries {
     /// None for one that is not kept, or gone.
     fn entry(&self, name: &str) -> Option<&Entry>;
     fn entries(&self) -> impl Iterator<Item = &Entry>;
 }
 
-pub struct Selection {
+pub struct EndpointRetention {
     retention: Retention,
     bound: usize,
-    most_left_out: usize,
+    max_unretained: usize,
     kept: usize,
-    left_out: HashMap<CompactString, Entry>,
+    unretained: HashMap<CompactString, Entry>,
     /// Left out and not held.
     forgotten: usize,
     /// The whole list was asked for, and has not come yet.
@@ -73,27 +73,35 @@
     repeated.len()
 }
 
-impl Selection {
-    /// For the node of this name, which keeps at most `bound` executors and holds `most_left_out` others.
-    pub fn new(node: &str, bound: usize, most_left_out: usize) -> Self {
+impl EndpointRetention {
+    /// For the node of this name, which keeps at most `bound` executors and holds `max_unretained` others.
+    pub fn new(node: &str, bound: usize, max_unretained: usize) -> Self {
         let retention = Retention::of_node(node);
-        let left_out = HashMap::new();
-        Selection { retention, bound, most_left_out, kept: 0, left_out, forgotten: 0, is_asked: false }
+        let unretained = HashMap::new();
+        EndpointRetention {
+            retention,
+            bound,
+            max_unretained,
+            kept: 0,
+            unretained,
+            forgotten: 0,
+            is_asked: false,
+        }
     }
 
-    pub fn figures(&self) -> Figures {
-        let left_out = self.left_out.len() + self.forgotten;
-        Figures { listed: self.kept + left_out, kept: self.kept, left_out, bound: self.bound }
+    pub fn statistics(&self) -> RetentionStatistics {
+        let left_out = self.unretained.len() + self.forgotten;
+        RetentionStatistics { listed: self.kept + left_out, kept: self.kept, left_out, bound: self.bound }
     }
 
     /// What the list says of an executor that is left out, as far as that is held.
-    pub fn entry_left_out(&self, name: &str) -> Option<&Entry> {
-        self.left_out.get(name)
+    pub fn unretained_entry(&self, name: &str) -> Option<&Entry> {
+        self.unretained.get(name)
     }
 
     /// All that is held of those left out.
-    pub fn left_out(&self) -> impl Iterator<Item = &Entry> {
-        self.left_out.values()
+    pub fn unretained(&self) -> impl Iterator<Item = &Entry> {
+        self.unretained.values()
     }
 
     fn rank(&self, entry: &Entry) -> Rank {
@@ -102,10 +110,10 @@
 
     /// Takes a whole list, of which `beyond` more entries were cut when it was read. Whoever is not among what
     /// is selected has lost its place, or is gone.
-    pub fn whole(&mut self, mut entries: Vec<Entry>, beyond: usize) -> Selected {
+    pub fn apply_snapshot(&mut self, mut entries: Vec<Entry>, beyond: usize) -> RetentionChange {
         let repeated = remove_repeated(&mut entries);
         entries.retain(|entry| !entry.is_gone());
-        self.left_out.clear();
+        self.unretained.clear();
         (self.forgotten, self.is_asked) = (beyond, false);
         let mut lost = Vec::new();
         if entries.len() > self.bound {
@@ -115,11 +123,11 @@
         }
         self.kept = entries.len();
         self.hold(lost);
-        Selected { entries, repeated, ask_whole: false }
+        RetentionChange { entries, repeated, needs_snapshot: false }
     }
 
     /// Takes changes of the list.
-    pub fn changes(&mut self, mut entries: Vec<Entry>, before: &impl Kept) -> Selected {
+    pub fn apply_delta(&mut self, mut entries: Vec<Entry>, before: &impl RetainedEntries) -> RetentionChange {
         let repeated = remove_repeated(&mut entries);
         let mut told = Vec::with_capacity(entries.len());
         let mut may_change_places = false;
@@ -131,48 +139,48 @@
                     told.push(entry);
                 }
                 None if entry.is_gone() => {
-                    self.left_out.remove(&entry.id);
+                    self.unretained.remove(&entry.id);
                 }
-                None if self.kept < self.bound && self.left_out.is_empty() => {
+                None if self.kept < self.bound && self.unretained.is_empty() => {
                     self.kept += 1;
                     told.push(entry);
                 }
                 None => {
-                    self.left_out.insert(entry.id.clone(), entry);
+                    self.unretained.insert(entry.id.clone(), entry);
                     may_change_places = true;
                 }
             }
         }
-        if self.has_waiting() || (may_change_places && !self.left_out.is_empty()) {
+        if self.has_waiting() || (may_change_places && !self.unretained.is_empty()) {
             told = self.compete(told, before);
         }
-        let is_short = self.forgotten > 0 && self.kept < self.bound && self.left_out.is_empty();
-        let ask_whole = is_short && !std::mem::replace(&mut self.is_asked, is_short);
-        Selected { entries: told, repeated, ask_whole }
+        let is_short = self.forgotten > 0 && self.kept < self.bound && self.unretained.is_empty();
+        let needs_snapshot = is_short && !std::mem::replace(&mut self.is_asked, is_short);
+        RetentionChange { entries: told, repeated, needs_snapshot }
     }
 
     /// Whether one that is left out would be kept now.
     pub fn has_waiting(&self) -> bool {
-        self.kept < self.bound && !self.left_out.is_empty()
+        self.kept < self.bound && !self.unretained.is_empty()
     }
 
     /// There was no handle for one that was selected: it waits, whatever else is held.
-    pub fn give_back(&mut self, entry: Entry) {
+    pub fn defer(&mut self, entry: Entry) {
         self.kept -= 1;
-        self.left_out.insert(entry.id.clone(), entry);
+        self.unretained.insert(entry.id.clone(), entry);
     }
 
     /// Chooses anew among all that are kept, by what is told now, and all that are held besides.
-    fn compete(&mut self, mut told: Vec<Entry>, before: &impl Kept) -> Vec<Entry> {
+    fn compete(&mut self, mut told: Vec<Entry>, before: &impl RetainedEntries) -> Vec<Entry> {
         let told_names: HashSet<&str> = told.iter().map(|entry| entry.id.as_str()).collect();
         let unchanged = before.entries().filter(|entry| !told_names.contains(entry.id.as_str()));
         let keeping: Vec<&Entry> = unchanged.chain(told.iter().filter(|entry| !entry.is_gone())).collect();
-        let candidates = || keeping.iter().copied().chain(self.left_out.values());
+        let candidates = || keeping.iter().copied().chain(self.unretained.values());
         let ranks: Vec<Rank> = candidates().map(|entry| self.rank(entry)).collect();
         let chosen = Retention::choose(&ranks, self.bound);
         let losing = keeping.iter().zip(&chosen).filter(|(_, is_chosen)| !**is_chosen);
         let lost: Vec<Entry> = losing.map(|(entry, _)| (*entry).clone()).collect();
-        let winning = self.left_out.values().zip(&chosen[keeping.len()..]).filter(|(_, chosen)| **chosen);
+        let winning = self.unretained.values().zip(&chosen[keeping.len()..]).filter(|(_, chosen)| **chosen);
         let won: Vec<CompactString> = winning.map(|(entry, _)| entry.id.clone()).collect();
         self.kept = chosen.iter().filter(|&&is_chosen| is_chosen).count();
         // Only one that was kept is told as gone.
@@ -180,22 +188,22 @@
         told.retain(|entry| !lost_names.contains(entry.id.as_str()));
         let kept_before = lost.iter().filter(|entry| before.entry(&entry.id).is_some());
         told.extend(kept_before.map(|entry| entry.clone().into_gone()));
-        told.extend(won.iter().filter_map(|name| self.left_out.remove(name)));
+        told.extend(won.iter().filter_map(|name| self.unretained.remove(name)));
         self.hold(lost);
         told
     }
 
     /// Holds what lost, and of all that is held the highest ranks.
     fn hold(&mut self, lost: Vec<Entry>) {
-        self.left_out.extend(lost.into_iter().map(|entry| (entry.id.clone(), entry)));
-        if self.left_out.len() <= self.most_left_out {
+        self.unretained.extend(lost.into_iter().map(|entry| (entry.id.clone(), entry)));
+        if self.unretained.len() <= self.max_unretained {
             return;
         }
-        let ranks: Vec<Rank> = self.left_out.values().map(|entry| self.rank(entry)).collect();
-        let mut chosen = Retention::choose(&ranks, self.most_left_out).into_iter();
-        let before = self.left_out.len();
-        self.left_out.retain(|_, _| chosen.next() == Some(true));
-        self.forgotten += before - self.left_out.len();
+        let ranks: Vec<Rank> = self.unretained.values().map(|entry| self.rank(entry)).collect();
+        let mut chosen = Retention::choose(&ranks, self.max_unretained).into_iter();
+        let before = self.unretained.len();
+        self.unretained.retain(|_, _| chosen.next() == Some(true));
+        self.forgotten += before - self.unretained.len();
     }
 }
 
--- a/crates/daemon/src/ring_buffer.rs
+++ b/crates/daemon/src/ring_buffer.rs
@@ -1,5 +1,5 @@
 //! The ring buffer that stands between a socket and the codec, one a direction of each connection.
-use crate::byte_budget::HeldBytes;
+use crate::byte_budget::ByteBudget;
 use std::io::{self, IoSlice, IoSliceMut};
 use std::rc::Rc;
 
@@ -7,24 +7,24 @@
 pub const FIRST: usize = 2048;
 
 /// Bytes in the order they came, never more than a fixed number. An empty ring holds no memory for long.
-pub struct Ring {
+pub struct RingBuffer {
     store: Vec<u8>,
     start: usize,
     len: usize,
     most: usize,
     /// What this ring and others hold beyond their first size, all together.
-    held: Rc<HeldBytes>,
+    held: Rc<ByteBudget>,
 }
 
-impl Drop for Ring {
+impl Drop for RingBuffer {
     fn drop(&mut self) {
-        self.held.give_back(self.beyond_first());
+        self.held.release(self.beyond_first());
     }
 }
 
-impl Ring {
-    pub fn new(most: usize, held: &Rc<HeldBytes>) -> Self {
-        Ring { store: Vec::new(), start: 0, len: 0, most, held: held.clone() }
+impl RingBuffer {
+    pub fn new(most: usize, held: &Rc<ByteBudget>) -> Self {
+        RingBuffer { store: Vec::new(), start: 0, len: 0, most, held: held.clone() }
     }
 
     fn beyond_first(&self) -> usize {
@@ -53,7 +53,7 @@
     /// Gives the memory of an empty ring back, for connections that may stand idle for long.
     pub fn release(&mut self) {
         if self.len == 0 {
-            self.held.give_back(self.beyond_first());
+            self.held.release(self.beyond_first());
             (self.store, self.start) = (Vec::new(), 0);
         }
     }
@@ -99,7 +99,7 @@
     ) -> io::Result<usize> {
         if self.len == self.store.len() && self.len < self.most {
             let (size, more) = self.next_size();
-            if !self.held.take(more) {
+            if !self.held.try_reserve(more) {
                 return Err(io::ErrorKind::OutOfMemory.into());
             }
             self.bytes();
@@ -133,43 +133,6 @@
     }
 }
 
-#[test]
-fn keeps_order_across_the_seam_and_never_grows_past_its_most() {
-    for most in [1, 7, 2048, 5000] {
-        let held = HeldBytes::new(16 * 1024);
-        let mut ring = Ring::new(most, &held);
-        let (mut put, mut got) = (0u32, 0u32);
-        for step in 0..5000usize {
-            let wanted: Vec<u8> = (0..(step * 7919) % 97).map(|k| (put + k as u32) as u8).collect();
-            put += ring.push(&wanted) as u32;
-            assert!(ring.len() <= most && ring.store.len() <= most);
-            let n = ((step * 104_729) % 89).min(ring.len());
-            let expected: Vec<u8> = (0..n).map(|k| (got + k as u32) as u8).collect();
-            if step % 2 == 0 {
-                assert_eq!(ring.bytes()[..n], expected);
-                ring.consume(n);
-            } else {
-                let mut seen = Vec::new();
-                let write = |parts: &[IoSlice]| {
-                    parts.iter().for_each(|part| seen.extend_from_slice(part));
-                    Ok(n.min(seen.len()))
-                };
-                ring.write_to(write).unwrap();
-                assert_eq!(seen[..n], expected);
-            }
-            got += n as u32;
-        }
-        assert_eq!(put - got, ring.len() as u32);
-        ring.consume(ring.len());
-        ring.release();
-        assert_eq!(ring.store.capacity(), 0);
-    }
-    // Guards against many that grow at once: what two rings hold beyond their first size is bounded.
-    let held = HeldBytes::new(FIRST);
-    let [mut one, mut two] = [0, 1].map(|_| Ring::new(16 * 1024, &held));
-    let much = [7; 3 * FIRST];
-    assert_eq!((one.push(&much), two.push(&much)), (2 * FIRST, FIRST));
-    assert!(one.is_full() && two.is_full());
-    drop(one);
-    assert_eq!((two.push(&much), two.is_full()), (FIRST, true));
-}
+#[cfg(test)]
+#[path = "../tests/unit/ring_buffer.rs"]
+mod tests;
--- a/crates/daemon/src/words.rs
+++ b/crates/daemon/src/words.rs
@@ -1,6 +1,6 @@
 //! The words of the protocol and what they mean to the dispatcher. They end here.
 use crate::http1::{self, AnswerHead, RequestHead};
-use crate::in_flight::{Answer, Work};
+use crate::in_flight::{Answer, ClientRequest};
 use bytes::{Bytes, BytesMut};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -155,7 +155,7 @@
 
     /// Reads a work unit out of a request's head, without its body, and how long its client will wait; or
     /// the status that says what is wrong with it.
-    pub fn work(&self, head: &RequestHead) -> Result<(Work, Duration), (u16, &'static str)> {
+    pub fn work(&self, head: &RequestHead) -> Result<(ClientRequest, Duration), (u16, &'static str)> {
         let one = |name: &str| head.headers.one(name).map_err(|_| (400, "odd header"));
         if !head.target.bytes().all(|b| b.is_ascii_graphic()) {
             return Err((400, "odd target"));
@@ -203,18 +203,18 @@
                 http1::field(&mut fields, name, value);
             }
         }
-        let work = Work {
+        let work = ClientRequest {
             id,
             key: None,
             method: head.method.clone(),
             target: head.target.clone(),
             fields: fields.freeze(),
             body: Bytes::new(),
-            project_type: RequestClassId(named),
-            customer: TenantId(customer),
+            class: RequestClassId(named),
+            tenant: TenantId(customer),
             slots,
             memory,
-            again: one(AGAIN)? == Some("1"),
+            is_retry: one(AGAIN)? == Some("1"),
         };
         Ok((work, left))
     }
@@ -223,8 +223,8 @@
     pub fn answer(&self, answer: &Answer) -> (u16, Vec<(&'static str, String)>, Bytes) {
         match answer {
             Answer::Completed(result) => (200, Vec::new(), result.clone()),
-            Answer::Deferred(wait) => (503, self.come_back(*wait), Bytes::new()),
-            Answer::Aborted => (502, Vec::new(), Bytes::new()),
+            Answer::Rejected(wait) => (503, self.come_back(*wait), Bytes::new()),
+            Answer::Failed => (502, Vec::new(), Bytes::new()),
         }
     }
 
@@ -236,9 +236,9 @@
     }
 
     /// The names of a work unit's project type and customer.
-    pub fn names_of(&self, work: &Work) -> (String, String) {
+    pub fn names_of(&self, work: &ClientRequest) -> (String, String) {
         let name = |names: &[String], k: u32| names.get(k as usize).cloned().unwrap_or_default();
-        (name(&self.project_types, work.project_type.0), name(&self.customers, work.customer.0))
+        (name(&self.project_types, work.class.0), name(&self.customers, work.tenant.0))
     }
 
     /// The names of project types by their numbers, of all that were ever taken.
@@ -274,7 +274,7 @@
     /// The head that hands a work unit to an executor, which hears how long this node will wait.
     pub fn allocation(
         &self,
-        work: &Work,
+        work: &ClientRequest,
         to: SocketAddr,
         wait: Duration,
         lease: Option<(u64, Option<Millis>)>,
--- a/crates/daemon/tests/unit/compatibility.rs
+++ b/crates/daemon/tests/unit/compatibility.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-const BOUNDS: Bounds = Bounds { known: 10, ids: 10 };
+const BOUNDS: Bounds = Bounds { executors: 10, ids: 10 };
 
 #[test]
 fn each_line_between_two_processes_is_read_and_written_as_before() {
@@ -21,15 +21,17 @@
     }
     assert_eq!((lines.lines().count(), last), (14, 9), "all is told with the tenth line");
     assert_eq!((inherited.version, inherited.entries.len(), inherited.ids.len()), (None, 2, 2));
-    assert_eq!(inherited.out.iter().collect::<Vec<_>>(), ["s-1"], "the other one serves again");
+    assert_eq!(inherited.excluded.iter().collect::<Vec<_>>(), ["s-1"], "the other one serves again");
     let entry = &inherited.entries[0];
     assert_eq!((entry.id.as_str(), entry.weight, entry.started_ms), ("s-1", Some(1.5), Some(5.0)));
     let executor = &inherited.executors[0];
-    assert_eq!((executor.failed, executor.judged, executor.slots), ((0.5, 10.0), (2.0, 10.0), 4.0));
-    assert_eq!(executor.cold_spent, [(9.0, 120.0)]);
-    let work = inherited.work.unwrap();
-    assert_eq!((work.types, work.mean_run), (vec![("render".to_string(), 120.0, 31.0)], 110.0));
-    assert_eq!((work.waiting_share, work.lag, work.draws), (Some(0.1), Some(1.5), 2));
+    assert_eq!(executor.failure_score, (0.5, 10.0).into());
+    assert_eq!((executor.observations, executor.max_slots), ((2.0, 10.0).into(), 4.0));
+    assert_eq!(executor.warm_up_spent, [(9.0, 120.0).into()]);
+    let times = inherited.running_times.unwrap();
+    assert_eq!(times.classes, [("render".to_string(), 120.0, 31.0).into()]);
+    assert_eq!((times.mean_running_time, times.busy_probe_ratio), (110.0, Some(0.1)));
+    assert_eq!((times.probe_latency, times.sample_size), (Some(1.5), 2));
 }
 
 #[test]
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -1,7 +1,7 @@
 //! The driver, told events one after another.
 use super::*;
-use crate::byte_budget::HeldBytes;
-use crate::in_flight::Work;
+use crate::byte_budget::ByteBudget;
+use crate::in_flight::ClientRequest;
 use crate::limits::{Limits, Stated};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     driver: Driver,
     /// How far its time is ahead of the clock.
     ahead: Millis,
-    held: Rc<HeldBytes>,
+    held: Rc<ByteBudget>,
     next_request: u64,
 }
 
@@ -31,12 +31,12 @@
         let executors = Executors::new(limits, words.clone(), events, Rc::default());
         let clock = Clock::start();
         let dispatcher = Dispatcher::new(&settings, 1, clock.now());
-        let stages = Rc::new(Stages::new());
-        let driver = Driver::new(dispatcher, clock, words, executors, Rc::default(), told, stages);
-        Rig { driver, ahead: 0.0, held: HeldBytes::new(1 << 20), next_request: 0 }
+        let lifecycle = Rc::new(Lifecycle::new());
+        let driver = Driver::new(dispatcher, clock, words, executors, Rc::default(), told, lifecycle);
+        Rig { driver, ahead: 0.0, held: ByteBudget::new(1 << 20), next_request: 0 }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn tell(&mut self, event: NodeEvent) {
         let (now, mut actions) = (self.driver.clock.now() + self.ahead, Vec::new());
         self.driver.tell(now, event);
         self.driver.dispatcher.poll_actions(now, &mut actions);
@@ -44,34 +44,35 @@
     }
 
     fn list(&mut self, kind: ListUpdate, entries: Vec<Entry>) {
-        self.tell(Event::List(ToldList { kind, entries, version: None, beyond: 0 }));
+        self.tell(NodeEvent::ListReceived(ToldList { kind, entries, version: None, beyond: 0 }));
     }
 
     /// Lets the time pass in which those that are gone are looked over.
     fn look_over(&mut self) {
         self.ahead += 1100.0;
-        self.tell(Event::Heard(Heard::TimerFired));
+        self.tell(NodeEvent::Core(CoreEvent::TimerFired));
     }
 
-    fn arrive(&mut self) -> Rc<Exchange> {
+    fn arrive(&mut self) -> Rc<InFlightRequest> {
         self.next_request += 1;
         let id = self.next_request.to_string();
-        let work = Work { fields: format!("{ID_FIELD}{id}\r\n").into(), ..Work::of(&id, 0) };
+        let work =
+            ClientRequest { fields: format!("{ID_FIELD}{id}\r\n").into(), ..ClientRequest::of(&id, 0) };
         let limit = Instant::now() + HARD_LIMIT;
-        let exchange = Exchange::new(RequestId(self.next_request), work, limit, &self.held).unwrap();
-        self.tell(Event::Arrived(exchange.clone()));
-        exchange
+        let in_flight = InFlightRequest::new(RequestId(self.next_request), work, limit, &self.held).unwrap();
+        self.tell(NodeEvent::RequestArrived(in_flight.clone()));
+        in_flight
     }
 
     /// Takes in what the sides tell until these are answered; how many were completed.
-    async fn serve(&mut self, exchanges: &[Rc<Exchange>]) -> usize {
-        while !exchanges.iter().all(|exchange| exchange.is_over()) {
+    async fn serve(&mut self, in_flight_requests: &[Rc<InFlightRequest>]) -> usize {
+        while !in_flight_requests.iter().all(|in_flight| in_flight.is_over()) {
             let told = timeout(HARD_LIMIT, self.driver.events.recv()).await;
             self.tell(told.expect("it is answered in time").expect("the sides go on"));
         }
         let mut completed = 0;
-        for exchange in exchanges {
-            completed += usize::from(matches!(exchange.answered().await, Answer::Completed(_)));
+        for in_flight in in_flight_requests {
+            completed += usize::from(matches!(in_flight.answered().await, Answer::Completed(_)));
         }
         completed
     }
@@ -80,14 +81,18 @@
     fn kept(&self) -> usize {
         let kept = self.driver.registry.len();
         assert_eq!(self.driver.executors.kept(), kept, "the executor side");
-        assert_eq!(self.driver.roster.kept(), kept, "the list");
+        assert_eq!(self.driver.membership.len(), kept, "the list");
         assert_eq!(self.driver.dispatcher.executor_count(), kept, "the dispatcher");
         kept
     }
 
     async fn call(&mut self, name: &str, out: bool) -> bool {
         let (done, known) = oneshot::channel();
-        self.tell(Event::LeaveOut { executor: name.into(), out, asked: Asked::ByHand(done) });
+        self.tell(NodeEvent::SetExcluded {
+            executor: name.into(),
+            is_excluded: out,
+            origin: CallOrigin::Operator(done),
+        });
         known.await.unwrap()
     }
 }
@@ -141,8 +146,8 @@
             assert!(rig.kept() <= 2 * FLEET, "{replaced}: before those that are gone are looked over");
             let mut completed = 0;
             for _ in 0..REQUESTS {
-                let exchange = rig.arrive();
-                completed += rig.serve(&[exchange]).await;
+                let in_flight = rig.arrive();
+                completed += rig.serve(&[in_flight]).await;
             }
             assert_eq!(completed, REQUESTS, "{replaced}");
             rig.look_over();
@@ -168,8 +173,8 @@
             let mut rig = Rig::new(48);
             rig.list(ListUpdate::Snapshot, vec![ready("a", first)]);
             let before = rig.driver.registry.get("a");
-            let exchange = rig.arrive();
-            assert_eq!(rig.serve(&[exchange]).await, 1);
+            let in_flight = rig.arrive();
+            assert_eq!(rig.serve(&[in_flight]).await, 1);
             rig.list(ListUpdate::Snapshot, Vec::new());
             if is_released {
                 rig.look_over();
@@ -177,8 +182,8 @@
             }
             rig.list(ListUpdate::Delta, vec![ready("a", second)]);
             assert_eq!(rig.driver.registry.get("a") == before, !is_released);
-            let exchange = rig.arrive();
-            assert_eq!(rig.serve(&[exchange]).await, 1);
+            let in_flight = rig.arrive();
+            assert_eq!(rig.serve(&[in_flight]).await, 1);
             assert_eq!((done[0].get(), done[1].get()), (1, 1), "{is_released}");
         }
     };
@@ -202,16 +207,16 @@
         // The slot of "a" is that of "c" by now.
         executors.clone().probe(released).await;
         let told = rig.driver.events.recv().await.unwrap();
-        assert!(matches!(told, Event::Heard(Heard::ProbeCompleted { reply: None, .. })));
+        assert!(matches!(told, NodeEvent::Core(CoreEvent::ProbeCompleted { reply: None, .. })));
         rig.tell(told);
         assert_eq!(rig.driver.dispatcher.stale_events(), 1);
         executors.close_idle(released);
         executors.shut(released);
         executors.release(released);
-        let exchange = rig.arrive();
+        let in_flight = rig.arrive();
         let (stop, life, cut) = (Rc::default(), executors.life(released), Instant::now() + HARD_LIMIT);
         let push = Push {
-            exchange: exchange.clone(),
+            in_flight: in_flight.clone(),
             executor: released,
             name: None,
             attempt_id: AttemptId(7),
@@ -229,7 +234,7 @@
         ] {
             rig.driver.act(action);
         }
-        assert_eq!(rig.serve(&[exchange]).await, 1, "another executor serves it");
+        assert_eq!(rig.serve(&[in_flight]).await, 1, "another executor serves it");
         assert_eq!(rig.kept(), 2);
     };
     local.run_until(all).await;
@@ -250,16 +255,16 @@
         assert_eq!(rig.kept(), 0);
         assert!(!rig.call("b", true).await, "nobody knows it");
         rig.list(ListUpdate::Snapshot, vec![ready("a", addr)]);
-        let exchange = rig.arrive();
-        assert_eq!(rig.serve(&[exchange]).await, 0, "it is given back at once");
+        let in_flight = rig.arrive();
+        assert_eq!(rig.serve(&[in_flight]).await, 0, "it is given back at once");
         assert_eq!(done.get(), 0, "and was never sent");
         rig.list(ListUpdate::Snapshot, Vec::new());
         rig.look_over();
         assert!(rig.call("a", false).await, "it is called in while it is gone");
-        assert!(rig.driver.roster.out().is_empty());
+        assert!(rig.driver.membership.excluded().is_empty());
         rig.list(ListUpdate::Snapshot, vec![ready("a", addr)]);
-        let exchange = rig.arrive();
-        assert_eq!((rig.serve(&[exchange]).await, done.get()), (1, 1));
+        let in_flight = rig.arrive();
+        assert_eq!((rig.serve(&[in_flight]).await, done.get()), (1, 1));
     };
     local.run_until(all).await;
 }
@@ -269,11 +274,11 @@
 async fn who_is_left_out_in_the_other_process_is_out_by_name_alone() {
     let mut rig = Rig::new(48);
     for number in 0..5000 {
-        let (executor, asked) = (format!("s-{number}"), Asked::ByOther(number));
-        rig.tell(Event::LeaveOut { executor, out: true, asked });
+        let (executor, asked) = (format!("s-{number}"), CallOrigin::Sibling(number));
+        rig.tell(NodeEvent::SetExcluded { executor, is_excluded: true, origin: asked });
     }
-    assert_eq!((rig.kept(), rig.driver.roster.out().len()), (0, crate::membership::MOST_ABSENT));
-    assert!(rig.driver.roster.out().contains("s-4999"));
+    assert_eq!((rig.kept(), rig.driver.membership.excluded().len()), (0, crate::membership::MAX_ABSENT));
+    assert!(rig.driver.membership.excluded().contains("s-4999"));
 }
 
 /// What a process before this one knew of executors that are not listed any more is left, but for what it spent
@@ -282,12 +287,12 @@
 async fn a_next_process_takes_over_who_is_listed() {
     let mut rig = Rig::new(48);
     let now = rig.driver.clock.now();
-    let known = |id: &str| form::Known {
+    let known = |id: &str| codec::ExecutorState {
         id: id.into(),
-        failed: (1.0, 0.0),
-        judged: (1.0, 0.0),
-        slots: 4.0,
-        cold_spent: if id == "d" { vec![(now, 50.0)] } else { Vec::new() },
+        failure_score: (1.0, 0.0).into(),
+        observations: (1.0, 0.0).into(),
+        max_slots: 4.0,
+        warm_up_spent: if id == "d" { vec![(now, 50.0).into()] } else { Vec::new() },
     };
     let addr = "127.0.0.1:1".parse().unwrap();
     rig.list(ListUpdate::Cached, vec![ready("a", addr), Entry::gone("b")]);
@@ -308,24 +313,24 @@
     let executors = Executors::new(limits, words.clone(), events, Rc::default());
     let clock = Clock::start();
     let dispatcher = Dispatcher::new(&settings, 1, clock.now());
-    let stages = Rc::new(Stages::new());
-    let mut driver = Driver::new(dispatcher, clock, words, executors, Rc::default(), told, stages);
-    let held = HeldBytes::new(100);
-    let exchange = |request_id: u64| {
-        let work = Work::of(&request_id.to_string(), 0);
+    let lifecycle = Rc::new(Lifecycle::new());
+    let mut driver = Driver::new(dispatcher, clock, words, executors, Rc::default(), told, lifecycle);
+    let held = ByteBudget::new(100);
+    let in_flight = |request_id: u64| {
+        let work = ClientRequest::of(&request_id.to_string(), 0);
         let limit = Instant::now() + std::time::Duration::from_secs(5);
-        Exchange::new(RequestId(request_id), work, limit, &held).unwrap()
+        InFlightRequest::new(RequestId(request_id), work, limit, &held).unwrap()
     };
-    let [before, after, sent] = [1, 2, 3].map(exchange);
-    driver.tell(clock.now(), Event::Arrived(before.clone()));
-    driver.tell(clock.now(), Event::Arrived(sent.clone()));
+    let [before, after, sent] = [1, 2, 3].map(in_flight);
+    driver.tell(clock.now(), NodeEvent::RequestArrived(before.clone()));
+    driver.tell(clock.now(), NodeEvent::RequestArrived(sent.clone()));
     driver.open.get_mut(&sent.request_id).unwrap().attempts = 1;
-    driver.tell(clock.now(), Event::End);
-    driver.tell(clock.now(), Event::Arrived(after.clone()));
-    for (what, exchange, expected) in
+    driver.tell(clock.now(), NodeEvent::ShutDown);
+    driver.tell(clock.now(), NodeEvent::RequestArrived(after.clone()));
+    for (what, in_flight, expected) in
         [("before", before, "Deferred"), ("after", after, "Deferred"), ("sent", sent, "Aborted")]
     {
-        assert!(exchange.is_over(), "{what}: it has its answer");
-        assert!(format!("{:?}", exchange.answered().await).starts_with(expected), "{what}");
+        assert!(in_flight.is_over(), "{what}: it has its answer");
+        assert!(format!("{:?}", in_flight.answered().await).starts_with(expected), "{what}");
     }
 }
--- a/crates/daemon/tests/unit/executors.rs
+++ b/crates/daemon/tests/unit/executors.rs
@@ -1,6 +1,6 @@
 //! Connections to executors, by sockets.
 use super::*;
-use crate::in_flight::Work;
+use crate::in_flight::ClientRequest;
 use socket2::{Domain, Socket, Type};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::LocalSet;
@@ -11,15 +11,15 @@
     troutknot_membership::ExecutorRegistry::default().register("a")
 }
 
-fn executors() -> (Rc<Executors>, mpsc::Receiver<Event>) {
+fn executors() -> (Rc<Executors>, mpsc::Receiver<NodeEvent>) {
     executors_with(Duration::ZERO)
 }
 
-fn executors_with(drain_grace: Duration) -> (Rc<Executors>, mpsc::Receiver<Event>) {
+fn executors_with(drain_grace: Duration) -> (Rc<Executors>, mpsc::Receiver<NodeEvent>) {
     executors_for("safe", drain_grace)
 }
 
-fn executors_for(effect: &str, drain_grace: Duration) -> (Rc<Executors>, mpsc::Receiver<Event>) {
+fn executors_for(effect: &str, drain_grace: Duration) -> (Rc<Executors>, mpsc::Receiver<NodeEvent>) {
     let words = Vocabulary::of_effect(effect);
     let wait = Duration::from_secs(5);
     let mut limits = Limits::of(&crate::limits::Stated {
@@ -36,25 +36,25 @@
     (Executors::new(Rc::new(limits), words, events, Rc::default()), told)
 }
 
-fn exchange() -> Rc<Exchange> {
+fn in_flight() -> Rc<InFlightRequest> {
     exchange_of(0)
 }
 
-fn exchange_of(size: usize) -> Rc<Exchange> {
-    let work = Work::of("1", size);
-    Exchange::new(RequestId(1), work, Instant::now(), &HeldBytes::new(1 << 20)).unwrap()
+fn exchange_of(size: usize) -> Rc<InFlightRequest> {
+    let work = ClientRequest::of("1", size);
+    InFlightRequest::new(RequestId(1), work, Instant::now(), &ByteBudget::new(1 << 20)).unwrap()
 }
 
 fn push(
     of: &Executors,
-    exchange: &Rc<Exchange>,
-    stop: &Rc<Stop>,
+    in_flight: &Rc<InFlightRequest>,
+    stop: &Rc<CancelSignal>,
     decided: Instant,
     [cut, send_deadline]: [Instant; 2],
 ) -> Push {
-    let (life, exchange, stop) = (of.life(executor()), exchange.clone(), stop.clone());
+    let (life, in_flight, stop) = (of.life(executor()), in_flight.clone(), stop.clone());
     let (executor, attempt_id, send_deadline) = (executor(), AttemptId(0), send_deadline.min(cut));
-    Push { name: None, exchange, executor, attempt_id, decided, life, cut, send_deadline, stop }
+    Push { name: None, in_flight, executor, attempt_id, decided, life, cut, send_deadline, stop }
 }
 
 /// Listens, and with `full` so that every connection hangs: its queue is taken up.
@@ -100,11 +100,11 @@
         let (listener, mut fillers) = listener(hangs);
         let (executors, mut told) = executors();
         executors.listed(executor(), Some(listener.local_addr().unwrap()), None, true);
-        let (exchange, now) = (exchange(), Instant::now());
+        let (in_flight, now) = (in_flight(), Instant::now());
         let at = |what| now + Duration::from_millis(if by == what { 800 } else { 60_000 });
         let decided = if by == NodeStoodStill { now - Duration::from_secs(6) } else { now };
-        let stop = Rc::new(Stop::default());
-        let push = push(&executors, &exchange, &stop, decided, [CutCame, WindowOver].map(at));
+        let stop = Rc::new(CancelSignal::default());
+        let push = push(&executors, &in_flight, &stop, decided, [CutCame, WindowOver].map(at));
         let overtake = async {
             if hangs {
                 // It hangs in its connection by now: nothing came of it.
@@ -112,9 +112,9 @@
                 assert!(early.is_err(), "{by:?}");
             }
             match by {
-                WorkUnitOver => _ = exchange.close(),
+                WorkUnitOver => _ = in_flight.close(),
                 GraceEnded => executors.shut(executor()),
-                Stopped => stop.tell(Outcome::Cancelled),
+                Stopped => stop.cancel(Outcome::Cancelled),
                 RestartToldLate => {
                     let at = Some(listener.local_addr().unwrap());
                     executors.listed(executor(), at, Some(2.0), true);
@@ -132,7 +132,7 @@
         let both = async { tokio::join!(overtake, executors.clone().allocate(push)).0 };
         let event = local.run_until(timeout(Duration::from_secs(4), both)).await.unwrap();
         assert!(
-            matches!(event, Some(Event::Heard(Heard::AttemptEnded { outcome, .. })) if outcome == expected),
+            matches!(event, Some(NodeEvent::Core(CoreEvent::AttemptEnded { outcome, .. })) if outcome == expected),
             "{by:?}"
         );
         if !hangs || by == RestartToldLate {
@@ -162,10 +162,10 @@
         let (executors, mut told) = executors();
         let addr = socket.local_addr().unwrap().as_socket();
         executors.listed(executor(), addr, None, true);
-        let (exchange, now) = (exchange_of(size), Instant::now());
+        let (in_flight, now) = (exchange_of(size), Instant::now());
         let at = |what| now + Duration::from_millis(if by == what { 800 } else { 60_000 });
-        let stop = Rc::new(Stop::default());
-        let push = push(&executors, &exchange, &stop, now, [CutCame, WindowOver].map(at));
+        let stop = Rc::new(CancelSignal::default());
+        let push = push(&executors, &in_flight, &stop, now, [CutCame, WindowOver].map(at));
         let overtake = async {
             // It is being written by now: its first bytes have come, and nothing came of it.
             let early = timeout(Duration::from_millis(100), told.recv()).await;
@@ -174,9 +174,9 @@
             let mut first = [0; 100];
             std::io::Read::read_exact(&mut there, &mut first).unwrap();
             match by {
-                WorkUnitOver => _ = exchange.close(),
+                WorkUnitOver => _ = in_flight.close(),
                 GraceEnded => executors.shut(executor()),
-                Stopped => stop.tell(Outcome::Cancelled),
+                Stopped => stop.cancel(Outcome::Cancelled),
                 _ => {}
             }
             (told.recv().await, there)
@@ -184,7 +184,7 @@
         let both = async { tokio::join!(overtake, executors.clone().allocate(push)).0 };
         let waited = local.run_until(timeout(Duration::from_secs(4), both)).await;
         let (event, mut there) = waited.unwrap_or_else(|_| panic!("{by:?}: it is still written"));
-        let Some(Event::Heard(Heard::AttemptEnded { outcome, .. })) = event else { panic!("{by:?}") };
+        let Some(NodeEvent::Core(CoreEvent::AttemptEnded { outcome, .. })) = event else { panic!("{by:?}") };
         assert_eq!(outcome.never_ran(), size == large, "{by:?}: {outcome:?}");
         let mut rest = Vec::new();
         let _ = std::io::Read::read_to_end(&mut there, &mut rest);
@@ -260,7 +260,7 @@
         executors.listed(executor(), listener.local_addr().ok(), None, true);
         let (cut, stop) = (Instant::now() + Duration::from_secs(60), Rc::default());
         let run =
-            || executors.clone().allocate(push(&executors, &exchange(), &stop, Instant::now(), [cut; 2]));
+            || executors.clone().allocate(push(&executors, &in_flight(), &stop, Instant::now(), [cut; 2]));
         let answers = async {
             let (mut one, _) = listener.accept().await.unwrap();
             assert!(one.read(&mut [0; 1000]).await.unwrap() > 0);
@@ -279,7 +279,9 @@
         let both = async { tokio::join!(answers, async { (run().await, run().await) }) };
         assert!(timeout(Duration::from_secs(4), both).await.is_ok(), "{effect}: it is over");
         for expected in [Outcome::Completed, expected] {
-            let Some(Event::Heard(Heard::AttemptEnded { outcome, .. })) = told.recv().await else { panic!() };
+            let Some(NodeEvent::Core(CoreEvent::AttemptEnded { outcome, .. })) = told.recv().await else {
+                panic!()
+            };
             assert_eq!(outcome, expected, "{effect}");
         }
     }
--- a/crates/daemon/tests/unit/http1.rs
+++ b/crates/daemon/tests/unit/http1.rs
@@ -15,7 +15,7 @@
         (chunked, "fffffffffffffffff\r\n", 5, Err(Bad::Malformed("odd chunk size"))),
     ] {
         for step in 1..=text.len() {
-            let mut input = Ring::new(32, &HeldBytes::new(0));
+            let mut input = RingBuffer::new(32, &ByteBudget::new(0));
             let (mut state, mut out) = (body, BytesMut::new());
             let mut got = Ok(false);
             let mut left = text.as_bytes();
@@ -54,7 +54,7 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut peer = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
-        let mut connection = Connection::new(stream, 16 * 1024, &HeldBytes::new(1 << 20));
+        let mut connection = Connection::new(stream, 16 * 1024, &ByteBudget::new(1 << 20));
         let sends = async {
             tokio::io::AsyncWriteExt::write_all(&mut peer, &vec![7; ahead]).await.unwrap();
             if reset {
--- /dev/null
+++ b/crates/daemon/tests/unit/in_flight.rs
@@ -0,0 +1,38 @@
+//! One final answer, and none once the client has left.
+use super::*;
+
+impl ClientRequest {
+    /// One of class 0 with a body of this size, for the other tests too.
+    pub fn of(id: &str, size: usize) -> Self {
+        ClientRequest {
+            id: id.into(),
+            key: None,
+            method: "POST".into(),
+            target: "/render".into(),
+            fields: Bytes::new(),
+            body: vec![b'x'; size].into(),
+            class: RequestClassId(0),
+            tenant: TenantId(0),
+            slots: 1.0,
+            memory: 0.0,
+            is_retry: false,
+        }
+    }
+}
+
+#[tokio::test]
+async fn the_first_answer_counts_and_none_after_the_client_left() {
+    let budget = ByteBudget::new(10);
+    let make = |bytes: usize| {
+        InFlightRequest::new(RequestId(1), ClientRequest::of("1", bytes), Instant::now(), &budget)
+    };
+    let request = make(8).unwrap();
+    assert!(make(3).is_none(), "what is held is bounded");
+    assert!(request.answer(Answer::Failed) && !request.answer(Answer::Rejected(None)));
+    assert_eq!(request.answered().await, Answer::Failed);
+    request.over().await;
+    drop(request);
+    let left = make(10).unwrap();
+    assert!(left.close() && left.is_over() && !left.answer(Answer::Failed));
+    left.over().await;
+}
--- a/crates/daemon/tests/unit/lib.rs
+++ b/crates/daemon/tests/unit/lib.rs
@@ -19,25 +19,27 @@
     let longest = Duration::from_millis(100);
     let limits = Rc::new(Limits::of(&Stated { memory_mb: 64, sockets: 128, longest, ..Stated::default() }));
     let (events, mut told) = mpsc::channel(16);
-    let stages = Stages::new();
-    stages.change(|life| life.listed = true);
-    let (stage, none) = (stages.watch(), Rc::default());
+    let lifecycle = Lifecycle::new();
+    lifecycle.update(|facts| facts.is_listed = true);
+    let (stage, none) = (lifecycle.watch(), Rc::default());
     let clients = Clients::new(limits.clone(), words, events.clone(), stage, none, None, Rc::default());
     let listener = listen(([127, 0, 0, 1], 0).into(), 16).unwrap();
     let addr = listener.local_addr().unwrap();
-    let mut staged = stages.watch();
+    let mut staged = lifecycle.watch();
     let ended = async {
         spawn_local(clients.clone().accept(listener, false));
         let comes = async {
-            staged.wait_for(|stage| *stage == lifecycle::Stage::Closing).await.unwrap();
+            staged.wait_for(|stage| *stage == lifecycle::LifecycleState::Closing).await.unwrap();
             let mut client = std::net::TcpStream::connect(addr).unwrap();
             let work = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nContent-Length: 0\r\n\r\n";
             client.write_all(work.as_bytes()).unwrap();
-            let Some(Event::Arrived(exchange)) = told.recv().await else { panic!("it is not taken") };
-            assert!(exchange.answer(in_flight::Answer::Completed("done".into())));
+            let Some(NodeEvent::RequestArrived(in_flight)) = told.recv().await else {
+                panic!("it is not taken")
+            };
+            assert!(in_flight.answer(in_flight::Answer::Completed("done".into())));
             client
         };
-        let ends = end(&limits, &clients, &stages, &events, false);
+        let ends = end(&limits, &clients, &lifecycle, &events, false);
         let both = async { tokio::join!(comes, ends).0 };
         timeout(Duration::from_secs(4), both).await.expect("it is taken and the node ends")
     };
--- a/crates/daemon/tests/unit/platform.rs
+++ b/crates/daemon/tests/unit/platform.rs
@@ -28,7 +28,7 @@
     }
 }
 
-fn follower(at: SocketAddr) -> (Follower, mpsc::Receiver<Event>, watch::Sender<SocketAddr>) {
+fn follower(at: SocketAddr) -> (Follower, mpsc::Receiver<NodeEvent>, watch::Sender<SocketAddr>) {
     let (_, words) = Vocabulary::of_one_type(5_000_000);
     let wait = Some(Duration::from_secs(3));
     let stated = Stated { memory_mb: 64, sockets: 128, connect_wait: wait, ..Stated::default() };
@@ -122,7 +122,9 @@
         let ended = local.run_until(watched).await;
         let (took, mut told) = (start.elapsed().as_secs_f64(), 0);
         while let Ok(event) = heard.try_recv() {
-            told += usize::from(matches!(event, Event::List(list) if list.kind == ListUpdate::Snapshot));
+            told += usize::from(
+                matches!(event, NodeEvent::ListReceived(list) if list.kind == ListUpdate::Snapshot),
+            );
         }
         assert_eq!((told, ended.is_none()), (lists, agent == Indented), "{agent:?}: {ended:?}");
         assert!(took <= latest, "{agent:?}: it ended after {took} s");
--- a/crates/daemon/tests/unit/retention.rs
+++ b/crates/daemon/tests/unit/retention.rs
@@ -8,7 +8,7 @@
 #[derive(Default)]
 struct Store(BTreeMap<CompactString, Entry>);
 
-impl Kept for Store {
+impl RetainedEntries for Store {
     fn entry(&self, name: &str) -> Option<&Entry> {
         self.0.get(name)
     }
@@ -20,29 +20,29 @@
 
 /// A selection with its store, which takes what is selected.
 struct Node {
-    selection: Selection,
+    retention: EndpointRetention,
     store: Store,
 }
 
 impl Node {
     fn new(bound: usize, most_left_out: usize) -> Self {
-        Node { selection: Selection::new(NODE, bound, most_left_out), store: Store::default() }
+        Node { retention: EndpointRetention::new(NODE, bound, most_left_out), store: Store::default() }
     }
 
-    fn whole(&mut self, entries: Vec<Entry>, beyond: usize) -> Selected {
-        let selected = self.selection.whole(entries, beyond);
+    fn whole(&mut self, entries: Vec<Entry>, beyond: usize) -> RetentionChange {
+        let selected = self.retention.apply_snapshot(entries, beyond);
         self.store.0.clear();
         self.take(&selected);
         selected
     }
 
-    fn changes(&mut self, entries: Vec<Entry>) -> Selected {
-        let selected = self.selection.changes(entries, &self.store);
+    fn changes(&mut self, entries: Vec<Entry>) -> RetentionChange {
+        let selected = self.retention.apply_delta(entries, &self.store);
         self.take(&selected);
         selected
     }
 
-    fn take(&mut self, selected: &Selected) {
+    fn take(&mut self, selected: &RetentionChange) {
         for entry in &selected.entries {
             match entry.is_gone() {
                 true => assert!(self.store.0.remove(&entry.id).is_some(), "it was kept"),
@@ -92,12 +92,15 @@
 fn a_list_within_the_bound_passes_as_it_is() {
     let mut node = Node::new(4, 2);
     let list = vec![entry("c", "Ready"), entry("a", "Terminating"), entry("b", "odd")];
-    assert_eq!(node.whole(list.clone(), 0), Selected { entries: list, ..Selected::default() });
+    assert_eq!(node.whole(list.clone(), 0), RetentionChange { entries: list, ..RetentionChange::default() });
     let changes = vec![entry("d", "Ready"), entry("c", "Gone"), entry("e", "Ready"), entry("a", "Ready")];
-    assert_eq!(node.changes(changes.clone()), Selected { entries: changes, ..Selected::default() });
-    assert_eq!(node.changes(vec![entry("f", "Gone")]), Selected::default(), "one that never was");
-    let figures = Figures { listed: 4, kept: 4, left_out: 0, bound: 4 };
-    assert_eq!((node.selection.figures(), node.names()), (figures, vec!["a", "b", "d", "e"]));
+    assert_eq!(
+        node.changes(changes.clone()),
+        RetentionChange { entries: changes, ..RetentionChange::default() }
+    );
+    assert_eq!(node.changes(vec![entry("f", "Gone")]), RetentionChange::default(), "one that never was");
+    let figures = RetentionStatistics { listed: 4, kept: 4, left_out: 0, bound: 4 };
+    assert_eq!((node.retention.statistics(), node.names()), (figures, vec!["a", "b", "d", "e"]));
 }
 
 /// After every list those are kept that a choice among all would keep, by the last word on each, and the
@@ -129,13 +132,13 @@
             }
             let entries: Vec<Entry> = change.into_values().collect();
             let told = if is_whole { node.whole(entries, 0) } else { node.changes(entries) };
-            assert!(!told.ask_whole && told.repeated == 0, "seed {seed} step {step}");
+            assert!(!told.needs_snapshot && told.repeated == 0, "seed {seed} step {step}");
             let expected = best(&listed, BOUND);
             assert_eq!(node.names(), expected, "seed {seed} step {step}");
             assert!(node.store.0.iter().all(|(name, entry)| listed.get(name) == Some(entry)));
             let (kept, all) = (expected.len(), listed.len());
-            let figures = Figures { listed: all, kept, left_out: all - kept, bound: BOUND };
-            assert_eq!(node.selection.figures(), figures, "seed {seed} step {step}");
+            let figures = RetentionStatistics { listed: all, kept, left_out: all - kept, bound: BOUND };
+            assert_eq!(node.retention.statistics(), figures, "seed {seed} step {step}");
             let lost = before.iter().filter(|name| !expected.contains(&name.as_str())).count();
             let gone = told.entries.iter().filter(|entry| entry.is_gone()).count();
             assert!(is_whole || gone == lost, "seed {seed} step {step}: {gone} of {lost} are told gone");
@@ -189,42 +192,51 @@
     let mut node = Node::new(2, 2);
     let list = vec![entry("a", "Ready"), entry("b", "Ready"), entry("a", "Terminating"), entry("a", "Ready")];
     let told = node.whole(list, 0);
-    assert_eq!((told.repeated, node.selection.figures().kept), (2, 2));
+    assert_eq!((told.repeated, node.retention.statistics().kept), (2, 2));
     let told = node.changes(vec![entry("a", "Gone"), entry("c", "Ready"), entry("a", "Terminating")]);
     assert_eq!(told.repeated, 1);
     assert_eq!(node.names(), ["b", "c"], "it drains, and another one is ready");
-    assert_eq!(node.selection.figures().listed, 3);
+    assert_eq!(node.retention.statistics().listed, 3);
 }
 
 #[test]
 fn past_what_is_held_the_whole_list_is_asked_for_once() {
     let mut node = Node::new(10, 5);
     node.whole(fleet(18), 2);
-    assert_eq!(node.selection.figures(), Figures { listed: 20, kept: 10, left_out: 10, bound: 10 });
-    assert_eq!(node.selection.left_out().count(), 5);
+    assert_eq!(
+        node.retention.statistics(),
+        RetentionStatistics { listed: 20, kept: 10, left_out: 10, bound: 10 }
+    );
+    assert_eq!(node.retention.unretained().count(), 5);
     // The five that are held come in for the first five that go.
     let mut asked = Vec::new();
     for number in 0..10 {
         let name = node.names()[0].to_string();
         let told = node.changes(vec![entry(&name, "Gone")]);
-        assert_eq!(node.selection.figures().kept, if number < 5 { 10 } else { 14 - number });
-        asked.push(told.ask_whole);
+        assert_eq!(node.retention.statistics().kept, if number < 5 { 10 } else { 14 - number });
+        asked.push(told.needs_snapshot);
     }
     assert_eq!(asked, [vec![false; 5], vec![true], vec![false; 4]].concat(), "once, until it comes");
     node.whole(fleet(9), 0);
-    assert_eq!(node.selection.figures(), Figures { listed: 9, kept: 9, left_out: 0, bound: 10 });
+    assert_eq!(
+        node.retention.statistics(),
+        RetentionStatistics { listed: 9, kept: 9, left_out: 0, bound: 10 }
+    );
 }
 
 #[test]
 fn one_that_finds_no_handle_waits_until_there_is_one() {
     let mut node = Node::new(2, 2);
-    let selected = node.selection.whole(ready(&["a", "b"]), 0);
+    let selected = node.retention.apply_snapshot(ready(&["a", "b"]), 0);
     for entry in selected.entries {
-        node.selection.give_back(entry);
+        node.retention.defer(entry);
     }
-    assert_eq!(node.selection.figures(), Figures { listed: 2, kept: 0, left_out: 2, bound: 2 });
-    assert!(node.selection.has_waiting() && node.selection.entry_left_out("a").is_some());
+    assert_eq!(
+        node.retention.statistics(),
+        RetentionStatistics { listed: 2, kept: 0, left_out: 2, bound: 2 }
+    );
+    assert!(node.retention.has_waiting() && node.retention.unretained_entry("a").is_some());
     node.changes(Vec::new());
-    assert!(!node.selection.has_waiting());
+    assert!(!node.retention.has_waiting());
     assert_eq!(node.names(), ["a", "b"]);
 }
--- a/crates/scale/src/hollow_nodes.rs
+++ b/crates/scale/src/hollow_nodes.rs
@@ -11,7 +11,6 @@
 mod address_book;
 mod by_dispatcher;
 mod by_rates;
-mod clock;
 mod connections;
 mod exchange;
 mod http;
--- a/crates/scale/src/hollow_nodes/by_dispatcher.rs
+++ b/crates/scale/src/hollow_nodes/by_dispatcher.rs
@@ -1,5 +1,4 @@
 //! A hollow node that the decision module drives: events in, actions out, over real sockets.
-use super::clock::Clock;
 use super::connections::Pool;
 use super::exchange::{self, Attempt};
 use super::list::{self, Entry, Keep, List, WatchEnd};
@@ -20,6 +19,7 @@
     Action, AttemptId, Dispatcher, Endpoint, Event, ExecutorId, ListUpdate, Millis, Outcome, ProbeReply,
     RequestClassId, RequestId, TenantId,
 };
+use troutknot_clock::Clock;
 use troutknot_membership::ExecutorRegistry;
 
 /// Requests of one node that are open at most; more are not taken.
@@ -216,7 +216,7 @@
             }
             Action::Probe { executor } => self.probe(executor),
             Action::SetTimer { at } => {
-                let at = self.clock.when(at);
+                let at = self.clock.instant_of(at);
                 self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
             }
             Action::CloseIdleConnections { executor } => {
@@ -251,8 +251,8 @@
             class: open.class.clone(),
             addr,
             work: open.work,
-            cut: self.clock.when(attempt_deadline).min(open.deadline),
-            send_by: self.clock.when(send_deadline).min(open.deadline),
+            cut: self.clock.instant_of(attempt_deadline).min(open.deadline),
+            send_by: self.clock.instant_of(send_deadline).min(open.deadline),
         });
         let (tell, pool, counters) =
             (self.tell.clone(), self.pool.clone(), self.shared.by_dispatcher.clone());
