--- a/crates/daemon/src/management/calls.rs
+++ b/crates/daemon/src/admin/calls.rs
@@ -17,7 +17,7 @@
 
 /// Why a head asks for none of these.
 #[derive(Debug, PartialEq)]
-pub enum NoCall {
+pub enum UnknownCall {
     UnknownPath,
     /// And the one method that the path takes.
     WrongMethod(&'static str),
@@ -28,7 +28,7 @@
 const MOST_NAME: usize = 255;
 
 /// Reads a call out of a request's method and target.
-pub fn call(method: &str, target: &str) -> Result<Call, NoCall> {
+pub fn call(method: &str, target: &str) -> Result<Call, UnknownCall> {
     let path = target.split('?').next().unwrap_or("");
     let steps: Vec<&str> = path.split('/').collect();
     let (by, call) = match steps[..] {
@@ -39,14 +39,14 @@
         ["", "v1", "executors", name, what @ ("suspend" | "resume")] => {
             let name = percent_encoding::percent_decode_str(name).decode_utf8();
             let name = name.ok().filter(|name| (1..=MOST_NAME).contains(&name.len()));
-            let executor = name.ok_or(NoCall::OddPath)?.into_owned();
+            let executor = name.ok_or(UnknownCall::OddPath)?.into_owned();
             ("PUT", Call::Out { executor, out: what == "suspend" })
         }
-        _ => return Err(NoCall::UnknownPath),
+        _ => return Err(UnknownCall::UnknownPath),
     };
-    if method == by { Ok(call) } else { Err(NoCall::WrongMethod(by)) }
+    if method == by { Ok(call) } else { Err(UnknownCall::WrongMethod(by)) }
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/operator_calls.rs"]
+#[path = "../../tests/unit/admin_calls.rs"]
 mod tests;
--- a/crates/daemon/src/management/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -3,13 +3,13 @@
 mod calls;
 
 use crate::byte_budget::ByteBudget;
+use crate::config::limits::Limits;
 use crate::event::{CallOrigin, NodeEvent};
-use crate::hot_restart::{Beside, codec::Message};
+use crate::hot_restart::{SiblingProcess, codec::Message};
 use crate::http1::{self, Connection, Failed};
 use crate::lifecycle::{Drain, Lifecycle, LifecycleState, Shutdown};
-use crate::limits::Limits;
 use crate::retention::RetentionStatistics;
-use calls::{Call, NoCall};
+use calls::{Call, UnknownCall};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -20,11 +20,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-pub struct Management {
+pub struct AdminServer {
     limits: Rc<Limits>,
     events: mpsc::Sender<NodeEvent>,
     lifecycle: Rc<Lifecycle>,
-    beside: Rc<Beside>,
+    beside: Rc<SiblingProcess>,
     /// How many executors are listed, and what becomes of them.
     figures: Rc<Cell<RetentionStatistics>>,
     rings: Rc<ByteBudget>,
@@ -38,15 +38,15 @@
 
 const DONE: Answered = (200, Cow::Borrowed("done"));
 
-impl Management {
+impl AdminServer {
     pub fn new(
         limits: Rc<Limits>,
         events: mpsc::Sender<NodeEvent>,
         lifecycle: Rc<Lifecycle>,
-        beside: Rc<Beside>,
+        beside: Rc<SiblingProcess>,
         figures: Rc<Cell<RetentionStatistics>>,
     ) -> Rc<Self> {
-        Rc::new(Management {
+        Rc::new(AdminServer {
             rings: ByteBudget::new(limits.callers * 2 * limits.call_ring),
             limits,
             events,
@@ -120,9 +120,9 @@
                     }
                     answered
                 }
-                Err(NoCall::UnknownPath) => (404, "there is no such call".into()),
-                Err(NoCall::OddPath) => (400, "an executor has a name of 1 to 255 bytes".into()),
-                Err(NoCall::WrongMethod(by)) => {
+                Err(UnknownCall::UnknownPath) => (404, "there is no such call".into()),
+                Err(UnknownCall::OddPath) => (400, "an executor has a name of 1 to 255 bytes".into()),
+                Err(UnknownCall::WrongMethod(by)) => {
                     allow = Some(("Allow", by.to_string()));
                     (405, "the call is made by another method".into())
                 }
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/config/limits.rs
@@ -5,7 +5,7 @@
 
 /// What the deployment states, from which the rest follows.
 #[derive(Clone, Default)]
-pub struct Stated {
+pub struct LimitInputs {
     pub memory_mb: u64,
     pub sockets: u64,
     pub connect_wait: Option<Duration>,
@@ -23,7 +23,7 @@
 
 /// Times that follow from the settings, and from new ones.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct ShutdownTimeouts {
     /// The longest that a work unit may be open.
     pub longest: Duration,
     pub connect_wait: Duration,
@@ -39,8 +39,8 @@
     pub end_after: Duration,
 }
 
-impl Times {
-    pub fn of(stated: &Stated) -> Self {
+impl ShutdownTimeouts {
+    pub fn of(stated: &LimitInputs) -> Self {
         let part = |whole: Duration, of: f64| whole.mul_f64(of);
         let connect_wait = stated.connect_wait.unwrap_or(Duration::from_secs(1));
         let most = stated.longest.min(MOST_TO_END);
@@ -49,7 +49,7 @@
         // what they have open, so it stays open for as long as what comes over it may be answered. Where limits
         // are short there is less time, as all three have to come in their order before the node is killed.
         let linger = most.max(ms(650)).min(most + ms(300));
-        Times {
+        ShutdownTimeouts {
             longest: stated.longest,
             connect_wait,
             probe_wait: connect_wait,
@@ -65,7 +65,7 @@
 
 #[derive(Debug)]
 pub struct Limits {
-    times: Cell<Times>,
+    times: Cell<ShutdownTimeouts>,
     /// Each ring buffer; a message's head must fit in one.
     pub ring: usize,
     /// What the clients' rings hold beyond their first size, all together.
@@ -187,16 +187,16 @@
 const MOST_TO_END: Duration = Duration::from_secs(3);
 
 impl Limits {
-    pub fn times(&self) -> Times {
+    pub fn times(&self) -> ShutdownTimeouts {
         self.times.get()
     }
 
     /// What new settings state; sizes and counts stay as they were at the start.
-    pub fn retune(&self, stated: &Stated) {
-        self.times.set(Times::of(stated));
+    pub fn retune(&self, stated: &LimitInputs) {
+        self.times.set(ShutdownTimeouts::of(stated));
     }
 
-    pub fn of(stated: &Stated) -> Self {
+    pub fn of(stated: &LimitInputs) -> Self {
         let spare = if stated.passed { 2 * SPARE } else { SPARE };
         let sockets = stated.sockets.clamp(64, 1 << 20) - spare;
         let memory = stated.memory_mb.clamp(16, 1 << 20) as usize * 1024 * 1024;
@@ -219,7 +219,7 @@
         let clients = connections - turned_away - executors;
         let list_line = (memory / 16).min(MOST_LIST);
         let mut limits = Limits {
-            times: Cell::new(Times::of(stated)),
+            times: Cell::new(ShutdownTimeouts::of(stated)),
             ring,
             client_rings: memory / 16,
             body,
@@ -270,7 +270,7 @@
     }
 
     /// Gives executors the memory that nothing else may take.
-    fn share_out(&mut self, memory: usize, stated: &Stated) {
+    fn share_out(&mut self, memory: usize, stated: &LimitInputs) {
         let processes = if stated.passed { 2 } else { 1 };
         let may_be_taken = (memory as f64 * USED_SHARE) as usize;
         let for_executors = may_be_taken.saturating_sub(self.bytes_beside_executors(stated)) / processes;
@@ -287,7 +287,7 @@
     }
 
     /// The most that all but executors may take.
-    fn bytes_beside_executors(&self, stated: &Stated) -> usize {
+    fn bytes_beside_executors(&self, stated: &LimitInputs) -> usize {
         let bodies = self.held_bytes + 2 * self.slow_bodies * self.body + 2 * self.executors * self.body;
         let clients_rings = self.clients * 2 * FIRST + self.client_rings;
         let rings = clients_rings + self.executors * self.ring * 2;
@@ -303,5 +303,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/limits.rs"]
+#[path = "../../tests/unit/limits.rs"]
 mod tests;
--- a/crates/daemon/src/briefing.rs
+++ b/crates/daemon/src/config/node.rs
@@ -1,8 +1,8 @@
 //! What a node is told: read at its start, and again whenever it is asked to.
+use crate::config::limits::{LIST_ASKED_WITHIN, LimitInputs, Limits};
+use crate::config::operator::{Consul, OperatorFile};
 use crate::event::NodeEvent;
-use crate::limits::{LIST_ASKED_WITHIN, Limits, Stated};
-use crate::operator::{Consul, OperatorFile};
-use crate::words::{InForce, List, Vocabulary};
+use crate::protocol::{Codec, Current, EndpointList};
 use serde::Deserialize;
 use std::io::Read;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 const MANAGEMENT: &str = "ROUTER_MANAGEMENT";
 
 #[derive(Deserialize)]
-pub struct Briefing {
+pub struct NodeConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -29,46 +29,46 @@
     #[serde(default)]
     pub management: Option<SocketAddr>,
     pub seed: String,
-    pub limits: BriefedLimits,
-    pub known: Option<List>,
+    pub limits: NodeLimits,
+    pub known: Option<EndpointList>,
     pub settings: serde_json::Map<String, serde_json::Value>,
 }
 
 #[derive(Deserialize, PartialEq)]
-pub struct BriefedLimits {
+pub struct NodeLimits {
     pub memory_mb: u64,
     pub sockets: u64,
 }
 
 /// The same in the forms that the parts of the node take it in.
-pub struct Understood {
+pub struct ResolvedNodeConfig {
     pub seed: u64,
     pub settings: Settings,
-    pub words: Vocabulary,
+    pub codec: Codec,
 }
 
 /// What new settings change while the node runs.
-pub struct Retuned {
+pub struct ReloadTargets {
     pub catalog: IdCatalog,
     pub limits: Rc<Limits>,
-    pub words: Rc<InForce<Vocabulary>>,
+    pub codec: Rc<Current<Codec>>,
     pub events: mpsc::Sender<NodeEvent>,
 }
 
-impl Retuned {
+impl ReloadTargets {
     /// Takes new settings as one, or nothing of them.
     async fn take(&mut self, settings: &serde_json::Map<String, serde_json::Value>) -> Result<(), String> {
         let mut resolved = self.catalog.resolve(settings).map_err(|errors| errors.to_string())?;
         bound_poll_interval(&mut resolved.settings);
         let settings_in_force = resolved.settings.clone();
-        let words = Vocabulary::of(settings, resolved);
-        self.limits.retune(&stated(&settings_in_force, &words));
+        let codec = Codec::of(settings, resolved);
+        self.limits.retune(&stated(&settings_in_force, &codec));
         // The module has heard of a project type before the first work unit of it comes.
         self.events
             .send(NodeEvent::SettingsChanged(Box::new(settings_in_force)))
             .await
             .map_err(|_| "the node ends".to_string())?;
-        self.words.replace(words);
+        self.codec.replace(codec);
         Ok(())
     }
 }
@@ -81,17 +81,17 @@
 }
 
 /// What the settings state of times.
-pub fn stated(settings: &Settings, words: &Vocabulary) -> Stated {
+pub fn stated(settings: &Settings, codec: &Codec) -> LimitInputs {
     let span = |stated: Option<Millis>| {
         let millis = stated.filter(|millis| (0.0..1e9).contains(millis))?;
         Some(Duration::from_secs_f64(millis / 1000.0))
     };
-    Stated {
+    LimitInputs {
         connect_wait: span(settings.limits.connect_timeout),
         executors_idle: span(settings.limits.idle_timeout),
         drain_grace: span(settings.rules.drain_grace),
-        longest: words.longest(),
-        ..Stated::default()
+        longest: codec.longest(),
+        ..LimitInputs::default()
     }
 }
 
@@ -124,7 +124,7 @@
     }
 }
 
-impl Briefing {
+impl NodeConfig {
     pub fn read(path: &Path) -> Result<Self, String> {
         let shown = path.display();
         let mut text = String::new();
@@ -143,16 +143,16 @@
         u64::from_str_radix(&self.seed, 16).map_err(|_| format!("odd seed `{}`", self.seed))
     }
 
-    pub fn understood(&self, catalog: &mut IdCatalog) -> Result<Understood, String> {
+    pub fn understood(&self, catalog: &mut IdCatalog) -> Result<ResolvedNodeConfig, String> {
         let seed = self.seed()?;
         let mut resolved = catalog.resolve(&self.settings).map_err(|errors| errors.to_string())?;
         bound_poll_interval(&mut resolved.settings);
         let settings = resolved.settings.clone();
-        Ok(Understood { seed, settings, words: Vocabulary::of(&self.settings, resolved) })
+        Ok(ResolvedNodeConfig { seed, settings, codec: Codec::of(&self.settings, resolved) })
     }
 
     /// What a newer one says otherwise that holds until the node's end.
-    fn kept(&self, newer: &Briefing) -> Vec<&'static str> {
+    fn kept(&self, newer: &NodeConfig) -> Vec<&'static str> {
         let differ = [
             ("name", self.name != newer.name),
             ("listen", self.listen != newer.listen),
@@ -170,12 +170,12 @@
         mut asked: Signal,
         discovery: watch::Sender<SocketAddr>,
         mut own: Own,
-        mut retuned: Retuned,
+        mut retuned: ReloadTargets,
     ) {
         while asked.recv().await.is_some() {
             own.reread();
             // Guards against a new file that is bad: it is checked to its end before anything of it is taken.
-            let newer = match Briefing::read(&path) {
+            let newer = match NodeConfig::read(&path) {
                 Ok(newer) => match newer.seed() {
                     Ok(_) => match parse_settings(&newer.settings)
                         .map_err(|error| error.to_string())
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/config/operator.rs
@@ -18,14 +18,14 @@
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorFile {
     pub lists: Lists,
-    pub durable: Option<Durably>,
-    pub peers: Option<Talking>,
+    pub durable: Option<DurableConfig>,
+    pub peers: Option<GossipConfig>,
 }
 
 /// Where this node hears the others, and where they hear it; read at the start alone.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Talking {
+pub struct GossipConfig {
     pub listen: SocketAddr,
     pub nodes: Vec<SocketAddr>,
 }
@@ -33,7 +33,7 @@
 /// When the ledger syncs.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq, Eq, Default)]
 #[serde(rename_all = "kebab-case")]
-pub enum Syncs {
+pub enum LedgerSync {
     /// Once for all that wait.
     #[default]
     Together,
@@ -53,7 +53,7 @@
 /// Durable work units; read at the start alone.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Durably {
+pub struct DurableConfig {
     /// The ledger's file.
     pub path: PathBuf,
     #[serde(default = "taken")]
@@ -65,7 +65,7 @@
     #[serde(default = "kept", with = "humantime_serde")]
     pub kept: Duration,
     #[serde(default)]
-    pub sync: Syncs,
+    pub sync: LedgerSync,
     /// New durable work is deferred while a sync takes longer.
     #[serde(default = "slow_after", with = "humantime_serde")]
     pub slow_after: Duration,
@@ -80,7 +80,7 @@
     pub fences: bool,
 }
 
-impl Durably {
+impl DurableConfig {
     pub fn takes(&self, effect: Effect) -> bool {
         self.effects.contains(&match effect {
             Effect::Idempotent => Taken::Rerunnable,
@@ -113,7 +113,7 @@
 /// A source of the list of executors.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Source {
+pub enum DiscoverySource {
     Platform,
     Consul,
 }
@@ -122,13 +122,13 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Lists {
     /// The first one's figures count where several list one executor.
-    pub sources: Vec<Source>,
+    pub sources: Vec<DiscoverySource>,
     pub consul: Option<Consul>,
 }
 
 impl Default for Lists {
     fn default() -> Self {
-        Lists { sources: vec![Source::Platform], consul: None }
+        Lists { sources: vec![DiscoverySource::Platform], consul: None }
     }
 }
 
@@ -289,7 +289,7 @@
         must(!sources.is_empty(), "`lists.sources` is empty; \"platform\" and \"consul\" are allowed");
         let twice = sources.iter().enumerate().any(|(k, source)| sources[..k].contains(source));
         must(!twice, "`lists.sources` names one source twice");
-        let asked = sources.contains(&Source::Consul);
+        let asked = sources.contains(&DiscoverySource::Consul);
         must(
             !asked || self.lists.consul.is_some(),
             "`lists.sources` names consul, and there is no [lists.consul]",
--- a/crates/daemon/src/lists/consul.rs
+++ b/crates/daemon/src/discovery/consul.rs
@@ -1,11 +1,11 @@
 //! Follows Consul: a task for each watched service, which asks the agents in turn, and one for what the roster
 //! does by itself. What a roster says becomes changes of the list, told like the platform's.
 use crate::byte_budget::ByteBudget;
+use crate::config::limits::Limits;
+use crate::config::operator::Consul;
+use crate::discovery::{EndpointUpdate, EndpointUpdateSender};
 use crate::http1::{Connection, Failed};
-use crate::limits::Limits;
-use crate::lists::{Told, ToldList};
-use crate::operator::Consul;
-use crate::words::Entry;
+use crate::protocol::EndpointEntry;
 use bytes::BytesMut;
 use compact_str::{CompactString, ToCompactString};
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
 pub struct Follower {
     pub limits: Rc<Limits>,
     pub clock: Clock,
-    pub told: Told,
+    pub told: EndpointUpdateSender,
     /// What the operator's file says; none where it no longer names Consul.
     pub wanted: watch::Receiver<Option<Consul>>,
     /// What the node says of its list, where it is asked.
@@ -40,7 +40,7 @@
 struct Shared {
     limits: Rc<Limits>,
     clock: Clock,
-    told: Told,
+    told: EndpointUpdateSender,
     roster: RefCell<Roster>,
     status: Rc<RefCell<String>>,
     /// Told when the roster's next time may be another.
@@ -61,7 +61,7 @@
 
 impl Follower {
     /// Follows until the node ends. `known` is the list held before.
-    pub async fn run(mut self, known: Vec<Entry>) {
+    pub async fn run(mut self, known: Vec<EndpointEntry>) {
         let clock = self.clock;
         // The roster's times are the clock's own, which are Unix times already.
         let first = self.wanted.borrow().clone();
@@ -281,7 +281,7 @@
         let answered = self.watches.borrow().iter().any(|w| w.answered_at.get().is_some());
         if answered || !changes.is_empty() {
             // That nothing has changed is word from the list as well.
-            self.told.tell(ToldList::changes(changes.into_iter().map(entry_of).collect())).await;
+            self.told.tell(EndpointUpdate::changes(changes.into_iter().map(entry_of).collect())).await;
         }
         self.say();
         self.changed.notify_one();
@@ -343,9 +343,9 @@
     plain.then_some(token)
 }
 
-fn entry_of(change: Change) -> Entry {
+fn entry_of(change: Change) -> EndpointEntry {
     let member = &change.member;
-    Entry {
+    EndpointEntry {
         id: member.id.as_str().into(),
         addr: member.addr.to_compact_string(),
         zone: Some(member.zone.as_str().into()),
@@ -363,7 +363,7 @@
 }
 
 /// One of the list held before; none where it has no address.
-fn member_of(entry: &Entry) -> Option<Member> {
+fn member_of(entry: &EndpointEntry) -> Option<Member> {
     let ready = entry.state == "Ready";
     Some(Member {
         id: entry.id.to_string(),
--- a/crates/daemon/src/lists/merge.rs
+++ b/crates/daemon/src/discovery/merge.rs
@@ -1,6 +1,6 @@
 //! Several sources of one list. Figures of an executor come from the first source that lists it; it is ready
 //! only while every source that names it says so, for what any of them has told counts as learned.
-use crate::words::Entry;
+use crate::protocol::EndpointEntry;
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 use troutknot::ListUpdate;
@@ -8,11 +8,11 @@
 /// What each source last said of one executor, by the source's place in the order.
 #[derive(Default)]
 struct Said {
-    by: BTreeMap<usize, Entry>,
-    told: Option<Entry>,
+    by: BTreeMap<usize, EndpointEntry>,
+    told: Option<EndpointEntry>,
 }
 
-pub struct Merge {
+pub struct EndpointMerge {
     executors: BTreeMap<CompactString, Said>,
     /// So many are kept in mind; further ones are left out. Guards against lists that name ever new ones.
     most: usize,
@@ -22,7 +22,7 @@
 const GONE: &str = "Gone";
 
 impl Said {
-    fn wanted(&self) -> Option<Entry> {
+    fn wanted(&self) -> Option<EndpointEntry> {
         let first = self.by.values().find(|entry| entry.state != GONE).or(self.by.values().next())?;
         let mut wanted = first.clone();
         // One that a source has let go and another still lists only drains: it may be back there.
@@ -35,13 +35,18 @@
     }
 }
 
-impl Merge {
+impl EndpointMerge {
     pub fn new(most: usize) -> Self {
-        Merge { executors: BTreeMap::new(), most }
+        EndpointMerge { executors: BTreeMap::new(), most }
     }
 
     /// What changes for the node by a source's word.
-    pub fn take(&mut self, source: usize, kind: ListUpdate, entries: Vec<Entry>) -> Vec<Entry> {
+    pub fn take(
+        &mut self,
+        source: usize,
+        kind: ListUpdate,
+        entries: Vec<EndpointEntry>,
+    ) -> Vec<EndpointEntry> {
         let mut touched: Vec<CompactString> = entries.iter().map(|entry| entry.id.clone()).collect();
         if kind != ListUpdate::Delta {
             // Who is missing from a whole list is gone.
--- a/crates/daemon/src/lists/mod.rs
+++ b/crates/daemon/src/discovery/mod.rs
@@ -1,12 +1,12 @@
 //! The sources of the list of executors: each follows one, and all tell the same events.
 pub mod consul;
 pub mod merge;
+pub mod parser;
 pub mod platform;
-pub mod reader;
 
 use crate::event::NodeEvent;
-use crate::words::{Entry, List};
-use merge::Merge;
+use crate::protocol::{EndpointEntry, EndpointList};
+use merge::EndpointMerge;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -14,47 +14,47 @@
 
 /// A list, or changes of one, as it is told to the driver.
 #[derive(Debug)]
-pub struct ToldList {
+pub struct EndpointUpdate {
     pub kind: ListUpdate,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEntry>,
     /// Where its source counts them.
     pub version: Option<u64>,
     /// Entries that were cut for the bound when it was read.
     pub beyond: usize,
 }
 
-impl ToldList {
-    pub fn of(kind: ListUpdate, list: List) -> Self {
-        let List { version, entries, beyond, .. } = list;
-        ToldList { kind, entries, version: Some(version), beyond }
+impl EndpointUpdate {
+    pub fn of(kind: ListUpdate, list: EndpointList) -> Self {
+        let EndpointList { version, entries, beyond, .. } = list;
+        EndpointUpdate { kind, entries, version: Some(version), beyond }
     }
 
-    pub fn changes(entries: Vec<Entry>) -> Self {
-        ToldList { kind: ListUpdate::Delta, entries, version: None, beyond: 0 }
+    pub fn changes(entries: Vec<EndpointEntry>) -> Self {
+        EndpointUpdate { kind: ListUpdate::Delta, entries, version: None, beyond: 0 }
     }
 
     /// That nothing has changed.
     pub fn nothing_new() -> Self {
-        ToldList::changes(Vec::new())
+        EndpointUpdate::changes(Vec::new())
     }
 }
 
 /// Where a source tells what it has; with several, what follows from all of them is told on.
 #[derive(Clone)]
-pub struct Told {
+pub struct EndpointUpdateSender {
     events: mpsc::Sender<NodeEvent>,
-    merge: Option<(usize, Rc<RefCell<Merge>>)>,
+    merge: Option<(usize, Rc<RefCell<EndpointMerge>>)>,
 }
 
-impl Told {
+impl EndpointUpdateSender {
     /// For the only source.
     pub fn alone(events: mpsc::Sender<NodeEvent>) -> Self {
-        Told { events, merge: None }
+        EndpointUpdateSender { events, merge: None }
     }
 
     /// For each of several sources, by its place in the order.
-    pub fn among(events: mpsc::Sender<NodeEvent>, place: usize, merge: &Rc<RefCell<Merge>>) -> Self {
-        Told { events, merge: Some((place, merge.clone())) }
+    pub fn among(events: mpsc::Sender<NodeEvent>, place: usize, merge: &Rc<RefCell<EndpointMerge>>) -> Self {
+        EndpointUpdateSender { events, merge: Some((place, merge.clone())) }
     }
 
     /// What needs no merging goes on as it is.
@@ -74,17 +74,17 @@
     }
 
     /// What to tell of a list, or of changes to it.
-    pub fn list(&self, list: ToldList) -> NodeEvent {
+    pub fn list(&self, list: EndpointUpdate) -> NodeEvent {
         match &self.merge {
             None => NodeEvent::ListReceived(list),
             Some((place, merge)) => {
                 let changes = merge.borrow_mut().take(*place, list.kind, list.entries);
-                NodeEvent::ListReceived(ToldList::changes(changes))
+                NodeEvent::ListReceived(EndpointUpdate::changes(changes))
             }
         }
     }
 
-    pub async fn tell(&self, list: ToldList) {
+    pub async fn tell(&self, list: EndpointUpdate) {
         if let Ok(room) = self.room().await {
             room.send(self.list(list));
         }
--- a/crates/daemon/src/lists/reader.rs
+++ b/crates/daemon/src/discovery/parser.rs
@@ -2,8 +2,8 @@
 //!
 //! Each byte is looked at once, where a parser would begin anew with each piece. Entries are taken as soon as they
 //! are whole, so a list of many thousands is never held as text. Without I/O.
+use crate::protocol::{EndpointEntry, EndpointList};
 use crate::retention;
-use crate::words::{Entry, List};
 use bytes::{Buf, BytesMut};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -26,7 +26,7 @@
     pub entries: usize,
 }
 
-pub struct ListReader {
+pub struct EndpointListParser {
     bounds: ReadBounds,
     retention: Retention,
     text: BytesMut,
@@ -40,7 +40,7 @@
     /// Of the list that has begun: its bytes so far, itself without its entries, and these.
     length: usize,
     rest: Vec<u8>,
-    entries: Vec<Entry>,
+    entries: Vec<EndpointEntry>,
     /// How many the list before had.
     entries_before: usize,
     /// Entries that were cut for the bound.
@@ -62,9 +62,9 @@
     "garbage: a list is too long".into()
 }
 
-impl ListReader {
+impl EndpointListParser {
     pub fn new(bounds: ReadBounds, retention: Retention) -> Self {
-        ListReader {
+        EndpointListParser {
             bounds,
             retention,
             text: BytesMut::new(),
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// What is no list, is cut short, or is over its bounds.
-    pub fn next(&mut self) -> Result<Option<List>, String> {
+    pub fn next(&mut self) -> Result<Option<EndpointList>, String> {
         while let Some(&byte) = self.text.get(self.seen) {
             self.seen += 1;
             self.length += 1;
@@ -192,7 +192,7 @@
         Ok(())
     }
 
-    fn push_entry(&mut self, entry: Entry) {
+    fn push_entry(&mut self, entry: EndpointEntry) {
         if self.entries.len() == FEW {
             // Growing step by step would leave as much memory behind as a list takes.
             self.entries.reserve(self.entries_before.saturating_sub(FEW));
@@ -210,7 +210,7 @@
     }
 
     /// The list that has just ended.
-    fn list(&mut self) -> Result<List, String> {
+    fn list(&mut self) -> Result<EndpointList, String> {
         if self.length > self.bounds.list || self.rest.len() > self.bounds.text {
             return Err(too_long());
         }
@@ -234,18 +234,18 @@
         }
         let entries = std::mem::take(&mut self.entries);
         self.entries_before = entries.len();
-        Ok(List { version: rest.version, full: rest.full, entries, beyond: self.beyond })
+        Ok(EndpointList { version: rest.version, full: rest.full, entries, beyond: self.beyond })
     }
 }
 
 /// Why the text of an entry is none.
 fn bad_entry(text: &str) -> String {
-    match serde_json::from_str::<Entry>(text) {
+    match serde_json::from_str::<EndpointEntry>(text) {
         Err(e) => format!("garbage: {e} in an entry"),
         Ok(_) => "garbage: no entry".into(),
     }
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/list_reader.rs"]
+#[path = "../../tests/unit/endpoint_list_parser.rs"]
 mod tests;
--- a/crates/daemon/src/lists/platform.rs
+++ b/crates/daemon/src/discovery/platform.rs
@@ -1,12 +1,12 @@
 //! Follows the list of executors: one watch at a time, opened when the dispatcher asks for it.
 use crate::byte_budget::ByteBudget;
-use crate::driver::Follow;
+use crate::config::limits::Limits;
+use crate::discovery::parser::{self, EndpointListParser, ReadBounds};
+use crate::discovery::{EndpointUpdate, EndpointUpdateSender};
+use crate::driver::WatchRequests;
 use crate::event::NodeEvent;
 use crate::http1::{Bad, Connection, Failed};
-use crate::limits::Limits;
-use crate::lists::reader::{self, ListReader, ReadBounds};
-use crate::lists::{Told, ToldList};
-use crate::words::{InForce, List, Vocabulary};
+use crate::protocol::{Codec, Current, EndpointList};
 use bytes::BytesMut;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,10 +27,10 @@
     /// Where the list is followed; another address is followed at once.
     pub discovery: watch::Receiver<SocketAddr>,
     pub limits: Rc<Limits>,
-    pub words: Rc<InForce<Vocabulary>>,
-    pub told: Told,
+    pub codec: Rc<Current<Codec>>,
+    pub told: EndpointUpdateSender,
     /// Asks for a watch, or for one that begins with the whole list.
-    pub ask: Rc<Follow>,
+    pub ask: Rc<WatchRequests>,
     /// How this node chooses among more executors than it keeps.
     pub retention: Retention,
 }
@@ -65,7 +65,7 @@
 impl Versions {
     /// Guards against lists that repeat or are old: none of them may bring back an executor that drains. An
     /// older whole list that opens watch after watch is a new count of versions.
-    fn take(&mut self, list: &List, first: bool) -> Option<ListUpdate> {
+    fn take(&mut self, list: &EndpointList, first: bool) -> Option<ListUpdate> {
         let newer = self.known.is_none_or(|known| list.version > known);
         let same = first && list.full && self.known == Some(list.version);
         if !newer && !same {
@@ -82,9 +82,12 @@
 }
 
 impl Follower {
-    fn reader(&self) -> ListReader {
+    fn reader(&self) -> EndpointListParser {
         let Limits { list_line, list_text, listed, .. } = *self.limits;
-        ListReader::new(ReadBounds { list: list_line, text: list_text, entries: listed }, self.retention)
+        EndpointListParser::new(
+            ReadBounds { list: list_line, text: list_text, entries: listed },
+            self.retention,
+        )
     }
 
     /// Follows from the version that is known.
@@ -137,7 +140,7 @@
             let mut connection =
                 Connection::new(stream, self.limits.ring, &ByteBudget::new(2 * self.limits.ring));
             let after = versions.known.filter(|_| !versions.whole_wanted);
-            let ask = self.words.now().watch(discovery, after);
+            let ask = self.codec.now().watch(discovery, after);
             // Whoever takes a connection and ends it unserved is there.
             let turned_away = |why: String| Lost { why, turned_away: true };
             connection.write(&[ask.as_bytes()]).await.map_err(|e| turned_away(e.to_string()))?;
@@ -167,7 +170,7 @@
                     return Err("its list is older than the one held".to_string().into());
                 }
                 more => more.map_err(silent)?.map_err(|e| match e {
-                    Failed::Bad(Bad::BodyTooLarge) => reader::too_long(),
+                    Failed::Bad(Bad::BodyTooLarge) => parser::too_long(),
                     e => said(e),
                 })?,
             };
@@ -189,7 +192,8 @@
                     tracing::info!("list version {} is not new, passed over", list.version);
                 }
                 // That nothing has changed is word from the list as well.
-                let mut news = news.map_or_else(ToldList::nothing_new, |kind| ToldList::of(kind, list));
+                let mut news =
+                    news.map_or_else(EndpointUpdate::nothing_new, |kind| EndpointUpdate::of(kind, list));
                 news.version = versions.known;
                 told.send(self.told.list(news));
             }
--- a/crates/daemon/src/clients/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -1,17 +1,17 @@
 //! The client side: accepts connections, takes work units in, and writes each its one final answer.
 use crate::byte_budget::ByteBudget;
-use crate::durable::{Durable, Found, Joint};
+use crate::config::limits::Limits;
+use crate::config::operator::DurableConfig;
+use crate::durable::{Durable, Found, JoinedRequest};
 use crate::event::NodeEvent;
 use crate::hot_restart::{
-    Beside,
+    SiblingProcess,
     codec::{Message, Usage},
 };
 use crate::http1::{self, Connection, Failed};
 use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
 use crate::lifecycle::LifecycleState;
-use crate::limits::Limits;
-use crate::operator::Durably;
-use crate::words::{self, InForce, READY_PATH, TELL_PATH, Vocabulary};
+use crate::protocol::{self, Codec, Current, READY_PATH, TELL_PATH};
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -23,18 +23,18 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 use troutknot::RequestId;
 
-pub struct Clients {
+pub struct DownstreamServer {
     pub limits: Rc<Limits>,
-    pub words: Rc<InForce<Vocabulary>>,
+    pub codec: Rc<Current<Codec>>,
     pub events: mpsc::Sender<NodeEvent>,
     pub stage: watch::Receiver<LifecycleState>,
     /// What is said beside the health, where the operator's file asks for more than the platform has.
     status: Rc<RefCell<String>>,
     /// On which terms work units are taken durably, and the ledger, which a process before this one may still hold.
-    durably: Option<Durably>,
+    durably: Option<DurableConfig>,
     durable: RefCell<Option<Rc<Durable>>>,
     /// Another process of this node, if one runs.
-    beside: Rc<Beside>,
+    beside: Rc<SiblingProcess>,
     pub held: Rc<ByteBudget>,
     pub rings: Rc<ByteBudget>,
     /// For bodies that do not come whole with their heads, each counted as the largest.
@@ -106,21 +106,21 @@
 /// Whether a connection goes on after an answer.
 type Goes = bool;
 
-impl Clients {
+impl DownstreamServer {
     pub fn new(
         limits: Rc<Limits>,
-        words: Rc<InForce<Vocabulary>>,
+        codec: Rc<Current<Codec>>,
         events: mpsc::Sender<NodeEvent>,
         stage: watch::Receiver<LifecycleState>,
         status: Rc<RefCell<String>>,
-        durably: Option<Durably>,
-        beside: Rc<Beside>,
+        durably: Option<DurableConfig>,
+        beside: Rc<SiblingProcess>,
     ) -> Rc<Self> {
-        Rc::new(Clients {
+        Rc::new(DownstreamServer {
             durably,
             durable: RefCell::default(),
             beside,
-            words,
+            codec,
             events,
             stage,
             status,
@@ -304,7 +304,7 @@
             let goes = match came {
                 Ok(Came::ClientRequest { .. }) if drained => {
                     let bad = Answer::Rejected(Some(self.limits.bad_come_back.as_secs_f64() * 1000.0));
-                    let (status, fields, result) = self.words.now().answer(&bad);
+                    let (status, fields, result) = self.codec.now().answer(&bad);
                     self.write(connection, status, false, &fields, &result).await;
                     false
                 }
@@ -333,7 +333,7 @@
                     };
                     let room = self.connections() <= self.most() && !connection.is_overrun();
                     let keep = keep && room && !self.stage.borrow().closes_after_answer();
-                    let (status, fields, result) = self.words.now().answer(&answer);
+                    let (status, fields, result) = self.codec.now().answer(&answer);
                     large = result.len() > self.limits.ring;
                     let written = self.write(connection, status, keep, &fields, &result).await;
                     if let (true, Some(durable), Some(request_id)) = (written, self.ledger(), request_id) {
@@ -359,7 +359,7 @@
                     let Some(answer) = answer else { return };
                     let room = room && !connection.is_overrun();
                     let keep = keep && room && !self.stage.borrow().closes_after_answer();
-                    let (status, fields, result) = self.words.now().answer(&answer);
+                    let (status, fields, result) = self.codec.now().answer(&answer);
                     large = result.len() > self.limits.ring;
                     self.write(connection, status, keep, &fields, &result).await && keep
                 }
@@ -384,7 +384,7 @@
     /// Says what is wrong and ends the connection, for what may still come cannot be told apart.
     async fn reject(&self, connection: &mut Connection, standing: &Standing, status: u16) {
         tracing::debug!("request answered {status}");
-        let fields = self.words.now().come_back(Some(self.limits.bad_come_back.as_secs_f64() * 1000.0));
+        let fields = self.codec.now().come_back(Some(self.limits.bad_come_back.as_secs_f64() * 1000.0));
         if self.write(connection, status, false, &fields, &[]).await {
             // A newcomer may wait for its end, and need not be turned away.
             standing.worked.set(false);
@@ -419,12 +419,12 @@
             }
             return Ok(Came::Asks { id: id.to_string(), keep: head.keep });
         }
-        let (mut work, left) = self.words.now().work(&head).map_err(|(status, why)| {
+        let (mut work, left) = self.codec.now().work(&head).map_err(|(status, why)| {
             tracing::debug!("not taken: {why}");
             Some(status)
         })?;
         if let Some(terms) = &self.durably {
-            work.key = words::key(&head, &terms.key_header).map_err(|(status, why)| {
+            work.key = protocol::key(&head, &terms.key_header).map_err(|(status, why)| {
                 tracing::debug!("not taken: {why}");
                 Some(status)
             })?;
@@ -473,8 +473,9 @@
     }
 
     fn is_durable(&self, work: &ClientRequest) -> bool {
-        let effect = self.words.now().effect(work.class);
-        let takes = |terms: &Durably| work.key.is_some() || effect.is_some_and(|effect| terms.takes(effect));
+        let effect = self.codec.now().effect(work.class);
+        let takes =
+            |terms: &DurableConfig| work.key.is_some() || effect.is_some_and(|effect| terms.takes(effect));
         self.durably.as_ref().is_some_and(takes)
     }
 
@@ -531,7 +532,7 @@
                 let _ = in_flight.durable.set(durable.clone());
                 let taken = durable.take(&in_flight, last).await;
                 self.ids.borrow_mut().remove(&in_flight.request.id);
-                let joint: Rc<Joint> = match taken {
+                let joint: Rc<JoinedRequest> = match taken {
                     Ok(joint) => joint,
                     Err(answer) => return Ok(Some((answer, None))),
                 };
@@ -582,5 +583,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/clients.rs"]
+#[path = "../../tests/unit/downstream.rs"]
 mod tests;
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -1,15 +1,15 @@
 //! Owns the dispatcher: tells it what the sides saw, and hands each of its actions to the side that acts.
+use crate::discovery::EndpointUpdate;
 use crate::event::{CallOrigin, NodeEvent, RecoveredAttempt};
-use crate::executors::{Executors, Push};
 use crate::gossip::GossipSocket;
-use crate::hot_restart::Beside;
+use crate::hot_restart::SiblingProcess;
 use crate::hot_restart::codec::{self, Inherited, Message};
 use crate::in_flight::{Answer, CancelSignal, InFlightRequest};
 use crate::lifecycle::{Drain, Lifecycle};
-use crate::lists::ToldList;
 use crate::membership::Membership;
+use crate::protocol::{Codec, Current, EndpointEntry};
 use crate::retention::{EndpointRetention, RetainedEntries, RetentionChange, RetentionStatistics};
-use crate::words::{Entry, InForce, Vocabulary};
+use crate::upstream::{DispatchOrder, ExecutorPool};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -30,7 +30,7 @@
 
 /// Asks for the list to be followed.
 #[derive(Default)]
-pub struct Follow {
+pub struct WatchRequests {
     pub changes: Notify,
     /// From the whole list on.
     pub whole: Notify,
@@ -43,16 +43,16 @@
 }
 
 impl RetainedEntries for RetainedNow<'_> {
-    fn entry(&self, name: &str) -> Option<&Entry> {
+    fn entry(&self, name: &str) -> Option<&EndpointEntry> {
         self.membership.entry(self.registry.get(name)?)
     }
 
-    fn entries(&self) -> impl Iterator<Item = &Entry> {
+    fn entries(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.membership.listed()
     }
 }
 
-struct Open {
+struct OpenRequest {
     in_flight: Rc<InFlightRequest>,
     attempts: u32,
     /// Each stops one allocation, by its number.
@@ -64,9 +64,9 @@
 pub struct Driver {
     dispatcher: Dispatcher,
     clock: Clock,
-    words: Rc<InForce<Vocabulary>>,
-    executors: Rc<Executors>,
-    follow: Rc<Follow>,
+    codec: Rc<Current<Codec>>,
+    executors: Rc<ExecutorPool>,
+    follow: Rc<WatchRequests>,
     registry: ExecutorRegistry,
     /// Which of the listed executors are kept.
     pub retention: EndpointRetention,
@@ -77,11 +77,11 @@
     events: mpsc::Receiver<NodeEvent>,
     lifecycle: Rc<Lifecycle>,
     /// Another process of this node, if one runs.
-    beside: Rc<Beside>,
+    beside: Rc<SiblingProcess>,
     membership: Membership,
     /// The other nodes, where the settings let nodes talk.
     pub peers: Option<Rc<GossipSocket>>,
-    open: BTreeMap<RequestId, Open>,
+    open: BTreeMap<RequestId, OpenRequest>,
     wake: Option<Instant>,
     out_of_time: bool,
     /// Events for executors that were released, as far as the log has said.
@@ -94,16 +94,16 @@
     pub fn new(
         dispatcher: Dispatcher,
         clock: Clock,
-        words: Rc<InForce<Vocabulary>>,
-        executors: Rc<Executors>,
-        follow: Rc<Follow>,
+        codec: Rc<Current<Codec>>,
+        executors: Rc<ExecutorPool>,
+        follow: Rc<WatchRequests>,
         events: mpsc::Receiver<NodeEvent>,
         lifecycle: Rc<Lifecycle>,
     ) -> Self {
         Driver {
             dispatcher,
             clock,
-            words,
+            codec,
             follow,
             registry: ExecutorRegistry::default(),
             retention: EndpointRetention::new("", executors.limits.known, executors.limits.left_out),
@@ -192,7 +192,7 @@
                 };
                 self.open.insert(
                     in_flight.request_id,
-                    Open { in_flight, attempts: 0, stops: Vec::new(), pushed: None },
+                    OpenRequest { in_flight, attempts: 0, stops: Vec::new(), pushed: None },
                 );
                 told
             }
@@ -297,8 +297,8 @@
         }
     }
 
-    fn list(&mut self, list: ToldList) -> CoreEvent {
-        let ToldList { kind, entries, version, beyond } = list;
+    fn list(&mut self, list: EndpointUpdate) -> CoreEvent {
+        let EndpointUpdate { kind, entries, version, beyond } = list;
         let entries = match kind {
             ListUpdate::Delta => self.select(|retention, kept| retention.apply_delta(entries, kept)),
             // Who is missing from a whole list is gone.
@@ -321,7 +321,7 @@
     fn select(
         &mut self,
         choose: impl FnOnce(&mut EndpointRetention, &RetainedNow) -> RetentionChange,
-    ) -> Vec<Entry> {
+    ) -> Vec<EndpointEntry> {
         let kept = RetainedNow { registry: &self.registry, membership: &self.membership };
         let selected = choose(&mut self.retention, &kept);
         if selected.repeated > 0 {
@@ -346,7 +346,7 @@
     }
 
     /// Nothing new is sent to executors that a whole list does not name, or that lost their place by it.
-    fn shut_missing(&mut self, selected: &[Entry]) {
+    fn shut_missing(&mut self, selected: &[EndpointEntry]) {
         let mut missing: BTreeSet<_> = self.registry.handles().collect();
         for entry in selected {
             self.registry.get(&entry.id).iter().for_each(|executor| _ = missing.remove(executor));
@@ -358,7 +358,7 @@
     }
 
     /// Takes entries that were selected; one for which there is no handle now waits until others are released.
-    fn take_all(&mut self, entries: Vec<Entry>) -> Vec<Endpoint> {
+    fn take_all(&mut self, entries: Vec<EndpointEntry>) -> Vec<Endpoint> {
         let most = self.executors.limits.registered;
         let mut told = Vec::with_capacity(entries.len());
         for entry in entries {
@@ -397,9 +397,9 @@
     }
 
     /// Takes what the list says of one executor, under what operators say of it.
-    fn take(&mut self, executor: ExecutorId, entry: Entry) -> Endpoint {
+    fn take(&mut self, executor: ExecutorId, entry: EndpointEntry) -> Endpoint {
         let entry = self.membership.update(executor, entry);
-        let mut listing = self.words.now().listing(&entry, executor);
+        let mut listing = self.codec.now().listing(&entry, executor);
         let addr = entry.addr.parse().ok();
         if addr.is_none() && listing.state == EndpointState::Ready {
             tracing::warn!("executor {} has no usable address: `{}`", entry.id, entry.addr);
@@ -444,19 +444,19 @@
         say(codec::in_lines(&out, |executors| Message::Excluded { executors }));
         say(vec![Message::Drained { drained: self.lifecycle.facts().drain != Drain::None, number: 0 }]);
         let (listed, version) = (self.membership.listed(), self.membership.version);
-        let entries: Vec<Entry> = listed.chain(self.retention.unretained()).cloned().collect();
+        let entries: Vec<EndpointEntry> = listed.chain(self.retention.unretained()).cloned().collect();
         say(codec::in_lines(&entries, |entries| Message::List { version, entries }));
         let state = self.dispatcher.export_state(now);
         let executors: Vec<codec::ExecutorState> =
             state.executors.iter().filter_map(|executor| self.export_executor(executor)).collect();
         say(codec::in_lines(&executors, |executors| Message::Executors { executors }));
-        let words = self.words.now();
+        let codec = self.codec.now();
         let running_time = |(name, class): (&str, RequestClassId)| {
             let time = *state.class_running_times.get(class.0 as usize)?;
             Some(codec::ClassRunningTime { class: name.to_string(), time })
         };
         let running_times = codec::RunningTimes {
-            classes: words.taken_types().filter_map(running_time).collect(),
+            classes: codec.taken_types().filter_map(running_time).collect(),
             mean_running_time: state.mean_running_time,
             busy_probe_ratio: state.busy_probe_ratio,
             probe_latency: state.probe_latency,
@@ -477,11 +477,11 @@
 
     /// Begins with what a process before this one knew; the list was told.
     pub fn take_over(&mut self, now: Millis, inherited: Inherited) {
-        let words = self.words.now();
-        let classes = words.taken_types().map(|(_, class)| class.0 as usize + 1).max().unwrap_or(0);
+        let codec = self.codec.now();
+        let classes = codec.taken_types().map(|(_, class)| class.0 as usize + 1).max().unwrap_or(0);
         let mut class_running_times = vec![ObservedMean::default(); classes];
         let running_times = inherited.running_times.unwrap_or_default();
-        for (name, class) in words.taken_types() {
+        for (name, class) in codec.taken_types() {
             if let Some(known) = running_times.classes.iter().find(|known| known.class == name) {
                 class_running_times[class.0 as usize] = known.time;
             }
@@ -520,7 +520,8 @@
         }
         let left_out = self.retention.unretained_entry(name).cloned();
         let executor = self.registry.register(name);
-        let gone = self.take(executor, left_out.map_or_else(|| Entry::gone(name), Entry::into_gone));
+        let gone =
+            self.take(executor, left_out.map_or_else(|| EndpointEntry::gone(name), EndpointEntry::into_gone));
         self.dispatcher.handle_event(
             now,
             CoreEvent::EndpointsUpdated { update: ListUpdate::Delta, endpoints: vec![gone] },
@@ -552,8 +553,17 @@
                 let in_flight = open.in_flight.clone();
                 let name = in_flight.durable.get().map(|_| self.name(executor).to_string());
                 tracing::debug!("push: alloc {} to {}", attempt_id.0, self.name(executor));
-                let push =
-                    Push { in_flight, executor, name, attempt_id, decided, life, cut, send_deadline, stop };
+                let push = DispatchOrder {
+                    in_flight,
+                    executor,
+                    name,
+                    attempt_id,
+                    decided,
+                    life,
+                    cut,
+                    send_deadline,
+                    stop,
+                };
                 tokio::task::spawn_local(self.executors.clone().allocate(push));
             }
             Action::Cancel { request_id, attempt_id } => {
@@ -574,8 +584,8 @@
             }
             Action::CloseIdleConnections { executor } => self.executors.close_idle(executor),
             Action::Gossip(said) => {
-                let words = self.words.now();
-                self.peers.iter().for_each(|peers| peers.broadcast(said, words.type_names()));
+                let codec = self.codec.now();
+                self.peers.iter().for_each(|peers| peers.broadcast(said, codec.type_names()));
             }
             Action::WatchEndpoints => self.follow.changes.notify_one(),
             Action::ReleaseExecutor { executor } => self.release(executor),
@@ -620,5 +630,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/driver.rs"]
+#[path = "../../tests/unit/driver.rs"]
 mod tests;
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -5,12 +5,12 @@
 pub use lease::Lease;
 
 use crate::byte_budget::ByteBudget;
+use crate::config::limits::Limits;
+use crate::config::operator::{DurableConfig, LedgerSync};
 use crate::event::{NodeEvent, RecoveredAttempt};
 use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
 use crate::lifecycle::LifecycleState;
-use crate::limits::Limits;
-use crate::operator::{Durably, Syncs};
-use crate::words::{InForce, Vocabulary};
+use crate::protocol::{Codec, Current};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
@@ -37,17 +37,17 @@
 const ROOM_AGAIN: Duration = Duration::from_millis(20);
 
 pub struct Durable {
-    pub terms: Durably,
+    pub terms: DurableConfig,
     limits: Rc<Limits>,
     clock: Clock,
     /// Added to the clock's times, where it had jumped back since the last record.
     offset: Millis,
-    words: Rc<InForce<Vocabulary>>,
+    codec: Rc<Current<Codec>>,
     events: mpsc::Sender<NodeEvent>,
     committer: Committer,
     ledger: RefCell<Ledger>,
     /// Work units whose answer is not on record yet.
-    joints: RefCell<HashMap<RequestId, Rc<Joint>>>,
+    joints: RefCell<HashMap<RequestId, Rc<JoinedRequest>>>,
     max_attempts: usize,
     /// Open ones that were on record at the start, and how many of them are still to be taken up.
     before: RefCell<Vec<RequestId>>,
@@ -56,11 +56,11 @@
 }
 
 /// Where all who wait for a work unit's answer meet; it is told once it is on record.
-pub struct Joint {
+pub struct JoinedRequest {
     answer: watch::Sender<Option<Answer>>,
 }
 
-impl Joint {
+impl JoinedRequest {
     pub async fn answered(&self) -> Answer {
         let mut told = self.answer.subscribe();
         let answer = told.wait_for(Option::is_some).await;
@@ -72,7 +72,7 @@
 pub enum Found {
     New,
     /// The same is open.
-    Open(Rc<Joint>),
+    Open(Rc<JoinedRequest>),
     /// The same has its answer on record.
     Ended(RequestId),
     /// Its key came with another body.
@@ -125,21 +125,21 @@
     /// # Errors
     /// One line that says why it cannot be used.
     pub fn start(
-        terms: Durably,
+        terms: DurableConfig,
         limits: &Rc<Limits>,
         clock: Clock,
-        words: &Rc<InForce<Vocabulary>>,
+        codec: &Rc<Current<Codec>>,
         events: &mpsc::Sender<NodeEvent>,
     ) -> Result<Rc<Self>, String> {
-        let max_attempts = words.now().max_attempts().clamp(1, 3);
+        let max_attempts = codec.now().max_attempts().clamp(1, 3);
         let path = terms.path.clone();
         let open = Box::new({
             let path = path.clone();
             move || Store::open(&path)
         });
         let sync_mode = match terms.sync {
-            Syncs::Together => SyncMode::Shared,
-            Syncs::Each => SyncMode::Separate,
+            LedgerSync::Together => SyncMode::Shared,
+            LedgerSync::Each => SyncMode::Separate,
         };
         let began = Instant::now();
         let opened = Committer::start(open, sync_mode, max_attempts);
@@ -162,7 +162,7 @@
             limits: limits.clone(),
             clock,
             offset,
-            words: words.clone(),
+            codec: codec.clone(),
             events: events.clone(),
             committer,
             ledger: RefCell::new(ledger),
@@ -217,9 +217,12 @@
         why.is_none()
     }
 
-    fn joint(&self, request_id: RequestId) -> Rc<Joint> {
+    fn joint(&self, request_id: RequestId) -> Rc<JoinedRequest> {
         let mut joints = self.joints.borrow_mut();
-        joints.entry(request_id).or_insert_with(|| Rc::new(Joint { answer: watch::channel(None).0 })).clone()
+        joints
+            .entry(request_id)
+            .or_insert_with(|| Rc::new(JoinedRequest { answer: watch::channel(None).0 }))
+            .clone()
     }
 
     async fn write(&self, rows: Vec<Row>) -> Result<(), NotWritten> {
@@ -246,10 +249,10 @@
         self: &Rc<Self>,
         in_flight: &Rc<InFlightRequest>,
         last: Instant,
-    ) -> Result<Rc<Joint>, Answer> {
+    ) -> Result<Rc<JoinedRequest>, Answer> {
         let (request_id, work) = (in_flight.request_id, &in_flight.request);
         let left = in_flight.deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
-        let (project_type, customer) = self.words.now().names_of(work);
+        let (project_type, customer) = self.codec.now().names_of(work);
         let sent = Sent {
             method: work.method.clone(),
             target: work.target.clone(),
@@ -263,7 +266,7 @@
         let come_back = Answer::Rejected(Some(1000.0));
         let record = Record::Taken {
             request_id,
-            effect: self.words.now().effect(work.class).unwrap_or(Effect::AtMostOnce),
+            effect: self.codec.now().effect(work.class).unwrap_or(Effect::AtMostOnce),
             deadline: self.now() + left,
             client_id: work.id.clone(),
             key: work.key.clone(),
@@ -285,13 +288,18 @@
         Ok(joint)
     }
 
-    fn publish(&self, request_id: RequestId, joint: &Joint, answer: Answer) {
+    fn publish(&self, request_id: RequestId, joint: &JoinedRequest, answer: Answer) {
         joint.answer.send_replace(Some(answer));
         self.joints.borrow_mut().remove(&request_id);
     }
 
     /// Waits for the answer, whoever still wants it, and tells it once it is on record.
-    async fn see_through(self: Rc<Self>, in_flight: Rc<InFlightRequest>, joint: Rc<Joint>, last: Instant) {
+    async fn see_through(
+        self: Rc<Self>,
+        in_flight: Rc<InFlightRequest>,
+        joint: Rc<JoinedRequest>,
+        last: Instant,
+    ) {
         let request_id = in_flight.request_id;
         let answer = tokio::select! {
             biased;
@@ -395,7 +403,7 @@
         });
         let (id, key, limit, work) = taken.ok_or("its first record is missing")?;
         let sent: Sent = postcard::from_bytes(work).map_err(|e| e.to_string())?;
-        let places = self.words.now().places_of(&sent.project_type, &sent.customer);
+        let places = self.codec.now().places_of(&sent.project_type, &sent.customer);
         let (project_type, customer) =
             places.ok_or_else(|| format!("project type `{}` is no longer known", sent.project_type))?;
         let work = || ClientRequest {
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -1,7 +1,7 @@
 //! What the sides of a node tell its driver, and nothing of how it is carried out.
+use crate::discovery::EndpointUpdate;
 use crate::durable::Lease;
 use crate::in_flight::InFlightRequest;
-use crate::lists::ToldList;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use troutknot::{Event as CoreEvent, Millis, Outcome, RequestId, Settings};
@@ -35,7 +35,7 @@
     /// What the dispatcher may be told as it is; whether an end closes the request is found by the driver.
     Core(CoreEvent),
     /// A source told of executors.
-    ListReceived(ToldList),
+    ListReceived(EndpointUpdate),
     /// An operator excludes an executor, or lets it serve again.
     SetExcluded { executor: String, is_excluded: bool, origin: CallOrigin },
     /// A next process of this node is to be told all that is known here.
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -1,7 +1,7 @@
 //! What nodes tell one another, as datagrams between addresses that the operator's file names. They may be lost,
 //! late, doubled or forged: no rule rests on one, and what is not understood or comes from elsewhere is counted.
 use crate::event::NodeEvent;
-use crate::words::{InForce, Vocabulary};
+use crate::protocol::{Codec, Current};
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -50,7 +50,7 @@
     }
 
     /// Hears the others until the node ends.
-    pub async fn receive(self: Rc<Self>, words: Rc<InForce<Vocabulary>>, events: mpsc::Sender<NodeEvent>) {
+    pub async fn receive(self: Rc<Self>, codec: Rc<Current<Codec>>, events: mpsc::Sender<NodeEvent>) {
         // One byte over the most shows what is longer.
         let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
         let (mut passed_over, mut said) = (0u64, Instant::now() - SAID_EVERY);
@@ -61,7 +61,7 @@
                 continue;
             };
             let known = self.others.contains(&from);
-            match decode(&bytes[..length], words.now().type_names()).filter(|_| known) {
+            match decode(&bytes[..length], codec.now().type_names()).filter(|_| known) {
                 Some(heard) => {
                     // Guards against a crowd of messages: with no room for one, it is lost like any other.
                     let _ = events.try_send(NodeEvent::Core(CoreEvent::GossipReceived(heard)));
--- a/crates/daemon/src/hot_restart/codec.rs
+++ b/crates/daemon/src/hot_restart/codec.rs
@@ -3,7 +3,7 @@
 //! The first line of each side is [`Message::Hello`] with the number of the form. A message that is not known is
 //! passed over, so a later release may say more in the same form; one that says something otherwise has another
 //! form. Names on the wire are those of the first release that spoke it.
-use crate::words::Entry;
+use crate::protocol::EndpointEntry;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use troutknot::{DecayingScore, Millis, ObservedMean, WarmUpDispatch};
@@ -47,7 +47,7 @@
     /// [`Message::Acknowledged`].
     Drained { drained: bool, number: u64 },
     /// Executors as the list says, a part of it, and its version where its source counts them.
-    List { version: Option<u64>, entries: Vec<Entry> },
+    List { version: Option<u64>, entries: Vec<EndpointEntry> },
     /// Tokens of ids of requests that were taken lately.
     Ids { ids: Vec<u64> },
     /// What is known of executors.
@@ -231,7 +231,7 @@
     pub excluded: BTreeSet<String>,
     pub is_drained: bool,
     pub version: Option<u64>,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEntry>,
     pub ids: Vec<u64>,
     pub executors: Vec<ExecutorState>,
     pub running_times: Option<RunningTimes>,
--- a/crates/daemon/src/hot_restart/mod.rs
+++ b/crates/daemon/src/hot_restart/mod.rs
@@ -4,11 +4,11 @@
 pub mod codec;
 pub mod inherited_socket;
 
-use crate::clients::Clients;
+use crate::config::limits::Limits;
+use crate::downstream::DownstreamServer;
 use crate::event::{CallOrigin, NodeEvent};
-use crate::executors::Executors;
 use crate::lifecycle::{Lifecycle, LifecycleState, Shutdown};
-use crate::limits::Limits;
+use crate::upstream::ExecutorPool;
 use codec::{Bounds, Inherited, Message, Usage};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -34,7 +34,7 @@
 
 /// The other process of this node, as far as there is one.
 #[derive(Default)]
-pub struct Beside {
+pub struct SiblingProcess {
     link: RefCell<Option<mpsc::Sender<Message>>>,
     /// Who waits until what was asked for holds at the other one.
     waiting: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
@@ -43,7 +43,7 @@
     other: Cell<Usage>,
 }
 
-impl Beside {
+impl SiblingProcess {
     pub fn other(&self) -> Usage {
         self.other.get()
     }
@@ -170,20 +170,20 @@
 }
 
 /// One process of a node, and what it needs to be one node with another.
-pub struct Handover {
+pub struct Takeover {
     pub name: String,
     pub place: PathBuf,
-    pub beside: Rc<Beside>,
+    pub beside: Rc<SiblingProcess>,
     pub limits: Rc<Limits>,
     pub events: mpsc::Sender<NodeEvent>,
     pub lifecycle: Rc<Lifecycle>,
-    pub clients: Rc<Clients>,
-    pub executors: Rc<Executors>,
+    pub clients: Rc<DownstreamServer>,
+    pub executors: Rc<ExecutorPool>,
     /// Where a next process asks, once the one before this one leaves.
     pub bound: RefCell<Option<UnixListener>>,
 }
 
-impl Handover {
+impl Takeover {
     /// Goes on with the process before this one, if there is one, then waits for the one after it.
     pub async fn run(self: Rc<Self>, older: Option<Link>) {
         if let Some(link) = older {
@@ -323,7 +323,7 @@
                 self.events.send(event).await.map_err(|_| ())?;
             }
             Message::Drained { drained, number } => {
-                crate::management::drain(&self.lifecycle, self.limits.drain_settle, drained, true);
+                crate::admin::drain(&self.lifecycle, self.limits.drain_settle, drained, true);
                 self.beside.say(Message::Acknowledged { number });
             }
             Message::Acknowledged { number } => self.beside.done(number),
--- a/crates/daemon/src/http1.rs
+++ b/crates/daemon/src/http1/mod.rs
@@ -236,7 +236,7 @@
 }
 
 #[derive(Debug)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     pub status: u16,
     pub headers: Headers,
     pub body: Body,
@@ -276,7 +276,7 @@
 }
 
 /// The same for an answer.
-pub fn answer_head(bytes: &[u8]) -> Result<Option<(AnswerHead, usize)>, Bad> {
+pub fn answer_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, Bad> {
     let mut fields = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut parsed = httparse::Response::new(&mut fields);
     let httparse::Status::Complete(n) = parsed.parse(bytes).map_err(bad_head)? else { return Ok(None) };
@@ -285,7 +285,7 @@
     let none = status < 200 || status == 204 || status == 304;
     let body = if none { Body::Done } else { Body::of(&headers, true)? };
     let keep = kept(&headers, parsed.version.unwrap_or(1)) && body != Body::UntilEnd;
-    Ok(Some((AnswerHead { status, headers, body, keep }, n)))
+    Ok(Some((ResponseHead { status, headers, body, keep }, n)))
 }
 
 /// A socket with its two rings.
@@ -358,7 +358,7 @@
     }
 
     /// The next answer head, those that only announce another passed over.
-    pub async fn answer_head(&mut self) -> Result<AnswerHead, Failed> {
+    pub async fn answer_head(&mut self) -> Result<ResponseHead, Failed> {
         loop {
             let head = self.head(answer_head).await?.ok_or(Failed::Ended)?;
             if head.status >= 200 {
@@ -547,5 +547,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/http1.rs"]
+#[path = "../../tests/unit/http1.rs"]
 mod tests;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,39 +1,37 @@
 //! One real node: the dispatcher on sockets. Here it starts and stops; each concern has a file or a room of
 //! its own. `troutknotd` and `troutknot node` are thin programs round [`start`].
-mod briefing;
+mod admin;
 mod byte_budget;
-mod clients;
+mod config;
+mod discovery;
+mod downstream;
 mod driver;
 mod durable;
 mod event;
-mod executors;
 mod gossip;
 mod hot_restart;
 mod http1;
 mod in_flight;
 mod lifecycle;
-mod limits;
-mod lists;
-mod management;
 mod membership;
-mod operator;
+mod protocol;
 mod retention;
 mod ring_buffer;
-mod words;
+mod upstream;
 
-use briefing::{Briefing, Own, Retuned, Understood, stated};
-use clients::Clients;
-use driver::{Driver, Follow};
+use admin::AdminServer;
+use config::limits::{LimitInputs, Limits};
+use config::node::{NodeConfig, Own, ReloadTargets, ResolvedNodeConfig, stated};
+use config::operator::{DiscoverySource, DurableConfig, OperatorFile};
+use discovery::{EndpointUpdate, EndpointUpdateSender, merge::EndpointMerge};
+use downstream::DownstreamServer;
+use driver::{Driver, WatchRequests};
 use durable::Durable;
 use event::NodeEvent;
-use executors::Executors;
 use gossip::GossipSocket;
-use hot_restart::{Beside, Handover, codec::Bounds, inherited_socket};
+use hot_restart::{SiblingProcess, Takeover, codec::Bounds, inherited_socket};
 use lifecycle::{Drain, Lifecycle, Shutdown};
-use limits::{Limits, Stated};
-use lists::{Told, ToldList, merge::Merge};
-use management::Management;
-use operator::{Durably, OperatorFile, Source};
+use protocol::{Codec, Current, EndpointList};
 use retention::EndpointRetention;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -50,7 +48,7 @@
 use troutknot_clock::Clock;
 use troutknot_configuration::IdCatalog;
 use troutknot_membership::Retention;
-use words::{InForce, List, Vocabulary};
+use upstream::ExecutorPool;
 
 /// A node that ends is empty once nobody was connected so often in a row.
 const EMPTY_FOR: u32 = 2;
@@ -68,7 +66,7 @@
         _ => tracing::Level::INFO,
     };
     // Guards against a log that nobody reads: lines are dropped then, and the node serves on.
-    let log = NonBlockingBuilder::default().buffered_lines_limit(limits::LOG_LINES).lossy(true);
+    let log = NonBlockingBuilder::default().buffered_lines_limit(config::limits::LOG_LINES).lossy(true);
     let (log, written_at_the_end) = log.finish(std::io::stdout());
     tracing_subscriber::fmt()
         .with_max_level(level)
@@ -92,7 +90,7 @@
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
     // Before anything is read, which may take a while: a signal that comes meanwhile is seen once the node runs.
     let signals = runtime.block_on(async { Signals::listen() })?;
-    let told = Briefing::read(path)?;
+    let told = NodeConfig::read(path)?;
     LocalSet::new().block_on(&runtime, run(told, path.to_owned(), passed, signals))
 }
 
@@ -119,7 +117,7 @@
 /// # Errors
 /// One plain line that says why not.
 pub fn check(path: &Path) -> Result<(), String> {
-    let understood = Briefing::read(path)?.understood(&mut IdCatalog::default());
+    let understood = NodeConfig::read(path)?.understood(&mut IdCatalog::default());
     understood.map(|_| ()).map_err(|why| format!("`{}`: {why}", path.display()))
 }
 
@@ -140,28 +138,28 @@
 }
 
 async fn run(
-    mut told: Briefing,
+    mut told: NodeConfig,
     path: PathBuf,
     passed: Option<std::net::TcpListener>,
     signals: Signals,
 ) -> Result<(), String> {
     let Signals { mut terminate, mut interrupt, reread } = signals;
     let mut catalog = IdCatalog::default();
-    let Understood { seed, settings, words } = told.understood(&mut catalog)?;
+    let ResolvedNodeConfig { seed, settings, codec } = told.understood(&mut catalog)?;
     let own_path = OperatorFile::named();
     let file = own_path.as_deref().map(OperatorFile::read).transpose()?.unwrap_or_default();
     file.fits(&settings)?;
     let peers =
         file.peers.clone().map(|p| GossipSocket::listen(p.listen, p.nodes, passed.is_some())).transpose()?;
-    let limits = Rc::new(Limits::of(&Stated {
+    let limits = Rc::new(Limits::of(&LimitInputs {
         memory_mb: told.limits.memory_mb,
         sockets: told.limits.sockets,
-        consul: file.lists.sources.contains(&Source::Consul),
+        consul: file.lists.sources.contains(&DiscoverySource::Consul),
         durable: file.durable.is_some(),
         passed: passed.is_some(),
-        ..stated(&settings, &words)
+        ..stated(&settings, &codec)
     }));
-    let words = InForce::new(words);
+    let codec = Current::new(codec);
     let cannot = |at: SocketAddr| move |e| format!("cannot listen at {at}: {e}");
     let passed = passed.map(TcpListener::from_std).transpose().map_err(cannot(told.listen))?;
     let was_passed = passed.is_some();
@@ -173,7 +171,7 @@
     let address = listener.local_addr().map_err(|e| format!("cannot listen at {}: {e}", told.listen))?;
 
     let clock = Clock::start();
-    let beside: Rc<Beside> = Rc::default();
+    let beside: Rc<SiblingProcess> = Rc::default();
     let place = was_passed.then(|| hot_restart::meeting_place(&told.name)).flatten();
     let bounds = Bounds { executors: limits.listed, ids: 2 * limits.past_ids };
     let older = match &place {
@@ -185,16 +183,16 @@
         // What the process before this one was told of the list is newer than what the configuration says.
         let version = inherited.version.or(told.known.as_ref().map(|known| known.version));
         let entries = std::mem::take(&mut inherited.entries);
-        told.known = Some(List { version: version.unwrap_or(0), full: true, entries, beyond: 0 });
+        told.known = Some(EndpointList { version: version.unwrap_or(0), full: true, entries, beyond: 0 });
     }
     let (events, told_events) = mpsc::channel(limits.events);
     let lifecycle = Rc::new(Lifecycle::new());
-    let follow: Rc<Follow> = Rc::default();
-    let executors = Executors::new(limits.clone(), words.clone(), events.clone(), beside.clone());
+    let follow: Rc<WatchRequests> = Rc::default();
+    let executors = ExecutorPool::new(limits.clone(), codec.clone(), events.clone(), beside.clone());
     let status: Rc<RefCell<String>> = Rc::default();
-    let clients = Clients::new(
+    let clients = DownstreamServer::new(
         limits.clone(),
-        words.clone(),
+        codec.clone(),
         events.clone(),
         lifecycle.watch(),
         status.clone(),
@@ -202,8 +200,13 @@
         beside.clone(),
     );
     if let Some(terms) = file.durable.clone() {
-        let ledger =
-            OpenLedger { terms, limits: limits.clone(), clock, words: words.clone(), events: events.clone() };
+        let ledger = LedgerOpener {
+            terms,
+            limits: limits.clone(),
+            clock,
+            codec: codec.clone(),
+            events: events.clone(),
+        };
         let held =
             if older.is_some() { Err("the process before this one has it".into()) } else { ledger.open() };
         match held {
@@ -219,7 +222,7 @@
     let mut driver = Driver::new(
         dispatcher,
         clock,
-        words.clone(),
+        codec.clone(),
         executors.clone(),
         follow.clone(),
         told_events,
@@ -228,18 +231,18 @@
     driver.peers = peers.clone();
     driver.retention = EndpointRetention::new(&told.name, limits.known, limits.left_out);
     if let Some(peers) = peers {
-        spawn_local(peers.receive(words.clone(), events.clone()));
+        spawn_local(peers.receive(codec.clone(), events.clone()));
     }
     let version = told.known.as_ref().map(|known| known.version);
     // A platform's list that is followed alone goes on from its version, and needs no second copy of it.
-    let is_alone = file.lists.sources.as_slice() == [Source::Platform];
+    let is_alone = file.lists.sources.as_slice() == [DiscoverySource::Platform];
     let before = told.known.as_ref().filter(|_| !is_alone);
     let before = before.map_or(Vec::new(), |known| known.entries.clone());
     if let Some(known) = told.known.take() {
         if let Some(inherited) = &mut inherited {
             driver.leave_out(std::mem::take(&mut inherited.excluded));
         }
-        driver.tell(clock.now(), NodeEvent::ListReceived(ToldList::of(ListUpdate::Cached, known)));
+        driver.tell(clock.now(), NodeEvent::ListReceived(EndpointUpdate::of(ListUpdate::Cached, known)));
     }
     if let Some(mut inherited) = inherited {
         clients.taken_elsewhere(&inherited.ids);
@@ -251,22 +254,26 @@
     }
     let (discovery, followed) = watch::channel(told.discovery);
     let (consul, consul_wanted) = watch::channel(file.lists.consul.clone());
-    let merge = Rc::new(RefCell::new(Merge::new(limits.listed)));
+    let merge = Rc::new(RefCell::new(EndpointMerge::new(limits.listed)));
     let retention = Retention::of_node(&told.name);
     for (place, source) in file.lists.sources.iter().enumerate() {
         let several = file.lists.sources.len() > 1;
         let events = events.clone();
-        let told = if several { Told::among(events, place, &merge) } else { Told::alone(events) };
+        let told = if several {
+            EndpointUpdateSender::among(events, place, &merge)
+        } else {
+            EndpointUpdateSender::alone(events)
+        };
         match source {
-            Source::Platform => {
+            DiscoverySource::Platform => {
                 if several {
                     // Its watch goes on from the version held before, and the node has been told of that.
                     let _ = merge.borrow_mut().take(place, ListUpdate::Snapshot, before.clone());
                 }
-                let follower = lists::platform::Follower {
+                let follower = discovery::platform::Follower {
                     discovery: followed.clone(),
                     limits: limits.clone(),
-                    words: words.clone(),
+                    codec: codec.clone(),
                     told,
                     ask: follow.clone(),
                     retention,
@@ -275,10 +282,10 @@
                 follow.changes.notify_one();
                 spawn_local(follower.run(version));
             }
-            Source::Consul => {
+            DiscoverySource::Consul => {
                 let (limits, wanted) = (limits.clone(), consul_wanted.clone());
                 let follower =
-                    lists::consul::Follower { limits, clock, told, wanted, status: status.clone() };
+                    discovery::consul::Follower { limits, clock, told, wanted, status: status.clone() };
                 // With the platform's list beside it, that one keeps what was held before.
                 let known = if several { Vec::new() } else { before.clone() };
                 spawn_local(follower.run(known));
@@ -302,12 +309,12 @@
         let at = listener.local_addr().map_err(|e| format!("no address to be called at: {e}"))?;
         tracing::info!("operators call at {at}");
         spawn_local(
-            Management::new(limits.clone(), events.clone(), lifecycle.clone(), beside.clone(), figures)
+            AdminServer::new(limits.clone(), events.clone(), lifecycle.clone(), beside.clone(), figures)
                 .accept(listener),
         );
     }
     if let Some(place) = place {
-        let handover = Rc::new(Handover {
+        let handover = Rc::new(Takeover {
             name: told.name.clone(),
             place,
             beside,
@@ -321,7 +328,8 @@
         spawn_local(handover.run(older));
     }
     let own = Own { path: own_path, file, consul };
-    let retuned = Retuned { catalog, limits: limits.clone(), words: words.clone(), events: events.clone() };
+    let retuned =
+        ReloadTargets { catalog, limits: limits.clone(), codec: codec.clone(), events: events.clone() };
     spawn_local(told.reread(path, reread, discovery, own, retuned));
     let unlisted = sleep(limits.ready_wait);
     tokio::pin!(driver, unlisted);
@@ -347,28 +355,28 @@
 }
 
 /// Takes durable work from now on, and takes up what is open on record.
-fn take_durably(durable: Rc<Durable>, clients: &Clients, lifecycle: &Lifecycle) {
+fn take_durably(durable: Rc<Durable>, clients: &DownstreamServer, lifecycle: &Lifecycle) {
     clients.open_ledger(durable.clone());
     spawn_local(durable.clone().recover(lifecycle.watch(), clients.held.clone()));
     spawn_local(durable.forget());
 }
 
 /// What is needed to open the ledger, which one process holds alone.
-struct OpenLedger {
-    terms: Durably,
+struct LedgerOpener {
+    terms: DurableConfig,
     limits: Rc<Limits>,
     clock: Clock,
-    words: Rc<InForce<Vocabulary>>,
+    codec: Rc<Current<Codec>>,
     events: mpsc::Sender<NodeEvent>,
 }
 
-impl OpenLedger {
+impl LedgerOpener {
     fn open(&self) -> Result<Rc<Durable>, String> {
-        Durable::start(self.terms.clone(), &self.limits, self.clock, &self.words, &self.events)
+        Durable::start(self.terms.clone(), &self.limits, self.clock, &self.codec, &self.events)
     }
 
     /// Opens it once the process before this one has ended; until then durable work is deferred.
-    async fn wait(self, clients: Rc<Clients>, lifecycle: Rc<Lifecycle>) {
+    async fn wait(self, clients: Rc<DownstreamServer>, lifecycle: Rc<Lifecycle>) {
         tracing::info!("durable work is deferred until the process before this one has ended");
         let mut said = String::new();
         loop {
@@ -396,7 +404,7 @@
 /// Answers what is taken and what still comes, closes what is idle, and ends when nothing is left.
 async fn end(
     limits: &Limits,
-    clients: &Clients,
+    clients: &DownstreamServer,
     lifecycle: &Lifecycle,
     events: &mpsc::Sender<NodeEvent>,
     passed: bool,
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -1,6 +1,6 @@
 //! The endpoint list as it was last told, and the executors that operators excluded, which lie over it: one that is
 //! excluded and ready in the list drains for everything behind. Without I/O.
-use crate::words::Entry;
+use crate::protocol::EndpointEntry;
 use slotmap::SecondaryMap;
 use std::collections::{BTreeSet, VecDeque};
 use troutknot::ExecutorId;
@@ -14,7 +14,7 @@
 /// What is listed and what is excluded.
 #[derive(Default)]
 pub struct Membership {
-    listed: SecondaryMap<ExecutorId, Entry>,
+    listed: SecondaryMap<ExecutorId, EndpointEntry>,
     excluded: BTreeSet<String>,
     /// Those of them that are not listed, in the order in which they went.
     excluded_absent: VecDeque<String>,
@@ -24,7 +24,7 @@
 
 impl Membership {
     /// Keeps what the list says of an executor; what is to be gone by follows.
-    pub fn update(&mut self, executor: ExecutorId, entry: Entry) -> Entry {
+    pub fn update(&mut self, executor: ExecutorId, entry: EndpointEntry) -> EndpointEntry {
         let mut effective = entry.clone();
         if self.excluded.contains(entry.id.as_str()) {
             self.excluded_absent.retain(|name| *name != entry.id);
@@ -64,7 +64,7 @@
         executor: Option<ExecutorId>,
         name: &str,
         is_excluded: bool,
-    ) -> Option<Entry> {
+    ) -> Option<EndpointEntry> {
         let changes =
             if is_excluded { self.excluded.insert(name.into()) } else { self.excluded.remove(name) };
         let entry = executor.and_then(|executor| self.listed.get(executor)).cloned();
@@ -91,12 +91,12 @@
     }
 
     /// What the list says of one executor; none where it is gone.
-    pub fn entry(&self, executor: ExecutorId) -> Option<&Entry> {
+    pub fn entry(&self, executor: ExecutorId) -> Option<&EndpointEntry> {
         self.listed.get(executor).filter(|entry| !entry.is_gone())
     }
 
     /// What the list says, without who is gone.
-    pub fn listed(&self) -> impl Iterator<Item = &Entry> {
+    pub fn listed(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.listed.values().filter(|entry| !entry.is_gone())
     }
 
--- a/crates/daemon/src/words.rs
+++ b/crates/daemon/src/protocol/mod.rs
@@ -1,5 +1,5 @@
 //! The words of the protocol and what they mean to the dispatcher. They end here.
-use crate::http1::{self, AnswerHead, RequestHead};
+use crate::http1::{self, RequestHead, ResponseHead};
 use crate::in_flight::{Answer, ClientRequest};
 use bytes::{Bytes, BytesMut};
 use compact_str::CompactString;
@@ -67,7 +67,7 @@
 ];
 
 /// The names that the settings give to numbers.
-pub struct Vocabulary {
+pub struct Codec {
     /// By number, all that were ever in force, and the numbers of those that are.
     project_types: Vec<String>,
     taken_types: HashMap<String, u32>,
@@ -88,11 +88,11 @@
 }
 
 /// What is in force now of something that operators may replace while the node runs.
-pub struct InForce<T>(RefCell<Rc<T>>);
+pub struct Current<T>(RefCell<Rc<T>>);
 
-impl<T> InForce<T> {
+impl<T> Current<T> {
     pub fn new(first: T) -> Rc<Self> {
-        Rc::new(InForce(RefCell::new(Rc::new(first))))
+        Rc::new(Current(RefCell::new(Rc::new(first))))
     }
 
     pub fn now(&self) -> Rc<T> {
@@ -108,7 +108,7 @@
     names.iter().position(|n| n == name).map(|k| k as u32)
 }
 
-impl Vocabulary {
+impl Codec {
     pub fn of(settings: &Map<String, Value>, resolved_settings: ResolvedSettings) -> Self {
         let ResolvedSettings { settings: resolved, classes, tenants, zones, machine_types, .. } =
             &resolved_settings;
@@ -117,7 +117,7 @@
         };
         let in_force =
             |ids: &[u32], names: &[String]| ids.iter().map(|&id| (names[id as usize].clone(), id)).collect();
-        Vocabulary {
+        Codec {
             limits: resolved.classes.iter().map(deadline).collect(),
             effects: resolved.classes.iter().map(|class| class.effect).collect(),
             max_attempts: resolved.limits.max_attempts.unwrap_or(1.0) as usize,
@@ -298,7 +298,7 @@
     }
 
     /// What an answered probe says of load; it stands in the body, or in a field.
-    pub fn reading(&self, head: &AnswerHead, body: &[u8]) -> LoadReport {
+    pub fn reading(&self, head: &ResponseHead, body: &[u8]) -> LoadReport {
         let field = head.headers.one(REPORT).ok().flatten();
         parse_load_report(
             std::str::from_utf8(body).ok().filter(|text| text.contains('=')).or(field).unwrap_or(""),
@@ -311,7 +311,7 @@
     }
 
     /// What an executor's listing says, but for the number that this node gives it.
-    pub fn listing(&self, entry: &Entry, executor: ExecutorId) -> Endpoint {
+    pub fn listing(&self, entry: &EndpointEntry, executor: ExecutorId) -> Endpoint {
         let place = |name: &Option<CompactString>, names| {
             name.as_ref().map_or(0, |name| place_of(name, names).unwrap_or(u32::MAX))
         };
@@ -334,7 +334,7 @@
 }
 
 /// What an executor's head alone says of an allocation: its outcome, or that it was taken.
-pub fn taken(head: &AnswerHead) -> Option<Outcome> {
+pub fn taken(head: &ResponseHead) -> Option<Outcome> {
     let never_ran = matches!(head.headers.one(NEVER_RAN), Ok(Some("1")));
     match head.status {
         200 => None,
@@ -355,7 +355,7 @@
 
 /// What an executor says of an allocation that it was asked for.
 #[derive(Debug, PartialEq)]
-pub enum Fate {
+pub enum AttemptFate {
     /// It has not run, and never will.
     Never,
     Running,
@@ -365,7 +365,7 @@
 }
 
 /// Reads such an answer; none where it is not one.
-pub fn fate(head: &AnswerHead, body: &[u8]) -> Option<Fate> {
+pub fn fate(head: &ResponseHead, body: &[u8]) -> Option<AttemptFate> {
     #[derive(Deserialize)]
     struct Fields {
         state: String,
@@ -373,11 +373,11 @@
     }
     let fields: Fields = serde_json::from_slice(body).ok().filter(|_| head.status == 200)?;
     match fields.state.as_str() {
-        "never" => Some(Fate::Never),
-        "running" => Some(Fate::Running),
-        "done" => fields.result.map(|result| Fate::Done(result.into())),
+        "never" => Some(AttemptFate::Never),
+        "running" => Some(AttemptFate::Running),
+        "done" => fields.result.map(|result| AttemptFate::Done(result.into())),
         // A word that is not known is taken for the strictest.
-        _ => Some(Fate::Lost),
+        _ => Some(AttemptFate::Lost),
     }
 }
 
@@ -394,7 +394,7 @@
 
 /// One line that an executor tells of an allocation.
 #[derive(Debug, PartialEq)]
-pub enum Line {
+pub enum AttemptEvent {
     Started,
     Progress(f64),
     Result(Bytes),
@@ -402,7 +402,7 @@
 }
 
 /// Reads such a line; an error says why it is none, or is of another work unit.
-pub fn line(bytes: &[u8], id: &str) -> Result<Line, String> {
+pub fn line(bytes: &[u8], id: &str) -> Result<AttemptEvent, String> {
     #[derive(Deserialize)]
     struct Fields<'a> {
         id: Option<String>,
@@ -418,28 +418,28 @@
         return Err("the line is of another work unit, or of none".into());
     }
     match line.state.as_str() {
-        "started" => Ok(Line::Started),
-        "running" => Ok(Line::Progress(line.share.unwrap_or(0.0))),
+        "started" => Ok(AttemptEvent::Started),
+        "running" => Ok(AttemptEvent::Progress(line.share.unwrap_or(0.0))),
         "done" => {
             let raw = line.result.ok_or("a result is missing")?.get();
             let text = serde_json::from_str::<String>(raw).unwrap_or_else(|_| raw.to_string());
-            Ok(Line::Result(text.into()))
+            Ok(AttemptEvent::Result(text.into()))
         }
-        "failed" => Ok(Line::Ended(Outcome::Error)),
-        "returned" => Ok(Line::Ended(Outcome::Rejected)),
-        "lost" => Ok(Line::Ended(Outcome::Reset)),
+        "failed" => Ok(AttemptEvent::Ended(Outcome::Error)),
+        "returned" => Ok(AttemptEvent::Ended(Outcome::Rejected)),
+        "lost" => Ok(AttemptEvent::Ended(Outcome::Reset)),
         other => Err(format!("unknown state `{other}`")),
     }
 }
 
 /// A version of the list: the whole, or what changed.
 #[derive(Deserialize, Clone, Debug)]
-pub struct List {
+pub struct EndpointList {
     pub version: u64,
     #[serde(default)]
     pub full: bool,
     #[serde(rename = "servers")]
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEntry>,
     /// Entries that were cut for the bound when it was read.
     #[serde(skip)]
     pub beyond: usize,
@@ -448,7 +448,7 @@
 /// What a list says of one executor. Tens of thousands are held at once, so its texts are stored in place of
 /// being allocated one by one, as far as they have up to 24 bytes.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub id: CompactString,
     /// Missing, perhaps, where the executor is gone.
     #[serde(default)]
@@ -461,11 +461,11 @@
     pub started_ms: Option<f64>,
 }
 
-impl Entry {
+impl EndpointEntry {
     /// One that is known by its name alone.
     pub fn gone(id: &str) -> Self {
         let (id, addr, state) = (id.into(), CompactString::default(), GONE.into());
-        Entry { id, addr, zone: None, kind: None, cell: None, state, weight: None, started_ms: None }
+        EndpointEntry { id, addr, zone: None, kind: None, cell: None, state, weight: None, started_ms: None }
     }
 
     pub fn is_gone(&self) -> bool {
@@ -478,10 +478,10 @@
 
     /// The same once it is no longer listed.
     pub fn into_gone(self) -> Self {
-        Entry { state: GONE.into(), ..self }
+        EndpointEntry { state: GONE.into(), ..self }
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/words.rs"]
+#[path = "../../tests/unit/protocol.rs"]
 mod tests;
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -4,7 +4,7 @@
 //! and entries that lose are held for when there is room, up to a bound of their own: one that fits again comes
 //! in at once, whatever its source tells of next. Past that bound the lowest are only counted, and the source is
 //! asked for its whole list once what is held is used up.
-use crate::words::Entry;
+use crate::protocol::EndpointEntry;
 use compact_str::CompactString;
 use std::collections::{HashMap, HashSet};
 use troutknot_membership::{Rank, Readiness, Retention};
@@ -30,7 +30,7 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct RetentionChange {
     /// Entries to take, in order; one that was kept and loses its place stands there as gone.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEntry>,
     /// How many entries named an executor that the same list names again later.
     pub repeated: usize,
     /// The source must tell its whole list, for there is room and what fits is not held.
@@ -40,8 +40,8 @@
 /// The executors that are kept now, as the list last told them.
 pub trait RetainedEntries {
     /// None for one that is not kept, or gone.
-    fn entry(&self, name: &str) -> Option<&Entry>;
-    fn entries(&self) -> impl Iterator<Item = &Entry>;
+    fn entry(&self, name: &str) -> Option<&EndpointEntry>;
+    fn entries(&self) -> impl Iterator<Item = &EndpointEntry>;
 }
 
 pub struct EndpointRetention {
@@ -49,7 +49,7 @@
     bound: usize,
     max_unretained: usize,
     kept: usize,
-    unretained: HashMap<CompactString, Entry>,
+    unretained: HashMap<CompactString, EndpointEntry>,
     /// Left out and not held.
     forgotten: usize,
     /// The whole list was asked for, and has not come yet.
@@ -57,13 +57,13 @@
 }
 
 /// The place of an executor in a node's order.
-pub fn rank(retention: &Retention, entry: &Entry) -> Rank {
+pub fn rank(retention: &Retention, entry: &EndpointEntry) -> Rank {
     let standing = if entry.is_ready() { Readiness::Ready } else { Readiness::Draining };
     retention.rank(&entry.id, standing)
 }
 
 /// Leaves the last entry of each name; how many others there were.
-fn remove_repeated(entries: &mut Vec<Entry>) -> usize {
+fn remove_repeated(entries: &mut Vec<EndpointEntry>) -> usize {
     let mut places: Vec<usize> = (0..entries.len()).collect();
     places.sort_unstable_by(|&a, &b| entries[a].id.cmp(&entries[b].id).then(a.cmp(&b)));
     let is_same = |pair: &&[usize]| entries[pair[0]].id == entries[pair[1]].id;
@@ -95,22 +95,22 @@
     }
 
     /// What the list says of an executor that is left out, as far as that is held.
-    pub fn unretained_entry(&self, name: &str) -> Option<&Entry> {
+    pub fn unretained_entry(&self, name: &str) -> Option<&EndpointEntry> {
         self.unretained.get(name)
     }
 
     /// All that is held of those left out.
-    pub fn unretained(&self) -> impl Iterator<Item = &Entry> {
+    pub fn unretained(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.unretained.values()
     }
 
-    fn rank(&self, entry: &Entry) -> Rank {
+    fn rank(&self, entry: &EndpointEntry) -> Rank {
         rank(&self.retention, entry)
     }
 
     /// Takes a whole list, of which `beyond` more entries were cut when it was read. Whoever is not among what
     /// is selected has lost its place, or is gone.
-    pub fn apply_snapshot(&mut self, mut entries: Vec<Entry>, beyond: usize) -> RetentionChange {
+    pub fn apply_snapshot(&mut self, mut entries: Vec<EndpointEntry>, beyond: usize) -> RetentionChange {
         let repeated = remove_repeated(&mut entries);
         entries.retain(|entry| !entry.is_gone());
         self.unretained.clear();
@@ -127,7 +127,11 @@
     }
 
     /// Takes changes of the list.
-    pub fn apply_delta(&mut self, mut entries: Vec<Entry>, before: &impl RetainedEntries) -> RetentionChange {
+    pub fn apply_delta(
+        &mut self,
+        mut entries: Vec<EndpointEntry>,
+        before: &impl RetainedEntries,
+    ) -> RetentionChange {
         let repeated = remove_repeated(&mut entries);
         let mut told = Vec::with_capacity(entries.len());
         let mut may_change_places = false;
@@ -165,21 +169,22 @@
     }
 
     /// There was no handle for one that was selected: it waits, whatever else is held.
-    pub fn defer(&mut self, entry: Entry) {
+    pub fn defer(&mut self, entry: EndpointEntry) {
         self.kept -= 1;
         self.unretained.insert(entry.id.clone(), entry);
     }
 
     /// Chooses anew among all that are kept, by what is told now, and all that are held besides.
-    fn compete(&mut self, mut told: Vec<Entry>, before: &impl RetainedEntries) -> Vec<Entry> {
+    fn compete(&mut self, mut told: Vec<EndpointEntry>, before: &impl RetainedEntries) -> Vec<EndpointEntry> {
         let told_names: HashSet<&str> = told.iter().map(|entry| entry.id.as_str()).collect();
         let unchanged = before.entries().filter(|entry| !told_names.contains(entry.id.as_str()));
-        let keeping: Vec<&Entry> = unchanged.chain(told.iter().filter(|entry| !entry.is_gone())).collect();
+        let keeping: Vec<&EndpointEntry> =
+            unchanged.chain(told.iter().filter(|entry| !entry.is_gone())).collect();
         let candidates = || keeping.iter().copied().chain(self.unretained.values());
         let ranks: Vec<Rank> = candidates().map(|entry| self.rank(entry)).collect();
         let chosen = Retention::choose(&ranks, self.bound);
         let losing = keeping.iter().zip(&chosen).filter(|(_, is_chosen)| !**is_chosen);
-        let lost: Vec<Entry> = losing.map(|(entry, _)| (*entry).clone()).collect();
+        let lost: Vec<EndpointEntry> = losing.map(|(entry, _)| (*entry).clone()).collect();
         let winning = self.unretained.values().zip(&chosen[keeping.len()..]).filter(|(_, chosen)| **chosen);
         let won: Vec<CompactString> = winning.map(|(entry, _)| entry.id.clone()).collect();
         self.kept = chosen.iter().filter(|&&is_chosen| is_chosen).count();
@@ -194,7 +199,7 @@
     }
 
     /// Holds what lost, and of all that is held the highest ranks.
-    fn hold(&mut self, lost: Vec<Entry>) {
+    fn hold(&mut self, lost: Vec<EndpointEntry>) {
         self.unretained.extend(lost.into_iter().map(|entry| (entry.id.clone(), entry)));
         if self.unretained.len() <= self.max_unretained {
             return;
--- a/crates/daemon/src/executors/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -1,13 +1,13 @@
 //! The executor side: pooled connections, allocations and probes. It carries out what the driver says and
 //! tells it what came of it; what it may give a client goes into the exchange.
 use crate::byte_budget::ByteBudget;
+use crate::config::limits::Limits;
 use crate::durable::Lease;
 use crate::event::NodeEvent;
-use crate::hot_restart::Beside;
-use crate::http1::{AnswerHead, Connection, Failed};
+use crate::hot_restart::SiblingProcess;
+use crate::http1::{Connection, Failed, ResponseHead};
 use crate::in_flight::{Answer, CancelSignal, InFlightRequest};
-use crate::limits::Limits;
-use crate::words::{self, Fate, InForce, Line, Vocabulary};
+use crate::protocol::{self, AttemptEvent, AttemptFate, Codec, Current};
 use bytes::BytesMut;
 use slotmap::SecondaryMap;
 use std::cell::{Cell, RefCell};
@@ -34,12 +34,12 @@
     }
 }
 
-pub struct Executors {
+pub struct ExecutorPool {
     pub limits: Rc<Limits>,
-    pub words: Rc<InForce<Vocabulary>>,
+    pub codec: Rc<Current<Codec>>,
     pub events: mpsc::Sender<NodeEvent>,
     /// Another process of this node, if one runs.
-    pub beside: Rc<Beside>,
+    pub beside: Rc<SiblingProcess>,
     hosts: RefCell<SecondaryMap<ExecutorId, Rc<Host>>>,
     open: Rc<Cell<usize>>,
     rings: Rc<ByteBudget>,
@@ -98,7 +98,7 @@
 }
 
 /// One push to carry out.
-pub struct Push {
+pub struct DispatchOrder {
     pub in_flight: Rc<InFlightRequest>,
     pub executor: ExecutorId,
     /// Its name, where the allocation goes on record.
@@ -148,16 +148,16 @@
     }
 }
 
-impl Executors {
+impl ExecutorPool {
     pub fn new(
         limits: Rc<Limits>,
-        words: Rc<InForce<Vocabulary>>,
+        codec: Rc<Current<Codec>>,
         events: mpsc::Sender<NodeEvent>,
-        beside: Rc<Beside>,
+        beside: Rc<SiblingProcess>,
     ) -> Rc<Self> {
         let rings = ByteBudget::new(limits.executors * 2 * limits.ring);
         let (hosts, open) = (RefCell::default(), Rc::default());
-        Rc::new(Executors { limits, words, events, beside, hosts, open, rings })
+        Rc::new(ExecutorPool { limits, codec, events, beside, hosts, open, rings })
     }
 
     /// What the list says of one executor. One that is not healthy is sent nothing after the wait.
@@ -301,7 +301,7 @@
     }
 
     /// Carries out a push and tells the driver its one outcome.
-    pub async fn allocate(self: Rc<Self>, push: Push) {
+    pub async fn allocate(self: Rc<Self>, push: DispatchOrder) {
         let (request_id, attempt_id) = (push.in_flight.request_id, push.attempt_id);
         // Whether that closes the work unit is the driver's to say.
         let ended = |outcome| {
@@ -339,14 +339,14 @@
     async fn run(
         &self,
         host: &Host,
-        push: &Push,
+        push: &DispatchOrder,
         recorded: &mut Option<Lease>,
-    ) -> (Outcome, Option<(Counted, AnswerHead)>) {
+    ) -> (Outcome, Option<(Counted, ResponseHead)>) {
         let in_flight = &push.in_flight;
         let most = self.limits.executors - (self.limits.executors / 16).max(1);
         // Guards against a late second answer that names no work unit and says that nothing ran: it must not
         // speak for what may not run twice.
-        let rerunnable = self.words.now().effect(in_flight.request.class) == Some(Effect::Idempotent);
+        let rerunnable = self.codec.now().effect(in_flight.request.class) == Some(Effect::Idempotent);
         // Guards against a send that was decided long before: while it connects, the grace of its executor
         // may end, its cut may come, its work unit may be over.
         let connection = tokio::select! {
@@ -395,7 +395,7 @@
         }
         let addr = host.addr.get().expect("it was connected to");
         let told = recorded.as_ref().and_then(Lease::told_to_executor);
-        let head = self.words.now().allocation(&in_flight.request, addr, push.cut - now, told);
+        let head = self.codec.now().allocation(&in_flight.request, addr, push.cut - now, told);
         let parts: [&[u8]; 2] = [&head, &in_flight.request.body];
         // Guards against an executor that reads slowly: until the last byte is written the client may leave, the
         // work unit may get its answer, the grace may end, and the window in which a repeat of it would be
@@ -415,7 +415,7 @@
         }
         // Guards against work that nobody waits for: where it may run again, breaking it off harms nothing.
         let withdrawn = async {
-            match self.words.now().may_withdraw(in_flight.request.class) {
+            match self.codec.now().may_withdraw(in_flight.request.class) {
                 true => in_flight.over().await,
                 false => std::future::pending().await,
             }
@@ -455,14 +455,14 @@
     async fn read(
         &self,
         connection: &mut Connection,
-        push: &Push,
+        push: &DispatchOrder,
         lease: Option<&Lease>,
-    ) -> Result<(Outcome, Option<AnswerHead>), Failed> {
+    ) -> Result<(Outcome, Option<ResponseHead>), Failed> {
         let (in_flight, request_id, attempt_id) =
             (&push.in_flight, push.in_flight.request_id, push.attempt_id);
         let mut head = connection.answer_head().await?;
         lease.iter().for_each(|lease| lease.beat(false));
-        if let Some(outcome) = words::taken(&head) {
+        if let Some(outcome) = protocol::taken(&head) {
             return Ok((outcome, Some(head)));
         }
         let (mut buffer, mut begun) = (BytesMut::new(), false);
@@ -470,20 +470,22 @@
         let most = 2 * self.limits.body;
         loop {
             let ended = connection.body(&mut head.body, &mut buffer, most, true).await?;
-            while let Some(line) = words::next_line(&mut buffer, ended) {
-                let told = words::line(&line, &in_flight.request.id).map_err(|why| {
+            while let Some(line) = protocol::next_line(&mut buffer, ended) {
+                let told = protocol::line(&line, &in_flight.request.id).map_err(|why| {
                     tracing::warn!("executor line not understood: {why}");
                     Failed::Ended
                 })?;
-                lease.iter().for_each(|lease| lease.beat(matches!(told, Line::Started | Line::Progress(_))));
+                lease.iter().for_each(|lease| {
+                    lease.beat(matches!(told, AttemptEvent::Started | AttemptEvent::Progress(_)))
+                });
                 match told {
-                    Line::Started => {
+                    AttemptEvent::Started => {
                         begun = true;
                         let _ = self
                             .events
                             .try_send(NodeEvent::Core(CoreEvent::AttemptStarted { request_id, attempt_id }));
                     }
-                    Line::Progress(share) => {
+                    AttemptEvent::Progress(share) => {
                         begun = true;
                         let _ = self.events.try_send(NodeEvent::Core(CoreEvent::AttemptProgressed {
                             request_id,
@@ -491,13 +493,15 @@
                             share,
                         }));
                     }
-                    Line::Result(result) => {
+                    AttemptEvent::Result(result) => {
                         in_flight.answer(Answer::Completed(result));
                         return Ok((Outcome::Completed, Some(head)));
                     }
                     // Guards against a contradiction: what has begun and is handed back unstarted may have run.
-                    Line::Ended(outcome) if begun && outcome.never_ran() => return Err(Failed::Ended),
-                    Line::Ended(outcome) => return Ok((outcome, Some(head))),
+                    AttemptEvent::Ended(outcome) if begun && outcome.never_ran() => {
+                        return Err(Failed::Ended);
+                    }
+                    AttemptEvent::Ended(outcome) => return Ok((outcome, Some(head))),
                 }
             }
             if ended {
@@ -543,13 +547,13 @@
                 fate = timeout(self.limits.times().probe_wait, self.ask_fence(host, in_flight, lease)) => fate.ok().flatten(),
             };
             match fate {
-                Some(Fate::Never) if lease.fenced() => return Some(Outcome::NoConnection),
-                Some(Fate::Done(result)) => {
+                Some(AttemptFate::Never) if lease.fenced() => return Some(Outcome::NoConnection),
+                Some(AttemptFate::Done(result)) => {
                     in_flight.answer(Answer::Completed(result));
                     return Some(Outcome::Completed);
                 }
-                Some(Fate::Never | Fate::Lost) => return None,
-                Some(Fate::Running) | None => {}
+                Some(AttemptFate::Never | AttemptFate::Lost) => return None,
+                Some(AttemptFate::Running) | None => {}
             }
             tokio::select! {
                 () = in_flight.over() => return None,
@@ -558,14 +562,19 @@
         }
     }
 
-    async fn ask_fence(&self, host: &Host, in_flight: &InFlightRequest, lease: &Lease) -> Option<Fate> {
+    async fn ask_fence(
+        &self,
+        host: &Host,
+        in_flight: &InFlightRequest,
+        lease: &Lease,
+    ) -> Option<AttemptFate> {
         let mut connection = self.connect(host, self.limits.executors, false).await.ok()?;
-        let ask = self.words.now().fence(&in_flight.request.id, lease.fence, lease.age(), host.addr.get()?);
+        let ask = self.codec.now().fence(&in_flight.request.id, lease.fence, lease.age(), host.addr.get()?);
         connection.write(&[&ask]).await.ok()?;
         let mut head = connection.answer_head().await.ok()?;
         let mut body = BytesMut::new();
         connection.body(&mut head.body, &mut body, 2 * self.limits.body, false).await.ok()?;
-        let fate = words::fate(&head, &body);
+        let fate = protocol::fate(&head, &body);
         if head.keep {
             self.put_back(host, connection);
         }
@@ -595,12 +604,12 @@
 
     async fn ask(&self, host: &Host) -> Option<LoadReport> {
         let mut connection = self.connect(host, self.limits.executors, false).await.ok()?;
-        let ask = self.words.now().probe(host.addr.get()?);
+        let ask = self.codec.now().probe(host.addr.get()?);
         connection.write(&[ask.as_bytes()]).await.ok()?;
         let mut head = connection.answer_head().await.ok()?;
         let mut body = BytesMut::new();
         connection.body(&mut head.body, &mut body, self.limits.ring, false).await.ok()?;
-        let reading = (head.status == 200).then(|| self.words.now().reading(&head, &body));
+        let reading = (head.status == 200).then(|| self.codec.now().reading(&head, &body));
         if head.keep {
             self.put_back(host, connection);
         }
@@ -609,5 +618,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/executors.rs"]
+#[path = "../../tests/unit/upstream.rs"]
 mod tests;
--- a/crates/daemon/tests/unit/compatibility.rs
+++ b/crates/daemon/tests/unit/compatibility.rs
@@ -1,7 +1,7 @@
 //! Files and lines that an earlier release wrote (commit cc67128): a next process of a node reads them, and an
 //! operator's file goes on meaning the same.
+use crate::config::operator::{DiscoverySource, LedgerSync, Lists, OperatorFile, Taken, Wish};
 use crate::hot_restart::codec::{Bounds, Inherited, read, write};
-use crate::operator::{Lists, OperatorFile, Source, Syncs, Taken, Wish};
 use std::path::Path;
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
 fn an_earlier_file_of_the_operator_means_the_same() {
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/operator.toml"));
     let OperatorFile { lists: Lists { sources, consul }, durable, peers } = OperatorFile::read(path).unwrap();
-    assert_eq!(sources, [Source::Consul]);
+    assert_eq!(sources, [DiscoverySource::Consul]);
     let (consul, durable, peers) = (consul.unwrap(), durable.unwrap(), peers.unwrap());
     assert_eq!((consul.agents.len(), consul.services[0].name.as_str()), (1, "box"));
     assert_eq!((consul.consistency, consul.wait), (Wish::Consistent, Duration::from_secs(10)));
@@ -48,7 +48,7 @@
     assert_eq!((durable.key_header.as_str(), durable.kept), ("Idempotency-Key", Duration::from_secs(600)));
     assert_eq!(
         (durable.sync, durable.slow_after, durable.most),
-        (Syncs::Each, Duration::from_millis(250), 9000)
+        (LedgerSync::Each, Duration::from_millis(250), 9000)
     );
     assert_eq!((durable.lease, durable.fences), (Some(Duration::from_secs(2)), true));
     assert_eq!((peers.listen.port(), peers.nodes.len()), (3100, 3));
--- a/crates/daemon/tests/unit/clients.rs
+++ b/crates/daemon/tests/unit/downstream.rs
@@ -5,13 +5,14 @@
 /// The clock stands still until nothing else is left to do, so that long waits take no time.
 #[tokio::test(start_paused = true)]
 async fn half_sent_requests_time_out_and_idle_connections_end() {
-    let (_, words) = Vocabulary::of_one_type(5_000_000);
-    let stated = crate::limits::Stated { memory_mb: 64, sockets: 128, ..Default::default() };
+    let (_, codec) = Codec::of_one_type(5_000_000);
+    let stated = crate::config::limits::LimitInputs { memory_mb: 64, sockets: 128, ..Default::default() };
     let limits = Rc::new(Limits::of(&stated));
     let (events, mut told) = mpsc::channel(16);
     let lifecycle = crate::lifecycle::Lifecycle::new();
     lifecycle.update(|facts| facts.is_listed = true);
-    let clients = Clients::new(limits, words, events, lifecycle.watch(), Rc::default(), None, Rc::default());
+    let clients =
+        DownstreamServer::new(limits, codec, events, lifecycle.watch(), Rc::default(), None, Rc::default());
     let whole = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nConnection: close\r\n\
                  Content-Length: 2\r\n\r\nab";
     let local = tokio::task::LocalSet::new();
@@ -53,12 +54,13 @@
 }
 
 async fn before_the_list(comes: bool) {
-    let (_, words) = Vocabulary::of_one_type(5_000_000);
-    let stated = crate::limits::Stated { memory_mb: 64, sockets: 128, ..Default::default() };
+    let (_, codec) = Codec::of_one_type(5_000_000);
+    let stated = crate::config::limits::LimitInputs { memory_mb: 64, sockets: 128, ..Default::default() };
     let limits = Rc::new(Limits::of(&stated));
     let (events, mut told) = mpsc::channel(16);
     let lifecycle = crate::lifecycle::Lifecycle::new();
-    let clients = Clients::new(limits, words, events, lifecycle.watch(), Rc::default(), None, Rc::default());
+    let clients =
+        DownstreamServer::new(limits, codec, events, lifecycle.watch(), Rc::default(), None, Rc::default());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let send = |id: &str| {
         let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -1,8 +1,8 @@
 //! The driver, told events one after another.
 use super::*;
 use crate::byte_budget::ByteBudget;
+use crate::config::limits::{LimitInputs, Limits};
 use crate::in_flight::ClientRequest;
-use crate::limits::{Limits, Stated};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -25,14 +25,14 @@
 
 impl Rig {
     fn new(memory_mb: u64) -> Self {
-        let (settings, words) = Vocabulary::of_one_type(HARD_LIMIT.as_micros() as u64);
-        let limits = Rc::new(Limits::of(&Stated { memory_mb, sockets: 1024, ..Stated::default() }));
+        let (settings, codec) = Codec::of_one_type(HARD_LIMIT.as_micros() as u64);
+        let limits = Rc::new(Limits::of(&LimitInputs { memory_mb, sockets: 1024, ..LimitInputs::default() }));
         let (events, told) = mpsc::channel(limits.events);
-        let executors = Executors::new(limits, words.clone(), events, Rc::default());
+        let executors = ExecutorPool::new(limits, codec.clone(), events, Rc::default());
         let clock = Clock::start();
         let dispatcher = Dispatcher::new(&settings, 1, clock.now());
         let lifecycle = Rc::new(Lifecycle::new());
-        let driver = Driver::new(dispatcher, clock, words, executors, Rc::default(), told, lifecycle);
+        let driver = Driver::new(dispatcher, clock, codec, executors, Rc::default(), told, lifecycle);
         Rig { driver, ahead: 0.0, held: ByteBudget::new(1 << 20), next_request: 0 }
     }
 
@@ -43,8 +43,8 @@
         actions.into_iter().for_each(|action| self.driver.act(action));
     }
 
-    fn list(&mut self, kind: ListUpdate, entries: Vec<Entry>) {
-        self.tell(NodeEvent::ListReceived(ToldList { kind, entries, version: None, beyond: 0 }));
+    fn list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) {
+        self.tell(NodeEvent::ListReceived(EndpointUpdate { kind, entries, version: None, beyond: 0 }));
     }
 
     /// Lets the time pass in which those that are gone are looked over.
@@ -126,8 +126,8 @@
     }
 }
 
-fn ready(name: &str, addr: SocketAddr) -> Entry {
-    Entry::of(name, &addr.to_string(), "Ready")
+fn ready(name: &str, addr: SocketAddr) -> EndpointEntry {
+    EndpointEntry::of(name, &addr.to_string(), "Ready")
 }
 
 /// A fleet of 1,000 that is replaced twenty times, all names new in one list, in a node of 48 MB: each is served
@@ -199,7 +199,7 @@
         let mut rig = Rig::new(48);
         rig.list(ListUpdate::Snapshot, vec![ready("a", addr)]);
         let released = rig.driver.registry.get("a").unwrap();
-        rig.list(ListUpdate::Delta, vec![Entry::gone("a"), ready("b", addr)]);
+        rig.list(ListUpdate::Delta, vec![EndpointEntry::gone("a"), ready("b", addr)]);
         rig.look_over();
         rig.list(ListUpdate::Delta, vec![ready("c", addr)]);
         let (reused, executors) = (rig.driver.registry.get("c").unwrap(), rig.driver.executors.clone());
@@ -215,7 +215,7 @@
         executors.release(released);
         let in_flight = rig.arrive();
         let (stop, life, cut) = (Rc::default(), executors.life(released), Instant::now() + HARD_LIMIT);
-        let push = Push {
+        let push = DispatchOrder {
             in_flight: in_flight.clone(),
             executor: released,
             name: None,
@@ -295,7 +295,7 @@
         warm_up_spent: if id == "d" { vec![(now, 50.0).into()] } else { Vec::new() },
     };
     let addr = "127.0.0.1:1".parse().unwrap();
-    rig.list(ListUpdate::Cached, vec![ready("a", addr), Entry::gone("b")]);
+    rig.list(ListUpdate::Cached, vec![ready("a", addr), EndpointEntry::gone("b")]);
     let mut inherited = Inherited::default();
     inherited.executors = ["a", "b", "c", "d"].map(known).into();
     rig.driver.take_over(now, inherited);
@@ -307,14 +307,14 @@
 /// What the driver is told after the word to end, or in the same moment, is answered as well.
 #[tokio::test]
 async fn work_that_comes_once_the_node_ends_is_answered_at_once() {
-    let (settings, words) = Vocabulary::of_one_type(5_000_000);
-    let limits = Rc::new(Limits::of(&Stated { memory_mb: 64, sockets: 128, ..Stated::default() }));
+    let (settings, codec) = Codec::of_one_type(5_000_000);
+    let limits = Rc::new(Limits::of(&LimitInputs { memory_mb: 64, sockets: 128, ..LimitInputs::default() }));
     let (events, told) = mpsc::channel(16);
-    let executors = Executors::new(limits, words.clone(), events, Rc::default());
+    let executors = ExecutorPool::new(limits, codec.clone(), events, Rc::default());
     let clock = Clock::start();
     let dispatcher = Dispatcher::new(&settings, 1, clock.now());
     let lifecycle = Rc::new(Lifecycle::new());
-    let mut driver = Driver::new(dispatcher, clock, words, executors, Rc::default(), told, lifecycle);
+    let mut driver = Driver::new(dispatcher, clock, codec, executors, Rc::default(), told, lifecycle);
     let held = ByteBudget::new(100);
     let in_flight = |request_id: u64| {
         let work = ClientRequest::of(&request_id.to_string(), 0);
--- a/crates/daemon/tests/unit/list_reader.rs
+++ b/crates/daemon/tests/unit/endpoint_list_parser.rs
@@ -3,12 +3,12 @@
 
 const BOUNDS: ReadBounds = ReadBounds { list: 4096, text: 1024, entries: 8 };
 
-fn reader(bounds: ReadBounds) -> ListReader {
-    ListReader::new(bounds, Retention::of_node("n0"))
+fn reader(bounds: ReadBounds) -> EndpointListParser {
+    EndpointListParser::new(bounds, Retention::of_node("n0"))
 }
 
 /// What comes out of a text in pieces of this size, and why it ends, if it is no list.
-fn read(bounds: ReadBounds, text: &str, step: usize) -> (Vec<List>, Option<String>, bool) {
+fn read(bounds: ReadBounds, text: &str, step: usize) -> (Vec<EndpointList>, Option<String>, bool) {
     let (mut reader, mut got) = (reader(bounds), Vec::new());
     for piece in text.as_bytes().chunks(step) {
         reader.push(BytesMut::from(piece));
@@ -58,7 +58,7 @@
     for (text, expected, ends_well) in cases {
         for step in 1..=text.len() {
             let (got, why, is_inside) = read(BOUNDS, text, step);
-            let names = |list: &List| list.entries.iter().map(|entry| entry.id.to_string()).collect();
+            let names = |list: &EndpointList| list.entries.iter().map(|entry| entry.id.to_string()).collect();
             let got: Vec<(u64, bool, Vec<String>)> =
                 got.iter().map(|list| (list.version, list.full, names(list))).collect();
             let expected: Vec<(u64, bool, Vec<String>)> = expected
@@ -79,7 +79,7 @@
     let full = r#"{"id":"s-1","addr":"10.1.0.18:3000","zone":"a","kind":"m2","cell":3,"state":"Ready","weight":0.5,"started_ms":7}"#;
     let escaped = r#"{"id":"s-\"2\"","state":"Gone","later":[{"x":"}"}]}"#;
     let text = list(9, true, &[full.into(), escaped.into()]);
-    let expected: Vec<Entry> =
+    let expected: Vec<EndpointEntry> =
         [full, escaped].iter().map(|text| serde_json::from_str(text).unwrap()).collect();
     for step in 1..=text.len() {
         let (got, why, _) = read(BOUNDS, &text, step);
@@ -139,10 +139,10 @@
     let (got, why, _) = read(BOUNDS, &list(1, true, &texts), 100);
     assert!(why.is_none(), "{why:?}");
     let retention = Retention::of_node("n0");
-    let all: Vec<Entry> = texts.iter().map(|text| serde_json::from_str(text).unwrap()).collect();
+    let all: Vec<EndpointEntry> = texts.iter().map(|text| serde_json::from_str(text).unwrap()).collect();
     let ranks: Vec<Rank> = all.iter().map(|entry| retention::rank(&retention, entry)).collect();
     let chosen = Retention::choose(&ranks, BOUNDS.entries);
-    let expected: Vec<Entry> =
+    let expected: Vec<EndpointEntry> =
         all.into_iter().zip(chosen).filter_map(|(entry, is_chosen)| is_chosen.then_some(entry)).collect();
     assert_eq!((&got[0].entries, got[0].beyond), (&expected, 32));
 }
--- a/crates/daemon/tests/unit/lib.rs
+++ b/crates/daemon/tests/unit/lib.rs
@@ -15,14 +15,16 @@
 #[tokio::test]
 async fn a_connection_that_comes_up_as_the_last_one_is_counted_is_served() {
     use std::io::{Read, Write};
-    let (_, words) = Vocabulary::of_one_type(100_000);
+    let (_, codec) = Codec::of_one_type(100_000);
     let longest = Duration::from_millis(100);
-    let limits = Rc::new(Limits::of(&Stated { memory_mb: 64, sockets: 128, longest, ..Stated::default() }));
+    let limits =
+        Rc::new(Limits::of(&LimitInputs { memory_mb: 64, sockets: 128, longest, ..LimitInputs::default() }));
     let (events, mut told) = mpsc::channel(16);
     let lifecycle = Lifecycle::new();
     lifecycle.update(|facts| facts.is_listed = true);
     let (stage, none) = (lifecycle.watch(), Rc::default());
-    let clients = Clients::new(limits.clone(), words, events.clone(), stage, none, None, Rc::default());
+    let clients =
+        DownstreamServer::new(limits.clone(), codec, events.clone(), stage, none, None, Rc::default());
     let listener = listen(([127, 0, 0, 1], 0).into(), 16).unwrap();
     let addr = listener.local_addr().unwrap();
     let mut staged = lifecycle.watch();
--- a/crates/daemon/tests/unit/limits.rs
+++ b/crates/daemon/tests/unit/limits.rs
@@ -6,7 +6,14 @@
     let sizes = [(192, 1024), (16, 64), (64, 100_000), (2048, 4096), (32, 1024), (48, 1024), (0, 0)];
     let each = |size| (0..8).map(move |with| (size, [1, 2, 4].map(|bit| with & bit != 0)));
     for ((memory_mb, sockets), [consul, durable, passed]) in sizes.into_iter().flat_map(each) {
-        let l = Limits::of(&Stated { memory_mb, sockets, consul, durable, passed, ..Stated::default() });
+        let l = Limits::of(&LimitInputs {
+            memory_mb,
+            sockets,
+            consul,
+            durable,
+            passed,
+            ..LimitInputs::default()
+        });
         let connections = l.clients + l.turned_away + l.executors;
         assert!(connections as u64 + SPARE <= sockets.max(64), "{l:?}");
         // Open work units, bodies on their way in, results; rings; ids, a list, and the executors known.
@@ -37,13 +44,13 @@
 fn a_node_of_128_mb_holds_19_000_executors_with_a_third_to_spare() {
     const FLEET: usize = 19_000;
     const ENTRY: usize = 171;
-    let stated = Stated { memory_mb: 128, sockets: 1024, ..Stated::default() };
+    let stated = LimitInputs { memory_mb: 128, sockets: 1024, ..LimitInputs::default() };
     let limits = Limits::of(&stated);
     assert!(limits.known >= FLEET * 3 / 2, "{limits:?}");
     assert!(limits.list_line >= limits.known * 3 / 2 * ENTRY, "{limits:?}");
     // With any number of sockets, and where work is durable.
     for (sockets, durable) in [(100_000, false), (1024, true), (100_000, true)] {
-        let limits = Limits::of(&Stated { sockets, durable, ..stated.clone() });
+        let limits = Limits::of(&LimitInputs { sockets, durable, ..stated.clone() });
         assert!(limits.known >= FLEET, "{limits:?}");
     }
 }
@@ -54,9 +61,9 @@
     let ms = Duration::from_millis;
     for longest in [0, 50, 100, 200, 300, 350, 400, 449, 450, 500, 649, 650, 1000, 2999, 3000, 20_000].map(ms)
     {
-        let limits = Limits::of(&Stated { longest, ..Stated::default() });
+        let limits = Limits::of(&LimitInputs { longest, ..LimitInputs::default() });
         let times = limits.times();
-        let Times { linger, cut_after, end_after, .. } = times;
+        let ShutdownTimeouts { linger, cut_after, end_after, .. } = times;
         assert!(linger >= ms(300) && linger >= longest.min(ms(650)), "{longest:?}: {times:?}");
         // What came last before the door closed has a moment, and what is cut has one to be told of it.
         assert!(cut_after >= linger + ms(100), "{longest:?}: {times:?}");
@@ -70,7 +77,7 @@
 /// the next one, and the answer. `docs/design/crossings.md` has the sums.
 #[test]
 fn a_change_is_told_in_time_whatever_call_for_the_list_fails() {
-    let limits = Limits::of(&Stated::default());
+    let limits = Limits::of(&LimitInputs::default());
     let (silence, opening) = (limits.list_silence, limits.list_opening);
     let [first, second] = [200, 400].map(Duration::from_millis);
     let ends = [
--- a/crates/daemon/tests/unit/membership.rs
+++ b/crates/daemon/tests/unit/membership.rs
@@ -6,8 +6,9 @@
 fn who_is_out_drains_whatever_the_list_says_until_one_call_back() {
     let mut membership = Membership::default();
     let a = ExecutorRegistry::default().register("a");
-    let said =
-        |membership: &mut Membership, state: &str| membership.update(a, Entry::of("a", "x", state)).state;
+    let said = |membership: &mut Membership, state: &str| {
+        membership.update(a, EndpointEntry::of("a", "x", state)).state
+    };
     assert_eq!(said(&mut membership, READY), READY);
     let out = membership.set_excluded(Some(a), "a", true).expect("it changes");
     assert_eq!(membership.update(a, out).state, DRAINING);
@@ -32,7 +33,7 @@
     for out_while_gone in [false, true] {
         let (mut registry, mut membership) = (ExecutorRegistry::default(), Membership::default());
         let first = registry.register("a");
-        membership.update(first, Entry::of("a", "x", READY));
+        membership.update(first, EndpointEntry::of("a", "x", READY));
         if !out_while_gone {
             membership.set_excluded(Some(first), "a", true);
         }
@@ -45,7 +46,11 @@
         assert_eq!(membership.listed().count(), 0);
         let second = registry.register("a");
         assert_ne!(first, second);
-        assert_eq!(membership.update(second, Entry::of("a", "x", READY)).state, DRAINING, "{out_while_gone}");
+        assert_eq!(
+            membership.update(second, EndpointEntry::of("a", "x", READY)).state,
+            DRAINING,
+            "{out_while_gone}"
+        );
         membership.release(second);
         assert!(membership.set_excluded(None, "a", false).is_none() && membership.excluded().is_empty());
         assert!(membership.excluded_absent.is_empty());
@@ -56,12 +61,12 @@
 fn names_that_are_out_and_not_listed_are_bounded() {
     let (mut registry, mut membership) = (ExecutorRegistry::default(), Membership::default());
     let listed = registry.register("listed");
-    membership.update(listed, Entry::of("listed", "x", READY));
+    membership.update(listed, EndpointEntry::of("listed", "x", READY));
     membership.set_excluded(Some(listed), "listed", true);
     for number in 0..3 * MAX_ABSENT {
         let name = format!("s-{number}");
         let executor = registry.register(&name);
-        membership.update(executor, Entry::of(&name, "x", READY));
+        membership.update(executor, EndpointEntry::of(&name, "x", READY));
         membership.set_excluded(Some(executor), &name, true);
         membership.release(executor);
         registry.release(executor);
--- a/crates/daemon/tests/unit/merge.rs
+++ b/crates/daemon/tests/unit/merge.rs
@@ -3,8 +3,8 @@
 
 #[test]
 fn sources_that_disagree_are_settled_by_the_strictest_word_and_the_first_figures() {
-    let entry = |id: &str, addr: &str, state: &str| Entry::of(id, addr, state);
-    let mut merge = Merge::new(3);
+    let entry = |id: &str, addr: &str, state: &str| EndpointEntry::of(id, addr, state);
+    let mut merge = EndpointMerge::new(3);
     let mut said = |source, kind, entries: &[(&str, &str, &str)]| {
         let entries = entries.iter().map(|(id, addr, state)| entry(id, addr, state)).collect();
         let changes: Vec<String> = merge
--- a/crates/daemon/tests/unit/platform.rs
+++ b/crates/daemon/tests/unit/platform.rs
@@ -1,6 +1,6 @@
 //! The watch of the platform's list: which versions are news, and when a source counts as silent.
 use super::*;
-use crate::limits::{Limits, Stated};
+use crate::config::limits::{LimitInputs, Limits};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -23,20 +23,21 @@
         (4, true, true, Some(Snapshot)),
         (5, false, false, Some(Delta)),
     ] {
-        let list = List { version, full, entries: Vec::new(), beyond: 0 };
+        let list = EndpointList { version, full, entries: Vec::new(), beyond: 0 };
         assert_eq!(versions.take(&list, first), expected, "{version} {full} {first}");
     }
 }
 
 fn follower(at: SocketAddr) -> (Follower, mpsc::Receiver<NodeEvent>, watch::Sender<SocketAddr>) {
-    let (_, words) = Vocabulary::of_one_type(5_000_000);
+    let (_, codec) = Codec::of_one_type(5_000_000);
     let wait = Some(Duration::from_secs(3));
-    let stated = Stated { memory_mb: 64, sockets: 128, connect_wait: wait, ..Stated::default() };
+    let stated = LimitInputs { memory_mb: 64, sockets: 128, connect_wait: wait, ..LimitInputs::default() };
     let (events, heard) = mpsc::channel(16);
     let (moves, discovery) = watch::channel(at);
     let limits = Rc::new(Limits::of(&stated));
-    let (told, ask, retention) = (Told::alone(events), Rc::default(), Retention::of_node("n0"));
-    (Follower { discovery, limits, words, told, ask, retention }, heard, moves)
+    let (told, ask, retention) =
+        (EndpointUpdateSender::alone(events), Rc::default(), Retention::of_node("n0"));
+    (Follower { discovery, limits, codec, told, ask, retention }, heard, moves)
 }
 
 /// What an agent does with one watch.
@@ -137,7 +138,7 @@
 #[test]
 fn a_whole_list_is_wanted_until_it_comes() {
     let mut versions = Versions { known: Some(10), whole_wanted: true, ..Versions::default() };
-    let list = |version, full| List { version, full, entries: Vec::new(), beyond: 0 };
+    let list = |version, full| EndpointList { version, full, entries: Vec::new(), beyond: 0 };
     assert_eq!(versions.take(&list(11, false), true), Some(ListUpdate::Delta));
     assert_eq!(versions.take(&list(9, true), true), None, "an old one does not do");
     assert!(versions.whole_wanted);
--- a/crates/daemon/tests/unit/words.rs
+++ b/crates/daemon/tests/unit/protocol.rs
@@ -1,29 +1,29 @@
 //! What lines and heads say, and words for the other tests.
 use super::*;
 
-impl Vocabulary {
+impl Codec {
     /// With one project type, `render`, and its settings.
-    pub fn of_one_type(hard_limit_us: u64) -> (Settings, Rc<InForce<Vocabulary>>) {
+    pub fn of_one_type(hard_limit_us: u64) -> (Settings, Rc<Current<Codec>>) {
         Self::told(serde_json::json!({"name": "render", "hard_limit": hard_limit_us}))
     }
 
     /// With one that has this effect.
-    pub fn of_effect(effect: &str) -> Rc<InForce<Vocabulary>> {
+    pub fn of_effect(effect: &str) -> Rc<Current<Codec>> {
         Self::told(serde_json::json!({"name": "render", "hard_limit": 5_000_000, "effect": effect})).1
     }
 
-    fn told(project_type: Value) -> (Settings, Rc<InForce<Vocabulary>>) {
+    fn told(project_type: Value) -> (Settings, Rc<Current<Codec>>) {
         let settings = serde_json::json!({"project_types": [project_type]});
         let settings = settings.as_object().unwrap();
         let resolved = troutknot_configuration::IdCatalog::default().resolve(settings).unwrap();
-        (resolved.settings.clone(), InForce::new(Vocabulary::of(settings, resolved)))
+        (resolved.settings.clone(), Current::new(Codec::of(settings, resolved)))
     }
 }
 
-impl Entry {
+impl EndpointEntry {
     pub fn of(id: &str, addr: &str, state: &str) -> Self {
         let (id, addr, state) = (id.into(), addr.into(), state.into());
-        Entry { id, addr, zone: None, kind: None, cell: None, state, weight: None, started_ms: None }
+        EndpointEntry { id, addr, zone: None, kind: None, cell: None, state, weight: None, started_ms: None }
     }
 }
 
@@ -31,17 +31,17 @@
 fn lines_of_executors_and_what_they_prove() {
     let of = |text: &str| line(text.as_bytes(), "a1");
     for (text, expected) in [
-        (r#"{"id":"a1","from":"s","state":"started"}"#, Some(Line::Started)),
-        (r#"{"id":"a1","state":"running","share":0.4}"#, Some(Line::Progress(0.4))),
-        (r#"{"id":"a1","state":"done","result":"x\n"}"#, Some(Line::Result("x\n".into()))),
+        (r#"{"id":"a1","from":"s","state":"started"}"#, Some(AttemptEvent::Started)),
+        (r#"{"id":"a1","state":"running","share":0.4}"#, Some(AttemptEvent::Progress(0.4))),
+        (r#"{"id":"a1","state":"done","result":"x\n"}"#, Some(AttemptEvent::Result("x\n".into()))),
         (r#"{"state":"done","result":"x"}"#, None),
         (r#"{"state":"started"}"#, None),
-        (r#"{"id":"a1","state":"done","result":{"n": 1}}"#, Some(Line::Result("{\"n\": 1}".into()))),
+        (r#"{"id":"a1","state":"done","result":{"n": 1}}"#, Some(AttemptEvent::Result("{\"n\": 1}".into()))),
         (r#"{"id":"a1","state":"done"}"#, None),
         (r#"{"id":"b2","state":"done","result":"x"}"#, None),
-        (r#"{"id":"a1","state":"failed","load":{"queue":1}}"#, Some(Line::Ended(Outcome::Error))),
-        (r#"{"id":"a1","state":"returned"}"#, Some(Line::Ended(Outcome::Rejected))),
-        (r#"{"id":"a1","state":"lost"}"#, Some(Line::Ended(Outcome::Reset))),
+        (r#"{"id":"a1","state":"failed","load":{"queue":1}}"#, Some(AttemptEvent::Ended(Outcome::Error))),
+        (r#"{"id":"a1","state":"returned"}"#, Some(AttemptEvent::Ended(Outcome::Rejected))),
+        (r#"{"id":"a1","state":"lost"}"#, Some(AttemptEvent::Ended(Outcome::Reset))),
         (r#"{"id":"a1","state":"paused"}"#, None),
         ("done", None),
     ] {
--- a/crates/daemon/tests/unit/retention.rs
+++ b/crates/daemon/tests/unit/retention.rs
@@ -6,14 +6,14 @@
 
 /// The executors that are kept, as the driver holds them.
 #[derive(Default)]
-struct Store(BTreeMap<CompactString, Entry>);
+struct Store(BTreeMap<CompactString, EndpointEntry>);
 
 impl RetainedEntries for Store {
-    fn entry(&self, name: &str) -> Option<&Entry> {
+    fn entry(&self, name: &str) -> Option<&EndpointEntry> {
         self.0.get(name)
     }
 
-    fn entries(&self) -> impl Iterator<Item = &Entry> {
+    fn entries(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.0.values()
     }
 }
@@ -29,14 +29,14 @@
         Node { retention: EndpointRetention::new(NODE, bound, most_left_out), store: Store::default() }
     }
 
-    fn whole(&mut self, entries: Vec<Entry>, beyond: usize) -> RetentionChange {
+    fn whole(&mut self, entries: Vec<EndpointEntry>, beyond: usize) -> RetentionChange {
         let selected = self.retention.apply_snapshot(entries, beyond);
         self.store.0.clear();
         self.take(&selected);
         selected
     }
 
-    fn changes(&mut self, entries: Vec<Entry>) -> RetentionChange {
+    fn changes(&mut self, entries: Vec<EndpointEntry>) -> RetentionChange {
         let selected = self.retention.apply_delta(entries, &self.store);
         self.take(&selected);
         selected
@@ -56,22 +56,22 @@
     }
 }
 
-fn entry(name: &str, state: &str) -> Entry {
-    Entry::of(name, "10.0.0.1:1", state)
+fn entry(name: &str, state: &str) -> EndpointEntry {
+    EndpointEntry::of(name, "10.0.0.1:1", state)
 }
 
-fn ready(names: &[&str]) -> Vec<Entry> {
+fn ready(names: &[&str]) -> Vec<EndpointEntry> {
     names.iter().map(|name| entry(name, "Ready")).collect()
 }
 
-fn fleet(count: usize) -> Vec<Entry> {
+fn fleet(count: usize) -> Vec<EndpointEntry> {
     (0..count).map(|number| entry(&format!("s-{number:04}"), "Ready")).collect()
 }
 
 /// The names that the node would keep of all that are listed.
-fn best(listed: &BTreeMap<CompactString, Entry>, bound: usize) -> Vec<&str> {
+fn best(listed: &BTreeMap<CompactString, EndpointEntry>, bound: usize) -> Vec<&str> {
     let retention = Retention::of_node(NODE);
-    let mut ranked: Vec<&Entry> = listed.values().collect();
+    let mut ranked: Vec<&EndpointEntry> = listed.values().collect();
     ranked.sort_by_key(|entry| std::cmp::Reverse(rank(&retention, entry)));
     let mut names: Vec<&str> = ranked.into_iter().take(bound).map(|entry| entry.id.as_str()).collect();
     names.sort_unstable();
@@ -110,7 +110,7 @@
     const BOUND: usize = 20;
     for seed in 0..200 {
         let (mut draws, mut node) = (Draws(seed), Node::new(BOUND, 60));
-        let mut listed: BTreeMap<CompactString, Entry> = BTreeMap::new();
+        let mut listed: BTreeMap<CompactString, EndpointEntry> = BTreeMap::new();
         for step in 0..40 {
             let before: Vec<String> = node.names().into_iter().map(str::to_string).collect();
             let many = 1 + draws.below(12);
@@ -130,7 +130,7 @@
                     false => _ = listed.insert(name.clone(), entry.clone()),
                 }
             }
-            let entries: Vec<Entry> = change.into_values().collect();
+            let entries: Vec<EndpointEntry> = change.into_values().collect();
             let told = if is_whole { node.whole(entries, 0) } else { node.changes(entries) };
             assert!(!told.needs_snapshot && told.repeated == 0, "seed {seed} step {step}");
             let expected = best(&listed, BOUND);
--- a/crates/daemon/tests/unit/executors.rs
+++ b/crates/daemon/tests/unit/upstream.rs
@@ -11,18 +11,18 @@
     troutknot_membership::ExecutorRegistry::default().register("a")
 }
 
-fn executors() -> (Rc<Executors>, mpsc::Receiver<NodeEvent>) {
+fn executors() -> (Rc<ExecutorPool>, mpsc::Receiver<NodeEvent>) {
     executors_with(Duration::ZERO)
 }
 
-fn executors_with(drain_grace: Duration) -> (Rc<Executors>, mpsc::Receiver<NodeEvent>) {
+fn executors_with(drain_grace: Duration) -> (Rc<ExecutorPool>, mpsc::Receiver<NodeEvent>) {
     executors_for("safe", drain_grace)
 }
 
-fn executors_for(effect: &str, drain_grace: Duration) -> (Rc<Executors>, mpsc::Receiver<NodeEvent>) {
-    let words = Vocabulary::of_effect(effect);
+fn executors_for(effect: &str, drain_grace: Duration) -> (Rc<ExecutorPool>, mpsc::Receiver<NodeEvent>) {
+    let codec = Codec::of_effect(effect);
     let wait = Duration::from_secs(5);
-    let mut limits = Limits::of(&crate::limits::Stated {
+    let mut limits = Limits::of(&crate::config::limits::LimitInputs {
         memory_mb: 64,
         sockets: 128,
         connect_wait: Some(wait),
@@ -33,7 +33,7 @@
     // A test takes less.
     limits.second_answer = wait;
     let (events, told) = mpsc::channel(16);
-    (Executors::new(Rc::new(limits), words, events, Rc::default()), told)
+    (ExecutorPool::new(Rc::new(limits), codec, events, Rc::default()), told)
 }
 
 fn in_flight() -> Rc<InFlightRequest> {
@@ -46,15 +46,15 @@
 }
 
 fn push(
-    of: &Executors,
+    of: &ExecutorPool,
     in_flight: &Rc<InFlightRequest>,
     stop: &Rc<CancelSignal>,
     decided: Instant,
     [cut, send_deadline]: [Instant; 2],
-) -> Push {
+) -> DispatchOrder {
     let (life, in_flight, stop) = (of.life(executor()), in_flight.clone(), stop.clone());
     let (executor, attempt_id, send_deadline) = (executor(), AttemptId(0), send_deadline.min(cut));
-    Push { name: None, in_flight, executor, attempt_id, decided, life, cut, send_deadline, stop }
+    DispatchOrder { name: None, in_flight, executor, attempt_id, decided, life, cut, send_deadline, stop }
 }
 
 /// Listens, and with `full` so that every connection hangs: its queue is taken up.
