--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -5,16 +5,15 @@
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::Limits;
 use crate::event::{CallOrigin, NodeEvent};
-use crate::hot_restart::{SiblingProcess, codec::Message};
+use crate::hot_restart::{codec::Message, sibling::SiblingProcess};
 use crate::http1::{self, Connection, Failed};
-use crate::lifecycle::{Drain, Lifecycle, LifecycleState, Shutdown};
+use crate::lifecycle::{DrainOrigin, DrainRequest, Lifecycle, LifecycleState, Shutdown};
 use crate::retention::RetentionStatistics;
 use calls::{Call, UnknownCall};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::task::spawn_local;
@@ -147,7 +146,8 @@
                 if self.lifecycle.facts().shutdown != Shutdown::None {
                     return (503, "the node ends".into());
                 }
-                drain(&self.lifecycle, self.limits.drain_settle, *to_drain, false);
+                let request = if *to_drain { DrainRequest::Drain } else { DrainRequest::Resume };
+                self.lifecycle.request_drain(request, DrainOrigin::Operator, self.limits.drain_settle);
                 let (done, holds) = oneshot::channel();
                 let drained = |number| Message::Drained { drained: *to_drain, number };
                 self.beside.mirror(drained, done);
@@ -181,26 +181,3 @@
         }
     }
 }
-
-/// Empties the node, or ends that; again the same changes nothing. `inherited` says that another process of the
-/// node was told so.
-pub fn drain(lifecycle: &Rc<Lifecycle>, settle: Duration, drain: bool, inherited: bool) {
-    let before = lifecycle.facts();
-    if drain == (before.drain != Drain::None) {
-        return;
-    }
-    let number = before.drain_changes + 1;
-    lifecycle.update(|facts| {
-        (facts.drain, facts.drain_changes) = (if drain { Drain::Begun } else { Drain::None }, number);
-        facts.is_drain_inherited = drain && inherited;
-    });
-    let lifecycle = lifecycle.clone();
-    spawn_local(async move {
-        sleep(settle).await;
-        lifecycle.update(|facts| {
-            if drain && facts.drain_changes == number {
-                facts.drain = Drain::Settled;
-            }
-        });
-    });
-}
--- a/crates/daemon/src/discovery/mod.rs
+++ b/crates/daemon/src/discovery/mod.rs
@@ -4,40 +4,13 @@
 pub mod parser;
 pub mod platform;
 
+pub use crate::event::EndpointUpdate;
+
 use crate::event::NodeEvent;
-use crate::protocol::{EndpointEntry, EndpointList};
 use merge::EndpointMerge;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use troutknot::ListUpdate;
-
-/// A list, or changes of one, as it is told to the driver.
-#[derive(Debug)]
-pub struct EndpointUpdate {
-    pub kind: ListUpdate,
-    pub entries: Vec<EndpointEntry>,
-    /// Where its source counts them.
-    pub version: Option<u64>,
-    /// Entries that were cut for the bound when it was read.
-    pub beyond: usize,
-}
-
-impl EndpointUpdate {
-    pub fn of(kind: ListUpdate, list: EndpointList) -> Self {
-        let EndpointList { version, entries, beyond, .. } = list;
-        EndpointUpdate { kind, entries, version: Some(version), beyond }
-    }
-
-    pub fn changes(entries: Vec<EndpointEntry>) -> Self {
-        EndpointUpdate { kind: ListUpdate::Delta, entries, version: None, beyond: 0 }
-    }
-
-    /// That nothing has changed.
-    pub fn nothing_new() -> Self {
-        EndpointUpdate::changes(Vec::new())
-    }
-}
 
 /// Where a source tells what it has; with several, what follows from all of them is told on.
 #[derive(Clone)]
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -4,10 +4,8 @@
 use crate::config::operator::DurableConfig;
 use crate::durable::{Durable, Found, JoinedRequest};
 use crate::event::NodeEvent;
-use crate::hot_restart::{
-    SiblingProcess,
-    codec::{Message, Usage},
-};
+use crate::hot_restart::codec::{Message, Usage};
+use crate::hot_restart::sibling::SiblingProcess;
 use crate::http1::{self, Connection, Failed};
 use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
 use crate::lifecycle::LifecycleState;
@@ -167,7 +165,7 @@
 
     /// Clients that this process may serve beside what another one of the node has open.
     fn most(&self) -> usize {
-        self.limits.clients.saturating_sub(self.beside.other().clients)
+        self.limits.clients.saturating_sub(self.beside.usage().clients)
     }
 
     /// Accepts connections until the node ends. From a socket that was passed on nothing is accepted before
@@ -466,7 +464,7 @@
         if !self.past.borrow_mut().take(token, &self.limits) {
             return Err(Some(409));
         }
-        self.beside.say(Message::Ids { ids: vec![token] });
+        self.beside.send(Message::Ids { ids: vec![token] });
         self.next_wu.set(self.next_wu.get() + 1);
         self.ids.borrow_mut().insert(id);
         Ok((in_flight, last))
@@ -529,7 +527,7 @@
                     Err(None) => return Ok(Some((come_back, None))),
                 };
                 // From here on the ledger knows its id.
-                let _ = in_flight.durable.set(durable.clone());
+                in_flight.is_durable.set(true);
                 let taken = durable.take(&in_flight, last).await;
                 self.ids.borrow_mut().remove(&in_flight.request.id);
                 let joint: Rc<JoinedRequest> = match taken {
--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -1,9 +1,9 @@
 //! Owns the dispatcher: tells it what the sides saw, and hands each of its actions to the side that acts.
-use crate::discovery::EndpointUpdate;
-use crate::event::{CallOrigin, NodeEvent, RecoveredAttempt};
+use crate::durable::Lease;
+use crate::event::{CallOrigin, EndpointUpdate, NodeEvent, RecoveredAttempt, WatchRequests};
 use crate::gossip::GossipSocket;
-use crate::hot_restart::SiblingProcess;
 use crate::hot_restart::codec::{self, Inherited, Message};
+use crate::hot_restart::sibling::SiblingProcess;
 use crate::in_flight::{Answer, CancelSignal, InFlightRequest};
 use crate::lifecycle::{Drain, Lifecycle};
 use crate::membership::Membership;
@@ -13,7 +13,7 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use tokio::sync::{Notify, mpsc};
+use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 use troutknot::{Event as CoreEvent, *};
 use troutknot_clock::Clock;
@@ -28,14 +28,6 @@
 /// What the log calls an executor that was released.
 const RELEASED: &str = "(released)";
 
-/// Asks for the list to be followed.
-#[derive(Default)]
-pub struct WatchRequests {
-    pub changes: Notify,
-    /// From the whole list on.
-    pub whole: Notify,
-}
-
 /// The executors that are kept now.
 struct RetainedNow<'a> {
     registry: &'a ExecutorRegistry,
@@ -277,22 +269,25 @@
         self.tell(now, NodeEvent::RequestArrived(in_flight.clone()));
         let Some(open) = self.open.get_mut(&request_id) else { return };
         open.attempts = earlier.len() as u32;
-        for (number, RecoveredAttempt { executor: name, sent_at, outcome, lease }) in
+        for (number, RecoveredAttempt { executor: name, sent_at, outcome, fence }) in
             earlier.into_iter().enumerate()
         {
             let attempt_id = AttemptId(number as u32);
             let executor = self.register(now, &name);
             self.dispatcher.handle_event(now, CoreEvent::AttemptRecovered { request_id, executor, sent_at });
-            match outcome {
-                Some(outcome) => self.dispatcher.handle_event(
+            match (outcome, self.executors.durable.get()) {
+                (Some(outcome), _) => self.dispatcher.handle_event(
                     now,
                     CoreEvent::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: false },
                 ),
-                None => {
+                (None, Some(durable)) => {
+                    let lease = Lease::new(durable.clone(), request_id, attempt_id, fence, sent_at);
                     let settled =
                         self.executors.clone().settle(in_flight.clone(), executor, attempt_id, lease);
                     tokio::task::spawn_local(settled);
                 }
+                // Requests are recovered from the ledger alone.
+                (None, None) => {}
             }
         }
     }
@@ -432,24 +427,24 @@
                     .mirror(|number| Message::SetExcluded { executor: name, is_excluded, number }, done);
             }
             CallOrigin::Operator(done) => _ = done.send(false),
-            CallOrigin::Sibling(number) => self.beside.say(Message::Acknowledged { number }),
+            CallOrigin::Sibling(number) => self.beside.send(Message::Acknowledged { number }),
         }
     }
 
     /// Tells a next process of this node what is known here.
     fn hand_over(&mut self, now: Millis) {
         let beside = &self.beside;
-        let say = |messages: Vec<Message>| messages.into_iter().for_each(|message| beside.say(message));
+        let say = |messages: Vec<Message>| messages.into_iter().for_each(|message| beside.send(message));
         let out: Vec<String> = self.membership.excluded().iter().cloned().collect();
-        say(codec::in_lines(&out, |executors| Message::Excluded { executors }));
+        say(codec::split_list(&out, |executors| Message::Excluded { executors }));
         say(vec![Message::Drained { drained: self.lifecycle.facts().drain != Drain::None, number: 0 }]);
         let (listed, version) = (self.membership.listed(), self.membership.version);
         let entries: Vec<EndpointEntry> = listed.chain(self.retention.unretained()).cloned().collect();
-        say(codec::in_lines(&entries, |entries| Message::List { version, entries }));
+        say(codec::split_list(&entries, |entries| Message::List { version, entries }));
         let state = self.dispatcher.export_state(now);
         let executors: Vec<codec::ExecutorState> =
             state.executors.iter().filter_map(|executor| self.export_executor(executor)).collect();
-        say(codec::in_lines(&executors, |executors| Message::Executors { executors }));
+        say(codec::split_list(&executors, |executors| Message::Executors { executors }));
         let codec = self.codec.now();
         let running_time = |(name, class): (&str, RequestClassId)| {
             let time = *state.class_running_times.get(class.0 as usize)?;
@@ -471,7 +466,7 @@
             failure_score: codec::Score(state.failure_score),
             observations: codec::Score(state.observations),
             max_slots: state.max_slots,
-            warm_up_spent: state.warm_up_spent.iter().copied().map(codec::Spent).collect(),
+            warm_up_spent: state.warm_up_spent.iter().copied().map(codec::SpentBudget).collect(),
         })
     }
 
@@ -509,7 +504,7 @@
             failure_score: state.failure_score.0,
             observations: state.observations.0,
             max_slots: state.max_slots,
-            warm_up_spent: state.warm_up_spent.into_iter().map(|codec::Spent(spent)| spent).collect(),
+            warm_up_spent: state.warm_up_spent.into_iter().map(|codec::SpentBudget(spent)| spent).collect(),
         })
     }
 
@@ -551,7 +546,7 @@
                 let (decided, life) = (Instant::now(), self.executors.life(executor));
                 open.pushed = Some((executor, decided));
                 let in_flight = open.in_flight.clone();
-                let name = in_flight.durable.get().map(|_| self.name(executor).to_string());
+                let name = in_flight.is_durable.get().then(|| self.name(executor).to_string());
                 tracing::debug!("push: alloc {} to {}", attempt_id.0, self.name(executor));
                 let push = DispatchOrder {
                     in_flight,
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -21,12 +21,18 @@
 }
 
 impl Lease {
-    pub fn new(durable: Rc<Durable>, request_id: RequestId, number: usize, fence: Fence, at: Millis) -> Self {
+    pub fn new(
+        durable: Rc<Durable>,
+        request_id: RequestId,
+        attempt_id: AttemptId,
+        fence: Fence,
+        at: Millis,
+    ) -> Self {
         let span = durable.terms.lease.unwrap_or(Duration::from_secs(86_400));
         Lease {
             durable,
             request_id,
-            attempt_id: AttemptId(number as u32),
+            attempt_id,
             fence,
             at,
             until: Cell::new(Instant::now() + span),
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -22,7 +22,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use troutknot::{Effect, Millis, RequestId};
+use troutknot::{AttemptId, Effect, Millis, RequestId};
 use troutknot_clock::Clock;
 use troutknot_ledger::committer::{Committer, NotWritten, ReadError, SyncMode};
 use troutknot_ledger::store::Store;
@@ -353,17 +353,17 @@
         let now = self.now();
         let until_cut = cut.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
         let span = self.terms.lease.map_or(until_cut, |span| span.as_secs_f64() * 1000.0);
-        let (fence, number) = {
+        let (fence, attempt_id) = {
             let ledger = self.ledger.borrow();
             let known = ledger.job(request_id)?;
             let may = known.next_fence(now, self.max_attempts);
             let fence = may.inspect_err(|why| tracing::warn!("ledger: not allocated: {why}")).ok()?;
-            (fence, known.attempts.len())
+            (fence, AttemptId(known.attempts.len() as u32))
         };
         let lease_until = now + span;
         let row =
             self.apply(Record::Dispatched { request_id, fence, executor: executor.into(), lease_until })?;
-        let mut unsent = Unsent(Some(Lease::new(self.clone(), request_id, number, fence, now)));
+        let mut unsent = Unsent(Some(Lease::new(self.clone(), request_id, attempt_id, fence, now)));
         self.write(vec![row]).await.ok()?;
         unsent.0.take()
     }
@@ -426,11 +426,11 @@
                 None => sleep(ROOM_AGAIN).await,
             }
         };
-        let _ = in_flight.durable.set(self.clone());
+        in_flight.is_durable.set(true);
         let earlier = {
             let ledger = self.ledger.borrow();
             let known = ledger.job(request_id).ok_or("it is not on record")?;
-            let of = |(number, a): (usize, &troutknot_ledger::Attempt)| RecoveredAttempt {
+            let of = |a: &troutknot_ledger::Attempt| RecoveredAttempt {
                 executor: a.executor.clone(),
                 sent_at: a.recorded_at,
                 outcome: match a.outcome {
@@ -439,9 +439,9 @@
                     Some(troutknot::Outcome::Completed) => None,
                     other => other,
                 },
-                lease: Lease::new(self.clone(), request_id, number, a.fence, a.recorded_at),
+                fence: a.fence,
             };
-            known.attempts.iter().enumerate().map(of).collect()
+            known.attempts.iter().map(of).collect()
         };
         // What is past its limit already is answered by the module as well, a moment later.
         let last = in_flight.deadline + self.limits.answer_margin + self.limits.times().connect_wait;
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -1,10 +1,50 @@
-//! What the sides of a node tell its driver, and nothing of how it is carried out.
-use crate::discovery::EndpointUpdate;
-use crate::durable::Lease;
+//! The messages that the parts of a node exchange with its driver. Plain data: nothing here acts.
 use crate::in_flight::InFlightRequest;
+use crate::protocol::{EndpointEntry, EndpointList};
 use std::rc::Rc;
-use tokio::sync::oneshot;
-use troutknot::{Event as CoreEvent, Millis, Outcome, RequestId, Settings};
+use tokio::sync::{Notify, oneshot};
+use troutknot::{Event as CoreEvent, ListUpdate, Millis, Outcome, RequestId, Settings};
+use troutknot_ledger::Fence;
+
+/// A snapshot of the endpoint list, or changes to it, as a discovery source reports it.
+#[derive(Debug)]
+pub struct EndpointUpdate {
+    /// Whether the entries are a complete list or changes, and where they come from.
+    pub kind: ListUpdate,
+    /// The endpoints that are listed or that changed.
+    pub entries: Vec<EndpointEntry>,
+    /// The version of the list, if its source counts versions.
+    pub version: Option<u64>,
+    /// Number of entries that the reader dropped because the list exceeded its size limit.
+    pub beyond: usize,
+}
+
+impl EndpointUpdate {
+    /// Wraps a list that was read from its source.
+    pub fn of(kind: ListUpdate, list: EndpointList) -> Self {
+        let EndpointList { version, entries, beyond, .. } = list;
+        EndpointUpdate { kind, entries, version: Some(version), beyond }
+    }
+
+    /// Wraps changed entries from a source that counts no versions.
+    pub fn changes(entries: Vec<EndpointEntry>) -> Self {
+        EndpointUpdate { kind: ListUpdate::Delta, entries, version: None, beyond: 0 }
+    }
+
+    /// A confirmation that the list has not changed.
+    pub fn nothing_new() -> Self {
+        EndpointUpdate::changes(Vec::new())
+    }
+}
+
+/// Requests from the driver to the endpoint list's watch.
+#[derive(Default)]
+pub struct WatchRequests {
+    /// Continue the watch from the last version.
+    pub changes: Notify,
+    /// Restart the watch with a complete list.
+    pub whole: Notify,
+}
 
 /// An attempt of an earlier process of this node.
 pub struct RecoveredAttempt {
@@ -13,7 +53,8 @@
     pub sent_at: Millis,
     /// None where it is not known.
     pub outcome: Option<Outcome>,
-    pub lease: Lease,
+    /// The fencing token that was recorded with it.
+    pub fence: Fence,
 }
 
 /// Where an operator's call came.
--- a/crates/daemon/src/hot_restart/codec.rs
+++ b/crates/daemon/src/hot_restart/codec.rs
@@ -1,87 +1,131 @@
-//! What two processes of one node tell each other while both run: one JSON object a line. Without I/O.
+//! The messages between two processes of one node, one JSON object a line. Without I/O.
 //!
-//! The first line of each side is [`Message::Hello`] with the number of the form. A message that is not known is
-//! passed over, so a later release may say more in the same form; one that says something otherwise has another
-//! form. Names on the wire are those of the first release that spoke it.
+//! The first message of each side is [`Message::Hello`] with the protocol version. Unknown messages are ignored,
+//! so a later release may add some within a version; an incompatible change needs another version. Names on the
+//! wire are those of the first release that spoke the protocol.
 use crate::protocol::EndpointEntry;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use troutknot::{DecayingScore, Millis, ObservedMean, WarmUpDispatch};
 
-/// The form that this release speaks.
-pub const FORM: u32 = 1;
-/// The longest line.
+/// The protocol version that this release speaks.
+pub const PROTOCOL_VERSION: u32 = 1;
+
+/// The longest line, in bytes.
 pub const MAX_LINE_BYTES: usize = 256 * 1024;
-/// How many of anything go into one line.
-const ITEMS_PER_LINE: usize = 200;
 
-/// Why a line, or all that was told, cannot be used.
+/// Maximum number of list items in one message.
+const ITEMS_PER_MESSAGE: usize = 200;
+
+/// Why a message, or the state that several messages make up, cannot be used.
 #[derive(Clone, PartialEq, Debug, thiserror::Error)]
 pub enum CodecError {
-    #[error("no message of form {FORM}: {0}")]
+    /// The line is not a message.
+    #[error("malformed message of protocol version {PROTOCOL_VERSION}: {0}")]
     Malformed(String),
-    #[error("it speaks form {0}, this release {FORM}")]
-    Form(u32),
-    #[error("it is node `{0}`")]
+    /// The other process speaks a later protocol version.
+    #[error("unsupported protocol version {0}, this release speaks {PROTOCOL_VERSION}")]
+    UnsupportedVersion(u32),
+    /// The other process belongs to another node.
+    #[error("process of another node, `{0}`")]
     OtherNode(String),
-    #[error("it does not say which form it speaks")]
-    NoHello,
-    #[error("{0} stands where a figure of 0 or more does")]
-    BadFigure(f64),
-    #[error("it tells nothing of work")]
-    NoRunningTimes,
-    #[error("it tells {count} of something, at most {limit} are kept in mind")]
-    TooMany { count: usize, limit: usize },
+    /// The first message is not a hello.
+    #[error("first message states no protocol version")]
+    MissingHello,
+    /// A number is negative or not finite.
+    #[error("{0} is not a finite number of 0 or more")]
+    InvalidNumber(f64),
+    /// The state ended without running times.
+    #[error("state without running times")]
+    MissingRunningTimes,
+    /// A list exceeds its limit.
+    #[error("list of {count} items, at most {limit} are allowed")]
+    TooManyItems {
+        /// Items received.
+        count: usize,
+        /// Maximum number of items.
+        limit: usize,
+    },
 }
 
-/// One line.
+/// One message.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(tag = "say", rename_all = "kebab-case")]
 pub enum Message {
-    /// The first of each side, by the node's name.
-    Hello { form: u32, name: String },
+    /// The first message of each side.
+    Hello {
+        /// The protocol version of the sender.
+        #[serde(rename = "form")]
+        version: u32,
+        /// The name of the sender's node.
+        name: String,
+    },
     /// Executors that operators excluded.
     #[serde(rename = "out")]
-    Excluded { executors: Vec<String> },
-    /// Whether operators drained the node; the other one's word for it, to be answered by
-    /// [`Message::Acknowledged`].
-    Drained { drained: bool, number: u64 },
-    /// Executors as the list says, a part of it, and its version where its source counts them.
-    List { version: Option<u64>, entries: Vec<EndpointEntry> },
-    /// Tokens of ids of requests that were taken lately.
-    Ids { ids: Vec<u64> },
-    /// What is known of executors.
-    Executors { executors: Vec<ExecutorState> },
-    /// And of running times.
+    Excluded {
+        /// Their names.
+        executors: Vec<String>,
+    },
+    /// Whether operators drained the node. Answered by [`Message::Acknowledged`] unless it is part of the state.
+    Drained {
+        /// True after a drain, false after it was revoked.
+        drained: bool,
+        /// The number to acknowledge; 0 within the state.
+        number: u64,
+    },
+    /// A part of the endpoint list.
+    List {
+        /// The version of the list, if its source counts versions.
+        version: Option<u64>,
+        /// Endpoints of this part.
+        entries: Vec<EndpointEntry>,
+    },
+    /// Tokens of the ids of recent requests.
+    Ids {
+        /// The tokens.
+        ids: Vec<u64>,
+    },
+    /// Measurements of executors.
+    Executors {
+        /// One item an executor.
+        executors: Vec<ExecutorState>,
+    },
+    /// Measurements of running times and probes.
     #[serde(rename = "work")]
     RunningTimes(RunningTimes),
-    /// The older one has told all that the newer one begins with.
+    /// The state of the old process is complete.
     #[serde(rename = "told")]
     Complete,
-    /// The newer one takes clients from now on.
+    /// The new process takes clients from now on.
     Ready,
-    /// An operator excluded an executor, or let it serve again.
+    /// An operator excluded an executor, or included it again.
     #[serde(rename = "leave-out")]
     SetExcluded {
+        /// The executor's name.
         executor: String,
+        /// True if it is excluded.
         #[serde(rename = "out")]
         is_excluded: bool,
+        /// The number to acknowledge.
         number: u64,
     },
-    /// What the other one asked for under this number holds here.
+    /// The message of this number has taken effect at the sender.
     #[serde(rename = "done")]
-    Acknowledged { number: u64 },
-    /// What a process has open, of what both may have together.
+    Acknowledged {
+        /// The number of the message.
+        number: u64,
+    },
+    /// What the sender uses of the limits that both processes share.
     #[serde(rename = "holds")]
     Usage(Usage),
-    /// The older one was asked to end.
+    /// The old process was asked to end.
     Leaving,
-    /// Of a later release.
+    /// A message of a later release.
     #[serde(other)]
     Other,
 }
 
-/// A score and when it was set, a pair on the wire.
+/// A score and the time it was set at; a pair on the wire.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Default)]
 #[serde(from = "(f64, Millis)", into = "(f64, Millis)")]
 pub struct Score(pub DecayingScore);
@@ -98,53 +142,59 @@
     }
 }
 
-/// When something was dispatched and how many slot-milliseconds of a warm-up budget it took, a pair on the wire.
+/// A dispatch and the slot-milliseconds of the warm-up budget that it used; a pair on the wire.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq)]
 #[serde(from = "(Millis, f64)", into = "(Millis, f64)")]
-pub struct Spent(pub WarmUpDispatch);
+pub struct SpentBudget(pub WarmUpDispatch);
 
-impl From<(Millis, f64)> for Spent {
+impl From<(Millis, f64)> for SpentBudget {
     fn from((at, work): (Millis, f64)) -> Self {
-        Spent(WarmUpDispatch { at, work })
+        SpentBudget(WarmUpDispatch { at, work })
     }
 }
 
-impl From<Spent> for (Millis, f64) {
-    fn from(Spent(spent): Spent) -> Self {
+impl From<SpentBudget> for (Millis, f64) {
+    fn from(SpentBudget(spent): SpentBudget) -> Self {
         (spent.at, spent.work)
     }
 }
 
-/// What is known of one executor; times are Unix times in milliseconds.
+/// Measurements of one executor. Times are Unix times in milliseconds.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ExecutorState {
+    /// The executor's name.
     pub id: String,
+    /// Recent failures, decaying.
     #[serde(rename = "failed")]
     pub failure_score: Score,
+    /// Number of outcomes that the failure score rests on, decaying.
     #[serde(rename = "judged")]
     pub observations: Score,
+    /// The most slots that it was seen to have.
     #[serde(rename = "slots")]
     pub max_slots: f64,
-    /// What of its warm-up budget is spent.
+    /// Dispatches that used its warm-up budget.
     #[serde(rename = "cold_spent")]
-    pub warm_up_spent: Vec<Spent>,
+    pub warm_up_spent: Vec<SpentBudget>,
 }
 
 impl ExecutorState {
-    fn figures(&self) -> impl Iterator<Item = f64> {
+    fn numbers(&self) -> impl Iterator<Item = f64> {
         let (score, observations) = (self.failure_score.0, self.observations.0);
-        let spent = self.warm_up_spent.iter().flat_map(|Spent(spent)| [spent.at, spent.work]);
+        let spent = self.warm_up_spent.iter().flat_map(|SpentBudget(spent)| [spent.at, spent.work]);
         [score.value, score.set_at, observations.value, observations.set_at, self.max_slots]
             .into_iter()
             .chain(spent)
     }
 }
 
-/// The running times of one class, a triple on the wire.
+/// The running times of one request class; a triple on the wire.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(from = "(String, Millis, f64)", into = "(String, Millis, f64)")]
 pub struct ClassRunningTime {
+    /// The class's name.
     pub class: String,
+    /// Mean in milliseconds, and the number of observations.
     pub time: ObservedMean,
 }
 
@@ -160,89 +210,109 @@
     }
 }
 
-/// What is known of running times and probes.
+/// Measurements of running times and probes.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Default)]
 pub struct RunningTimes {
+    /// Running times by class.
     #[serde(rename = "types")]
     pub classes: Vec<ClassRunningTime>,
+    /// Mean running time of all classes.
     #[serde(rename = "mean_run")]
     pub mean_running_time: Millis,
+    /// Share of probes that found a queue.
     #[serde(rename = "waiting_share")]
     pub busy_probe_ratio: Option<f64>,
+    /// Mean round trip of a probe.
     #[serde(rename = "lag")]
     pub probe_latency: Option<Millis>,
+    /// Number of executors that are probed for a request.
     #[serde(rename = "draws")]
     pub sample_size: u32,
 }
 
 impl RunningTimes {
-    fn figures(&self) -> impl Iterator<Item = f64> {
+    fn numbers(&self) -> impl Iterator<Item = f64> {
         let of_classes = self.classes.iter().flat_map(|class| [class.time.mean, class.time.observations]);
         let general = [Some(self.mean_running_time), self.busy_probe_ratio, self.probe_latency];
         of_classes.chain(general.into_iter().flatten())
     }
 }
 
-/// What a process has open, in counts and bytes.
+/// What a process uses of the limits that both processes share.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Default)]
 pub struct Usage {
+    /// Connections from clients.
     pub clients: usize,
+    /// Connections to executors.
     pub executors: usize,
+    /// Bytes of requests.
     pub bytes: usize,
-    /// In clients' rings beyond their first size, and for bodies on their way; an earlier release says neither.
+    /// Bytes of clients' ring buffers beyond their first size; absent in an earlier release.
     #[serde(default)]
     pub rings: usize,
+    /// Bytes reserved for request bodies that are being received; absent in an earlier release.
     #[serde(default)]
     pub slow_bodies: usize,
 }
 
-/// What does not fit into one line goes into several; at least one.
-pub fn in_lines<T: Clone>(all: &[T], message: impl Fn(Vec<T>) -> Message) -> Vec<Message> {
-    if all.is_empty() {
+/// Splits a list into messages of limited size; an empty list makes one message.
+pub fn split_list<T: Clone>(items: &[T], message: impl Fn(Vec<T>) -> Message) -> Vec<Message> {
+    if items.is_empty() {
         return vec![message(Vec::new())];
     }
-    all.chunks(ITEMS_PER_LINE).map(|part| message(part.to_vec())).collect()
+    items.chunks(ITEMS_PER_MESSAGE).map(|part| message(part.to_vec())).collect()
 }
 
+/// Decodes a line.
+///
 /// # Errors
-/// Why a line is no message.
-pub fn read(line: &[u8]) -> Result<Message, CodecError> {
+/// [`CodecError::Malformed`] if the line is not a message.
+pub fn decode(line: &[u8]) -> Result<Message, CodecError> {
     serde_json::from_slice(line).map_err(|error| CodecError::Malformed(error.to_string()))
 }
 
-/// The line of a message, with its end.
-pub fn write(message: &Message) -> Vec<u8> {
+/// Encodes a message as a line, including the line feed.
+pub fn encode(message: &Message) -> Vec<u8> {
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
     line
 }
 
-/// How much is taken over at most.
+/// Limits of the state that a process receives.
 #[derive(Clone, Copy)]
 pub struct Bounds {
+    /// Maximum number of executors in each list.
     pub executors: usize,
+    /// Maximum number of request ids.
     pub ids: usize,
 }
 
-/// What a process begins with that follows another.
+/// The state that a new process receives from the old one.
 #[derive(Default, Debug, PartialEq)]
 pub struct Inherited {
     has_greeted: bool,
+    /// Executors that operators excluded.
     pub excluded: BTreeSet<String>,
+    /// Whether operators drained the node.
     pub is_drained: bool,
+    /// The version of the endpoint list, if its source counts versions.
     pub version: Option<u64>,
+    /// The endpoint list.
     pub entries: Vec<EndpointEntry>,
+    /// Tokens of the ids of recent requests.
     pub ids: Vec<u64>,
+    /// Measurements of executors.
     pub executors: Vec<ExecutorState>,
+    /// Measurements of running times and probes; present once the state is complete.
     pub running_times: Option<RunningTimes>,
 }
 
 impl Inherited {
-    /// Takes the next message; true with the last.
+    /// Applies the next message; returns true if it completes the state.
     ///
     /// # Errors
-    /// Nothing of what was told may then be used.
-    pub fn take(&mut self, message: Message, name: &str, bounds: Bounds) -> Result<bool, CodecError> {
+    /// If the message is not valid here; nothing of the state may then be used.
+    pub fn apply(&mut self, message: Message, name: &str, bounds: Bounds) -> Result<bool, CodecError> {
         if !self.has_greeted {
             return self.greet(message, name).map(|()| false);
         }
@@ -255,17 +325,17 @@
             }
             Message::Ids { ids } => self.ids.extend(ids),
             Message::Executors { executors } => {
-                executors.iter().flat_map(ExecutorState::figures).try_for_each(check_figure)?;
+                executors.iter().flat_map(ExecutorState::numbers).try_for_each(check_number)?;
                 self.executors.extend(executors);
             }
             Message::RunningTimes(times) => {
-                times.figures().try_for_each(check_figure)?;
+                times.numbers().try_for_each(check_number)?;
                 self.running_times = Some(times);
             }
-            // What changed while it was telling.
+            // A change while the state was being sent.
             Message::SetExcluded { executor, is_excluded: true, .. } => _ = self.excluded.insert(executor),
             Message::SetExcluded { executor, is_excluded: false, .. } => _ = self.excluded.remove(&executor),
-            Message::Complete if self.running_times.is_none() => return Err(CodecError::NoRunningTimes),
+            Message::Complete if self.running_times.is_none() => return Err(CodecError::MissingRunningTimes),
             Message::Complete => return Ok(true),
             _ => {}
         }
@@ -274,13 +344,15 @@
 
     fn greet(&mut self, message: Message, name: &str) -> Result<(), CodecError> {
         match message {
-            Message::Hello { form, .. } if form > FORM => Err(CodecError::Form(form)),
+            Message::Hello { version, .. } if version > PROTOCOL_VERSION => {
+                Err(CodecError::UnsupportedVersion(version))
+            }
             Message::Hello { name: other, .. } if other != name => Err(CodecError::OtherNode(other)),
             Message::Hello { .. } => {
                 self.has_greeted = true;
                 Ok(())
             }
-            _ => Err(CodecError::NoHello),
+            _ => Err(CodecError::MissingHello),
         }
     }
 
@@ -292,14 +364,14 @@
             (self.executors.len(), bounds.executors),
         ];
         match counts.into_iter().find(|(count, limit)| count > limit) {
-            Some((count, limit)) => Err(CodecError::TooMany { count, limit }),
+            Some((count, limit)) => Err(CodecError::TooManyItems { count, limit }),
             None => Ok(()),
         }
     }
 }
 
-fn check_figure(figure: f64) -> Result<(), CodecError> {
-    if figure.is_finite() && figure >= 0.0 { Ok(()) } else { Err(CodecError::BadFigure(figure)) }
+fn check_number(number: f64) -> Result<(), CodecError> {
+    if number.is_finite() && number >= 0.0 { Ok(()) } else { Err(CodecError::InvalidNumber(number)) }
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/hot_restart/inherited_socket.rs
+++ b/crates/daemon/src/hot_restart/inherited_socket.rs
@@ -1,38 +1,75 @@
-//! The clients' socket that the platform holds and passes on, so that it stays open from one process to the next.
+//! The listening socket that the platform passes on, so that it stays open from one process to the next.
 use socket2::{Domain, SockRef, Type};
+use std::io;
 use std::net::TcpListener;
 use std::os::fd::{BorrowedFd, FromRawFd, OwnedFd, RawFd};
 
-/// The socket whose descriptor is named, if one is; to be called before anything is opened.
+/// Environment variable with the number of the descriptor that was passed on.
+pub const DESCRIPTOR_VARIABLE: &str = "ROUTER_PASSED_SOCKET";
+
+/// The lowest descriptor that can be passed on; those below are the standard streams.
+const FIRST_DESCRIPTOR: RawFd = 3;
+
+/// Why the descriptor cannot be used as the listening socket.
+#[derive(Debug, thiserror::Error)]
+#[error("{DESCRIPTOR_VARIABLE}: `{descriptor}` {reason}")]
+pub struct InheritedSocketError {
+    /// The value of the environment variable.
+    descriptor: String,
+    #[source]
+    reason: DescriptorError,
+}
+
+/// What is wrong with a descriptor.
+#[derive(Debug, thiserror::Error)]
+enum DescriptorError {
+    #[error("is not a descriptor, expected a number from {FIRST_DESCRIPTOR}")]
+    NotADescriptor,
+    #[error("is not an open socket: {0}")]
+    NotOpen(#[source] io::Error),
+    #[error("is not a TCP socket")]
+    NotTcp,
+    #[error("is not a listening socket")]
+    NotListening,
+    #[error("cannot be made non-blocking: {0}")]
+    NonBlocking(#[source] io::Error),
+}
+
+/// Takes ownership of the socket that `descriptor` numbers; None if it is absent or empty. Must be called before
+/// this process opens anything.
 ///
 /// # Errors
-/// One plain line where the descriptor is none, or no TCP socket that listens.
-pub fn listener(named: Option<&str>) -> Result<Option<TcpListener>, String> {
-    let Some(named) = named.filter(|named| !named.is_empty()) else { return Ok(None) };
-    let bad = |what: &str| format!("ROUTER_PASSED_SOCKET: `{named}` {what}");
-    let none = || bad("is no descriptor; it is a number from 3 up");
-    let fd = named.parse::<RawFd>().ok().filter(|&fd| fd > 2).ok_or_else(none)?;
-    // SAFETY: whether it is open is looked at before it is used for anything; nothing else in this process
-    // owns it, as nothing has been opened yet.
-    let borrowed = unsafe { BorrowedFd::borrow_raw(fd) };
-    check(borrowed).map_err(bad)?;
-    // SAFETY: as above; from here on it is the listener's.
-    let owned = unsafe { OwnedFd::from_raw_fd(fd) };
+/// If the descriptor is not the number of a listening TCP socket.
+pub fn listener(descriptor: Option<&str>) -> Result<Option<TcpListener>, InheritedSocketError> {
+    let Some(descriptor) = descriptor.filter(|descriptor| !descriptor.is_empty()) else { return Ok(None) };
+    let listener = adopt(descriptor);
+    listener.map(Some).map_err(|reason| InheritedSocketError { descriptor: descriptor.to_string(), reason })
+}
+
+fn adopt(descriptor: &str) -> Result<TcpListener, DescriptorError> {
+    let number = descriptor.parse::<RawFd>().ok().filter(|&number| number >= FIRST_DESCRIPTOR);
+    let number = number.ok_or(DescriptorError::NotADescriptor)?;
+    // SAFETY: nothing has been opened yet, so nothing else in this process owns the descriptor, and `check` fails
+    // if it is not open.
+    let borrowed = unsafe { BorrowedFd::borrow_raw(number) };
+    check(borrowed)?;
+    // SAFETY: as above; the listener is the only owner from here on.
+    let owned = unsafe { OwnedFd::from_raw_fd(number) };
     let listener = TcpListener::from(owned);
-    listener.set_nonblocking(true).map_err(|e| bad(&e.to_string()))?;
-    Ok(Some(listener))
+    listener.set_nonblocking(true).map_err(DescriptorError::NonBlocking)?;
+    Ok(listener)
 }
 
-fn check(fd: BorrowedFd) -> Result<(), &'static str> {
-    let socket = SockRef::from(&fd);
-    let kind = socket.r#type().map_err(|_| "is not an open socket")?;
-    let domain = socket.domain().map_err(|_| "is not an open socket")?;
-    if kind != Type::STREAM || !matches!(domain, Domain::IPV4 | Domain::IPV6) {
-        return Err("is no TCP socket");
+fn check(descriptor: BorrowedFd) -> Result<(), DescriptorError> {
+    let socket = SockRef::from(&descriptor);
+    let socket_type = socket.r#type().map_err(DescriptorError::NotOpen)?;
+    let domain = socket.domain().map_err(DescriptorError::NotOpen)?;
+    if socket_type != Type::STREAM || !matches!(domain, Domain::IPV4 | Domain::IPV6) {
+        return Err(DescriptorError::NotTcp);
     }
     match socket.is_listener() {
         Ok(true) => Ok(()),
-        _ => Err("does not listen"),
+        _ => Err(DescriptorError::NotListening),
     }
 }
 
--- /dev/null
+++ b/crates/daemon/src/hot_restart/sibling.rs
@@ -0,0 +1,72 @@
+//! The shared value by which the parts of a node reach the sibling process, if one runs.
+use super::codec::{Message, Usage};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use tokio::sync::{mpsc, oneshot};
+
+/// Messages that may be queued for the sibling; a sibling that falls further behind is disconnected.
+const QUEUE_CAPACITY: usize = 8192;
+
+/// The other process of this node, if one runs. Without one, messages are dropped and its usage is zero.
+#[derive(Default)]
+pub struct SiblingProcess {
+    outbox: RefCell<Option<mpsc::Sender<Message>>>,
+    /// Callers that wait until the sibling acknowledges the message of this number.
+    unacknowledged: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
+    last_number: Cell<u64>,
+    usage: Cell<Usage>,
+}
+
+impl SiblingProcess {
+    /// What the sibling last reported to use of the limits that both processes share.
+    pub fn usage(&self) -> Usage {
+        self.usage.get()
+    }
+
+    /// Records what the sibling uses of the shared limits.
+    pub fn set_usage(&self, usage: Usage) {
+        self.usage.set(usage);
+    }
+
+    /// Queues a message for the sibling. If the queue is full the sibling is disconnected.
+    pub fn send(&self, message: Message) {
+        let is_sent = self.outbox.borrow().as_ref().is_none_or(|outbox| outbox.try_send(message).is_ok());
+        if !is_sent {
+            tracing::warn!(count = QUEUE_CAPACITY, "sibling disconnected, its message queue is full");
+            self.disconnect();
+        }
+    }
+
+    /// Sends a numbered message, and reports to `done` once the sibling has acknowledged it or is gone.
+    pub fn mirror(&self, message: impl FnOnce(u64) -> Message, done: oneshot::Sender<bool>) {
+        if self.outbox.borrow().is_none() {
+            let _ = done.send(true);
+            return;
+        }
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
+        self.unacknowledged.borrow_mut().insert(number, done);
+        self.send(message(number));
+    }
+
+    /// Completes the [`mirror`](Self::mirror) call of this number.
+    pub fn acknowledge(&self, number: u64) {
+        if let Some(done) = self.unacknowledged.borrow_mut().remove(&number) {
+            let _ = done.send(true);
+        }
+    }
+
+    /// Begins to queue messages for a sibling, and returns the queue that is to be written to it.
+    pub fn connect(&self) -> mpsc::Receiver<Message> {
+        let (sender, queue) = mpsc::channel(QUEUE_CAPACITY);
+        self.outbox.replace(Some(sender));
+        queue
+    }
+
+    /// Drops the connection: the sibling uses nothing any more, and nobody waits for it.
+    pub fn disconnect(&self) {
+        self.outbox.replace(None);
+        self.usage.set(Usage::default());
+        self.unacknowledged.borrow_mut().drain().for_each(|(_, done)| _ = done.send(true));
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/hot_restart/takeover.rs
@@ -0,0 +1,306 @@
+//! The two sides of a takeover: a new process receives the state of the old one, then both report changes to each
+//! other until the old one has ended. Stands above the two sides of the node; they know only the
+//! [`SiblingProcess`].
+use super::codec::{self, Bounds, Inherited, Message, PROTOCOL_VERSION, Usage};
+use super::link::{Link, LinkError, LinkReader, LinkWriter, WRITE_TIMEOUT};
+use super::sibling::SiblingProcess;
+use crate::config::limits::Limits;
+use crate::downstream::DownstreamServer;
+use crate::event::{CallOrigin, NodeEvent};
+use crate::lifecycle::{DrainOrigin, DrainRequest, Lifecycle, LifecycleState, Shutdown};
+use crate::tasks::TaskGroup;
+use crate::upstream::ExecutorPool;
+use std::cell::RefCell;
+use std::io;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{UnixListener, UnixStream};
+use tokio::sync::mpsc;
+use tokio::time::{sleep, timeout};
+
+/// Bounds how long a new process waits for the complete state; it has six seconds to become ready.
+const STATE_TIMEOUT: Duration = Duration::from_millis(4500);
+
+/// How often each process checks whether to report what it uses of the shared limits.
+const USAGE_INTERVAL: Duration = Duration::from_millis(40);
+
+/// Names the directory in which the processes of a node find each other's socket.
+const DIRECTORY_VARIABLE: &str = "TMPDIR";
+
+/// What a new process receives from the old one, and the connection that goes on.
+pub struct Handover {
+    /// The state of the old process.
+    pub inherited: Inherited,
+    /// The connection to the old process.
+    pub link: Link,
+}
+
+/// Path of the Unix socket of the node of this name; None if the environment names no directory.
+pub fn socket_path(node_name: &str) -> Option<PathBuf> {
+    let directory = std::env::var_os(DIRECTORY_VARIABLE).filter(|directory| !directory.is_empty());
+    if directory.is_none() {
+        tracing::warn!("hot restart disabled, TMPDIR is not set");
+    }
+    let token = troutknot_membership::token(node_name);
+    Some(Path::new(&directory?).join(format!("troutknot-{token:016x}.sock")))
+}
+
+/// Requests the state of the old process. None if none runs, or its state cannot be used, which is logged: the
+/// node then starts from its configuration.
+pub async fn request_state(path: &Path, node_name: &str, bounds: Bounds) -> Option<Handover> {
+    let received = match UnixStream::connect(path).await {
+        Ok(stream) => receive_in_time(stream, node_name, bounds).await,
+        Err(error) if is_absent(&error) => {
+            tracing::info!("hot restart: no other process of this node runs");
+            return None;
+        }
+        Err(error) => Err(error.into()),
+    };
+    let log = |error: &LinkError| {
+        tracing::warn!(%error, "hot restart: no state received, starting from the configuration");
+    };
+    let handover = received.inspect_err(log).ok()?;
+    tracing::info!(
+        endpoints = handover.inherited.entries.len(),
+        excluded = handover.inherited.excluded.len(),
+        request_ids = handover.inherited.ids.len(),
+        is_drained = handover.inherited.is_drained,
+        "hot restart: state received"
+    );
+    Some(handover)
+}
+
+fn is_absent(error: &io::Error) -> bool {
+    matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused)
+}
+
+async fn receive_in_time(stream: UnixStream, node_name: &str, bounds: Bounds) -> Result<Handover, LinkError> {
+    let received = timeout(STATE_TIMEOUT, receive_state(stream, node_name, bounds)).await;
+    received.unwrap_or(Err(LinkError::TimedOut(STATE_TIMEOUT)))
+}
+
+async fn receive_state(stream: UnixStream, node_name: &str, bounds: Bounds) -> Result<Handover, LinkError> {
+    let mut link = Link::new(stream)?;
+    link.writer.send(&Message::Hello { version: PROTOCOL_VERSION, name: node_name.to_string() }).await?;
+    let mut inherited = Inherited::default();
+    while !inherited.apply(link.reader.receive().await?, node_name, bounds)? {}
+    Ok(Handover { inherited, link })
+}
+
+/// Which of the two processes this one is, with regard to the other.
+#[derive(Clone, Copy, PartialEq, Debug)]
+enum Role {
+    /// The process that was there first and is to end.
+    Old,
+    /// The process that takes over.
+    New,
+}
+
+/// Connects this process with the other ones of its node: first the one before it, then the one after it.
+pub struct Takeover {
+    /// The node's name, by which its processes recognize each other.
+    pub name: String,
+    /// Path of the Unix socket on which a new process requests the state.
+    pub path: PathBuf,
+    /// The shared value by which the rest of the node reaches the other process.
+    pub sibling: Rc<SiblingProcess>,
+    /// The node's limits.
+    pub limits: Rc<Limits>,
+    /// Reaches the driver.
+    pub events: mpsc::Sender<NodeEvent>,
+    /// The node's lifecycle.
+    pub lifecycle: Rc<Lifecycle>,
+    /// The client side.
+    pub downstream: Rc<DownstreamServer>,
+    /// The executor side.
+    pub executors: Rc<ExecutorPool>,
+    /// Owns the tasks that are started here.
+    pub tasks: TaskGroup,
+    /// The socket for the next process, bound early if the old process announced that it ends.
+    pub bound: RefCell<Option<UnixListener>>,
+}
+
+impl Takeover {
+    /// Runs until the node shuts down: exchanges changes with the old process, if there is one, then waits for
+    /// new processes.
+    pub async fn run(self: Rc<Self>, old_process: Option<Link>) {
+        if let Some(link) = old_process {
+            self.tasks.spawn(self.clone().announce_ready());
+            self.exchange(link, Role::New).await;
+        }
+        let bound = self.bound.take();
+        match bound.map_or_else(|| self.bind(), Ok) {
+            Ok(listener) => self.accept_new_processes(listener).await,
+            Err(error) => tracing::warn!(%error, "hot restart disabled, the socket cannot be bound"),
+        }
+    }
+
+    async fn accept_new_processes(&self, listener: UnixListener) {
+        loop {
+            let stream = tokio::select! {
+                biased;
+                () = self.shutdown_requested() => break,
+                accepted = listener.accept() => accepted,
+            };
+            let link = stream.map_err(LinkError::from).and_then(|(stream, _)| Link::new(stream));
+            match link {
+                Ok(link) => self.serve_new_process(link).await,
+                Err(error) => {
+                    tracing::warn!(%error, "hot restart: connection refused");
+                    sleep(USAGE_INTERVAL).await;
+                }
+            }
+        }
+        let _ = std::fs::remove_file(&self.path);
+    }
+
+    /// Ends once the node is asked to end; never if the lifecycle is gone.
+    async fn shutdown_requested(&self) {
+        let mut state = self.lifecycle.watch();
+        let is_requested = |_: &LifecycleState| self.lifecycle.facts().shutdown != Shutdown::None;
+        let _ = state.wait_for(is_requested).await;
+    }
+
+    fn bind(&self) -> io::Result<UnixListener> {
+        // A file that is there belongs to a process that is dead, or that has announced its end.
+        let _ = std::fs::remove_file(&self.path);
+        UnixListener::bind(&self.path)
+    }
+
+    /// Informs the old process once this one takes clients.
+    async fn announce_ready(self: Rc<Self>) {
+        let mut state = self.lifecycle.watch();
+        if state.wait_for(|state| *state != LifecycleState::Starting).await.is_ok() {
+            self.sibling.send(Message::Ready);
+        }
+    }
+
+    /// Sends a new process the state of this one, then exchanges changes until it ends.
+    async fn serve_new_process(&self, mut link: Link) {
+        let hello = timeout(WRITE_TIMEOUT, link.reader.receive()).await;
+        match hello {
+            Ok(Ok(Message::Hello { name, .. })) if name == self.name => {}
+            _ => return tracing::warn!("hot restart: connection refused, not a process of this node"),
+        }
+        tracing::info!("hot restart: sending the state to a new process");
+        self.exchange(link, Role::Old).await;
+        self.lifecycle.update(|facts| facts.has_yielded = false);
+        if self.lifecycle.facts().shutdown == Shutdown::None {
+            tracing::warn!("hot restart: the new process has ended, this process continues");
+        }
+    }
+
+    /// Exchanges messages until the connection ends. The old process begins with its complete state.
+    async fn exchange(&self, link: Link, role: Role) {
+        let queue = self.sibling.connect();
+        let _ = self.events.send(NodeEvent::SiblingChanged(true)).await;
+        if role == Role::Old {
+            self.send_state().await;
+        }
+        let Link { mut reader, writer } = link;
+        let error = tokio::select! {
+            error = write_queue(queue, writer) => error,
+            error = self.receive_all(&mut reader, role) => error,
+            never = self.report_usage() => never,
+            never = self.announce_end(role) => never,
+        };
+        tracing::debug!(%error, "hot restart: the other process is gone");
+        self.sibling.disconnect();
+        // The other process uses nothing any more, however it ended.
+        self.downstream.set_sibling_usage(Usage::default());
+        let _ = self.events.send(NodeEvent::SiblingChanged(false)).await;
+    }
+
+    async fn send_state(&self) {
+        self.sibling.send(Message::Hello { version: PROTOCOL_VERSION, name: self.name.clone() });
+        let ids = self.downstream.ids_lately();
+        for message in codec::split_list(&ids, |ids| Message::Ids { ids }) {
+            self.sibling.send(message);
+        }
+        // The driver sends the rest, in order with its changes.
+        let _ = self.events.send(NodeEvent::ExportState).await;
+    }
+
+    /// Informs the new process when this one is asked to end, and makes way for it at the socket's path.
+    async fn announce_end(&self, role: Role) -> LinkError {
+        if role == Role::Old {
+            self.shutdown_requested().await;
+            // From now on a further process requests the state of the new one.
+            let _ = std::fs::remove_file(&self.path);
+            self.sibling.send(Message::Leaving);
+        }
+        std::future::pending().await
+    }
+
+    /// Reports what this process uses of the shared limits whenever it has changed.
+    async fn report_usage(&self) -> LinkError {
+        let mut reported = Usage::default();
+        loop {
+            let usage = self.usage();
+            if usage != reported {
+                reported = usage;
+                self.sibling.send(Message::Usage(usage));
+            }
+            sleep(USAGE_INTERVAL).await;
+        }
+    }
+
+    fn usage(&self) -> Usage {
+        Usage {
+            clients: self.downstream.connections(),
+            executors: self.executors.connections(),
+            bytes: self.downstream.held.used(),
+            rings: self.downstream.rings.used(),
+            slow_bodies: self.downstream.slow_bodies.used(),
+        }
+    }
+
+    async fn receive_all(&self, reader: &mut LinkReader, role: Role) -> LinkError {
+        loop {
+            match reader.receive().await {
+                Ok(message) => self.handle_message(message, role).await,
+                Err(error) => return error,
+            }
+        }
+    }
+
+    async fn handle_message(&self, message: Message, role: Role) {
+        match message {
+            Message::SetExcluded { executor, is_excluded, number } => {
+                let origin = CallOrigin::Sibling(number);
+                let _ = self.events.send(NodeEvent::SetExcluded { executor, is_excluded, origin }).await;
+            }
+            Message::Drained { drained, number } => {
+                let request = if drained { DrainRequest::Drain } else { DrainRequest::Resume };
+                self.lifecycle.request_drain(request, DrainOrigin::Sibling, self.limits.drain_settle);
+                self.sibling.send(Message::Acknowledged { number });
+            }
+            Message::Acknowledged { number } => self.sibling.acknowledge(number),
+            Message::Ids { ids } => self.downstream.taken_elsewhere(&ids),
+            Message::Usage(usage) => {
+                self.sibling.set_usage(usage);
+                self.downstream.set_sibling_usage(usage);
+            }
+            Message::Ready if role == Role::Old => {
+                tracing::info!("hot restart: the new process takes clients");
+                self.lifecycle.update(|facts| facts.has_yielded = true);
+            }
+            Message::Leaving if role == Role::New => {
+                tracing::info!("hot restart: the old process was asked to end");
+                self.bound.replace(self.bind().ok());
+            }
+            _ => {}
+        }
+    }
+}
+
+/// Writes queued messages until the connection fails or the queue is dropped.
+async fn write_queue(mut queue: mpsc::Receiver<Message>, mut writer: LinkWriter) -> LinkError {
+    while let Some(message) = queue.recv().await {
+        if let Err(error) = writer.send(&message).await {
+            return error.into();
+        }
+    }
+    LinkError::Closed
+}
--- a/crates/daemon/src/in_flight.rs
+++ b/crates/daemon/src/in_flight.rs
@@ -1,9 +1,8 @@
 //! One request between the client that asked and the executors that may run it: the only place where the client
 //! side and the executor side meet.
 use crate::byte_budget::ByteBudget;
-use crate::durable::Durable;
 use bytes::Bytes;
-use std::cell::{Cell, OnceCell, RefCell};
+use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -46,8 +45,8 @@
     pub request: ClientRequest,
     /// When it must have its final answer.
     pub deadline: Instant,
-    /// Set where it is on record; each attempt is then recorded before it is sent.
-    pub durable: OnceCell<Rc<Durable>>,
+    /// Set if the request is in the ledger; each attempt is then recorded before it is sent.
+    pub is_durable: Cell<bool>,
     state: RefCell<State>,
     answered: Notify,
     over: Notify,
@@ -76,7 +75,7 @@
                 request_id,
                 request,
                 deadline,
-                durable: OnceCell::new(),
+                is_durable: Cell::new(false),
                 state: RefCell::new(State::Open),
                 answered: Notify::new(),
                 over: Notify::new(),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -17,6 +17,7 @@
 mod protocol;
 mod retention;
 mod ring_buffer;
+mod tasks;
 mod upstream;
 
 use admin::AdminServer;
@@ -25,11 +26,11 @@
 use config::operator::{DiscoverySource, DurableConfig, OperatorFile};
 use discovery::{EndpointUpdate, EndpointUpdateSender, merge::EndpointMerge};
 use downstream::DownstreamServer;
-use driver::{Driver, WatchRequests};
+use driver::Driver;
 use durable::Durable;
-use event::NodeEvent;
+use event::{NodeEvent, WatchRequests};
 use gossip::GossipSocket;
-use hot_restart::{SiblingProcess, Takeover, codec::Bounds, inherited_socket};
+use hot_restart::{codec::Bounds, inherited_socket, sibling::SiblingProcess, takeover, takeover::Takeover};
 use lifecycle::{Drain, Lifecycle, Shutdown};
 use protocol::{Codec, Current, EndpointList};
 use retention::EndpointRetention;
@@ -85,7 +86,9 @@
 /// One plain line that says why the node cannot start, or that its driver has ended.
 pub fn start(path: &Path) -> Result<(), String> {
     // Before anything else is opened, so that the descriptor is the one that was passed on.
-    let passed = inherited_socket::listener(std::env::var("ROUTER_PASSED_SOCKET").ok().as_deref())?;
+    let passed =
+        inherited_socket::listener(std::env::var(inherited_socket::DESCRIPTOR_VARIABLE).ok().as_deref())
+            .map_err(|error| error.to_string())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
     // Before anything is read, which may take a while: a signal that comes meanwhile is seen once the node runs.
@@ -172,13 +175,14 @@
 
     let clock = Clock::start();
     let beside: Rc<SiblingProcess> = Rc::default();
-    let place = was_passed.then(|| hot_restart::meeting_place(&told.name)).flatten();
+    let place = was_passed.then(|| takeover::socket_path(&told.name)).flatten();
     let bounds = Bounds { executors: limits.listed, ids: 2 * limits.past_ids };
     let older = match &place {
-        Some(place) => hot_restart::ask(place, &told.name, bounds).await,
+        Some(place) => takeover::request_state(place, &told.name, bounds).await,
         None => None,
     };
-    let (mut inherited, older) = older.unzip();
+    let (mut inherited, older) = older.map(|handover| (handover.inherited, handover.link)).unzip();
+    let tasks = tasks::TaskGroup::default();
     if let Some(inherited) = &mut inherited {
         // What the process before this one was told of the list is newer than what the configuration says.
         let version = inherited.version.or(told.known.as_ref().map(|known| known.version));
@@ -210,11 +214,11 @@
         let held =
             if older.is_some() { Err("the process before this one has it".into()) } else { ledger.open() };
         match held {
-            Ok(durable) => take_durably(durable, &clients, &lifecycle),
+            Ok(durable) => take_durably(durable, &clients, &executors, &lifecycle),
             Err(why) if !was_passed => return Err(why),
             Err(_) => {
                 clients.number_from(clock.now().max(0.0) as u64 * 1000);
-                spawn_local(ledger.wait(clients.clone(), lifecycle.clone()));
+                spawn_local(ledger.wait(clients.clone(), executors.clone(), lifecycle.clone()));
             }
         }
     }
@@ -316,13 +320,14 @@
     if let Some(place) = place {
         let handover = Rc::new(Takeover {
             name: told.name.clone(),
-            place,
-            beside,
+            path: place,
+            sibling: beside,
             limits: limits.clone(),
             events: events.clone(),
             lifecycle: lifecycle.clone(),
-            clients: clients.clone(),
+            downstream: clients.clone(),
             executors: executors.clone(),
+            tasks: tasks.clone(),
             bound: RefCell::default(),
         });
         spawn_local(handover.run(older));
@@ -349,13 +354,21 @@
     tracing::info!("asked to end, {} connections from clients", clients.connections());
     let ending = end(&limits, &clients, &lifecycle, &events, was_passed);
     tokio::select! {
-        _ = &mut driver => Err("the driver has ended".into()),
-        () = ending => Ok(()),
+        _ = &mut driver => return Err("the driver has ended".into()),
+        () = ending => {}
     }
+    tasks.shutdown().await;
+    Ok(())
 }
 
 /// Takes durable work from now on, and takes up what is open on record.
-fn take_durably(durable: Rc<Durable>, clients: &DownstreamServer, lifecycle: &Lifecycle) {
+fn take_durably(
+    durable: Rc<Durable>,
+    clients: &DownstreamServer,
+    executors: &ExecutorPool,
+    lifecycle: &Lifecycle,
+) {
+    let _ = executors.durable.set(durable.clone());
     clients.open_ledger(durable.clone());
     spawn_local(durable.clone().recover(lifecycle.watch(), clients.held.clone()));
     spawn_local(durable.forget());
@@ -376,13 +389,18 @@
     }
 
     /// Opens it once the process before this one has ended; until then durable work is deferred.
-    async fn wait(self, clients: Rc<DownstreamServer>, lifecycle: Rc<Lifecycle>) {
+    async fn wait(
+        self,
+        clients: Rc<DownstreamServer>,
+        executors: Rc<ExecutorPool>,
+        lifecycle: Rc<Lifecycle>,
+    ) {
         tracing::info!("durable work is deferred until the process before this one has ended");
         let mut said = String::new();
         loop {
             sleep(LEDGER_AGAIN).await;
             match self.open() {
-                Ok(durable) => return take_durably(durable, &clients, &lifecycle),
+                Ok(durable) => return take_durably(durable, &clients, &executors, &lifecycle),
                 Err(why) if why != said => {
                     tracing::info!("not yet: {why}");
                     said = why;
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -1,29 +1,34 @@
-//! The lifecycle of a node: its state follows from a few facts, and is watched by those who act on it.
-use std::cell::Cell;
+//! The lifecycle of a node. Its state is derived from a few facts; the parts that act on it watch it.
+use std::cell::{Cell, RefCell};
+use std::rc::{Rc, Weak};
+use std::time::Duration;
 use tokio::sync::watch;
+use tokio::task::JoinSet;
+use tokio::time::sleep;
 
-/// What the client side goes by.
+/// The state of a node towards its clients.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum LifecycleState {
-    /// There is no list to serve by yet.
+    /// No endpoint list has been received yet.
     Starting,
-    /// It takes clients.
+    /// The node takes clients.
     Serving,
-    /// Drained by an operator a moment ago: work is still taken, and each connection ends with its answer.
+    /// An operator has just drained the node: requests are still taken, and each connection closes after its
+    /// response.
     Draining,
-    /// Drained by an operator: idle connections close, and work that still comes is rejected.
+    /// An operator drained the node: idle connections close, and further requests are rejected.
     Drained,
-    /// Asked to end: all goes on, but no front should take it in.
+    /// The node was asked to end: it serves as before but reports not to be ready.
     Leaving,
-    /// Another process has the clients' socket and takes them: nothing more is accepted, and each connection
-    /// ends with its answer. It is asked to end, or may serve again if that other process dies.
+    /// The sibling process takes the clients: no connections are accepted, and each open one closes after its
+    /// response. If the sibling dies before this process is asked to end, it serves again.
     HandingOver,
-    /// Idle connections close, and each other one after its answer.
+    /// Idle connections close, and each other one after its response.
     Closing,
 }
 
 impl LifecycleState {
-    /// Whether a connection ends with its answer.
+    /// Whether a connection closes after its response.
     pub fn closes_after_answer(self) -> bool {
         use LifecycleState::{Closing, Drained, Draining, HandingOver};
         matches!(self, Draining | Drained | HandingOver | Closing)
@@ -35,49 +40,67 @@
     }
 }
 
-/// How far a drain by an operator is.
+/// The progress of a drain by an operator.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
 pub enum Drain {
-    /// There is none.
+    /// The node is not drained.
     #[default]
     None,
-    /// It has begun.
+    /// The drain has begun, and requests under way may still arrive.
     Begun,
-    /// What was under way when it began has had its time to come.
+    /// Requests that were under way when the drain began have had time to arrive.
     Settled,
 }
 
-/// How far the node's shutdown is.
+/// The progress of the node's shutdown.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
 pub enum Shutdown {
-    /// It was not asked to end.
+    /// The node was not asked to end.
     #[default]
     None,
-    /// It was.
+    /// The node was asked to end.
     Requested,
-    /// As `Requested`, where another process takes the clients' connections from now on.
+    /// The node was asked to end, and another process takes the connections of clients from now on.
     HandedOver,
     /// Connections close.
     Closing,
 }
 
-/// What the state follows from.
+/// What an operator asks for.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub enum DrainRequest {
+    /// Stop taking requests.
+    Drain,
+    /// Take requests again.
+    Resume,
+}
+
+/// Where a drain was requested.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub enum DrainOrigin {
+    /// By an operator at this process.
+    Operator,
+    /// At the sibling process.
+    Sibling,
+}
+
+/// The facts from which the state is derived.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct LifecycleFacts {
-    /// There is a list to serve by.
+    /// An endpoint list was received, or is no longer waited for.
     pub is_listed: bool,
+    /// The progress of a drain by an operator.
     pub drain: Drain,
-    /// Counts drains by operators and their ends.
-    pub drain_changes: u64,
-    /// The drain was taken over from the process before this one.
+    /// The drain was requested at another process of this node.
     pub is_drain_inherited: bool,
-    /// A sibling process takes clients, as long as it runs.
+    /// The sibling process takes the clients as long as it runs.
     pub has_yielded: bool,
+    /// The progress of the shutdown.
     pub shutdown: Shutdown,
 }
 
 impl LifecycleFacts {
-    /// The state that follows.
+    /// The state that follows from the facts.
     pub fn state(&self) -> LifecycleState {
         match (self.shutdown, self.drain, self.is_listed) {
             (Shutdown::Closing, ..) => LifecycleState::Closing,
@@ -93,31 +116,38 @@
         }
     }
 
-    /// Whether this process takes clients. One that took a drain over does what an upgrade waits for.
+    /// Whether this process reports to be ready. A process that inherited a drain does, since the upgrade that
+    /// started it waits for that.
     pub fn is_ready(&self) -> bool {
         let is_drained = self.drain != Drain::None && !self.is_drain_inherited;
         self.is_listed && self.shutdown == Shutdown::None && !is_drained
     }
 }
 
-/// The facts of one node, and those who wait for a state.
+/// The lifecycle of one node: the facts, and the state for those that watch it.
 pub struct Lifecycle {
     facts: Cell<LifecycleFacts>,
+    /// Ends the first phase of a drain; replaced, and thereby aborted, with each change.
+    settle_timer: RefCell<JoinSet<()>>,
     state: watch::Sender<LifecycleState>,
 }
 
 impl Lifecycle {
-    /// A node that starts.
+    /// The lifecycle of a node that starts.
     pub fn new() -> Self {
-        Lifecycle { facts: Cell::default(), state: watch::Sender::new(LifecycleState::Starting) }
+        Lifecycle {
+            facts: Cell::default(),
+            settle_timer: RefCell::default(),
+            state: watch::Sender::new(LifecycleState::Starting),
+        }
     }
 
-    /// The facts as they are now.
+    /// The present facts.
     pub fn facts(&self) -> LifecycleFacts {
         self.facts.get()
     }
 
-    /// Changes the facts; whoever watches learns of another state.
+    /// Changes the facts, and notifies the watchers if the state changes.
     pub fn update(&self, change: impl FnOnce(&mut LifecycleFacts)) {
         let mut facts = self.facts.get();
         change(&mut facts);
@@ -125,12 +155,42 @@
         self.state.send_if_modified(|state| std::mem::replace(state, facts.state()) != facts.state());
     }
 
-    /// The state, now and from now on.
+    /// Drains the node, or resumes; a repeated request changes nothing. The drain settles after `settle_time`.
+    pub fn request_drain(self: &Rc<Self>, request: DrainRequest, origin: DrainOrigin, settle_time: Duration) {
+        let is_drained = self.facts().drain != Drain::None;
+        if is_drained == (request == DrainRequest::Drain) {
+            return;
+        }
+        let mut timer = JoinSet::new();
+        match request {
+            DrainRequest::Resume => self.update(|facts| {
+                facts.drain = Drain::None;
+                facts.is_drain_inherited = false;
+            }),
+            DrainRequest::Drain => {
+                self.update(|facts| {
+                    facts.drain = Drain::Begun;
+                    facts.is_drain_inherited = origin == DrainOrigin::Sibling;
+                });
+                timer.spawn_local(settle_drain(Rc::downgrade(self), settle_time));
+            }
+        }
+        self.settle_timer.replace(timer);
+    }
+
+    /// Watches the state, beginning with the present one.
     pub fn watch(&self) -> watch::Receiver<LifecycleState> {
         self.state.subscribe()
     }
 }
 
+async fn settle_drain(lifecycle: Weak<Lifecycle>, settle_time: Duration) {
+    sleep(settle_time).await;
+    if let Some(lifecycle) = lifecycle.upgrade() {
+        lifecycle.update(|facts| facts.drain = Drain::Settled);
+    }
+}
+
 #[cfg(test)]
 #[path = "../tests/unit/lifecycle.rs"]
 mod tests;
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -2,15 +2,15 @@
 //! tells it what came of it; what it may give a client goes into the exchange.
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::Limits;
-use crate::durable::Lease;
+use crate::durable::{Durable, Lease};
 use crate::event::NodeEvent;
-use crate::hot_restart::SiblingProcess;
+use crate::hot_restart::sibling::SiblingProcess;
 use crate::http1::{Connection, Failed, ResponseHead};
 use crate::in_flight::{Answer, CancelSignal, InFlightRequest};
 use crate::protocol::{self, AttemptEvent, AttemptFate, Codec, Current};
 use bytes::BytesMut;
 use slotmap::SecondaryMap;
-use std::cell::{Cell, RefCell};
+use std::cell::{Cell, OnceCell, RefCell};
 use std::net::SocketAddr;
 use std::ops::{Deref, DerefMut};
 use std::rc::Rc;
@@ -40,6 +40,8 @@
     pub events: mpsc::Sender<NodeEvent>,
     /// Another process of this node, if one runs.
     pub beside: Rc<SiblingProcess>,
+    /// Records attempts of durable requests; set once this process has the ledger open.
+    pub durable: OnceCell<Rc<Durable>>,
     hosts: RefCell<SecondaryMap<ExecutorId, Rc<Host>>>,
     open: Rc<Cell<usize>>,
     rings: Rc<ByteBudget>,
@@ -157,7 +159,8 @@
     ) -> Rc<Self> {
         let rings = ByteBudget::new(limits.executors * 2 * limits.ring);
         let (hosts, open) = (RefCell::default(), Rc::default());
-        Rc::new(ExecutorPool { limits, codec, events, beside, hosts, open, rings })
+        let durable = OnceCell::new();
+        Rc::new(ExecutorPool { limits, codec, events, beside, durable, hosts, open, rings })
     }
 
     /// What the list says of one executor. One that is not healthy is sent nothing after the wait.
@@ -250,7 +253,7 @@
         if let Some(connection) = host.take_idle(&self.limits, clear) {
             return Ok(connection);
         }
-        let open = self.open.get() + self.beside.other().executors;
+        let open = self.open.get() + self.beside.usage().executors;
         if open >= most && !self.close_longest_idle() {
             return Err(Outcome::NotSent);
         }
@@ -362,7 +365,7 @@
             Ok(connection) => connection,
             Err(outcome) => return (outcome, None),
         };
-        if let (Some(durable), Some(name)) = (in_flight.durable.get(), &push.name) {
+        if let (Some(durable), Some(name)) = (self.durable.get(), &push.name) {
             // Nothing of it is written before it is on record.
             let lease = tokio::select! {
                 biased;
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -415,7 +415,7 @@
     let id = new_id();
     assert_eq!(platform.post(&id), 200);
     let second = platform.start(&discovery);
-    first.node.logged("the next process takes clients");
+    first.node.logged("hot restart: the new process takes clients");
     assert_eq!(platform.post(&id), 409, "taken by the process before");
     assert_eq!(used_by(&platform, &executors), [1].into(), "out over the upgrade");
     // Calls to either while both run.
@@ -450,9 +450,9 @@
     let mut first = platform.start(&discovery);
     // The newer one dies, and the older serves on.
     let mut dies = platform.start(&discovery);
-    first.node.logged("the next process takes clients");
+    first.node.logged("hot restart: the new process takes clients");
     dies.node.process.kill().unwrap();
-    first.node.logged("the next process has ended, this one goes on");
+    first.node.logged("hot restart: the new process has ended, this process continues");
     used_by(&platform, &executors);
     assert_eq!(first.call("PUT", "/v1/executors/s-1/suspend"), 200, "nobody else is waited for");
     // The older one dies, and the newer has all it was told; then so has the next one.
@@ -476,12 +476,15 @@
     let platform = Platform::new();
     drop(platform.start(&discovery));
     let place = platform.meeting_place().expect("it is left behind by a process that was killed");
-    used_by_a_start(&platform, &discovery, &executors, "no process of this node runs yet");
+    used_by_a_start(&platform, &discovery, &executors, "hot restart: no other process of this node runs");
     for (said, logged) in [
-        ("", "from the configuration: it ended"),
-        ("what\n", "from the configuration: no message"),
-        ("{\"say\":\"hello\",\"form\":99,\"name\":\"n0\"}\n", "it speaks form 99"),
-        ("{\"say\":\"hello\",\"form\":1,\"name\":\"n0\"}\n{\"say\":\"out\",\"execut", "it ended"),
+        ("", "from the configuration error=connection closed"),
+        ("what\n", "from the configuration error=malformed message"),
+        ("{\"say\":\"hello\",\"form\":99,\"name\":\"n0\"}\n", "unsupported protocol version 99"),
+        (
+            "{\"say\":\"hello\",\"form\":1,\"name\":\"n0\"}\n{\"say\":\"out\",\"execut",
+            "error=connection closed",
+        ),
     ] {
         let _ = std::fs::remove_file(&place);
         let odd = UnixListener::bind(&place).unwrap();
@@ -525,7 +528,7 @@
     under_way.get_mut().write_all(keyed("k1").as_bytes()).unwrap();
     executor.wait_for(1);
     let new = platform.start_by(&discovery, &own);
-    old.node.logged("the next process takes clients");
+    old.node.logged("hot restart: the new process takes clients");
     assert_eq!(ask(&mut platform.connect(), keyed("k1")).0, 503, "it is open in the process before");
     assert_eq!(ask(&mut platform.connect(), keyed("k2")).0, 503);
     assert_eq!(platform.post(&new_id()), 200, "other work is served");
@@ -567,7 +570,7 @@
         assert!(sum <= 256, "{sum} descriptors {what}");
     };
     most("beside each other");
-    old.node.logged("the next process takes clients");
+    old.node.logged("hot restart: the new process takes clients");
     for connection in &mut held {
         let (status, (head, _)) = ask(connection, work("render", &new_id(), 9.0, ""));
         assert_eq!((status, field(&head, "connection")), (200, Some("close")));
@@ -590,7 +593,7 @@
         assert_eq!(ask(connection, work("render", &new_id(), 9.0, "")).0, 200);
     }
     let new = platform.start(&discovery);
-    old.node.logged("the next process takes clients");
+    old.node.logged("hot restart: the new process takes clients");
     // Of each body half comes, which is waited for; where there are too many the node says so at once.
     let drip = |connection: &mut BufReader<TcpStream>| {
         let request = work("render", &new_id(), 9.0, "half");
@@ -636,7 +639,7 @@
 
     let platform = Platform::new();
     let (old, new) = (platform.start(&discovery), platform.start(&discovery));
-    old.node.logged("the next process takes clients");
+    old.node.logged("hot restart: the new process takes clients");
     for process in [&old, &new] {
         let mut config = process.node.config.clone();
         config["settings"] = types(&[("render", "safe", 20), ("thumb", "safe", 2)], 2);
--- a/crates/daemon/tests/unit/compatibility.rs
+++ b/crates/daemon/tests/unit/compatibility.rs
@@ -1,7 +1,7 @@
 //! Files and lines that an earlier release wrote (commit cc67128): a next process of a node reads them, and an
 //! operator's file goes on meaning the same.
 use crate::config::operator::{DiscoverySource, LedgerSync, Lists, OperatorFile, Taken, Wish};
-use crate::hot_restart::codec::{Bounds, Inherited, read, write};
+use crate::hot_restart::codec::{Bounds, Inherited, decode, encode};
 use std::path::Path;
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
     let mut inherited = Inherited::default();
     let mut last = 0;
     for (number, line) in lines.lines().enumerate() {
-        let message = read(line.as_bytes()).unwrap();
-        assert_eq!(String::from_utf8(write(&message)).unwrap().trim_end(), line);
-        if last == 0 && inherited.take(message, "n0", BOUNDS).unwrap() {
+        let message = decode(line.as_bytes()).unwrap();
+        assert_eq!(String::from_utf8(encode(&message)).unwrap().trim_end(), line);
+        if last == 0 && inherited.apply(message, "n0", BOUNDS).unwrap() {
             last = number;
         }
     }
--- a/crates/daemon/tests/unit/hot_restart_codec.rs
+++ b/crates/daemon/tests/unit/hot_restart_codec.rs
@@ -6,7 +6,7 @@
 fn all(lines: &[&str]) -> Result<Option<Inherited>, CodecError> {
     let mut inherited = Inherited::default();
     for line in lines {
-        if inherited.take(read(line.as_bytes())?, "n0", BOUNDS)? {
+        if inherited.apply(decode(line.as_bytes())?, "n0", BOUNDS)? {
             return Ok(Some(inherited));
         }
     }
@@ -32,8 +32,8 @@
 #[test]
 fn what_this_release_writes_stays_readable() {
     for line in FROZEN {
-        let message = read(line.as_bytes()).unwrap();
-        assert_eq!(String::from_utf8(write(&message)).unwrap().trim_end(), *line);
+        let message = decode(line.as_bytes()).unwrap();
+        assert_eq!(String::from_utf8(encode(&message)).unwrap().trim_end(), *line);
     }
     let inherited = all(FROZEN).unwrap().expect("all is told");
     assert_eq!((inherited.excluded, inherited.is_drained), (BTreeSet::from(["s-1".to_string()]), true));
@@ -49,16 +49,16 @@
     assert!(all(&FROZEN[..FROZEN.len() - 1]).unwrap().is_none(), "cut off before its end");
     let many = r#"{"say":"out","executors":["1","2","3","4"]}"#;
     for (lines, part) in [
-        (&[TOLD][..], "which form"),
-        (&[r#"{"say":"hello","form":2,"name":"n0"}"#], "it speaks form 2, this release 1"),
-        (&[r#"{"say":"hello","form":1,"name":"n1"}"#], "it is node `n1`"),
-        (&["GET / HTTP/1.1"], "no message"),
-        (&[HELLO, &FROZEN[3][..40]], "no message"),
-        (&[HELLO, r#"{"say":"ids","ids":[-1]}"#], "no message"),
-        (&[HELLO, r#"{"say":"executors","executors":[{"id":"s-1"}]}"#], "no message"),
-        (&[HELLO, TOLD], "nothing of work"),
-        (&[HELLO, &negative], "-1 stands where"),
-        (&[HELLO, many], "tells 4 of something, at most 3"),
+        (&[TOLD][..], "states no protocol version"),
+        (&[r#"{"say":"hello","form":2,"name":"n0"}"#], "version 2, this release speaks 1"),
+        (&[r#"{"say":"hello","form":1,"name":"n1"}"#], "another node, `n1`"),
+        (&["GET / HTTP/1.1"], "malformed message"),
+        (&[HELLO, &FROZEN[3][..40]], "malformed message"),
+        (&[HELLO, r#"{"say":"ids","ids":[-1]}"#], "malformed message"),
+        (&[HELLO, r#"{"say":"executors","executors":[{"id":"s-1"}]}"#], "malformed message"),
+        (&[HELLO, TOLD], "without running times"),
+        (&[HELLO, &negative], "-1 is not a finite number"),
+        (&[HELLO, many], "list of 4 items, at most 3"),
     ] {
         let why = all(lines).expect_err(part).to_string();
         assert!(why.contains(part), "{why}");
@@ -68,14 +68,14 @@
 #[test]
 fn much_of_something_goes_into_several_lines_and_comes_out_whole() {
     let ids: Vec<u64> = (0..999).collect();
-    let lines = in_lines(&ids, |ids| Message::Ids { ids });
+    let lines = split_list(&ids, |ids| Message::Ids { ids });
     let mut inherited = Inherited::default();
-    let hello = Message::Hello { form: FORM, name: "n0".into() };
+    let hello = Message::Hello { version: PROTOCOL_VERSION, name: "n0".into() };
     for message in [hello].into_iter().chain(lines) {
-        let line = write(&message);
+        let line = encode(&message);
         assert!(line.len() < MAX_LINE_BYTES);
-        assert!(!inherited.take(read(&line).unwrap(), "n0", BOUNDS).unwrap());
+        assert!(!inherited.apply(decode(&line).unwrap(), "n0", BOUNDS).unwrap());
     }
     assert_eq!(inherited.ids, ids);
-    assert_eq!(in_lines(&[], |ids| Message::Ids { ids }), [Message::Ids { ids: Vec::new() }]);
+    assert_eq!(split_list(&[], |ids| Message::Ids { ids }), [Message::Ids { ids: Vec::new() }]);
 }
--- a/crates/daemon/tests/unit/inherited_socket.rs
+++ b/crates/daemon/tests/unit/inherited_socket.rs
@@ -10,14 +10,18 @@
     let file = std::fs::File::open("/dev/null").unwrap();
     for (fd, expected) in [
         (listening.as_fd(), Ok(())),
-        (connected.as_fd(), Err("does not listen")),
-        (datagrams.as_fd(), Err("is no TCP socket")),
+        (connected.as_fd(), Err("is not a listening socket")),
+        (datagrams.as_fd(), Err("is not a TCP socket")),
         (file.as_fd(), Err("is not an open socket")),
     ] {
-        assert_eq!(check(fd), expected);
+        let checked = check(fd).map_err(|error| error.to_string());
+        match expected {
+            Ok(()) => assert_eq!(checked, Ok(())),
+            Err(expected) => assert!(checked.unwrap_err().to_string().starts_with(expected), "{expected}"),
+        }
     }
     for odd in ["x", "-1", "2", "99999"] {
-        assert!(listener(Some(odd)).unwrap_err().starts_with("ROUTER_PASSED_SOCKET: "), "{odd}");
+        assert!(listener(Some(odd)).unwrap_err().to_string().starts_with("ROUTER_PASSED_SOCKET: "), "{odd}");
     }
     assert!(listener(None).unwrap().is_none() && listener(Some("")).unwrap().is_none());
 }
