--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -1,15 +1,17 @@
-//! `troutknot ledger`: looks at the ledger of durable work units, also while its node runs, and gives room back.
+//! `troutknot ledger`: inspects, verifies and compacts the ledger of durable requests.
 use crate::Ended;
 use clap::{Args, Subcommand};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use troutknot_ledger::store::{Reader, Rows, Store};
+use thiserror::Error;
+use troutknot::Millis;
+use troutknot_ledger::store::{Reader, Rows, Store, StoreError};
 use troutknot_ledger::{AttemptStatus, Job, Ledger};
 
-/// As many attempts as a work unit may ever have; how many a node allows is not on record.
-const MOST_ALLOCATIONS: usize = 3;
+/// Largest number of attempts that any node allows a request; the number in force is not on record.
+const MAX_ATTEMPTS: usize = 3;
 
-/// Look at a ledger of durable work units, or give its room back
+/// Inspect, verify or compact the ledger of durable requests
 #[derive(Args)]
 pub struct LedgerArgs {
     #[command(subcommand)]
@@ -18,120 +20,139 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Say what is open and since when; reads the file of a node that runs, or of one that died
+    /// List open requests and their age; reads the file of a running or of a dead node
     #[command(after_help = "Example: troutknot ledger show /var/lib/troutknot/ledger")]
     Show {
         path: PathBuf,
-        /// Those that are answered as well
+        /// List answered requests as well
         #[arg(long)]
         all: bool,
     },
-    /// Check every row and what follows from what; says where it is damaged
+    /// Check every row and the order of the records; names each damaged row
     #[command(after_help = "Example: troutknot ledger verify /var/lib/troutknot/ledger
 
-Exit status: 0 good, 1 damaged, 2 a file that cannot be read, or is none.")]
+Exit status: 0 good, 1 damaged, 2 a file that is missing or cannot be read.")]
     Verify { path: PathBuf },
-    /// Give room back to the file system; its node must not run
+    /// Return free pages to the file system; the node must not run
     #[command(after_help = "Example: troutknot ledger compact /var/lib/troutknot/ledger")]
     Compact { path: PathBuf },
 }
 
 impl LedgerArgs {
+    /// Runs the command; prints its result on standard output and its error on standard error.
     pub fn run(self) -> Ended {
         let (path, ended) = match &self.verb {
             Verb::Show { path, all } => (path, show(path, *all)),
             Verb::Verify { path } => (path, verify(path)),
             Verb::Compact { path } => (path, compact(path)),
         };
-        ended.unwrap_or_else(|why| Ended::Usage.because(format!("ledger `{}`: {why}", path.display())))
+        ended.unwrap_or_else(|error| Ended::Usage.because(format!("ledger `{}`: {error}", path.display())))
     }
 }
 
-/// What a ledger holds, and every fault in it.
-struct Read {
+/// The restored state of a ledger file, and every fault found in it.
+struct LedgerContents {
     ledger: Ledger,
     rows: u64,
     faults: Vec<String>,
 }
 
-fn read(path: &Path) -> Result<Read, String> {
-    let reader = Reader::open(path).map_err(|e| e.to_string())?;
-    let mut read = Read { ledger: Ledger::new(MOST_ALLOCATIONS), rows: 0, faults: Vec::new() };
+/// Why a ledger cannot be inspected or compacted.
+#[derive(Debug, Error)]
+enum LedgerCommandError {
+    /// The file does not exist; opening it would create one.
+    #[error("there is no such file")]
+    Missing,
+    #[error(transparent)]
+    Store(#[from] StoreError),
+}
+
+fn read(path: &Path) -> Result<LedgerContents, LedgerCommandError> {
+    let reader = Reader::open(path)?;
+    let mut read = LedgerContents { ledger: Ledger::new(MAX_ATTEMPTS), rows: 0, faults: Vec::new() };
     let each = reader.each(|row| {
         read.rows += 1;
-        let added = row.map_err(|e| e.to_string()).and_then(|row| {
+        let restored = row.map_err(|error| error.to_string()).and_then(|row| {
             let (request_id, sequence) = (row.record.request_id().0, row.sequence);
-            read.ledger.restore(&row).map_err(|why| format!("row {sequence} of request {request_id}: {why}"))
+            read.ledger
+                .restore(&row)
+                .map_err(|error| format!("row {sequence} of request {request_id}: {error}"))
         });
-        read.faults.extend(added.err());
+        read.faults.extend(restored.err());
     });
-    read.faults.extend(each.err().map(|e| e.to_string()));
+    read.faults.extend(each.err().map(|error| error.to_string()));
     Ok(read)
 }
 
-fn now() -> f64 {
+/// Unix time in milliseconds.
+fn now() -> Millis {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0
 }
 
-fn span(millis: f64) -> String {
+fn format_span(millis: Millis) -> String {
     humantime::format_duration(Duration::from_millis(millis.max(0.0) as u64)).to_string()
 }
 
-fn state(job: &Job, now: f64) -> String {
+fn format_state(job: &Job, now: Millis) -> String {
     match (job.answered_at, job.attempts.last()) {
-        (Some(at), _) => format!("answered {} ago", span(now - at)),
-        (None, None) => "taken, not allocated".into(),
+        (Some(at), _) => format!("answered {} ago", format_span(now - at)),
+        (None, None) => "recorded, not dispatched".into(),
         (None, Some(last)) => {
             let status = match last.status(now) {
-                AttemptStatus::InFlight => "out",
-                AttemptStatus::Unknown => "unknown, its lease is over",
+                AttemptStatus::InFlight => "in flight",
+                AttemptStatus::Unknown => "unknown, its lease has expired",
                 AttemptStatus::NeverRan => "never ran",
                 AttemptStatus::MayHaveRun => "may have run",
                 AttemptStatus::Completed => "completed",
             };
-            format!("allocation {} to {}: {status}", last.fence.0, last.executor)
+            format!("attempt {} at {}: {status}", last.fence.0, last.executor)
         }
     }
 }
 
-fn show(path: &Path, all: bool) -> Result<Ended, String> {
-    let Read { ledger, rows, faults } = read(path)?;
+fn show(path: &Path, all: bool) -> Result<Ended, LedgerCommandError> {
+    let LedgerContents { ledger, rows, faults } = read(path)?;
     let (now, open) = (now(), ledger.open_jobs().count());
-    println!("{} work units on record, {open} open; {rows} rows", ledger.len());
+    println!("{} requests on record, {open} open; {rows} rows", ledger.len());
     let mut shown: Vec<&Job> = ledger.jobs().map(|(_, job)| job).collect();
     shown.retain(|job| all || job.answered_at.is_none());
-    shown.sort_by(|a, b| a.taken_at.total_cmp(&b.taken_at));
+    shown.sort_by(|one, other| one.taken_at.total_cmp(&other.taken_at));
     for job in shown {
-        let left = if job.answered_at.is_some() {
+        let remaining = if job.answered_at.is_some() {
             String::new()
         } else if job.deadline > now {
-            format!(", {} to its limit", span(job.deadline - now))
+            format!(", {} to its deadline", format_span(job.deadline - now))
         } else {
-            format!(", {} past its limit", span(now - job.deadline))
+            format!(", {} past its deadline", format_span(now - job.deadline))
         };
-        println!("{}: taken {} ago{left}; {}", job.client_id, span(now - job.taken_at), state(job, now));
+        println!(
+            "{}: recorded {} ago{remaining}; {}",
+            job.client_id,
+            format_span(now - job.taken_at),
+            format_state(job, now)
+        );
     }
     let fault = faults.first().map(|first| format!("{first}; `troutknot ledger verify` lists all faults"));
     Ok(fault.map_or(Ended::Held, |fault| Ended::Broke.because(fault)))
 }
 
-fn verify(path: &Path) -> Result<Ended, String> {
-    let Read { ledger, rows, faults } = read(path)?;
+fn verify(path: &Path) -> Result<Ended, LedgerCommandError> {
+    let LedgerContents { ledger, rows, faults } = read(path)?;
     if faults.is_empty() {
-        println!("good: {rows} rows of {} work units", ledger.len());
+        println!("good: {rows} rows of {} requests", ledger.len());
         return Ok(Ended::Held);
     }
     Ok(Ended::Broke.because(faults.join("\n")))
 }
 
-fn compact(path: &Path) -> Result<Ended, String> {
+fn compact(path: &Path) -> Result<Ended, LedgerCommandError> {
     if !path.exists() {
-        return Err("there is no such file".into());
+        return Err(LedgerCommandError::Missing);
     }
-    let size = || std::fs::metadata(path).map_or(0, |m| m.len());
+    let size = || std::fs::metadata(path).map_or(0, |metadata| metadata.len());
     let before = size();
-    let mut store = Store::open(path).map_err(|e| e.to_string())?;
-    while store.compact().map_err(|e| e.to_string())? {}
+    let mut store = Store::open(path)?;
+    while store.compact()? {}
     drop(store);
     println!("{before} bytes before, {} after", size());
     Ok(Ended::Held)
--- a/crates/cli/tests/rehearse.rs
+++ b/crates/cli/tests/rehearse.rs
@@ -207,11 +207,11 @@
         (out.status.code().unwrap(), text)
     };
     let (status, shown) = said("show", &at);
-    assert!(status == 0 && shown.contains("1 work units on record, 1 open; 2 rows"), "live: {shown}");
-    assert!(shown.contains("a1: taken") && shown.contains("allocation 1 to s-7: unknown"), "{shown}");
+    assert!(status == 0 && shown.contains("1 requests on record, 1 open; 2 rows"), "live: {shown}");
+    assert!(shown.contains("a1: recorded") && shown.contains("attempt 1 at s-7: unknown"), "{shown}");
     assert_eq!(said("compact", &at).0, 2, "its node runs");
     drop(store);
-    assert_eq!(said("verify", &at), (0, "good: 2 rows of 1 work units\n".into()));
+    assert_eq!(said("verify", &at), (0, "good: 2 rows of 1 requests\n".into()));
     assert_eq!(said("compact", &at).0, 0);
     // An allocation after the answer does not follow, and is named.
     let store = Store::open(&path).unwrap();
