--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -47,7 +47,7 @@
         figures: Rc<Cell<RetentionStatistics>>,
     ) -> Rc<Self> {
         Rc::new(AdminServer {
-            rings: ByteBudget::new(limits.callers * 2 * limits.call_ring),
+            rings: ByteBudget::new(limits.admin.max_connections * 2 * limits.admin.buffer_bytes),
             limits,
             events,
             lifecycle,
@@ -65,7 +65,7 @@
                 Ok((stream, _)) => self.take(stream),
                 Err(e) => {
                     tracing::warn!("cannot accept a call: {e}");
-                    sleep(self.limits.fresh_settle).await;
+                    sleep(self.limits.downstream.min_new_connection_age).await;
                 }
             }
         }
@@ -75,7 +75,7 @@
     /// the one that is waited for longest is closed for the newcomer.
     fn take(self: &Rc<Self>, stream: TcpStream) {
         let (this, number, close) = (self.clone(), self.next.get(), Rc::new(Notify::new()));
-        if self.open.get() >= self.limits.callers {
+        if self.open.get() >= self.limits.admin.max_connections {
             match self.waiting.borrow_mut().pop_front() {
                 Some((_, longest)) => longest.notify_one(),
                 // All of them are being answered, which takes less than a second.
@@ -86,7 +86,7 @@
         self.open.set(self.open.get() + 1);
         self.waiting.borrow_mut().push_back((number, close.clone()));
         spawn_local(async move {
-            let mut connection = Connection::new(stream, this.limits.call_ring, &this.rings);
+            let mut connection = Connection::new(stream, this.limits.admin.buffer_bytes, &this.rings);
             this.serve(&mut connection, number, &close).await;
             drop(connection);
             this.waits_no_more(number);
@@ -99,7 +99,7 @@
     }
 
     async fn serve(&self, connection: &mut Connection, number: u64, close: &Notify) {
-        let due = Instant::now() + self.limits.client_wait;
+        let due = Instant::now() + self.limits.downstream.io_timeout;
         let head = tokio::select! {
             biased;
             head = connection.request_head() => head,
@@ -131,9 +131,10 @@
         let fields: Vec<_> = allow.into_iter().collect();
         let said = format!("{said}\n");
         let head = http1::answer(status, said.len(), false, &fields);
-        let written = timeout(self.limits.call_wait, connection.write(&[&head, said.as_bytes()])).await;
+        let written =
+            timeout(self.limits.admin.call_timeout, connection.write(&[&head, said.as_bytes()])).await;
         if matches!(written, Ok(Ok(()))) {
-            connection.end(self.limits.tail_wait, self.limits.scrap).await;
+            connection.end(self.limits.rest_of_message_timeout, self.limits.max_discarded_bytes).await;
         }
     }
 
@@ -147,11 +148,11 @@
                 if self.lifecycle.facts().shutdown != Shutdown::None {
                     return (503, "the node ends".into());
                 }
-                drain(&self.lifecycle, self.limits.drain_settle, *to_drain, false);
+                drain(&self.lifecycle, self.limits.admin.drain_settle_time, *to_drain, false);
                 let (done, holds) = oneshot::channel();
                 let drained = |number| Message::Drained { drained: *to_drain, number };
                 self.beside.mirror(drained, done);
-                match timeout(self.limits.call_wait, holds).await {
+                match timeout(self.limits.admin.call_timeout, holds).await {
                     Ok(Ok(_)) => DONE,
                     _ => (503, "the other process of this node does not answer".into()),
                 }
@@ -160,7 +161,7 @@
     }
 
     async fn leave_out(&self, executor: &str, out: bool) -> Answered {
-        let until = Instant::now() + self.limits.call_wait;
+        let until = Instant::now() + self.limits.admin.call_timeout;
         // An executor may be known only once there is a list.
         let mut stage = self.lifecycle.watch();
         let _ = timeout_at(until, stage.wait_for(|stage| *stage != LifecycleState::Starting)).await;
@@ -174,7 +175,7 @@
             self.events.send(event).await.ok()?;
             holds.await.ok()
         };
-        match timeout_at(until + self.limits.call_wait / 2, told).await {
+        match timeout_at(until + self.limits.admin.call_timeout / 2, told).await {
             Ok(Some(true)) => DONE,
             Ok(Some(false)) => (404, "no such executor was ever listed".into()),
             _ => (503, "the node is too busy".into()),
--- a/crates/daemon/src/config/limits.rs
+++ b/crates/daemon/src/config/limits.rs
@@ -1,304 +1,410 @@
-//! Sizes, counts and times that the node keeps to. They are filled once, at start, and handed down.
+//! Limits of one node: memory, connections and timeouts, computed once at start from [`LimitInputs`].
 use crate::ring_buffer::FIRST;
 use std::cell::Cell;
 use std::time::Duration;
 
-/// What the deployment states, from which the rest follows.
+const KIB: usize = 1024;
+const MIB: usize = 1024 * KIB;
+
+/// Log lines that may wait to be written; further lines are dropped.
+pub const LOG_QUEUE_LINES: usize = 1024;
+
+/// Upper bound on the interval between two polls of the endpoint list, whatever the settings say.
+pub const MAX_POLL_INTERVAL: Duration = Duration::from_secs(3);
+
+/// Memory of one durable job in the ledger's index: its row, id, idempotency key and attempts.
+pub const JOB_BYTES: usize = 800;
+
+/// Memory of one retained executor at the peak, which includes parsing a new snapshot of the list.
+/// `examples/fleet_memory.rs` measures it with names and addresses of up to 24 bytes.
+pub const EXECUTOR_BYTES: usize = 1_200;
+
+/// Memory of an executor that is gone or lost its place, until its handle is released.
+pub const RELEASED_BYTES: usize = 960;
+
+/// Memory of the list entry of an executor that is not retained.
+pub const UNRETAINED_ENTRY_BYTES: usize = 600;
+
+/// Memory that the Consul source needs for each executor, without the text of the answer.
+pub const CONSUL_MEMBER_BYTES: usize = 960;
+
+/// Descriptors reserved for the log, the runtime, discovery, probes and the admin API.
+const SPARE_DESCRIPTORS: u64 = 24;
+
+/// The part of [`SPARE_DESCRIPTORS`] that connections to the admin API may use.
+const MAX_ADMIN_CONNECTIONS: usize = 12;
+
+/// The share of the configured memory that is given out; the rest covers the program and fragmentation.
+const BUDGETED_MEMORY_SHARE: f64 = 0.9;
+
+/// One handle more than retained executors for each so many, for those not released yet.
+const EXECUTORS_PER_RELEASED: usize = 16;
+
+/// One entry of an executor that is not retained for each so many that are.
+const EXECUTORS_PER_UNRETAINED_ENTRY: usize = 4;
+
+/// Memory of the id of a completed request.
+const COMPLETED_ID_BYTES: usize = 24;
+
+const MAX_LIST_BYTES: usize = 64 * MIB;
+const MAX_CONSUL_ANSWER_BYTES: usize = 12 * MIB;
+
+/// Requests with a longer deadline do not delay a shutdown further.
+const MAX_SHUTDOWN_WAIT: Duration = Duration::from_secs(3);
+
+/// What the deployment configures and the limits follow from.
 #[derive(Clone, Default)]
 pub struct LimitInputs {
     pub memory_mb: u64,
-    pub sockets: u64,
-    pub connect_wait: Option<Duration>,
-    pub executors_idle: Option<Duration>,
+    pub max_sockets: u64,
+    pub connect_timeout: Option<Duration>,
+    /// How long an executor keeps an idle connection open.
+    pub executor_idle_timeout: Option<Duration>,
     pub drain_grace: Option<Duration>,
-    /// The longest hard limit of any project type.
-    pub longest: Duration,
-    /// Whether the list comes from Consul: its answers are large, and more is kept of each executor.
-    pub consul: bool,
-    /// Whether the clients' socket is passed on: two processes share the limits at times.
-    pub passed: bool,
-    /// Whether work units are taken durably: what is on record is kept in mind.
-    pub durable: bool,
+    /// The longest deadline of any request class.
+    pub max_deadline: Duration,
+    /// Whether Consul is a source of the endpoint list; its answers need more memory.
+    pub has_consul: bool,
+    /// Whether the listening socket was inherited, so that two processes share the limits for a while.
+    pub has_inherited_socket: bool,
+    /// Whether the node has a ledger of durable jobs.
+    pub has_ledger: bool,
 }
 
-/// Times that follow from the settings, and from new ones.
+impl LimitInputs {
+    fn memory_bytes(&self) -> usize {
+        self.memory_mb.clamp(16, 1 << 20) as usize * MIB
+    }
+
+    fn available_sockets(&self) -> usize {
+        let spare = if self.has_inherited_socket { 2 * SPARE_DESCRIPTORS } else { SPARE_DESCRIPTORS };
+        (self.max_sockets.clamp(64, 1 << 20) - spare) as usize
+    }
+
+    /// Memory by a divisor, and by a larger one if answers of Consul need memory as well.
+    fn memory_fraction(&self, divisor: usize, divisor_with_consul: usize) -> usize {
+        self.memory_bytes() / if self.has_consul { divisor_with_consul } else { divisor }
+    }
+
+    fn process_count(&self) -> usize {
+        if self.has_inherited_socket { 2 } else { 1 }
+    }
+}
+
+/// Timeouts that follow from the settings and change when these are reloaded.
 #[derive(Clone, Copy, Debug)]
-pub struct ShutdownTimeouts {
-    /// The longest that a work unit may be open.
-    pub longest: Duration,
-    pub connect_wait: Duration,
-    pub probe_wait: Duration,
-    /// A pooled connection is not used again after it stood idle for so long.
-    pub retire_after: Duration,
-    /// An executor that drains or is gone is sent nothing that was decided before from then on.
-    pub drain_wait: Duration,
-    /// After the signal to end: until then all goes on as before, then idle connections close; what is out
-    /// is cut; what is still open is answered.
-    pub linger: Duration,
-    pub cut_after: Duration,
-    pub end_after: Duration,
+pub struct Timeouts {
+    /// The longest deadline of any request class.
+    pub max_deadline: Duration,
+    pub connect_timeout: Duration,
+    pub probe_timeout: Duration,
+    /// How long a pooled connection may be idle and still be reused.
+    pub max_pooled_idle: Duration,
+    /// How long attempts decided before an executor drained or disappeared are still sent to it.
+    pub drained_dispatch_grace: Duration,
+    /// Time from the shutdown signal until idle connections are closed.
+    pub close_idle_after: Duration,
+    /// Time from the shutdown signal until attempts in flight are cancelled.
+    pub cancel_after: Duration,
+    /// Time from the shutdown signal until requests still open get their last answer.
+    pub answer_open_after: Duration,
 }
 
-impl ShutdownTimeouts {
-    pub fn of(stated: &LimitInputs) -> Self {
-        let part = |whole: Duration, of: f64| whole.mul_f64(of);
-        let connect_wait = stated.connect_wait.unwrap_or(Duration::from_secs(1));
-        let most = stated.longest.min(MOST_TO_END);
-        let ms = Duration::from_millis;
-        // New connections come for up to 400 ms more. Guards against clients without a way in: they go on using
-        // what they have open, so it stays open for as long as what comes over it may be answered. Where limits
-        // are short there is less time, as all three have to come in their order before the node is killed.
-        let linger = most.max(ms(650)).min(most + ms(300));
-        ShutdownTimeouts {
-            longest: stated.longest,
-            connect_wait,
-            probe_wait: connect_wait,
-            retire_after: part(stated.executors_idle.unwrap_or(Duration::from_secs(1)), 0.7),
-            drain_wait: part(stated.drain_grace.unwrap_or_default(), 0.5),
-            linger,
-            // A node that is asked to end has the longest limit, or three seconds, and 700 ms more.
-            cut_after: (most + ms(200)).max(linger + ms(100)),
-            end_after: most + ms(500),
+impl Timeouts {
+    /// Derives the timeouts from the settings.
+    pub fn new(inputs: &LimitInputs) -> Self {
+        let millis = Duration::from_millis;
+        let connect_timeout = inputs.connect_timeout.unwrap_or(Duration::from_secs(1));
+        let executor_idle_timeout = inputs.executor_idle_timeout.unwrap_or(Duration::from_secs(1));
+        let wait = inputs.max_deadline.min(MAX_SHUTDOWN_WAIT);
+        // New connections may still arrive for 400 ms, and clients keep using their open connections for as long
+        // as an answer can arrive. The three steps have to fit in before the node is killed.
+        let close_idle_after = wait.max(millis(650)).min(wait + millis(300));
+        Timeouts {
+            max_deadline: inputs.max_deadline,
+            connect_timeout,
+            probe_timeout: connect_timeout,
+            max_pooled_idle: executor_idle_timeout.mul_f64(0.7),
+            drained_dispatch_grace: inputs.drain_grace.unwrap_or_default().mul_f64(0.5),
+            close_idle_after,
+            // The platform kills a node 700 ms after the longest deadline, of which 3 s count at most.
+            cancel_after: (wait + millis(200)).max(close_idle_after + millis(100)),
+            answer_open_after: wait + millis(500),
         }
     }
 }
 
+/// Limits of the connections from clients.
 #[derive(Debug)]
-pub struct Limits {
-    times: Cell<ShutdownTimeouts>,
-    /// Each ring buffer; a message's head must fit in one.
-    pub ring: usize,
-    /// What the clients' rings hold beyond their first size, all together.
-    pub client_rings: usize,
-    pub body: usize,
-    /// Bodies of clients that do not come whole with their heads; so many at once.
-    pub slow_bodies: usize,
-    /// What clients sent for open work units, all together.
-    pub held_bytes: usize,
-    /// Durable work units on record, where there are any.
-    pub durable: usize,
-    /// One whole list, or one of changes, and what of it is held as text: entries are taken as they come.
-    pub list_line: usize,
-    pub list_text: usize,
-    /// One answer of Consul, where it is followed.
-    pub list_answer: usize,
-    /// Executors that are kept, those that are gone or lost their place and are not released yet included, and
-    /// those without these.
-    pub registered: usize,
-    pub known: usize,
-    /// Entries that are held of executors that are left out, and all entries of one list together.
-    pub left_out: usize,
-    pub listed: usize,
-    /// Client connections that are served; so many more are accepted only to be told that the node is full.
-    pub clients: usize,
-    pub turned_away: usize,
-    /// Connections that may wait to be accepted. Guards against bursts: past it, they come up a second late.
-    pub backlog: u32,
-    /// Operators' connections, out of the spare descriptors.
-    pub callers: usize,
-    pub call_ring: usize,
-    /// Connections to executors; a sixteenth is kept for probes.
-    pub executors: usize,
-    /// Events that may wait for the driver.
-    pub events: usize,
-    /// Ids of work units that are over and still kept in mind, half of them at least.
-    pub past_ids: usize,
-    /// How long a request may take to come, the first one from the connection on, and an answer to be taken.
-    pub client_wait: Duration,
-    pub client_idle: Duration,
-    /// To make room, no connection is closed sooner after it came, and none that a work unit came over sooner
-    /// after its last answer.
-    pub fresh_settle: Duration,
-    pub client_settle: Duration,
-    /// How long an operator's call may take to hold; its caller waits a second.
-    pub call_wait: Duration,
-    /// How long after a drain by hand idle connections close and work is deferred: the front has stopped
-    /// sending, and what was under way has come.
-    pub drain_settle: Duration,
-    /// How soon a client that the node has no room for may come back.
-    pub full_come_back: Duration,
-    /// The same for one that sent what cannot be taken.
-    pub bad_come_back: Duration,
-    /// Of what still comes after such a request so much is read.
-    pub scrap: usize,
-    /// A node that was not run for longer has stood still, and what it knows may be old.
-    pub standstill: Duration,
-    /// How long after a work unit's result the end of the answer may take, for the connection to be kept.
-    pub tail_wait: Duration,
-    /// How long after an answer a second one to the same allocation may come.
-    pub second_answer: Duration,
-    /// How much sooner than the client gives up a work unit's limit is set, and its last answer sent.
-    pub answer_margin: Duration,
+pub struct DownstreamLimits {
+    pub max_connections: usize,
+    /// Connections accepted beyond `max_connections`, only to be rejected with a Retry-After.
+    pub max_rejected_connections: usize,
+    /// Memory of all read and write buffers beyond their initial size.
+    pub buffer_bytes: usize,
+    /// Bodies that may arrive in parts at the same time.
+    pub max_partial_bodies: usize,
+    /// Memory reserved for the contents of all open requests.
+    pub max_reserved_bytes: usize,
+    /// Ids of completed requests kept for deduplication; at least half of them are.
+    pub max_completed_ids: usize,
+    /// Bounds the reading of a request, from connect for the first one, and the writing of an answer.
+    pub io_timeout: Duration,
+    pub idle_timeout: Duration,
+    /// Age below which a new connection is not evicted.
+    pub min_new_connection_age: Duration,
+    /// Time after its last answer in which a connection is not evicted.
+    pub min_idle_before_eviction: Duration,
+    /// Retry-After of requests that are rejected for lack of capacity.
+    pub rejected_retry_after: Duration,
+    /// Retry-After of requests that cannot be parsed.
+    pub malformed_retry_after: Duration,
+    /// Time before the client's own timeout at which a request's deadline is set.
+    pub deadline_margin: Duration,
+    /// Time before the client's own timeout at which the last answer is sent.
     pub last_answer_margin: Duration,
-    /// The list is taken for broken off when it says nothing for so long.
-    pub list_silence: Duration,
-    /// How long a watch of the list may take to come up, up to its head: whoever serves it answers at once.
-    pub list_opening: Duration,
-    /// How long after the node's start work waits for the list, which who is well gives at once.
-    pub first_list: Duration,
-    /// The node serves by the list it held before when no newer one has come by then.
-    pub ready_wait: Duration,
-    /// For the last answers to be written.
-    pub last_words: Duration,
+    /// How long after start requests wait for the first endpoint list.
+    pub first_list_timeout: Duration,
 }
 
-/// Descriptors kept free for the log, the runtime, discovery and probes.
-const SPARE: u64 = 24;
-
-/// Of these, what operators' connections may take.
-const CALLERS: usize = 12;
-
-/// Log lines that may wait to be written; more are dropped. The log starts before a node is told anything.
-pub const LOG_LINES: usize = 1024;
-
-/// What is kept in mind of a durable work unit; its row in the map, its id and key, an allocation or two.
-pub const DURABLE_BYTES: usize = 800;
-
-/// The longest between two calls for the list. A change counts as told 6 s after discovery can be reached again, and
-/// of that a call that was under way may take an opening in vain.
-pub const LIST_ASKED_WITHIN: Duration = Duration::from_secs(3);
-
-/// The part of the stated memory that is given out; the rest is for the program itself and for gaps.
-const USED_SHARE: f64 = 0.9;
-
-/// What one executor that is kept takes, the reading of a whole new list of all of them included. Measured in a
-/// real process (`examples/fleet_memory.rs`): 1,105 bytes each at the peak, with names and addresses of up to 24
-/// bytes; longer ones take their length more.
-pub const EXECUTOR_BYTES: usize = 1_200;
-
-/// What one takes that is gone or lost its place, and is not released yet; a part of those kept may be so.
-pub const RELEASED_BYTES: usize = 960;
-const RELEASED_PART: usize = 16;
-
-/// What the entry of one that is left out takes; so many are held for each one kept.
-pub const LEFT_OUT_BYTES: usize = 600;
-const LEFT_OUT_PART: usize = 4;
+/// Limits of the connections to executors.
+#[derive(Debug)]
+pub struct UpstreamLimits {
+    /// Connections to executors; a sixteenth of them is reserved for probes.
+    pub max_connections: usize,
+    /// How long after a response a second one to the same attempt may arrive.
+    pub duplicate_response_window: Duration,
+}
 
-/// What Consul's part of the node holds of an executor beside that and the text of its answer. Measured likewise:
-/// 2,812 bytes each at the peak in all, with 726 bytes each in the answer.
-pub const CONSUL_MEMBER_BYTES: usize = 960;
+/// Limits of the sources of the endpoint list.
+#[derive(Debug)]
+pub struct DiscoveryLimits {
+    /// Size of one snapshot or delta of the endpoint list.
+    pub max_list_bytes: usize,
+    /// The part of a list that is buffered as text; entries are parsed as they arrive.
+    pub max_buffered_text_bytes: usize,
+    /// Size of one answer of Consul.
+    pub max_consul_answer_bytes: usize,
+    /// A watch without an update for this long has failed.
+    pub watch_idle_timeout: Duration,
+    /// Bounds the opening of a watch, from connect to the head of the response.
+    pub watch_open_timeout: Duration,
+}
 
-/// What is kept in mind of an id that is over.
-const PAST_ID_BYTES: usize = 24;
+/// Bounds on the number of executors.
+#[derive(Debug, Default)]
+pub struct ExecutorBounds {
+    /// Executors that this node dispatches to.
+    pub max_retained: usize,
+    /// `max_retained`, and those that are gone or lost their place and are not released yet.
+    pub max_registered: usize,
+    /// Entries that are cached of executors that are not retained.
+    pub max_unretained_entries: usize,
+    /// Entries of one list.
+    pub max_listed: usize,
+}
 
-/// No list is longer.
-const MOST_LIST: usize = 64 * 1024 * 1024;
+/// Limits of the admin API.
+#[derive(Debug)]
+pub struct AdminLimits {
+    pub max_connections: usize,
+    pub buffer_bytes: usize,
+    /// Bounds a call until its effect holds; callers wait a second.
+    pub call_timeout: Duration,
+    /// Time from a drain call until idle connections are closed and new requests are rejected.
+    pub drain_settle_time: Duration,
+}
 
-const MOST_TO_END: Duration = Duration::from_secs(3);
+/// Limits of one node.
+#[derive(Debug)]
+pub struct Limits {
+    timeouts: Cell<Timeouts>,
+    pub downstream: DownstreamLimits,
+    pub upstream: UpstreamLimits,
+    pub discovery: DiscoveryLimits,
+    pub executor_bounds: ExecutorBounds,
+    pub admin: AdminLimits,
+    /// Size of one read or write buffer; the head of a message has to fit into one.
+    pub connection_buffer_bytes: usize,
+    pub max_body_bytes: usize,
+    /// Durable jobs on record.
+    pub max_durable_jobs: usize,
+    /// Connections that wait to be accepted.
+    pub listen_backlog: u32,
+    /// Events that wait for the driver.
+    pub event_queue_capacity: usize,
+    /// Bytes that are read and discarded after a request that was not read to its end.
+    pub max_discarded_bytes: usize,
+    /// Bounds the reading of the rest of a message so that its connection can be closed cleanly or reused.
+    pub rest_of_message_timeout: Duration,
+    /// A node that did not run for longer than this treats what it knows as outdated.
+    pub stall_threshold: Duration,
+    /// Time after start from which a node serves by the cached endpoint list.
+    pub cached_list_after: Duration,
+    /// Bounds the writing of the last answers at the end of a shutdown.
+    pub last_write_timeout: Duration,
+}
 
-impl Limits {
-    pub fn times(&self) -> ShutdownTimeouts {
-        self.times.get()
-    }
+/// How the sockets of a node are divided among the sides.
+struct ConnectionShares {
+    downstream: usize,
+    rejected: usize,
+    upstream: usize,
+}
 
-    /// What new settings state; sizes and counts stay as they were at the start.
-    pub fn retune(&self, stated: &LimitInputs) {
-        self.times.set(ShutdownTimeouts::of(stated));
+impl ConnectionShares {
+    fn new(inputs: &LimitInputs, max_body_bytes: usize) -> Self {
+        let connections = inputs.available_sockets().min(inputs.memory_bytes() / 12 / (2 * FIRST));
+        let rejected = (connections / 16).max(2);
+        let upstream_memory = 2 * inputs.memory_fraction(9, 16);
+        let upstream = (connections / 3).min(upstream_memory / (2 * max_body_bytes)).max(2);
+        ConnectionShares { downstream: connections - rejected - upstream, rejected, upstream }
     }
+}
 
-    pub fn of(stated: &LimitInputs) -> Self {
-        let spare = if stated.passed { 2 * SPARE } else { SPARE };
-        let sockets = stated.sockets.clamp(64, 1 << 20) - spare;
-        let memory = stated.memory_mb.clamp(16, 1 << 20) as usize * 1024 * 1024;
-        let ring = 16 * 1024;
-        let body = 64 * 1024;
-        let connections = (sockets as usize).min(memory / 12 / (2 * FIRST));
-        let turned_away = (connections / 16).max(2);
-        // Clients that wait for an answer and those that only hold a connection share the rest.
-        // Where Consul's answers need room, work has less of it.
-        let of =
-            |usual: usize, beside_consul: usize| memory / if stated.consul { beside_consul } else { usual };
-        // Two processes at once keep the list and what is known of executors twice, and all else between them.
-        let slow_bodies = match (stated.passed, stated.consul || stated.durable) {
+impl DownstreamLimits {
+    fn new(inputs: &LimitInputs, shares: &ConnectionShares, max_body_bytes: usize) -> Self {
+        let memory = inputs.memory_bytes();
+        // Two processes share the memory, but for the executors, which both of them know.
+        let partial_body_bytes = match (inputs.has_inherited_socket, inputs.has_consul || inputs.has_ledger) {
             (false, _) => memory / 20,
             (true, false) => memory / 22,
             (true, true) => memory / 40,
         };
-        let an_answer = if stated.passed { 16 } else { 9 };
-        let executors = (connections / 3).min(2 * of(9, 16) / (2 * body)).max(2);
-        let clients = connections - turned_away - executors;
-        let list_line = (memory / 16).min(MOST_LIST);
-        let mut limits = Limits {
-            times: Cell::new(ShutdownTimeouts::of(stated)),
-            ring,
-            client_rings: memory / 16,
-            body,
-            slow_bodies: slow_bodies / body,
-            // Beside another process of this node what each keeps in mind is there twice.
-            held_bytes: if stated.durable || stated.passed { of(12, 18) } else { of(8, 12) },
-            durable: memory / 14 / DURABLE_BYTES,
-            list_line,
-            list_text: list_line / 16,
-            list_answer: (memory / an_answer).min(12 * 1024 * 1024),
-            registered: 0,
-            known: 0,
-            left_out: 0,
-            listed: 0,
-            clients,
-            turned_away,
-            backlog: 1024,
-            callers: CALLERS,
-            call_ring: 2 * FIRST,
-            executors,
-            events: 4096,
-            past_ids: memory / 4096,
-            client_wait: Duration::from_secs(2),
-            client_idle: Duration::from_secs(120),
-            fresh_settle: Duration::from_millis(150),
-            client_settle: Duration::from_secs(1),
-            call_wait: Duration::from_millis(500),
-            drain_settle: Duration::from_millis(1000),
-            full_come_back: Duration::from_millis(50),
-            bad_come_back: Duration::from_secs(1),
-            scrap: 64 * 1024,
-            standstill: Duration::from_millis(100),
-            tail_wait: Duration::from_millis(100),
-            second_answer: Duration::from_millis(50),
-            answer_margin: Duration::from_millis(25),
+        let max_reserved_bytes = if inputs.has_ledger || inputs.has_inherited_socket {
+            inputs.memory_fraction(12, 18)
+        } else {
+            inputs.memory_fraction(8, 12)
+        };
+        DownstreamLimits {
+            max_connections: shares.downstream,
+            max_rejected_connections: shares.rejected,
+            buffer_bytes: memory / 16,
+            max_partial_bodies: partial_body_bytes / max_body_bytes,
+            max_reserved_bytes,
+            max_completed_ids: memory / 4096,
+            io_timeout: Duration::from_secs(2),
+            idle_timeout: Duration::from_secs(120),
+            min_new_connection_age: Duration::from_millis(150),
+            min_idle_before_eviction: Duration::from_secs(1),
+            rejected_retry_after: Duration::from_millis(50),
+            malformed_retry_after: Duration::from_secs(1),
+            deadline_margin: Duration::from_millis(25),
             last_answer_margin: Duration::from_millis(8),
-            // Discovery says something every 2 s.
-            list_silence: Duration::from_millis(2600),
-            // What falls silent counts as told after 6 s: the silence, and an opening in vain. A source with too
-            // many calls takes up to 2 s for one before it turns it away.
-            list_opening: Duration::from_millis(2200),
-            first_list: Duration::from_millis(150),
-            ready_wait: Duration::from_secs(1),
-            last_words: Duration::from_millis(100),
+            first_list_timeout: Duration::from_millis(150),
+        }
+    }
+}
+
+impl DiscoveryLimits {
+    fn new(inputs: &LimitInputs) -> Self {
+        let memory = inputs.memory_bytes();
+        let max_list_bytes = (memory / 16).min(MAX_LIST_BYTES);
+        let consul_divisor = if inputs.has_inherited_socket { 16 } else { 9 };
+        DiscoveryLimits {
+            max_list_bytes,
+            max_buffered_text_bytes: max_list_bytes / 16,
+            max_consul_answer_bytes: (memory / consul_divisor).min(MAX_CONSUL_ANSWER_BYTES),
+            // Discovery sends an update or a keep-alive every 2 s.
+            watch_idle_timeout: Duration::from_millis(2600),
+            // An idle timeout and a failed opening have to fit into the 6 s within which a change is applied. A
+            // source that is overloaded takes up to 2 s to reject a watch.
+            watch_open_timeout: Duration::from_millis(2200),
+        }
+    }
+}
+
+impl Limits {
+    /// Derives all limits from what the deployment configures.
+    pub fn new(inputs: &LimitInputs) -> Self {
+        let max_body_bytes = 64 * KIB;
+        let shares = ConnectionShares::new(inputs, max_body_bytes);
+        let mut limits = Limits {
+            timeouts: Cell::new(Timeouts::new(inputs)),
+            downstream: DownstreamLimits::new(inputs, &shares, max_body_bytes),
+            upstream: UpstreamLimits {
+                max_connections: shares.upstream,
+                duplicate_response_window: Duration::from_millis(50),
+            },
+            discovery: DiscoveryLimits::new(inputs),
+            executor_bounds: ExecutorBounds::default(),
+            admin: AdminLimits {
+                max_connections: MAX_ADMIN_CONNECTIONS,
+                buffer_bytes: 2 * FIRST,
+                call_timeout: Duration::from_millis(500),
+                drain_settle_time: Duration::from_millis(1000),
+            },
+            connection_buffer_bytes: 16 * KIB,
+            max_body_bytes,
+            max_durable_jobs: inputs.memory_bytes() / 14 / JOB_BYTES,
+            listen_backlog: 1024,
+            event_queue_capacity: 4096,
+            max_discarded_bytes: 64 * KIB,
+            rest_of_message_timeout: Duration::from_millis(100),
+            stall_threshold: Duration::from_millis(100),
+            cached_list_after: Duration::from_secs(1),
+            last_write_timeout: Duration::from_millis(100),
         };
-        limits.share_out(memory, stated);
+        limits.executor_bounds = limits.bound_executors(inputs);
         limits
     }
 
-    /// Gives executors the memory that nothing else may take.
-    fn share_out(&mut self, memory: usize, stated: &LimitInputs) {
-        let processes = if stated.passed { 2 } else { 1 };
-        let may_be_taken = (memory as f64 * USED_SHARE) as usize;
-        let for_executors = may_be_taken.saturating_sub(self.bytes_beside_executors(stated)) / processes;
-        let kept_and_released = EXECUTOR_BYTES + RELEASED_BYTES / RELEASED_PART;
-        if stated.consul {
-            // Consul's own part leaves out what is over its bound, and tells no more than is kept.
-            self.known = for_executors / (kept_and_released + CONSUL_MEMBER_BYTES);
+    /// The timeouts in force.
+    pub fn timeouts(&self) -> Timeouts {
+        self.timeouts.get()
+    }
+
+    /// Applies the timeouts of reloaded settings; sizes and counts stay as they were at start.
+    pub fn update_timeouts(&self, inputs: &LimitInputs) {
+        self.timeouts.set(Timeouts::new(inputs));
+    }
+
+    /// Gives executors the memory that nothing else may use.
+    fn bound_executors(&self, inputs: &LimitInputs) -> ExecutorBounds {
+        let budget = (inputs.memory_bytes() as f64 * BUDGETED_MEMORY_SHARE) as usize;
+        let available = budget.saturating_sub(self.bytes_without_executors(inputs)) / inputs.process_count();
+        let registered_bytes = EXECUTOR_BYTES + RELEASED_BYTES / EXECUTORS_PER_RELEASED;
+        let (max_retained, max_unretained_entries) = if inputs.has_consul {
+            // The roster of the Consul source drops executors over the bound by itself.
+            (available / (registered_bytes + CONSUL_MEMBER_BYTES), 0)
         } else {
-            self.known = for_executors / (kept_and_released + LEFT_OUT_BYTES / LEFT_OUT_PART);
-            self.left_out = self.known / LEFT_OUT_PART;
+            let entry_bytes = UNRETAINED_ENTRY_BYTES / EXECUTORS_PER_UNRETAINED_ENTRY;
+            let max_retained = available / (registered_bytes + entry_bytes);
+            (max_retained, max_retained / EXECUTORS_PER_UNRETAINED_ENTRY)
+        };
+        ExecutorBounds {
+            max_retained,
+            max_registered: max_retained + max_retained / EXECUTORS_PER_RELEASED,
+            max_unretained_entries,
+            max_listed: max_retained + max_unretained_entries,
         }
-        self.registered = self.known + self.known / RELEASED_PART;
-        self.listed = self.known + self.left_out;
     }
 
-    /// The most that all but executors may take.
-    fn bytes_beside_executors(&self, stated: &LimitInputs) -> usize {
-        let bodies = self.held_bytes + 2 * self.slow_bodies * self.body + 2 * self.executors * self.body;
-        let clients_rings = self.clients * 2 * FIRST + self.client_rings;
-        let rings = clients_rings + self.executors * self.ring * 2;
-        let list = if stated.consul { self.list_answer } else { self.list_text };
-        // What each of two processes has of its own; the ledger is held by one of them.
-        let own = self.past_ids * PAST_ID_BYTES
-            + self.callers * self.call_ring * 2
-            + self.turned_away * 2 * FIRST
-            + list;
-        let ledger = if stated.durable { self.durable * DURABLE_BYTES } else { 0 };
-        bodies + rings + ledger + if stated.passed { 2 * own } else { own }
+    /// Upper bound on the memory of everything but executors.
+    fn bytes_without_executors(&self, inputs: &LimitInputs) -> usize {
+        let (downstream, upstream, admin) = (&self.downstream, &self.upstream, &self.admin);
+        let partial_bodies = 2 * downstream.max_partial_bodies * self.max_body_bytes;
+        let response_bodies = 2 * upstream.max_connections * self.max_body_bytes;
+        let downstream_buffers = downstream.max_connections * 2 * FIRST + downstream.buffer_bytes;
+        let upstream_buffers = upstream.max_connections * self.connection_buffer_bytes * 2;
+        let list_bytes = if inputs.has_consul {
+            self.discovery.max_consul_answer_bytes
+        } else {
+            self.discovery.max_buffered_text_bytes
+        };
+        // Each of two processes has these of its own; only one of them has the ledger open.
+        let bytes_per_process = downstream.max_completed_ids * COMPLETED_ID_BYTES
+            + admin.max_connections * admin.buffer_bytes * 2
+            + downstream.max_rejected_connections * 2 * FIRST
+            + list_bytes;
+        let ledger = if inputs.has_ledger { self.max_durable_jobs * JOB_BYTES } else { 0 };
+        downstream.max_reserved_bytes
+            + partial_bodies
+            + response_bodies
+            + downstream_buffers
+            + upstream_buffers
+            + ledger
+            + inputs.process_count() * bytes_per_process
     }
 }
 
--- a/crates/daemon/src/config/node.rs
+++ b/crates/daemon/src/config/node.rs
@@ -1,5 +1,5 @@
 //! What a node is told: read at its start, and again whenever it is asked to.
-use crate::config::limits::{LIST_ASKED_WITHIN, LimitInputs, Limits};
+use crate::config::limits::{LimitInputs, Limits, MAX_POLL_INTERVAL};
 use crate::config::operator::{Consul, OperatorFile};
 use crate::event::NodeEvent;
 use crate::protocol::{Codec, Current, EndpointList};
@@ -62,7 +62,7 @@
         bound_poll_interval(&mut resolved.settings);
         let settings_in_force = resolved.settings.clone();
         let codec = Codec::of(settings, resolved);
-        self.limits.retune(&stated(&settings_in_force, &codec));
+        self.limits.update_timeouts(&stated(&settings_in_force, &codec));
         // The module has heard of a project type before the first work unit of it comes.
         self.events
             .send(NodeEvent::SettingsChanged(Box::new(settings_in_force)))
@@ -75,7 +75,7 @@
 
 /// Bounds the span in which the list is asked for again, for settings that leave more time than a change has.
 fn bound_poll_interval(settings: &mut Settings) {
-    let longest = LIST_ASKED_WITHIN.as_secs_f64() * 1000.0;
+    let longest = MAX_POLL_INTERVAL.as_secs_f64() * 1000.0;
     let stated = settings.rules.poll_interval.unwrap_or(longest);
     settings.rules.poll_interval = Some(stated.min(longest));
 }
@@ -87,10 +87,10 @@
         Some(Duration::from_secs_f64(millis / 1000.0))
     };
     LimitInputs {
-        connect_wait: span(settings.limits.connect_timeout),
-        executors_idle: span(settings.limits.idle_timeout),
+        connect_timeout: span(settings.limits.connect_timeout),
+        executor_idle_timeout: span(settings.limits.idle_timeout),
         drain_grace: span(settings.rules.drain_grace),
-        longest: codec.longest(),
+        max_deadline: codec.longest(),
         ..LimitInputs::default()
     }
 }
--- a/crates/daemon/src/discovery/consul.rs
+++ b/crates/daemon/src/discovery/consul.rs
@@ -65,7 +65,8 @@
         let clock = self.clock;
         // The roster's times are the clock's own, which are Unix times already.
         let first = self.wanted.borrow().clone();
-        let terms = first.as_ref().map(|c| c.terms(self.limits.known)).unwrap_or_default();
+        let terms =
+            first.as_ref().map(|c| c.terms(self.limits.executor_bounds.max_retained)).unwrap_or_default();
         let shared = Rc::new(Shared {
             limits: self.limits.clone(),
             clock,
@@ -101,7 +102,7 @@
     async fn follow(self: &Rc<Self>, wanted: Option<Consul>, next: &mut usize) {
         let mut kept: Vec<Watching> = std::mem::take(&mut *self.watches.borrow_mut());
         if let Some(consul) = &wanted {
-            self.roster.borrow_mut().set_terms(consul.terms(self.limits.known));
+            self.roster.borrow_mut().set_terms(consul.terms(self.limits.executor_bounds.max_retained));
             let token = consul.token_file.as_deref().and_then(read_token);
             for watched in consul.watched() {
                 let was = kept.iter().position(|w| w.watched == watched).map(|at| kept.swap_remove(at));
@@ -182,13 +183,16 @@
         addr: SocketAddr,
     ) -> Result<(f64, Vec<Rc<Member>>), String> {
         let deadline = Duration::from_secs_f64(asks.blocking.deadline() / 1000.0);
-        let most = self.limits.list_answer;
+        let most = self.limits.discovery.max_consul_answer_bytes;
         let call = async {
-            let stream = timeout(self.limits.times().connect_wait, TcpStream::connect(addr)).await;
+            let stream = timeout(self.limits.timeouts().connect_timeout, TcpStream::connect(addr)).await;
             let stream =
                 stream.map_err(|_| "no connection in time".to_string())?.map_err(|e| e.to_string())?;
-            let mut connection =
-                Connection::new(stream, self.limits.ring, &ByteBudget::new(2 * self.limits.ring));
+            let mut connection = Connection::new(
+                stream,
+                self.limits.connection_buffer_bytes,
+                &ByteBudget::new(2 * self.limits.connection_buffer_bytes),
+            );
             let token = asks.token.as_ref().map_or(String::new(), |t| format!("X-Consul-Token: {t}\r\n"));
             let ask = format!(
                 "GET {} HTTP/1.1\r\nHost: {addr}\r\n{token}Connection: close\r\n\r\n",
@@ -210,7 +214,8 @@
             last_contact: one("x-consul-lastcontact"),
         };
         asks.blocking.check(&said).map_err(|e| e.to_string())?;
-        let bounds = Bounds { body: most, entries: self.limits.known, ..Bounds::default() };
+        let bounds =
+            Bounds { body: most, entries: self.limits.executor_bounds.max_retained, ..Bounds::default() };
         let members = reader.read(&body, &bounds).map_err(|e| e.to_string())?;
         Ok((asks.blocking.answered(&said), members))
     }
--- a/crates/daemon/src/discovery/platform.rs
+++ b/crates/daemon/src/discovery/platform.rs
@@ -83,9 +83,13 @@
 
 impl Follower {
     fn reader(&self) -> EndpointListParser {
-        let Limits { list_line, list_text, listed, .. } = *self.limits;
+        let limits = &self.limits.discovery;
         EndpointListParser::new(
-            ReadBounds { list: list_line, text: list_text, entries: listed },
+            ReadBounds {
+                list: limits.max_list_bytes,
+                text: limits.max_buffered_text_bytes,
+                entries: self.limits.executor_bounds.max_listed,
+            },
             self.retention,
         )
     }
@@ -130,15 +134,18 @@
     }
 
     async fn watch(&self, discovery: SocketAddr, versions: &mut Versions) -> Result<(), Lost> {
-        let silence = self.limits.list_silence;
+        let silence = self.limits.discovery.watch_idle_timeout;
         let said = |e: Failed| e.to_string();
         // One time for all of it. Guards against a source that is silent again when it is asked anew: waits that
         // are bounded one by one add up past the span after which its silence counts as told.
         let opening = async {
-            let stream = timeout(self.limits.times().connect_wait, TcpStream::connect(discovery)).await;
+            let stream = timeout(self.limits.timeouts().connect_timeout, TcpStream::connect(discovery)).await;
             let stream = stream.map_err(silent)?.map_err(|e| e.to_string())?;
-            let mut connection =
-                Connection::new(stream, self.limits.ring, &ByteBudget::new(2 * self.limits.ring));
+            let mut connection = Connection::new(
+                stream,
+                self.limits.connection_buffer_bytes,
+                &ByteBudget::new(2 * self.limits.connection_buffer_bytes),
+            );
             let after = versions.known.filter(|_| !versions.whole_wanted);
             let ask = self.codec.now().watch(discovery, after);
             // Whoever takes a connection and ends it unserved is there.
@@ -147,7 +154,7 @@
             let head = connection.answer_head().await.map_err(|e| turned_away(said(e)))?;
             Ok::<_, Lost>((connection, head))
         };
-        let opened = timeout(self.limits.list_opening, opening).await;
+        let opened = timeout(self.limits.discovery.watch_open_timeout, opening).await;
         let (mut connection, mut head) = opened.map_err(silent)??;
         if head.status != 200 {
             return Err(Lost { why: format!("status {}", head.status), turned_away: true });
@@ -156,7 +163,7 @@
         // The watch stands, even if the list follows late.
         let none = CoreEvent::EndpointsUpdated { update: ListUpdate::Delta, endpoints: Vec::new() };
         self.told.event(NodeEvent::Core(none)).await?;
-        let (mut buffer, most, mut first) = (BytesMut::new(), self.limits.list_line, true);
+        let (mut buffer, most, mut first) = (BytesMut::new(), self.limits.discovery.max_list_bytes, true);
         let (mut lists, mut due) = (self.reader(), Instant::now() + silence);
         // Guards against a source with another count of versions, that of a new address perhaps: passed over for as
         // long as its watch stands, it would never be followed. One that is only late has the time to catch up.
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -77,7 +77,9 @@
 impl PastIds {
     /// False where it was taken before. Guards against a repeat of what has just ended.
     fn take(&mut self, id: u64, limits: &Limits) -> bool {
-        if self.turned.elapsed() >= limits.times().longest || self.newer.len() >= limits.past_ids / 2 {
+        if self.turned.elapsed() >= limits.timeouts().max_deadline
+            || self.newer.len() >= limits.downstream.max_completed_ids / 2
+        {
             self.older = std::mem::take(&mut self.newer);
             self.turned = Instant::now();
         }
@@ -124,16 +126,16 @@
             events,
             stage,
             status,
-            held: ByteBudget::new(limits.held_bytes),
-            rings: ByteBudget::new(limits.client_rings),
-            slow_bodies: ByteBudget::new(limits.slow_bodies * limits.body),
+            held: ByteBudget::new(limits.downstream.max_reserved_bytes),
+            rings: ByteBudget::new(limits.downstream.buffer_bytes),
+            slow_bodies: ByteBudget::new(limits.downstream.max_partial_bodies * limits.max_body_bytes),
             ids: RefCell::default(),
             past: RefCell::new(PastIds {
                 newer: HashSet::new(),
                 older: HashSet::new(),
                 turned: Instant::now(),
             }),
-            list_due: Instant::now() + limits.first_list,
+            list_due: Instant::now() + limits.downstream.first_list_timeout,
             next_wu: Cell::new(0),
             next_connection: Cell::new(0),
             open: RefCell::default(),
@@ -167,7 +169,7 @@
 
     /// Clients that this process may serve beside what another one of the node has open.
     fn most(&self) -> usize {
-        self.limits.clients.saturating_sub(self.beside.other().clients)
+        self.limits.downstream.max_connections.saturating_sub(self.beside.other().clients)
     }
 
     /// Accepts connections until the node ends. From a socket that was passed on nothing is accepted before
@@ -204,7 +206,7 @@
 
     /// Nothing is lost where this is dropped.
     async fn accept_one(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
-        while self.connections() >= self.most() + self.limits.turned_away {
+        while self.connections() >= self.most() + self.limits.downstream.max_rejected_connections {
             self.make_room();
             self.wait_for_an_end().await;
         }
@@ -212,7 +214,7 @@
     }
 
     async fn wait_for_an_end(&self) {
-        let _ = timeout(self.limits.fresh_settle / 4, self.ended.notified()).await;
+        let _ = timeout(self.limits.downstream.min_new_connection_age / 4, self.ended.notified()).await;
     }
 
     /// Room for one more. Guards against crowds that connect and say nothing: as long as one of them may be
@@ -232,7 +234,11 @@
     fn make_room(&self) -> bool {
         let open = self.open.borrow();
         let fresh = open.values().any(|s| s.is_fresh());
-        let settle = if fresh { self.limits.fresh_settle } else { self.limits.client_settle };
+        let settle = if fresh {
+            self.limits.downstream.min_new_connection_age
+        } else {
+            self.limits.downstream.min_idle_before_eviction
+        };
         let settled = |s: &&Rc<Standing>| s.waits.get().is_some_and(|since| since.elapsed() >= settle);
         let longest = open.values().filter(|s| s.is_fresh() == fresh).filter(settled);
         let longest = longest.min_by_key(|s| s.waits.get());
@@ -250,7 +256,7 @@
         self.open.borrow_mut().insert(number, standing.clone());
         let this = self.clone();
         tokio::task::spawn_local(async move {
-            let mut connection = Connection::new(stream, this.limits.ring, &this.rings);
+            let mut connection = Connection::new(stream, this.limits.connection_buffer_bytes, &this.rings);
             this.serve(&mut connection, &standing, full).await;
             drop(connection);
             this.open.borrow_mut().remove(&number);
@@ -261,18 +267,18 @@
     async fn serve(&self, connection: &mut Connection, standing: &Standing, full: bool) {
         let mut stage = self.stage.clone();
         // Guards against clients that drip: the first request is due from when the connection came.
-        let first_due = Instant::now() + self.limits.client_wait;
+        let first_due = Instant::now() + self.limits.downstream.io_timeout;
         loop {
             let worked = standing.worked.get();
             if !connection.has_input() {
                 connection.rest();
                 // Nobody who comes to a node that is empty says nothing for long.
                 let fresh = if stage.borrow().closes_idle() {
-                    first_due.min(Instant::now() + self.limits.fresh_settle)
+                    first_due.min(Instant::now() + self.limits.downstream.min_new_connection_age)
                 } else {
                     first_due
                 };
-                let until = if worked { Instant::now() + self.limits.client_idle } else { fresh };
+                let until = if worked { Instant::now() + self.limits.downstream.idle_timeout } else { fresh };
                 if worked {
                     standing.waits.set(Some(Instant::now()));
                 }
@@ -290,7 +296,7 @@
             if worked {
                 standing.waits.set(None);
             }
-            let due = if worked { Instant::now() + self.limits.client_wait } else { first_due };
+            let due = if worked { Instant::now() + self.limits.downstream.io_timeout } else { first_due };
             let came = tokio::select! {
                 biased;
                 came = self.come(connection) => came,
@@ -303,7 +309,9 @@
             let mut large = false;
             let goes = match came {
                 Ok(Came::ClientRequest { .. }) if drained => {
-                    let bad = Answer::Rejected(Some(self.limits.bad_come_back.as_secs_f64() * 1000.0));
+                    let bad = Answer::Rejected(Some(
+                        self.limits.downstream.malformed_retry_after.as_secs_f64() * 1000.0,
+                    ));
                     let (status, fields, result) = self.codec.now().answer(&bad);
                     self.write(connection, status, false, &fields, &result).await;
                     false
@@ -334,7 +342,7 @@
                     let room = self.connections() <= self.most() && !connection.is_overrun();
                     let keep = keep && room && !self.stage.borrow().closes_after_answer();
                     let (status, fields, result) = self.codec.now().answer(&answer);
-                    large = result.len() > self.limits.ring;
+                    large = result.len() > self.limits.connection_buffer_bytes;
                     let written = self.write(connection, status, keep, &fields, &result).await;
                     if let (true, Some(durable), Some(request_id)) = (written, self.ledger(), request_id) {
                         durable.acknowledged(request_id);
@@ -351,7 +359,7 @@
                             (answer, self.connections() <= self.most())
                         }
                         Err(None) => {
-                            let soon = self.limits.full_come_back.as_secs_f64() * 1000.0;
+                            let soon = self.limits.downstream.rejected_retry_after.as_secs_f64() * 1000.0;
                             (Some(Answer::Rejected(Some(soon))), false)
                         }
                         Err(Some(status)) => return self.reject(connection, standing, status).await,
@@ -360,7 +368,7 @@
                     let room = room && !connection.is_overrun();
                     let keep = keep && room && !self.stage.borrow().closes_after_answer();
                     let (status, fields, result) = self.codec.now().answer(&answer);
-                    large = result.len() > self.limits.ring;
+                    large = result.len() > self.limits.connection_buffer_bytes;
                     self.write(connection, status, keep, &fields, &result).await && keep
                 }
                 Err(Some(status)) => return self.reject(connection, standing, status).await,
@@ -374,7 +382,9 @@
                     standing.waits.set(Some(Instant::now()));
                     // Guards against a close over unread bytes, now or in a moment: what its client sent ahead, or
                     // just now, must not take what it has not got yet of its answer with it.
-                    connection.end(self.limits.tail_wait, self.limits.scrap).await;
+                    connection
+                        .end(self.limits.rest_of_message_timeout, self.limits.max_discarded_bytes)
+                        .await;
                 }
                 return;
             }
@@ -384,12 +394,15 @@
     /// Says what is wrong and ends the connection, for what may still come cannot be told apart.
     async fn reject(&self, connection: &mut Connection, standing: &Standing, status: u16) {
         tracing::debug!("request answered {status}");
-        let fields = self.codec.now().come_back(Some(self.limits.bad_come_back.as_secs_f64() * 1000.0));
+        let fields = self
+            .codec
+            .now()
+            .come_back(Some(self.limits.downstream.malformed_retry_after.as_secs_f64() * 1000.0));
         if self.write(connection, status, false, &fields, &[]).await {
             // A newcomer may wait for its end, and need not be turned away.
             standing.worked.set(false);
             standing.waits.set(Some(Instant::now()));
-            connection.end(self.limits.tail_wait, self.limits.scrap).await;
+            connection.end(self.limits.rest_of_message_timeout, self.limits.max_discarded_bytes).await;
         }
     }
 
@@ -403,7 +416,7 @@
     ) -> Goes {
         let head = http1::answer(status, body.len(), keep, fields);
         let parts: [&[u8]; 2] = [&head, body];
-        matches!(timeout(self.limits.client_wait, connection.write(&parts)).await, Ok(Ok(())))
+        matches!(timeout(self.limits.downstream.io_timeout, connection.write(&parts)).await, Ok(Ok(())))
     }
 
     /// Reads a request to its end.
@@ -429,7 +442,7 @@
                 Some(status)
             })?;
         }
-        let (mut body, most) = (BytesMut::new(), self.limits.body);
+        let (mut body, most) = (BytesMut::new(), self.limits.max_body_bytes);
         let whole = connection.body_so_far(&mut head.body, &mut body, most);
         if !whole.map_err(|bad| Some(bad.status()))? {
             // Guards against many that send long bodies at leisure; most come whole with their heads.
@@ -452,8 +465,8 @@
     ) -> Result<(Rc<InFlightRequest>, Instant), Option<u16>> {
         let (taken, id) = (Instant::now(), work.id.clone());
         let part = |margin: Duration, part: f64| left - margin.min(left.mul_f64(part));
-        let limit = taken + part(self.limits.answer_margin, 0.2);
-        let last = taken + part(self.limits.last_answer_margin, 0.1);
+        let limit = taken + part(self.limits.downstream.deadline_margin, 0.2);
+        let last = taken + part(self.limits.downstream.last_answer_margin, 0.1);
         if self.ids.borrow().contains(&id) {
             // Guards against a second copy: this very work unit is open, so a repeat promises nothing.
             return Err(Some(409));
@@ -516,7 +529,7 @@
                 return Ok(Some((recorded.unwrap_or(Answer::Failed), Some(request_id))));
             }
             Found::Open(joint) => {
-                let margin = self.limits.last_answer_margin.min(left.mul_f64(0.1));
+                let margin = self.limits.downstream.last_answer_margin.min(left.mul_f64(0.1));
                 (joint, None, Instant::now() + left - margin)
             }
             Found::New => {
--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -106,7 +106,11 @@
             codec,
             follow,
             registry: ExecutorRegistry::default(),
-            retention: EndpointRetention::new("", executors.limits.known, executors.limits.left_out),
+            retention: EndpointRetention::new(
+                "",
+                executors.limits.executor_bounds.max_retained,
+                executors.limits.executor_bounds.max_unretained_entries,
+            ),
             figures: Rc::default(),
             has_released: false,
             events,
@@ -125,7 +129,7 @@
 
     pub async fn run(mut self) {
         let (mut actions, mut batch, mut looked) = (Vec::new(), Vec::new(), self.clock.now());
-        let standstill = self.executors.limits.standstill.as_secs_f64() * 1000.0;
+        let standstill = self.executors.limits.stall_threshold.as_secs_f64() * 1000.0;
         loop {
             let wake = self.wake;
             let first = tokio::select! {
@@ -266,7 +270,9 @@
     /// What a work unit is told that was open when the node ended: one that was never sent may come again.
     fn last_answer(&self, attempts: u32) -> Answer {
         match attempts {
-            0 => Answer::Rejected(Some(self.executors.limits.full_come_back.as_secs_f64() * 1000.0)),
+            0 => Answer::Rejected(Some(
+                self.executors.limits.downstream.rejected_retry_after.as_secs_f64() * 1000.0,
+            )),
             _ => Answer::Failed,
         }
     }
@@ -359,7 +365,7 @@
 
     /// Takes entries that were selected; one for which there is no handle now waits until others are released.
     fn take_all(&mut self, entries: Vec<EndpointEntry>) -> Vec<Endpoint> {
-        let most = self.executors.limits.registered;
+        let most = self.executors.limits.executor_bounds.max_registered;
         let mut told = Vec::with_capacity(entries.len());
         for entry in entries {
             match self.registry.register_within(&entry.id, most) {
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -206,7 +206,7 @@
     /// Whether new work may be taken.
     pub fn is_ready(&self) -> bool {
         let ready = self.committer.check_ready(self.terms.slow_after);
-        let full = self.ledger.borrow().len() >= self.terms.most.min(self.limits.durable);
+        let full = self.ledger.borrow().len() >= self.terms.most.min(self.limits.max_durable_jobs);
         let why = ready.err().map(|error| error.to_string()).or(full.then(|| "it is full".to_string()));
         if self.failing.replace(why.is_some()) != why.is_some() {
             match &why {
@@ -444,7 +444,9 @@
             known.attempts.iter().enumerate().map(of).collect()
         };
         // What is past its limit already is answered by the module as well, a moment later.
-        let last = in_flight.deadline + self.limits.answer_margin + self.limits.times().connect_wait;
+        let last = in_flight.deadline
+            + self.limits.downstream.deadline_margin
+            + self.limits.timeouts().connect_timeout;
         spawn_local(self.clone().see_through(in_flight.clone(), self.joint(request_id), last));
         let _ = self.events.send(NodeEvent::RequestRecovered(in_flight, earlier)).await;
         Ok(())
--- a/crates/daemon/src/hot_restart/mod.rs
+++ b/crates/daemon/src/hot_restart/mod.rs
@@ -323,7 +323,7 @@
                 self.events.send(event).await.map_err(|_| ())?;
             }
             Message::Drained { drained, number } => {
-                crate::admin::drain(&self.lifecycle, self.limits.drain_settle, drained, true);
+                crate::admin::drain(&self.lifecycle, self.limits.admin.drain_settle_time, drained, true);
                 self.beside.say(Message::Acknowledged { number });
             }
             Message::Acknowledged { number } => self.beside.done(number),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -66,7 +66,7 @@
         _ => tracing::Level::INFO,
     };
     // Guards against a log that nobody reads: lines are dropped then, and the node serves on.
-    let log = NonBlockingBuilder::default().buffered_lines_limit(config::limits::LOG_LINES).lossy(true);
+    let log = NonBlockingBuilder::default().buffered_lines_limit(config::limits::LOG_QUEUE_LINES).lossy(true);
     let (log, written_at_the_end) = log.finish(std::io::stdout());
     tracing_subscriber::fmt()
         .with_max_level(level)
@@ -151,12 +151,12 @@
     file.fits(&settings)?;
     let peers =
         file.peers.clone().map(|p| GossipSocket::listen(p.listen, p.nodes, passed.is_some())).transpose()?;
-    let limits = Rc::new(Limits::of(&LimitInputs {
+    let limits = Rc::new(Limits::new(&LimitInputs {
         memory_mb: told.limits.memory_mb,
-        sockets: told.limits.sockets,
-        consul: file.lists.sources.contains(&DiscoverySource::Consul),
-        durable: file.durable.is_some(),
-        passed: passed.is_some(),
+        max_sockets: told.limits.sockets,
+        has_consul: file.lists.sources.contains(&DiscoverySource::Consul),
+        has_ledger: file.durable.is_some(),
+        has_inherited_socket: passed.is_some(),
         ..stated(&settings, &codec)
     }));
     let codec = Current::new(codec);
@@ -165,15 +165,17 @@
     let was_passed = passed.is_some();
     let listener = match passed {
         Some(listener) => listener,
-        None => listen(told.listen, limits.backlog).map_err(cannot(told.listen))?,
+        None => listen(told.listen, limits.listen_backlog).map_err(cannot(told.listen))?,
     };
-    let management = told.management.map(|at| listen(at, limits.backlog).map_err(cannot(at))).transpose()?;
+    let management =
+        told.management.map(|at| listen(at, limits.listen_backlog).map_err(cannot(at))).transpose()?;
     let address = listener.local_addr().map_err(|e| format!("cannot listen at {}: {e}", told.listen))?;
 
     let clock = Clock::start();
     let beside: Rc<SiblingProcess> = Rc::default();
     let place = was_passed.then(|| hot_restart::meeting_place(&told.name)).flatten();
-    let bounds = Bounds { executors: limits.listed, ids: 2 * limits.past_ids };
+    let bounds =
+        Bounds { executors: limits.executor_bounds.max_listed, ids: 2 * limits.downstream.max_completed_ids };
     let older = match &place {
         Some(place) => hot_restart::ask(place, &told.name, bounds).await,
         None => None,
@@ -185,7 +187,7 @@
         let entries = std::mem::take(&mut inherited.entries);
         told.known = Some(EndpointList { version: version.unwrap_or(0), full: true, entries, beyond: 0 });
     }
-    let (events, told_events) = mpsc::channel(limits.events);
+    let (events, told_events) = mpsc::channel(limits.event_queue_capacity);
     let lifecycle = Rc::new(Lifecycle::new());
     let follow: Rc<WatchRequests> = Rc::default();
     let executors = ExecutorPool::new(limits.clone(), codec.clone(), events.clone(), beside.clone());
@@ -229,7 +231,11 @@
         lifecycle.clone(),
     );
     driver.peers = peers.clone();
-    driver.retention = EndpointRetention::new(&told.name, limits.known, limits.left_out);
+    driver.retention = EndpointRetention::new(
+        &told.name,
+        limits.executor_bounds.max_retained,
+        limits.executor_bounds.max_unretained_entries,
+    );
     if let Some(peers) = peers {
         spawn_local(peers.receive(codec.clone(), events.clone()));
     }
@@ -254,7 +260,7 @@
     }
     let (discovery, followed) = watch::channel(told.discovery);
     let (consul, consul_wanted) = watch::channel(file.lists.consul.clone());
-    let merge = Rc::new(RefCell::new(EndpointMerge::new(limits.listed)));
+    let merge = Rc::new(RefCell::new(EndpointMerge::new(limits.executor_bounds.max_listed)));
     let retention = Retention::of_node(&told.name);
     for (place, source) in file.lists.sources.iter().enumerate() {
         let several = file.lists.sources.len() > 1;
@@ -301,9 +307,9 @@
         "{} listens at {}: {} clients, {} connections to executors, {} bytes held at most",
         told.name,
         address,
-        limits.clients,
-        limits.executors,
-        limits.held_bytes
+        limits.downstream.max_connections,
+        limits.upstream.max_connections,
+        limits.downstream.max_reserved_bytes
     );
     if let Some(listener) = management {
         let at = listener.local_addr().map_err(|e| format!("no address to be called at: {e}"))?;
@@ -331,7 +337,7 @@
     let retuned =
         ReloadTargets { catalog, limits: limits.clone(), codec: codec.clone(), events: events.clone() };
     spawn_local(told.reread(path, reread, discovery, own, retuned));
-    let unlisted = sleep(limits.ready_wait);
+    let unlisted = sleep(limits.cached_list_after);
     tokio::pin!(driver, unlisted);
     loop {
         tokio::select! {
@@ -409,7 +415,7 @@
     events: &mpsc::Sender<NodeEvent>,
     passed: bool,
 ) {
-    let (asked, times) = (Instant::now(), limits.times());
+    let (asked, times) = (Instant::now(), limits.timeouts());
     lifecycle
         .update(|facts| facts.shutdown = if passed { Shutdown::HandedOver } else { Shutdown::Requested });
     // Until then after the signal, or until nobody is connected. Guards against a connection that came up just
@@ -423,21 +429,21 @@
     };
     if passed {
         // Another process takes what still comes.
-        wait(times.linger).await;
+        wait(times.close_idle_after).await;
     } else {
         let mut staged = lifecycle.watch();
-        let _ = timeout(times.linger, staged.wait_for(|stage| stage.closes_idle())).await;
+        let _ = timeout(times.close_idle_after, staged.wait_for(|stage| stage.closes_idle())).await;
     }
     lifecycle.update(|facts| facts.shutdown = Shutdown::Closing);
-    wait(times.cut_after).await;
+    wait(times.cancel_after).await;
     if clients.connections() > 0 {
         let _ = events.send(NodeEvent::CancelInFlight).await;
-        wait(times.end_after).await;
+        wait(times.answer_open_after).await;
     }
     let left = clients.connections();
     if left > 0 {
         let _ = events.send(NodeEvent::ShutDown).await;
-        wait(times.end_after + limits.last_words).await;
+        wait(times.answer_open_after + limits.last_write_timeout).await;
     }
     tracing::info!("ended with {left} connections still open");
 }
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -80,7 +80,7 @@
 impl Counted {
     /// Whether a second answer to the last allocation that it carried would have come by now.
     fn is_clear(&self, limits: &Limits) -> bool {
-        self.answered.is_none_or(|at| at.elapsed() >= limits.second_answer)
+        self.answered.is_none_or(|at| at.elapsed() >= limits.upstream.duplicate_response_window)
     }
 }
 
@@ -141,7 +141,7 @@
     fn take_idle(&self, limits: &Limits, clear: bool) -> Option<Counted> {
         let mut idle = self.idle.borrow_mut();
         let usable =
-            |idle: &Idle| idle.since.elapsed() < limits.times().retire_after && idle.connection.quiet();
+            |idle: &Idle| idle.since.elapsed() < limits.timeouts().max_pooled_idle && idle.connection.quiet();
         idle.retain(usable);
         let at = idle.iter().rposition(|idle| !clear || idle.connection.is_clear(limits))?;
         Some(idle.remove(at).connection)
@@ -155,7 +155,7 @@
         events: mpsc::Sender<NodeEvent>,
         beside: Rc<SiblingProcess>,
     ) -> Rc<Self> {
-        let rings = ByteBudget::new(limits.executors * 2 * limits.ring);
+        let rings = ByteBudget::new(limits.upstream.max_connections * 2 * limits.connection_buffer_bytes);
         let (hosts, open) = (RefCell::default(), Rc::default());
         Rc::new(ExecutorPool { limits, codec, events, beside, hosts, open, rings })
     }
@@ -191,7 +191,7 @@
     pub fn shut(&self, executor: ExecutorId) {
         let Some(host) = self.host(executor) else { return };
         if host.shut.get().is_none() {
-            host.shut.set(Some(Instant::now() + self.limits.times().drain_wait));
+            host.shut.set(Some(Instant::now() + self.limits.timeouts().drained_dispatch_grace));
             host.shut_set.notify_waiters();
         }
     }
@@ -258,11 +258,13 @@
         self.open.set(self.open.get() + 1);
         let (life, open) = (host.life.get(), self.open.clone());
         let mut made = Counted { connection: None, life, answered: None, open };
-        match timeout(self.limits.times().connect_wait, TcpStream::connect(addr)).await {
+        match timeout(self.limits.timeouts().connect_timeout, TcpStream::connect(addr)).await {
             Ok(Ok(stream)) => {
                 // What the system holds cannot be taken back from an executor that reads slowly.
-                let _ = socket2::SockRef::from(&stream).set_send_buffer_size(self.limits.ring);
-                made.connection = Some(Connection::new(stream, self.limits.ring, &self.rings));
+                let _ =
+                    socket2::SockRef::from(&stream).set_send_buffer_size(self.limits.connection_buffer_bytes);
+                made.connection =
+                    Some(Connection::new(stream, self.limits.connection_buffer_bytes, &self.rings));
                 Ok(made)
             }
             _ => Err(Outcome::NoConnection),
@@ -288,10 +290,10 @@
     /// Guards against connections that stand idle until the executor closes them under a request.
     pub async fn retire_idle(self: Rc<Self>) {
         loop {
-            sleep((self.limits.times().retire_after / 8).max(RETIRE_APART)).await;
+            sleep((self.limits.timeouts().max_pooled_idle / 8).max(RETIRE_APART)).await;
             for host in self.hosts.borrow().values() {
                 let keeps = |idle: &Idle| {
-                    idle.since.elapsed() < self.limits.times().retire_after
+                    idle.since.elapsed() < self.limits.timeouts().max_pooled_idle
                         && idle.connection.quiet()
                         && !host.is_shut()
                 };
@@ -327,9 +329,9 @@
         }
         let _ = self.events.send(ended(outcome)).await;
         if let Some((mut connection, mut head)) = rest {
-            let (mut scrap, most) = (BytesMut::new(), self.limits.body);
+            let (mut scrap, most) = (BytesMut::new(), self.limits.max_body_bytes);
             let end = connection.body(&mut head.body, &mut scrap, most, false);
-            if head.keep && matches!(timeout(self.limits.tail_wait, end).await, Ok(Ok(true))) {
+            if head.keep && matches!(timeout(self.limits.rest_of_message_timeout, end).await, Ok(Ok(true))) {
                 self.put_back(&host, connection);
             }
         }
@@ -343,7 +345,7 @@
         recorded: &mut Option<Lease>,
     ) -> (Outcome, Option<(Counted, ResponseHead)>) {
         let in_flight = &push.in_flight;
-        let most = self.limits.executors - (self.limits.executors / 16).max(1);
+        let most = self.limits.upstream.max_connections - (self.limits.upstream.max_connections / 16).max(1);
         // Guards against a late second answer that names no work unit and says that nothing ran: it must not
         // speak for what may not run twice.
         let rerunnable = self.codec.now().effect(in_flight.request.class) == Some(Effect::Idempotent);
@@ -381,7 +383,7 @@
         let now = Instant::now();
         // Guards against a node that stood still: what it decided before may have been overtaken by news
         // that it has not read yet.
-        let stood = now - push.decided > self.limits.times().connect_wait + self.limits.standstill;
+        let stood = now - push.decided > self.limits.timeouts().connect_timeout + self.limits.stall_threshold;
         // Guards against work for a start that has passed: while it waited to be carried out, or connected, the
         // list may have told of another start or address, whose cold budget knows nothing of it.
         let other = host.life.get() != push.life;
@@ -467,7 +469,7 @@
         }
         let (mut buffer, mut begun) = (BytesMut::new(), false);
         // A result is at most a body, but JSON may write it longer.
-        let most = 2 * self.limits.body;
+        let most = 2 * self.limits.max_body_bytes;
         loop {
             let ended = connection.body(&mut head.body, &mut buffer, most, true).await?;
             while let Some(line) = protocol::next_line(&mut buffer, ended) {
@@ -544,7 +546,7 @@
                 biased;
                 () = in_flight.over() => return None,
                 () = sleep_until(in_flight.deadline) => return None,
-                fate = timeout(self.limits.times().probe_wait, self.ask_fence(host, in_flight, lease)) => fate.ok().flatten(),
+                fate = timeout(self.limits.timeouts().probe_timeout, self.ask_fence(host, in_flight, lease)) => fate.ok().flatten(),
             };
             match fate {
                 Some(AttemptFate::Never) if lease.fenced() => return Some(Outcome::NoConnection),
@@ -568,12 +570,12 @@
         in_flight: &InFlightRequest,
         lease: &Lease,
     ) -> Option<AttemptFate> {
-        let mut connection = self.connect(host, self.limits.executors, false).await.ok()?;
+        let mut connection = self.connect(host, self.limits.upstream.max_connections, false).await.ok()?;
         let ask = self.codec.now().fence(&in_flight.request.id, lease.fence, lease.age(), host.addr.get()?);
         connection.write(&[&ask]).await.ok()?;
         let mut head = connection.answer_head().await.ok()?;
         let mut body = BytesMut::new();
-        connection.body(&mut head.body, &mut body, 2 * self.limits.body, false).await.ok()?;
+        connection.body(&mut head.body, &mut body, 2 * self.limits.max_body_bytes, false).await.ok()?;
         let fate = protocol::fate(&head, &body);
         if head.keep {
             self.put_back(host, connection);
@@ -585,7 +587,7 @@
     pub async fn probe(self: Rc<Self>, executor: ExecutorId) {
         let start = Instant::now();
         let answer = match self.host(executor) {
-            Some(host) => timeout_at(start + self.limits.times().probe_wait, self.ask(&host)).await,
+            Some(host) => timeout_at(start + self.limits.timeouts().probe_timeout, self.ask(&host)).await,
             None => Ok(None),
         };
         if answer.is_err() {
@@ -594,7 +596,7 @@
         }
         let latency = start.elapsed();
         // Guards against a node that stood still: an answer that waited for it says nothing of now.
-        let is_late = latency > self.limits.times().probe_wait + self.limits.standstill;
+        let is_late = latency > self.limits.timeouts().probe_timeout + self.limits.stall_threshold;
         let report = answer.ok().flatten().filter(|_| !is_late);
         let latency = latency.as_secs_f64() * 1000.0;
         let reply = report.map(|report| ProbeReply { latency, report });
@@ -603,12 +605,12 @@
     }
 
     async fn ask(&self, host: &Host) -> Option<LoadReport> {
-        let mut connection = self.connect(host, self.limits.executors, false).await.ok()?;
+        let mut connection = self.connect(host, self.limits.upstream.max_connections, false).await.ok()?;
         let ask = self.codec.now().probe(host.addr.get()?);
         connection.write(&[ask.as_bytes()]).await.ok()?;
         let mut head = connection.answer_head().await.ok()?;
         let mut body = BytesMut::new();
-        connection.body(&mut head.body, &mut body, self.limits.ring, false).await.ok()?;
+        connection.body(&mut head.body, &mut body, self.limits.connection_buffer_bytes, false).await.ok()?;
         let reading = (head.status == 200).then(|| self.codec.now().reading(&head, &body));
         if head.keep {
             self.put_back(host, connection);
--- a/crates/daemon/tests/unit/downstream.rs
+++ b/crates/daemon/tests/unit/downstream.rs
@@ -6,8 +6,8 @@
 #[tokio::test(start_paused = true)]
 async fn half_sent_requests_time_out_and_idle_connections_end() {
     let (_, codec) = Codec::of_one_type(5_000_000);
-    let stated = crate::config::limits::LimitInputs { memory_mb: 64, sockets: 128, ..Default::default() };
-    let limits = Rc::new(Limits::of(&stated));
+    let stated = crate::config::limits::LimitInputs { memory_mb: 64, max_sockets: 128, ..Default::default() };
+    let limits = Rc::new(Limits::new(&stated));
     let (events, mut told) = mpsc::channel(16);
     let lifecycle = crate::lifecycle::Lifecycle::new();
     lifecycle.update(|facts| facts.is_listed = true);
@@ -55,8 +55,8 @@
 
 async fn before_the_list(comes: bool) {
     let (_, codec) = Codec::of_one_type(5_000_000);
-    let stated = crate::config::limits::LimitInputs { memory_mb: 64, sockets: 128, ..Default::default() };
-    let limits = Rc::new(Limits::of(&stated));
+    let stated = crate::config::limits::LimitInputs { memory_mb: 64, max_sockets: 128, ..Default::default() };
+    let limits = Rc::new(Limits::new(&stated));
     let (events, mut told) = mpsc::channel(16);
     let lifecycle = crate::lifecycle::Lifecycle::new();
     let clients =
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -26,8 +26,9 @@
 impl Rig {
     fn new(memory_mb: u64) -> Self {
         let (settings, codec) = Codec::of_one_type(HARD_LIMIT.as_micros() as u64);
-        let limits = Rc::new(Limits::of(&LimitInputs { memory_mb, sockets: 1024, ..LimitInputs::default() }));
-        let (events, told) = mpsc::channel(limits.events);
+        let limits =
+            Rc::new(Limits::new(&LimitInputs { memory_mb, max_sockets: 1024, ..LimitInputs::default() }));
+        let (events, told) = mpsc::channel(limits.event_queue_capacity);
         let executors = ExecutorPool::new(limits, codec.clone(), events, Rc::default());
         let clock = Clock::start();
         let dispatcher = Dispatcher::new(&settings, 1, clock.now());
@@ -308,7 +309,8 @@
 #[tokio::test]
 async fn work_that_comes_once_the_node_ends_is_answered_at_once() {
     let (settings, codec) = Codec::of_one_type(5_000_000);
-    let limits = Rc::new(Limits::of(&LimitInputs { memory_mb: 64, sockets: 128, ..LimitInputs::default() }));
+    let limits =
+        Rc::new(Limits::new(&LimitInputs { memory_mb: 64, max_sockets: 128, ..LimitInputs::default() }));
     let (events, told) = mpsc::channel(16);
     let executors = ExecutorPool::new(limits, codec.clone(), events, Rc::default());
     let clock = Clock::start();
--- a/crates/daemon/tests/unit/lib.rs
+++ b/crates/daemon/tests/unit/lib.rs
@@ -17,8 +17,12 @@
     use std::io::{Read, Write};
     let (_, codec) = Codec::of_one_type(100_000);
     let longest = Duration::from_millis(100);
-    let limits =
-        Rc::new(Limits::of(&LimitInputs { memory_mb: 64, sockets: 128, longest, ..LimitInputs::default() }));
+    let limits = Rc::new(Limits::new(&LimitInputs {
+        memory_mb: 64,
+        max_sockets: 128,
+        max_deadline: longest,
+        ..LimitInputs::default()
+    }));
     let (events, mut told) = mpsc::channel(16);
     let lifecycle = Lifecycle::new();
     lifecycle.update(|facts| facts.is_listed = true);
--- a/crates/daemon/tests/unit/limits.rs
+++ b/crates/daemon/tests/unit/limits.rs
@@ -1,92 +1,107 @@
-//! Sizes, counts and times, for what deployments state.
+//! Limits for several deployments: memory, the steps of a shutdown, and the time until a list update is applied.
 use super::*;
 
 #[test]
-fn connections_and_memory_stay_within_what_is_stated() {
+fn connections_and_memory_stay_within_the_deployment() {
     let sizes = [(192, 1024), (16, 64), (64, 100_000), (2048, 4096), (32, 1024), (48, 1024), (0, 0)];
-    let each = |size| (0..8).map(move |with| (size, [1, 2, 4].map(|bit| with & bit != 0)));
-    for ((memory_mb, sockets), [consul, durable, passed]) in sizes.into_iter().flat_map(each) {
-        let l = Limits::of(&LimitInputs {
+    let variants = |size| (0..8).map(move |bits| (size, [1, 2, 4].map(|bit| bits & bit != 0)));
+    for ((memory_mb, max_sockets), [has_consul, has_ledger, has_inherited_socket]) in
+        sizes.into_iter().flat_map(variants)
+    {
+        let limits = Limits::new(&LimitInputs {
             memory_mb,
-            sockets,
-            consul,
-            durable,
-            passed,
+            max_sockets,
+            has_consul,
+            has_ledger,
+            has_inherited_socket,
             ..LimitInputs::default()
         });
-        let connections = l.clients + l.turned_away + l.executors;
-        assert!(connections as u64 + SPARE <= sockets.max(64), "{l:?}");
-        // Open work units, bodies on their way in, results; rings; ids, a list, and the executors known.
-        let bodies = l.held_bytes + 2 * l.slow_bodies * l.body + 2 * l.executors * l.body;
-        let clients_rings = l.clients * 2 * FIRST + l.client_rings;
-        let rings = clients_rings + l.executors * l.ring * 2;
-        // What each of two processes keeps for itself; the ledger is held by one of them.
-        let own = l.past_ids * 24
-            + l.callers * l.call_ring * 2
-            + l.turned_away * 2 * FIRST
-            // Measured: see [`EXECUTOR_BYTES`]. Entries that are left out, and a share that is not released yet.
-            + l.known * EXECUTOR_BYTES
-            + (l.registered - l.known) * RELEASED_BYTES
-            + l.left_out * LEFT_OUT_BYTES
-            + if consul { l.list_answer + l.known * CONSUL_MEMBER_BYTES } else { l.list_text };
-        let ledger = if durable { l.durable * DURABLE_BYTES } else { 0 };
-        let held = bodies + rings + ledger + if passed { 2 * own } else { own };
-        assert!(held <= memory_mb.max(16) as usize * 1024 * 1024 * 9 / 10, "{held} {l:?}");
-        assert!(l.clients > 0 && l.turned_away > 0 && l.executors > 0);
-        // What was held for each executor before it was measured, and the bound that followed.
-        let before = memory_mb.max(16) as usize * 1024 * 1024 / if passed { 16_000 } else { 12_288 };
-        assert!(l.known * 100 >= before * 99, "{} of {before} {l:?}", l.known);
+        let Limits { downstream, upstream, discovery, admin, executor_bounds: bounds, .. } = &limits;
+        let connections =
+            downstream.max_connections + downstream.max_rejected_connections + upstream.max_connections;
+        assert!(connections as u64 + SPARE_DESCRIPTORS <= max_sockets.max(64), "{limits:?}");
+        let bodies = downstream.max_reserved_bytes
+            + 2 * downstream.max_partial_bodies * limits.max_body_bytes
+            + 2 * upstream.max_connections * limits.max_body_bytes;
+        let downstream_buffers = downstream.max_connections * 2 * FIRST + downstream.buffer_bytes;
+        let buffers = downstream_buffers + upstream.max_connections * limits.connection_buffer_bytes * 2;
+        // Each of two processes has these of its own; only one of them has the ledger open.
+        let per_process = downstream.max_completed_ids * 24
+            + admin.max_connections * admin.buffer_bytes * 2
+            + downstream.max_rejected_connections * 2 * FIRST
+            + bounds.max_retained * EXECUTOR_BYTES
+            + (bounds.max_registered - bounds.max_retained) * RELEASED_BYTES
+            + bounds.max_unretained_entries * UNRETAINED_ENTRY_BYTES
+            + if has_consul {
+                discovery.max_consul_answer_bytes + bounds.max_retained * CONSUL_MEMBER_BYTES
+            } else {
+                discovery.max_buffered_text_bytes
+            };
+        let ledger = if has_ledger { limits.max_durable_jobs * JOB_BYTES } else { 0 };
+        let processes = if has_inherited_socket { 2 } else { 1 };
+        let used = bodies + buffers + ledger + processes * per_process;
+        let memory = memory_mb.max(16) as usize * 1024 * 1024;
+        assert!(used <= memory * 9 / 10, "{used} {limits:?}");
+        assert!(downstream.max_connections > 0 && downstream.max_rejected_connections > 0);
+        assert!(upstream.max_connections > 0);
+        // At least one executor is retained for each 12 kB, or 16 kB with two processes.
+        let expected = memory / if has_inherited_socket { 16_000 } else { 12_288 };
+        assert!(bounds.max_retained * 100 >= expected * 99, "{expected} {limits:?}");
     }
 }
 
-/// 19,000 executors with a third to spare, entries of 171 bytes, and a list of one and a half times the bound.
+/// 19,000 executors with half as many to spare, entries of 171 bytes, and a list of one and a half times the bound.
 #[test]
-fn a_node_of_128_mb_holds_19_000_executors_with_a_third_to_spare() {
+fn a_node_of_128_mb_retains_19_000_executors_with_a_third_to_spare() {
     const FLEET: usize = 19_000;
     const ENTRY: usize = 171;
-    let stated = LimitInputs { memory_mb: 128, sockets: 1024, ..LimitInputs::default() };
-    let limits = Limits::of(&stated);
-    assert!(limits.known >= FLEET * 3 / 2, "{limits:?}");
-    assert!(limits.list_line >= limits.known * 3 / 2 * ENTRY, "{limits:?}");
-    // With any number of sockets, and where work is durable.
-    for (sockets, durable) in [(100_000, false), (1024, true), (100_000, true)] {
-        let limits = Limits::of(&LimitInputs { sockets, durable, ..stated.clone() });
-        assert!(limits.known >= FLEET, "{limits:?}");
+    let inputs = LimitInputs { memory_mb: 128, max_sockets: 1024, ..LimitInputs::default() };
+    let limits = Limits::new(&inputs);
+    let max_retained = limits.executor_bounds.max_retained;
+    assert!(max_retained >= FLEET * 3 / 2, "{limits:?}");
+    assert!(limits.discovery.max_list_bytes >= max_retained * 3 / 2 * ENTRY, "{limits:?}");
+    // With more sockets and with a ledger as well.
+    for (max_sockets, has_ledger) in [(100_000, false), (1024, true), (100_000, true)] {
+        let limits = Limits::new(&LimitInputs { max_sockets, has_ledger, ..inputs.clone() });
+        assert!(limits.executor_bounds.max_retained >= FLEET, "{limits:?}");
     }
 }
 
-/// A node that is asked to end is killed 700 ms after the longest limit, 3 s of it at most.
+/// The platform kills a node 700 ms after the longest deadline, of which 3 s count at most.
 #[test]
-fn the_stages_of_an_end_come_in_their_order_whatever_the_limits() {
+fn the_steps_of_a_shutdown_keep_their_order_with_any_deadline() {
     let ms = Duration::from_millis;
-    for longest in [0, 50, 100, 200, 300, 350, 400, 449, 450, 500, 649, 650, 1000, 2999, 3000, 20_000].map(ms)
+    for deadline in
+        [0, 50, 100, 200, 300, 350, 400, 449, 450, 500, 649, 650, 1000, 2999, 3000, 20_000].map(ms)
     {
-        let limits = Limits::of(&LimitInputs { longest, ..LimitInputs::default() });
-        let times = limits.times();
-        let ShutdownTimeouts { linger, cut_after, end_after, .. } = times;
-        assert!(linger >= ms(300) && linger >= longest.min(ms(650)), "{longest:?}: {times:?}");
-        // What came last before the door closed has a moment, and what is cut has one to be told of it.
-        assert!(cut_after >= linger + ms(100), "{longest:?}: {times:?}");
-        assert!(end_after >= cut_after + ms(100), "{longest:?}: {times:?}");
-        let killed = longest.min(ms(3000)) + ms(700);
-        assert!(end_after + limits.last_words + ms(100) <= killed, "{longest:?}: {times:?}");
+        let limits = Limits::new(&LimitInputs { max_deadline: deadline, ..LimitInputs::default() });
+        let timeouts = limits.timeouts();
+        let Timeouts { close_idle_after, cancel_after, answer_open_after, .. } = timeouts;
+        assert!(close_idle_after >= ms(300), "{deadline:?}: {timeouts:?}");
+        assert!(close_idle_after >= deadline.min(ms(650)), "{deadline:?}: {timeouts:?}");
+        // The last requests and the cancelled attempts each have 100 ms to be answered.
+        assert!(cancel_after >= close_idle_after + ms(100), "{deadline:?}: {timeouts:?}");
+        assert!(answer_open_after >= cancel_after + ms(100), "{deadline:?}: {timeouts:?}");
+        let killed_after = deadline.min(ms(3000)) + ms(700);
+        let written_after = answer_open_after + limits.last_write_timeout;
+        assert!(written_after + ms(100) <= killed_after, "{deadline:?}: {timeouts:?}");
     }
 }
 
-/// Discovery can be reached again at any moment of a call that then fails: what is left of that call, the wait before
-/// the next one, and the answer. `docs/design/crossings.md` has the sums.
+/// Discovery may become reachable again during a poll that still fails: the rest of that poll, the wait before the
+/// next one and its answer have to fit. `docs/design/crossings.md` has the sums.
 #[test]
-fn a_change_is_told_in_time_whatever_call_for_the_list_fails() {
-    let limits = Limits::of(&LimitInputs::default());
-    let (silence, opening) = (limits.list_silence, limits.list_opening);
+fn a_list_update_is_applied_in_time_whichever_poll_fails() {
+    let limits = Limits::new(&LimitInputs::default());
+    let (idle, opening) = (limits.discovery.watch_idle_timeout, limits.discovery.watch_open_timeout);
     let [first, second] = [200, 400].map(Duration::from_millis);
-    let ends = [
-        ("an opening in vain", opening + LIST_ASKED_WITHIN),
-        ("a refusal after a list that fell silent", silence + first + LIST_ASKED_WITHIN),
-        ("a head and then silence", opening + silence + first),
-        ("a list that fell silent and an opening in vain", silence + first + opening + second),
+    let cases = [
+        ("a failed opening", opening + MAX_POLL_INTERVAL),
+        ("a rejection after an idle watch", idle + first + MAX_POLL_INTERVAL),
+        ("a head and then an idle watch", opening + idle + first),
+        ("an idle watch and a failed opening", idle + first + opening + second),
     ];
-    for (what, took) in ends {
-        assert!(took <= Duration::from_millis(5900), "{what}: {took:?}");
+    for (case, elapsed) in cases {
+        assert!(elapsed <= Duration::from_millis(5900), "{case}: {elapsed:?}");
     }
 }
--- a/crates/daemon/tests/unit/platform.rs
+++ b/crates/daemon/tests/unit/platform.rs
@@ -31,10 +31,11 @@
 fn follower(at: SocketAddr) -> (Follower, mpsc::Receiver<NodeEvent>, watch::Sender<SocketAddr>) {
     let (_, codec) = Codec::of_one_type(5_000_000);
     let wait = Some(Duration::from_secs(3));
-    let stated = LimitInputs { memory_mb: 64, sockets: 128, connect_wait: wait, ..LimitInputs::default() };
+    let stated =
+        LimitInputs { memory_mb: 64, max_sockets: 128, connect_timeout: wait, ..LimitInputs::default() };
     let (events, heard) = mpsc::channel(16);
     let (moves, discovery) = watch::channel(at);
-    let limits = Rc::new(Limits::of(&stated));
+    let limits = Rc::new(Limits::new(&stated));
     let (told, ask, retention) =
         (EndpointUpdateSender::alone(events), Rc::default(), Retention::of_node("n0"));
     (Follower { discovery, limits, codec, told, ask, retention }, heard, moves)
--- a/crates/daemon/tests/unit/upstream.rs
+++ b/crates/daemon/tests/unit/upstream.rs
@@ -22,16 +22,16 @@
 fn executors_for(effect: &str, drain_grace: Duration) -> (Rc<ExecutorPool>, mpsc::Receiver<NodeEvent>) {
     let codec = Codec::of_effect(effect);
     let wait = Duration::from_secs(5);
-    let mut limits = Limits::of(&crate::config::limits::LimitInputs {
+    let mut limits = Limits::new(&crate::config::limits::LimitInputs {
         memory_mb: 64,
-        sockets: 128,
-        connect_wait: Some(wait),
-        executors_idle: Some(wait),
+        max_sockets: 128,
+        connect_timeout: Some(wait),
+        executor_idle_timeout: Some(wait),
         drain_grace: Some(drain_grace),
         ..Default::default()
     });
     // A test takes less.
-    limits.second_answer = wait;
+    limits.upstream.duplicate_response_window = wait;
     let (events, told) = mpsc::channel(16);
     (ExecutorPool::new(Rc::new(limits), codec, events, Rc::default()), told)
 }
@@ -214,7 +214,7 @@
     let (first, _) = listener(false);
     let (second, _) = listener(false);
     let [a, b] = [&first, &second].map(|l| l.local_addr().unwrap());
-    let most = executors.limits.executors;
+    let most = executors.limits.upstream.max_connections;
     executors.listed(executor(), Some(a), Some(1.0), true);
     let host = executors.host_to_list(executor());
     // What happens while it is idle, and whether it is used again.
