--- a/crates/daemon/src/hot_restart/takeover.rs
+++ b/crates/daemon/src/hot_restart/takeover.rs
@@ -273,7 +273,11 @@
             }
             Message::Drained { drained, number } => {
                 let request = if drained { DrainRequest::Drain } else { DrainRequest::Resume };
-                self.lifecycle.request_drain(request, DrainOrigin::Sibling, self.limits.drain_settle);
+                self.lifecycle.request_drain(
+                    request,
+                    DrainOrigin::Sibling,
+                    self.limits.admin.drain_settle_time,
+                );
                 self.sibling.send(Message::Acknowledged { number });
             }
             Message::Acknowledged { number } => self.sibling.acknowledge(number),
