--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -54,9 +54,11 @@
         for path in &self.files {
             let is_json = path.extension().is_some_and(|e| e == "json");
             let checked = match is_json {
-                true => troutknot_daemon::check(path),
+                true => troutknot_daemon::check(path).map_err(|error| error.to_string()),
                 false if is_scale_file(path) => scale_file(path).map(|_| ()),
-                false if is_own(path) => troutknot_daemon::check_own(path),
+                false if is_own(path) => {
+                    troutknot_daemon::check_operator_file(path).map_err(|error| error.to_string())
+                }
                 false => scenario(path).map(|_| ()),
             };
             match checked {
--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -9,6 +9,7 @@
 use crate::membership::Membership;
 use crate::protocol::{Codec, Current, EndpointEntry};
 use crate::retention::{EndpointRetention, RetainedEntries, RetentionChange, RetentionStatistics};
+use crate::tasks::TaskGroup;
 use crate::upstream::{DispatchOrder, ExecutorPool};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -53,6 +54,33 @@
     pushed: Option<(ExecutorId, Instant)>,
 }
 
+/// What a [`Driver`] is connected with.
+pub struct DriverConfig {
+    /// Decides what is done.
+    pub dispatcher: Dispatcher,
+    /// The clock of the dispatcher.
+    pub clock: Clock,
+    /// Translates between names and ids.
+    pub codec: Rc<Current<Codec>>,
+    /// Carries out attempts and probes.
+    pub executors: Rc<ExecutorPool>,
+    /// Asks for the endpoint list to be watched.
+    pub watch_requests: Rc<WatchRequests>,
+    /// The events to handle.
+    pub events: mpsc::Receiver<NodeEvent>,
+    /// Receives that a list has arrived.
+    pub lifecycle: Rc<Lifecycle>,
+    /// The other process of this node, if one runs.
+    pub sibling: Rc<SiblingProcess>,
+    /// Chooses the executors that are retained.
+    pub retention: EndpointRetention,
+    /// Sends gossip, if the node has peers.
+    pub gossip: Option<Rc<GossipSocket>>,
+    /// Owns the tasks of attempts and probes.
+    pub tasks: TaskGroup,
+}
+
+/// Owns the dispatcher, and runs it.
 pub struct Driver {
     dispatcher: Dispatcher,
     clock: Clock,
@@ -61,9 +89,9 @@
     follow: Rc<WatchRequests>,
     registry: ExecutorRegistry,
     /// Which of the listed executors are kept.
-    pub retention: EndpointRetention,
+    retention: EndpointRetention,
     /// How many these are, where operators ask.
-    pub figures: Rc<Cell<RetentionStatistics>>,
+    figures: Rc<Cell<RetentionStatistics>>,
     /// Executors were released since those left out were looked at.
     has_released: bool,
     events: mpsc::Receiver<NodeEvent>,
@@ -72,7 +100,8 @@
     beside: Rc<SiblingProcess>,
     membership: Membership,
     /// The other nodes, where the settings let nodes talk.
-    pub peers: Option<Rc<GossipSocket>>,
+    peers: Option<Rc<GossipSocket>>,
+    tasks: TaskGroup,
     open: BTreeMap<RequestId, OpenRequest>,
     wake: Option<Instant>,
     out_of_time: bool,
@@ -83,34 +112,24 @@
 }
 
 impl Driver {
-    pub fn new(
-        dispatcher: Dispatcher,
-        clock: Clock,
-        codec: Rc<Current<Codec>>,
-        executors: Rc<ExecutorPool>,
-        follow: Rc<WatchRequests>,
-        events: mpsc::Receiver<NodeEvent>,
-        lifecycle: Rc<Lifecycle>,
-    ) -> Self {
+    /// Creates a driver that knows no executors yet.
+    pub fn new(config: DriverConfig) -> Self {
         Driver {
-            dispatcher,
-            clock,
-            codec,
-            follow,
+            dispatcher: config.dispatcher,
+            clock: config.clock,
+            codec: config.codec,
+            executors: config.executors,
+            follow: config.watch_requests,
             registry: ExecutorRegistry::default(),
-            retention: EndpointRetention::new(
-                "",
-                executors.limits.executor_bounds.max_retained,
-                executors.limits.executor_bounds.max_unretained_entries,
-            ),
+            retention: config.retention,
             figures: Rc::default(),
             has_released: false,
-            events,
-            lifecycle,
-            beside: executors.beside.clone(),
-            executors,
+            events: config.events,
+            lifecycle: config.lifecycle,
+            beside: config.sibling,
             membership: Membership::default(),
-            peers: None,
+            peers: config.gossip,
+            tasks: config.tasks,
             open: BTreeMap::new(),
             wake: None,
             out_of_time: false,
@@ -119,6 +138,11 @@
         }
     }
 
+    /// How many executors are listed and retained, kept up to date.
+    pub fn retention_statistics(&self) -> Rc<Cell<RetentionStatistics>> {
+        self.figures.clone()
+    }
+
     pub async fn run(mut self) {
         let (mut actions, mut batch, mut looked) = (Vec::new(), Vec::new(), self.clock.now());
         let standstill = self.executors.limits.stall_threshold.as_secs_f64() * 1000.0;
@@ -148,7 +172,7 @@
             let now = self.clock.now();
             looked = now;
             for event in batch.drain(..) {
-                self.tell(now, event);
+                self.handle_event(now, event);
             }
             loop {
                 self.dispatcher.poll_actions(now, &mut actions);
@@ -164,7 +188,7 @@
         }
     }
 
-    pub fn tell(&mut self, now: Millis, event: NodeEvent) {
+    pub fn handle_event(&mut self, now: Millis, event: NodeEvent) {
         let told = match event {
             NodeEvent::RequestArrived(in_flight) => {
                 if in_flight.is_over() {
@@ -272,7 +296,7 @@
     /// Tells of a work unit from an earlier life: its arrival, then each allocation and its end, as far as known.
     fn recovered(&mut self, now: Millis, in_flight: Rc<InFlightRequest>, earlier: Vec<RecoveredAttempt>) {
         let request_id = in_flight.request_id;
-        self.tell(now, NodeEvent::RequestArrived(in_flight.clone()));
+        self.handle_event(now, NodeEvent::RequestArrived(in_flight.clone()));
         let Some(open) = self.open.get_mut(&request_id) else { return };
         open.attempts = earlier.len() as u32;
         for (number, RecoveredAttempt { executor: name, sent_at, outcome, fence }) in
@@ -290,7 +314,7 @@
                     let lease = Lease::new(durable.clone(), request_id, attempt_id, fence, sent_at);
                     let settled =
                         self.executors.clone().settle(in_flight.clone(), executor, attempt_id, lease);
-                    tokio::task::spawn_local(settled);
+                    self.tasks.spawn(settled);
                 }
                 // Requests are recovered from the ledger alone.
                 (None, None) => {}
@@ -477,7 +501,7 @@
     }
 
     /// Begins with what a process before this one knew; the list was told.
-    pub fn take_over(&mut self, now: Millis, inherited: Inherited) {
+    pub fn import_state(&mut self, now: Millis, inherited: Inherited) {
         let codec = self.codec.now();
         let classes = codec.taken_types().map(|(_, class)| class.0 as usize + 1).max().unwrap_or(0);
         let mut class_running_times = vec![ObservedMean::default(); classes];
@@ -531,7 +555,7 @@
     }
 
     /// Who is out by hand from the start.
-    pub fn leave_out(&mut self, out: BTreeSet<String>) {
+    pub fn exclude(&mut self, out: BTreeSet<String>) {
         self.membership.import_excluded(out);
     }
 
@@ -565,7 +589,7 @@
                     send_deadline,
                     stop,
                 };
-                tokio::task::spawn_local(self.executors.clone().allocate(push));
+                self.tasks.spawn(self.executors.clone().allocate(push));
             }
             Action::Cancel { request_id, attempt_id } => {
                 let stop = self.open.get(&request_id).and_then(|open| open.stops.get(attempt_id.0 as usize));
@@ -577,7 +601,7 @@
             Action::Fail { request_id } => self.finish(request_id, Answer::Failed),
             Action::Probe { executor } => {
                 tracing::debug!("probe: {}", self.name(executor));
-                tokio::task::spawn_local(self.executors.clone().probe(executor));
+                self.tasks.spawn(self.executors.clone().probe(executor));
             }
             Action::SetTimer { at } => {
                 let at = self.clock.instant_of(at);
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -11,20 +11,21 @@
 use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
 use crate::lifecycle::LifecycleState;
 use crate::protocol::{Codec, Current};
+use crate::tasks::TaskGroup;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::fmt::Write;
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
-use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use troutknot::{AttemptId, Effect, Millis, RequestId};
 use troutknot_clock::Clock;
-use troutknot_ledger::committer::{Committer, NotWritten, ReadError, SyncMode};
+use troutknot_ledger::committer::{Committer, NotWritten, ReadError, StartError, SyncMode};
 use troutknot_ledger::store::Store;
 use troutknot_ledger::{Answer as RecordedAnswer, AttemptStatus, Digest, Ledger, Record, Row};
 
@@ -36,6 +37,33 @@
 /// What is open from before and has no room yet is tried again after so long.
 const ROOM_AGAIN: Duration = Duration::from_millis(20);
 
+/// Why the ledger cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum DurableError {
+    /// The ledger cannot be opened or read.
+    #[error("ledger `{}`: {source}", path.display())]
+    Open {
+        /// The ledger's file.
+        path: PathBuf,
+        /// What went wrong.
+        source: StartError,
+    },
+}
+
+/// What [`Durable`] is connected with.
+pub struct DurableConnections {
+    /// Bounds the number of jobs on record, and timeouts.
+    pub limits: Rc<Limits>,
+    /// The clock of the node.
+    pub clock: Clock,
+    /// Translates between names and ids.
+    pub codec: Rc<Current<Codec>>,
+    /// Reaches the driver.
+    pub events: mpsc::Sender<NodeEvent>,
+    /// Owns the tasks that wait for answers.
+    pub tasks: TaskGroup,
+}
+
 pub struct Durable {
     pub terms: DurableConfig,
     limits: Rc<Limits>,
@@ -44,6 +72,7 @@
     offset: Millis,
     codec: Rc<Current<Codec>>,
     events: mpsc::Sender<NodeEvent>,
+    tasks: TaskGroup,
     committer: Committer,
     ledger: RefCell<Ledger>,
     /// Work units whose answer is not on record yet.
@@ -120,17 +149,12 @@
 }
 
 impl Durable {
-    /// Opens the ledger and reads what is on it.
+    /// Opens the ledger and reads its index.
     ///
     /// # Errors
-    /// One line that says why it cannot be used.
-    pub fn start(
-        terms: DurableConfig,
-        limits: &Rc<Limits>,
-        clock: Clock,
-        codec: &Rc<Current<Codec>>,
-        events: &mpsc::Sender<NodeEvent>,
-    ) -> Result<Rc<Self>, String> {
+    /// If the ledger cannot be opened or read.
+    pub fn open(terms: DurableConfig, connections: DurableConnections) -> Result<Rc<Self>, DurableError> {
+        let DurableConnections { limits, clock, codec, events, tasks } = connections;
         let max_attempts = codec.now().max_attempts().clamp(1, 3);
         let path = terms.path.clone();
         let open = Box::new({
@@ -143,7 +167,8 @@
         };
         let began = Instant::now();
         let opened = Committer::start(open, sync_mode, max_attempts);
-        let (committer, ledger) = opened.map_err(|why| format!("ledger `{}`: {why}", path.display()))?;
+        let (committer, ledger) =
+            opened.map_err(|source| DurableError::Open { path: path.clone(), source })?;
         let mut before: Vec<(u64, RequestId)> =
             ledger.open_jobs().map(|(request_id, of)| (of.deadline.max(0.0).to_bits(), request_id)).collect();
         before.sort_unstable();
@@ -159,11 +184,12 @@
             began.elapsed().as_secs_f64() * 1000.0
         );
         Ok(Rc::new(Durable {
-            limits: limits.clone(),
+            limits,
             clock,
             offset,
-            codec: codec.clone(),
-            events: events.clone(),
+            codec,
+            events,
+            tasks,
             committer,
             ledger: RefCell::new(ledger),
             joints: RefCell::default(),
@@ -284,7 +310,7 @@
             self.publish(request_id, &joint, come_back.clone());
             return Err(come_back);
         }
-        spawn_local(self.clone().see_through(in_flight.clone(), joint.clone(), last));
+        self.tasks.spawn(self.clone().see_through(in_flight.clone(), joint.clone(), last));
         Ok(joint)
     }
 
@@ -447,13 +473,13 @@
         let last = in_flight.deadline
             + self.limits.downstream.deadline_margin
             + self.limits.timeouts().connect_timeout;
-        spawn_local(self.clone().see_through(in_flight.clone(), self.joint(request_id), last));
+        self.tasks.spawn(self.clone().see_through(in_flight.clone(), self.joint(request_id), last));
         let _ = self.events.send(NodeEvent::RequestRecovered(in_flight, earlier)).await;
         Ok(())
     }
 
     /// Forgets what was answered for as long as it is kept.
-    pub async fn forget(self: Rc<Self>) {
+    pub async fn forget_answered(self: Rc<Self>) {
         loop {
             sleep(FORGET_EVERY).await;
             let then = self.now() - self.terms.kept.as_secs_f64() * 1000.0;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,12 +1,13 @@
-//! `troutknotd`: one real node, as a program.
+//! `troutknotd`: runs one node with the configuration that `ROUTER_CONFIG` names.
 use std::process::ExitCode;
+use troutknot_daemon::{log_to_stdout, path_from_environment, start};
 
 fn main() -> ExitCode {
-    let _log = troutknot_daemon::log_to_stdout();
-    match troutknot_daemon::path_from_environment().and_then(|path| troutknot_daemon::start(&path)) {
+    let _log = log_to_stdout();
+    match path_from_environment().and_then(|path| start(&path)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("troutknotd: {what}");
+        Err(error) => {
+            eprintln!("troutknotd: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/daemon/src/node/discovery.rs
@@ -0,0 +1,107 @@
+//! Starts the sources of the endpoint list that the operator's file names.
+use super::Shared;
+use super::startup::Configuration;
+use crate::config::operator::{Consul, DiscoverySource};
+use crate::discovery::merge::EndpointMerge;
+use crate::discovery::{EndpointUpdateSender, consul, platform};
+use crate::protocol::{EndpointEntry, EndpointList};
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::watch;
+use troutknot::ListUpdate;
+use troutknot_membership::Retention;
+
+/// The endpoint list that the node starts with.
+#[derive(Default)]
+pub struct CachedList {
+    version: Option<u64>,
+    /// Empty if the platform is the only source: its watch continues from the version alone.
+    entries: Vec<EndpointEntry>,
+}
+
+impl CachedList {
+    /// What the sources need to know of the list that the node starts with.
+    pub fn of(known: &EndpointList, sources: &[DiscoverySource]) -> Self {
+        let is_platform_only = sources == [DiscoverySource::Platform];
+        let entries = if is_platform_only { Vec::new() } else { known.entries.clone() };
+        CachedList { version: Some(known.version), entries }
+    }
+}
+
+/// Changes the sources while the node runs, when its configuration is reloaded.
+pub struct DiscoveryControls {
+    /// The address of the platform's discovery service.
+    pub platform: watch::Sender<SocketAddr>,
+    /// The operator's configuration of Consul, if the file still names it.
+    pub consul: watch::Sender<Option<Consul>>,
+}
+
+/// Starts a task for each source. Updates of several sources are merged.
+pub fn start(configuration: &Configuration, shared: &Shared, cached: CachedList) -> DiscoveryControls {
+    let lists = &configuration.operator.lists;
+    let controls = DiscoveryControls {
+        platform: watch::Sender::new(configuration.node.discovery),
+        consul: watch::Sender::new(lists.consul.clone()),
+    };
+    let merge = Rc::new(RefCell::new(EndpointMerge::new(shared.limits.executor_bounds.max_listed)));
+    let is_merged = lists.sources.len() > 1;
+    for (position, source) in lists.sources.iter().enumerate() {
+        let sender = match is_merged {
+            true => EndpointUpdateSender::among(shared.events.clone(), position, &merge),
+            false => EndpointUpdateSender::alone(shared.events.clone()),
+        };
+        match source {
+            DiscoverySource::Platform => {
+                if is_merged {
+                    // The watch continues from the cached version, whose entries the driver already has.
+                    let entries = cached.entries.clone();
+                    let _ = merge.borrow_mut().take(position, ListUpdate::Snapshot, entries);
+                }
+                start_platform(&configuration.node.name, shared, &controls, sender, cached.version);
+            }
+            DiscoverySource::Consul => {
+                // With several sources, the platform's one retains the cached entries.
+                let entries = if is_merged { Vec::new() } else { cached.entries.clone() };
+                start_consul(shared, &controls, sender, entries);
+            }
+        }
+    }
+    controls
+}
+
+fn start_platform(
+    node_name: &str,
+    shared: &Shared,
+    controls: &DiscoveryControls,
+    sender: EndpointUpdateSender,
+    version: Option<u64>,
+) {
+    let follower = platform::Follower {
+        discovery: controls.platform.subscribe(),
+        limits: shared.limits.clone(),
+        codec: shared.codec.clone(),
+        told: sender,
+        ask: shared.watch_requests.clone(),
+        retention: Retention::of_node(node_name),
+    };
+    // The watch begins at once, without a request of the dispatcher.
+    shared.watch_requests.changes.notify_one();
+    shared.tasks.spawn(follower.run(version));
+}
+
+fn start_consul(
+    shared: &Shared,
+    controls: &DiscoveryControls,
+    sender: EndpointUpdateSender,
+    cached_entries: Vec<EndpointEntry>,
+) {
+    let follower = consul::Follower {
+        limits: shared.limits.clone(),
+        clock: shared.clock,
+        told: sender,
+        wanted: controls.consul.subscribe(),
+        status: shared.discovery_status.clone(),
+    };
+    shared.tasks.spawn(follower.run(cached_entries));
+}
--- /dev/null
+++ b/crates/daemon/src/node/ledger.rs
@@ -0,0 +1,64 @@
+//! Opens the ledger of durable requests, which only one process at a time can have open.
+use super::Shared;
+use crate::config::operator::DurableConfig;
+use crate::downstream::DownstreamServer;
+use crate::durable::{Durable, DurableConnections, DurableError};
+use crate::upstream::ExecutorPool;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Interval between attempts to open a ledger that another process has open.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Opens the ledger and connects it with the parts that use it.
+pub struct LedgerOpener {
+    /// The operator's configuration of durable requests.
+    pub config: DurableConfig,
+    /// The values that the parts of the node share.
+    pub shared: Shared,
+    /// Takes durable requests once the ledger is open.
+    pub downstream: Rc<DownstreamServer>,
+    /// Records attempts once the ledger is open.
+    pub executors: Rc<ExecutorPool>,
+}
+
+impl LedgerOpener {
+    /// Opens the ledger. From then on durable requests are taken, and those that were open are recovered.
+    ///
+    /// # Errors
+    /// If the ledger cannot be opened, for instance because another process has it open.
+    pub fn open(&self) -> Result<(), DurableError> {
+        let durable = Durable::open(
+            self.config.clone(),
+            DurableConnections {
+                limits: self.shared.limits.clone(),
+                clock: self.shared.clock,
+                codec: self.shared.codec.clone(),
+                events: self.shared.events.clone(),
+                tasks: self.shared.tasks.clone(),
+            },
+        )?;
+        let _ = self.executors.durable.set(durable.clone());
+        self.downstream.open_ledger(durable.clone());
+        let reserved_bytes = self.downstream.held.clone();
+        self.shared.tasks.spawn(durable.clone().recover(self.shared.lifecycle.watch(), reserved_bytes));
+        self.shared.tasks.spawn(durable.forget_answered());
+        Ok(())
+    }
+
+    /// Opens the ledger once the old process has released it; until then durable requests are rejected.
+    pub async fn open_once_released(self) {
+        tracing::info!("durable requests rejected until the old process releases the ledger");
+        let mut last_error = String::new();
+        loop {
+            sleep(RETRY_INTERVAL).await;
+            let Err(error) = self.open() else { return };
+            let error = error.to_string();
+            if error != last_error {
+                tracing::info!(%error, "ledger not released yet");
+                last_error = error;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/node/startup.rs
@@ -0,0 +1,158 @@
+//! The first phases of a start: the configuration is read and resolved, and the sockets are opened.
+use crate::config::limits::{LimitInputs, Limits};
+use crate::config::node::{NodeConfig, ResolvedNodeConfig, stated};
+use crate::config::operator::{DiscoverySource, GossipConfig, OperatorFile};
+use crate::error::NodeError;
+use crate::gossip::GossipSocket;
+use crate::protocol::{Codec, Current};
+use crate::shutdown::ListenerOrigin;
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use troutknot::Settings;
+use troutknot_configuration::IdCatalog;
+
+/// The signals that a node acts on.
+pub struct Signals {
+    /// SIGTERM: end gracefully.
+    pub terminate: Signal,
+    /// SIGINT: end gracefully.
+    pub interrupt: Signal,
+    /// SIGHUP: reload the configuration.
+    pub reload: Signal,
+}
+
+impl Signals {
+    /// Receives the signals from now on. Must be called within the runtime.
+    ///
+    /// # Errors
+    /// [`NodeError::Signals`] if the system refuses.
+    pub fn listen() -> Result<Self, NodeError> {
+        let receive = |kind| signal(kind).map_err(NodeError::Signals);
+        Ok(Signals {
+            terminate: receive(SignalKind::terminate())?,
+            interrupt: receive(SignalKind::interrupt())?,
+            reload: receive(SignalKind::hangup())?,
+        })
+    }
+}
+
+/// The configuration of a node, read and resolved.
+pub struct Configuration {
+    /// The node's configuration file.
+    pub node: NodeConfig,
+    /// Its path.
+    pub path: PathBuf,
+    /// The operator's file, or its defaults.
+    pub operator: OperatorFile,
+    /// The path of the operator's file, if the environment names one.
+    pub operator_path: Option<PathBuf>,
+    /// The ids that names in the settings have, which stay the same when the settings are reloaded.
+    pub catalog: IdCatalog,
+    /// The seed of the dispatcher's random numbers.
+    pub seed: u64,
+    /// The dispatcher's settings.
+    pub settings: Settings,
+    /// Encodes and decodes messages according to the present settings.
+    pub codec: Rc<Current<Codec>>,
+}
+
+impl Configuration {
+    /// Resolves the node's configuration, and reads the operator's file.
+    ///
+    /// # Errors
+    /// If either is not valid, or they do not fit together.
+    pub fn resolve(node: NodeConfig, path: PathBuf) -> Result<Self, NodeError> {
+        let mut catalog = IdCatalog::default();
+        let resolved = node.understood(&mut catalog);
+        let resolved = resolved.map_err(|error| NodeError::Configuration(error.into()))?;
+        let ResolvedNodeConfig { seed, settings, codec } = resolved;
+        let operator_path = OperatorFile::named();
+        let operator = operator_path.as_deref().map(OperatorFile::read).transpose();
+        let operator = operator.map_err(|error| NodeError::Configuration(error.into()))?.unwrap_or_default();
+        operator.fits(&settings).map_err(|error| NodeError::Configuration(error.into()))?;
+        let codec = Current::new(codec);
+        Ok(Configuration { node, path, operator, operator_path, catalog, seed, settings, codec })
+    }
+
+    /// The limits that follow from the configuration.
+    pub fn limits(&self, listener_origin: ListenerOrigin) -> Limits {
+        Limits::new(&LimitInputs {
+            memory_mb: self.node.limits.memory_mb,
+            max_sockets: self.node.limits.sockets,
+            has_consul: self.operator.lists.sources.contains(&DiscoverySource::Consul),
+            has_ledger: self.operator.durable.is_some(),
+            has_inherited_socket: listener_origin == ListenerOrigin::Inherited,
+            ..stated(&self.settings, &self.codec.now())
+        })
+    }
+}
+
+/// Opens the socket for messages of other nodes, if the operator's file names any.
+///
+/// # Errors
+/// [`NodeError::Gossip`] if the address cannot be listened at.
+pub fn open_gossip_socket(
+    operator: &OperatorFile,
+    listener_origin: ListenerOrigin,
+) -> Result<Option<Rc<GossipSocket>>, NodeError> {
+    let is_shared = listener_origin == ListenerOrigin::Inherited;
+    let open = |config: GossipConfig| {
+        let socket = GossipSocket::listen(config.listen, config.nodes, is_shared);
+        socket.map_err(|error| NodeError::Gossip(error.into()))
+    };
+    operator.peers.clone().map(open).transpose()
+}
+
+/// The listening sockets of a node.
+pub struct Listeners {
+    /// Accepts clients.
+    pub clients: TcpListener,
+    /// The address of `clients`.
+    pub address: SocketAddr,
+    /// Where `clients` comes from.
+    pub origin: ListenerOrigin,
+    /// Accepts operators' calls, if the configuration names an address.
+    pub admin: Option<TcpListener>,
+}
+
+impl Listeners {
+    /// Opens the listening sockets; the one for clients is `inherited` if there is one.
+    ///
+    /// # Errors
+    /// [`NodeError::Listen`] if an address cannot be listened at.
+    pub fn open(
+        config: &NodeConfig,
+        inherited: Option<std::net::TcpListener>,
+        backlog: u32,
+    ) -> Result<Self, NodeError> {
+        let listen_error = |address| move |source| NodeError::Listen { address, source };
+        let (clients, origin) = match inherited {
+            Some(inherited) => (TcpListener::from_std(inherited), ListenerOrigin::Inherited),
+            None => (listen(config.listen, backlog), ListenerOrigin::Bound),
+        };
+        let clients = clients.map_err(listen_error(config.listen))?;
+        let open_admin = |address| listen(address, backlog).map_err(listen_error(address));
+        let admin = config.management.map(open_admin).transpose()?;
+        let address = clients.local_addr().map_err(listen_error(config.listen))?;
+        Ok(Listeners { clients, address, origin, admin })
+    }
+}
+
+/// Listens at an address, also if connections of an earlier process at it are not yet closed.
+///
+/// # Errors
+/// The system's error.
+pub fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(backlog)
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/startup.rs"]
+mod tests;
