--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -1,4 +1,6 @@
 //! Owns the dispatcher: tells it what the sides saw, and hands each of its actions to the side that acts.
+mod decision_log;
+
 use crate::discovery::EndpointUpdate;
 use crate::event::{CallOrigin, NodeEvent, RecoveredAttempt};
 use crate::gossip::GossipSocket;
@@ -589,7 +591,7 @@
             }
             Action::WatchEndpoints => self.follow.changes.notify_one(),
             Action::ReleaseExecutor { executor } => self.release(executor),
-            Action::Log(line) => tracing::info!("{line}"),
+            Action::Log(event) => decision_log::record(event),
         }
     }
 
--- a/crates/wirehost/src/encode.rs
+++ b/crates/wirehost/src/encode.rs
@@ -31,6 +31,13 @@
     serde_json::to_writer(&mut *out, value).expect("text goes into memory");
 }
 
+/// Writes a line for the log of one instance.
+pub fn log_line(out: &mut Vec<u8>, instance: u64, line: &str) {
+    open(out, "emit", instance);
+    text(out, ",\"line\":", line);
+    out.extend_from_slice(b"}\n");
+}
+
 /// Writes one action of one instance as a line. Nothing is written where an executor is released: the wire knows
 /// names alone.
 pub fn action(
@@ -87,10 +94,7 @@
             out.extend_from_slice(b",\"enable\":true");
         }
         Action::ReleaseExecutor { .. } => return,
-        Action::Log(line) => {
-            open(out, "emit", instance);
-            text(out, ",\"line\":", line);
-        }
+        Action::Log(event) => return log_line(out, instance, &event.to_string()),
     }
     out.extend_from_slice(b"}\n");
 }
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -236,16 +236,16 @@
             let Some(instance) = self.instances.get_mut(&i) else { continue };
             instance.called = false;
             instance.node.poll_actions(now, &mut self.actions);
-            if std::mem::take(&mut instance.says_so) {
-                let count = instance.passed_over;
-                self.actions.push(Action::Log(format!("{count} messages passed over: not understood")));
-            }
+            let rejected_messages = std::mem::take(&mut instance.says_so).then_some(instance.passed_over);
             for action in self.actions.drain(..) {
                 encode::action(reply, i, &instance.registry, &instance.types, &action);
                 if let Action::ReleaseExecutor { executor } = action {
                     instance.registry.release(executor);
                 }
             }
+            if let Some(count) = rejected_messages {
+                encode::log_line(reply, i, &format!("{count} messages passed over: not understood"));
+            }
         }
         reply.extend_from_slice(b"{\"op\":\"done\"}\n");
         self.batch = None;
--- a/src/action.rs
+++ b/src/action.rs
@@ -1,6 +1,7 @@
 //! What the decision module asks of its host.
 use crate::event::GossipMessage;
 use crate::ids::{AttemptId, ExecutorId, RequestId};
+use crate::log_event::LogEvent;
 use crate::time::Millis;
 
 /// One thing to do, from [`crate::Dispatcher::poll_actions`]; actions are carried out in their order.
@@ -63,6 +64,6 @@
         /// The executor.
         executor: ExecutorId,
     },
-    /// One line for the log.
-    Log(String),
+    /// Writes an entry to the log.
+    Log(LogEvent),
 }
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -11,6 +11,7 @@
 use crate::action::Action;
 use crate::event::{Event, GossipMessage};
 use crate::ids::{ExecutorId, RequestId, ZoneId};
+use crate::log_event::LogEvent;
 use crate::policy::admission::ADMISSION_STEPS;
 use crate::policy::retry::RetryPolicy;
 use crate::policy::slow_start::SlowStart;
@@ -59,7 +60,7 @@
     pub(crate) discovery: DiscoveryBackoff,
     /// Until when another process of this node may dispatch as well.
     pub(crate) sibling_until: Millis,
-    pub(crate) log: Vec<String>,
+    pub(crate) log: Vec<LogEvent>,
 }
 
 impl Dispatcher {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,6 +24,7 @@
 pub mod endpoint;
 pub mod event;
 pub mod ids;
+pub mod log_event;
 pub mod policy;
 pub mod settings;
 mod state;
@@ -37,6 +38,7 @@
 pub use ids::{
     AttemptId, DeduplicationGroupId, ExecutorId, MachineTypeId, RequestClassId, RequestId, TenantId, ZoneId,
 };
+pub use log_event::LogEvent;
 pub use settings::{DeduplicationScope, Effect, Settings};
 pub use time::Millis;
 pub use warm_state::{DecayingScore, ExecutorWarmState, ObservedMean, WarmState, WarmUpDispatch};
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -6,6 +6,7 @@
 use crate::endpoint::{Endpoint, ListUpdate};
 use crate::event::{GossipMessage, Outcome};
 use crate::ids::{AttemptId, ExecutorId, RequestClassId, RequestId};
+use crate::log_event::LogEvent;
 use crate::state::executor_table::REPORT_LIFETIME;
 use crate::state::request::{Attempt, DesiredState, Request};
 use crate::state::smooth;
@@ -140,8 +141,7 @@
     /// Guards against connections that are dropped unseen while idle; whoever sees it tells the others.
     pub(crate) fn block_idle_reuse(&mut self, now: Millis, is_own_observation: bool) {
         if now >= self.idle_reuse_blocked_until {
-            let blocked = format!("no connection is used again that was idle for {SAFE_IDLE_TIME} ms");
-            self.log.push(format!("idle connections were lost: {blocked}"));
+            self.log.push(LogEvent::IdleConnectionsLost { max_idle_time: SAFE_IDLE_TIME });
             self.gossip.extend(is_own_observation.then_some(GossipMessage::IdleConnectionLost));
         }
         self.idle_reuse_blocked_until = now + IDLE_REUSE_BLOCK;
--- a/src/policy/sampling.rs
+++ b/src/policy/sampling.rs
@@ -4,6 +4,7 @@
 use super::slow_start::MAX_ASSIGNED_NODES;
 use crate::dispatcher::Dispatcher;
 use crate::ids::{ExecutorId, RequestId};
+use crate::log_event::LogEvent;
 use crate::state::probe_statistics::LEAST_SAMPLE_SIZE;
 use crate::state::request::{DesiredState, RequestClass};
 use crate::time::Millis;
@@ -156,8 +157,8 @@
         let before = probes.sample_size;
         let best = best_sample_size(busy_ratio, before, cost, MAX_SAMPLE_SIZE).unwrap_or(LEAST_SAMPLE_SIZE);
         if best != before {
-            let inputs = format!("busy ratio {busy_ratio:.3}, probe cost {cost:.4}");
-            self.log.push(format!("sample size {before} to {best}: {inputs}"));
+            let change = LogEvent::SampleSizeChanged { from: before, to: best, busy_ratio, probe_cost: cost };
+            self.log.push(change);
             probes.sample_size = best;
         }
     }
--- a/src/state/discovery_backoff.rs
+++ b/src/state/discovery_backoff.rs
@@ -1,4 +1,5 @@
 //! When the endpoint list is asked for, where it must be asked: a backoff with jitter.
+use crate::log_event::LogEvent;
 use crate::settings::{DiscoveryMode, Settings};
 use crate::time::Millis;
 use rand::RngExt;
@@ -62,10 +63,10 @@
     }
 
     /// The list was told: what to log of it, if calls had failed.
-    pub fn record_success(&mut self) -> Option<String> {
+    pub fn record_success(&mut self) -> Option<LogEvent> {
         self.was_followed = true;
         let failures = std::mem::take(&mut self.failures);
-        (failures > 0).then(|| format!("endpoint list received after {failures} failed calls"))
+        (failures > 0).then_some(LogEvent::EndpointListRecovered { failures })
     }
 
     /// A call failed, or a watch broke off: when to ask again, and what to log of it.
@@ -75,7 +76,7 @@
         nodes: f64,
         is_rejected: bool,
         random: &mut ChaCha8Rng,
-    ) -> String {
+    ) -> LogEvent {
         // Waits grow, with jitter against asking in step, well inside the span that counts as told.
         self.failures = (self.failures + 1).min(MAX_FAILURES);
         // What a silent source knows counts as told when it is back, and whoever waits longer goes on
@@ -96,6 +97,6 @@
         self.was_followed &= self.failures == 1;
         let wait = backoff * random.random_range(0.5..1.0) + spread * random.random::<f64>();
         self.next_call_at = now + wait;
-        format!("endpoint list lost: failure {}, next call in {wait:.0} ms", self.failures)
+        LogEvent::EndpointListLost { failures: self.failures, next_call_in: wait }
     }
 }
