--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -6,6 +6,7 @@
 mod rehearse;
 mod scale;
 mod simulate;
+mod verdict;
 
 use clap::{CommandFactory, Parser, Subcommand};
 use std::path::PathBuf;
--- a/crates/cli/src/simulate.rs
+++ b/crates/cli/src/simulate.rs
@@ -1,5 +1,5 @@
 //! `troutknot simulate`: plays a scenario in simulated time, and prints the verdict.
-use crate::{Ended, check, rehearse};
+use crate::{Ended, check, verdict};
 use clap::Args;
 use std::path::PathBuf;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 Exit status: 0 all held, 1 a rule broke or less service than expected, 2 a file that cannot be used.")]
 pub struct Simulate {
     scenario: PathBuf,
-    /// What the day is drawn from; the scenario's own where not given
+    /// Seed of the plan; the scenario's own if not given
     #[arg(long)]
     seed: Option<u64>,
     /// Print the report as JSON
@@ -25,14 +25,14 @@
     pub fn run(self) -> Ended {
         let scenario = match check::scenario(&self.scenario) {
             Ok(scenario) => scenario,
-            Err(why) => return Ended::Usage.because(why),
+            Err(error) => return Ended::Usage.because(error),
         };
-        let began = Instant::now();
+        let started = Instant::now();
         let report = match simulate(&scenario, self.seed.unwrap_or(scenario.seed)) {
             Ok(report) => report,
-            Err(why) => return Ended::Usage.because(format!("`{}`: {why}", self.scenario.display())),
+            Err(error) => return Ended::Usage.because(format!("`{}`: {error}", self.scenario.display())),
         };
-        let took = began.elapsed().as_secs_f64();
+        let took = started.elapsed().as_secs_f64();
         eprintln!(
             "troutknot: {:.1} s simulated in {took:.2} s, {:.0} events a second",
             report.length_s,
@@ -45,7 +45,7 @@
                 "{} seed {} plan {}: {} nodes, {} executors, {:.1} s",
                 report.scenario, report.seed, report.plan, report.nodes, report.executors, report.length_s
             );
-            print!("{}", rehearse::shown(&report.verdict, report.seed, report.expected_service));
+            print!("{}", verdict::format_verdict(&report.verdict, report.seed, report.expected_service));
         }
         if report.holds() { Ended::Held } else { Ended::Broke }
     }
--- /dev/null
+++ b/crates/cli/src/verdict.rs
@@ -0,0 +1,103 @@
+//! Reports and verdicts as text for a reader.
+use std::fmt::Write;
+use troutknot_rehearsal::referee::{Breach, Verdict};
+use troutknot_rehearsal::run::Report;
+
+/// Breaches of one rule that are printed; the report file has all.
+const MAX_PRINTED_BREACHES: usize = 5;
+
+/// The four rules, by their numbers from 1.
+const RULES: [&str; 4] = [
+    "one final answer before the deadline",
+    "no effect twice",
+    "nothing new past the drain grace",
+    "no executor overloaded in slow start",
+];
+
+/// The report of a rehearsal, with the verdict and the figures of the processes.
+pub fn format_report(report: &Report) -> String {
+    let mut out = format!(
+        "{} with seed {} (plan {}): {} nodes, {} executors, {} requests in {:.0} s\n",
+        report.scenario,
+        report.seed,
+        report.plan,
+        report.nodes,
+        report.executors,
+        report.verdict.all.requests,
+        report.length_s
+    );
+    out += &format_verdict(&report.verdict, report.seed, report.expected_service);
+    let _ = writeln!(
+        out,
+        "  nodes: {:.0} us CPU a request, {:.1} MB at most; kit: {:.0} us CPU a request, {:.1} ms late at p99",
+        report.node_cpu_us_per_request,
+        report.node_memory_kb as f64 / 1024.0,
+        report.kit_cpu_us_per_request,
+        report.clients_late_p99_ms.max(report.executors_late_p99_ms)
+    );
+    out += if report.holds() { "all held\n" } else { "NOT all held\n" };
+    out
+}
+
+/// A verdict: the outcomes by request class, each rule, and what stands out.
+pub fn format_verdict(verdict: &Verdict, seed: u64, expected_service: f64) -> String {
+    let mut out = format_outcomes(verdict);
+    out.push('\n');
+    for (index, rule) in RULES.iter().enumerate() {
+        let number = index as u8 + 1;
+        let broken: Vec<&Breach> = verdict.breaches.iter().filter(|breach| breach.rule == number).collect();
+        out += &format_rule(number, rule, &broken, seed);
+    }
+    let requests = verdict.all.requests.max(1) as f64;
+    let _ = writeln!(
+        out,
+        "\n  service {:.3} (expected {expected_service:.3}), {:.2} client tries and {:.2} attempts a request",
+        verdict.service,
+        verdict.all.tries as f64 / requests,
+        verdict.all.allocations as f64 / requests
+    );
+    let _ = writeln!(
+        out,
+        "  longest dispatch after a drain notice {:.0} ms; largest use of a warm-up budget {:.0}%; overloaded {}",
+        verdict.longest_after_told_ms,
+        verdict.cold_budget_used * 100.0,
+        verdict.fell_over
+    );
+    out
+}
+
+fn format_outcomes(verdict: &Verdict) -> String {
+    let mut out = format!(
+        "\n  {:<14} {:>8} {:>9} {:>8} {:>8} {:>7} {:>5} {:>5} {:>8} {:>8}\n",
+        "class", "requests", "completed", "in time", "rejected", "failed", "cut", "left", "p50 ms", "p99 ms"
+    );
+    let by_class = verdict.by_type.iter().map(|(name, tally)| (name.as_str(), tally));
+    for (name, tally) in by_class.chain([("all", &verdict.all)]) {
+        let _ = writeln!(
+            out,
+            "  {name:<14} {:>8} {:>9} {:>8} {:>8} {:>7} {:>5} {:>5} {:>8.1} {:>8.1}",
+            tally.requests,
+            tally.completed,
+            tally.in_time,
+            tally.deferred + tally.no_way_in,
+            tally.aborted,
+            tally.cut,
+            tally.left,
+            tally.p50_ms,
+            tally.p99_ms
+        );
+    }
+    out
+}
+
+fn format_rule(number: u8, rule: &str, broken: &[&Breach], seed: u64) -> String {
+    let held = if broken.is_empty() { "held".to_string() } else { format!("BROKEN {} times", broken.len()) };
+    let mut out = format!("  rule {number} {rule}: {held}\n");
+    for breach in broken.iter().take(MAX_PRINTED_BREACHES) {
+        let _ = writeln!(out, "    {}: {} (seed {seed})", breach.name, breach.what);
+    }
+    if broken.len() > MAX_PRINTED_BREACHES {
+        let _ = writeln!(out, "    and {} more; --report holds all", broken.len() - MAX_PRINTED_BREACHES);
+    }
+    out
+}
