--- /dev/null
+++ b/crates/daemon/src/driver/endpoints.rs
@@ -0,0 +1,210 @@
+//! The executors: which are listed, which of them are retained, and which operators excluded.
+use super::Driver;
+use crate::event::{CallOrigin, EndpointUpdate};
+use crate::hot_restart::codec::Message;
+use crate::membership::Membership;
+use crate::protocol::EndpointEntry;
+use crate::retention::{EndpointRetention, RetainedEntries, RetentionChange};
+use std::collections::BTreeSet;
+use troutknot::{Endpoint, EndpointState, Event as CoreEvent, ExecutorId, ListUpdate, Millis};
+use troutknot_membership::ExecutorRegistry;
+
+/// The executors that are retained now, as [`EndpointRetention`] reads them.
+pub(super) struct RetainedNow<'a> {
+    registry: &'a ExecutorRegistry,
+    membership: &'a Membership,
+}
+
+impl RetainedEntries for RetainedNow<'_> {
+    fn entry(&self, name: &str) -> Option<&EndpointEntry> {
+        self.membership.entry(self.registry.get(name)?)
+    }
+
+    fn entries(&self) -> impl Iterator<Item = &EndpointEntry> {
+        self.membership.listed()
+    }
+}
+
+impl Driver {
+    /// Applies an update of the endpoint list.
+    pub(super) fn handle_endpoint_update(&mut self, now: Millis, update: EndpointUpdate) {
+        let EndpointUpdate { kind, entries, version, beyond } = update;
+        let selected = match kind {
+            ListUpdate::Delta => self.select(|retention, retained| retention.apply_delta(entries, retained)),
+            _ => self.select_snapshot(entries, beyond),
+        };
+        let endpoints = self.register_all(selected);
+        self.membership.version = version.or(self.membership.version);
+        if kind != ListUpdate::Cached {
+            self.lifecycle.update(|facts| facts.is_listed = true);
+        }
+        self.dispatcher.handle_event(now, CoreEvent::EndpointsUpdated { update: kind, endpoints });
+        self.reclaim_for_waiting();
+    }
+
+    /// Releases executors that are gone at once if selected entries wait because all handles are in use.
+    pub(super) fn reclaim_for_waiting(&mut self) {
+        if self.retention.has_waiting() {
+            self.dispatcher.reclaim_now();
+        }
+    }
+
+    /// Selects among the entries of a complete list; executors that it does not name are gone.
+    fn select_snapshot(&mut self, entries: Vec<EndpointEntry>, beyond: usize) -> Vec<EndpointEntry> {
+        let selected = self.select(|retention, _| retention.apply_snapshot(entries, beyond));
+        self.shut_missing(&selected);
+        self.reserve(selected.len());
+        selected
+    }
+
+    /// Applies a change to the retention, and returns the entries to be registered.
+    fn select(
+        &mut self,
+        change: impl FnOnce(&mut EndpointRetention, &RetainedNow) -> RetentionChange,
+    ) -> Vec<EndpointEntry> {
+        let retained = RetainedNow { registry: &self.registry, membership: &self.membership };
+        let selected = change(&mut self.retention, &retained);
+        if selected.repeated > 0 {
+            tracing::warn!(
+                count = selected.repeated,
+                "endpoint list with duplicate entries, the last of each counts"
+            );
+        }
+        if selected.needs_snapshot {
+            self.watch_requests.whole.notify_one();
+        }
+        selected.entries
+    }
+
+    /// Allocates for the executors of a complete list and an eighth more at once; growing step by step would leave
+    /// as much unused memory behind.
+    fn reserve(&mut self, executors: usize) {
+        if executors <= self.registry.capacity() {
+            return;
+        }
+        let executors = executors + executors / 8;
+        self.registry.reserve(executors);
+        self.membership.reserve(executors);
+        self.executors.reserve(executors);
+    }
+
+    /// Sends nothing more to executors that a complete list does not name, or that lost their place by it.
+    fn shut_missing(&mut self, selected: &[EndpointEntry]) {
+        let mut missing: BTreeSet<ExecutorId> = self.registry.handles().collect();
+        for entry in selected {
+            if let Some(executor) = self.registry.get(&entry.id) {
+                missing.remove(&executor);
+            }
+        }
+        for executor in missing {
+            self.membership.mark_gone(executor);
+            self.executors.shut(executor);
+        }
+    }
+
+    /// Registers selected entries; those for which no handle is free wait until executors are released.
+    fn register_all(&mut self, entries: Vec<EndpointEntry>) -> Vec<Endpoint> {
+        let max_registered = self.executors.limits.executor_bounds.max_registered;
+        let mut endpoints = Vec::with_capacity(entries.len());
+        for entry in entries {
+            match self.registry.register_within(&entry.id, max_registered) {
+                Some(executor) => endpoints.push(self.update_endpoint(executor, entry)),
+                None => self.retention.defer(entry),
+            }
+        }
+        endpoints
+    }
+
+    /// Retains waiting executors if others were released since; returns whether there were any.
+    pub(super) fn retain_waiting(&mut self, now: Millis) -> bool {
+        if !std::mem::take(&mut self.has_released) || !self.retention.has_waiting() {
+            return false;
+        }
+        let selected = self.select(|retention, retained| retention.apply_delta(Vec::new(), retained));
+        let endpoints = self.register_all(selected);
+        let is_any = !endpoints.is_empty();
+        let update = ListUpdate::Operator;
+        self.dispatcher.handle_event(now, CoreEvent::EndpointsUpdated { update, endpoints });
+        is_any
+    }
+
+    /// Applies the list's entry of one executor, after what operators excluded, to all parts of the node.
+    pub(super) fn update_endpoint(&mut self, executor: ExecutorId, entry: EndpointEntry) -> Endpoint {
+        let entry = self.membership.update(executor, entry);
+        let mut endpoint = self.codec.now().listing(&entry, executor);
+        let address = entry.addr.parse().ok();
+        if address.is_none() && endpoint.state == EndpointState::Ready {
+            tracing::warn!(executor = %entry.id, address = %entry.addr, "executor address not valid");
+            endpoint.state = EndpointState::Draining;
+        }
+        let is_ready = endpoint.state == EndpointState::Ready;
+        self.executors.listed(executor, address, endpoint.started_at, is_ready);
+        tracing::debug!(
+            executor = %entry.id,
+            state = ?endpoint.state,
+            started_at = ?endpoint.started_at,
+            "endpoint updated"
+        );
+        endpoint
+    }
+
+    /// Excludes an executor or includes it again, here and in the sibling process.
+    pub(super) fn set_excluded(&mut self, now: Millis, name: String, is_excluded: bool, origin: CallOrigin) {
+        let is_known = self.is_known(&name);
+        if is_known || matches!(origin, CallOrigin::Sibling(_)) {
+            self.apply_exclusion(now, &name, is_excluded);
+        }
+        match origin {
+            CallOrigin::Operator(done) if is_known => {
+                let message = |number| Message::SetExcluded { executor: name, is_excluded, number };
+                self.sibling.mirror(message, done);
+            }
+            CallOrigin::Operator(done) => _ = done.send(false),
+            CallOrigin::Sibling(number) => self.sibling.send(Message::Acknowledged { number }),
+        }
+    }
+
+    /// Whether an executor is listed, retained or not, or excluded; one that is gone may be included again.
+    fn is_known(&self, name: &str) -> bool {
+        self.registry.get(name).is_some()
+            || self.retention.unretained_entry(name).is_some()
+            || self.membership.excluded().contains(name)
+    }
+
+    fn apply_exclusion(&mut self, now: Millis, name: &str, is_excluded: bool) {
+        let executor = self.registry.get(name);
+        let changed = self.membership.set_excluded(executor, name, is_excluded);
+        let Some((executor, entry)) = executor.zip(changed) else { return };
+        let endpoints = vec![self.update_endpoint(executor, entry)];
+        let update = ListUpdate::Operator;
+        self.dispatcher.handle_event(now, CoreEvent::EndpointsUpdated { update, endpoints });
+    }
+
+    /// Sets the executors that are excluded from the start.
+    pub fn exclude(&mut self, names: BTreeSet<String>) {
+        self.membership.import_excluded(names);
+    }
+
+    /// Frees the handle of an executor that is gone and that no attempt refers to.
+    pub(super) fn release(&mut self, executor: ExecutorId) {
+        self.membership.release(executor);
+        self.executors.release(executor);
+        self.has_released = true;
+        if let Some(name) = self.registry.release(executor) {
+            tracing::debug!(executor = %name, count = self.registry.len(), "executor released");
+        }
+    }
+
+    /// Publishes how many executors are retained, and logs it if the number of unretained ones has changed.
+    pub(super) fn log_retention(&mut self) {
+        let statistics = self.retention.statistics();
+        let previous = self.retention_statistics.replace(statistics);
+        if statistics.left_out == previous.left_out {
+            return;
+        }
+        match statistics.left_out {
+            0 => tracing::info!(%statistics, "all listed executors are retained"),
+            _ => tracing::warn!(%statistics, "more executors are listed than fit into memory"),
+        }
+    }
+}
--- a/crates/daemon/tests/capacity.rs
+++ b/crates/daemon/tests/capacity.rs
@@ -188,7 +188,7 @@
     let mut repeated = fleet(0..10, &executor, "Ready");
     repeated.extend(fleet(0..3, &executor, "Terminating"));
     discovery.lines.send(list(20, true, &repeated)).unwrap();
-    called.node.logged("3 entries of a list are repeated in it");
+    called.node.logged("duplicate entries, the last of each counts count=3");
     called.serves(3);
     assert_eq!(called.figures(), figures);
 }
--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -208,7 +208,7 @@
         let node = Node::start_with(&discovery, (256, 64), patient(), "debug");
         let (id, mut client) = (new_id(), node.connect());
         client.get_mut().write_all(work(project_type, &id, 30.0, "").as_bytes()).unwrap();
-        node.logged("push: alloc 0 to s-1");
+        node.logged("attempt dispatched executor=s-1 attempt=0 ");
         if ending {
             node.terminate();
             node.logged("shutdown requested");
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -175,12 +175,12 @@
     until("it is ready", || operated.call("GET", "/v1/readyz") == 200);
     let mut client = operated.node.connect();
     client.get_mut().write_all(work("render", &new_id(), 9.0, "").as_bytes()).unwrap();
-    operated.node.logged("push: alloc 0 to s-1");
+    operated.node.logged("attempt dispatched executor=s-1 attempt=0 ");
     discovery.lines.send(list(8, false, &[named("s-2", executor.addr)])).unwrap();
-    operated.node.logged("listed: s-2");
+    operated.node.logged("endpoint updated executor=s-2 ");
     assert_eq!(operated.call("PUT", "/v1/executors/s-1/suspend"), 200);
     // It was never sent, so it goes elsewhere once the grace nears its end.
-    operated.node.logged("NotSent");
+    operated.node.logged("outcome=NotSent");
     assert_eq!(answer(&mut client).0, 200);
     assert_eq!(executor.seen.lock().unwrap().len(), 1);
     crowded.go_on.send(()).unwrap();
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -2,7 +2,12 @@
 use super::*;
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::{LimitInputs, Limits};
+use crate::event::{CallOrigin, EndpointUpdate};
+use crate::hot_restart::codec::{self, Inherited};
+use crate::in_flight::Answer;
 use crate::in_flight::ClientRequest;
+use crate::protocol::EndpointEntry;
+use crate::upstream::DispatchOrder;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -10,6 +15,7 @@
 use tokio::sync::oneshot;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
+use troutknot::{AttemptId, ListUpdate};
 
 const HARD_LIMIT: Duration = Duration::from_secs(5);
 const ID_FIELD: &str = "Request-Id: ";
@@ -58,7 +64,7 @@
         let (now, mut actions) = (self.driver.clock.now() + self.ahead, Vec::new());
         self.driver.handle_event(now, event);
         self.driver.dispatcher.poll_actions(now, &mut actions);
-        actions.into_iter().for_each(|action| self.driver.act(action));
+        actions.into_iter().for_each(|action| self.driver.perform(action));
     }
 
     fn list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) {
@@ -250,7 +256,7 @@
             Action::CloseIdleConnections { executor: released },
             Action::ReleaseExecutor { executor: released },
         ] {
-            rig.driver.act(action);
+            rig.driver.perform(action);
         }
         assert_eq!(rig.serve(&[in_flight]).await, 1, "another executor serves it");
         assert_eq!(rig.kept(), 2);
@@ -336,7 +342,7 @@
     let [before, after, sent] = [1, 2, 3].map(in_flight);
     driver.handle_event(clock.now(), NodeEvent::RequestArrived(before.clone()));
     driver.handle_event(clock.now(), NodeEvent::RequestArrived(sent.clone()));
-    driver.open.get_mut(&sent.request_id).unwrap().attempts = 1;
+    driver.requests.get_mut(&sent.request_id).unwrap().attempts = 1;
     driver.handle_event(clock.now(), NodeEvent::ShutDown);
     driver.handle_event(clock.now(), NodeEvent::RequestArrived(after.clone()));
     for (what, in_flight, expected) in
