--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -20,7 +20,8 @@
 use crate::state::discovery_backoff::DiscoveryBackoff;
 use crate::state::executor_table::{ExecutorState, ExecutorTable, REPORT_LIFETIME};
 use crate::state::probe_statistics::ProbeStatistics;
-use crate::state::request::{Attempt, DesiredState, Request, RequestClass};
+use crate::state::request::{Attempt, DesiredState, Request};
+use crate::state::request_class::RequestClasses;
 use crate::state::timer_queue::TimerQueue;
 use crate::state::token_bucket::TokenBucket;
 use crate::time::Millis;
@@ -32,7 +33,7 @@
 pub struct Dispatcher {
     pub(crate) random: ChaCha8Rng,
     pub(crate) nodes: f64,
-    pub(crate) classes: Vec<RequestClass>,
+    pub(crate) classes: RequestClasses,
     pub(crate) quotas: Vec<TokenBucket>,
     pub(crate) over_quota_value: f64,
     pub(crate) slow_start: SlowStart,
@@ -70,7 +71,7 @@
         let mut dispatcher = Dispatcher {
             random: ChaCha8Rng::seed_from_u64(seed),
             nodes: 1.0,
-            classes: Vec::new(),
+            classes: RequestClasses::default(),
             quotas: Vec::new(),
             over_quota_value: 1.0,
             slow_start: SlowStart::default(),
@@ -107,8 +108,7 @@
                 self.log.push(lost);
             }
             Event::RequestArrived { request_id, class, tenant, slots, time_left, is_retry, .. } => {
-                let class = class.0 as usize;
-                if class < self.classes.len() && !self.requests.contains_key(&request_id) {
+                if self.classes.contains(class) && !self.requests.contains_key(&request_id) {
                     let request = Request {
                         class,
                         slots: slots.max(1.0),
--- a/src/dispatcher/settings.rs
+++ b/src/dispatcher/settings.rs
@@ -3,7 +3,6 @@
 use crate::policy::admission::UNEVENNESS;
 use crate::policy::slow_start::SlowStart;
 use crate::settings::{Settings, WeightSource};
-use crate::state::request::RequestClass;
 use crate::state::token_bucket::TokenBucket;
 use crate::time::Millis;
 
@@ -11,10 +10,7 @@
     /// Goes by new settings from now on. A request keeps the class that it came with, so all terms of it:
     /// classes that are known stay as they are, and only further ones are read.
     pub fn apply_settings(&mut self, now: Millis, settings: &Settings) {
-        let known = self.classes.len();
-        for terms in settings.classes.iter().skip(known).take_while(|terms| terms.deadline.is_some()) {
-            self.classes.push(RequestClass::new(terms, settings, &self.classes));
-        }
+        self.classes.add_new(settings);
         self.nodes = settings.nodes.max(1.0);
         let part = (UNEVENNESS / self.nodes).min(1.0);
         self.quotas.resize_with(settings.quotas().count(), || TokenBucket::new(now));
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -18,7 +18,7 @@
 pub struct AttemptId(pub u32);
 
 /// A class of requests that share their terms: an index into [`crate::Settings::classes`].
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Debug)]
 pub struct RequestClassId(pub u32);
 
 /// A tenant: an index into [`crate::Settings::tenants`].
@@ -30,7 +30,7 @@
 pub struct ZoneId(pub u32);
 
 /// A type of machine: machines of one type share a size and a typical speed.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct MachineTypeId(pub u32);
 
 /// A group of executors that recognize each other's repeats of deduplicated work.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,8 +1,8 @@
 //! Which requests are taken, and for how long they are queued: adaptive admission, and quotas of tenants.
 use crate::dispatcher::Dispatcher;
-use crate::ids::TenantId;
+use crate::ids::{RequestClassId, TenantId};
 use crate::state::adaptive_share::ShareSteps;
-use crate::state::request::RequestClass;
+use crate::state::request_class::RequestClass;
 use crate::time::Millis;
 
 /// The steps of the share of requests that is taken, by attempts that began in time and by late ones. With
@@ -34,7 +34,7 @@
 impl Dispatcher {
     /// Whether a new request is taken: by chance, where queues cannot be seen and many attempts begin late.
     /// What needs more work for its value is shed first.
-    pub(crate) fn admits(&mut self, class: usize) -> bool {
+    pub(crate) fn admits(&mut self, class: RequestClassId) -> bool {
         let mean =
             self.classes.iter().map(RequestClass::cost_per_value).sum::<f64>() / self.classes.len() as f64;
         let relative_cost = self.classes[class].cost_per_value() / mean;
@@ -44,7 +44,7 @@
 
     /// How long an attempt may take to begin for a mean request of its class to be in time; where starts are
     /// not reported, how long to end.
-    pub(crate) fn max_start_delay(&self, class: usize) -> Millis {
+    pub(crate) fn max_start_delay(&self, class: RequestClassId) -> Millis {
         let class = &self.classes[class];
         if !self.starts_reported {
             // Its running time cannot be told apart from its wait.
@@ -54,7 +54,7 @@
     }
 
     /// An attempt that has not begun in time was observed when its time was over.
-    pub(crate) fn observe_start_delay(&mut self, class: usize, delay: Millis) {
+    pub(crate) fn observe_start_delay(&mut self, class: RequestClassId, delay: Millis) {
         if self.probes.is_forbidden && delay <= self.max_start_delay(class) {
             self.admission.increase();
         }
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -96,7 +96,13 @@
     }
 
     /// What an outcome says of the executor, and of the connections to it.
-    pub(crate) fn judge_outcome(&mut self, now: Millis, class: usize, attempt: &Attempt, outcome: Outcome) {
+    pub(crate) fn judge_outcome(
+        &mut self,
+        now: Millis,
+        class: RequestClassId,
+        attempt: &Attempt,
+        outcome: Outcome,
+    ) {
         let executor = attempt.executor;
         let was_stale = now - attempt.sent_at < STALE_CONNECTION_WINDOW
             && attempt.started_at.is_none()
@@ -105,7 +111,6 @@
             Outcome::Reset if was_stale => self.block_idle_reuse(now, true),
             // Only who showed free capacity is sent to; one that is full all the same reports wrongly.
             Outcome::Rejected => {
-                let class = RequestClassId(class as u32);
                 self.gossip.extend(self.executors.record_rejection(executor, class, now));
             }
             Outcome::Completed | Outcome::NotSent | Outcome::Cancelled => {}
@@ -118,7 +123,12 @@
         }
     }
 
-    pub(crate) fn observe_running_time(&mut self, now: Millis, class_number: usize, attempt: &Attempt) {
+    pub(crate) fn observe_running_time(
+        &mut self,
+        now: Millis,
+        class_number: RequestClassId,
+        attempt: &Attempt,
+    ) {
         // Guards against fresh executors that stay idle: among many nodes, slow while starting is no fault.
         let is_one_of_many = self.nodes > MAX_ASSIGNED_NODES;
         let progress =
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -72,7 +72,7 @@
     ) -> Option<GossipMessage> {
         let fade = self.score_fade(now);
         let state = self.state_mut(executor)?;
-        let score = state.rejections.entry(class.0 as usize).or_default();
+        let score = state.rejections.entry(class).or_default();
         let before = score.at(now, fade);
         let penalty = (fade / SCORE_FADE).min(MAX_FAULT_PENALTY);
         *score = DecayingScore { value: before + penalty, set_at: now };
@@ -88,7 +88,7 @@
         if self.expects(executor)
             && let Some(state) = self.state_mut(executor)
         {
-            let score = state.rejections.entry(class.0 as usize).or_default();
+            let score = state.rejections.entry(class).or_default();
             *score = DecayingScore { value: score.at(now, fade).max(GOSSIP_PENALTY), set_at: now };
         }
     }
@@ -102,7 +102,8 @@
         request_id: RequestId,
         executor: ExecutorId,
     ) -> bool {
-        let class_number = self.requests.get(&request_id).map_or(0, |request| request.class);
+        let class_number =
+            self.requests.get(&request_id).map_or(RequestClassId::default(), |request| request.class);
         let class = &self.classes[class_number];
         let state = self.executors.state(executor);
         let fade = self.executors.score_fade(now);
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,7 +1,8 @@
 //! What may be retried, and where, by what running it twice would do. It is said here alone.
 use crate::ids::ExecutorId;
 use crate::settings::{DeduplicationScope, Effect};
-use crate::state::request::{Request, RequestClass};
+use crate::state::request::Request;
+use crate::state::request_class::RequestClass;
 use crate::time::Millis;
 
 /// Deduplicated work is sent again only this part into its window, for the way there and clocks that differ.
--- a/src/policy/sampling.rs
+++ b/src/policy/sampling.rs
@@ -6,7 +6,8 @@
 use crate::ids::{ExecutorId, RequestId};
 use crate::log_event::LogEvent;
 use crate::state::probe_statistics::LEAST_SAMPLE_SIZE;
-use crate::state::request::{DesiredState, RequestClass};
+use crate::state::request::DesiredState;
+use crate::state::request_class::RequestClass;
 use crate::time::Millis;
 use rand::RngExt;
 
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -4,7 +4,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::endpoint::LoadReport;
 use crate::event::ProbeReply;
-use crate::ids::{ExecutorId, RequestClassId, RequestId};
+use crate::ids::{ExecutorId, RequestId};
 use crate::state::executor_table::ExecutorTable;
 use crate::state::probe_statistics::SHORTEST_QUEUE;
 use crate::state::request::{CandidateReport, DesiredState, Request};
@@ -189,7 +189,7 @@
         if attempt.idle_time < self.idle_timeout && now >= self.idle_reuse_blocked_until {
             self.block_idle_reuse(now, true);
         } else {
-            let class = RequestClassId(request.class as u32);
+            let class = request.class;
             self.gossip.extend(self.executors.record_rejection(executor, class, now));
         }
         self.sample(now, request_id)
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -4,7 +4,7 @@
 //! that it is gone and nothing can need it any more. A handle that is not held reads as an executor that is
 //! gone and without history, so an outdated handle is harmless everywhere.
 use crate::endpoint::{Endpoint, EndpointState, LoadReport};
-use crate::ids::{DeduplicationGroupId, ExecutorId, MachineTypeId, RequestId, ZoneId};
+use crate::ids::{DeduplicationGroupId, ExecutorId, MachineTypeId, RequestClassId, RequestId, ZoneId};
 use crate::time::Millis;
 use crate::warm_state::{DecayingScore, ExecutorWarmState, WarmUpDispatch};
 use slotmap::SecondaryMap;
@@ -25,7 +25,7 @@
     /// How many outcomes it was made of, fading alike.
     pub observations: DecayingScore,
     /// The same score for each class whose work it rejected though it had shown free capacity.
-    pub rejections: BTreeMap<usize, DecayingScore>,
+    pub rejections: BTreeMap<RequestClassId, DecayingScore>,
     /// The most slots that its reports have shown.
     pub max_slots: f64,
     pub report: LoadReport,
@@ -140,7 +140,7 @@
     /// Whether weights fall with load: the largest that the list has shown of each type of machine counts
     /// then.
     pub weights_fall_with_load: bool,
-    machine_types: BTreeMap<u32, MachineTypeWeight>,
+    machine_types: BTreeMap<MachineTypeId, MachineTypeWeight>,
     /// The least slots that any report has shown; it stands in where none are shown yet.
     pub least_slots: f64,
     /// Those that take new work.
@@ -277,7 +277,7 @@
 
     fn list(&mut self, endpoint: &Endpoint) {
         let executor = endpoint.executor;
-        let type_before = self.states.get(executor).map(|state| state.endpoint.machine_type.0);
+        let type_before = self.states.get(executor).map(|state| state.endpoint.machine_type);
         match self.states.get_mut(executor) {
             Some(state) => state.relist(*endpoint),
             None => {
@@ -296,8 +296,8 @@
     }
 
     /// Keeps the largest weight of each type of machine, and how many executors there are of it.
-    fn count_machine_type(&mut self, type_before: Option<u32>, endpoint: Endpoint) {
-        let machine_type = endpoint.machine_type.0;
+    fn count_machine_type(&mut self, type_before: Option<MachineTypeId>, endpoint: Endpoint) {
+        let machine_type = endpoint.machine_type;
         if type_before != Some(machine_type) {
             self.machine_types.entry(machine_type).or_default().executors += 1;
             type_before.into_iter().for_each(|before| self.drop_machine_type(before));
@@ -310,7 +310,7 @@
         }
     }
 
-    fn drop_machine_type(&mut self, machine_type: u32) {
+    fn drop_machine_type(&mut self, machine_type: MachineTypeId) {
         let Some(weight) = self.machine_types.get_mut(&machine_type) else { return };
         weight.executors = weight.executors.saturating_sub(1);
         if weight.executors == 0 {
@@ -338,7 +338,7 @@
 
     /// What an executor can do when warm, in slots: by its weight where that falls with load and hides slots.
     pub fn capacity(&self, executor: ExecutorId) -> f64 {
-        let machine_type = self.state(executor).endpoint.machine_type.0;
+        let machine_type = self.state(executor).endpoint.machine_type;
         let largest = self.machine_types.get(&machine_type).map_or(0.0, |weight| weight.largest);
         if largest > 0.0 { largest } else { self.slots_or_least(executor) }
     }
@@ -415,7 +415,7 @@
     fn release(&mut self, executor: ExecutorId) {
         self.gone.remove(&executor);
         if let Some(state) = self.states.remove(executor) {
-            self.drop_machine_type(state.endpoint.machine_type.0);
+            self.drop_machine_type(state.endpoint.machine_type);
         }
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -4,6 +4,7 @@
 pub(crate) mod executor_table;
 pub(crate) mod probe_statistics;
 pub(crate) mod request;
+pub(crate) mod request_class;
 pub(crate) mod timer_queue;
 pub(crate) mod token_bucket;
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,53 +1,8 @@
-//! Request classes, requests with their attempts, and what is desired of each. What is desired is decided in
-//! [`crate::policy`].
-use crate::endpoint::{Endpoint, LoadReport};
+//! Open requests with their attempts, and the desired state of each.
+use crate::endpoint::LoadReport;
 use crate::event::Outcome;
-use crate::ids::ExecutorId;
-use crate::settings::{ClassSettings, DeduplicationScope, Settings};
+use crate::ids::{ExecutorId, RequestClassId};
 use crate::time::Millis;
-use crate::warm_state::ObservedMean;
-
-/// A class with what was observed of its requests.
-pub(crate) struct RequestClass {
-    pub terms: ClassSettings,
-    pub latency_objective: Millis,
-    pub deadline: Millis,
-    pub max_attempts: usize,
-    /// Smoothed time that an attempt takes at its executor, with its wait there; at first the objective.
-    pub response_time: ObservedMean,
-    /// The same without the wait, where executors report starts.
-    pub service_time: ObservedMean,
-}
-
-impl RequestClass {
-    /// A class of these terms, which begins with the times of an earlier one where it inherits from one.
-    pub fn new(terms: &ClassSettings, settings: &Settings, classes: &[RequestClass]) -> Self {
-        let latency_objective = terms.latency_objective.unwrap_or(0.0);
-        let inherited = terms.inherits_from.and_then(|number| classes.get(number));
-        let unobserved = ObservedMean { mean: latency_objective, observations: 0.0 };
-        RequestClass {
-            terms: terms.clone(),
-            latency_objective,
-            deadline: terms.deadline.unwrap_or(0.0),
-            max_attempts: settings.max_attempts(terms),
-            response_time: inherited.map_or(unobserved, |class| class.response_time),
-            service_time: inherited.map_or(unobserved, |class| class.service_time),
-        }
-    }
-
-    /// The objective of a request of mean length, by this mean.
-    pub fn mean_objective(&self, mean: Millis) -> Millis {
-        self.latency_objective + (self.terms.stretch - 1.0).max(0.0) * mean
-    }
-
-    /// Whether both executors recognize each other's repeats.
-    pub fn is_same_deduplication_domain(&self, one: &Endpoint, other: &Endpoint) -> bool {
-        match self.terms.deduplication_scope {
-            DeduplicationScope::Zone => one.zone == other.zone,
-            _ => one.deduplication_group == other.deduplication_group,
-        }
-    }
-}
 
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
@@ -97,7 +52,7 @@
 
 #[derive(Default)]
 pub(crate) struct Request {
-    pub class: usize,
+    pub class: RequestClassId,
     pub slots: f64,
     pub is_over_quota: bool,
     /// When the client first asked, for an earlier try perhaps.
--- /dev/null
+++ b/src/state/request_class.rs
@@ -0,0 +1,93 @@
+//! Request classes: their terms, and the running times observed of their requests.
+use crate::endpoint::Endpoint;
+use crate::ids::RequestClassId;
+use crate::settings::{ClassSettings, DeduplicationScope, Settings};
+use crate::time::Millis;
+use crate::warm_state::ObservedMean;
+use std::ops::{Index, IndexMut};
+
+/// One request class.
+pub(crate) struct RequestClass {
+    pub terms: ClassSettings,
+    pub latency_objective: Millis,
+    pub deadline: Millis,
+    pub max_attempts: usize,
+    /// Smoothed time from dispatch to result, initially the latency objective.
+    pub response_time: ObservedMean,
+    /// Smoothed time from start to result, where executors report starts.
+    pub service_time: ObservedMean,
+}
+
+impl RequestClass {
+    fn new(terms: &ClassSettings, settings: &Settings, earlier: &[RequestClass]) -> Self {
+        let latency_objective = terms.latency_objective.unwrap_or(0.0);
+        let inherited = terms.inherits_from.and_then(|number| earlier.get(number));
+        let unobserved = ObservedMean { mean: latency_objective, observations: 0.0 };
+        RequestClass {
+            terms: terms.clone(),
+            latency_objective,
+            deadline: terms.deadline.unwrap_or(0.0),
+            max_attempts: settings.max_attempts(terms),
+            response_time: inherited.map_or(unobserved, |class| class.response_time),
+            service_time: inherited.map_or(unobserved, |class| class.service_time),
+        }
+    }
+
+    /// The latency objective of a request of mean length, given the mean running time.
+    pub fn mean_objective(&self, mean: Millis) -> Millis {
+        self.latency_objective + (self.terms.stretch - 1.0).max(0.0) * mean
+    }
+
+    /// Whether both executors recognize each other's repeats of deduplicated work.
+    pub fn is_same_deduplication_domain(&self, one: &Endpoint, other: &Endpoint) -> bool {
+        match self.terms.deduplication_scope {
+            DeduplicationScope::Zone => one.zone == other.zone,
+            _ => one.deduplication_group == other.deduplication_group,
+        }
+    }
+}
+
+/// All request classes of a node, by their ids. Classes are only ever added.
+#[derive(Default)]
+pub(crate) struct RequestClasses(Vec<RequestClass>);
+
+impl RequestClasses {
+    /// Adds the classes of the settings whose ids are new; those before them retain their terms. The first
+    /// class without a deadline ends the list.
+    pub fn add_new(&mut self, settings: &Settings) {
+        let new = settings.classes.iter().skip(self.0.len());
+        for terms in new.take_while(|terms| terms.deadline.is_some()) {
+            self.0.push(RequestClass::new(terms, settings, &self.0));
+        }
+    }
+
+    pub fn contains(&self, class: RequestClassId) -> bool {
+        (class.0 as usize) < self.0.len()
+    }
+
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = &RequestClass> {
+        self.0.iter()
+    }
+
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut RequestClass> {
+        self.0.iter_mut()
+    }
+}
+
+impl Index<RequestClassId> for RequestClasses {
+    type Output = RequestClass;
+
+    fn index(&self, class: RequestClassId) -> &RequestClass {
+        &self.0[class.0 as usize]
+    }
+}
+
+impl IndexMut<RequestClassId> for RequestClasses {
+    fn index_mut(&mut self, class: RequestClassId) -> &mut RequestClass {
+        &mut self.0[class.0 as usize]
+    }
+}
