--- a/crates/cli/src/emulate.rs
+++ b/crates/cli/src/emulate.rs
@@ -1,145 +1,223 @@
 //! `troutknot emulate`: the fleet of a scenario alone, with discovery, for use by hand.
 use crate::{Ended, check};
 use clap::Args;
+use std::io;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::task::LocalSet;
 use troutknot_emulator::discovery::{self, Member};
 use troutknot_emulator::executors::{Host, Shared, Work};
 use troutknot_emulator::observed::{Listed, Record};
-use troutknot_rehearsal::plan::Plan;
+use troutknot_rehearsal::plan::{Plan, Step};
 use troutknot_rehearsal::scenario::{Scenario, millis};
 use troutknot_rehearsal::world::Addresses;
 use troutknot_standins::consul::{Agent, Cluster, Instance, Status};
 
+/// Consul agents that may be emulated, as addresses are laid out for.
+const MAX_CONSUL_AGENTS: usize = 16;
+/// The Consul service under which the executors are registered.
+const CONSUL_SERVICE: &str = "box";
+/// How often the record of what was seen is cleared, which nobody reads here; it would grow without bound.
+const CLEAR_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Why the fleet cannot be emulated.
+#[derive(Debug, Error)]
+enum EmulateError {
+    #[error("cannot start the runtime: {0}")]
+    Runtime(#[source] io::Error),
+    #[error("cannot listen for {what} at {address}: {error}")]
+    Listen {
+        what: &'static str,
+        address: SocketAddr,
+        #[source]
+        error: io::Error,
+    },
+}
+
 /// Run the executors and the discovery of a scenario alone, for use by hand
 #[derive(Args)]
 #[command(after_help = "Example: troutknot emulate scenarios/calm.toml --for 1m
 then:    curl -d x -H 'Request-Id: a1' -H 'Work-Millis: 250' http://ADDRESS/render")]
 pub struct Emulate {
     scenario: PathBuf,
+    /// Seed of the plan; the scenario's own if not given
     #[arg(long)]
     seed: Option<u64>,
-    /// Serve so many of Consul's agents beside discovery
+    /// Number of Consul agents to serve besides discovery
     #[arg(long, value_name = "AGENTS", num_args = 0..=1, default_missing_value = "1", default_value_t = 0)]
     consul: usize,
-    /// End by itself after so long
+    /// How long to run
     #[arg(long = "for", value_name = "TIME", default_value = "1h", value_parser = humantime::parse_duration)]
-    lasts: Duration,
+    run_time: Duration,
 }
 
 impl Emulate {
+    /// Runs the fleet until its time is over or Ctrl-C is pressed.
     pub fn run(self) -> Ended {
         let scenario = match check::scenario(&self.scenario) {
             Ok(scenario) => scenario,
-            Err(why) => return Ended::Usage.because(why),
+            Err(error) => return Ended::Usage.because(error),
         };
-        let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-            Ok(runtime) => runtime,
-            Err(why) => return Ended::Machine.because(why),
-        };
-        match LocalSet::new().block_on(&runtime, self.emulate(scenario)) {
+        match self.block_on(scenario) {
             Ok(()) => Ended::Held,
-            Err(why) => Ended::Machine.because(why),
+            Err(error) => Ended::Machine.because(error),
         }
     }
 
-    async fn emulate(&self, scenario: Scenario) -> Result<(), String> {
+    fn block_on(&self, scenario: Scenario) -> Result<(), EmulateError> {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = runtime.map_err(EmulateError::Runtime)?;
+        LocalSet::new().block_on(&runtime, self.emulate(scenario))
+    }
+
+    async fn emulate(&self, scenario: Scenario) -> Result<(), EmulateError> {
         let plan = Plan::draw(&scenario, self.seed.unwrap_or(scenario.seed));
-        let types: Vec<_> = scenario.project_types.iter().map(|t| t.get_ref().clone()).collect();
-        // Any id is known here; its work is the first project type's mean, unless a header says otherwise.
-        let work_of = move |id: &str| {
-            let request_id = id.bytes().fold(0u64, |hash, b| hash.wrapping_mul(31).wrapping_add(b.into()));
-            let kind = types.first()?;
-            let (slots, memory, work) = (kind.slots, kind.memory, millis(kind.work));
-            Some(Work { request_id, project_type: 0, slots, memory, work, priority: kind.credit })
-        };
+        let fleet = Fleet::start(&scenario, &plan, self.consul)?;
+        tokio::select! {
+            () = fleet.play(&plan) => {}
+            () = clear_periodically(&fleet.record) => {}
+            () = tokio::time::sleep(self.run_time) => {}
+            _ = tokio::signal::ctrl_c() => {}
+        }
+        Ok(())
+    }
+}
+
+/// The emulated executors, and the discovery services that list them.
+struct Fleet {
+    hosts: Vec<Rc<Host>>,
+    cluster: Rc<Cluster>,
+    record: Arc<Record>,
+    // Both serve for as long as they are held.
+    _consul_agents: Vec<Rc<Agent>>,
+    _discovery: Rc<discovery::Agent>,
+}
+
+impl Fleet {
+    fn start(scenario: &Scenario, plan: &Plan, consul_agents: usize) -> Result<Self, EmulateError> {
         let record = Arc::new(Record::default());
-        let shared = Shared::new(record.clone(), Arc::new(work_of), true);
+        let shared = Shared::new(record.clone(), Arc::new(work_of(scenario)), true);
         let addresses = Addresses::fresh();
-        let (mut hosts, mut members): (Vec<Rc<Host>>, Vec<Member>) = (Vec::new(), Vec::new());
-        for (k, planned) in plan.executors.iter().enumerate().filter(|(_, e)| e.at_start) {
-            let at = addresses.executor(k);
-            let machine = planned.machine.clone();
-            let host = Host::start(&shared, k as u32, machine, planned.seed, at, !planned.cold);
-            let host = host.map_err(|e| format!("no address for an executor on {at}: {e}"))?;
-            members.push(Member {
-                executor: k as u32,
-                id: host.name.clone(),
-                addr: host.addr,
-                zone: "here".into(),
-                kind: planned.kind.clone(),
-                cell: planned.group as u32,
-                listed: Listed::Ready,
-                weight: 1.0,
-                started_ms: 0.0,
-            });
-            println!("{} http://{}", host.name, host.addr);
-            hosts.push(host);
-        }
+        let (hosts, members) = start_executors(plan, &shared, addresses)?;
         let cluster = Cluster::new("dc1");
-        cluster.register_all("box", members.iter().map(|m| Instance::new(&m.id, m.addr)).collect());
-        let mut agents = Vec::new();
-        for k in 0..self.consul.min(16) {
-            let at = addresses.agent(k + 1);
-            let agent = Agent::start(&cluster, at, None)
-                .map_err(|e| format!("no address for Consul on {at}: {e}"))?;
-            println!("consul http://{}/v1/health/service/box", agent.addr);
-            agents.push(agent);
+        let instances = members.iter().map(|member| Instance::new(&member.id, member.addr)).collect();
+        cluster.register_all(CONSUL_SERVICE, instances);
+        let consul_agents = start_consul(&cluster, consul_agents, addresses)?;
+        let address = addresses.agent(0);
+        let discovery = discovery::Agent::start(&record, 0, address, members);
+        let discovery =
+            discovery.map_err(|error| EmulateError::Listen { what: "discovery", address, error })?;
+        println!("discovery http://{}/catalog/members", discovery.addr());
+        Ok(Fleet { hosts, cluster, record, _consul_agents: consul_agents, _discovery: discovery })
+    }
+
+    /// Applies the plan's steps at their times, then waits for ever.
+    async fn play(&self, plan: &Plan) {
+        let started = tokio::time::Instant::now();
+        for (at_ms, step) in &plan.steps {
+            tokio::time::sleep_until(started + Duration::from_secs_f64(at_ms / 1000.0)).await;
+            self.apply(step);
         }
-        let at = addresses.agent(0);
-        let agent = discovery::Agent::start(&record, 0, at, members);
-        let agent = agent.map_err(|e| format!("no address for discovery on {at}: {e}"))?;
-        println!("discovery http://{}/catalog/members", agent.addr());
-        let began = tokio::time::Instant::now();
-        let plays = async {
-            for (at, step) in &plan.steps {
-                tokio::time::sleep_until(began + Duration::from_secs_f64(at / 1000.0)).await;
-                troubled(&hosts, &cluster, step);
+        std::future::pending().await
+    }
+
+    /// Applies a step, if it concerns an executor or how it is listed.
+    fn apply(&self, step: &Step) {
+        match step {
+            Step::TroubleBegins { number, executor, trouble } => {
+                let Some(host) = self.hosts.get(*executor) else { return };
+                host.trouble(*number as u64, trouble.clone());
+                eprintln!("{} {trouble:?}", host.name);
             }
-            std::future::pending::<()>().await
-        };
-        // What was seen is of no use here; guards against a record that grows for ever.
-        let forgets = async {
-            loop {
-                tokio::time::sleep(Duration::from_secs(1)).await;
-                record.take();
+            Step::TroubleEnds { number, executor } => {
+                let Some(host) = self.hosts.get(*executor) else { return };
+                host.trouble_over(*number as u64);
+                eprintln!("{} is over it", host.name);
             }
-        };
-        tokio::select! {
-            () = plays => {}
-            () = forgets => {}
-            () = tokio::time::sleep(self.lasts) => {}
-            _ = tokio::signal::ctrl_c() => {}
+            Step::KillExecutor { executor } => {
+                self.hosts.get(*executor).into_iter().for_each(|host| host.kill())
+            }
+            Step::RestartExecutor { executor } => {
+                self.hosts.get(*executor).into_iter().for_each(|host| host.restart())
+            }
+            Step::ListFailing { executor } => {
+                self.set_status(*executor, Status::Critical, "is listed as failing")
+            }
+            Step::ListWell { executor } => self.set_status(*executor, Status::Passing, "is listed as well"),
+            _ => {}
         }
-        Ok(())
+    }
+
+    fn set_status(&self, executor: usize, status: Status, text: &str) {
+        let Some(host) = self.hosts.get(executor) else { return };
+        self.cluster.set(CONSUL_SERVICE, &[&host.name], status);
+        eprintln!("{} {text}", host.name);
     }
 }
 
-/// The steps of a plan that concern executors and how they are listed.
-fn troubled(hosts: &[Rc<Host>], cluster: &Cluster, step: &troutknot_rehearsal::plan::Step) {
-    use troutknot_rehearsal::plan::Step::*;
-    match step {
-        TroubleBegins { number, executor, trouble } if *executor < hosts.len() => {
-            hosts[*executor].trouble(*number as u64, trouble.clone());
-            eprintln!("{} {trouble:?}", hosts[*executor].name);
-        }
-        TroubleEnds { number, executor } if *executor < hosts.len() => {
-            hosts[*executor].trouble_over(*number as u64);
-            eprintln!("{} is over it", hosts[*executor].name);
-        }
-        KillExecutor { executor } if *executor < hosts.len() => hosts[*executor].kill(),
-        ListFailing { executor } if *executor < hosts.len() => {
-            cluster.set("box", &[&hosts[*executor].name], Status::Critical);
-            eprintln!("{} is listed as failing", hosts[*executor].name);
-        }
-        ListWell { executor } if *executor < hosts.len() => {
-            cluster.set("box", &[&hosts[*executor].name], Status::Passing);
-            eprintln!("{} is listed as well", hosts[*executor].name);
-        }
-        RestartExecutor { executor } if *executor < hosts.len() => hosts[*executor].restart(),
-        _ => {}
+/// The work of any request id: the mean of the first class, unless a header of the request states another.
+fn work_of(scenario: &Scenario) -> impl Fn(&str) -> Option<Work> + use<> {
+    let classes: Vec<_> = scenario.project_types.iter().map(|class| class.get_ref().clone()).collect();
+    move |id| {
+        let hash = |hash: u64, byte: u8| hash.wrapping_mul(31).wrapping_add(byte.into());
+        let request_id = id.bytes().fold(0, hash);
+        let class = classes.first()?;
+        let (slots, memory, work) = (class.slots, class.memory, millis(class.work));
+        Some(Work { request_id, project_type: 0, slots, memory, work, priority: class.credit })
+    }
+}
+
+fn start_executors(
+    plan: &Plan,
+    shared: &Rc<Shared>,
+    addresses: Addresses,
+) -> Result<(Vec<Rc<Host>>, Vec<Member>), EmulateError> {
+    let (mut hosts, mut members) = (Vec::new(), Vec::new());
+    for (number, planned) in plan.executors.iter().enumerate().filter(|(_, planned)| planned.at_start) {
+        let address = addresses.executor(number);
+        let machine = planned.machine.clone();
+        let host = Host::start(shared, number as u32, machine, planned.seed, address, !planned.cold);
+        let host = host.map_err(|error| EmulateError::Listen { what: "an executor", address, error })?;
+        members.push(Member {
+            executor: number as u32,
+            id: host.name.clone(),
+            addr: host.addr,
+            zone: "here".into(),
+            kind: planned.kind.clone(),
+            cell: planned.group as u32,
+            listed: Listed::Ready,
+            weight: 1.0,
+            started_ms: 0.0,
+        });
+        println!("{} http://{}", host.name, host.addr);
+        hosts.push(host);
+    }
+    Ok((hosts, members))
+}
+
+fn start_consul(
+    cluster: &Rc<Cluster>,
+    count: usize,
+    addresses: Addresses,
+) -> Result<Vec<Rc<Agent>>, EmulateError> {
+    let mut agents = Vec::new();
+    for number in 0..count.min(MAX_CONSUL_AGENTS) {
+        let address = addresses.agent(number + 1);
+        let agent = Agent::start(cluster, address, None);
+        let agent = agent.map_err(|error| EmulateError::Listen { what: "Consul", address, error })?;
+        println!("consul http://{}/v1/health/service/{CONSUL_SERVICE}", agent.addr);
+        agents.push(agent);
+    }
+    Ok(agents)
+}
+
+async fn clear_periodically(record: &Record) {
+    loop {
+        tokio::time::sleep(CLEAR_INTERVAL).await;
+        record.take();
     }
 }
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,4 +1,4 @@
-//! `troutknot scale`: measures real nodes beside thousands of hollow executors, and prints what held.
+//! `troutknot scale`: measures real nodes among thousands of hollow executors, and prints what held.
 use crate::{Ended, check};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
@@ -6,6 +6,7 @@
 use std::io::{self, BufReader, IsTerminal, Write};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 use troutknot_scale::campaign::{self, Programs, RunError};
 use troutknot_scale::executor_worker::{self, WorkerProgram};
 use troutknot_scale::judge::judge;
@@ -13,10 +14,10 @@
 use troutknot_scale::row::{End, Row, read_rows};
 use troutknot_scale::table::{Style, table};
 
-/// Stands for standard output in place of a file.
+/// File name that means standard output.
 const STANDARD_OUTPUT: &str = "-";
 
-/// Measure some real nodes beside thousands of hollow executors and hollow nodes
+/// Measure some real nodes among thousands of hollow executors and hollow nodes
 #[derive(Args)]
 #[command(after_help = "\
 The table goes to standard output: what the run is held to, then each measurement over the size of the fleet, with
@@ -29,7 +30,7 @@
     /// The scale file
     #[arg(required_unless_present_any = ["fit", "executor_worker"])]
     file: Option<PathBuf>,
-    /// What troubles and loads are drawn from; the file's own where not given
+    /// Seed of faults and loads; the file's own if not given
     #[arg(long)]
     seed: Option<u64>,
     /// Write each row as a JSON line to this file, `-` for standard output, as soon as it is measured
@@ -38,7 +39,7 @@
     /// Read the rows of an earlier run, and print its table again
     #[arg(long, value_name = "ROWS", conflicts_with_all = ["file", "seed", "json", "node"])]
     fit: Option<PathBuf>,
-    /// The program that runs a node; this one where not given
+    /// The program that runs a node; this one if not given
     #[arg(long, value_name = "PROGRAM")]
     node: Option<PathBuf>,
     /// Hold a part of the hollow executors for the run that started this process
@@ -46,15 +47,19 @@
     executor_worker: bool,
 }
 
-/// The arguments of [`Scale::executor_worker`].
+/// How often the progress is drawn.
+const DRAW_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Arguments that start this program as an executor worker.
 const EXECUTOR_WORKER: [&str; 2] = ["scale", "--executor-worker"];
 
 impl Scale {
+    /// Measures, prints an earlier run again, or serves as an executor worker.
     pub fn run(self) -> Ended {
         if self.executor_worker {
             return match executor_worker::run() {
                 Ok(()) => Ended::Held,
-                Err(why) => Ended::Machine.because(format!("executors: {why}")),
+                Err(error) => Ended::Machine.because(format!("executors: {error}")),
             };
         }
         match (&self.fit, &self.file) {
@@ -67,98 +72,113 @@
     }
 
     fn measure(&self, path: &Path) -> Ended {
-        let mut file = match check::scale_file(path) {
-            Ok(file) => file,
-            Err(why) => return Ended::Usage.because(why),
-        };
+        self.try_measure(path).unwrap_or_else(|ended| ended)
+    }
+
+    /// # Errors
+    /// How the command ended, once the reason is on standard error.
+    fn try_measure(&self, path: &Path) -> Result<Ended, Ended> {
+        let mut file = check::scale_file(path).map_err(|error| Ended::Usage.because(error))?;
         file.seed = self.seed.unwrap_or(file.seed);
-        let own = match std::env::current_exe() {
-            Ok(own) => own,
-            Err(why) => return Ended::Machine.because(format!("cannot find this program: {why}")),
-        };
-        let arguments = EXECUTOR_WORKER.map(String::from).to_vec();
-        let programs = Programs {
-            node: NodeProgram::at(self.node.as_ref().unwrap_or(&own)),
-            worker: Some(WorkerProgram { path: own, arguments }),
-        };
-        let json = match self.json.as_deref().map(open_json).transpose() {
-            Ok(json) => json,
-            Err(why) => return Ended::Usage.because(why),
-        };
-        let mut keeper = Keeper::new(json);
-        let ran = campaign::run(&file, &programs, &mut |row| keeper.keep(row));
+        let programs = self.programs()?;
+        let json = self.json.as_deref().map(open_json).transpose();
+        let mut recorder = RowRecorder::new(json.map_err(|error| Ended::Usage.because(error))?);
+        let ran = campaign::run(&file, &programs, &mut |row| recorder.record(row));
         if ran.is_ok() {
-            keeper.end();
+            recorder.record_end();
         }
-        let Keeper { rows, failed, bar, .. } = keeper;
+        let RowRecorder { rows, write_error, bar, .. } = recorder;
         bar.finish_and_clear();
-        let to_standard_output = self.json.as_deref() == Some(Path::new(STANDARD_OUTPUT));
-        if !rows.is_empty()
-            && !to_standard_output
-            && let Err(why) = print_table(&rows)
-        {
-            return Ended::Machine.because(why);
+        let rows_on_standard_output = self.json.as_deref() == Some(Path::new(STANDARD_OUTPUT));
+        if !rows.is_empty() && !rows_on_standard_output {
+            print_table(&rows).map_err(|error| Ended::Machine.because(error))?;
         }
-        match (ran, failed) {
-            (Err(why), _) => ended_by(&why).because(why),
-            (Ok(()), Some(why)) => Ended::Machine.because(format!("cannot write rows: {why}")),
+        Ok(match (ran, write_error) {
+            (Err(error), _) => ended_by(&error).because(error),
+            (Ok(()), Some(error)) => Ended::Machine.because(format!("cannot write rows: {error}")),
             (Ok(()), None) => judged(&rows),
-        }
+        })
     }
+
+    fn programs(&self) -> Result<Programs, Ended> {
+        let this_program = std::env::current_exe();
+        let this_program = this_program
+            .map_err(|error| Ended::Machine.because(format!("cannot find this program: {error}")))?;
+        let arguments = EXECUTOR_WORKER.map(String::from).to_vec();
+        Ok(Programs {
+            node: NodeProgram::at(self.node.as_ref().unwrap_or(&this_program)),
+            worker: Some(WorkerProgram { path: this_program, arguments }),
+        })
+    }
+}
+
+/// Why rows or the table cannot be read or written.
+#[derive(Debug, Error)]
+enum OutputError {
+    #[error("cannot write `{}`: {error}", path.display())]
+    Create {
+        path: PathBuf,
+        #[source]
+        error: io::Error,
+    },
+    #[error("cannot write the table: {0}")]
+    Table(#[source] io::Error),
 }
 
-fn open_json(path: &Path) -> Result<Box<dyn Write>, String> {
+fn open_json(path: &Path) -> Result<Box<dyn Write>, OutputError> {
     if path == Path::new(STANDARD_OUTPUT) {
         return Ok(Box::new(io::stdout()));
     }
-    let made = File::create(path).map_err(|e| format!("cannot write `{}`: {e}", path.display()))?;
-    Ok(Box::new(made))
+    match File::create(path) {
+        Ok(file) => Ok(Box::new(file)),
+        Err(error) => Err(OutputError::Create { path: path.to_owned(), error }),
+    }
 }
 
-/// Keeps rows as they come, writes them, and shows how far the run is.
-struct Keeper {
+/// Collects the rows of a run, writes each at once, and shows the progress.
+struct RowRecorder {
     rows: Vec<Row>,
     json: Option<Box<dyn Write>>,
-    /// Why rows can no longer be written.
-    failed: Option<io::Error>,
+    /// The first failed write; no row is written after it.
+    write_error: Option<io::Error>,
     bar: ProgressBar,
-    began: Instant,
+    started: Instant,
 }
 
-impl Keeper {
+impl RowRecorder {
     fn new(json: Option<Box<dyn Write>>) -> Self {
-        // Hidden where standard error is no terminal.
+        // Hidden if standard error is no terminal.
         let bar = ProgressBar::with_draw_target(None, ProgressDrawTarget::stderr());
         if let Ok(style) = ProgressStyle::with_template("{spinner} {elapsed} {msg}") {
             bar.set_style(style);
         }
-        bar.enable_steady_tick(Duration::from_millis(200));
-        Keeper { rows: Vec::new(), json, failed: None, bar, began: Instant::now() }
+        bar.enable_steady_tick(DRAW_INTERVAL);
+        RowRecorder { rows: Vec::new(), json, write_error: None, bar, started: Instant::now() }
     }
 
-    fn keep(&mut self, row: Row) {
+    fn record(&mut self, row: Row) {
         if let Row::Figure(figure) = &row {
             let (phase, executors, count) = (figure.phase, figure.executors, self.rows.len() + 1);
             self.bar.set_message(format!("{phase}, {executors} executors, {count} rows"));
         }
-        // One write a row: a run that is killed leaves whole rows.
+        // One write per row, so that a killed run leaves complete rows.
         if let Some(json) = &mut self.json
-            && self.failed.is_none()
+            && self.write_error.is_none()
         {
             let written = json.write_all(format!("{row}\n").as_bytes()).and_then(|()| json.flush());
-            self.failed = written.err();
+            self.write_error = written.err();
         }
         self.rows.push(row);
     }
 
-    fn end(&mut self) {
-        self.keep(Row::End(End { at_seconds: self.began.elapsed().as_secs_f64() }));
+    fn record_end(&mut self) {
+        self.record(Row::End(End { at_seconds: self.started.elapsed().as_secs_f64() }));
     }
 }
 
-/// How a run ended that could not go on. Nodes that end, or are not ready, break what they are held to.
-fn ended_by(why: &RunError) -> Ended {
-    match why {
+/// The exit status of a failed run: a node that ends or does not become ready breaks its bounds.
+fn ended_by(error: &RunError) -> Ended {
+    match error {
         RunError::NodeEnded { .. }
         | RunError::NotReady { .. }
         | RunError::NotTold { .. }
@@ -175,22 +195,26 @@
     }
 }
 
-fn print_table(rows: &[Row]) -> Result<(), String> {
+fn print_table(rows: &[Row]) -> Result<(), OutputError> {
     let mut out = io::stdout();
     let is_plain = std::env::var_os("NO_COLOR").is_some_and(|value| !value.is_empty());
     let style = if out.is_terminal() && !is_plain { Style::Coloured } else { Style::Plain };
-    out.write_all(table(rows, style).as_bytes()).map_err(|e| format!("cannot write the table: {e}"))
+    out.write_all(table(rows, style).as_bytes()).map_err(OutputError::Table)
 }
 
 fn print_again(path: &Path) -> Ended {
-    let opened = File::open(path).map_err(|e| e.to_string());
-    let rows = opened.and_then(|file| read_rows(BufReader::new(file)).map_err(|e| e.to_string()));
-    let rows = match rows {
+    let unreadable =
+        |error: &dyn std::fmt::Display| Ended::Usage.because(format!("`{}`: {error}", path.display()));
+    let file = match File::open(path) {
+        Ok(file) => file,
+        Err(error) => return unreadable(&error),
+    };
+    let rows = match read_rows(BufReader::new(file)) {
         Ok(rows) => rows,
-        Err(why) => return Ended::Usage.because(format!("`{}`: {why}", path.display())),
+        Err(error) => return unreadable(&error),
     };
     match print_table(&rows) {
         Ok(()) => judged(&rows),
-        Err(why) => Ended::Machine.because(why),
+        Err(error) => Ended::Machine.because(error),
     }
 }
