--- a/crates/cli/src/emulate.rs
+++ b/crates/cli/src/emulate.rs
@@ -12,10 +12,10 @@
 use troutknot_emulator::discovery::{self, Member};
 use troutknot_emulator::executors::{Host, Shared, Work};
 use troutknot_emulator::observed::{Listed, Record};
+use troutknot_fake_consul::{Agent, Cluster, Instance, Status};
 use troutknot_rehearsal::plan::{Plan, Step};
 use troutknot_rehearsal::scenario::{Scenario, millis};
 use troutknot_rehearsal::world::Addresses;
-use troutknot_standins::consul::{Agent, Cluster, Instance, Status};
 
 /// Consul agents that may be emulated, as addresses are laid out for.
 const MAX_CONSUL_AGENTS: usize = 16;
--- a/crates/daemon/examples/fleet_memory.rs
+++ b/crates/daemon/examples/fleet_memory.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tokio::task::LocalSet;
-use troutknot_standins::consul::{Agent, Cluster, Instance};
+use troutknot_fake_consul::{Agent, Cluster, Instance};
 
 const FLEETS: [usize; 5] = [100, 1_000, 5_000, 10_000, 19_000];
 const DEFAULT_MEMORY_MB: u64 = 512;
--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
 use troutknot_emulator::scripted::{Act, Discovery, Executor};
-use troutknot_standins::consul::{Agent, Cluster, Instance, Status, Wrong};
+use troutknot_fake_consul::{Agent, Cluster, Instance, Status, Wrong};
 
 /// The stand-ins on a thread of their own.
 struct Standins {
--- a/crates/rehearsal/src/lists.rs
+++ b/crates/rehearsal/src/lists.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use troutknot_emulator::discovery::{Agent, Member};
 use troutknot_emulator::observed::{ExecutorNumber, Listed, NodeNumber, Record, Seen};
-use troutknot_standins::consul::{self, Cluster, Instance, Status, Wrong};
+use troutknot_fake_consul::{self as fake_consul, Cluster, Instance, Status, Wrong};
 
 pub const SERVICE: &str = "box";
 
@@ -24,7 +24,7 @@
 
 /// One node's agent of Consul, and what it has told.
 pub struct ConsulList {
-    agent: Rc<consul::Agent>,
+    agent: Rc<fake_consul::Agent>,
     node: NodeNumber,
     record: Arc<Record>,
     /// What could not be told since it went wrong.
@@ -49,7 +49,7 @@
         at: SocketAddr,
         record: &Arc<Record>,
     ) -> Result<Rc<Self>> {
-        let agent = consul::Agent::start(cluster, at, None)
+        let agent = fake_consul::Agent::start(cluster, at, None)
             .with_context(|| format!("no address for Consul on {at}"))?;
         let told: RefCell<HashMap<ExecutorNumber, Listed>> = RefCell::default();
         let own = record.clone();
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -28,7 +28,7 @@
 use troutknot_emulator::executors::{Host, Shared};
 use troutknot_emulator::front::health;
 use troutknot_emulator::observed::{ExecutorNumber, Listed, NodeNumber, Record, Seen};
-use troutknot_standins::consul::Cluster;
+use troutknot_fake_consul::Cluster;
 
 /// How long nodes may take to be ready at the start.
 const READY_WAIT: Duration = Duration::from_secs(15);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,7 @@
 //! ```
 //!
 //! [`policy`] holds every decision, [`dispatcher`] what drives it. Two hosts drive it: `crates/daemon`, the
-//! real node, and `crates/wirehost`, the simulator's adapter; `crates/simulation` plays whole days with it.
+//! real node, and `crates/simulator-adapter`, the simulator's adapter; `crates/simulation` plays whole days with it.
 
 /// So that tests of private items use the helpers of the others.
 #[cfg(test)]
