--- /dev/null
+++ b/src/dispatcher/attempts.rs
@@ -0,0 +1,151 @@
+//! Attempts: their start and their end, and what these say of executors and connections.
+use super::Dispatcher;
+use crate::event::{GossipMessage, Outcome};
+use crate::ids::{AttemptId, ExecutorId, RequestClassId, RequestId};
+use crate::log_event::LogEvent;
+use crate::policy::connection_reuse::ReuseBlock;
+use crate::policy::running_time;
+use crate::policy::start_check;
+use crate::state::request::Attempt;
+use crate::time::Millis;
+
+/// The end of an attempt.
+pub(super) struct AttemptEnd {
+    pub outcome: Outcome,
+    /// Whether the request has its final answer.
+    pub is_request_closed: bool,
+}
+
+/// Who observed that an idle connection had broken.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Observer {
+    ThisNode,
+    Peer,
+}
+
+impl Dispatcher {
+    pub(super) fn on_attempt_started(&mut self, now: Millis, request_id: RequestId, attempt_id: AttemptId) {
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
+        let attempt = request.attempts.get_mut(attempt_id.0 as usize);
+        let Some(attempt) = attempt.filter(|attempt| attempt.started_at.is_none()) else { return };
+        attempt.started_at = Some(now);
+        self.admission.record_start(&self.classes[request.class], now - attempt.sent_at);
+    }
+
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Millis,
+        request_id: RequestId,
+        attempt_id: AttemptId,
+        end: AttemptEnd,
+    ) {
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
+        let attempt = request.attempts.get_mut(attempt_id.0 as usize);
+        let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight()) else { return };
+        attempt.outcome = Some(end.outcome);
+        let (attempt, class, slots) = (*attempt, request.class, request.slots);
+        let is_another_in_flight = request.is_in_flight();
+        self.fleet.executors.record_change(attempt.executor, now, -slots);
+        self.fleet.outliers.record_outcome(now);
+        self.judge_outcome(now, class, &attempt, end.outcome);
+        let is_completed = end.outcome == Outcome::Completed;
+        if is_completed {
+            self.observe_running_time(now, class, &attempt);
+        }
+        match end.is_request_closed {
+            true => self.forget(request_id),
+            false if is_another_in_flight => {}
+            // Without probes, a rejection is the sign that the executors are busy.
+            false if end.outcome == Outcome::Rejected && self.probes.is_forbidden => {
+                self.enqueue(now, request_id)
+            }
+            false => self.sample(now, request_id),
+        }
+        if is_completed {
+            self.dispatch_queued_to(now, attempt.executor);
+        }
+    }
+
+    /// Applies what an outcome says of the executor, and of the connections to it.
+    fn judge_outcome(&mut self, now: Millis, class: RequestClassId, attempt: &Attempt, outcome: Outcome) {
+        let executor = attempt.executor;
+        match outcome {
+            Outcome::Reset if self.connection_reuse.was_stale(attempt, now) => {
+                self.block_idle_reuse(now, Observer::ThisNode)
+            }
+            // Only an executor that shows free capacity gets requests: one that rejects them reports wrongly.
+            Outcome::Rejected => self.gossip.extend(self.fleet.record_rejection(now, executor, class)),
+            Outcome::Completed | Outcome::NotSent | Outcome::Cancelled => {}
+            _ => self.fleet.record_fault(now, executor),
+        }
+        if !outcome.never_ran()
+            && let Some(state) = self.fleet.executors.state_mut(executor)
+        {
+            state.last_used = now;
+        }
+    }
+
+    fn observe_running_time(&mut self, now: Millis, class: RequestClassId, attempt: &Attempt) {
+        let started_at = self.fleet.executors.state(attempt.executor).endpoint.started_at;
+        let scale = self.fleet.slow_start.response_time_scale(started_at, attempt.sent_at);
+        let class = &mut self.classes[class];
+        let mean_running_time = &mut self.fleet.executors.mean_running_time;
+        let relative = running_time::observe(class, mean_running_time, attempt, now, scale);
+        self.fleet.record_response_time(now, attempt.executor, relative);
+        self.admission.record_end(class, now - attempt.sent_at);
+    }
+
+    /// Blocks the reuse of idle connections; peers are notified of what this node observed itself.
+    pub(super) fn block_idle_reuse(&mut self, now: Millis, observer: Observer) {
+        if let ReuseBlock::Began { max_idle_time } = self.connection_reuse.block(now) {
+            self.log.push(LogEvent::IdleConnectionsLost { max_idle_time });
+            if observer == Observer::ThisNode {
+                self.gossip.push(GossipMessage::IdleConnectionLost);
+            }
+        }
+    }
+
+    /// The time of a dispatched request is over within which its attempt was to start.
+    pub(super) fn on_start_overdue(&mut self, now: Millis, request_id: RequestId, executor: ExecutorId) {
+        let Some(request) = self.requests.get(&request_id) else { return };
+        let has_started = request.attempts.last().is_none_or(|last| last.started_at.is_some());
+        match self.probes.is_forbidden {
+            _ if has_started => {}
+            true => self.admission.record_late_start(),
+            false => self.probe(now, request_id, vec![executor]),
+        }
+    }
+
+    /// Checks an attempt that has not started, with its executor's report: a lost attempt is hedged.
+    pub(super) fn recheck_start(&mut self, now: Millis, request_id: RequestId) {
+        let Some(request) = self.requests.get(&request_id) else { return };
+        let Some(&attempt) = request.attempts.last() else { return };
+        if !start_check::is_lost(request) {
+            return self.await_attempts(request_id);
+        }
+        if self.connection_reuse.explains_lost_attempt(&attempt, now) {
+            self.block_idle_reuse(now, Observer::ThisNode);
+        } else {
+            let rejection = self.fleet.record_rejection(now, attempt.executor, request.class);
+            self.gossip.extend(rejection);
+        }
+        self.sample(now, request_id)
+    }
+
+    /// Adds an attempt of an earlier process; the request waits for its end.
+    pub(super) fn on_attempt_recovered(
+        &mut self,
+        now: Millis,
+        request_id: RequestId,
+        executor: ExecutorId,
+        sent_at: Millis,
+    ) {
+        let is_expected = self.fleet.executors.expects(executor);
+        let Some(request) = self.requests.get_mut(&request_id).filter(|_| is_expected) else { return };
+        request.attempts.push(Attempt::new(executor, sent_at, f64::INFINITY));
+        request.sampling_rounds = 0;
+        let slots = request.slots;
+        self.fleet.executors.record_change(executor, now, slots);
+        self.await_attempts(request_id);
+    }
+}
--- /dev/null
+++ b/src/dispatcher/endpoints.rs
@@ -0,0 +1,46 @@
+//! Updates of the endpoint list, and messages of peers.
+use super::Dispatcher;
+use super::attempts::Observer;
+use crate::endpoint::{Endpoint, ListUpdate};
+use crate::event::GossipMessage;
+use crate::state::request::DesiredState;
+use crate::time::Millis;
+
+impl Dispatcher {
+    pub(super) fn on_endpoints_updated(&mut self, now: Millis, update: ListUpdate, endpoints: &[Endpoint]) {
+        self.fleet.executors.update(now, update, endpoints);
+        if matches!(update, ListUpdate::Snapshot | ListUpdate::Delta) {
+            self.log.extend(self.discovery.record_success());
+        }
+        self.resample_undispatchable(now);
+    }
+
+    /// Samples anew for the requests whose dispatch is decided but not carried out, if their executor no
+    /// longer accepts requests.
+    fn resample_undispatchable(&mut self, now: Millis) {
+        for request_id in self.dirty.clone() {
+            let Some(request) = self.requests.get(&request_id) else { continue };
+            if let DesiredState::Dispatched { executor, attempts, .. } = request.desired
+                && request.attempts.len() < attempts
+                && !self.fleet.executors.is_ready(executor)
+            {
+                self.fleet.executors.record_change(executor, now, -request.slots);
+                self.sample(now, request_id);
+            }
+        }
+    }
+
+    pub(super) fn on_watch_lost(&mut self, now: Millis, is_rejected: bool) {
+        let lost = self.discovery.record_failure(now, self.nodes, is_rejected, &mut self.random);
+        self.log.push(lost);
+    }
+
+    pub(super) fn on_gossip(&mut self, now: Millis, message: GossipMessage) {
+        match message {
+            GossipMessage::IdleConnectionLost => self.block_idle_reuse(now, Observer::Peer),
+            GossipMessage::WorkRejected { token, class } => {
+                self.fleet.record_gossiped_rejection(now, token, class)
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/dispatcher/requests.rs
@@ -0,0 +1,135 @@
+//! Requests from their arrival to their answer, with the queue and the timers of requests.
+use super::Dispatcher;
+use crate::ids::{ExecutorId, RequestClassId, RequestId, TenantId};
+use crate::policy::admission::{self, Admission, QuotaUse};
+use crate::policy::queueing::{self, QueueDecision};
+use crate::policy::retry::{RetryPolicy, UnservedAnswer};
+use crate::state::request::{DesiredState, Request};
+use crate::time::Millis;
+
+/// A request that has arrived.
+pub(super) struct Arrival {
+    pub class: RequestClassId,
+    pub tenant: TenantId,
+    pub slots: f64,
+    pub time_left: Millis,
+    pub is_retry: bool,
+}
+
+impl Dispatcher {
+    /// Admits a request or sheds it. One of an unknown class, or of an id that is open, is ignored.
+    pub(super) fn on_request_arrived(&mut self, now: Millis, request_id: RequestId, arrival: Arrival) {
+        let Arrival { class, tenant, slots, time_left, is_retry } = arrival;
+        if !self.classes.contains(class) || self.requests.contains_key(&request_id) {
+            return;
+        }
+        let quota_use = self.quotas.record_request(now, tenant, is_retry);
+        let request = Request {
+            class,
+            slots: slots.max(1.0),
+            is_over_quota: quota_use == QuotaUse::OverQuota,
+            asked_at: now + time_left - self.classes[class].deadline.max(time_left),
+            deadline: now + time_left,
+            timer_at: f64::INFINITY,
+            ..Request::default()
+        };
+        self.requests.insert(request_id, request);
+        let relative_cost = admission::relative_cost(&self.classes, class);
+        match self.admission.decide(relative_cost, &mut self.random) {
+            Admission::Admitted => self.sample(now, request_id),
+            Admission::Shed => self.finish_unserved(now, request_id),
+        }
+    }
+
+    pub(super) fn on_request_timer(&mut self, now: Millis, request_id: RequestId) {
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
+        request.timer_at = f64::INFINITY;
+        match request.desired {
+            DesiredState::Probing => self.probe_next(now, request_id),
+            DesiredState::Dispatched { executor, .. } => self.on_start_overdue(now, request_id, executor),
+            DesiredState::Queued => {
+                request.sampling_rounds = 1;
+                self.sample(now, request_id)
+            }
+            DesiredState::Rejected { .. } | DesiredState::Failed => {}
+        }
+    }
+
+    /// Drops a request that needs no answer any more.
+    pub(super) fn forget(&mut self, request_id: RequestId) {
+        let Some(request) = self.requests.remove(&request_id) else { return };
+        // Attempts that are in flight after the answer are left to the executors' reports.
+        for attempt in request.attempts.iter().filter(|attempt| attempt.is_in_flight()) {
+            let Some(state) = self.fleet.executors.state_mut(attempt.executor) else { continue };
+            state.slots_in_flight = (state.slots_in_flight - request.slots).max(0.0);
+        }
+        self.queue.retain(|&queued| queued != request_id);
+        self.timers.remove(request_id, request.timer_at);
+    }
+
+    /// Sets the desired state of a request, and when its timer fires; infinite for never.
+    pub(super) fn set_desired(&mut self, request_id: RequestId, desired: DesiredState, timer_at: Millis) {
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
+        self.timers.remove(request_id, request.timer_at);
+        self.queue.retain(|&queued| queued != request_id);
+        if desired == DesiredState::Queued {
+            self.queue.push(request_id);
+        }
+        (request.desired, request.timer_at) = (desired, timer_at);
+        self.timers.insert(request_id, timer_at);
+        self.dirty.push(request_id);
+    }
+
+    /// Leaves a request to its attempts in flight.
+    pub(super) fn await_attempts(&mut self, request_id: RequestId) {
+        let Some(request) = self.requests.get(&request_id) else { return };
+        let Some(last) = request.attempts.last() else { return };
+        let (executor, deadline, attempts) = (last.executor, request.deadline, request.attempts.len());
+        let desired = DesiredState::Dispatched { executor, deadline, attempts };
+        self.set_desired(request_id, desired, f64::INFINITY);
+    }
+
+    /// Gives a request up; its answer is among the next actions.
+    pub(super) fn finish_unserved(&mut self, now: Millis, request_id: RequestId) {
+        let Some(request) = self.requests.get(&request_id) else { return };
+        if request.is_in_flight() {
+            return self.await_attempts(request_id);
+        }
+        let class = &self.classes[request.class];
+        let desired = match RetryPolicy::decide(class, &request.attempts, now).unserved_answer {
+            UnservedAnswer::Rejected => {
+                let retry_after = self.retry_after_enabled.then_some(class.latency_objective);
+                DesiredState::Rejected { retry_after }
+            }
+            UnservedAnswer::Failed => DesiredState::Failed,
+        };
+        self.set_desired(request_id, desired, f64::INFINITY);
+    }
+
+    /// Queues a request for which no executor has capacity, or gives it up.
+    pub(super) fn enqueue(&mut self, now: Millis, request_id: RequestId) {
+        let Some(request) = self.requests.get(&request_id) else { return };
+        if request.is_in_flight() {
+            return self.await_attempts(request_id);
+        }
+        match queueing::decide(&self.classes[request.class], request, self.queue.len(), now) {
+            QueueDecision::Enqueue { recheck_at } => {
+                self.set_desired(request_id, DesiredState::Queued, recheck_at)
+            }
+            QueueDecision::GiveUp => self.finish_unserved(now, request_id),
+        }
+    }
+
+    /// Probes an executor that may have free capacity for the first request of the queue, if it is eligible.
+    pub(super) fn dispatch_queued_to(&mut self, now: Millis, executor: ExecutorId) {
+        let priority = |request_id: RequestId| {
+            let request = &self.requests[&request_id];
+            queueing::priority(&self.classes[request.class], request, self.over_quota_value, now)
+        };
+        let Some(request_id) = queueing::first_in_queue(&self.queue, priority) else { return };
+        let request = &self.requests[&request_id];
+        if self.fleet.is_eligible(now, &self.classes[request.class], request, executor) {
+            self.probe(now, request_id, vec![executor]);
+        }
+    }
+}
--- a/src/dispatcher/settings.rs
+++ b/src/dispatcher/settings.rs
@@ -1,38 +1,29 @@
-//! How new settings reach the parts of a dispatcher.
+//! How new settings reach the rules and the state.
 use super::Dispatcher;
-use crate::policy::admission::UNEVENNESS;
-use crate::policy::slow_start::SlowStart;
-use crate::settings::{Settings, WeightSource};
-use crate::state::token_bucket::TokenBucket;
+use crate::policy::start_check::StartCheck;
+use crate::settings::Settings;
 use crate::time::Millis;
 
+/// Lower bound on the longest latency objective.
+const MIN_LONGEST_OBJECTIVE: Millis = 1.0;
+
 impl Dispatcher {
-    /// Goes by new settings from now on. A request keeps the class that it came with, so all terms of it:
-    /// classes that are known stay as they are, and only further ones are read.
+    /// Applies new settings from now on. Request classes that exist retain their terms, so that a request
+    /// retains those of its arrival; only further classes are added.
     pub fn apply_settings(&mut self, now: Millis, settings: &Settings) {
         self.classes.add_new(settings);
         self.nodes = settings.nodes.max(1.0);
-        let part = (UNEVENNESS / self.nodes).min(1.0);
-        self.quotas.resize_with(settings.quotas().count(), || TokenBucket::new(now));
-        for (quota, per_s) in self.quotas.iter_mut().zip(settings.quotas()) {
-            quota.rate_per_ms = per_s * part / 1000.0;
-        }
+        self.quotas.apply_settings(now, settings, self.nodes);
         self.over_quota_value = settings.over_quota_value;
-        let longest = self.classes.iter().map(|class| class.latency_objective).fold(1.0, f64::max);
-        self.slow_start = SlowStart::new(settings, self.nodes, longest);
+        let objectives = self.classes.iter().map(|class| class.latency_objective);
+        let longest_objective = objectives.fold(MIN_LONGEST_OBJECTIVE, f64::max);
+        self.fleet.apply_settings(settings, self.nodes, longest_objective);
         self.retry_after_enabled = settings.limits.retry_after_enabled;
-        self.local_zone = settings.preferred_zone();
-        self.executors.weights_fall_with_load = settings.weight_source == WeightSource::Live;
-        self.idle_timeout = settings.limits.idle_timeout.unwrap_or(0.0);
+        self.connection_reuse.apply_settings(settings);
         self.gossip_enabled = settings.limits.gossip_enabled;
-        self.probes.price = settings.prices.probe;
-        self.probes.is_forbidden = !settings.limits.probes_enabled;
-        if self.probes.is_forbidden {
-            // No reply ever shows a queue, and what is worked out now and then goes by that.
-            self.probes.busy_ratio = Some(0.0);
-        }
-        self.starts_reported = settings.executors.reports_start;
-        self.start_check_delay = self.start_check_delay(settings.limits.hedging_enabled);
+        self.probes.apply_settings(settings);
+        self.admission.apply_settings(settings);
+        self.start_check = StartCheck::new(settings);
         self.discovery.apply_settings(settings);
     }
 }
--- a/src/dispatcher/warm_state.rs
+++ b/src/dispatcher/warm_state.rs
@@ -1,32 +1,31 @@
-//! What one process of a node hands to the next.
+//! The state that one process of a node hands to the next.
 use super::Dispatcher;
-use crate::policy::MAX_SAMPLE_SIZE;
-use crate::state::probe_statistics::LEAST_SAMPLE_SIZE;
 use crate::time::Millis;
 use crate::warm_state::WarmState;
 
 impl Dispatcher {
-    /// What a process of this node after this one goes on from.
+    /// The state with which the next process of this node starts.
     pub fn export_state(&self, now: Millis) -> WarmState {
+        let executors = &self.fleet.executors;
         WarmState {
-            executors: self.executors.export(now - self.slow_start.rules.budget_window),
+            executors: executors.export(self.fleet.slow_start.window_start(now)),
             class_running_times: self.classes.iter().map(|class| class.response_time).collect(),
-            mean_running_time: self.executors.mean_running_time,
+            mean_running_time: executors.mean_running_time,
             busy_probe_ratio: self.probes.busy_ratio,
             probe_latency: self.probes.latency,
-            sample_size: self.probes.sample_size,
+            sample_size: self.sample_sizing.sample_size(),
         }
     }
 
-    pub(crate) fn import_state(&mut self, state: WarmState) {
-        self.executors.import(state.executors);
+    pub(super) fn import_state(&mut self, state: WarmState) {
+        self.fleet.executors.import(state.executors);
         let observed = self.classes.iter_mut().zip(state.class_running_times);
         for (class, running_time) in observed.filter(|(_, running_time)| running_time.observations > 0.0) {
-            // What it waited is not told apart; that is less than the truth for fresh executors.
+            // The wait at the executor is not handed over separately: service times start too long.
             (class.response_time, class.service_time) = (running_time, running_time);
         }
-        self.executors.mean_running_time = state.mean_running_time;
+        self.fleet.executors.mean_running_time = state.mean_running_time;
         self.probes.import(state.busy_probe_ratio, state.probe_latency);
-        self.probes.sample_size = state.sample_size.clamp(LEAST_SAMPLE_SIZE, MAX_SAMPLE_SIZE);
+        self.sample_sizing.import(state.sample_size);
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,73 +1,146 @@
-//! Which requests are taken, and for how long they are queued: adaptive admission, and quotas of tenants.
-use crate::dispatcher::Dispatcher;
+//! Admission: which new requests are accepted, by adaptive load shedding and by the quotas of tenants.
+use super::queueing::MAX_WAIT_SHARE;
 use crate::ids::{RequestClassId, TenantId};
-use crate::state::adaptive_share::ShareSteps;
-use crate::state::request_class::RequestClass;
+use crate::settings::Settings;
+use crate::state::adaptive_share::{AdaptiveShare, ShareSteps};
+use crate::state::request_class::{RequestClass, RequestClasses};
+use crate::state::token_bucket::TokenBucket;
 use crate::time::Millis;
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
 
-/// The steps of the share of requests that is taken, by attempts that began in time and by late ones. With
-/// the floor the end of an overload is seen.
-pub(crate) const ADMISSION_STEPS: ShareSteps = ShareSteps { increase: 0.1, decrease: 0.85, floor: 0.05 };
-/// Part of the time that a mean request has to spare within its objective; short ones have less. Of the
-/// deadline where starts are not reported.
-const PATIENCE: f64 = 0.25;
-/// Span over which a tenant saves up what it did not ask for.
-const QUOTA_SPAN: Millis = 2000.0;
-/// The least that it may save, in requests.
-const LEAST_BURST: f64 = 3.0;
-/// The least value that is reckoned with.
-const LEAST_VALUE: f64 = 1e-9;
-/// Traffic is uneven, so a node takes up to so many times its even part of what all share.
-pub(crate) const UNEVENNESS: f64 = 2.0;
-
-impl RequestClass {
-    fn cost_per_value(&self) -> f64 {
-        self.service_time.mean / self.terms.value.max(LEAST_VALUE)
+/// Steps of the admitted share. The floor admits some requests at all times, so that the end of an overload
+/// is observed.
+const SHARE_STEPS: ShareSteps = ShareSteps { increase: 0.1, decrease: 0.85, floor: 0.05 };
+/// Lower bound on a class's value when costs are compared.
+const MIN_VALUE: f64 = 1e-9;
+/// Span over which a tenant accumulates unused quota.
+const QUOTA_BURST_SPAN: Millis = 2000.0;
+/// Lower bound on the burst that a quota allows, in requests.
+const MIN_QUOTA_BURST: f64 = 3.0;
+/// Upper bound on a node's part of a quota, as a multiple of an even part: traffic is uneven.
+const MAX_QUOTA_SKEW: f64 = 2.0;
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
+/// Whether a new request is accepted.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum Admission {
+    Admitted,
+    Shed,
+}
+
+/// Whether a request is covered by its tenant's quota.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum QuotaUse {
+    WithinQuota,
+    OverQuota,
+}
+
+/// Sheds load by chance while many attempts start late.
+///
+/// It adapts only if probes are forbidden: otherwise queues are visible, and requests are shed by those.
+pub(crate) struct AdmissionControl {
+    share: AdaptiveShare,
+    is_adaptive: bool,
+    starts_reported: bool,
+}
+
+impl AdmissionControl {
+    /// Admits all requests at first.
+    pub fn new() -> Self {
+        let share = AdaptiveShare::new(SHARE_STEPS);
+        AdmissionControl { share, is_adaptive: false, starts_reported: false }
     }
 
-    /// How long a request may be queued.
-    pub fn max_queueing_time(&self) -> Millis {
-        PATIENCE * self.mean_objective(self.response_time.mean)
+    pub fn apply_settings(&mut self, settings: &Settings) {
+        self.is_adaptive = !settings.limits.probes_enabled;
+        self.starts_reported = settings.executors.reports_start;
     }
-}
 
-impl Dispatcher {
-    /// Whether a new request is taken: by chance, where queues cannot be seen and many attempts begin late.
-    /// What needs more work for its value is shed first.
-    pub(crate) fn admits(&mut self, class: RequestClassId) -> bool {
-        let mean =
-            self.classes.iter().map(RequestClass::cost_per_value).sum::<f64>() / self.classes.len() as f64;
-        let relative_cost = self.classes[class].cost_per_value() / mean;
-        let share = self.admission.share().powf(relative_cost);
-        share >= 1.0 || rand::RngExt::random::<f64>(&mut self.random) < share
+    /// Admits a request or sheds it, by the admitted share to the power of [`relative_cost`]. It samples the
+    /// random source only if the share is below 1.
+    pub fn decide(&self, relative_cost: f64, random: &mut ChaCha8Rng) -> Admission {
+        let share = self.share.share().powf(relative_cost);
+        match share >= 1.0 || random.random::<f64>() < share {
+            true => Admission::Admitted,
+            false => Admission::Shed,
+        }
     }
 
-    /// How long an attempt may take to begin for a mean request of its class to be in time; where starts are
-    /// not reported, how long to end.
-    pub(crate) fn max_start_delay(&self, class: RequestClassId) -> Millis {
-        let class = &self.classes[class];
+    /// The longest time from dispatch to start with which a request of mean length meets its latency
+    /// objective. If starts are not reported, it bounds the time from dispatch to result.
+    pub fn max_start_delay(&self, class: &RequestClass) -> Millis {
         if !self.starts_reported {
-            // Its running time cannot be told apart from its wait.
-            return PATIENCE * class.deadline;
+            // Running time and wait cannot be separated.
+            return MAX_WAIT_SHARE * class.deadline;
         }
         class.mean_objective(class.service_time.mean)
     }
 
-    /// An attempt that has not begun in time was observed when its time was over.
-    pub(crate) fn observe_start_delay(&mut self, class: RequestClassId, delay: Millis) {
-        if self.probes.is_forbidden && delay <= self.max_start_delay(class) {
-            self.admission.increase();
+    /// Records that an attempt started after this delay. A late start was recorded when its time was over.
+    pub fn record_start(&mut self, class: &RequestClass, delay: Millis) {
+        if self.is_adaptive && delay <= self.max_start_delay(class) {
+            self.share.increase();
+        }
+    }
+
+    /// Records an attempt that ended without a report of its start.
+    pub fn record_end(&mut self, class: &RequestClass, delay: Millis) {
+        if !self.starts_reported {
+            self.record_start(class, delay);
+        }
+    }
+
+    /// Records that an attempt did not start within [`AdmissionControl::max_start_delay`].
+    pub fn record_late_start(&mut self) {
+        if self.is_adaptive {
+            self.share.decrease();
+        }
+    }
+}
+
+/// Cost of a class's requests for their value, relative to the mean of all classes: a class above 1 is shed
+/// first.
+pub(crate) fn relative_cost(classes: &RequestClasses, class: RequestClassId) -> f64 {
+    let mean = classes.iter().map(cost_per_value).sum::<f64>() / classes.len() as f64;
+    cost_per_value(&classes[class]) / mean
+}
+
+fn cost_per_value(class: &RequestClass) -> f64 {
+    class.service_time.mean / class.terms.value.max(MIN_VALUE)
+}
+
+/// This node's part of the tenants' quotas.
+#[derive(Default)]
+pub(crate) struct TenantQuotas {
+    buckets: Vec<TokenBucket>,
+}
+
+impl TenantQuotas {
+    /// Takes the quotas of the settings; tenants that had one retain their unused tokens.
+    pub fn apply_settings(&mut self, now: Millis, settings: &Settings, nodes: f64) {
+        let part = (MAX_QUOTA_SKEW / nodes).min(1.0);
+        self.buckets.resize_with(settings.quotas().count(), || TokenBucket::new(now));
+        for (bucket, per_s) in self.buckets.iter_mut().zip(settings.quotas()) {
+            bucket.rate_per_ms = per_s * part / MILLIS_PER_SECOND;
         }
     }
 
-    /// Whether a request is beyond its tenant's quota; a client that asks again is not counted twice.
-    pub(crate) fn is_over_quota(&mut self, now: Millis, tenant: TenantId, is_retry: bool) -> bool {
-        let Some(quota) = self.quotas.get_mut(tenant.0 as usize) else { return false };
-        quota.refill(now, (quota.rate_per_ms * QUOTA_SPAN).max(LEAST_BURST));
-        let is_over = !quota.has_token();
-        if !is_over && !is_retry {
-            quota.take();
+    /// Counts a request against its tenant's quota, unless the client retries one that was counted. A tenant
+    /// without a quota is never over it.
+    pub fn record_request(&mut self, now: Millis, tenant: TenantId, is_retry: bool) -> QuotaUse {
+        let Some(bucket) = self.buckets.get_mut(tenant.0 as usize) else { return QuotaUse::WithinQuota };
+        bucket.refill(now, (bucket.rate_per_ms * QUOTA_BURST_SPAN).max(MIN_QUOTA_BURST));
+        if !bucket.has_token() {
+            return QuotaUse::OverQuota;
+        }
+        if !is_retry {
+            bucket.take();
         }
-        is_over
+        QuotaUse::WithinQuota
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/admission.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/connection_reuse.rs
@@ -0,0 +1,71 @@
+//! Connection reuse: idle connections that break without notice, and which idle connections are closed.
+use crate::settings::Settings;
+use crate::state::request::Attempt;
+use crate::time::Millis;
+
+/// A connection that breaks this soon under an attempt that has not started was broken before.
+const STALE_CONNECTION_WINDOW: Millis = 150.0;
+/// Longest idle time after which a connection is reused while reuse is blocked.
+const SAFE_IDLE_TIME: Millis = 200.0;
+/// How long reuse is blocked after an idle connection broke.
+const REUSE_BLOCK: Millis = 30_000.0;
+
+/// Whether a block of connection reuse began or was prolonged.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub(crate) enum ReuseBlock {
+    Began {
+        /// The longest idle time after which a connection is still reused.
+        max_idle_time: Millis,
+    },
+    Prolonged,
+}
+
+/// Blocks the reuse of idle connections for a while after one of them broke without notice.
+#[derive(Default)]
+pub(crate) struct ConnectionReuse {
+    /// How long an executor keeps an idle connection open.
+    idle_timeout: Millis,
+    blocked_until: Millis,
+}
+
+impl ConnectionReuse {
+    pub fn apply_settings(&mut self, settings: &Settings) {
+        self.idle_timeout = settings.limits.idle_timeout.unwrap_or(0.0);
+    }
+
+    /// Whether an attempt whose connection was reset was sent over a connection that had broken while idle.
+    pub fn was_stale(&self, attempt: &Attempt, now: Millis) -> bool {
+        now - attempt.sent_at < STALE_CONNECTION_WINDOW
+            && attempt.started_at.is_none()
+            && self.may_be_reused(attempt.idle_time)
+    }
+
+    /// Whether a broken idle connection explains an attempt that was lost on the way to its executor.
+    pub fn explains_lost_attempt(&self, attempt: &Attempt, now: Millis) -> bool {
+        self.may_be_reused(attempt.idle_time) && now >= self.blocked_until
+    }
+
+    /// Blocks reuse from now on.
+    pub fn block(&mut self, now: Millis) -> ReuseBlock {
+        let is_blocked = now < self.blocked_until;
+        self.blocked_until = now + REUSE_BLOCK;
+        match is_blocked {
+            true => ReuseBlock::Prolonged,
+            false => ReuseBlock::Began { max_idle_time: SAFE_IDLE_TIME },
+        }
+    }
+
+    /// Whether the idle connections of an executor are closed before a dispatch, given how long they have
+    /// been idle.
+    pub fn must_close_idle(&self, idle_time: Millis, now: Millis) -> bool {
+        now < self.blocked_until && idle_time > SAFE_IDLE_TIME && self.may_be_reused(idle_time)
+    }
+
+    fn may_be_reused(&self, idle_time: Millis) -> bool {
+        idle_time < self.idle_timeout
+    }
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/connection_reuse.rs"]
+mod tests;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,12 +1,15 @@
-//! Every decision of the dispatcher, one file for each concern: these files alone say which requests are
-//! taken, where each goes, what is sent again and what is given up.
+//! The rules of the dispatcher, one module each. A rule is a value or a function: its inputs are its
+//! arguments, and its result says what is to be done. [`crate::dispatcher`] owns the values and applies the
+//! results.
 pub(crate) mod admission;
-mod lifecycle;
-mod outlier;
+pub(crate) mod connection_reuse;
+pub(crate) mod outlier;
+pub(crate) mod queueing;
 pub(crate) mod retry;
-mod sampling;
-mod selection;
+pub(crate) mod running_time;
+pub(crate) mod sampling;
+pub(crate) mod selection;
 pub(crate) mod slow_start;
+pub(crate) mod start_check;
 
-pub(crate) use sampling::MAX_SAMPLE_SIZE;
 pub use sampling::{best_sample_size, time_in_system};
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,126 +1,133 @@
-//! Outliers: executors that fail, are slow or reject work get a score that fades, and a weight by it.
-use super::slow_start::MAX_ASSIGNED_NODES;
-use crate::dispatcher::Dispatcher;
-use crate::event::GossipMessage;
-use crate::ids::{ExecutorId, RequestClassId, RequestId};
-use crate::state::executor_table::ExecutorTable;
+//! Outlier detection: executors that fail, are slow or reject requests get a decaying score, and by it a
+//! lower weight when executors are sampled.
+use crate::state::request_class::RequestClass;
 use crate::time::Millis;
 use crate::warm_state::DecayingScore;
-use rand::RngExt;
-
-/// The shortest time constant by which scores fade.
-const SCORE_FADE: Millis = 4000.0;
-/// The longest one.
-const MAX_SCORE_FADE: Millis = 30_000.0;
-/// A score stands for so many meetings of this node with an executor, within both bounds.
-const FADE_MEETINGS: f64 = 4.0;
-/// A running time over the mean adds so much of its logarithm to the score.
+
+/// Lower bound on the time constant with which scores decay; outcomes are counted with it.
+const MIN_SCORE_DECAY: Millis = 4000.0;
+/// Upper bound on that time constant.
+const MAX_SCORE_DECAY: Millis = 30_000.0;
+/// Time constant of a score, in mean intervals between two attempts of this node at one executor.
+const DECAY_MEETINGS: f64 = 4.0;
+/// Score of a slow attempt, per unit of the logarithm of its response time relative to the mean.
 const SLOWNESS_WEIGHT: f64 = 0.7;
-/// A fault counts for as many as the fade is times the shortest one, up to so many.
+/// Upper bound on the score of one fault.
 const MAX_FAULT_PENALTY: f64 = 3.0;
-/// Past so many outcomes each one more takes the place of one: a score tells how and not how much is done.
+/// Upper bound on the observations in a score: it rates an executor's outcomes, not their number.
 const MAX_OBSERVATIONS: f64 = 12.0;
-/// What another node says counts for so much, and fades: it never shuts an executor out.
+/// Initial score of a rejection that a peer reported by gossip; it never excludes an executor.
 const GOSSIP_PENALTY: f64 = 1.5;
-/// Work with fewer running times to spare feels a score more, as slow executors make it late.
+/// Peers are notified of a rejection if the score before it was below this.
+const GOSSIP_THRESHOLD: f64 = GOSSIP_PENALTY / 2.0;
+/// Slack, in running times, from which on a score has its plain effect; it is also the largest sensitivity.
 const AMPLE_SLACK: f64 = 3.0;
-/// The weight of an executor in another zone, where crossing is priced.
-const CROSS_ZONE_PREFERENCE: f64 = 0.3;
-/// From this weight on no chance is drawn.
-const FULL_WEIGHT: f64 = 0.98;
-
-impl ExecutorTable {
-    /// How long a score stands, so that it outlives the time until the next meeting.
-    fn score_fade(&self, now: Millis) -> Millis {
-        let outcomes = self.recent_outcomes.at(now, SCORE_FADE);
-        let meeting_interval = SCORE_FADE * self.ready.len().max(1) as f64 / outcomes;
-        (FADE_MEETINGS * meeting_interval).clamp(SCORE_FADE, MAX_SCORE_FADE)
-    }
 
-    /// Counts an attempt that has ended.
-    pub(crate) fn record_outcome(&mut self, now: Millis) {
-        let outcomes = self.recent_outcomes.at(now, SCORE_FADE) + 1.0;
+/// Counts the attempts that ended at all executors, which say how often this node meets one executor.
+#[derive(Default)]
+pub(crate) struct OutlierDetection {
+    recent_outcomes: DecayingScore,
+}
+
+impl OutlierDetection {
+    /// Counts an attempt that ended.
+    pub fn record_outcome(&mut self, now: Millis) {
+        let outcomes = self.recent_outcomes.at(now, MIN_SCORE_DECAY) + 1.0;
         self.recent_outcomes = DecayingScore { value: outcomes, set_at: now };
     }
 
-    /// Guards against an executor that fails at once, and of which nothing would be left by the next meeting.
-    pub(crate) fn record_fault(&mut self, executor: ExecutorId, now: Millis) {
-        self.penalize(executor, now, (self.score_fade(now) / SCORE_FADE).min(MAX_FAULT_PENALTY));
+    /// How scores decay now, so that one outlasts the time until the next attempt at the same executor.
+    pub fn score_decay(&self, now: Millis, ready_executors: usize) -> ScoreDecay {
+        let outcomes = self.recent_outcomes.at(now, MIN_SCORE_DECAY);
+        let meeting_interval = MIN_SCORE_DECAY * ready_executors.max(1) as f64 / outcomes;
+        let time_constant = (DECAY_MEETINGS * meeting_interval).clamp(MIN_SCORE_DECAY, MAX_SCORE_DECAY);
+        ScoreDecay { time_constant }
     }
+}
+
+/// The failure score of an executor, and the decaying number of outcomes in it.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub(crate) struct FailureScore {
+    pub score: DecayingScore,
+    pub observations: DecayingScore,
+}
+
+/// A rejection score after one more rejection.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub(crate) struct RecordedRejection {
+    pub score: DecayingScore,
+    pub notice: PeerNotice,
+}
 
-    /// Guards against slow executors; the logarithm forgives the long tail of ordinary running times.
-    pub(crate) fn record_response_time(&mut self, executor: ExecutorId, now: Millis, relative: f64) {
-        self.penalize(executor, now, SLOWNESS_WEIGHT * relative.ln().max(0.0));
+/// Whether peers are notified of a rejection.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum PeerNotice {
+    Send,
+    Skip,
+}
+
+/// How scores decay at a time, and what outcomes add to them.
+#[derive(Clone, Copy)]
+pub(crate) struct ScoreDecay {
+    time_constant: Millis,
+}
+
+impl ScoreDecay {
+    /// Score of one fault. It grows with the time constant, so that some of the score is left at the next
+    /// attempt of a node that meets an executor rarely.
+    pub fn fault_penalty(self) -> f64 {
+        (self.time_constant / MIN_SCORE_DECAY).min(MAX_FAULT_PENALTY)
     }
 
-    fn penalize(&mut self, executor: ExecutorId, now: Millis, penalty: f64) {
-        let fade = self.score_fade(now);
-        let Some(state) = self.state_mut(executor) else { return };
-        let observations = state.observations.at(now, SCORE_FADE) + 1.0;
+    /// Adds the penalty of one outcome, 0 for a good one.
+    pub fn penalize(self, before: FailureScore, penalty: f64, now: Millis) -> FailureScore {
+        let observations = before.observations.at(now, MIN_SCORE_DECAY) + 1.0;
         let retained = (MAX_OBSERVATIONS / observations).min(1.0);
-        let score = (state.failure_score.at(now, fade) + penalty) * retained;
-        state.failure_score = DecayingScore { value: score, set_at: now };
-        state.observations = DecayingScore { value: observations * retained, set_at: now };
+        let score = (before.score.at(now, self.time_constant) + penalty) * retained;
+        FailureScore {
+            score: DecayingScore { value: score, set_at: now },
+            observations: DecayingScore { value: observations * retained, set_at: now },
+        }
     }
 
-    /// Guards against executors that reject or swallow work of one class; other nodes are told what is new.
-    pub(crate) fn record_rejection(
-        &mut self,
-        executor: ExecutorId,
-        class: RequestClassId,
-        now: Millis,
-    ) -> Option<GossipMessage> {
-        let fade = self.score_fade(now);
-        let state = self.state_mut(executor)?;
-        let score = state.rejections.entry(class).or_default();
-        let before = score.at(now, fade);
-        let penalty = (fade / SCORE_FADE).min(MAX_FAULT_PENALTY);
-        *score = DecayingScore { value: before + penalty, set_at: now };
-        let token = state.endpoint.token as u32;
-        (before < GOSSIP_PENALTY / 2.0).then_some(GossipMessage::WorkRejected { token, class })
+    /// Adds a rejection of a request of one class by an executor whose report showed free capacity.
+    pub fn reject(self, score: DecayingScore, now: Millis) -> RecordedRejection {
+        let before = score.at(now, self.time_constant);
+        let score = DecayingScore { value: before + self.fault_penalty(), set_at: now };
+        let notice = if before < GOSSIP_THRESHOLD { PeerNotice::Send } else { PeerNotice::Skip };
+        RecordedRejection { score, notice }
     }
 
-    /// Takes what another node says of an executor, if that is held.
-    pub(crate) fn record_rejection_elsewhere(&mut self, token: u32, class: RequestClassId, now: Millis) {
-        let found = self.iter().find(|state| state.endpoint.token as u32 == token);
-        let executor = found.map_or(ExecutorId::default(), |state| state.endpoint.executor);
-        let fade = self.score_fade(now);
-        if self.expects(executor)
-            && let Some(state) = self.state_mut(executor)
-        {
-            let score = state.rejections.entry(class).or_default();
-            *score = DecayingScore { value: score.at(now, fade).max(GOSSIP_PENALTY), set_at: now };
-        }
+    /// The rejection score after a peer reported a rejection by gossip.
+    pub fn apply_gossip(self, score: DecayingScore, now: Millis) -> DecayingScore {
+        DecayingScore { value: score.at(now, self.time_constant).max(GOSSIP_PENALTY), set_at: now }
     }
-}
 
-impl Dispatcher {
-    /// Chance by slow start (among many nodes its root) and by score decides who of the eligible is sampled.
-    pub(crate) fn passes_health_weight(
-        &mut self,
-        now: Millis,
-        request_id: RequestId,
-        executor: ExecutorId,
-    ) -> bool {
-        let class_number =
-            self.requests.get(&request_id).map_or(RequestClassId::default(), |request| request.class);
-        let class = &self.classes[class_number];
-        let state = self.executors.state(executor);
-        let fade = self.executors.score_fade(now);
-        let rejections = state.rejections.get(&class_number).copied().unwrap_or_default();
-        let response_time = class.response_time.mean;
-        let slack = (class.latency_objective + (class.terms.stretch - 1.0) * response_time) / response_time;
-        let sensitivity = (AMPLE_SLACK / slack).clamp(1.0, AMPLE_SLACK);
-        let exponent = if self.nodes > MAX_ASSIGNED_NODES { 0.5 } else { 1.0 };
-        let progress = self.warm_up_progress(executor, now).powf(exponent);
-        let preference = if self.is_cross_zone(executor) { CROSS_ZONE_PREFERENCE } else { 1.0 };
-        let score = state.failure_score.at(now, fade) + rejections.at(now, fade);
-        let weight = preference * progress * (-score * sensitivity).exp();
-        weight > FULL_WEIGHT || self.random.random::<f64>() < weight
+    /// The score of an executor for requests of a class, given its failures and its rejections of that class.
+    pub fn current_score(self, failures: DecayingScore, rejections: DecayingScore, now: Millis) -> f64 {
+        failures.at(now, self.time_constant) + rejections.at(now, self.time_constant)
     }
+}
 
-    /// Whether a dispatch there has its price.
-    pub(crate) fn is_cross_zone(&self, executor: ExecutorId) -> bool {
-        self.local_zone.is_some_and(|zone| self.executors.state(executor).endpoint.zone != zone)
-    }
+/// Score of a response time, given as a multiple of the mean. The logarithm tolerates the long tail of
+/// ordinary running times.
+pub(crate) fn slowness_penalty(relative_response_time: f64) -> f64 {
+    SLOWNESS_WEIGHT * relative_response_time.ln().max(0.0)
 }
+
+/// How strongly a score counts for a class, 1 to 3: the shorter its slack, the sooner a slow executor makes
+/// its requests late.
+pub(crate) fn sensitivity(class: &RequestClass) -> f64 {
+    let response_time = class.response_time.mean;
+    let slack = (class.latency_objective + (class.terms.stretch - 1.0) * response_time) / response_time;
+    (AMPLE_SLACK / slack).clamp(1.0, AMPLE_SLACK)
+}
+
+/// Weight of an executor with this score when executors are sampled, 0 to 1.
+pub(crate) fn health_weight(score: f64, sensitivity: f64) -> f64 {
+    (-score * sensitivity).exp()
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/outlier.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/queueing.rs
@@ -0,0 +1,57 @@
+//! Queueing at this node: how long a request waits for capacity, which is dispatched first, and when it is
+//! given up.
+use super::retry::{RetryPolicy, RetryTarget};
+use crate::ids::RequestId;
+use crate::state::request::Request;
+use crate::state::request_class::RequestClass;
+use crate::time::Millis;
+
+/// Part of its latency objective that a request of mean length can wait; short requests can wait less.
+pub(crate) const MAX_WAIT_SHARE: f64 = 0.25;
+/// Part of its longest wait after which a queued request samples executors again.
+const RECHECK_SHARE: f64 = 0.5;
+
+/// What happens to a request for which no executor has capacity.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub(crate) enum QueueDecision {
+    /// It is queued and samples executors again at this time.
+    Enqueue {
+        recheck_at: Millis,
+    },
+    GiveUp,
+}
+
+/// How long a request of this class may wait in the queue.
+pub(crate) fn max_queueing_time(class: &RequestClass) -> Millis {
+    MAX_WAIT_SHARE * class.mean_objective(class.response_time.mean)
+}
+
+/// Queues a request while it may still be answered in time. `queued` is the number of queued requests: while
+/// there are any, capacity is short, and a request over its tenant's quota is shed.
+pub(crate) fn decide(class: &RequestClass, request: &Request, queued: usize, now: Millis) -> QueueDecision {
+    let max_wait = max_queueing_time(class);
+    let until = (request.asked_at + max_wait).min(request.deadline);
+    let is_retry_allowed = !RetryPolicy::is_exhausted(class, &request.attempts)
+        && RetryPolicy::decide(class, &request.attempts, now).target != RetryTarget::Nowhere;
+    let is_shed = request.is_over_quota && queued > 0;
+    if now >= until || !is_retry_allowed || is_shed {
+        return QueueDecision::GiveUp;
+    }
+    QueueDecision::Enqueue { recheck_at: (now + max_wait * RECHECK_SHARE).min(until) }
+}
+
+/// Priority of a queued request: its value per slot, times its wait. `over_quota_value` is the part of the
+/// value that a request over its tenant's quota retains.
+pub(crate) fn priority(class: &RequestClass, request: &Request, over_quota_value: f64, now: Millis) -> f64 {
+    let part = if request.is_over_quota { over_quota_value } else { 1.0 };
+    part * class.terms.value / request.slots * (now - request.asked_at)
+}
+
+/// The queued request of the highest priority, the last one of several.
+pub(crate) fn first_in_queue(queue: &[RequestId], priority: impl Fn(RequestId) -> f64) -> Option<RequestId> {
+    queue.iter().copied().max_by(|&one, &other| priority(one).total_cmp(&priority(other)))
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/queueing.rs"]
+mod tests;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,37 +1,69 @@
-//! What may be retried, and where, by what running it twice would do. It is said here alone.
+//! Retries: where a request may be dispatched again, and until when, by what running it twice would do.
+use crate::endpoint::Endpoint;
+use crate::event::Outcome;
 use crate::ids::ExecutorId;
 use crate::settings::{DeduplicationScope, Effect};
-use crate::state::request::Request;
+use crate::state::executor_table::ExecutorTable;
+use crate::state::request::Attempt;
 use crate::state::request_class::RequestClass;
 use crate::time::Millis;
 
-/// Deduplicated work is sent again only this part into its window, for the way there and clocks that differ.
-pub(crate) const WINDOW_MARGIN: f64 = 0.8;
+/// Part of the deduplication window within which a request is sent again; the rest covers the transit time
+/// and clocks that differ.
+const WINDOW_MARGIN: f64 = 0.8;
 
-/// Where a request may be sent next.
-#[derive(Clone, Copy, PartialEq)]
+/// Where a request may be dispatched next.
+#[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum RetryTarget {
     Anywhere,
-    /// Only to executors that recognize repeats of what this one may have run.
+    /// Only to executors that recognize repeats of what this executor may have run.
     SameDeduplicationDomain(ExecutorId),
     Nowhere,
 }
 
+impl RetryTarget {
+    /// Whether a request of this class may be dispatched to this executor.
+    pub fn allows(self, class: &RequestClass, endpoint: &Endpoint, executors: &ExecutorTable) -> bool {
+        match self {
+            RetryTarget::Anywhere => true,
+            RetryTarget::Nowhere => false,
+            RetryTarget::SameDeduplicationDomain(first) => {
+                let first = executors.get(first).map(|state| &state.endpoint);
+                first.is_some_and(|first| class.is_same_deduplication_domain(endpoint, first))
+            }
+        }
+    }
+}
+
+/// The final answer to a request that is given up.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum UnservedAnswer {
+    /// The request was not served; the client may send it again.
+    Rejected,
+    /// The request may have run; the client must not send it again unchecked.
+    Failed,
+}
+
+/// What a request's attempts so far allow.
 pub(crate) struct RetryPolicy {
     pub target: RetryTarget,
-    /// Whether the client may send it again after an answer that it was not served.
-    pub may_reject: bool,
+    pub unserved_answer: UnservedAnswer,
 }
 
 impl RetryPolicy {
-    pub fn decide(class: &RequestClass, request: &Request, now: Millis) -> Self {
-        let Some(first) = request.first_possible_run() else {
-            return RetryPolicy { target: RetryTarget::Anywhere, may_reject: true };
+    /// Decides by the class's effect and the first attempt that may have run, or may yet run.
+    pub fn decide(class: &RequestClass, attempts: &[Attempt], now: Millis) -> Self {
+        let Some(first) = first_possible_run(attempts) else {
+            return RetryPolicy { target: RetryTarget::Anywhere, unserved_answer: UnservedAnswer::Rejected };
         };
         let is_everywhere = class.terms.deduplication_scope == DeduplicationScope::All;
         match class.terms.effect {
-            Effect::Idempotent => RetryPolicy { target: RetryTarget::Anywhere, may_reject: true },
-            Effect::AtMostOnce => RetryPolicy { target: RetryTarget::Nowhere, may_reject: false },
+            Effect::Idempotent => {
+                RetryPolicy { target: RetryTarget::Anywhere, unserved_answer: UnservedAnswer::Rejected }
+            }
+            Effect::AtMostOnce => {
+                RetryPolicy { target: RetryTarget::Nowhere, unserved_answer: UnservedAnswer::Failed }
+            }
             Effect::Deduplicated => {
                 let is_over = now - first.sent_at > class.terms.deduplication_window * WINDOW_MARGIN;
                 let target = match is_over {
@@ -39,16 +71,31 @@
                     false if is_everywhere => RetryTarget::Anywhere,
                     false => RetryTarget::SameDeduplicationDomain(first.executor),
                 };
-                RetryPolicy { target, may_reject: is_everywhere }
+                let unserved_answer =
+                    if is_everywhere { UnservedAnswer::Rejected } else { UnservedAnswer::Failed };
+                RetryPolicy { target, unserved_answer }
             }
         }
     }
 
-    /// Until when the last byte of a next attempt may go out. A connection may come up late: what may have
-    /// run goes out complete inside its window, or not.
-    pub fn send_deadline(class: &RequestClass, request: &Request, attempt_deadline: Millis) -> Millis {
-        let first = request.first_possible_run().filter(|_| class.terms.effect == Effect::Deduplicated);
+    /// Whether a request has had all attempts that its class allows.
+    pub fn is_exhausted(class: &RequestClass, attempts: &[Attempt]) -> bool {
+        attempts.len() >= class.max_attempts
+    }
+
+    /// Until when the last byte of the next attempt may be sent. A connection may be established late: a
+    /// request that may have run is sent completely within its deduplication window, or not at all.
+    pub fn send_deadline(class: &RequestClass, attempts: &[Attempt], attempt_deadline: Millis) -> Millis {
+        let first = first_possible_run(attempts).filter(|_| class.terms.effect == Effect::Deduplicated);
         let window = class.terms.deduplication_window * WINDOW_MARGIN;
         first.map_or(attempt_deadline, |first| attempt_deadline.min(first.sent_at + window))
     }
 }
+
+fn first_possible_run(attempts: &[Attempt]) -> Option<&Attempt> {
+    attempts.iter().find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/retry.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/running_time.rs
@@ -0,0 +1,33 @@
+//! Running times: what a completed attempt adds to the means of its class and of all requests.
+use crate::state::request::Attempt;
+use crate::state::request_class::RequestClass;
+use crate::state::smooth;
+use crate::time::Millis;
+
+/// Weight of one attempt in a smoothed mean: about the last thirty count.
+const RUNNING_TIME_WEIGHT: f64 = 0.03;
+
+/// Adds a completed attempt to the means, unless its executor was in slow start, and returns its response
+/// time as a multiple of its class's mean.
+///
+/// `scale` is at most 1: the response time of an executor in slow start is scaled down to that of a warm one.
+pub(crate) fn observe(
+    class: &mut RequestClass,
+    mean_running_time: &mut Millis,
+    attempt: &Attempt,
+    now: Millis,
+    scale: f64,
+) -> f64 {
+    let response_time = (now - attempt.sent_at) * scale;
+    if scale >= 1.0 {
+        let started_at = attempt.sent_at.max(attempt.started_at.unwrap_or(f64::NEG_INFINITY));
+        class.response_time.observe(response_time, RUNNING_TIME_WEIGHT);
+        class.service_time.observe(now - started_at, RUNNING_TIME_WEIGHT);
+        smooth(mean_running_time, response_time, RUNNING_TIME_WEIGHT);
+    }
+    response_time / class.response_time.mean
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/running_time.rs"]
+mod tests;
--- a/src/policy/sampling.rs
+++ b/src/policy/sampling.rs
@@ -1,166 +1,205 @@
-//! The ordinary path, as the paper has it: how many executors are sampled for a request, by the ESM formula,
-//! and whom to probe.
-use super::retry::{RetryPolicy, RetryTarget};
-use super::slow_start::MAX_ASSIGNED_NODES;
-use crate::dispatcher::Dispatcher;
-use crate::ids::{ExecutorId, RequestId};
+//! Sampling, as the paper has it: how many executors are sampled for a request, by the ESM formula, and
+//! which ones.
+use crate::ids::ExecutorId;
 use crate::log_event::LogEvent;
-use crate::state::probe_statistics::LEAST_SAMPLE_SIZE;
-use crate::state::request::DesiredState;
-use crate::state::request_class::RequestClass;
+use crate::state::request::Request;
 use crate::time::Millis;
 use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
 
+/// How often the sample size is computed anew.
 const SAMPLE_SIZE_INTERVAL: Millis = 1000.0;
-/// The largest sample that is tried: an executor with several slots rarely makes work wait, and probes cost.
-pub(crate) const MAX_SAMPLE_SIZE: u32 = 3;
-/// So often an executor is drawn and looked at before all are looked at.
-const MAX_DRAWS: usize = 40;
-/// From this smoothed share of replies with a queue on, capacity is short, also where none is queued here.
+/// The initial sample size, and its lower bound.
+const MIN_SAMPLE_SIZE: u32 = 2;
+/// Upper bound on the sample size: an executor with several slots rarely makes requests wait, and probes
+/// cost.
+const MAX_SAMPLE_SIZE: u32 = 3;
+/// The sample size while capacity is short everywhere, as each probe has its cost.
+const SAMPLE_SIZE_WITHOUT_CAPACITY: u32 = 1;
+/// Executors that are sampled before all ready ones are searched for an eligible one.
+const MAX_SAMPLES: usize = 40;
+/// Smoothed share of replies with a queue above which capacity is short, even if no request is queued here.
 const SHORT_CAPACITY_RATIO: f64 = 0.3;
-/// The mean time in the system by the ESM formula, in mean running times; none where utilization reaches 1.
+/// An executor of at least this weight is taken without use of the random source.
+const FULL_WEIGHT: f64 = 0.98;
+/// Weight of an executor in another zone, if dispatches across zones are priced.
+const CROSS_ZONE_PREFERENCE: f64 = 0.3;
+/// Terms of the formula's sum below this are dropped.
+const NEGLIGIBLE_TERM: f64 = 1e-9;
+/// Upper bound on the number of the formula's terms.
+const MAX_TERMS: i32 = 10_000;
+/// Bounds on the busy ratio in the formula's tail law, which has no solution at 0 and 1.
+const BUSY_RATIO_MARGIN: f64 = 1e-6;
+
+/// The mean time in the system by the ESM formula, in mean running times.
+///
+/// `load` is the utilization without probes, and `probe_cost` the cost of a probe in mean running times.
+/// `None` if the utilization with probes reaches 1.
 pub fn time_in_system(sample_size: u32, load: f64, probe_cost: f64) -> Option<f64> {
-    let (d, capacity_left) = (sample_size as f64, 1.0 - load * sample_size as f64 * probe_cost);
+    let (size, capacity_left) = (sample_size as f64, 1.0 - load * sample_size as f64 * probe_cost);
     let utilization = load / capacity_left;
     if capacity_left <= 0.0 || utilization >= 1.0 {
         return None;
     }
-    let power = |i: i32| if sample_size == 1 { i as f64 - 1.0 } else { (d.powi(i) - d) / (d - 1.0) };
-    // The first term is 1 and they fall like a geometric row or faster: what is cut cannot move the minimum.
-    let terms = (1..10_000).map(|i| utilization.powf(power(i))).take_while(|&term| term > 1e-9);
+    let power = |index: i32| match sample_size {
+        1 => index as f64 - 1.0,
+        _ => (size.powi(index) - size) / (size - 1.0),
+    };
+    // The first term is 1 and they fall at least geometrically: the dropped ones cannot move the minimum.
+    let terms = (1..MAX_TERMS).map(|index| utilization.powf(power(index)));
+    let terms = terms.take_while(|&term| term > NEGLIGIBLE_TERM);
     Some(utilization / load * terms.sum::<f64>())
 }
 
-/// The sample size that makes the formula smallest; the tail law gives the load: busy ratio = load^(d+1).
-pub fn best_sample_size(busy_ratio: f64, sample_size: u32, probe_cost: f64, largest: u32) -> Option<u32> {
-    let load = busy_ratio.clamp(1e-6, 1.0 - 1e-6).powf(1.0 / (sample_size as f64 + 1.0));
-    let sizes = LEAST_SAMPLE_SIZE..=largest.max(LEAST_SAMPLE_SIZE);
+/// The sample size, up to `max_size`, with the shortest time in the system.
+///
+/// The load follows from the busy ratio that was observed with `sample_size`, by the tail law: busy ratio =
+/// load^(d+1). `None` if no size is stable.
+pub fn best_sample_size(busy_ratio: f64, sample_size: u32, probe_cost: f64, max_size: u32) -> Option<u32> {
+    let busy_ratio = busy_ratio.clamp(BUSY_RATIO_MARGIN, 1.0 - BUSY_RATIO_MARGIN);
+    let load = busy_ratio.powf(1.0 / (sample_size as f64 + 1.0));
+    let sizes = MIN_SAMPLE_SIZE..=max_size.max(MIN_SAMPLE_SIZE);
     let times = sizes.filter_map(|size| Some((size, time_in_system(size, load, probe_cost)?)));
     times.min_by(|one, other| one.1.total_cmp(&other.1)).map(|(size, _)| size)
 }
 
-impl Dispatcher {
-    /// Samples d ready executors with replacement and wants a probe to each distinct one.
-    pub(crate) fn sample(&mut self, now: Millis, request_id: RequestId) {
-        let Some(request) = self.requests.get(&request_id) else { return };
-        let class = &self.classes[request.class];
-        let is_used_up = request.attempts.len() >= class.max_attempts;
-        if now >= request.deadline || is_used_up || !self.may_dispatch_again(now, class, request_id) {
-            return self.finish_unserved(now, request_id);
-        }
-        let mut avoided: Vec<ExecutorId> = request.attempts.iter().map(|attempt| attempt.executor).collect();
-        avoided.extend(request.candidates.iter().filter(|_| request.sampling_rounds == 1));
-        self.update_sample_size(now);
-        // Where capacity is short everywhere: one, for each probe has its price.
-        let sample_size = if self.is_capacity_short() { 1 } else { self.probes.sample_size };
-        let mut candidates: Vec<ExecutorId> = Vec::new();
-        for _ in 0..sample_size {
-            let sampled = self.sample_one(now, request_id, &avoided);
-            candidates.extend(sampled.filter(|executor| !candidates.contains(executor)));
-        }
-        // Who is near is asked first: where it shows free capacity, the others need not be.
-        candidates.sort_by_key(|&executor| self.is_cross_zone(executor));
-        match candidates.is_empty() {
-            true => self.enqueue(now, request_id),
-            false => self.probe(now, request_id, candidates),
+/// Whether all executors appear to be busy.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum FleetCapacity {
+    Available,
+    Short,
+}
+
+impl FleetCapacity {
+    /// Capacity is short if requests are queued at this node, or if probe replies show it to a node of a
+    /// large fleet, which has too few requests to queue some at most times.
+    pub fn observe(queued: usize, busy_ratio: Option<f64>, is_large_fleet: bool) -> Self {
+        let is_shown = busy_ratio.unwrap_or(0.0) > SHORT_CAPACITY_RATIO;
+        match queued > 0 || (is_shown && is_large_fleet) {
+            true => FleetCapacity::Short,
+            false => FleetCapacity::Available,
         }
     }
+}
+
+/// The number of executors that are sampled for a request, computed anew at intervals.
+pub(crate) struct SampleSizing {
+    sample_size: u32,
+    updated_at: Millis,
+}
 
-    fn may_dispatch_again(&self, now: Millis, class: &RequestClass, request_id: RequestId) -> bool {
-        let request = self.requests.get(&request_id);
-        request.is_some_and(|request| RetryPolicy::decide(class, request, now).target != RetryTarget::Nowhere)
+impl SampleSizing {
+    pub fn new(now: Millis) -> Self {
+        SampleSizing { sample_size: MIN_SAMPLE_SIZE, updated_at: now }
     }
 
-    /// One eligible executor, each with the same chance but for its health; one to avoid if there is none.
-    pub(crate) fn sample_one(
-        &mut self,
-        now: Millis,
-        request_id: RequestId,
-        avoided: &[ExecutorId],
-    ) -> Option<ExecutorId> {
-        // The few nodes to which a budget in slow start is assigned draw its executor for all the others too.
-        let assigned_weight =
-            self.executors.assigned.len() as f64 * (self.nodes / self.slow_start.assigned_nodes - 1.0);
-        let ready = self.executors.ready.len();
-        let assigned_chance = assigned_weight / (assigned_weight + ready.max(1) as f64);
-        // Guards against work that grows with the fleet: a ready one at random, then whether it is eligible.
-        for _ in 0..if ready == 0 { 0 } else { MAX_DRAWS } {
-            let draws_assigned = self.random.random_bool(assigned_chance);
-            let from = if draws_assigned { &self.executors.assigned } else { &self.executors.ready };
-            let executor = from[self.random.random_range(0..from.len())];
-            if !avoided.contains(&executor)
-                && self.is_eligible(now, self.requests.get(&request_id)?, executor)
-                && self.passes_health_weight(now, request_id, executor)
-            {
-                return Some(executor);
-            }
-        }
-        let request = self.requests.get(&request_id)?;
-        let mut eligible = self.executors.ready.clone();
-        eligible.retain(|&executor| self.is_eligible(now, request, executor));
-        if !eligible.iter().all(|executor| avoided.contains(executor)) {
-            eligible.retain(|executor| !avoided.contains(executor));
+    pub fn sample_size(&self) -> u32 {
+        self.sample_size
+    }
+
+    /// The sample size for one request.
+    pub fn size_for(&self, capacity: FleetCapacity) -> u32 {
+        match capacity {
+            FleetCapacity::Available => self.sample_size,
+            FleetCapacity::Short => SAMPLE_SIZE_WITHOUT_CAPACITY,
         }
-        (!eligible.is_empty()).then(|| eligible[self.random.random_range(0..eligible.len())])
     }
 
-    /// Work is queued, or replies show it: one of many nodes has too little work to queue some at most times.
-    pub(crate) fn is_capacity_short(&self) -> bool {
-        let is_shown = self.probes.busy_ratio.unwrap_or(0.0) > SHORT_CAPACITY_RATIO;
-        !self.queue.is_empty() || (is_shown && self.nodes > MAX_ASSIGNED_NODES)
+    /// Whether the sample size is due to be computed anew.
+    pub fn is_due(&self, now: Millis) -> bool {
+        now - self.updated_at >= SAMPLE_SIZE_INTERVAL
     }
 
-    /// Wants reports of these for this request, one after another.
-    pub(crate) fn probe(&mut self, now: Millis, request_id: RequestId, candidates: Vec<ExecutorId>) {
-        let Some(request) = self.requests.get_mut(&request_id) else { return };
-        request.candidates = candidates;
-        request.probed = 0;
-        request.sampling_rounds += 1;
-        request.reports.clear();
-        match self.probes.is_forbidden {
-            true => self.dispatch_by_own_load(now, request_id),
-            false => self.probe_next(now, request_id),
-        }
+    /// Computes the sample size from the busy ratio and the cost of a probe in mean running times. Returns
+    /// the change, if there is one.
+    pub fn update(&mut self, now: Millis, busy_ratio: f64, probe_cost: f64) -> Option<LogEvent> {
+        self.updated_at = now;
+        let from = self.sample_size;
+        let best = best_sample_size(busy_ratio, from, probe_cost, MAX_SAMPLE_SIZE);
+        self.sample_size = best.unwrap_or(MIN_SAMPLE_SIZE);
+        let to = self.sample_size;
+        (to != from).then_some(LogEvent::SampleSizeChanged { from, to, busy_ratio, probe_cost })
     }
 
-    pub(crate) fn probe_next(&mut self, now: Millis, request_id: RequestId) {
-        let Some(request) = self.requests.get_mut(&request_id) else { return };
-        let Some(&executor) = request.candidates.get(request.probed) else {
-            return self.dispatch_to_shortest(now, request_id);
-        };
-        request.probed += 1;
-        let deadline = request.deadline;
-        if let Some(state) = self.executors.state_mut(executor) {
-            if !state.is_probe_in_flight && state.awaiting_probe.is_empty() {
-                self.due_probes.push(executor);
-            }
-            if !state.awaiting_probe.contains(&request_id) {
-                state.awaiting_probe.push(request_id);
+    /// Continues with the sample size of an earlier process.
+    pub fn import(&mut self, sample_size: u32) {
+        self.sample_size = sample_size.clamp(MIN_SAMPLE_SIZE, MAX_SAMPLE_SIZE);
+    }
+}
+
+/// The factors of an executor's weight when it is sampled, each from 0 to 1.
+pub(crate) struct SamplingWeight {
+    /// By slow start.
+    pub warm_up: f64,
+    /// By outlier detection.
+    pub health: f64,
+    pub is_cross_zone: bool,
+}
+
+impl SamplingWeight {
+    /// Whether an executor that was sampled is taken, with its weight as the chance.
+    fn accepts(&self, random: &mut ChaCha8Rng) -> bool {
+        let preference = if self.is_cross_zone { CROSS_ZONE_PREFERENCE } else { 1.0 };
+        let weight = preference * self.warm_up * self.health;
+        weight > FULL_WEIGHT || random.random::<f64>() < weight
+    }
+}
+
+/// Executors that are not sampled for a request: those of its attempts, and those of the first round while
+/// the second is sampled.
+pub(crate) fn avoided_executors(request: &Request) -> Vec<ExecutorId> {
+    let mut avoided: Vec<ExecutorId> = request.attempts.iter().map(|attempt| attempt.executor).collect();
+    avoided.extend(request.candidates.iter().filter(|_| request.sampling_rounds == 1));
+    avoided
+}
+
+/// The executors to sample from.
+pub(crate) struct Sampler<'a> {
+    pub ready: &'a [ExecutorId],
+    /// Ready executors in slow start that are assigned to this node, which are sampled more often.
+    pub assigned: &'a [ExecutorId],
+    /// Weight of the assigned executors beyond that of as many others.
+    pub assigned_weight: f64,
+}
+
+impl Sampler<'_> {
+    /// One eligible executor, at random by weight; one to avoid if there is no other.
+    pub fn sample_one(
+        &self,
+        random: &mut ChaCha8Rng,
+        avoided: &[ExecutorId],
+        is_eligible: impl Fn(ExecutorId) -> bool,
+        weight: impl Fn(ExecutorId) -> SamplingWeight,
+    ) -> Option<ExecutorId> {
+        let ready = self.ready.len();
+        let assigned_chance = self.assigned_weight / (self.assigned_weight + ready.max(1) as f64);
+        // A bounded number of samples keeps the cost of a request independent of the size of the fleet.
+        for _ in 0..if ready == 0 { 0 } else { MAX_SAMPLES } {
+            let from = if random.random_bool(assigned_chance) { self.assigned } else { self.ready };
+            let executor = from[random.random_range(0..from.len())];
+            if !avoided.contains(&executor) && is_eligible(executor) && weight(executor).accepts(random) {
+                return Some(executor);
             }
         }
-        // The wait for a probe is bounded by what it usually takes; a deep one may queue like a request.
-        let timer_at = (now + self.probes.timeout()).min(deadline);
-        self.set_desired(request_id, DesiredState::Probing, timer_at);
+        self.search(random, avoided, is_eligible)
     }
 
-    fn update_sample_size(&mut self, now: Millis) {
-        let probes = &mut self.probes;
-        let is_due = now - probes.updated_at >= SAMPLE_SIZE_INTERVAL;
-        let Some(busy_ratio) = probes.busy_ratio.filter(|_| is_due) else { return };
-        probes.updated_at = now;
-        self.executors.collect_ready();
-        self.update_assigned(now);
-        self.executors.update_least_slots();
-        let probes = &mut self.probes;
-        // The design's C, probe latency over running time, and the price of a probe beside what work earns.
-        let latency = probes.latency.unwrap_or(0.0);
-        let cost = latency / self.executors.mean_running_time.max(1.0) + probes.price;
-        let before = probes.sample_size;
-        let best = best_sample_size(busy_ratio, before, cost, MAX_SAMPLE_SIZE).unwrap_or(LEAST_SAMPLE_SIZE);
-        if best != before {
-            let change = LogEvent::SampleSizeChanged { from: before, to: best, busy_ratio, probe_cost: cost };
-            self.log.push(change);
-            probes.sample_size = best;
+    /// One of all eligible executors, each with the same chance.
+    fn search(
+        &self,
+        random: &mut ChaCha8Rng,
+        avoided: &[ExecutorId],
+        is_eligible: impl Fn(ExecutorId) -> bool,
+    ) -> Option<ExecutorId> {
+        let mut eligible = self.ready.to_vec();
+        eligible.retain(|&executor| is_eligible(executor));
+        if !eligible.iter().all(|executor| avoided.contains(executor)) {
+            eligible.retain(|executor| !avoided.contains(executor));
         }
+        (!eligible.is_empty()).then(|| eligible[random.random_range(0..eligible.len())])
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/sampling.rs"]
+mod tests;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,42 +1,78 @@
-//! Slow start: the budget of an executor that has just started, and this node's part of it.
-use crate::dispatcher::Dispatcher;
-use crate::ids::ExecutorId;
+//! Slow start: the work that an executor may receive after its start, and this node's share of that budget.
+use crate::endpoint::Endpoint;
 use crate::settings::{RuleSettings, Settings};
-use crate::state::request::Request;
+use crate::state::request_class::RequestClass;
 use crate::time::Millis;
 use crate::warm_state::WarmUpDispatch;
 
-/// Part of the budget that is used, as only mean running times are known.
+/// Part of the budget that is spent; requests longer than the mean running time use the rest.
 const BUDGET_HEADROOM: f64 = 0.8;
-/// A budget is assigned to so many nodes for each longest objective that a slot's part at the start holds.
+/// Nodes that share one executor's budget, per request of the longest latency objective that fits it.
 const NODES_PER_REQUEST: f64 = 1.5;
-/// At most to so many; where there are more nodes, a node alone sees little of an executor.
-pub(crate) const MAX_ASSIGNED_NODES: f64 = 8.0;
-/// Two processes of a node dispatch at once: each to this part of the node's budget.
+/// Upper bound on the nodes that share one executor's budget.
+const MAX_ASSIGNED_NODES: f64 = 8.0;
+/// This process's part of the node's share while another process of the node dispatches as well.
 const SIBLING_SHARE: f64 = 0.5;
+/// Power of the warm-up progress that weights a sample in a large fleet.
+const LARGE_FLEET_WEIGHT_EXPONENT: f64 = 0.5;
 
-/// The figures of the rule that no executor is pushed over while it starts.
+/// Whether another process of this node dispatches as well, as during a hot restart.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum SiblingProcess {
+    Running,
+    Absent,
+}
+
+/// An executor, as far as its budget depends on it.
+pub(crate) struct WarmUp<'a> {
+    pub endpoint: &'a Endpoint,
+    /// Slots of the executor when it is warm.
+    pub capacity_slots: f64,
+    /// What this node dispatched to it in slow start.
+    pub spent: &'a [WarmUpDispatch],
+    pub sibling: SiblingProcess,
+}
+
+/// The budgets of executors in slow start, in slot-milliseconds over a sliding window.
+///
+/// An executor's budget is assigned to a few nodes, which follow from the executor's token alone. A node that
+/// does not know its own number takes an even share of every budget.
 #[derive(Default)]
 pub(crate) struct SlowStart {
-    pub rules: RuleSettings,
-    /// This node's number, if it is told.
+    rules: RuleSettings,
     node: Option<u64>,
-    /// To how many nodes a budget is assigned.
-    pub assigned_nodes: f64,
+    nodes: f64,
+    assigned_nodes: f64,
 }
 
 impl SlowStart {
-    /// `longest_objective` is that of the classes.
+    /// `longest_objective` is the longest latency objective of all request classes.
     pub fn new(settings: &Settings, nodes: f64, longest_objective: Millis) -> Self {
         let rules = settings.rules.clone();
         let fitting =
             rules.budget_multiple * rules.initial_capacity * rules.budget_window / longest_objective;
         let assigned_nodes = (NODES_PER_REQUEST * fitting).round().clamp(1.0, MAX_ASSIGNED_NODES).min(nodes);
-        SlowStart { rules, node: settings.node.map(|node| node as u64), assigned_nodes }
+        SlowStart { rules, node: settings.node.map(|node| node as u64), nodes, assigned_nodes }
+    }
+
+    /// Dispatches since this time count against a budget.
+    pub fn window_start(&self, now: Millis) -> Millis {
+        now - self.rules.budget_window
+    }
+
+    /// When a budget no longer contains dispatches of a process that has just stopped.
+    pub fn window_end(&self, now: Millis) -> Millis {
+        now + self.rules.budget_window
+    }
+
+    /// Whether there are more nodes than may share one budget, so that a node rarely meets an executor.
+    pub fn is_large_fleet(&self) -> bool {
+        self.nodes > MAX_ASSIGNED_NODES
     }
 
-    /// 1 for a warm executor, less while it may still be in slow start; the slowest ramp is assumed.
-    fn progress(&self, started_at: Option<Millis>, at: Millis) -> f64 {
+    /// Part of its capacity that an executor has at a time, 0 to 1, if its ramp is the slowest allowed. An
+    /// executor without a start time is warm.
+    pub fn progress(&self, started_at: Option<Millis>, at: Millis) -> f64 {
         let RuleSettings { initial_capacity, ramp_duration, .. } = self.rules;
         match started_at {
             Some(start) if at < start + ramp_duration => {
@@ -45,58 +81,69 @@
             _ => 1.0,
         }
     }
-}
 
-impl Dispatcher {
-    /// How far the slow start of an executor was at a time: 1 when it was warm.
-    pub(crate) fn warm_up_progress(&self, executor: ExecutorId, at: Millis) -> f64 {
-        self.slow_start.progress(self.executors.state(executor).endpoint.started_at, at)
+    /// The progress by which a response time is scaled before it counts as slow; 1 in a small fleet.
+    ///
+    /// In a large fleet, a fresh executor that is scored as an outlier would stay idle: no node meets it
+    /// often enough to correct the score.
+    pub fn response_time_scale(&self, started_at: Option<Millis>, sent_at: Millis) -> f64 {
+        if self.is_large_fleet() { self.progress(started_at, sent_at) } else { 1.0 }
+    }
+
+    /// Weight of an executor when it is sampled, 0 to 1.
+    pub fn sampling_weight(&self, started_at: Option<Millis>, now: Millis) -> f64 {
+        let exponent = if self.is_large_fleet() { LARGE_FLEET_WEIGHT_EXPONENT } else { 1.0 };
+        self.progress(started_at, now).powf(exponent)
     }
 
-    /// This node's part of an executor's budget, assigned to few nodes that follow from the executor alone.
-    pub(crate) fn warm_up_share(&self, executor: ExecutorId) -> f64 {
-        let (nodes, assigned) = (self.nodes as u64, self.slow_start.assigned_nodes as u64);
-        let Some(node) = self.slow_start.node else { return 1.0 / self.nodes };
-        let token = self.executors.state(executor).endpoint.token;
-        let place = (node % nodes + nodes - token % nodes) % nodes;
-        if place < assigned { 1.0 / assigned as f64 } else { 0.0 }
+    /// Whether the dispatches of the current window to an executor are limited by a budget.
+    pub fn is_limited(&self, started_at: Option<Millis>, now: Millis) -> bool {
+        self.progress(started_at, self.window_start(now)) < 1.0
     }
 
-    /// What this node has left of an executor's budget, in slot-milliseconds.
-    pub(crate) fn remaining_warm_up_budget(&self, executor: ExecutorId, now: Millis) -> f64 {
-        let RuleSettings { budget_window, budget_multiple, .. } = self.slow_start.rules;
-        let progress = self.warm_up_progress(executor, now - budget_window);
+    /// What this node may still dispatch to an executor, in slot-milliseconds; infinite for a warm one.
+    pub fn remaining_budget(&self, warm_up: &WarmUp<'_>, now: Millis) -> f64 {
+        let RuleSettings { budget_window, budget_multiple, .. } = self.rules;
+        let since = self.window_start(now);
+        let progress = self.progress(warm_up.endpoint.started_at, since);
         if progress >= 1.0 {
             return f64::INFINITY;
         }
-        let budget = budget_multiple * progress * self.executors.capacity(executor) * budget_window;
-        let part = if now < self.sibling_until { SIBLING_SHARE } else { 1.0 };
-        let spent = self.executors.state(executor).warm_up_spent_since(now - budget_window);
-        BUDGET_HEADROOM * budget * part * self.warm_up_share(executor)
+        let budget = budget_multiple * progress * warm_up.capacity_slots * budget_window;
+        let part = match warm_up.sibling {
+            SiblingProcess::Running => SIBLING_SHARE,
+            SiblingProcess::Absent => 1.0,
+        };
+        let spent = warm_up.spent.iter().filter(|dispatch| dispatch.at >= since);
+        BUDGET_HEADROOM * budget * part * self.share(warm_up.endpoint.token)
             - spent.map(|dispatch| dispatch.work).sum::<f64>()
     }
 
-    /// What a request takes of a budget.
-    pub(crate) fn warm_up_cost(&self, request: &Request) -> f64 {
-        request.slots * self.classes[request.class].service_time.mean
+    /// Whether an executor is in slow start and more than an even share of its budget is this node's.
+    pub fn is_assigned(&self, endpoint: &Endpoint, now: Millis) -> bool {
+        self.progress(endpoint.started_at, now) < 1.0 && self.share(endpoint.token) * self.nodes > 1.0
     }
 
-    /// Records what a dispatch takes of the budget of an executor in slow start.
-    pub(crate) fn spend_warm_up_budget(&mut self, now: Millis, executor: ExecutorId, cost: f64) {
-        let since = now - self.slow_start.rules.budget_window;
-        if self.warm_up_progress(executor, since) >= 1.0 {
-            return;
-        }
-        let Some(state) = self.executors.state_mut(executor) else { return };
-        state.warm_up_spent.retain(|spent| spent.at >= since);
-        state.warm_up_spent.push(WarmUpDispatch { at: now, work: cost });
+    /// Sampling weight of the assigned executors beyond that of other executors: the nodes to which a budget
+    /// is assigned sample its executor in place of all the other nodes as well.
+    pub fn assigned_weight(&self, assigned_executors: usize) -> f64 {
+        assigned_executors as f64 * (self.nodes / self.assigned_nodes - 1.0)
     }
 
-    /// Works out anew of whose budgets this node holds more than an even part.
-    pub(crate) fn update_assigned(&mut self, now: Millis) {
-        let is_assigned = |executor: &ExecutorId| {
-            self.warm_up_progress(*executor, now) < 1.0 && self.warm_up_share(*executor) * self.nodes > 1.0
-        };
-        self.executors.assigned = self.executors.ready.iter().copied().filter(is_assigned).collect();
+    /// This node's share of the budget of the executor with this token, 0 to 1.
+    fn share(&self, token: u64) -> f64 {
+        let (nodes, assigned) = (self.nodes as u64, self.assigned_nodes as u64);
+        let Some(node) = self.node else { return 1.0 / self.nodes };
+        let position = (node % nodes + nodes - token % nodes) % nodes;
+        if position < assigned { 1.0 / assigned as f64 } else { 0.0 }
     }
 }
+
+/// Budget that a request takes, in slot-milliseconds: only the mean running time of its class is known.
+pub(crate) fn warm_up_cost(class: &RequestClass, slots: f64) -> f64 {
+    slots * class.service_time.mean
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/slow_start.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/start_check.rs
@@ -0,0 +1,56 @@
+//! Start checks: when an attempt that has not started is probed for, and when it counts as lost.
+use crate::settings::Settings;
+use crate::state::executor_table::REPORT_LIFETIME;
+use crate::state::probe_statistics::SHORTEST_QUEUE;
+use crate::state::request::Request;
+use crate::state::request_class::RequestClass;
+use crate::time::Millis;
+
+/// Queue length of a report that does not show one: it is not taken for free capacity.
+const UNREPORTED_QUEUE_LENGTH: f64 = 1.0;
+
+/// Whether attempts that have not started are checked.
+#[derive(Clone, Copy, PartialEq, Debug, Default)]
+pub(crate) enum StartCheck {
+    /// Starts are not reported, executors cannot be probed, or no second attempt may run.
+    #[default]
+    Disabled,
+    Enabled,
+}
+
+impl StartCheck {
+    pub fn new(settings: &Settings) -> Self {
+        let limits = &settings.limits;
+        match limits.hedging_enabled && settings.executors.reports_start && limits.probes_enabled {
+            true => StartCheck::Enabled,
+            false => StartCheck::Disabled,
+        }
+    }
+
+    /// When an attempt of this class that is dispatched now is checked: after its latency objective, and not
+    /// before its executor's report can show it. Infinite if it is not checked.
+    pub fn due_at(self, class: &RequestClass, now: Millis) -> Millis {
+        let delay = match self {
+            StartCheck::Disabled => f64::INFINITY,
+            StartCheck::Enabled => REPORT_LIFETIME,
+        };
+        now + class.latency_objective.max(delay)
+    }
+}
+
+/// Whether the last attempt of a request was lost on the way: it has not started, though its executor
+/// reports free capacity.
+pub(crate) fn is_lost(request: &Request) -> bool {
+    let Some(attempt) = request.attempts.last() else { return false };
+    let shows_capacity = request.reports.iter().any(|candidate| {
+        let queue_length = candidate.report.queue_length.unwrap_or(UNREPORTED_QUEUE_LENGTH);
+        candidate.executor == attempt.executor
+            && queue_length < SHORTEST_QUEUE
+            && candidate.report.free_slots.unwrap_or(0.0) >= request.slots
+    });
+    attempt.started_at.is_none() && shows_capacity
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/start_check.rs"]
+mod tests;
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -3,8 +3,9 @@
 //! State is held under the host's handle from the first time that the executor is listed until the list says
 //! that it is gone and nothing can need it any more. A handle that is not held reads as an executor that is
 //! gone and without history, so an outdated handle is harmless everywhere.
-use crate::endpoint::{Endpoint, EndpointState, LoadReport};
+use crate::endpoint::{Endpoint, EndpointState, ListUpdate, LoadReport};
 use crate::ids::{DeduplicationGroupId, ExecutorId, MachineTypeId, RequestClassId, RequestId, ZoneId};
+use crate::settings::{Settings, WeightSource};
 use crate::time::Millis;
 use crate::warm_state::{DecayingScore, ExecutorWarmState, WarmUpDispatch};
 use slotmap::SecondaryMap;
@@ -16,6 +17,8 @@
 const REPORT_DELAY: Millis = 40.0;
 /// When a report that looks the same is a new one.
 pub(crate) const REPORT_LIFETIME: Millis = 500.0;
+/// Mean running time before the first attempt has completed.
+const INITIAL_RUNNING_TIME: Millis = 500.0;
 
 /// What is known of one executor.
 pub(crate) struct ExecutorState {
@@ -139,7 +142,7 @@
     absent: ExecutorState,
     /// Whether weights fall with load: the largest that the list has shown of each type of machine counts
     /// then.
-    pub weights_fall_with_load: bool,
+    weights_fall_with_load: bool,
     machine_types: BTreeMap<MachineTypeId, MachineTypeWeight>,
     /// The least slots that any report has shown; it stands in where none are shown yet.
     pub least_slots: f64,
@@ -149,8 +152,6 @@
     pub assigned: Vec<ExecutorId>,
     /// Smoothed running time of all work: what an older report shows has mostly ended by then.
     pub mean_running_time: Millis,
-    /// How many attempts of this node ended of late, fading.
-    pub recent_outcomes: DecayingScore,
     /// Those that are gone and still held.
     gone: BTreeSet<ExecutorId>,
     /// When these are looked over next; infinite while there are none.
@@ -174,8 +175,7 @@
 }
 
 impl ExecutorTable {
-    /// `mean_running_time` is the running time of work to begin with.
-    pub fn new(mean_running_time: Millis) -> Self {
+    pub fn new() -> Self {
         let absent = Endpoint {
             executor: ExecutorId::default(),
             token: 0,
@@ -194,8 +194,7 @@
             least_slots: 1.0,
             ready: Vec::new(),
             assigned: Vec::new(),
-            mean_running_time,
-            recent_outcomes: DecayingScore::default(),
+            mean_running_time: INITIAL_RUNNING_TIME,
             gone: BTreeSet::new(),
             reclaim_at: f64::INFINITY,
             stale_events: 0,
@@ -204,13 +203,17 @@
         }
     }
 
+    pub fn apply_settings(&mut self, settings: &Settings) {
+        self.weights_fall_with_load = settings.weight_source == WeightSource::Live;
+    }
+
     /// The number of executors that are held, those that are gone included.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    pub fn holds(&self, executor: ExecutorId) -> bool {
-        self.states.contains_key(executor)
+    pub fn get(&self, executor: ExecutorId) -> Option<&ExecutorState> {
+        self.states.get(executor)
     }
 
     /// What is known of an executor; nothing where it is not held.
@@ -235,7 +238,7 @@
 
     /// Whether an executor is held that an event is for; one that is not counts as an outdated event.
     pub fn expects(&mut self, executor: ExecutorId) -> bool {
-        let is_held = self.holds(executor);
+        let is_held = self.states.contains_key(executor);
         self.stale_events += u64::from(!is_held);
         is_held
     }
@@ -259,9 +262,9 @@
         }
     }
 
-    /// Takes what the list says; where it `is_complete`, who is missing is gone.
-    pub fn update(&mut self, now: Millis, is_complete: bool, endpoints: &[Endpoint]) {
-        if is_complete {
+    /// Applies an update of the endpoint list; executors that a complete list does not contain are gone.
+    pub fn update(&mut self, now: Millis, update: ListUpdate, endpoints: &[Endpoint]) {
+        if matches!(update, ListUpdate::Snapshot | ListUpdate::Cached) {
             self.states.values_mut().for_each(|state| state.endpoint.state = EndpointState::Gone);
             self.gone = self.states.keys().collect();
             self.reserve(endpoints.len());
--- a/src/state/probe_statistics.rs
+++ b/src/state/probe_statistics.rs
@@ -1,5 +1,6 @@
 //! What probes said of the load, and the sample size that was worked out from it last.
 use crate::event::ProbeReply;
+use crate::settings::Settings;
 use crate::state::smooth;
 use crate::time::Millis;
 
@@ -12,19 +13,16 @@
 const LATENCY_WEIGHT: f64 = 0.05;
 /// From this length on a queue is one.
 pub(crate) const SHORTEST_QUEUE: f64 = 0.5;
-/// The sample size to begin with, and the least.
-pub(crate) const LEAST_SAMPLE_SIZE: u32 = 2;
 /// Probes are given up after so many usual latencies and this span.
 const PROBE_TIMEOUT_LATENCIES: f64 = 8.0;
 const PROBE_TIMEOUT_MARGIN: Millis = 5.0;
 const INITIAL_PROBE_LATENCY: Millis = 15.0;
+/// Lower bound on the mean running time by which a probe's latency is divided.
+const MIN_RUNNING_TIME: Millis = 1.0;
 
 /// Smoothed figures of probes.
 #[derive(Default)]
 pub(crate) struct ProbeStatistics {
-    pub sample_size: u32,
-    /// When the sample size was worked out last.
-    pub updated_at: Millis,
     /// Smoothed share of replies that showed a queue.
     pub busy_ratio: Option<f64>,
     replies: f64,
@@ -36,8 +34,13 @@
 }
 
 impl ProbeStatistics {
-    pub fn new(now: Millis) -> Self {
-        ProbeStatistics { sample_size: LEAST_SAMPLE_SIZE, updated_at: now, ..ProbeStatistics::default() }
+    pub fn apply_settings(&mut self, settings: &Settings) {
+        self.price = settings.prices.probe;
+        self.is_forbidden = !settings.limits.probes_enabled;
+        if self.is_forbidden {
+            // Without replies no queue is ever shown, and the sample size is computed from this ratio.
+            self.busy_ratio = Some(0.0);
+        }
     }
 
     pub fn observe(&mut self, reply: &ProbeReply) {
@@ -56,6 +59,12 @@
         self.replies = if self.busy_ratio.is_some() { 1.0 / REPLY_WEIGHT } else { 0.0 };
     }
 
+    /// The cost of a probe in mean running times: its latency (the paper's C), and its price relative to the
+    /// value of a request.
+    pub fn cost(&self, mean_running_time: Millis) -> f64 {
+        self.latency.unwrap_or(0.0) / mean_running_time.max(MIN_RUNNING_TIME) + self.price
+    }
+
     /// How long a reply is waited for.
     pub fn timeout(&self) -> Millis {
         PROBE_TIMEOUT_LATENCIES * self.latency.unwrap_or(INITIAL_PROBE_LATENCY) + PROBE_TIMEOUT_MARGIN
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -74,11 +74,6 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// The first attempt that may have run, or may yet.
-    pub fn first_possible_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
-    }
-
     /// Those that it names: where it was sent, which says where it may be sent again, and while it waits for
     /// probes those that were sampled for it.
     pub fn executors(&self) -> impl Iterator<Item = ExecutorId> {
--- a/tests/unit/random_days.rs
+++ b/tests/unit/random_days.rs
@@ -115,7 +115,7 @@
     let mut settings = helpers::settings_of(1.0, None);
     settings.rules.budget_multiple = FALL_MULTIPLE;
     let mut node = Dispatcher::new(&settings, seed, 0.0);
-    node.executors.reclaiming = reclaiming;
+    node.fleet.executors.reclaiming = reclaiming;
     let mut day = Day {
         node,
         random: ChaCha8Rng::seed_from_u64(seed),
