--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -1,4 +1,4 @@
-//! One allocation on record: its signs of life, and its one end.
+//! One recorded attempt: its heartbeats, by which its lease is extended, and its outcome.
 use super::Durable;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,105 +7,114 @@
 use troutknot::{AttemptId, Millis, Outcome, RequestId};
 use troutknot_ledger::{Fence, Record};
 
+/// Lease time if the operator's file sets none: longer than any request takes.
+const UNLIMITED_LEASE: Duration = Duration::from_secs(86_400);
+
+/// A heartbeat is recorded if the last recorded one is older than the lease time divided by this. The lease on
+/// record may therefore end before the real one, never after it.
+const RECORDED_HEARTBEATS_PER_LEASE: u32 = 3;
+
+/// The lease of an attempt that is on record. Without a heartbeat for the lease time, the executor may have lost
+/// the attempt.
 pub struct Lease {
     durable: Rc<Durable>,
     request_id: RequestId,
     attempt_id: AttemptId,
+    /// The fencing token, by which an executor refuses outdated attempts.
     pub fence: Fence,
-    /// When it was recorded.
-    at: Millis,
-    until: Cell<Instant>,
-    told: Cell<Option<Instant>>,
-    started: Cell<bool>,
-    over: Cell<bool>,
+    recorded_at: Millis,
+    expires_at: Cell<Instant>,
+    heartbeat_recorded_at: Cell<Option<Instant>>,
+    has_started: Cell<bool>,
+    has_ended: Cell<bool>,
 }
 
 impl Lease {
+    /// The lease of an attempt that was recorded at this time; it runs from now.
     pub fn new(
         durable: Rc<Durable>,
         request_id: RequestId,
         attempt_id: AttemptId,
         fence: Fence,
-        at: Millis,
+        recorded_at: Millis,
     ) -> Self {
-        let span = durable.terms.lease.unwrap_or(Duration::from_secs(86_400));
+        let lease_time = durable.config.lease.unwrap_or(UNLIMITED_LEASE);
         Lease {
             durable,
             request_id,
             attempt_id,
             fence,
-            at,
-            until: Cell::new(Instant::now() + span),
-            told: Cell::new(None),
-            started: Cell::new(false),
-            over: Cell::new(false),
+            recorded_at,
+            expires_at: Cell::new(Instant::now() + lease_time),
+            heartbeat_recorded_at: Cell::new(None),
+            has_started: Cell::new(false),
+            has_ended: Cell::new(false),
         }
     }
 
-    /// What the executor is told of it: the fence, and the lease in milliseconds; none where it knows neither.
+    /// The fencing token and the lease in milliseconds, as they are sent to the executor; None if executors
+    /// support neither.
     pub fn told_to_executor(&self) -> Option<(u64, Option<Millis>)> {
-        let terms = &self.durable.terms;
-        let lease = terms.lease.map(|span| span.as_secs_f64() * 1000.0);
-        (terms.fences || lease.is_some()).then_some((self.fence.0, lease))
+        let config = &self.durable.config;
+        let lease_time = config.lease.map(|lease_time| lease_time.as_secs_f64() * 1000.0);
+        (config.fences || lease_time.is_some()).then_some((self.fence.0, lease_time))
     }
 
+    /// Whether executors support fencing.
     pub fn fences_known(&self) -> bool {
-        self.durable.terms.fences
+        self.durable.config.fences
     }
 
-    /// How long ago it was recorded.
+    /// Time since the attempt was recorded.
     pub fn age(&self) -> Millis {
-        (self.durable.now() - self.at).max(0.0)
+        (self.durable.now() - self.recorded_at).max(0.0)
     }
 
-    /// A sign of life came; `started` where it says that it runs.
-    pub fn beat(&self, started: bool) {
+    /// Extends the lease after a sign of life; `has_started` if it says that the request is running.
+    pub fn beat(&self, has_started: bool) {
         let (request_id, attempt_id, now) = (self.request_id, self.attempt_id, Instant::now());
-        if started && !self.started.replace(true) {
-            self.durable.later(Record::Started { request_id, attempt_id });
+        if has_started && !self.has_started.replace(true) {
+            self.durable.record_soon(Record::Started { request_id, attempt_id });
         }
-        let Some(span) = self.durable.terms.lease else { return };
-        self.until.set(now + span);
-        // Not each one: a lease on record may be shorter than it is, never longer.
-        if self.told.get().is_none_or(|told| now - told >= span / 3) {
-            self.told.set(Some(now));
-            let lease_until = self.durable.now() + span.as_secs_f64() * 1000.0;
-            self.durable.later(Record::Heartbeat { request_id, attempt_id, lease_until });
+        let Some(lease_time) = self.durable.config.lease else { return };
+        self.expires_at.set(now + lease_time);
+        let interval = lease_time / RECORDED_HEARTBEATS_PER_LEASE;
+        let is_recent = |recorded_at: Instant| now - recorded_at < interval;
+        if !self.heartbeat_recorded_at.get().is_some_and(is_recent) {
+            self.heartbeat_recorded_at.set(Some(now));
+            let lease_until = self.durable.now() + lease_time.as_secs_f64() * 1000.0;
+            self.durable.record_soon(Record::Heartbeat { request_id, attempt_id, lease_until });
         }
     }
 
-    /// Ends when the lease has run out.
+    /// Returns once the lease has expired.
     pub async fn over(&self) {
         loop {
-            let until = self.until.get();
-            sleep_until(until).await;
-            if self.until.get() <= until {
+            let expires_at = self.expires_at.get();
+            sleep_until(expires_at).await;
+            if self.expires_at.get() <= expires_at {
                 return;
             }
         }
     }
 
-    /// Its one end.
+    /// Records the outcome; only the first one counts.
     pub fn ended(&self, outcome: Outcome) {
-        if !self.over.replace(true) {
-            self.durable.later(Record::Ended {
-                request_id: self.request_id,
-                attempt_id: self.attempt_id,
-                outcome,
-            });
+        if !self.has_ended.replace(true) {
+            let (request_id, attempt_id) = (self.request_id, self.attempt_id);
+            self.durable.record_soon(Record::Ended { request_id, attempt_id, outcome });
         }
     }
 
-    /// Its executor has not run it, and refuses it from now on; false where it was seen to run.
+    /// Records that the executor has not run the attempt and refuses it from now on. Returns false if the attempt
+    /// has ended, or is on record as running.
     pub fn fenced(&self) -> bool {
-        if self.over.get()
-            || !self
-                .durable
-                .later(Record::Fenced { request_id: self.request_id, attempt_id: self.attempt_id })
-        {
+        if self.has_ended.get() {
             return false;
         }
-        self.over.set(true);
-        true
+        let (request_id, attempt_id) = (self.request_id, self.attempt_id);
+        let is_fenced = self.durable.record_soon(Record::Fenced { request_id, attempt_id });
+        self.has_ended.set(is_fenced);
+        is_fenced
     }
 }
--- /dev/null
+++ b/crates/daemon/src/durable/recovery.rs
@@ -0,0 +1,157 @@
+//! Recovery of the requests that were open when an earlier process ended.
+use super::Durable;
+use super::payload::{StoredRequest, UnknownClass};
+use crate::byte_budget::ByteBudget;
+use crate::event::{NodeEvent, RecoveredAttempt};
+use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
+use crate::lifecycle::LifecycleState;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::{Instant, sleep};
+use troutknot::{Millis, Outcome, RequestId};
+use troutknot_ledger::committer::ReadError;
+use troutknot_ledger::{Answer as RecordedAnswer, Attempt, Record};
+
+/// Time between attempts to reserve memory for a request.
+const RESERVE_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Upper bound on the remaining time of a recovered request.
+const MAX_TIME_LEFT: Millis = 1e9;
+
+/// Why an open request cannot be recovered.
+#[derive(Debug, thiserror::Error)]
+enum RecoveryError {
+    #[error("records not readable: {0}")]
+    Read(#[from] ReadError),
+    #[error("first record is missing")]
+    MissingFirstRecord,
+    #[error("request is not in the index")]
+    NotInIndex,
+    #[error("stored request is damaged: {0}")]
+    Payload(#[from] postcard::Error),
+    #[error(transparent)]
+    UnknownClass(#[from] UnknownClass),
+}
+
+/// The first record of a request, decoded.
+struct TakenRequest {
+    client_id: String,
+    key: Option<String>,
+    deadline: Millis,
+    stored: StoredRequest,
+}
+
+impl Durable {
+    /// Recovers the requests that were open at the start, once there is an endpoint list: hands each to the driver
+    /// with its earlier attempts. Requests for which there is no memory wait until there is.
+    pub async fn recover(
+        self: Rc<Self>,
+        mut state: watch::Receiver<LifecycleState>,
+        reserved_bytes: Rc<ByteBudget>,
+    ) {
+        let unrecovered = self.unrecovered.take();
+        let has_started = |state: &LifecycleState| *state != LifecycleState::Starting;
+        if unrecovered.is_empty() || state.wait_for(has_started).await.is_err() {
+            return;
+        }
+        let started_at = Instant::now();
+        for request_id in &unrecovered {
+            if let Err(error) = self.recover_request(*request_id, &reserved_bytes).await {
+                tracing::warn!(request = request_id.0, %error, "request not recovered, answered as failed");
+                self.answer_unrecovered(*request_id).await;
+            }
+            self.unrecovered_count.set(self.unrecovered_count.get() - 1);
+        }
+        tracing::info!(
+            count = unrecovered.len(),
+            elapsed_ms = started_at.elapsed().as_millis() as u64,
+            "open requests recovered"
+        );
+    }
+
+    async fn answer_unrecovered(&self, request_id: RequestId) {
+        if let Some(row) = self.apply(Record::Answered { request_id, answer: RecordedAnswer::Failed }) {
+            let _ = self.write(vec![row]).await;
+        }
+        let joined = self.waiters.join(request_id);
+        self.waiters.publish(request_id, &joined, Answer::Failed);
+    }
+
+    async fn recover_request(
+        self: &Rc<Self>,
+        request_id: RequestId,
+        reserved_bytes: &Rc<ByteBudget>,
+    ) -> Result<(), RecoveryError> {
+        let taken = self.read_taken(request_id).await?;
+        let in_flight = self.reserve(request_id, &taken, reserved_bytes).await?;
+        in_flight.is_durable.set(true);
+        let attempts = self.earlier_attempts(request_id)?;
+        // The dispatcher answers a request that is past its deadline as well, a moment later.
+        let limits = &self.limits;
+        let grace = limits.downstream.deadline_margin + limits.timeouts().connect_timeout;
+        let answer_by = in_flight.deadline + grace;
+        let joined = self.waiters.join(request_id);
+        self.tasks.spawn(self.clone().record_answer(in_flight.clone(), joined, answer_by));
+        let _ = self.events.send(NodeEvent::RequestRecovered(in_flight, attempts)).await;
+        Ok(())
+    }
+
+    async fn read_taken(&self, request_id: RequestId) -> Result<TakenRequest, RecoveryError> {
+        for row in self.read(request_id).await? {
+            if let Record::Taken { client_id, key, deadline, payload, .. } = row.record {
+                let stored = postcard::from_bytes(&payload)?;
+                return Ok(TakenRequest { client_id, key, deadline, stored });
+            }
+        }
+        Err(RecoveryError::MissingFirstRecord)
+    }
+
+    /// Waits until there is memory for the request.
+    async fn reserve(
+        &self,
+        request_id: RequestId,
+        taken: &TakenRequest,
+        reserved_bytes: &Rc<ByteBudget>,
+    ) -> Result<Rc<InFlightRequest>, RecoveryError> {
+        loop {
+            let request = self.restore_request(taken)?;
+            let deadline = self.instant_of(taken.deadline);
+            match InFlightRequest::new(request_id, request, deadline, reserved_bytes) {
+                Some(in_flight) => return Ok(in_flight),
+                None => sleep(RESERVE_INTERVAL).await,
+            }
+        }
+    }
+
+    fn restore_request(&self, taken: &TakenRequest) -> Result<ClientRequest, UnknownClass> {
+        let (client_id, key) = (taken.client_id.clone(), taken.key.clone());
+        taken.stored.to_request(client_id, key, &self.codec.now())
+    }
+
+    fn instant_of(&self, deadline: Millis) -> Instant {
+        let time_left = (deadline - self.now()).clamp(0.0, MAX_TIME_LEFT);
+        Instant::now() + Duration::from_secs_f64(time_left / 1000.0)
+    }
+
+    fn earlier_attempts(&self, request_id: RequestId) -> Result<Vec<RecoveredAttempt>, RecoveryError> {
+        let ledger = self.ledger.borrow();
+        let job = ledger.job(request_id).ok_or(RecoveryError::NotInIndex)?;
+        Ok(job.attempts.iter().map(recovered_attempt).collect())
+    }
+}
+
+fn recovered_attempt(attempt: &Attempt) -> RecoveredAttempt {
+    let outcome = match attempt.outcome {
+        _ if attempt.is_fenced => Some(Outcome::NotSent),
+        // The result was not recorded; the executor may still have it.
+        Some(Outcome::Completed) => None,
+        outcome => outcome,
+    };
+    RecoveredAttempt {
+        executor: attempt.executor.clone(),
+        sent_at: attempt.recorded_at,
+        outcome,
+        fence: attempt.fence,
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/durable/status.rs
@@ -0,0 +1,58 @@
+//! What operators and clients can read about durable requests. The texts are part of the node's interface.
+use super::Durable;
+use serde_json::{Value, json};
+use std::fmt::Write;
+use troutknot::Millis;
+use troutknot_ledger::{Attempt, AttemptStatus};
+
+fn status_name(status: AttemptStatus) -> &'static str {
+    match status {
+        AttemptStatus::InFlight => "out",
+        AttemptStatus::Unknown => "unknown",
+        AttemptStatus::NeverRan => "never-ran",
+        AttemptStatus::MayHaveRun => "may-have-run",
+        AttemptStatus::Completed => "completed",
+    }
+}
+
+fn describe_attempt(attempt: &Attempt, now: Millis) -> Value {
+    json!({"fence": attempt.fence.0, "executor": attempt.executor, "at_ms": attempt.recorded_at,
+        "standing": status_name(attempt.status(now))})
+}
+
+impl Durable {
+    /// What is on record of the request with this client's id, as a line of JSON; None if nothing is.
+    pub fn tell(&self, client_id: &str) -> Option<String> {
+        let ledger = self.ledger.borrow();
+        let request_id = ledger.find_by_client_id(client_id)?;
+        let (job, now) = (ledger.job(request_id)?, self.now());
+        let attempts: Vec<Value> =
+            job.attempts.iter().map(|attempt| describe_attempt(attempt, now)).collect();
+        let state = match job.answered_at {
+            Some(_) if !self.waiters.contains(request_id) => "answered",
+            _ if attempts.is_empty() => "taken",
+            _ => "allocated",
+        };
+        let job = json!({"id": client_id, "state": state, "taken_ms": job.taken_at,
+            "limit_ms": job.deadline, "answered_ms": job.answered_at,
+            "acknowledged": job.is_acknowledged, "allocations": attempts});
+        Some(format!("{job}\n"))
+    }
+
+    /// State of the ledger, as the readiness response shows it.
+    pub fn said(&self) -> String {
+        let ledger = self.ledger.borrow();
+        let state = match self.committer.check_ready(self.config.slow_after) {
+            Ok(()) => "ready".to_string(),
+            Err(error) => format!("new work is deferred: {error}"),
+        };
+        let open = ledger.open_jobs().count();
+        let mut text = String::new();
+        let _ = writeln!(text, "ledger: {state}; {} on record, {open} open", ledger.len());
+        let unrecovered = self.unrecovered_count.get();
+        if unrecovered > 0 {
+            let _ = writeln!(text, "ledger: {unrecovered} from before still to be taken up");
+        }
+        text
+    }
+}
--- a/crates/daemon/tests/durable.rs
+++ b/crates/daemon/tests/durable.rs
@@ -385,7 +385,7 @@
         let limits = (1024, 192);
         let node = Node::start_by(discovery.addr, limits, settings(), "info", Value::Null, &place.own);
         let ready = began.elapsed();
-        node.logged("are taken up");
+        node.logged("open requests recovered");
         let line = format!("{count} open: serves after {ready:?}, all taken up after {:?}", began.elapsed());
         let mut open = String::new();
         until("all are answered", || {
