--- /dev/null
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -0,0 +1,195 @@
+//! Applies the lines of a batch to the instances, and gathers their actions at its end.
+use crate::decode::{self, HeartbeatKind, PeersKind};
+use crate::error::LineError;
+use crate::instance::Instance;
+use std::collections::BTreeMap;
+use troutknot::{Action, AttemptId, Event, ListUpdate, Millis, RequestClassId, TenantId};
+use troutknot_configuration::millis;
+
+/// What a line did to the batch.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum BatchState {
+    /// Further lines follow.
+    Open,
+    /// The batch has ended and its reply is complete.
+    Answered,
+}
+
+/// All instances of a simulated day. They share nothing but the sheets.
+#[derive(Default)]
+pub struct Adapter {
+    /// Simulated time of the open batch, in microseconds.
+    batch_time: Option<u64>,
+    instances: BTreeMap<u64, Instance>,
+    sheets: BTreeMap<u8, Vec<decode::SheetEntry>>,
+    /// Instances with an event in this batch, in the order of their first.
+    with_events: Vec<u64>,
+    actions: Vec<Action>,
+}
+
+impl Adapter {
+    /// Applies one line; appends the reply to `reply` once the line ends a batch.
+    ///
+    /// # Errors
+    /// If the line cannot be parsed or does not fit into the batch.
+    pub fn apply_line(&mut self, line: &[u8], reply: &mut Vec<u8>) -> Result<BatchState, LineError> {
+        let operation = decode::operation(line)?;
+        let Some(time) = self.batch_time else {
+            self.begin_batch(&operation, line)?;
+            return Ok(BatchState::Open);
+        };
+        let now = millis(time);
+        match &*operation {
+            "begin_batch" => return Err(LineError::NestedBatch),
+            "eof_batch" => {
+                decode::check_json(line)?;
+                self.end_batch(now, reply);
+                return Ok(BatchState::Answered);
+            }
+            "create" => self.create(now, &decode::parse(line)?)?,
+            "halt" => self.stop(&decode::parse(line)?),
+            "sheet" => {
+                let sheet: decode::Sheet = decode::parse(line)?;
+                self.sheets.insert(sheet.number, sheet.entries);
+            }
+            "peers_known" => self.update_endpoints(now, &decode::parse(line)?)?,
+            "new_request" => self.add_request(now, &decode::parse(line)?),
+            "ping_result" => {
+                let result: decode::PingResult = decode::parse(line)?;
+                self.handle_event_with(result.instance, now, |instance| instance.probe_completed(&result));
+            }
+            "returned" => self.end_attempt(now, &decode::parse(line)?),
+            "begun" => {
+                let begun: decode::Begun = decode::parse(line)?;
+                let (request_id, attempt_id) = (begun.request_id, AttemptId(begun.attempt));
+                self.handle_event(begun.instance, now, Event::AttemptStarted { request_id, attempt_id });
+            }
+            "heartbeat" => self.apply_heartbeat(now, &decode::parse(line)?),
+            "timer" => {
+                let instance = decode::parse::<decode::InstanceEvent>(line)?.instance;
+                self.handle_event(instance, now, Event::TimerFired);
+            }
+            "withdrawn" => {
+                let decode::Withdrawn { instance, request_id } = decode::parse(line)?;
+                self.handle_event(instance, now, Event::RequestWithdrawn { request_id });
+            }
+            "inbox" => self.receive_gossip(now, &decode::parse(line)?),
+            // Operations of a later protocol are skipped, but have to be JSON.
+            _ => decode::check_json(line)?,
+        }
+        Ok(BatchState::Open)
+    }
+
+    fn begin_batch(&mut self, operation: &str, line: &[u8]) -> Result<(), LineError> {
+        if operation != "begin_batch" {
+            return Err(LineError::OutsideBatch(operation.into()));
+        }
+        self.batch_time = Some(decode::parse::<decode::BeginBatch>(line)?.time);
+        Ok(())
+    }
+
+    fn end_batch(&mut self, now: Millis, reply: &mut Vec<u8>) {
+        for number in self.with_events.drain(..) {
+            let Some(instance) = self.instances.get_mut(&number) else { continue };
+            instance.has_events = false;
+            instance.write_actions(number, now, &mut self.actions, reply);
+        }
+        reply.extend_from_slice(b"{\"op\":\"done\"}\n");
+        self.batch_time = None;
+    }
+
+    fn create(&mut self, now: Millis, create: &decode::Create) -> Result<(), LineError> {
+        self.instances.insert(create.instance, Instance::new(now, create)?);
+        self.with_events.retain(|&number| number != create.instance);
+        self.with_events.push(create.instance);
+        Ok(())
+    }
+
+    fn stop(&mut self, stopped: &decode::InstanceEvent) {
+        self.instances.remove(&stopped.instance);
+        self.with_events.retain(|&number| number != stopped.instance);
+    }
+
+    fn update_endpoints(&mut self, now: Millis, update: &decode::PeersKnown) -> Result<(), LineError> {
+        let list_update = match update.kind {
+            PeersKind::Lost => {
+                self.handle_event(update.instance, now, Event::EndpointWatchLost { is_rejected: true });
+                return Ok(());
+            }
+            PeersKind::Incr => ListUpdate::Delta,
+            PeersKind::Total => ListUpdate::Snapshot,
+            PeersKind::WarmCopy => ListUpdate::Cached,
+        };
+        let number = update.sheet.ok_or(LineError::MissingSheet)?;
+        let sheet = self.sheets.get(&number).ok_or(LineError::UnknownSheet(number))?;
+        let Some(instance) = self.instances.get_mut(&update.instance) else { return Ok(()) };
+        let endpoints = instance.endpoints(sheet);
+        self.handle_event(update.instance, now, Event::EndpointsUpdated { update: list_update, endpoints });
+        Ok(())
+    }
+
+    fn add_request(&mut self, now: Millis, request: &decode::NewRequest) {
+        let event = Event::RequestArrived {
+            request_id: request.request_id,
+            class: RequestClassId(request.class),
+            tenant: TenantId(request.tenant.unwrap_or(0)),
+            slots: request.slots.unwrap_or(1.0),
+            memory: request.memory.unwrap_or(0.0),
+            time_left: millis(request.time_left),
+            is_retry: request.is_retry.unwrap_or(false),
+        };
+        self.handle_event(request.instance, now, event);
+    }
+
+    fn end_attempt(&mut self, now: Millis, returned: &decode::Returned) {
+        let event = Event::AttemptEnded {
+            request_id: returned.request_id,
+            attempt_id: AttemptId(returned.attempt),
+            outcome: returned.state_code.into(),
+            is_request_closed: returned.is_request_closed,
+        };
+        self.handle_event(returned.instance, now, event);
+    }
+
+    fn apply_heartbeat(&mut self, now: Millis, heartbeat: &decode::Heartbeat) {
+        let (request_id, attempt_id) = (heartbeat.request_id, AttemptId(heartbeat.attempt));
+        let event = match heartbeat.kind() {
+            HeartbeatKind::Started => Event::AttemptStarted { request_id, attempt_id },
+            HeartbeatKind::Progressed => {
+                let share = heartbeat.share.unwrap_or(0.0);
+                Event::AttemptProgressed { request_id, attempt_id, share }
+            }
+            HeartbeatKind::Unknown => return,
+        };
+        self.handle_event(heartbeat.instance, now, event);
+    }
+
+    fn receive_gossip(&mut self, now: Millis, inbox: &decode::Inbox) {
+        let Some(instance) = self.instances.get_mut(&inbox.instance) else { return };
+        match instance.gossip_received(inbox) {
+            Some(event) => self.handle_event(inbox.instance, now, event),
+            None if instance.logs_unreadable() => self.mark(inbox.instance),
+            None => {}
+        }
+    }
+
+    /// Hands an event to an instance; an event for an instance that is gone is dropped.
+    fn handle_event(&mut self, number: u64, now: Millis, event: Event) {
+        self.handle_event_with(number, now, |_| event);
+    }
+
+    fn handle_event_with(&mut self, number: u64, now: Millis, event: impl FnOnce(&Instance) -> Event) {
+        self.mark(number);
+        let Some(instance) = self.instances.get_mut(&number) else { return };
+        let event = event(instance);
+        instance.handle_event(now, event);
+    }
+
+    /// Has the actions of an instance written at the end of the batch.
+    fn mark(&mut self, number: u64) {
+        let Some(instance) = self.instances.get_mut(&number) else { return };
+        if !std::mem::replace(&mut instance.has_events, true) {
+            self.with_events.push(number);
+        }
+    }
+}
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,79 +1,118 @@
-//! The wire's events as they stand on a line, borrowed from it.
+//! The simulator's events, as they stand on a line and borrowed from it. Fields that the adapter does not use are
+//! skipped.
+use crate::error::LineError;
 use base64::prelude::{BASE64_STANDARD, Engine};
+use serde::de::{Error, IgnoredAny};
 use serde::{Deserialize, Deserializer};
 use std::borrow::Cow;
-use troutknot::{GossipMessage, RequestId};
+use troutknot::{GossipMessage, Outcome, RequestId};
 use troutknot_gossip::ClassNames;
 
-pub fn parse<'a, T: Deserialize<'a>>(line: &'a [u8]) -> Result<T, String> {
-    serde_json::from_slice(line).map_err(|e| e.to_string().replace(" at line 1 column ", ", column "))
+/// Digits of a request id.
+const ID_DIGITS: usize = 16;
+
+/// Parses a line.
+///
+/// # Errors
+/// If the line is not JSON, or a field is missing or of another type.
+pub fn parse<'a, T: Deserialize<'a>>(line: &'a [u8]) -> Result<T, LineError> {
+    Ok(serde_json::from_slice(line)?)
 }
 
-/// The name of the message. It nearly always stands first, so the line is rarely read twice.
-pub fn op(line: &[u8]) -> Result<Cow<'_, str>, String> {
-    const FIRST: &[u8] = b"{\"op\":\"";
-    if let Some(rest) = line.strip_prefix(FIRST)
-        && let Some(end) = rest.iter().position(|&b| b == b'"' || b == b'\\')
-        && rest[end] == b'"'
-        && let Ok(op) = std::str::from_utf8(&rest[..end])
-    {
-        return Ok(op.into());
-    }
+/// Checks that a line whose content is not used is JSON.
+///
+/// # Errors
+/// If it is not.
+pub fn check_json(line: &[u8]) -> Result<(), LineError> {
+    parse::<IgnoredAny>(line).map(|_| ())
+}
+
+/// The operation that a line names. It nearly always stands first, so that a line is rarely parsed twice.
+///
+/// # Errors
+/// If the line is not JSON or names no operation.
+pub fn operation(line: &[u8]) -> Result<Cow<'_, str>, LineError> {
     #[derive(Deserialize)]
     struct Named<'a> {
         #[serde(borrow)]
         op: Cow<'a, str>,
     }
-    Ok(parse::<Named>(line)?.op)
+    match leading_operation(line) {
+        Some(operation) => Ok(operation.into()),
+        None => Ok(parse::<Named>(line)?.op),
+    }
 }
 
-fn request_id<'de, D: Deserializer<'de>>(d: D) -> Result<RequestId, D::Error> {
-    let text = Cow::<str>::deserialize(d)?;
-    if text.len() != 16 || text.bytes().any(|b| !matches!(b, b'0'..=b'9' | b'a'..=b'f')) {
-        return Err(serde::de::Error::custom(format!("`{text}` is not 16 lower-case hex digits")));
+fn leading_operation(line: &[u8]) -> Option<&str> {
+    const START: &[u8] = b"{\"op\":\"";
+    let rest = line.strip_prefix(START)?;
+    let end = rest.iter().position(|&byte| byte == b'"' || byte == b'\\')?;
+    if rest[end] != b'"' {
+        return None;
     }
-    u64::from_str_radix(&text, 16).map(RequestId).map_err(serde::de::Error::custom)
+    std::str::from_utf8(&rest[..end]).ok()
 }
 
+fn request_id<'de, D: Deserializer<'de>>(deserializer: D) -> Result<RequestId, D::Error> {
+    let text = Cow::<str>::deserialize(deserializer)?;
+    if text.len() != ID_DIGITS || text.bytes().any(|byte| !matches!(byte, b'0'..=b'9' | b'a'..=b'f')) {
+        return Err(D::Error::custom(format!("`{text}` is not {ID_DIGITS} lower-case hex digits")));
+    }
+    u64::from_str_radix(&text, 16).map(RequestId).map_err(D::Error::custom)
+}
+
+/// Opens a batch.
 #[derive(Deserialize)]
-pub struct Begin {
+pub struct BeginBatch {
+    /// Simulated time in microseconds.
     pub time: u64,
 }
 
+/// An event without further content: a timer fired, or the instance stopped.
 #[derive(Deserialize)]
-pub struct Instance {
-    pub i: u64,
+pub struct InstanceEvent {
+    #[serde(rename = "i")]
+    pub instance: u64,
 }
 
+/// Starts an instance.
 #[derive(Deserialize)]
 pub struct Create {
-    pub i: u64,
-    pub nonce64: u64,
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(rename = "nonce64")]
+    pub seed: u64,
+    /// The platform's settings.
     pub profile_data: serde_json::Map<String, serde_json::Value>,
 }
 
+/// Entries of endpoint lists, to which later lines refer by number.
 #[derive(Deserialize)]
 pub struct Sheet {
-    pub sheet: u8,
-    pub entries: Vec<Entry>,
+    #[serde(rename = "sheet")]
+    pub number: u8,
+    pub entries: Vec<SheetEntry>,
 }
 
+/// One executor of a sheet.
 #[derive(Deserialize, Clone)]
-pub struct Entry {
+pub struct SheetEntry {
     pub executor: Box<str>,
-    #[serde(default)]
-    pub dc: Option<u32>,
-    #[serde(default)]
-    pub hw: Option<u32>,
-    #[serde(default)]
-    pub stripe: Option<u32>,
+    #[serde(default, rename = "dc")]
+    pub zone: Option<u32>,
+    #[serde(default, rename = "hw")]
+    pub machine_type: Option<u32>,
+    #[serde(default, rename = "stripe")]
+    pub deduplication_group: Option<u32>,
     pub phase: EntryPhase,
-    #[serde(default)]
-    pub scale: Option<f64>,
-    #[serde(default)]
-    pub start_time: Option<u64>,
+    #[serde(default, rename = "scale")]
+    pub weight: Option<f64>,
+    /// In microseconds; none or 0 if the executor started long ago.
+    #[serde(default, rename = "start_time")]
+    pub started_at: Option<u64>,
 }
 
+/// Whether an executor takes new requests.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
 pub enum EntryPhase {
@@ -82,50 +121,68 @@
     Deregistered,
 }
 
+/// An update of an instance's endpoint list, or the loss of its watch.
 #[derive(Deserialize)]
 pub struct PeersKnown {
-    pub i: u64,
+    #[serde(rename = "i")]
+    pub instance: u64,
     pub kind: PeersKind,
+    /// The number of the sheet; none if the watch was lost.
     pub sheet: Option<u8>,
 }
 
+/// What a [`PeersKnown`] holds.
 #[derive(Deserialize, PartialEq, Eq, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum PeersKind {
+    /// Only what changed.
     Incr,
+    /// The complete list.
     Total,
+    /// The complete list as cached before a restart.
     WarmCopy,
+    /// No list: the watch was lost.
     Lost,
 }
 
+/// A client's request.
 #[derive(Deserialize)]
 pub struct NewRequest {
-    pub i: u64,
-    #[serde(deserialize_with = "request_id")]
-    pub call: RequestId,
-    #[serde(default)]
-    pub cores_needed: Option<f64>,
-    #[serde(default)]
-    pub mem_needed: Option<f64>,
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(rename = "call", deserialize_with = "request_id")]
+    pub request_id: RequestId,
+    #[serde(default, rename = "cores_needed")]
+    pub slots: Option<f64>,
+    #[serde(default, rename = "mem_needed")]
+    pub memory: Option<f64>,
+    /// In microseconds.
     pub time_left: u64,
-    #[serde(default)]
-    pub account: Option<u32>,
-    #[serde(default)]
-    pub retry: Option<bool>,
-    pub priority: u32,
+    #[serde(default, rename = "account")]
+    pub tenant: Option<u32>,
+    #[serde(default, rename = "retry")]
+    pub is_retry: Option<bool>,
+    #[serde(rename = "priority")]
+    pub class: u32,
 }
 
+/// The end of a probe.
 #[derive(Deserialize)]
 pub struct PingResult<'a> {
-    pub i: u64,
+    #[serde(rename = "i")]
+    pub instance: u64,
     #[serde(borrow)]
     pub executor: Cow<'a, str>,
     pub state_code: StateCode,
-    pub lag: u64,
+    /// In microseconds.
+    #[serde(rename = "lag")]
+    pub latency: u64,
+    /// The load report's values, in the order that the settings name.
     #[serde(default)]
     pub metrics: Option<Vec<Option<f64>>>,
 }
 
+/// How a probe or an attempt ended.
 #[derive(Deserialize, PartialEq, Eq, Clone, Copy)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum StateCode {
@@ -139,51 +196,104 @@
     Nop,
 }
 
+impl From<StateCode> for Outcome {
+    fn from(code: StateCode) -> Self {
+        match code {
+            StateCode::Good => Outcome::Completed,
+            StateCode::Bad => Outcome::Error,
+            StateCode::Full => Outcome::Rejected,
+            StateCode::Late => Outcome::TimedOut,
+            StateCode::Noconn => Outcome::NoConnection,
+            StateCode::Rst => Outcome::Reset,
+            StateCode::Cxl => Outcome::Cancelled,
+            StateCode::Nop => Outcome::NotSent,
+        }
+    }
+}
+
+/// The end of an attempt.
 #[derive(Deserialize)]
 pub struct Returned {
-    pub i: u64,
-    #[serde(deserialize_with = "request_id")]
-    pub call: RequestId,
-    pub complete: bool,
-    pub n: u32,
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(rename = "call", deserialize_with = "request_id")]
+    pub request_id: RequestId,
+    #[serde(rename = "complete")]
+    pub is_request_closed: bool,
+    #[serde(rename = "n")]
+    pub attempt: u32,
     pub state_code: StateCode,
 }
 
+/// The start of an attempt.
 #[derive(Deserialize)]
 pub struct Begun {
-    pub i: u64,
-    #[serde(deserialize_with = "request_id")]
-    pub call: RequestId,
-    pub n: u32,
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(rename = "call", deserialize_with = "request_id")]
+    pub request_id: RequestId,
+    #[serde(rename = "n")]
+    pub attempt: u32,
 }
 
+/// A heartbeat of an attempt, see [`Heartbeat::kind`].
 #[derive(Deserialize)]
 pub struct Heartbeat {
-    pub i: u64,
-    #[serde(deserialize_with = "request_id")]
-    pub call: RequestId,
-    #[serde(default)]
-    pub value: Option<f64>,
-    pub n: u32,
-    pub what: u32,
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(rename = "call", deserialize_with = "request_id")]
+    pub request_id: RequestId,
+    /// The share that is done, if it is a progress.
+    #[serde(default, rename = "value")]
+    pub share: Option<f64>,
+    #[serde(rename = "n")]
+    pub attempt: u32,
+    #[serde(rename = "what")]
+    code: u32,
+}
+
+/// What a heartbeat reports.
+pub enum HeartbeatKind {
+    Started,
+    Progressed,
+    /// A kind of a later protocol.
+    Unknown,
+}
+
+impl Heartbeat {
+    /// What it reports.
+    pub fn kind(&self) -> HeartbeatKind {
+        match self.code {
+            1 => HeartbeatKind::Started,
+            2 => HeartbeatKind::Progressed,
+            _ => HeartbeatKind::Unknown,
+        }
+    }
 }
 
+/// The client of a request left.
 #[derive(Deserialize)]
 pub struct Withdrawn {
-    pub i: u64,
-    #[serde(deserialize_with = "request_id")]
-    pub call: RequestId,
+    #[serde(rename = "i")]
+    pub instance: u64,
+    #[serde(rename = "call", deserialize_with = "request_id")]
+    pub request_id: RequestId,
 }
 
+/// A message from another node.
 #[derive(Deserialize)]
 pub struct Inbox<'a> {
-    pub i: u64,
+    #[serde(rename = "i")]
+    pub instance: u64,
+    /// In base64.
     #[serde(default, borrow)]
-    pub body: Option<Cow<'a, str>>,
+    body: Option<Cow<'a, str>>,
 }
 
 impl Inbox<'_> {
-    pub fn said(&self, types: ClassNames) -> Option<GossipMessage> {
-        troutknot_gossip::decode(&BASE64_STANDARD.decode(self.body.as_deref()?).ok()?, types)
+    /// The message; None if it cannot be read.
+    pub fn message(&self, class_names: ClassNames) -> Option<GossipMessage> {
+        let bytes = BASE64_STANDARD.decode(self.body.as_deref()?).ok()?;
+        troutknot_gossip::decode(&bytes, class_names)
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,43 +1,51 @@
-//! `troutknot-wirehost`: reads batches of events on standard input, drives one `Dispatcher` an instance, and
-//! answers each batch on standard output. Wire names end in this crate; nothing is decided here.
+//! `troutknot-wirehost`: lets the simulator drive dispatchers. Reads batches of events on standard input, drives one
+//! [`troutknot::Dispatcher`] per instance, and answers each batch with the actions on standard output.
+//!
+//! The names of the simulator's protocol stand in `decode` and `encode` alone. Nothing is decided here.
+mod adapter;
 mod decode;
 mod encode;
-mod host;
+mod error;
+mod instance;
 
-use std::io::{BufRead, Write};
+use adapter::{Adapter, BatchState};
+use error::AdapterError;
+use std::io::{BufRead, BufReader, Write};
 use std::process::ExitCode;
 
+const INPUT_BUFFER_BYTES: usize = 64 * 1024;
+
 fn main() -> ExitCode {
-    let input = std::io::stdin().lock();
-    let output = std::io::stdout().lock();
-    match run(std::io::BufReader::with_capacity(1 << 16, input), output) {
+    let input = BufReader::with_capacity(INPUT_BUFFER_BYTES, std::io::stdin().lock());
+    match run(input, std::io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("troutknot-wirehost: {what}");
+        Err(error) => {
+            eprintln!("troutknot-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Answers batches until the input ends; an error says which line was wrong and how.
-fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut host = host::Host::default();
+/// Answers batches until the input ends.
+///
+/// # Errors
+/// If input or output fails, or a line cannot be applied.
+fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut adapter = Adapter::default();
     let (mut line, mut reply) = (Vec::new(), Vec::new());
-    let mut number = 0u64;
+    let mut number = 0;
     loop {
         line.clear();
-        if input.read_until(b'\n', &mut line).map_err(|e| format!("cannot read: {e}"))? == 0 {
+        if input.read_until(b'\n', &mut line).map_err(AdapterError::Read)? == 0 {
             return Ok(());
         }
         number += 1;
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        if host.take(&line, &mut reply).map_err(|what| format!("line {number}: {what}"))? {
-            output
-                .write_all(&reply)
-                .and_then(|()| output.flush())
-                .map_err(|e| format!("cannot write the reply: {e}"))?;
+        let state = adapter.apply_line(&line, &mut reply);
+        if state.map_err(|error| AdapterError::Line { number, error })? == BatchState::Answered {
+            output.write_all(&reply).and_then(|()| output.flush()).map_err(AdapterError::Write)?;
             reply.clear();
         }
     }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,5 @@
 //! The adapter as a process: what goes in, what comes out, and how it ends.
+#![allow(clippy::unwrap_used)]
 use std::io::Write;
 use std::process::{Command, Stdio};
 
