--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -1,19 +1,22 @@
 //! Owns the dispatcher: tells it what the sides saw, and hands each of its actions to the side that acts.
-use crate::discovery::EndpointUpdate;
-use crate::event::{CallOrigin, NodeEvent, RecoveredAttempt};
+mod decision_log;
+
+use crate::durable::Lease;
+use crate::event::{CallOrigin, EndpointUpdate, NodeEvent, RecoveredAttempt, WatchRequests};
 use crate::gossip::GossipSocket;
-use crate::hot_restart::SiblingProcess;
 use crate::hot_restart::codec::{self, Inherited, Message};
+use crate::hot_restart::sibling::SiblingProcess;
 use crate::in_flight::{Answer, CancelSignal, InFlightRequest};
 use crate::lifecycle::{Drain, Lifecycle};
 use crate::membership::Membership;
 use crate::protocol::{Codec, Current, EndpointEntry};
 use crate::retention::{EndpointRetention, RetainedEntries, RetentionChange, RetentionStatistics};
+use crate::tasks::TaskGroup;
 use crate::upstream::{DispatchOrder, ExecutorPool};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use tokio::sync::{Notify, mpsc};
+use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 use troutknot::{Event as CoreEvent, *};
 use troutknot_clock::Clock;
@@ -28,14 +31,6 @@
 /// What the log calls an executor that was released.
 const RELEASED: &str = "(released)";
 
-/// Asks for the list to be followed.
-#[derive(Default)]
-pub struct WatchRequests {
-    pub changes: Notify,
-    /// From the whole list on.
-    pub whole: Notify,
-}
-
 /// The executors that are kept now.
 struct RetainedNow<'a> {
     registry: &'a ExecutorRegistry,
@@ -61,6 +56,33 @@
     pushed: Option<(ExecutorId, Instant)>,
 }
 
+/// What a [`Driver`] is connected with.
+pub struct DriverConfig {
+    /// Decides what is done.
+    pub dispatcher: Dispatcher,
+    /// The clock of the dispatcher.
+    pub clock: Clock,
+    /// Translates between names and ids.
+    pub codec: Rc<Current<Codec>>,
+    /// Carries out attempts and probes.
+    pub executors: Rc<ExecutorPool>,
+    /// Asks for the endpoint list to be watched.
+    pub watch_requests: Rc<WatchRequests>,
+    /// The events to handle.
+    pub events: mpsc::Receiver<NodeEvent>,
+    /// Receives that a list has arrived.
+    pub lifecycle: Rc<Lifecycle>,
+    /// The other process of this node, if one runs.
+    pub sibling: Rc<SiblingProcess>,
+    /// Chooses the executors that are retained.
+    pub retention: EndpointRetention,
+    /// Sends gossip, if the node has peers.
+    pub gossip: Option<Rc<GossipSocket>>,
+    /// Owns the tasks of attempts and probes.
+    pub tasks: TaskGroup,
+}
+
+/// Owns the dispatcher, and runs it.
 pub struct Driver {
     dispatcher: Dispatcher,
     clock: Clock,
@@ -69,9 +91,9 @@
     follow: Rc<WatchRequests>,
     registry: ExecutorRegistry,
     /// Which of the listed executors are kept.
-    pub retention: EndpointRetention,
+    retention: EndpointRetention,
     /// How many these are, where operators ask.
-    pub figures: Rc<Cell<RetentionStatistics>>,
+    figures: Rc<Cell<RetentionStatistics>>,
     /// Executors were released since those left out were looked at.
     has_released: bool,
     events: mpsc::Receiver<NodeEvent>,
@@ -80,7 +102,8 @@
     beside: Rc<SiblingProcess>,
     membership: Membership,
     /// The other nodes, where the settings let nodes talk.
-    pub peers: Option<Rc<GossipSocket>>,
+    peers: Option<Rc<GossipSocket>>,
+    tasks: TaskGroup,
     open: BTreeMap<RequestId, OpenRequest>,
     wake: Option<Instant>,
     out_of_time: bool,
@@ -91,30 +114,24 @@
 }
 
 impl Driver {
-    pub fn new(
-        dispatcher: Dispatcher,
-        clock: Clock,
-        codec: Rc<Current<Codec>>,
-        executors: Rc<ExecutorPool>,
-        follow: Rc<WatchRequests>,
-        events: mpsc::Receiver<NodeEvent>,
-        lifecycle: Rc<Lifecycle>,
-    ) -> Self {
+    /// Creates a driver that knows no executors yet.
+    pub fn new(config: DriverConfig) -> Self {
         Driver {
-            dispatcher,
-            clock,
-            codec,
-            follow,
+            dispatcher: config.dispatcher,
+            clock: config.clock,
+            codec: config.codec,
+            executors: config.executors,
+            follow: config.watch_requests,
             registry: ExecutorRegistry::default(),
-            retention: EndpointRetention::new("", executors.limits.known, executors.limits.left_out),
+            retention: config.retention,
             figures: Rc::default(),
             has_released: false,
-            events,
-            lifecycle,
-            beside: executors.beside.clone(),
-            executors,
+            events: config.events,
+            lifecycle: config.lifecycle,
+            beside: config.sibling,
             membership: Membership::default(),
-            peers: None,
+            peers: config.gossip,
+            tasks: config.tasks,
             open: BTreeMap::new(),
             wake: None,
             out_of_time: false,
@@ -123,9 +140,14 @@
         }
     }
 
+    /// How many executors are listed and retained, kept up to date.
+    pub fn retention_statistics(&self) -> Rc<Cell<RetentionStatistics>> {
+        self.figures.clone()
+    }
+
     pub async fn run(mut self) {
         let (mut actions, mut batch, mut looked) = (Vec::new(), Vec::new(), self.clock.now());
-        let standstill = self.executors.limits.standstill.as_secs_f64() * 1000.0;
+        let standstill = self.executors.limits.stall_threshold.as_secs_f64() * 1000.0;
         loop {
             let wake = self.wake;
             let first = tokio::select! {
@@ -152,7 +174,7 @@
             let now = self.clock.now();
             looked = now;
             for event in batch.drain(..) {
-                self.tell(now, event);
+                self.handle_event(now, event);
             }
             loop {
                 self.dispatcher.poll_actions(now, &mut actions);
@@ -168,7 +190,7 @@
         }
     }
 
-    pub fn tell(&mut self, now: Millis, event: NodeEvent) {
+    pub fn handle_event(&mut self, now: Millis, event: NodeEvent) {
         let told = match event {
             NodeEvent::RequestArrived(in_flight) => {
                 if in_flight.is_over() {
@@ -266,7 +288,9 @@
     /// What a work unit is told that was open when the node ended: one that was never sent may come again.
     fn last_answer(&self, attempts: u32) -> Answer {
         match attempts {
-            0 => Answer::Rejected(Some(self.executors.limits.full_come_back.as_secs_f64() * 1000.0)),
+            0 => Answer::Rejected(Some(
+                self.executors.limits.downstream.rejected_retry_after.as_secs_f64() * 1000.0,
+            )),
             _ => Answer::Failed,
         }
     }
@@ -274,25 +298,28 @@
     /// Tells of a work unit from an earlier life: its arrival, then each allocation and its end, as far as known.
     fn recovered(&mut self, now: Millis, in_flight: Rc<InFlightRequest>, earlier: Vec<RecoveredAttempt>) {
         let request_id = in_flight.request_id;
-        self.tell(now, NodeEvent::RequestArrived(in_flight.clone()));
+        self.handle_event(now, NodeEvent::RequestArrived(in_flight.clone()));
         let Some(open) = self.open.get_mut(&request_id) else { return };
         open.attempts = earlier.len() as u32;
-        for (number, RecoveredAttempt { executor: name, sent_at, outcome, lease }) in
+        for (number, RecoveredAttempt { executor: name, sent_at, outcome, fence }) in
             earlier.into_iter().enumerate()
         {
             let attempt_id = AttemptId(number as u32);
             let executor = self.register(now, &name);
             self.dispatcher.handle_event(now, CoreEvent::AttemptRecovered { request_id, executor, sent_at });
-            match outcome {
-                Some(outcome) => self.dispatcher.handle_event(
+            match (outcome, self.executors.durable.get()) {
+                (Some(outcome), _) => self.dispatcher.handle_event(
                     now,
                     CoreEvent::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: false },
                 ),
-                None => {
+                (None, Some(durable)) => {
+                    let lease = Lease::new(durable.clone(), request_id, attempt_id, fence, sent_at);
                     let settled =
                         self.executors.clone().settle(in_flight.clone(), executor, attempt_id, lease);
-                    tokio::task::spawn_local(settled);
+                    self.tasks.spawn(settled);
                 }
+                // Requests are recovered from the ledger alone.
+                (None, None) => {}
             }
         }
     }
@@ -359,7 +386,7 @@
 
     /// Takes entries that were selected; one for which there is no handle now waits until others are released.
     fn take_all(&mut self, entries: Vec<EndpointEntry>) -> Vec<Endpoint> {
-        let most = self.executors.limits.registered;
+        let most = self.executors.limits.executor_bounds.max_registered;
         let mut told = Vec::with_capacity(entries.len());
         for entry in entries {
             match self.registry.register_within(&entry.id, most) {
@@ -432,24 +459,24 @@
                     .mirror(|number| Message::SetExcluded { executor: name, is_excluded, number }, done);
             }
             CallOrigin::Operator(done) => _ = done.send(false),
-            CallOrigin::Sibling(number) => self.beside.say(Message::Acknowledged { number }),
+            CallOrigin::Sibling(number) => self.beside.send(Message::Acknowledged { number }),
         }
     }
 
     /// Tells a next process of this node what is known here.
     fn hand_over(&mut self, now: Millis) {
         let beside = &self.beside;
-        let say = |messages: Vec<Message>| messages.into_iter().for_each(|message| beside.say(message));
+        let say = |messages: Vec<Message>| messages.into_iter().for_each(|message| beside.send(message));
         let out: Vec<String> = self.membership.excluded().iter().cloned().collect();
-        say(codec::in_lines(&out, |executors| Message::Excluded { executors }));
+        say(codec::split_list(&out, |executors| Message::Excluded { executors }));
         say(vec![Message::Drained { drained: self.lifecycle.facts().drain != Drain::None, number: 0 }]);
         let (listed, version) = (self.membership.listed(), self.membership.version);
         let entries: Vec<EndpointEntry> = listed.chain(self.retention.unretained()).cloned().collect();
-        say(codec::in_lines(&entries, |entries| Message::List { version, entries }));
+        say(codec::split_list(&entries, |entries| Message::List { version, entries }));
         let state = self.dispatcher.export_state(now);
         let executors: Vec<codec::ExecutorState> =
             state.executors.iter().filter_map(|executor| self.export_executor(executor)).collect();
-        say(codec::in_lines(&executors, |executors| Message::Executors { executors }));
+        say(codec::split_list(&executors, |executors| Message::Executors { executors }));
         let codec = self.codec.now();
         let running_time = |(name, class): (&str, RequestClassId)| {
             let time = *state.class_running_times.get(class.0 as usize)?;
@@ -471,12 +498,12 @@
             failure_score: codec::Score(state.failure_score),
             observations: codec::Score(state.observations),
             max_slots: state.max_slots,
-            warm_up_spent: state.warm_up_spent.iter().copied().map(codec::Spent).collect(),
+            warm_up_spent: state.warm_up_spent.iter().copied().map(codec::SpentBudget).collect(),
         })
     }
 
     /// Begins with what a process before this one knew; the list was told.
-    pub fn take_over(&mut self, now: Millis, inherited: Inherited) {
+    pub fn import_state(&mut self, now: Millis, inherited: Inherited) {
         let codec = self.codec.now();
         let classes = codec.taken_types().map(|(_, class)| class.0 as usize + 1).max().unwrap_or(0);
         let mut class_running_times = vec![ObservedMean::default(); classes];
@@ -509,7 +536,7 @@
             failure_score: state.failure_score.0,
             observations: state.observations.0,
             max_slots: state.max_slots,
-            warm_up_spent: state.warm_up_spent.into_iter().map(|codec::Spent(spent)| spent).collect(),
+            warm_up_spent: state.warm_up_spent.into_iter().map(|codec::SpentBudget(spent)| spent).collect(),
         })
     }
 
@@ -530,7 +557,7 @@
     }
 
     /// Who is out by hand from the start.
-    pub fn leave_out(&mut self, out: BTreeSet<String>) {
+    pub fn exclude(&mut self, out: BTreeSet<String>) {
         self.membership.import_excluded(out);
     }
 
@@ -551,7 +578,7 @@
                 let (decided, life) = (Instant::now(), self.executors.life(executor));
                 open.pushed = Some((executor, decided));
                 let in_flight = open.in_flight.clone();
-                let name = in_flight.durable.get().map(|_| self.name(executor).to_string());
+                let name = in_flight.is_durable.get().then(|| self.name(executor).to_string());
                 tracing::debug!("push: alloc {} to {}", attempt_id.0, self.name(executor));
                 let push = DispatchOrder {
                     in_flight,
@@ -564,7 +591,7 @@
                     send_deadline,
                     stop,
                 };
-                tokio::task::spawn_local(self.executors.clone().allocate(push));
+                self.tasks.spawn(self.executors.clone().allocate(push));
             }
             Action::Cancel { request_id, attempt_id } => {
                 let stop = self.open.get(&request_id).and_then(|open| open.stops.get(attempt_id.0 as usize));
@@ -576,7 +603,7 @@
             Action::Fail { request_id } => self.finish(request_id, Answer::Failed),
             Action::Probe { executor } => {
                 tracing::debug!("probe: {}", self.name(executor));
-                tokio::task::spawn_local(self.executors.clone().probe(executor));
+                self.tasks.spawn(self.executors.clone().probe(executor));
             }
             Action::SetTimer { at } => {
                 let at = self.clock.instant_of(at);
@@ -589,7 +616,7 @@
             }
             Action::WatchEndpoints => self.follow.changes.notify_one(),
             Action::ReleaseExecutor { executor } => self.release(executor),
-            Action::Log(line) => tracing::info!("{line}"),
+            Action::Log(event) => decision_log::record(event),
         }
     }
 
