--- a/src/action.rs
+++ b/src/action.rs
@@ -1,65 +1,66 @@
-//! What the decision module asks of its host.
+//! Actions that the decision module orders its host to carry out.
 use crate::event::GossipMessage;
 use crate::ids::{AttemptId, ExecutorId, RequestId};
 use crate::log_event::LogEvent;
 use crate::time::Millis;
 
-/// One thing to do, from [`crate::Dispatcher::poll_actions`]; actions are carried out in their order.
+/// One action of [`crate::Dispatcher::poll_actions`]; the host carries actions out in their order.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
-    /// Sends a request to an executor, as its next attempt.
+    /// Sends a request to an executor, as the request's next attempt.
     Dispatch {
         /// The request.
         request_id: RequestId,
-        /// Where it goes.
+        /// The executor.
         executor: ExecutorId,
-        /// When the attempt is given up.
+        /// When the attempt times out.
         attempt_deadline: Millis,
-        /// From then on nothing of it is sent any more, and its last byte not at all.
+        /// Its last byte is sent before this time, or never; a partial send is aborted then.
         send_deadline: Millis,
     },
-    /// Breaks an attempt off.
+    /// Cancels an attempt.
     Cancel {
         /// Its request.
         request_id: RequestId,
         /// Its number within the request.
         attempt_id: AttemptId,
     },
-    /// Gives the final answer that the request was not served and may come again.
+    /// Answers finally that the request was not served and may be sent again.
     Reject {
         /// The request.
         request_id: RequestId,
-        /// After how long the client may ask again; none where nothing is said of it.
+        /// The wait before a retry that the answer states (`Retry-After`), if any.
         retry_after: Option<Millis>,
     },
-    /// Gives the final answer that the request failed, and perhaps ran.
+    /// Answers finally that the request failed; it may have run.
     Fail {
         /// The request.
         request_id: RequestId,
     },
-    /// Asks an executor for its load.
+    /// Probes an executor for its load.
     Probe {
         /// The executor.
         executor: ExecutorId,
     },
-    /// Wants [`crate::Event::TimerFired`] at a time; an earlier timer goes on as well.
+    /// Requests [`crate::Event::TimerFired`] at a time; timers that were set before still fire.
     SetTimer {
-        /// When.
+        /// The time.
         at: Millis,
     },
-    /// Closes the connections to an executor that are idle: they may be gone unseen.
+    /// Closes the idle connections to an executor, as they may be broken.
     CloseIdleConnections {
         /// The executor.
         executor: ExecutorId,
     },
-    /// Tells all other nodes, as far as it gets to them.
+    /// Sends a message to all other nodes, without a guarantee of delivery.
     Gossip(GossipMessage),
-    /// Opens a watch of the endpoint list, unless one stands.
+    /// Opens a watch of the endpoint list, unless one is open.
     WatchEndpoints,
-    /// The executor is gone and nothing needs it any more: its state here is dropped, and the host frees its
-    /// name, its list entry and its connections. It is the last that is said of this handle: the host lists
-    /// the executor under a new one if it comes back. What still comes under the old one is dropped and
-    /// counted.
+    /// Releases an executor that is gone and no longer needed. The host frees its name, its list entry and
+    /// its connections.
+    ///
+    /// No later action names this handle. If the executor is listed again, the host gives it a new handle;
+    /// events that name the old one are dropped and counted.
     ReleaseExecutor {
         /// The executor.
         executor: ExecutorId,
--- a/src/dispatcher/endpoints.rs
+++ b/src/dispatcher/endpoints.rs
@@ -3,6 +3,7 @@
 use super::attempts::Observer;
 use crate::endpoint::{Endpoint, ListUpdate};
 use crate::event::GossipMessage;
+use crate::state::discovery_backoff::ListFailure;
 use crate::state::request::DesiredState;
 use crate::time::Millis;
 
@@ -31,7 +32,8 @@
     }
 
     pub(super) fn on_watch_lost(&mut self, now: Millis, is_rejected: bool) {
-        let lost = self.discovery.record_failure(now, self.nodes, is_rejected, &mut self.random);
+        let failure = if is_rejected { ListFailure::Rejected } else { ListFailure::Unanswered };
+        let lost = self.discovery.record_failure(now, self.nodes, failure, &mut self.random);
         self.log.push(lost);
     }
 
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -2,66 +2,66 @@
 use crate::ids::{DeduplicationGroupId, ExecutorId, MachineTypeId, ZoneId};
 use crate::time::Millis;
 
-/// Whether an executor takes new work, as the list says.
+/// Whether an executor accepts new requests, by the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum EndpointState {
-    /// It takes new work.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It completes its requests and accepts no new ones.
     Draining,
     /// It is no longer listed.
     Gone,
 }
 
-/// One executor as the list shows it.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Endpoint {
     /// The host's handle.
     pub executor: ExecutorId,
-    /// A number that stands for this executor at every node alike.
+    /// A number that identifies this executor at every node.
     pub token: u64,
-    /// Where it stands.
+    /// Its zone.
     pub zone: ZoneId,
-    /// What it runs on.
+    /// The type of its machine.
     pub machine_type: MachineTypeId,
-    /// Those with which it shares its records of deduplicated work.
+    /// The group of executors that share their records of deduplicated work.
     pub deduplication_group: DeduplicationGroupId,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: EndpointState,
-    /// Its weight in the list; what it says follows from [`crate::settings::WeightSource`].
+    /// Its weight in the list; [`crate::settings::WeightSource`] says what it means.
     pub weight: f64,
-    /// When it started; none where the list does not say, or long ago.
+    /// When it started; `None` if that is unknown or long ago.
     pub started_at: Option<Millis>,
 }
 
-/// What an update of the endpoint list holds.
+/// What an update of the endpoint list contains.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ListUpdate {
-    /// Only what changed.
+    /// The entries that changed.
     Delta,
-    /// What operators changed by hand, which is no news from discovery.
+    /// The entries that operators changed; it does not come from discovery.
     Operator,
-    /// The complete list; who is not in it is gone.
+    /// The complete list; executors that it does not contain are gone.
     Snapshot,
-    /// The complete list as last held before a restart, perhaps out of date.
+    /// The complete list as it was cached before a restart; it may be outdated.
     Cached,
 }
 
-/// Load that an executor reported; what a site does not report stays `None`.
+/// The load that an executor reported; figures that it does not report are `None`.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
 pub struct LoadReport {
-    /// Requests that wait there.
+    /// Requests in its queue.
     pub queue_length: Option<f64>,
-    /// Requests that it has, waiting or running.
+    /// Requests in its queue or running.
     pub in_flight: Option<f64>,
-    /// Slots that are free.
+    /// Free slots.
     pub free_slots: Option<f64>,
-    /// Memory that is free, in the units of the requests' memory.
+    /// Free memory, in the unit of the requests' memory.
     pub free_memory: Option<f64>,
 }
 
 impl LoadReport {
-    /// One that shows free slots and no more.
+    /// A report of free slots alone.
     pub fn of_free_slots(free_slots: f64) -> Self {
         LoadReport { free_slots: Some(free_slots), ..LoadReport::default() }
     }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,49 +1,49 @@
-//! What a host tells the decision module.
+//! Events that a host reports to the decision module.
 use crate::endpoint::{Endpoint, ListUpdate, LoadReport};
 use crate::ids::{AttemptId, ExecutorId, RequestClassId, RequestId, TenantId};
 use crate::time::Millis;
 use crate::warm_state::WarmState;
 
-/// One thing that a host has seen, for [`crate::Dispatcher::handle_event`].
+/// One event, for [`crate::Dispatcher::handle_event`].
 #[derive(Clone, PartialEq, Debug)]
 pub enum Event {
-    /// Discovery or an operator says something of executors.
+    /// Discovery or an operator updated the endpoint list.
     EndpointsUpdated {
-        /// What the update holds.
+        /// What the update contains.
         update: ListUpdate,
-        /// The executors that it speaks of.
+        /// The endpoints in it.
         endpoints: Vec<Endpoint>,
     },
     /// A call for the endpoint list failed, or a watch of it broke off.
     EndpointWatchLost {
-        /// Whether the source answered that it takes no calls now.
+        /// Whether the source answered that it accepts no calls now.
         is_rejected: bool,
     },
-    /// A client wants a request answered.
+    /// A client sent a request.
     RequestArrived {
         /// Its id, new.
         request_id: RequestId,
-        /// Its class; one that is not known is passed over.
+        /// Its class; a request of an unknown class is ignored.
         class: RequestClassId,
-        /// Whose quota it counts against; none has one where it is not known.
+        /// The tenant whose quota it counts against; an unknown tenant has no quota.
         tenant: TenantId,
-        /// Slots that it needs at an executor; less than 1 counts as 1.
+        /// Slots that it needs at an executor, at least 1.
         slots: f64,
         /// Memory that it needs.
         memory: f64,
-        /// How long the client waits from now on.
+        /// How long the client waits for the answer.
         time_left: Millis,
-        /// Whether the client has asked before.
+        /// Whether the client has sent it before.
         is_retry: bool,
     },
-    /// A probe is over.
+    /// A probe ended.
     ProbeCompleted {
         /// The executor that was probed.
         executor: ExecutorId,
-        /// What it answered; none where it did not in time.
+        /// Its reply; `None` if it failed or timed out.
         reply: Option<ProbeReply>,
     },
-    /// An attempt is over.
+    /// An attempt ended.
     AttemptEnded {
         /// Its request.
         request_id: RequestId,
@@ -51,58 +51,59 @@
         attempt_id: AttemptId,
         /// How it ended.
         outcome: Outcome,
-        /// Whether the request has its final answer with it, or had it before.
+        /// Whether the request has its final answer, with this attempt or before.
         is_request_closed: bool,
     },
-    /// An attempt of an earlier process of this node is still under way, until its end is told. It comes
-    /// after the arrival of its request, in order, for an executor that is held: listed, or told as gone in
-    /// the same batch.
+    /// An attempt of an earlier process of this node is in flight; its end is reported later.
+    ///
+    /// The event follows the arrival of its request, attempts in order. Its executor has been listed, or
+    /// reported as gone in the same batch.
     AttemptRecovered {
         /// Its request.
         request_id: RequestId,
-        /// Where it was dispatched to.
+        /// The executor that it was dispatched to.
         executor: ExecutorId,
-        /// When.
+        /// When it was dispatched.
         sent_at: Millis,
     },
-    /// Another process of this node, which dispatches as well, has begun or ceased to run.
+    /// Another process of this node, which dispatches as well, has started or stopped.
     SiblingChanged {
-        /// Whether one runs now.
+        /// Whether one is running now.
         is_running: bool,
     },
-    /// What a process of this node before this one hands over; after the endpoint list.
+    /// An earlier process of this node handed over its state; after the endpoint list.
     WarmStateReceived(WarmState),
-    /// Another node says something; it may be late, lost or wrong.
+    /// A peer sent a message, which may be late or wrong.
     GossipReceived(GossipMessage),
-    /// An attempt has begun to run, or to answer.
+    /// An attempt has started to run, or to answer.
     AttemptStarted {
         /// Its request.
         request_id: RequestId,
         /// Its number within the request.
         attempt_id: AttemptId,
     },
-    /// An attempt goes on.
+    /// An attempt made progress.
     AttemptProgressed {
         /// Its request.
         request_id: RequestId,
         /// Its number within the request.
         attempt_id: AttemptId,
-        /// The share of it that is done, 0 to 1.
+        /// The part of it that is done, 0 to 1.
         share: f64,
     },
     /// The timer that [`crate::Action::SetTimer`] set last has fired.
     TimerFired,
-    /// The client left; nothing more is owed.
+    /// The client has disconnected and needs no answer.
     RequestWithdrawn {
         /// Its request.
         request_id: RequestId,
     },
 }
 
-/// What a probe brought.
+/// The reply to a probe.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct ProbeReply {
-    /// How long it took.
+    /// Time from the probe to its reply.
     pub latency: Millis,
     /// The load that the executor reported.
     pub report: LoadReport,
@@ -111,17 +112,17 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Outcome {
-    /// It ran and its result came back.
+    /// It ran, and its result was received.
     Completed,
-    /// Its executor failed with it.
+    /// Its executor reported an error.
     Error,
-    /// Its executor turned it away unstarted.
+    /// Its executor rejected it without starting it.
     Rejected,
-    /// Its time was over.
+    /// Its deadline passed.
     TimedOut,
-    /// No connection to the executor came up.
+    /// No connection to the executor was established.
     NoConnection,
-    /// The connection broke once it was sent.
+    /// The connection broke after it was sent.
     Reset,
     /// This node cancelled it.
     Cancelled,
@@ -136,16 +137,16 @@
     }
 }
 
-/// What one node tells the others.
+/// A message from one node to the others.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum GossipMessage {
-    /// A connection that had been idle was gone unseen.
+    /// An idle connection had broken without notice.
     IdleConnectionLost,
-    /// An executor rejected work of a class though it had shown free capacity.
+    /// An executor rejected a request though its report had shown free capacity.
     WorkRejected {
         /// The lower half of the executor's token.
         token: u32,
-        /// The class.
+        /// The class of the request.
         class: RequestClassId,
     },
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,15 +1,14 @@
-//! Ids of what hosts and the decision module speak about. Each is valid for one instance of the module alone.
+//! Ids in events and actions. Each is valid for one instance of the decision module.
 
-/// A request, as its host numbers it; never used for two of them.
+/// A request; the host assigns a unique number.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct RequestId(pub u64);
 
 slotmap::new_key_type! {
-    /// An executor: the handle that the host gave it when it first heard of it, a slot and its generation.
+    /// An executor: the handle that the host assigned when it first learned of it, a slot and a generation.
     ///
-    /// The host takes handles out of a [`slotmap::SlotMap`], whose slots stand in the order of first mention,
-    /// and gives a slot to another executor only after [`crate::Action::ReleaseExecutor`]; the generation
-    /// tells both apart.
+    /// The host assigns handles from a [`slotmap::SlotMap`], whose slots are in the order of assignment. It
+    /// reuses a slot only after [`crate::Action::ReleaseExecutor`], with another generation.
     pub struct ExecutorId;
 }
 
@@ -17,7 +16,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct AttemptId(pub u32);
 
-/// A class of requests that share their terms: an index into [`crate::Settings::classes`].
+/// A class of requests with the same terms: an index into [`crate::Settings::classes`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Debug)]
 pub struct RequestClassId(pub u32);
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions of a dispatcher that pushes requests to executors: without I/O and clock, one instance a node.
+//! The decisions of a dispatcher that sends requests to executors, without I/O and without a clock. Each node
+//! has one instance.
 //!
-//! A host makes a [`Dispatcher`] from [`Settings`], a seed and the time, hands it [`Event`]s and carries out
-//! the [`Action`]s that follow:
+//! A host creates a [`Dispatcher`] from [`Settings`], a seed and the time, reports [`Event`]s to it, and
+//! carries out the [`Action`]s that follow:
 //!
 //! ```
 //! use troutknot::{Action, Dispatcher, Event, Settings};
@@ -12,10 +13,11 @@
 //! assert!(actions.is_empty());
 //! ```
 //!
-//! [`policy`] holds every decision, [`dispatcher`] what drives it. Two hosts drive it: `crates/daemon`, the
-//! real node, and `crates/wirehost`, the simulator's adapter; `crates/simulation` plays whole days with it.
+//! [`policy`] contains the rules, one module each; [`dispatcher`] applies them. The hosts are `crates/daemon`,
+//! the node, `crates/wirehost`, the adapter to the simulator, and `crates/simulation`, which simulates days
+//! of a fleet.
 
-/// So that tests of private items use the helpers of the others.
+// Unit tests use the helpers of the integration tests, which name this crate.
 #[cfg(test)]
 extern crate self as troutknot;
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -13,3 +13,7 @@
 pub(crate) mod start_check;
 
 pub use sampling::{best_sample_size, time_in_system};
+
+#[cfg(test)]
+#[path = "../../tests/unit/rule_inputs.rs"]
+mod rule_inputs;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,51 +1,51 @@
 //! The settings of a node, as the platform's configuration states them.
 //!
-//! Keys of the configuration that differ from the names used here are given by `serde(rename)`; a key that is
-//! not known is passed over. Spans stand in the configuration as microseconds and here as [`Millis`]. What
-//! the configuration leaves out has the value of [`Default`].
+//! Keys of the configuration that differ from the names here are given by `serde(rename)`; unknown keys are
+//! ignored. Durations are microseconds in the configuration and [`Millis`] here. Keys that the configuration
+//! omits have the value of [`Default`].
 use crate::ids::{MachineTypeId, ZoneId};
 use crate::time::Millis;
 use serde::{Deserialize, Deserializer};
 
 const MICROS_PER_MILLI: f64 = 1000.0;
-/// How often the endpoint list is fetched where the settings state nothing.
+/// The poll interval of the endpoint list if the settings state none.
 const DEFAULT_POLL_INTERVAL: Millis = 10_000.0;
 
 /// All settings of one node.
 #[derive(Clone, PartialEq, Debug, Deserialize)]
 #[serde(default)]
 pub struct Settings {
-    /// How many nodes share the load, at least 1; 1 where it is not stated.
+    /// The number of nodes that share the load, at least 1; 1 by default.
     #[serde(rename = "balancers")]
     pub nodes: f64,
-    /// This node's number among them, from 0; none where it is not told.
+    /// This node's number among them, from 0, if it is known.
     #[serde(rename = "me")]
     pub node: Option<f64>,
-    /// The number of the zone that this node stands in; none where it is not told.
+    /// The number of this node's zone, if it is known.
     pub zone: Option<f64>,
     /// Request classes by their ids.
     #[serde(rename = "project_types")]
     pub classes: Vec<ClassSettings>,
-    /// Tenants by their ids; one without a quota ends the list of those that have one.
+    /// Tenants by their ids; the first one without a quota ends the list of quotas.
     #[serde(rename = "customers")]
     pub tenants: Vec<TenantSettings>,
-    /// Part of its value that a request beyond its tenant's quota has, 0 to 1; 1 where it is not stated.
+    /// Part of its value that a request over its tenant's quota retains, 0 to 1; 1 by default.
     #[serde(rename = "overage_credit")]
     pub over_quota_value: f64,
-    /// How the node learns of its endpoints.
+    /// How the node receives the endpoint list.
     #[serde(rename = "registry_mode")]
     pub discovery_mode: DiscoveryMode,
-    /// What the weight of an endpoint says.
+    /// What the weight of an endpoint means.
     pub weight_source: WeightSource,
-    /// Figures of the rules on draining and on slow start.
+    /// Figures of the rules on draining and slow start.
     #[serde(rename = "contract")]
     pub rules: RuleSettings,
-    /// What the node may do, and for how long.
+    /// What the node may do, and its limits.
     pub limits: LimitSettings,
-    /// What actions cost, in parts of the value of a request.
+    /// Prices of actions, relative to the value of a request.
     #[serde(rename = "tariffs")]
     pub prices: PriceSettings,
-    /// What is known of all executors.
+    /// Properties of all executors.
     #[serde(rename = "family_info")]
     pub executors: ExecutorSettings,
 }
@@ -70,17 +70,17 @@
 }
 
 impl Settings {
-    /// The zone to which requests are dispatched by preference; none where crossing zones costs nothing.
+    /// The zone that is preferred for dispatches; `None` if dispatches across zones are free.
     pub fn preferred_zone(&self) -> Option<ZoneId> {
         (self.prices.cross_zone > 0.0).then_some(ZoneId(self.zone.unwrap_or(0.0) as u32))
     }
 
-    /// How many attempts a request of this class may have.
+    /// The number of attempts that a request of this class may have.
     pub fn max_attempts(&self, class: &ClassSettings) -> usize {
         class.max_attempts.or(self.limits.max_attempts).unwrap_or(1.0) as usize
     }
 
-    /// Requests a second of each tenant's quota, as far as the tenants in a row have one.
+    /// The quotas of the tenants in requests per second, up to the first tenant without one.
     pub fn quotas(&self) -> impl Iterator<Item = f64> {
         self.tenants.iter().map_while(|tenant| tenant.quota_per_s)
     }
@@ -90,49 +90,50 @@
 #[derive(Clone, PartialEq, Default, Debug, Deserialize)]
 #[serde(default)]
 pub struct ClassSettings {
-    /// What running a request twice would do.
+    /// The effect of running a request twice.
     pub effect: Effect,
-    /// Which executors recognize a repeat of deduplicated work.
+    /// The executors that recognize a repeat of deduplicated work.
     #[serde(rename = "key_scope")]
     pub deduplication_scope: DeduplicationScope,
-    /// For how long they do.
+    /// How long they recognize it.
     #[serde(rename = "window", deserialize_with = "millis")]
     pub deduplication_window: Millis,
-    /// Within this span of its arrival a request should have its answer.
+    /// Time from its arrival within which a request should be answered.
     #[serde(rename = "promised_turnaround", deserialize_with = "optional_millis")]
     pub latency_objective: Option<Millis>,
-    /// Within this span it must have its final answer; the first class without one ends the list of classes.
+    /// Time from its arrival within which a request must be answered; the first class without one ends the
+    /// list of classes.
     #[serde(rename = "hard_limit", deserialize_with = "optional_millis")]
     pub deadline: Option<Millis>,
-    /// What an answer in time earns.
+    /// The value of an answer in time.
     #[serde(rename = "credit")]
     pub value: f64,
-    /// What a late answer earns; it tells classes apart, and nothing is decided by it.
+    /// The value of a late answer; no decision depends on it.
     #[serde(rename = "tardy_credit")]
     pub late_value: f64,
-    /// How many mean running times the objective of a long request grows with.
+    /// A request's latency objective grows by `stretch - 1` times its running time, if that is positive.
     #[serde(skip)]
     pub stretch: f64,
-    /// The only type of machine that can run it; none where all can.
+    /// The only type of machine that can run it; `None` if all can.
     #[serde(skip)]
     pub machine_type: Option<MachineTypeId>,
-    /// How many attempts a request may have; as [`LimitSettings::max_attempts`] where it is not stated.
+    /// The number of attempts that a request may have; [`LimitSettings::max_attempts`] by default.
     #[serde(skip)]
     pub max_attempts: Option<f64>,
-    /// The earlier class of the same name, whose running times stand in until this one has its own.
+    /// The index of the earlier class of the same name, whose running times this one starts with.
     #[serde(skip)]
     pub inherits_from: Option<usize>,
 }
 
-/// What running a request twice would do. A word that is not known is taken for the strictest.
+/// The effect of running a request twice. An unknown word means the strictest one.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Deserialize)]
 #[serde(from = "String")]
 pub enum Effect {
-    /// Nothing that once would not: it may run again.
+    /// The same as running it once: it may be retried.
     Idempotent,
-    /// Executors drop repeats within a scope and a window: inside both it may run again.
+    /// Executors drop repeats within a scope and a window: within both it may be retried.
     Deduplicated,
-    /// It happens twice: it may run again only after proof that it never ran.
+    /// It takes effect twice: it may be retried only if it certainly never ran.
     #[default]
     AtMostOnce,
 }
@@ -147,16 +148,15 @@
     }
 }
 
-/// Which executors recognize a repeat of deduplicated work. A word that is not known is taken for the
-/// strictest.
+/// The executors that recognize a repeat of deduplicated work. An unknown word means the strictest scope.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Deserialize)]
 #[serde(from = "String")]
 pub enum DeduplicationScope {
     /// All executors.
     All,
-    /// Those of one zone.
+    /// The executors of one zone.
     Zone,
-    /// Those of one deduplication group.
+    /// The executors of one deduplication group.
     #[default]
     Group,
 }
@@ -171,23 +171,23 @@
     }
 }
 
-/// What one tenant may ask for.
+/// The terms of one tenant.
 #[derive(Clone, PartialEq, Default, Debug, Deserialize)]
 #[serde(default)]
 pub struct TenantSettings {
-    /// Requests a second, over all nodes.
+    /// Requests per second, over all nodes.
     pub quota_per_s: Option<f64>,
 }
 
-/// How a node learns of its endpoints.
+/// How a node receives the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Deserialize)]
 #[serde(from = "String")]
 pub enum DiscoveryMode {
-    /// It watches the list, and asks again where a watch breaks off.
+    /// It watches the list, and calls again if a watch breaks off.
     Subscribe,
-    /// It is told without asking.
+    /// The source pushes the list without a call.
     Push,
-    /// The settings say nothing that is known: it asks only where it is told to.
+    /// The settings state no known mode: the node calls only after a watch broke off.
     #[default]
     Unstated,
 }
@@ -202,16 +202,16 @@
     }
 }
 
-/// What the weight of an endpoint says.
+/// What the weight of an endpoint means.
 #[derive(Clone, PartialEq, Eq, Default, Debug, Deserialize)]
 #[serde(from = "String")]
 pub enum WeightSource {
-    /// Nothing that is gone by.
+    /// Weights are ignored.
     #[default]
     Unstated,
-    /// The capacity that it has left, which falls with load.
+    /// Its free capacity, which falls with load.
     Live,
-    /// A word that is not known.
+    /// An unknown word.
     Unknown(String),
 }
 
@@ -225,32 +225,32 @@
     }
 }
 
-/// Figures of the rules on draining and on slow start.
+/// Figures of the rules on draining and slow start.
 #[derive(Clone, PartialEq, Debug, Deserialize)]
 #[serde(default)]
 pub struct RuleSettings {
-    /// How long nodes that fail to get the endpoint list have to ask for it again.
+    /// Time within which a node that failed to receive the endpoint list has to call again.
     #[serde(rename = "ask_every", deserialize_with = "optional_millis")]
     pub poll_interval: Option<Millis>,
-    /// How long after a node was told that an executor drains it may still get new work.
+    /// How long a node may still dispatch to an executor after the list said that it is draining.
     #[serde(deserialize_with = "optional_millis")]
     pub drain_grace: Option<Millis>,
-    /// Part of its capacity that an executor has when it starts, 0 to 1.
+    /// Part of its capacity that an executor has at its start, 0 to 1.
     #[serde(rename = "cold_share")]
     pub initial_capacity: f64,
-    /// How long it takes to reach its whole capacity.
+    /// Time from its start to its full capacity.
     #[serde(rename = "ramp_time", deserialize_with = "millis")]
     pub ramp_duration: Millis,
-    /// The span over which the work dispatched to a cold executor is counted.
+    /// The sliding window over which dispatches to an executor in slow start are counted.
     #[serde(rename = "fall", deserialize_with = "millis")]
     pub budget_window: Millis,
-    /// How many times its capacity over that span it may get.
+    /// The work that it may receive within the window, as a multiple of its capacity.
     #[serde(rename = "fall_multiple")]
     pub budget_multiple: f64,
 }
 
 impl RuleSettings {
-    /// [`RuleSettings::poll_interval`], or what stands for it where it is not stated.
+    /// [`RuleSettings::poll_interval`], or its default.
     pub fn poll_interval(&self) -> Millis {
         self.poll_interval.unwrap_or(DEFAULT_POLL_INTERVAL)
     }
@@ -269,32 +269,32 @@
     }
 }
 
-/// What a node may do, and for how long.
+/// What a node may do, and its limits.
 #[derive(Clone, PartialEq, Debug, Deserialize)]
 #[serde(default)]
 pub struct LimitSettings {
-    /// How many attempts a request may have; 1 where it is not stated.
+    /// The number of attempts that a request may have; 1 by default.
     #[serde(rename = "max_allocations")]
     pub max_attempts: Option<f64>,
     /// Whether executors may be probed.
     #[serde(rename = "probes")]
     pub probes_enabled: bool,
-    /// Whether what is under way may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     #[serde(rename = "cancel")]
     pub cancel_enabled: bool,
-    /// Whether a second copy of a request may run beside one that has not begun.
+    /// Whether a second attempt may be in flight while the first has not started.
     #[serde(rename = "second_copies")]
     pub hedging_enabled: bool,
     /// Whether nodes may send each other messages.
     #[serde(rename = "peers")]
     pub gossip_enabled: bool,
-    /// Whether a rejection says when to come back.
+    /// Whether a rejection states when to retry.
     #[serde(rename = "retry_after")]
     pub retry_after_enabled: bool,
-    /// The longest time to come back that may be said; without a bound where it is not stated.
+    /// The longest such time; unbounded by default.
     #[serde(rename = "max_retry_after", deserialize_with = "optional_millis")]
     pub max_retry_after: Option<Millis>,
-    /// How long a connection to an executor may take to come up.
+    /// How long a connection to an executor may take to be established.
     #[serde(deserialize_with = "optional_millis")]
     pub connect_timeout: Option<Millis>,
     /// How long an executor keeps an idle connection open.
@@ -318,7 +318,7 @@
     }
 }
 
-/// What actions cost, in parts of the value of a request.
+/// Prices of actions, relative to the value of a request.
 #[derive(Clone, PartialEq, Default, Debug, Deserialize)]
 #[serde(default)]
 pub struct PriceSettings {
@@ -328,11 +328,11 @@
     pub probe: f64,
 }
 
-/// What is known of all executors.
+/// Properties of all executors.
 #[derive(Clone, PartialEq, Default, Debug, Deserialize)]
 #[serde(default)]
 pub struct ExecutorSettings {
-    /// Whether they tell when an attempt begins to run.
+    /// Whether they report when an attempt starts to run.
     #[serde(rename = "tells_start")]
     pub reports_start: bool,
     /// [`ClassSettings::machine_type`] by class, as a number; below 0 for all machines.
--- a/src/state/adaptive_share.rs
+++ b/src/state/adaptive_share.rs
@@ -1,20 +1,20 @@
 //! A share that grows by additive increase and falls by multiplicative decrease.
 //!
 //! After D.-M. Chiu and R. Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance
-//! in Computer Networks" (1989): those that see the same signs settle at the same share, however much traffic
-//! each of them has.
+//! in Computer Networks" (1989): nodes that observe the same signals converge to the same share, whatever their
+//! traffic.
 
-/// How a share moves.
+/// How a share changes.
 pub(crate) struct ShareSteps {
-    /// What is added by a good sign.
+    /// Added by a good signal.
     pub increase: f64,
-    /// What is left after a bad one.
+    /// Factor that a bad signal applies.
     pub decrease: f64,
-    /// The share does not fall below this.
+    /// Lower bound on the share.
     pub floor: f64,
 }
 
-/// A share from the floor of its steps to 1, at first 1.
+/// A share from the floor of its steps to 1, initially 1.
 pub(crate) struct AdaptiveShare {
     share: f64,
     steps: ShareSteps,
--- a/src/state/discovery_backoff.rs
+++ b/src/state/discovery_backoff.rs
@@ -1,42 +1,52 @@
-//! When the endpoint list is asked for, where it must be asked: a backoff with jitter.
+//! When the endpoint list is called for: a backoff with jitter.
 use crate::log_event::LogEvent;
 use crate::settings::{DiscoveryMode, Settings};
 use crate::time::Millis;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// How far apart nodes that were not answered ask for the list.
+/// Mean interval between the calls of different nodes after a failure.
 const CALL_SPACING: Millis = 100.0;
-/// The part of the poll interval over which their calls are spread at most.
+/// Upper bound on the spread of the nodes' calls, as a part of the poll interval.
 const MAX_SPREAD: f64 = 0.7;
-/// The longest backoff, as a part of the poll interval.
+/// Upper bound on the backoff, as a part of the poll interval.
 const MAX_BACKOFF: f64 = 0.25;
-/// A list that is pushed and falls silent is asked for again within this part of the grace, in which what is
-/// told at its return must be known.
+/// Upper bound on the backoff of a list that is pushed, as a part of the drain grace: changes that the source
+/// reports when it is back must be known within that grace.
 const MAX_BACKOFF_OF_GRACE: f64 = 0.25;
-const LEAST_MAX_BACKOFF: Millis = 100.0;
-/// The backoff before the first failure is doubled.
+/// Lower bound on that upper bound.
+const MIN_MAX_BACKOFF: Millis = 100.0;
+/// Half of the backoff after the first failure.
 const BASE_BACKOFF: Millis = 100.0;
-/// Failures past so many do not make the backoff longer.
+/// Failures beyond this number do not prolong the backoff.
 const MAX_FAILURES: u32 = 6;
 
+/// How a call for the endpoint list failed.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum ListFailure {
+    /// The source is reachable and rejects calls, as it has too many of them.
+    Rejected,
+    /// The source did not answer, or a watch broke off.
+    Unanswered,
+}
+
 /// The backoff of calls for the endpoint list.
 pub(crate) struct DiscoveryBackoff {
-    /// When the list is asked for next; infinite while a call or a watch stands.
+    /// The time of the next call; infinite while a call or a watch is open.
     pub next_call_at: Millis,
-    /// Whether the list has been told, and at most one call has failed since it was lost.
+    /// Whether the list was received, and at most one call has failed since it was lost.
     was_followed: bool,
     failures: u32,
     poll_interval: Millis,
-    /// Where the list is pushed: the grace of an executor that drains.
+    /// The drain grace, if the list is pushed.
     push_grace: Option<Millis>,
 }
 
 impl DiscoveryBackoff {
-    /// Asks at once where the settings have the node ask.
+    /// Calls for the list at once if the settings say that the node subscribes.
     pub fn new(settings: &Settings, now: Millis) -> Self {
-        let asks = settings.discovery_mode == DiscoveryMode::Subscribe;
-        let next_call_at = if asks { now } else { f64::INFINITY };
+        let is_subscribed = settings.discovery_mode == DiscoveryMode::Subscribe;
+        let next_call_at = if is_subscribed { now } else { f64::INFINITY };
         DiscoveryBackoff {
             next_call_at,
             was_followed: false,
@@ -46,14 +56,14 @@
         }
     }
 
-    /// Goes by these settings from now on.
+    /// Applies these settings from now on.
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.poll_interval = settings.rules.poll_interval();
         let is_pushed = settings.discovery_mode == DiscoveryMode::Push;
         self.push_grace = is_pushed.then(|| settings.rules.drain_grace.unwrap_or(0.0));
     }
 
-    /// Whether a call is due, which is taken as made then.
+    /// Whether a call is due; if so, the caller makes it.
     pub fn take_due_call(&mut self, now: Millis) -> bool {
         let is_due = self.next_call_at <= now;
         if is_due {
@@ -62,37 +72,34 @@
         is_due
     }
 
-    /// The list was told: what to log of it, if calls had failed.
+    /// Records that the list was received. Returns a log entry if calls had failed.
     pub fn record_success(&mut self) -> Option<LogEvent> {
         self.was_followed = true;
         let failures = std::mem::take(&mut self.failures);
         (failures > 0).then_some(LogEvent::EndpointListRecovered { failures })
     }
 
-    /// A call failed, or a watch broke off: when to ask again, and what to log of it.
+    /// Records that a call failed or a watch broke off, and schedules the next call. Returns a log entry.
     pub fn record_failure(
         &mut self,
         now: Millis,
         nodes: f64,
-        is_rejected: bool,
+        failure: ListFailure,
         random: &mut ChaCha8Rng,
     ) -> LogEvent {
-        // Waits grow, with jitter against asking in step, well inside the span that counts as told.
         self.failures = (self.failures + 1).min(MAX_FAILURES);
-        // What a silent source knows counts as told when it is back, and whoever waits longer goes on
-        // dispatching to executors that drain. One that rejects calls is there, and has too many of them.
-        let grace = self.push_grace.filter(|_| !is_rejected);
+        // Until the next call after a silent source is back, this node may dispatch to draining executors.
+        let grace = self.push_grace.filter(|_| failure == ListFailure::Unanswered);
         let longest = self.poll_interval * MAX_BACKOFF;
         let longest =
-            grace.map_or(longest, |grace| (grace * MAX_BACKOFF_OF_GRACE).max(LEAST_MAX_BACKOFF).min(longest));
+            grace.map_or(longest, |grace| (grace * MAX_BACKOFF_OF_GRACE).max(MIN_MAX_BACKOFF).min(longest));
         let backoff = (BASE_BACKOFF * f64::powi(2.0, self.failures as i32)).min(longest);
-        // Guards against many nodes that ask so often together that each call waits past its time
-        // and none is answered: what failed is asked again spread over a span for all of them.
+        // Without the spread, the calls of many nodes overload the source, and all of them time out.
         let spacing = if grace.is_some() { 0.0 } else { CALL_SPACING };
         let span = ((nodes - 1.0) * spacing).min(self.poll_interval * MAX_SPREAD);
-        // A list that fell silent, one call in vain and such a wait are together longer than a change may
-        // take.
-        let is_first_silence = self.failures == 1 || !is_rejected;
+        // After a silence and one failed call, a spread on top would exceed the time within which a change
+        // must be known.
+        let is_first_silence = self.failures == 1 || failure == ListFailure::Unanswered;
         let spread = if self.was_followed && is_first_silence { 0.0 } else { span };
         self.was_followed &= self.failures == 1;
         let wait = backoff * random.random_range(0.5..1.0) + spread * random.random::<f64>();
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -1,8 +1,8 @@
-//! What is held of each executor: its storage, its lifetime and when it is reclaimed.
+//! The state of each executor, its lifetime, and when it is reclaimed.
 //!
-//! State is held under the host's handle from the first time that the executor is listed until the list says
-//! that it is gone and nothing can need it any more. A handle that is not held reads as an executor that is
-//! gone and without history, so an outdated handle is harmless everywhere.
+//! State exists under the host's handle from the first listing of the executor until the list says that it is
+//! gone and nothing can need its state any more. A handle without state reads as an executor that is gone and
+//! has no history, so an outdated handle is harmless.
 use crate::endpoint::{Endpoint, EndpointState, ListUpdate, LoadReport};
 use crate::ids::{DeduplicationGroupId, ExecutorId, MachineTypeId, RequestClassId, RequestId, ZoneId};
 use crate::settings::{Settings, WeightSource};
@@ -11,39 +11,39 @@
 use slotmap::SecondaryMap;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
-/// How often executors that are gone are looked over, and only while there are any.
+/// Interval at which executors that are gone are checked for release.
 const RECLAIM_INTERVAL: Millis = 1000.0;
-/// How long a report may have been on its way when it is first seen.
+/// Upper bound on the age of a report when it is received.
 const REPORT_DELAY: Millis = 40.0;
-/// When a report that looks the same is a new one.
+/// Upper bound on the time for which an executor sends the same report.
 pub(crate) const REPORT_LIFETIME: Millis = 500.0;
 /// Mean running time before the first attempt has completed.
 const INITIAL_RUNNING_TIME: Millis = 500.0;
 
-/// What is known of one executor.
+/// The state of one executor.
 pub(crate) struct ExecutorState {
     pub endpoint: Endpoint,
-    /// Score for what failed there.
+    /// Score of its faults and slow attempts.
     pub failure_score: DecayingScore,
-    /// How many outcomes it was made of, fading alike.
+    /// Decaying number of the outcomes in that score.
     pub observations: DecayingScore,
-    /// The same score for each class whose work it rejected though it had shown free capacity.
+    /// Score by class of the requests that it rejected though its report showed free capacity.
     pub rejections: BTreeMap<RequestClassId, DecayingScore>,
-    /// The most slots that its reports have shown.
+    /// The largest number of slots that its reports have shown.
     pub max_slots: f64,
     pub report: LoadReport,
-    /// When this report was first seen; the same one comes back until the executor makes a new one.
+    /// When this report was first received; an executor repeats a report until it makes a new one.
     pub reported_at: Millis,
-    /// Slots that this node's own dispatches (+) and ended attempts (-) have changed of late.
+    /// Slots taken by this node's recent dispatches (+) and freed by its ended attempts (-).
     recent_changes: VecDeque<SlotChange>,
     /// Slots of this node's attempts that are in flight.
     pub slots_in_flight: f64,
-    /// Requests that wait for the probe that is wanted or in flight.
+    /// Requests that await the probe that is due or in flight.
     pub awaiting_probe: Vec<RequestId>,
     pub is_probe_in_flight: bool,
-    /// What was dispatched while it was in slow start.
+    /// Dispatches while it was in slow start.
     pub warm_up_spent: Vec<WarmUpDispatch>,
-    /// When a connection there was last used by an attempt.
+    /// When an attempt last used a connection to it.
     pub last_used: Millis,
 }
 
@@ -71,15 +71,15 @@
         }
     }
 
-    /// What the list says now; another start has another history. That it is gone says nothing of its start:
-    /// it may be back with it, and what was spent of its warm-up budget counts then.
+    /// Applies its list entry. A restart clears its history. An executor that is gone retains its start: it
+    /// may be listed with it again, and its spent warm-up budget still counts then.
     fn relist(&mut self, endpoint: Endpoint) {
         if endpoint.state == EndpointState::Gone {
             self.endpoint.state = EndpointState::Gone;
             return;
         }
         if self.endpoint.started_at != endpoint.started_at {
-            // A process before this one may have handed on what it spent there, and not under which start.
+            // Dispatches of an earlier process are imported without the start that they belong to.
             if self.endpoint.started_at.is_some() {
                 self.warm_up_spent.clear();
             }
@@ -89,8 +89,7 @@
         self.endpoint = endpoint;
     }
 
-    /// Records what this node's own dispatch (+) or ended attempt (-) changes, as long as a report may not
-    /// show it.
+    /// Records slots taken by a dispatch (+) or freed by an ended attempt (-), until reports show them.
     fn record_change(&mut self, now: Millis, slots: f64) {
         while self.recent_changes.front().is_some_and(|change| change.at < now - REPORT_LIFETIME) {
             self.recent_changes.pop_front();
@@ -99,13 +98,13 @@
         self.slots_in_flight = (self.slots_in_flight + slots).max(0.0);
     }
 
-    /// Slots that this node's own dispatches and ended attempts have changed and its report may not show yet.
+    /// Slots taken (+) or freed (-) by this node that the report may not show yet.
     pub fn unreported_change(&self, now: Millis) -> f64 {
         let since = (self.reported_at - REPORT_DELAY).max(now - REPORT_LIFETIME);
         self.recent_changes.iter().filter(|change| change.at >= since).map(|change| change.slots).sum()
     }
 
-    /// Takes in a report, and the most slots that any has shown.
+    /// Stores a report, and the largest number of slots so far.
     pub fn take_report(&mut self, now: Millis, report: LoadReport) {
         let running = (report.in_flight.unwrap_or(0.0) - report.queue_length.unwrap_or(0.0)).max(0.0);
         let shown_slots = report.free_slots.unwrap_or(0.0) + running;
@@ -115,61 +114,60 @@
         }
     }
 
-    /// What was spent of the warm-up budget since then.
+    /// Dispatches in slow start since this time.
     pub fn warm_up_spent_since(&self, since: Millis) -> impl Iterator<Item = &WarmUpDispatch> {
         self.warm_up_spent.iter().filter(move |spent| spent.at >= since)
     }
 
-    /// Whether a probe is in flight or wanted, or part of its warm-up budget counts that was spent since
-    /// then.
+    /// Whether a probe is due or in flight, or a dispatch in slow start since this time counts.
     fn is_in_use(&self, spent_since: Millis) -> bool {
         let is_probed = self.is_probe_in_flight || !self.awaiting_probe.is_empty();
         is_probed || self.warm_up_spent_since(spent_since).next().is_some()
     }
 }
 
-/// The weights of one type of machine, held while an executor of that type is.
+/// The weights of one type of machine, while there are executors of that type.
 #[derive(Default)]
 struct MachineTypeWeight {
     largest: f64,
     executors: usize,
 }
 
-/// All executors that are held.
+/// All executors with state.
 pub(crate) struct ExecutorTable {
     states: SecondaryMap<ExecutorId, ExecutorState>,
-    /// Stands in for an executor that is not held.
+    /// Stands in for an executor without state.
     absent: ExecutorState,
-    /// Whether weights fall with load: the largest that the list has shown of each type of machine counts
-    /// then.
+    /// Whether weights fall with load, so that the largest one of a type of machine is its capacity.
     weights_fall_with_load: bool,
     machine_types: BTreeMap<MachineTypeId, MachineTypeWeight>,
-    /// The least slots that any report has shown; it stands in where none are shown yet.
+    /// The smallest number of slots that any executor's reports have shown, assumed for executors whose
+    /// reports have shown none yet.
     pub least_slots: f64,
-    /// Those that take new work.
+    /// Executors that accept new requests.
     pub ready: Vec<ExecutorId>,
-    /// Those of them in slow start of whose budget this node holds more than an even part.
+    /// Ready executors in slow start of whose budget this node has more than an even share.
     pub assigned: Vec<ExecutorId>,
-    /// Smoothed running time of all work: what an older report shows has mostly ended by then.
+    /// Smoothed running time of all requests.
     pub mean_running_time: Millis,
-    /// Those that are gone and still held.
+    /// Executors that are gone and still have state.
     gone: BTreeSet<ExecutorId>,
-    /// When these are looked over next; infinite while there are none.
+    /// When these are checked for release next; infinite if there are none.
     reclaim_at: Millis,
-    /// Events so far for executors that are not held.
+    /// Number of events so far that referenced an executor without state.
     pub stale_events: u64,
     #[cfg(test)]
     pub reclaiming: Reclaiming,
 }
 
-/// How the tests have state reclaimed, to compare with what is right.
+/// When state is reclaimed; tests compare the correct time with wrong ones.
 #[cfg(test)]
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Reclaiming {
     Unneeded,
     Never,
-    /// Wrong: also while open requests name it.
-    Named,
+    /// Wrong: also while open requests refer to it.
+    Referenced,
     /// Wrong: also while a probe is in flight or its warm-up budget counts.
     InUse,
 }
@@ -207,7 +205,7 @@
         self.weights_fall_with_load = settings.weight_source == WeightSource::Live;
     }
 
-    /// The number of executors that are held, those that are gone included.
+    /// The number of executors with state, including those that are gone.
     pub fn len(&self) -> usize {
         self.states.len()
     }
@@ -216,7 +214,7 @@
         self.states.get(executor)
     }
 
-    /// What is known of an executor; nothing where it is not held.
+    /// The state of an executor; without state, that of one that is gone and has no history.
     pub fn state(&self, executor: ExecutorId) -> &ExecutorState {
         self.states.get(executor).unwrap_or(&self.absent)
     }
@@ -225,37 +223,37 @@
         self.states.get_mut(executor)
     }
 
-    /// All that are held, in the order of their slots: that of first mention while none is released.
+    /// All executors with state, in the order of their handles.
     pub fn iter(&self) -> impl Iterator<Item = &ExecutorState> {
         self.states.values()
     }
 
-    /// Records a dispatch (+) or an ended attempt (-).
+    /// Records slots taken by a dispatch (+) or freed by an ended attempt (-).
     pub fn record_change(&mut self, executor: ExecutorId, now: Millis, slots: f64) {
         let Some(state) = self.state_mut(executor) else { return };
         state.record_change(now, slots);
     }
 
-    /// Whether an executor is held that an event is for; one that is not counts as an outdated event.
+    /// Whether the executor that an event names has state; if not, the event is counted as stale.
     pub fn expects(&mut self, executor: ExecutorId) -> bool {
-        let is_held = self.states.contains_key(executor);
-        self.stale_events += u64::from(!is_held);
-        is_held
+        let has_state = self.states.contains_key(executor);
+        self.stale_events += u64::from(!has_state);
+        has_state
     }
 
     pub fn is_ready(&self, executor: ExecutorId) -> bool {
         self.state(executor).endpoint.state == EndpointState::Ready
     }
 
-    /// Makes room for the executors of a complete list at once, and for an eighth more: growing step by step
-    /// would leave as much memory behind as is held in the end.
+    /// Reserves space for the executors of a complete list and an eighth more. Growing step by step would
+    /// leave freed memory of the same size behind.
     fn reserve(&mut self, executors: usize) {
         if executors > self.states.capacity() {
             self.states.set_capacity(executors + executors / 8);
         }
     }
 
-    /// Those that are gone are looked over next time, whenever it was due.
+    /// Makes the executors that are gone due for release at once.
     pub fn reclaim_now(&mut self) {
         if !self.gone.is_empty() {
             self.reclaim_at = f64::NEG_INFINITY;
@@ -287,7 +285,7 @@
                 self.states.insert(executor, ExecutorState::new(*endpoint));
             }
         }
-        // Not held even so where the slot is another executor's by now.
+        // An outdated handle, whose slot belongs to another executor now, gets no state.
         if !self.expects(executor) {
             return;
         }
@@ -298,7 +296,7 @@
         self.count_machine_type(type_before, self.state(executor).endpoint);
     }
 
-    /// Keeps the largest weight of each type of machine, and how many executors there are of it.
+    /// Updates the largest weight of a type of machine, and the number of its executors.
     fn count_machine_type(&mut self, type_before: Option<MachineTypeId>, endpoint: Endpoint) {
         let machine_type = endpoint.machine_type;
         if type_before != Some(machine_type) {
@@ -321,36 +319,37 @@
         }
     }
 
-    /// Works out anew who takes new work.
+    /// Updates the list of executors that accept new requests.
     pub fn collect_ready(&mut self) {
         let ready = self.states.iter().filter(|(_, state)| state.endpoint.state == EndpointState::Ready);
         self.ready = ready.map(|(executor, _)| executor).collect();
     }
 
-    /// Slots of an executor: as its reports show, else the least that any has shown.
+    /// Slots of an executor by its reports, or the least slots if they have shown none yet.
     pub fn slots_or_least(&self, executor: ExecutorId) -> f64 {
         let shown = self.state(executor).max_slots;
         if shown > 0.0 { shown } else { self.least_slots }
     }
 
-    /// Works out anew the least slots that any report has shown.
+    /// Updates the least slots of all executors.
     pub fn update_least_slots(&mut self) {
         let shown = self.iter().map(|state| state.max_slots).filter(|&slots| slots > 0.0);
         self.least_slots = shown.min_by(f64::total_cmp).unwrap_or(1.0);
     }
 
-    /// What an executor can do when warm, in slots: by its weight where that falls with load and hides slots.
+    /// Slots of an executor when it is warm: by its weight if weights fall with load, as reports show fewer
+    /// slots then.
     pub fn capacity(&self, executor: ExecutorId) -> f64 {
         let machine_type = self.state(executor).endpoint.machine_type;
         let largest = self.machine_types.get(&machine_type).map_or(0.0, |weight| weight.largest);
         if largest > 0.0 { largest } else { self.slots_or_least(executor) }
     }
 
-    /// What a next process goes on from; what was spent of warm-up budgets counts from `spent_since` on.
+    /// The state for the next process of this node, with the dispatches in slow start since `spent_since`.
     pub fn export(&self, spent_since: Millis) -> Vec<ExecutorWarmState> {
         let spent =
             |state: &ExecutorState| state.warm_up_spent_since(spent_since).copied().collect::<Vec<_>>();
-        // One that is gone may be back with the same start while what was spent of its warm-up budget counts.
+        // An executor that is gone may be listed again with the same start, and the same budget.
         let is_exported = |state: &&ExecutorState| {
             state.endpoint.state != EndpointState::Gone
                 || state.warm_up_spent_since(spent_since).next().is_some()
@@ -365,7 +364,7 @@
         self.iter().filter(is_exported).map(export).collect()
     }
 
-    /// Goes on from what a process before this one exported of executors that are held.
+    /// Imports the state of an earlier process for executors that have state here.
     pub fn import(&mut self, executors: Vec<ExecutorWarmState>) {
         for imported in executors {
             if self.expects(imported.executor)
@@ -379,40 +378,46 @@
         }
     }
 
-    /// When those that are gone are looked over next; infinite while there are none.
+    /// When executors that are gone are checked for release next; infinite if there are none.
     pub fn reclaim_at(&self) -> Millis {
         self.reclaim_at
     }
 
-    /// Drops the state of those that are gone and that nothing can need any more; `named` are the executors
-    /// that open requests name, and what was spent of warm-up budgets counts from `spent_since` on.
+    /// Drops the state of executors that are gone and no longer needed, and returns them. `referenced` are
+    /// the executors that open requests refer to; dispatches in slow start since `spent_since` count.
     ///
-    /// The cost goes by the open requests and the executors that are gone.
+    /// The cost is linear in the open requests and the executors that are gone.
     pub fn reclaim(
         &mut self,
         now: Millis,
         spent_since: Millis,
-        named: impl Iterator<Item = ExecutorId>,
+        referenced: impl Iterator<Item = ExecutorId>,
     ) -> Vec<ExecutorId> {
-        let named: HashSet<ExecutorId> = named.filter(|executor| self.gone.contains(executor)).collect();
-        let unneeded = |executor: &ExecutorId| self.may_release(*executor, &named, spent_since);
+        let referenced: HashSet<ExecutorId> =
+            referenced.filter(|executor| self.gone.contains(executor)).collect();
+        let unneeded = |executor: &ExecutorId| self.may_release(*executor, &referenced, spent_since);
         let released: Vec<ExecutorId> = self.gone.iter().copied().filter(unneeded).collect();
         released.iter().for_each(|executor| self.release(*executor));
         self.reclaim_at = if self.gone.is_empty() { f64::INFINITY } else { now + RECLAIM_INTERVAL };
         released
     }
 
-    fn may_release(&self, executor: ExecutorId, named: &HashSet<ExecutorId>, spent_since: Millis) -> bool {
-        let is_named = named.contains(&executor);
+    fn may_release(
+        &self,
+        executor: ExecutorId,
+        referenced: &HashSet<ExecutorId>,
+        spent_since: Millis,
+    ) -> bool {
+        let is_referenced = referenced.contains(&executor);
         let is_in_use = self.state(executor).is_in_use(spent_since);
         #[cfg(test)]
         match self.reclaiming {
             Reclaiming::Unneeded => {}
             Reclaiming::Never => return false,
-            Reclaiming::Named => return !is_in_use,
-            Reclaiming::InUse => return !is_named,
+            Reclaiming::Referenced => return !is_in_use,
+            Reclaiming::InUse => return !is_referenced,
         }
-        !is_named && !is_in_use
+        !is_referenced && !is_in_use
     }
 
     fn release(&mut self, executor: ExecutorId) {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! State that decides nothing: what is held of executors, requests, probes, timers and quotas.
+//! State without rules: executors, requests, probe statistics, timers and token buckets.
 pub(crate) mod adaptive_share;
 pub(crate) mod discovery_backoff;
 pub(crate) mod executor_table;
--- a/src/state/probe_statistics.rs
+++ b/src/state/probe_statistics.rs
@@ -1,19 +1,19 @@
-//! What probes said of the load, and the sample size that was worked out from it last.
+//! Smoothed figures of probes: how often they show a queue, and their latency.
 use crate::event::ProbeReply;
 use crate::settings::Settings;
 use crate::state::smooth;
 use crate::time::Millis;
 
-/// Weight of one reply in the smoothed share of executors with a queue: about the last hundred count.
+/// Weight of one reply in the busy ratio: about the last hundred count.
 const REPLY_WEIGHT: f64 = 0.01;
-/// That share before the first reply, which counts for so many.
+/// The busy ratio before the first reply, and the number of replies for which it counts.
 const PRIOR_BUSY_RATIO: f64 = 0.25;
 const PRIOR_REPLIES: f64 = 4.0;
-/// Weight of one probe in their smoothed latency.
+/// Weight of one probe in the smoothed latency.
 const LATENCY_WEIGHT: f64 = 0.05;
-/// From this length on a queue is one.
+/// The shortest reported queue length that counts as a queue.
 pub(crate) const SHORTEST_QUEUE: f64 = 0.5;
-/// Probes are given up after so many usual latencies and this span.
+/// A probe times out after this many smoothed latencies, plus the margin.
 const PROBE_TIMEOUT_LATENCIES: f64 = 8.0;
 const PROBE_TIMEOUT_MARGIN: Millis = 5.0;
 const INITIAL_PROBE_LATENCY: Millis = 15.0;
@@ -23,11 +23,11 @@
 /// Smoothed figures of probes.
 #[derive(Default)]
 pub(crate) struct ProbeStatistics {
-    /// Smoothed share of replies that showed a queue.
+    /// Smoothed share of replies that showed a queue; `None` before the first reply.
     pub busy_ratio: Option<f64>,
     replies: f64,
     pub latency: Option<Millis>,
-    /// What a probe costs, in parts of the value of a request.
+    /// The price of a probe, relative to the value of a request.
     pub price: f64,
     /// Whether the settings forbid probes.
     pub is_forbidden: bool,
@@ -46,13 +46,13 @@
     pub fn observe(&mut self, reply: &ProbeReply) {
         smooth(self.latency.get_or_insert(reply.latency), reply.latency, LATENCY_WEIGHT);
         let is_busy = reply.report.queue_length.unwrap_or(0.0) >= SHORTEST_QUEUE;
-        // Guards against what a node holds at its start, which one that sees little would keep all day.
+        // The first replies weigh more: a node with little traffic would retain the initial ratio for hours.
         self.replies += 1.0;
         let weight = REPLY_WEIGHT.max(1.0 / (self.replies + PRIOR_REPLIES));
         smooth(self.busy_ratio.get_or_insert(PRIOR_BUSY_RATIO), f64::from(is_busy), weight);
     }
 
-    /// Goes on from what a process before this one saw.
+    /// Continues with the figures of an earlier process.
     pub fn import(&mut self, busy_ratio: Option<f64>, latency: Option<Millis>) {
         self.latency = latency;
         self.busy_ratio = if self.is_forbidden { self.busy_ratio } else { busy_ratio };
@@ -65,7 +65,7 @@
         self.latency.unwrap_or(0.0) / mean_running_time.max(MIN_RUNNING_TIME) + self.price
     }
 
-    /// How long a reply is waited for.
+    /// How long a request awaits a reply.
     pub fn timeout(&self) -> Millis {
         PROBE_TIMEOUT_LATENCIES * self.latency.unwrap_or(INITIAL_PROBE_LATENCY) + PROBE_TIMEOUT_MARGIN
     }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -4,13 +4,14 @@
 use crate::ids::{ExecutorId, RequestClassId};
 use crate::time::Millis;
 
+/// One attempt of a request.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     pub executor: ExecutorId,
     pub sent_at: Millis,
-    /// How long the executor's connections had not been used.
+    /// How long the connections to the executor had been idle.
     pub idle_time: Millis,
-    /// When it began to run, where that was told.
+    /// When it started, if the executor has reported that.
     pub started_at: Option<Millis>,
     pub outcome: Option<Outcome>,
 }
@@ -25,12 +26,12 @@
     }
 }
 
-/// What is desired of a request.
+/// The state that a request is to be in.
 #[derive(Clone, Copy, PartialEq, Default)]
 pub(crate) enum DesiredState {
     #[default]
     Probing,
-    /// So many attempts in all, the last one at this executor and given up at the deadline.
+    /// `attempts` in all, the last one at this executor with this deadline.
     Dispatched {
         executor: ExecutorId,
         deadline: Millis,
@@ -43,28 +44,30 @@
     Failed,
 }
 
-/// The load that a candidate reported.
+/// The load report of a candidate.
 #[derive(Clone, Copy)]
 pub(crate) struct CandidateReport {
     pub executor: ExecutorId,
     pub report: LoadReport,
 }
 
+/// A request that has no final answer yet.
 #[derive(Default)]
 pub(crate) struct Request {
     pub class: RequestClassId,
     pub slots: f64,
     pub is_over_quota: bool,
-    /// When the client first asked, for an earlier try perhaps.
+    /// When the client sent the request first; before the arrival if it is a retry of the client's.
     pub asked_at: Millis,
     pub deadline: Millis,
     pub desired: DesiredState,
     pub attempts: Vec<Attempt>,
-    /// Those sampled last, and how many of them were asked.
+    /// The executors that were sampled last.
     pub candidates: Vec<ExecutorId>,
+    /// How many of the candidates were probed.
     pub probed: usize,
     pub reports: Vec<CandidateReport>,
-    /// How often executors were sampled for it.
+    /// How often executors were sampled for it since its arrival or its last wait in the queue.
     pub sampling_rounds: u32,
     pub timer_at: Millis,
 }
@@ -74,8 +77,8 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Those that it names: where it was sent, which says where it may be sent again, and while it waits for
-    /// probes those that were sampled for it.
+    /// The executors that it refers to: those of its attempts, which limit where it may be retried, and its
+    /// candidates while it awaits probes.
     pub fn executors(&self) -> impl Iterator<Item = ExecutorId> {
         let sent = self.attempts.iter().map(|attempt| attempt.executor);
         let sampled = if self.desired == DesiredState::Probing { &self.candidates[..] } else { &[] };
--- a/src/state/timer_queue.rs
+++ b/src/state/timer_queue.rs
@@ -1,13 +1,13 @@
-//! When requests want to be looked at again, and the one timer that the host keeps for it.
+//! The timers of requests, and the one timer of the host that stands for them.
 use crate::ids::RequestId;
 use crate::time::Millis;
 use std::collections::BTreeSet;
 
-/// Due times of requests, the earliest first; the owner keeps each request's due time beside it.
+/// Due times of requests, the earliest first. Each request stores its own due time, by which it is removed.
 pub(crate) struct TimerQueue {
-    /// By the bits of the time, which order as the times do from 0 on.
+    /// By the bits of the time: they order like the times, which are not negative.
     due: BTreeSet<(u64, RequestId)>,
-    /// For when the host's timer is set; infinite where it is not.
+    /// The time for which the host's timer is set; infinite if it is not.
     host_timer_at: Millis,
 }
 
@@ -27,7 +27,7 @@
         self.due.remove(&(at.to_bits(), request_id));
     }
 
-    /// Takes the earliest one that is due.
+    /// Removes and returns the earliest request that is due.
     pub fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
         let &(bits, request_id) = self.due.first()?;
         if f64::from_bits(bits) > now {
@@ -37,7 +37,7 @@
         Some(request_id)
     }
 
-    /// The earliest due time; infinite where there is none.
+    /// The earliest due time; infinite if there is none.
     pub fn first(&self) -> Millis {
         self.due.first().map_or(f64::INFINITY, |&(bits, _)| f64::from_bits(bits))
     }
@@ -47,7 +47,7 @@
         self.host_timer_at = f64::INFINITY;
     }
 
-    /// The time for which the host has to set its timer, where that is earlier than before.
+    /// The time for which the host has to set its timer, if that is earlier than before.
     pub fn arm_host_timer(&mut self, at: Millis) -> Option<Millis> {
         if at >= self.host_timer_at {
             return None;
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -1,7 +1,7 @@
-//! A token bucket: a quota that fills up at a rate, up to a capacity.
+//! A token bucket: tokens are added at a rate, up to a capacity.
 use crate::time::Millis;
 
-/// Tokens that are left, and how fast more come. It begins full, whatever its capacity.
+/// A token bucket that starts full, whatever its capacity.
 pub(crate) struct TokenBucket {
     tokens: f64,
     refilled_at: Millis,
@@ -13,7 +13,7 @@
         TokenBucket { tokens: f64::INFINITY, refilled_at: now, rate_per_ms: 0.0 }
     }
 
-    /// Adds what has come since the last time.
+    /// Adds the tokens since the last refill.
     pub fn refill(&mut self, now: Millis, capacity: f64) {
         self.tokens = (self.tokens + self.rate_per_ms * (now - self.refilled_at)).min(capacity);
         self.refilled_at = now;
@@ -23,7 +23,7 @@
         self.tokens >= 1.0
     }
 
-    /// Takes one token, which has to be there.
+    /// Removes one token; the bucket must have one.
     pub fn take(&mut self) {
         self.tokens -= 1.0;
     }
--- a/src/warm_state.rs
+++ b/src/warm_state.rs
@@ -1,50 +1,50 @@
-//! What one process of a node hands to the next, so that it need not learn anew.
+//! The state that one process of a node hands to the next, so that it need not be observed anew.
 use crate::ids::ExecutorId;
 use crate::time::Millis;
 
-/// What one process of a node knows that one after it goes on from.
+/// The state of a dispatcher that the next process of its node starts with.
 #[derive(Clone, PartialEq, Default, Debug)]
 pub struct WarmState {
-    /// What is known of executors.
+    /// State by executor.
     pub executors: Vec<ExecutorWarmState>,
-    /// Running times by class.
+    /// Response times by class.
     pub class_running_times: Vec<ObservedMean>,
-    /// Smoothed running time of all work.
+    /// Smoothed running time of all requests.
     pub mean_running_time: Millis,
-    /// Smoothed share of probe replies that showed a queue; none before the first.
+    /// Smoothed share of probe replies that showed a queue; `None` before the first.
     pub busy_probe_ratio: Option<f64>,
-    /// Smoothed time that a probe takes; none before the first.
+    /// Smoothed latency of probes; `None` before the first reply.
     pub probe_latency: Option<Millis>,
-    /// How many executors are sampled for a request.
+    /// The number of executors sampled for a request.
     pub sample_size: u32,
 }
 
-/// What is known of an executor beside its endpoint.
+/// The observed state of one executor.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ExecutorWarmState {
     /// The executor.
     pub executor: ExecutorId,
-    /// What failed there.
+    /// Score of its faults and slow attempts.
     pub failure_score: DecayingScore,
-    /// Of how many outcomes that score was made.
+    /// Decaying number of the outcomes in that score.
     pub observations: DecayingScore,
-    /// The most slots that its reports have shown.
+    /// The largest number of slots that its reports have shown.
     pub max_slots: f64,
-    /// What of its warm-up budget is spent.
+    /// Dispatches while it was in slow start, which count against its warm-up budget.
     pub warm_up_spent: Vec<WarmUpDispatch>,
 }
 
-/// A score that fades exponentially from the time at which it was set.
+/// A score that decays exponentially from the time at which it was set.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
 pub struct DecayingScore {
-    /// What it was then.
+    /// The score at that time.
     pub value: f64,
-    /// When that was.
+    /// When it was set.
     pub set_at: Millis,
 }
 
 impl DecayingScore {
-    /// What is left of it now, with this time constant.
+    /// The score now, with this time constant.
     pub fn at(self, now: Millis, time_constant: Millis) -> f64 {
         if self.value == 0.0 {
             return 0.0;
@@ -53,28 +53,28 @@
     }
 }
 
-/// A smoothed mean with the number of observations behind it; none says nothing.
+/// A smoothed mean with the number of its observations; without any, the mean is an assumption.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
 pub struct ObservedMean {
     /// The mean.
     pub mean: Millis,
-    /// How many were observed.
+    /// The number of observations.
     pub observations: f64,
 }
 
 impl ObservedMean {
-    /// Takes in one observation, with at least this weight: the first ones count evenly.
-    pub fn observe(&mut self, observed: Millis, least_weight: f64) {
+    /// Adds one observation, with at least this weight: the first ones count evenly.
+    pub fn observe(&mut self, observed: Millis, min_weight: f64) {
         self.observations += 1.0;
-        self.mean += (observed - self.mean) * least_weight.max(1.0 / self.observations);
+        self.mean += (observed - self.mean) * min_weight.max(1.0 / self.observations);
     }
 }
 
-/// Work that was dispatched to an executor in slow start.
+/// A dispatch to an executor in slow start.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct WarmUpDispatch {
-    /// When.
+    /// The time of the dispatch.
     pub at: Millis,
-    /// How much, in slot-milliseconds.
+    /// Its cost in slot-milliseconds.
     pub work: f64,
 }
--- a/tests/unit/random_days.rs
+++ b/tests/unit/random_days.rs
@@ -514,7 +514,7 @@
 #[test]
 fn a_state_that_is_reclaimed_too_early_is_found_out() {
     for (wrong, expected) in [
-        (Reclaiming::Named, "released while an open request names it"),
+        (Reclaiming::Referenced, "released while an open request names it"),
         (Reclaiming::InUse, "released while"),
     ] {
         let broken = play(20_261, wrong, STEPS).expect_err("the check finds it");
--- a/tests/unit/retry.rs
+++ b/tests/unit/retry.rs
@@ -1,1 +1,111 @@
-//! Tests.
+//! Retries: where, how often and until when, by effect, scope and window.
+use super::*;
+use crate::endpoint::ListUpdate;
+use crate::ids::{DeduplicationGroupId, ZoneId};
+use crate::policy::rule_inputs::*;
+use RetryTarget::{Anywhere, Nowhere, SameDeduplicationDomain};
+use UnservedAnswer::{Failed, Rejected};
+
+/// 0.8 of the deduplication window.
+const RETRY_WINDOW: Millis = 1600.0;
+
+fn decide(class: &RequestClass, outcomes: &[Option<Outcome>], now: Millis) -> (RetryTarget, UnservedAnswer) {
+    let attempts: Vec<Attempt> = outcomes.iter().map(|&outcome| attempt(7, 0.0, outcome)).collect();
+    let policy = RetryPolicy::decide(class, &attempts, now);
+    (policy.target, policy.unserved_answer)
+}
+
+#[test]
+fn what_never_ran_is_retried_anywhere() {
+    let never_ran = [Outcome::Rejected, Outcome::NoConnection, Outcome::NotSent].map(Some);
+    for effect in [Effect::Idempotent, Effect::Deduplicated, Effect::AtMostOnce] {
+        for outcomes in [&[][..], &never_ran[..]] {
+            assert_eq!(decide(&class(effect), outcomes, 0.0), (Anywhere, Rejected), "{effect:?}");
+        }
+    }
+}
+
+#[test]
+fn what_may_have_run_is_retried_by_its_effect() {
+    let may_have_run = [
+        None,
+        Some(Outcome::Completed),
+        Some(Outcome::Error),
+        Some(Outcome::TimedOut),
+        Some(Outcome::Reset),
+        Some(Outcome::Cancelled),
+    ];
+    for outcome in may_have_run {
+        for (effect, expected) in [
+            (Effect::Idempotent, (Anywhere, Rejected)),
+            (Effect::Deduplicated, (SameDeduplicationDomain(executor(7)), Failed)),
+            (Effect::AtMostOnce, (Nowhere, Failed)),
+        ] {
+            let decided = decide(&class(effect), &[Some(Outcome::Rejected), outcome], 0.0);
+            assert_eq!(decided, expected, "{effect:?} after {outcome:?}");
+        }
+    }
+}
+
+#[test]
+fn deduplicated_requests_are_retried_within_their_window() {
+    let mut class = class(Effect::Deduplicated);
+    for (scope, inside, answer) in [
+        (DeduplicationScope::Group, SameDeduplicationDomain(executor(7)), Failed),
+        (DeduplicationScope::Zone, SameDeduplicationDomain(executor(7)), Failed),
+        (DeduplicationScope::All, Anywhere, Rejected),
+    ] {
+        class.terms.deduplication_scope = scope;
+        for (now, expected) in [(RETRY_WINDOW, inside), (RETRY_WINDOW + 1.0, Nowhere)] {
+            let decided = decide(&class, &[Some(Outcome::Reset)], now);
+            assert_eq!(decided, (expected, answer), "{scope:?} at {now} ms");
+        }
+    }
+}
+
+#[test]
+fn attempts_are_limited() {
+    let class = class(Effect::Idempotent);
+    let attempts = [attempt(0, 0.0, Some(Outcome::Rejected)); MAX_ATTEMPTS];
+    assert!(!RetryPolicy::is_exhausted(&class, &attempts[1..]));
+    assert!(RetryPolicy::is_exhausted(&class, &attempts));
+}
+
+#[test]
+fn the_send_deadline_is_inside_the_window_of_what_may_have_run() {
+    for (effect, outcome, expected) in [
+        (Effect::Deduplicated, Outcome::Reset, 10.0 + RETRY_WINDOW),
+        (Effect::Deduplicated, Outcome::Rejected, DEADLINE),
+        (Effect::Idempotent, Outcome::Reset, DEADLINE),
+    ] {
+        let attempts = [attempt(7, 10.0, Some(outcome))];
+        let deadline = RetryPolicy::send_deadline(&class(effect), &attempts, DEADLINE);
+        assert_close(deadline, expected);
+    }
+    let attempts = [attempt(7, 10.0, Some(Outcome::Reset))];
+    assert_close(RetryPolicy::send_deadline(&class(Effect::Deduplicated), &attempts, 500.0), 500.0);
+}
+
+#[test]
+fn a_deduplication_domain_is_a_group_or_a_zone() {
+    let first = endpoint(7);
+    let mut executors = ExecutorTable::new();
+    executors.update(0.0, ListUpdate::Snapshot, &[first]);
+    let same_group = Endpoint { deduplication_group: first.deduplication_group, ..endpoint(1) };
+    let same_zone = Endpoint { zone: first.zone, ..endpoint(2) };
+    let neither = Endpoint { zone: ZoneId(8), deduplication_group: DeduplicationGroupId(8), ..endpoint(3) };
+    let mut class = class(Effect::Deduplicated);
+    for (scope, in_domain) in [(DeduplicationScope::Group, same_group), (DeduplicationScope::Zone, same_zone)]
+    {
+        class.terms.deduplication_scope = scope;
+        for other in [same_group, same_zone, neither] {
+            let target = SameDeduplicationDomain(executor(7));
+            let is_in_domain = other.executor == in_domain.executor;
+            assert_eq!(target.allows(&class, &other, &executors), is_in_domain, "{scope:?} {other:?}");
+            assert!(Anywhere.allows(&class, &other, &executors));
+            assert!(!Nowhere.allows(&class, &other, &executors));
+        }
+    }
+    let released = SameDeduplicationDomain(executor(9));
+    assert!(!released.allows(&class, &same_zone, &executors), "the first executor has no state");
+}
