--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -4,10 +4,7 @@
 use crate::config::operator::DurableConfig;
 use crate::durable::{Durable, Found, JoinedRequest};
 use crate::event::NodeEvent;
-use crate::hot_restart::{
-    SiblingProcess,
-    codec::{Message, Usage},
-};
+use crate::hot_restart::SiblingProcess;
 use crate::http1::{self, Connection, Failed};
 use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
 use crate::lifecycle::LifecycleState;
@@ -23,22 +20,36 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 use troutknot::RequestId;
 
+/// What the client side of a node shares with the rest of it.
+pub struct DownstreamContext {
+    pub limits: Rc<Limits>,
+    pub codec: Rc<Current<Codec>>,
+    /// Where requests and departed clients are reported.
+    pub events: mpsc::Sender<NodeEvent>,
+    pub lifecycle: watch::Receiver<LifecycleState>,
+    /// A line of the health check's body, written by endpoint discovery.
+    pub status: Rc<RefCell<String>>,
+    /// None if the node keeps no ledger.
+    pub durable_config: Option<DurableConfig>,
+    pub sibling: Rc<SiblingProcess>,
+}
+
 pub struct DownstreamServer {
     pub limits: Rc<Limits>,
     pub codec: Rc<Current<Codec>>,
     pub events: mpsc::Sender<NodeEvent>,
     pub stage: watch::Receiver<LifecycleState>,
-    /// What is said beside the health, where the operator's file asks for more than the platform has.
+    /// What is said sibling the health, where the operator's file asks for more than the platform has.
     status: Rc<RefCell<String>>,
     /// On which terms work units are taken durably, and the ledger, which a process before this one may still hold.
     durably: Option<DurableConfig>,
     durable: RefCell<Option<Rc<Durable>>>,
     /// Another process of this node, if one runs.
-    beside: Rc<SiblingProcess>,
-    pub held: Rc<ByteBudget>,
-    pub rings: Rc<ByteBudget>,
+    sibling: Rc<SiblingProcess>,
+    pub request_bytes: Rc<ByteBudget>,
+    pub ring_bytes: Rc<ByteBudget>,
     /// For bodies that do not come whole with their heads, each counted as the largest.
-    pub slow_bodies: Rc<ByteBudget>,
+    pub slow_body_bytes: Rc<ByteBudget>,
     /// Ids of open work units, and of those that are over.
     ids: RefCell<HashSet<String>>,
     past: RefCell<PastIds>,
@@ -107,26 +118,19 @@
 type Goes = bool;
 
 impl DownstreamServer {
-    pub fn new(
-        limits: Rc<Limits>,
-        codec: Rc<Current<Codec>>,
-        events: mpsc::Sender<NodeEvent>,
-        stage: watch::Receiver<LifecycleState>,
-        status: Rc<RefCell<String>>,
-        durably: Option<DurableConfig>,
-        beside: Rc<SiblingProcess>,
-    ) -> Rc<Self> {
+    pub fn new(context: DownstreamContext) -> Rc<Self> {
+        let DownstreamContext { limits, codec, events, lifecycle, status, durable_config, sibling } = context;
         Rc::new(DownstreamServer {
-            durably,
+            durably: durable_config,
             durable: RefCell::default(),
-            beside,
+            sibling,
             codec,
             events,
-            stage,
+            stage: lifecycle,
             status,
-            held: ByteBudget::new(limits.held_bytes),
-            rings: ByteBudget::new(limits.client_rings),
-            slow_bodies: ByteBudget::new(limits.slow_bodies * limits.body),
+            request_bytes: ByteBudget::new(limits.held_bytes),
+            ring_bytes: ByteBudget::new(limits.client_rings),
+            slow_body_bytes: ByteBudget::new(limits.slow_bodies * limits.body),
             ids: RefCell::default(),
             past: RefCell::new(PastIds {
                 newer: HashSet::new(),
@@ -142,32 +146,25 @@
         })
     }
 
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.open.borrow().len()
     }
 
     /// Ids that were taken, as tokens.
-    pub fn ids_lately(&self) -> Vec<u64> {
+    pub fn recent_request_ids(&self) -> Vec<u64> {
         let past = self.past.borrow();
         past.older.iter().chain(&past.newer).copied().collect()
     }
 
     /// Another process of this node has taken these.
-    pub fn taken_elsewhere(&self, ids: &[u64]) {
+    pub fn record_sibling_requests(&self, ids: &[u64]) {
         let mut past = self.past.borrow_mut();
         ids.iter().for_each(|id| _ = past.take(*id, &self.limits));
     }
 
-    /// What another process of this node holds of what both may hold together.
-    pub fn set_sibling_usage(&self, usage: Usage) {
-        self.held.set_used_by_sibling(usage.bytes);
-        self.rings.set_used_by_sibling(usage.rings);
-        self.slow_bodies.set_used_by_sibling(usage.slow_bodies);
-    }
-
-    /// Clients that this process may serve beside what another one of the node has open.
+    /// Clients that this process may serve sibling what another one of the node has open.
     fn most(&self) -> usize {
-        self.limits.clients.saturating_sub(self.beside.other().clients)
+        self.limits.clients.saturating_sub(self.sibling.other().clients)
     }
 
     /// Accepts connections until the node ends. From a socket that was passed on nothing is accepted before
@@ -204,7 +201,7 @@
 
     /// Nothing is lost where this is dropped.
     async fn accept_one(&self, listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
-        while self.connections() >= self.most() + self.limits.turned_away {
+        while self.connection_count() >= self.most() + self.limits.turned_away {
             self.make_room();
             self.wait_for_an_end().await;
         }
@@ -218,7 +215,7 @@
     /// Room for one more. Guards against crowds that connect and say nothing: as long as one of them may be
     /// closed soon, a newcomer waits that moment and is not turned away.
     async fn room(&self) -> bool {
-        while self.connections() >= self.most() && !self.make_room() {
+        while self.connection_count() >= self.most() && !self.make_room() {
             if !self.open.borrow().values().any(|s| s.is_fresh()) {
                 return false;
             }
@@ -250,7 +247,7 @@
         self.open.borrow_mut().insert(number, standing.clone());
         let this = self.clone();
         tokio::task::spawn_local(async move {
-            let mut connection = Connection::new(stream, this.limits.ring, &this.rings);
+            let mut connection = Connection::new(stream, this.limits.ring, &this.ring_bytes);
             this.serve(&mut connection, &standing, full).await;
             drop(connection);
             this.open.borrow_mut().remove(&number);
@@ -331,7 +328,7 @@
                         Ok(Some(answer)) => answer,
                         Err(status) => return self.reject(connection, standing, status).await,
                     };
-                    let room = self.connections() <= self.most() && !connection.is_overrun();
+                    let room = self.connection_count() <= self.most() && !connection.is_overrun();
                     let keep = keep && room && !self.stage.borrow().closes_after_answer();
                     let (status, fields, result) = self.codec.now().answer(&answer);
                     large = result.len() > self.limits.ring;
@@ -348,7 +345,7 @@
                             let answer = self.wait(connection, &in_flight, last).await;
                             self.ids.borrow_mut().remove(&in_flight.request.id);
                             // Over its limit the node keeps no connection, so that those that wait are taken.
-                            (answer, self.connections() <= self.most())
+                            (answer, self.connection_count() <= self.most())
                         }
                         Err(None) => {
                             let soon = self.limits.full_come_back.as_secs_f64() * 1000.0;
@@ -433,7 +430,7 @@
         let whole = connection.body_so_far(&mut head.body, &mut body, most);
         if !whole.map_err(|bad| Some(bad.status()))? {
             // Guards against many that send long bodies at leisure; most come whole with their heads.
-            let _slow = self.slow_bodies.reserve(most).ok_or(Some(503))?;
+            let _slow = self.slow_body_bytes.reserve(most).ok_or(Some(503))?;
             if head.asks_first {
                 connection.write(&[http1::GO_ON]).await.map_err(|_| None)?;
             }
@@ -459,14 +456,14 @@
             return Err(Some(409));
         }
         let in_flight = (!full)
-            .then(|| InFlightRequest::new(RequestId(self.next_wu.get()), work, limit, &self.held))
+            .then(|| InFlightRequest::new(RequestId(self.next_wu.get()), work, limit, &self.request_bytes))
             .flatten();
         let in_flight = in_flight.ok_or(None)?;
         let token = troutknot_membership::token(&id);
         if !self.past.borrow_mut().take(token, &self.limits) {
             return Err(Some(409));
         }
-        self.beside.say(Message::Ids { ids: vec![token] });
+        self.sibling.announce_request(token);
         self.next_wu.set(self.next_wu.get() + 1);
         self.ids.borrow_mut().insert(id);
         Ok((in_flight, last))
@@ -485,13 +482,13 @@
     }
 
     /// From here on work is taken durably. What was numbered until then keeps out of the ledger's numbers.
-    pub fn open_ledger(&self, durable: Rc<Durable>) {
+    pub fn set_ledger(&self, durable: Rc<Durable>) {
         self.next_wu.set(self.next_wu.get().max(durable.next_wu()));
         self.durable.replace(Some(durable));
     }
 
     /// Numbers work units from here on, so that those of a ledger that is opened later are free.
-    pub fn number_from(&self, first: u64) {
+    pub fn set_first_request_id(&self, first: u64) {
         self.next_wu.set(first);
     }
 
--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -9,7 +9,7 @@
 use crate::membership::Membership;
 use crate::protocol::{Codec, Current, EndpointEntry};
 use crate::retention::{EndpointRetention, RetainedEntries, RetentionChange, RetentionStatistics};
-use crate::upstream::{DispatchOrder, ExecutorPool};
+use crate::upstream::{DispatchOrder, ExecutorEndpoint, ExecutorPool};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -111,7 +111,7 @@
             has_released: false,
             events,
             lifecycle,
-            beside: executors.beside.clone(),
+            beside: executors.sibling.clone(),
             executors,
             membership: Membership::default(),
             peers: None,
@@ -289,8 +289,12 @@
                     CoreEvent::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: false },
                 ),
                 None => {
-                    let settled =
-                        self.executors.clone().settle(in_flight.clone(), executor, attempt_id, lease);
+                    let settled = self.executors.clone().recover_attempt(
+                        in_flight.clone(),
+                        executor,
+                        attempt_id,
+                        lease,
+                    );
                     tokio::task::spawn_local(settled);
                 }
             }
@@ -353,7 +357,7 @@
         }
         for executor in missing {
             self.membership.mark_gone(executor);
-            self.executors.shut(executor);
+            self.executors.start_draining(executor);
         }
     }
 
@@ -405,7 +409,12 @@
             tracing::warn!("executor {} has no usable address: `{}`", entry.id, entry.addr);
             listing.state = EndpointState::Draining;
         }
-        self.executors.listed(executor, addr, listing.started_at, listing.state == EndpointState::Ready);
+        let endpoint = ExecutorEndpoint {
+            address: addr,
+            started_at: listing.started_at,
+            is_ready: listing.state == EndpointState::Ready,
+        };
+        self.executors.set_endpoint(executor, endpoint);
         tracing::debug!("listed: {} {:?} started {:?}", entry.id, listing.state, listing.started_at);
         listing
     }
@@ -546,25 +555,25 @@
                 }
                 open.stops.resize_with(attempt_id.0 as usize, Rc::default);
                 open.stops.push(stop.clone());
-                let [cut, send_deadline] = [attempt_deadline, send_deadline]
+                let [attempt_deadline, send_deadline] = [attempt_deadline, send_deadline]
                     .map(|at| self.clock.instant_of(at).min(open.in_flight.deadline));
-                let (decided, life) = (Instant::now(), self.executors.life(executor));
-                open.pushed = Some((executor, decided));
+                let (decided_at, incarnation) = (Instant::now(), self.executors.incarnation(executor));
+                open.pushed = Some((executor, decided_at));
                 let in_flight = open.in_flight.clone();
-                let name = in_flight.durable.get().map(|_| self.name(executor).to_string());
+                let executor_name = in_flight.durable.get().map(|_| self.name(executor).to_string());
                 tracing::debug!("push: alloc {} to {}", attempt_id.0, self.name(executor));
-                let push = DispatchOrder {
+                let order = DispatchOrder {
                     in_flight,
                     executor,
-                    name,
+                    executor_name,
                     attempt_id,
-                    decided,
-                    life,
-                    cut,
+                    decided_at,
+                    incarnation,
+                    attempt_deadline,
                     send_deadline,
-                    stop,
+                    cancel_signal: stop,
                 };
-                tokio::task::spawn_local(self.executors.clone().allocate(push));
+                tokio::task::spawn_local(self.executors.clone().dispatch(order));
             }
             Action::Cancel { request_id, attempt_id } => {
                 let stop = self.open.get(&request_id).and_then(|open| open.stops.get(attempt_id.0 as usize));
@@ -582,7 +591,7 @@
                 let at = self.clock.instant_of(at);
                 self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
             }
-            Action::CloseIdleConnections { executor } => self.executors.close_idle(executor),
+            Action::CloseIdleConnections { executor } => self.executors.close_idle_connections(executor),
             Action::Gossip(said) => {
                 let codec = self.codec.now();
                 self.peers.iter().for_each(|peers| peers.broadcast(said, codec.type_names()));
--- a/crates/daemon/src/hot_restart/mod.rs
+++ b/crates/daemon/src/hot_restart/mod.rs
@@ -57,6 +57,12 @@
         }
     }
 
+    /// Announces a request that this process has admitted, by the token of its id, so that the sibling rejects
+    /// a duplicate.
+    pub fn announce_request(&self, token: u64) {
+        self.say(Message::Ids { ids: vec![token] });
+    }
+
     /// Has the other process do the same; who waits hears once it holds there, or there is none any more.
     pub fn mirror(&self, message: impl FnOnce(u64) -> Message, done: oneshot::Sender<bool>) {
         if self.link.borrow().is_none() {
@@ -251,7 +257,7 @@
         let _ = self.events.send(NodeEvent::SiblingChanged(true)).await;
         if older {
             self.beside.say(Message::Hello { form: codec::FORM, name: self.name.clone() });
-            let ids = self.clients.ids_lately();
+            let ids = self.clients.recent_request_ids();
             codec::in_lines(&ids, |ids| Message::Ids { ids }).into_iter().for_each(|m| self.beside.say(m));
             // The rest is the driver's to tell, in order with what changes.
             let _ = self.events.send(NodeEvent::ExportState).await;
@@ -280,19 +286,25 @@
         tracing::debug!("the other process is gone: {why}");
         self.beside.unlink();
         // What it held has gone with it, however it ended.
-        self.clients.set_sibling_usage(Usage::default());
+        self.set_sibling_usage(Usage::default());
         let _ = self.events.send(NodeEvent::SiblingChanged(false)).await;
     }
 
+    fn set_sibling_usage(&self, usage: Usage) {
+        self.clients.request_bytes.set_used_by_sibling(usage.bytes);
+        self.clients.ring_bytes.set_used_by_sibling(usage.rings);
+        self.clients.slow_body_bytes.set_used_by_sibling(usage.slow_bodies);
+    }
+
     async fn say_holds(&self) {
         let mut told = Usage::default();
         loop {
             let holds = Usage {
-                clients: self.clients.connections(),
-                executors: self.executors.connections(),
-                bytes: self.clients.held.used(),
-                rings: self.clients.rings.used(),
-                slow_bodies: self.clients.slow_bodies.used(),
+                clients: self.clients.connection_count(),
+                executors: self.executors.connection_count(),
+                bytes: self.clients.request_bytes.used(),
+                rings: self.clients.ring_bytes.used(),
+                slow_bodies: self.clients.slow_body_bytes.used(),
             };
             if holds != told {
                 told = holds;
@@ -327,10 +339,10 @@
                 self.beside.say(Message::Acknowledged { number });
             }
             Message::Acknowledged { number } => self.beside.done(number),
-            Message::Ids { ids } => self.clients.taken_elsewhere(&ids),
+            Message::Ids { ids } => self.clients.record_sibling_requests(&ids),
             Message::Usage(holds) => {
                 self.beside.other.set(holds);
-                self.clients.set_sibling_usage(holds);
+                self.set_sibling_usage(holds);
             }
             Message::Ready if older => {
                 tracing::info!("the next process takes clients from now on");
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -24,7 +24,7 @@
 use config::node::{NodeConfig, Own, ReloadTargets, ResolvedNodeConfig, stated};
 use config::operator::{DiscoverySource, DurableConfig, OperatorFile};
 use discovery::{EndpointUpdate, EndpointUpdateSender, merge::EndpointMerge};
-use downstream::DownstreamServer;
+use downstream::{DownstreamContext, DownstreamServer};
 use driver::{Driver, WatchRequests};
 use durable::Durable;
 use event::NodeEvent;
@@ -190,15 +190,15 @@
     let follow: Rc<WatchRequests> = Rc::default();
     let executors = ExecutorPool::new(limits.clone(), codec.clone(), events.clone(), beside.clone());
     let status: Rc<RefCell<String>> = Rc::default();
-    let clients = DownstreamServer::new(
-        limits.clone(),
-        codec.clone(),
-        events.clone(),
-        lifecycle.watch(),
-        status.clone(),
-        file.durable.clone(),
-        beside.clone(),
-    );
+    let clients = DownstreamServer::new(DownstreamContext {
+        limits: limits.clone(),
+        codec: codec.clone(),
+        events: events.clone(),
+        lifecycle: lifecycle.watch(),
+        status: status.clone(),
+        durable_config: file.durable.clone(),
+        sibling: beside.clone(),
+    });
     if let Some(terms) = file.durable.clone() {
         let ledger = LedgerOpener {
             terms,
@@ -213,7 +213,7 @@
             Ok(durable) => take_durably(durable, &clients, &lifecycle),
             Err(why) if !was_passed => return Err(why),
             Err(_) => {
-                clients.number_from(clock.now().max(0.0) as u64 * 1000);
+                clients.set_first_request_id(clock.now().max(0.0) as u64 * 1000);
                 spawn_local(ledger.wait(clients.clone(), lifecycle.clone()));
             }
         }
@@ -245,7 +245,7 @@
         driver.tell(clock.now(), NodeEvent::ListReceived(EndpointUpdate::of(ListUpdate::Cached, known)));
     }
     if let Some(mut inherited) = inherited {
-        clients.taken_elsewhere(&inherited.ids);
+        clients.record_sibling_requests(&inherited.ids);
         if inherited.is_drained {
             lifecycle.update(|facts| (facts.drain, facts.is_drain_inherited) = (Drain::Settled, true));
         }
@@ -293,7 +293,7 @@
         }
     }
     drop(before);
-    spawn_local(executors.clone().retire_idle());
+    spawn_local(executors.clone().close_expired_connections());
     spawn_local(clients.clone().accept(listener, was_passed));
     let figures = driver.figures.clone();
     let driver = spawn_local(driver.run());
@@ -346,7 +346,7 @@
             }
         }
     }
-    tracing::info!("asked to end, {} connections from clients", clients.connections());
+    tracing::info!("asked to end, {} connections from clients", clients.connection_count());
     let ending = end(&limits, &clients, &lifecycle, &events, was_passed);
     tokio::select! {
         _ = &mut driver => Err("the driver has ended".into()),
@@ -356,8 +356,8 @@
 
 /// Takes durable work from now on, and takes up what is open on record.
 fn take_durably(durable: Rc<Durable>, clients: &DownstreamServer, lifecycle: &Lifecycle) {
-    clients.open_ledger(durable.clone());
-    spawn_local(durable.clone().recover(lifecycle.watch(), clients.held.clone()));
+    clients.set_ledger(durable.clone());
+    spawn_local(durable.clone().recover(lifecycle.watch(), clients.request_bytes.clone()));
     spawn_local(durable.forget());
 }
 
@@ -417,7 +417,7 @@
     let wait = async |until: Duration| {
         let mut empty = 0;
         while empty < EMPTY_FOR && asked.elapsed() < until {
-            empty = if clients.connections() > 0 { 0 } else { empty + 1 };
+            empty = if clients.connection_count() > 0 { 0 } else { empty + 1 };
             sleep(Duration::from_millis(20)).await;
         }
     };
@@ -430,11 +430,11 @@
     }
     lifecycle.update(|facts| facts.shutdown = Shutdown::Closing);
     wait(times.cut_after).await;
-    if clients.connections() > 0 {
+    if clients.connection_count() > 0 {
         let _ = events.send(NodeEvent::CancelInFlight).await;
         wait(times.end_after).await;
     }
-    let left = clients.connections();
+    let left = clients.connection_count();
     if left > 0 {
         let _ = events.send(NodeEvent::ShutDown).await;
         wait(times.end_after + limits.last_words).await;
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
-use troutknot::{AttemptId, Effect, Event as CoreEvent, ExecutorId, LoadReport, Outcome, ProbeReply};
+use troutknot::{AttemptId, Effect, Event as CoreEvent, ExecutorId, LoadReport, Millis, Outcome, ProbeReply};
 
 /// An executor that does not tell yet what became of an allocation is asked again after so long.
 const FENCE_AGAIN: Duration = Duration::from_millis(50);
@@ -39,7 +39,7 @@
     pub codec: Rc<Current<Codec>>,
     pub events: mpsc::Sender<NodeEvent>,
     /// Another process of this node, if one runs.
-    pub beside: Rc<SiblingProcess>,
+    pub sibling: Rc<SiblingProcess>,
     hosts: RefCell<SecondaryMap<ExecutorId, Rc<Host>>>,
     open: Rc<Cell<usize>>,
     rings: Rc<ByteBudget>,
@@ -97,20 +97,30 @@
     }
 }
 
-/// One push to carry out.
+/// What the endpoint list says of one executor.
+pub struct ExecutorEndpoint {
+    /// None if the list gives no usable address.
+    pub address: Option<SocketAddr>,
+    /// When the executor started, if the list says so.
+    pub started_at: Option<Millis>,
+    /// Whether it takes requests; an executor that drains or is gone does not.
+    pub is_ready: bool,
+}
+
+/// One dispatch to carry out.
 pub struct DispatchOrder {
     pub in_flight: Rc<InFlightRequest>,
     pub executor: ExecutorId,
     /// Its name, where the allocation goes on record.
-    pub name: Option<String>,
+    pub executor_name: Option<String>,
     pub attempt_id: AttemptId,
-    pub decided: Instant,
-    /// The start and address of its executor that it was decided for, by [`Executors::life`].
-    pub life: u64,
-    pub cut: Instant,
+    pub decided_at: Instant,
+    /// The start and address of its executor that it was decided for, by [`ExecutorPool::incarnation`].
+    pub incarnation: u64,
+    pub attempt_deadline: Instant,
     /// Its last byte is written before that, or never.
     pub send_deadline: Instant,
-    pub stop: Rc<CancelSignal>,
+    pub cancel_signal: Rc<CancelSignal>,
 }
 
 impl Host {
@@ -153,21 +163,16 @@
         limits: Rc<Limits>,
         codec: Rc<Current<Codec>>,
         events: mpsc::Sender<NodeEvent>,
-        beside: Rc<SiblingProcess>,
+        sibling: Rc<SiblingProcess>,
     ) -> Rc<Self> {
         let rings = ByteBudget::new(limits.executors * 2 * limits.ring);
         let (hosts, open) = (RefCell::default(), Rc::default());
-        Rc::new(ExecutorPool { limits, codec, events, beside, hosts, open, rings })
+        Rc::new(ExecutorPool { limits, codec, events, sibling, hosts, open, rings })
     }
 
     /// What the list says of one executor. One that is not healthy is sent nothing after the wait.
-    pub fn listed(
-        &self,
-        executor: ExecutorId,
-        addr: Option<SocketAddr>,
-        started: Option<f64>,
-        healthy: bool,
-    ) {
+    pub fn set_endpoint(&self, executor: ExecutorId, endpoint: ExecutorEndpoint) {
+        let ExecutorEndpoint { address: addr, started_at: started, is_ready: healthy } = endpoint;
         let host = self.host_to_list(executor);
         if (addr.is_some() && addr != host.addr.get()) || started != host.started.get() {
             host.addr.set(addr.or(host.addr.get()));
@@ -179,7 +184,7 @@
             host.shut.set(None);
             host.shut_set.notify_waiters();
         } else {
-            self.shut(executor);
+            self.start_draining(executor);
         }
     }
 
@@ -188,7 +193,7 @@
         self.hosts.borrow_mut().set_capacity(executors);
     }
 
-    pub fn shut(&self, executor: ExecutorId) {
+    pub fn start_draining(&self, executor: ExecutorId) {
         let Some(host) = self.host(executor) else { return };
         if host.shut.get().is_none() {
             host.shut.set(Some(Instant::now() + self.limits.times().drain_wait));
@@ -197,12 +202,12 @@
     }
 
     /// Closes what is idle there: it may be gone unseen.
-    pub fn close_idle(&self, executor: ExecutorId) {
+    pub fn close_idle_connections(&self, executor: ExecutorId) {
         self.host(executor).into_iter().for_each(|host| host.idle.borrow_mut().clear());
     }
 
     /// Counts the starts and moves of an executor, as far as the list told them.
-    pub fn life(&self, executor: ExecutorId) -> u64 {
+    pub fn incarnation(&self, executor: ExecutorId) -> u64 {
         self.host(executor).map_or(0, |host| host.life.get())
     }
 
@@ -214,13 +219,13 @@
         host.shut_set.notify_waiters();
     }
 
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.open.get()
     }
 
     /// The number of executors that are kept in mind.
     #[cfg(test)]
-    pub fn kept(&self) -> usize {
+    pub fn executor_count(&self) -> usize {
         self.hosts.borrow().len()
     }
 
@@ -250,7 +255,7 @@
         if let Some(connection) = host.take_idle(&self.limits, clear) {
             return Ok(connection);
         }
-        let open = self.open.get() + self.beside.other().executors;
+        let open = self.open.get() + self.sibling.other().executors;
         if open >= most && !self.close_longest_idle() {
             return Err(Outcome::NotSent);
         }
@@ -286,7 +291,7 @@
     }
 
     /// Guards against connections that stand idle until the executor closes them under a request.
-    pub async fn retire_idle(self: Rc<Self>) {
+    pub async fn close_expired_connections(self: Rc<Self>) {
         loop {
             sleep((self.limits.times().retire_after / 8).max(RETIRE_APART)).await;
             for host in self.hosts.borrow().values() {
@@ -301,7 +306,7 @@
     }
 
     /// Carries out a push and tells the driver its one outcome.
-    pub async fn allocate(self: Rc<Self>, push: DispatchOrder) {
+    pub async fn dispatch(self: Rc<Self>, push: DispatchOrder) {
         let (request_id, attempt_id) = (push.in_flight.request_id, push.attempt_id);
         // Whether that closes the work unit is the driver's to say.
         let ended = |outcome| {
@@ -320,7 +325,7 @@
         let (mut outcome, rest) = self.run(&host, &push, &mut lease).await;
         if let Some(lease) = &lease {
             let may_have_run = !outcome.never_ran() && outcome != Outcome::Completed;
-            if may_have_run && !push.stop.is_cancelled() {
+            if may_have_run && !push.cancel_signal.is_cancelled() {
                 outcome = self.fate(&host, &push.in_flight, lease).await.unwrap_or(outcome);
             }
             lease.ended(outcome);
@@ -351,10 +356,10 @@
         // may end, its cut may come, its work unit may be over.
         let connection = tokio::select! {
             biased;
-            _ = push.stop.cancelled() => Err(Outcome::NotSent),
+            _ = push.cancel_signal.cancelled() => Err(Outcome::NotSent),
             () = in_flight.over() => Err(Outcome::NotSent),
             () = host.shut() => Err(Outcome::NotSent),
-            () = sleep_until(push.cut) => Err(Outcome::NoConnection),
+            () = sleep_until(push.attempt_deadline) => Err(Outcome::NoConnection),
             () = sleep_until(push.send_deadline) => Err(Outcome::NotSent),
             connection = self.connect(host, most, !rerunnable) => connection,
         };
@@ -362,15 +367,15 @@
             Ok(connection) => connection,
             Err(outcome) => return (outcome, None),
         };
-        if let (Some(durable), Some(name)) = (in_flight.durable.get(), &push.name) {
+        if let (Some(durable), Some(name)) = (in_flight.durable.get(), &push.executor_name) {
             // Nothing of it is written before it is on record.
             let lease = tokio::select! {
                 biased;
-                _ = push.stop.cancelled() => None,
+                _ = push.cancel_signal.cancelled() => None,
                 () = in_flight.over() => None,
                 () = host.shut() => None,
                 () = sleep_until(push.send_deadline) => None,
-                lease = durable.lease(in_flight.request_id, name, push.cut) => lease,
+                lease = durable.lease(in_flight.request_id, name, push.attempt_deadline) => lease,
             };
             let Some(lease) = lease else {
                 self.put_back(host, connection);
@@ -381,10 +386,10 @@
         let now = Instant::now();
         // Guards against a node that stood still: what it decided before may have been overtaken by news
         // that it has not read yet.
-        let stood = now - push.decided > self.limits.times().connect_wait + self.limits.standstill;
+        let stood = now - push.decided_at > self.limits.times().connect_wait + self.limits.standstill;
         // Guards against work for a start that has passed: while it waited to be carried out, or connected, the
         // list may have told of another start or address, whose cold budget knows nothing of it.
-        let other = host.life.get() != push.life;
+        let other = host.life.get() != push.incarnation;
         if in_flight.is_over() || host.is_shut() || now >= push.send_deadline || stood || other {
             self.put_back(host, connection);
             return (Outcome::NotSent, None);
@@ -395,7 +400,7 @@
         }
         let addr = host.addr.get().expect("it was connected to");
         let told = recorded.as_ref().and_then(Lease::told_to_executor);
-        let head = self.codec.now().allocation(&in_flight.request, addr, push.cut - now, told);
+        let head = self.codec.now().allocation(&in_flight.request, addr, push.attempt_deadline - now, told);
         let parts: [&[u8]; 2] = [&head, &in_flight.request.body];
         // Guards against an executor that reads slowly: until the last byte is written the client may leave, the
         // work unit may get its answer, the grace may end, and the window in which a repeat of it would be
@@ -403,7 +408,7 @@
         let written = tokio::select! {
             biased;
             written = connection.write(&parts) => written.is_ok(),
-            _ = push.stop.cancelled() => false,
+            _ = push.cancel_signal.cancelled() => false,
             () = in_flight.over() => false,
             () = host.shut() => false,
             () = sleep_until(push.send_deadline) => false,
@@ -424,9 +429,9 @@
             biased;
             read = self.read(&mut connection, push, recorded.as_ref()) => read,
             () = run_out(recorded.as_ref()) => Ok((Outcome::TimedOut, None)),
-            why = push.stop.cancelled() => Ok((why, None)),
+            why = push.cancel_signal.cancelled() => Ok((why, None)),
             () = withdrawn => Ok((Outcome::Cancelled, None)),
-            () = sleep_until(push.cut) => Ok((Outcome::TimedOut, None)),
+            () = sleep_until(push.attempt_deadline) => Ok((Outcome::TimedOut, None)),
         };
         match read {
             Ok((outcome, Some(mut head))) => {
@@ -511,7 +516,7 @@
     }
 
     /// Finds out what became of an allocation of an earlier life, and tells the driver its one outcome.
-    pub async fn settle(
+    pub async fn recover_attempt(
         self: Rc<Self>,
         in_flight: Rc<InFlightRequest>,
         executor: ExecutorId,
@@ -590,7 +595,7 @@
         };
         if answer.is_err() {
             // Guards against connections to a machine that is cut off: they stay open and silent.
-            self.close_idle(executor);
+            self.close_idle_connections(executor);
         }
         let latency = start.elapsed();
         // Guards against a node that stood still: an answer that waited for it says nothing of now.
--- a/crates/daemon/tests/unit/downstream.rs
+++ b/crates/daemon/tests/unit/downstream.rs
@@ -11,8 +11,15 @@
     let (events, mut told) = mpsc::channel(16);
     let lifecycle = crate::lifecycle::Lifecycle::new();
     lifecycle.update(|facts| facts.is_listed = true);
-    let clients =
-        DownstreamServer::new(limits, codec, events, lifecycle.watch(), Rc::default(), None, Rc::default());
+    let clients = DownstreamServer::new(DownstreamContext {
+        limits,
+        codec,
+        events,
+        lifecycle: lifecycle.watch(),
+        status: Rc::default(),
+        durable_config: None,
+        sibling: Rc::default(),
+    });
     let whole = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nConnection: close\r\n\
                  Content-Length: 2\r\n\r\nab";
     let local = tokio::task::LocalSet::new();
@@ -30,7 +37,7 @@
         let serve = async {
             let (stream, _) = listener.accept().await.unwrap();
             clients.take(stream, false);
-            while clients.connections() > 0 {
+            while clients.connection_count() > 0 {
                 sleep(Duration::from_millis(10)).await;
             }
         };
@@ -59,8 +66,15 @@
     let limits = Rc::new(Limits::of(&stated));
     let (events, mut told) = mpsc::channel(16);
     let lifecycle = crate::lifecycle::Lifecycle::new();
-    let clients =
-        DownstreamServer::new(limits, codec, events, lifecycle.watch(), Rc::default(), None, Rc::default());
+    let clients = DownstreamServer::new(DownstreamContext {
+        limits,
+        codec,
+        events,
+        lifecycle: lifecycle.watch(),
+        status: Rc::default(),
+        durable_config: None,
+        sibling: Rc::default(),
+    });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let send = |id: &str| {
         let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -78,7 +92,7 @@
         assert_eq!(clients.ids.borrow().len(), 2, "both are taken");
         assert!(told.try_recv().is_err(), "nothing is decided before the list has come");
         drop(leaves);
-        while clients.connections() > 1 {
+        while clients.connection_count() > 1 {
             sleep(Duration::from_millis(10)).await;
         }
         if comes {
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -80,7 +80,7 @@
     /// What the node, its sides and the dispatcher keep in mind: the same number of executors.
     fn kept(&self) -> usize {
         let kept = self.driver.registry.len();
-        assert_eq!(self.driver.executors.kept(), kept, "the executor side");
+        assert_eq!(self.driver.executors.executor_count(), kept, "the executor side");
         assert_eq!(self.driver.membership.len(), kept, "the list");
         assert_eq!(self.driver.dispatcher.executor_count(), kept, "the dispatcher");
         kept
@@ -155,7 +155,7 @@
         }
         rig.list(ListUpdate::Snapshot, Vec::new());
         rig.look_over();
-        assert_eq!((rig.kept(), rig.driver.executors.connections()), (0, 0));
+        assert_eq!((rig.kept(), rig.driver.executors.connection_count()), (0, 0));
     };
     local.run_until(all).await;
 }
@@ -210,23 +210,23 @@
         assert!(matches!(told, NodeEvent::Core(CoreEvent::ProbeCompleted { reply: None, .. })));
         rig.tell(told);
         assert_eq!(rig.driver.dispatcher.stale_events(), 1);
-        executors.close_idle(released);
-        executors.shut(released);
+        executors.close_idle_connections(released);
+        executors.start_draining(released);
         executors.release(released);
         let in_flight = rig.arrive();
-        let (stop, life, cut) = (Rc::default(), executors.life(released), Instant::now() + HARD_LIMIT);
-        let push = DispatchOrder {
+        let deadline = Instant::now() + HARD_LIMIT;
+        let order = DispatchOrder {
             in_flight: in_flight.clone(),
             executor: released,
-            name: None,
+            executor_name: None,
             attempt_id: AttemptId(7),
-            decided: Instant::now(),
-            life,
-            cut,
-            send_deadline: cut,
-            stop,
+            decided_at: Instant::now(),
+            incarnation: executors.incarnation(released),
+            attempt_deadline: deadline,
+            send_deadline: deadline,
+            cancel_signal: Rc::default(),
         };
-        executors.clone().allocate(push).await;
+        executors.clone().dispatch(order).await;
         for action in [
             Action::Probe { executor: released },
             Action::CloseIdleConnections { executor: released },
--- a/crates/daemon/tests/unit/lib.rs
+++ b/crates/daemon/tests/unit/lib.rs
@@ -22,9 +22,15 @@
     let (events, mut told) = mpsc::channel(16);
     let lifecycle = Lifecycle::new();
     lifecycle.update(|facts| facts.is_listed = true);
-    let (stage, none) = (lifecycle.watch(), Rc::default());
-    let clients =
-        DownstreamServer::new(limits.clone(), codec, events.clone(), stage, none, None, Rc::default());
+    let clients = DownstreamServer::new(DownstreamContext {
+        limits: limits.clone(),
+        codec,
+        events: events.clone(),
+        lifecycle: lifecycle.watch(),
+        status: Rc::default(),
+        durable_config: None,
+        sibling: Rc::default(),
+    });
     let listener = listen(([127, 0, 0, 1], 0).into(), 16).unwrap();
     let addr = listener.local_addr().unwrap();
     let mut staged = lifecycle.watch();
--- a/crates/daemon/tests/unit/upstream.rs
+++ b/crates/daemon/tests/unit/upstream.rs
@@ -36,6 +36,10 @@
     (ExecutorPool::new(Rc::new(limits), codec, events, Rc::default()), told)
 }
 
+fn endpoint(address: Option<SocketAddr>, started_at: Option<f64>, is_ready: bool) -> ExecutorEndpoint {
+    ExecutorEndpoint { address, started_at, is_ready }
+}
+
 fn in_flight() -> Rc<InFlightRequest> {
     exchange_of(0)
 }
@@ -50,11 +54,19 @@
     in_flight: &Rc<InFlightRequest>,
     stop: &Rc<CancelSignal>,
     decided: Instant,
-    [cut, send_deadline]: [Instant; 2],
+    [attempt_deadline, send_deadline]: [Instant; 2],
 ) -> DispatchOrder {
-    let (life, in_flight, stop) = (of.life(executor()), in_flight.clone(), stop.clone());
-    let (executor, attempt_id, send_deadline) = (executor(), AttemptId(0), send_deadline.min(cut));
-    DispatchOrder { name: None, in_flight, executor, attempt_id, decided, life, cut, send_deadline, stop }
+    DispatchOrder {
+        in_flight: in_flight.clone(),
+        executor: executor(),
+        executor_name: None,
+        attempt_id: AttemptId(0),
+        decided_at: decided,
+        incarnation: of.incarnation(executor()),
+        attempt_deadline,
+        send_deadline: send_deadline.min(attempt_deadline),
+        cancel_signal: stop.clone(),
+    }
 }
 
 /// Listens, and with `full` so that every connection hangs: its queue is taken up.
@@ -99,7 +111,7 @@
         let hangs = !matches!(by, NodeStoodStill | RestartTold);
         let (listener, mut fillers) = listener(hangs);
         let (executors, mut told) = executors();
-        executors.listed(executor(), Some(listener.local_addr().unwrap()), None, true);
+        executors.set_endpoint(executor(), endpoint(Some(listener.local_addr().unwrap()), None, true));
         let (in_flight, now) = (in_flight(), Instant::now());
         let at = |what| now + Duration::from_millis(if by == what { 800 } else { 60_000 });
         let decided = if by == NodeStoodStill { now - Duration::from_secs(6) } else { now };
@@ -113,11 +125,11 @@
             }
             match by {
                 WorkUnitOver => _ = in_flight.close(),
-                GraceEnded => executors.shut(executor()),
+                GraceEnded => executors.start_draining(executor()),
                 Stopped => stop.cancel(Outcome::Cancelled),
                 RestartToldLate => {
                     let at = Some(listener.local_addr().unwrap());
-                    executors.listed(executor(), at, Some(2.0), true);
+                    executors.set_endpoint(executor(), endpoint(at, Some(2.0), true));
                     // The queue has room again, so its connection comes up.
                     fillers.clear();
                     drop(listener.accept().unwrap());
@@ -127,9 +139,10 @@
             told.recv().await
         };
         if by == RestartTold {
-            executors.listed(executor(), Some(listener.local_addr().unwrap()), Some(2.0), true);
+            executors
+                .set_endpoint(executor(), endpoint(Some(listener.local_addr().unwrap()), Some(2.0), true));
         }
-        let both = async { tokio::join!(overtake, executors.clone().allocate(push)).0 };
+        let both = async { tokio::join!(overtake, executors.clone().dispatch(push)).0 };
         let event = local.run_until(timeout(Duration::from_secs(4), both)).await.unwrap();
         assert!(
             matches!(event, Some(NodeEvent::Core(CoreEvent::AttemptEnded { outcome, .. })) if outcome == expected),
@@ -161,7 +174,7 @@
         socket.listen(8).unwrap();
         let (executors, mut told) = executors();
         let addr = socket.local_addr().unwrap().as_socket();
-        executors.listed(executor(), addr, None, true);
+        executors.set_endpoint(executor(), endpoint(addr, None, true));
         let (in_flight, now) = (exchange_of(size), Instant::now());
         let at = |what| now + Duration::from_millis(if by == what { 800 } else { 60_000 });
         let stop = Rc::new(CancelSignal::default());
@@ -175,13 +188,13 @@
             std::io::Read::read_exact(&mut there, &mut first).unwrap();
             match by {
                 WorkUnitOver => _ = in_flight.close(),
-                GraceEnded => executors.shut(executor()),
+                GraceEnded => executors.start_draining(executor()),
                 Stopped => stop.cancel(Outcome::Cancelled),
                 _ => {}
             }
             (told.recv().await, there)
         };
-        let both = async { tokio::join!(overtake, executors.clone().allocate(push)).0 };
+        let both = async { tokio::join!(overtake, executors.clone().dispatch(push)).0 };
         let waited = local.run_until(timeout(Duration::from_secs(4), both)).await;
         let (event, mut there) = waited.unwrap_or_else(|_| panic!("{by:?}: it is still written"));
         let Some(NodeEvent::Core(CoreEvent::AttemptEnded { outcome, .. })) = event else { panic!("{by:?}") };
@@ -197,13 +210,13 @@
     let ms = Duration::from_millis;
     let (executors, _told) = executors_with(ms(1000));
     let (host, addr) = (executors.host_to_list(executor()), Some(([127, 0, 0, 1], 1).into()));
-    executors.listed(executor(), addr, None, false);
+    executors.set_endpoint(executor(), endpoint(addr, None, false));
     let shut = host.shut();
     tokio::pin!(shut);
     assert!(timeout(ms(400), &mut shut).await.is_err(), "in the grace");
-    executors.listed(executor(), addr, None, true);
+    executors.set_endpoint(executor(), endpoint(addr, None, true));
     assert!(timeout(ms(400), &mut shut).await.is_err(), "it is healthy again, and the first grace is over");
-    executors.listed(executor(), addr, None, false);
+    executors.set_endpoint(executor(), endpoint(addr, None, false));
     assert!(timeout(ms(400), &mut shut).await.is_err(), "in the second grace");
     assert!(timeout(ms(200), &mut shut).await.is_ok(), "once that is over");
 }
@@ -215,7 +228,7 @@
     let (second, _) = listener(false);
     let [a, b] = [&first, &second].map(|l| l.local_addr().unwrap());
     let most = executors.limits.executors;
-    executors.listed(executor(), Some(a), Some(1.0), true);
+    executors.set_endpoint(executor(), endpoint(Some(a), Some(1.0), true));
     let host = executors.host_to_list(executor());
     // What happens while it is idle, and whether it is used again.
     for (what, again) in
@@ -229,15 +242,15 @@
             "closed" => drop(there),
             // Such as a second answer, some time after the first.
             "spoke" => std::io::Write::write_all(&mut there, b"HTTP/1.1 200 OK\r\n\r\n").unwrap(),
-            "restarted" => executors.listed(executor(), Some(a), Some(2.0), true),
-            "moved" => executors.listed(executor(), Some(b), Some(2.0), true),
+            "restarted" => executors.set_endpoint(executor(), endpoint(Some(a), Some(2.0), true)),
+            "moved" => executors.set_endpoint(executor(), endpoint(Some(b), Some(2.0), true)),
             _ => {}
         }
         assert_eq!(host.take_idle(&executors.limits, false).is_some(), again, "{what}");
         assert_eq!(executors.open.get(), 0, "{what}");
     }
     let old = executors.connect(&host, most, false).await.ok().unwrap();
-    executors.listed(executor(), Some(a), Some(3.0), true);
+    executors.set_endpoint(executor(), endpoint(Some(a), Some(3.0), true));
     executors.put_back(&host, old);
     assert!(host.idle.borrow().is_empty(), "one from before a restart is not kept");
     let used: Vec<_> =
@@ -257,10 +270,10 @@
     {
         let (executors, mut told) = executors_for(effect, Duration::ZERO);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        executors.listed(executor(), listener.local_addr().ok(), None, true);
+        executors.set_endpoint(executor(), endpoint(listener.local_addr().ok(), None, true));
         let (cut, stop) = (Instant::now() + Duration::from_secs(60), Rc::default());
         let run =
-            || executors.clone().allocate(push(&executors, &in_flight(), &stop, Instant::now(), [cut; 2]));
+            || executors.clone().dispatch(push(&executors, &in_flight(), &stop, Instant::now(), [cut; 2]));
         let answers = async {
             let (mut one, _) = listener.accept().await.unwrap();
             assert!(one.read(&mut [0; 1000]).await.unwrap() > 0);
