--- /dev/null
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -0,0 +1,271 @@
+//! One attempt of a request at an executor: connect, record, send, and read the response up to its outcome.
+use super::connection::PooledConnection;
+use super::executor::{Executor, IdleReuse};
+use super::pool::ExecutorPool;
+use super::response::{ResponseError, ResponseReader};
+use crate::durable::Lease;
+use crate::http1::ResponseHead;
+use crate::in_flight::{CancelSignal, InFlightRequest};
+use bytes::BytesMut;
+use std::rc::Rc;
+use tokio::time::{Instant, sleep_until, timeout};
+use troutknot::{AttemptId, Effect, ExecutorId, Outcome};
+
+/// An attempt that the driver wants carried out.
+pub struct DispatchOrder {
+    pub in_flight: Rc<InFlightRequest>,
+    pub executor: ExecutorId,
+    /// The executor's name in the endpoint list; set if the attempt is recorded in the ledger.
+    pub executor_name: Option<String>,
+    pub attempt_id: AttemptId,
+    pub decided_at: Instant,
+    /// The executor's incarnation that the dispatch was decided for, from [`ExecutorPool::incarnation`].
+    pub incarnation: u64,
+    /// When the attempt times out.
+    pub attempt_deadline: Instant,
+    /// The last byte of the request is written before this instant, or never.
+    pub send_deadline: Instant,
+    pub cancel_signal: Rc<CancelSignal>,
+}
+
+/// How an attempt ended.
+pub(super) struct AttemptEnd {
+    pub outcome: Outcome,
+    /// The attempt's lease, if it was recorded in the ledger.
+    pub lease: Option<Lease>,
+    /// The rest of the response, if the connection may be used again after it.
+    pub unread: Option<UnreadResponse>,
+}
+
+impl AttemptEnd {
+    fn without_response(outcome: Outcome, lease: Option<Lease>) -> Self {
+        AttemptEnd { outcome, lease, unread: None }
+    }
+}
+
+/// A response that is read up to its outcome.
+pub(super) struct UnreadResponse {
+    connection: PooledConnection,
+    head: ResponseHead,
+}
+
+impl UnreadResponse {
+    /// Reads to the response's end and puts the connection back, unless that takes longer than the tail timeout.
+    pub async fn finish(mut self, pool: &ExecutorPool, executor: &Executor) {
+        let mut discarded = BytesMut::new();
+        let rest = self.connection.body(&mut self.head.body, &mut discarded, pool.limits.body, false);
+        if self.head.keep && matches!(timeout(pool.limits.tail_wait, rest).await, Ok(Ok(true))) {
+            pool.put_back(executor, self.connection);
+        }
+    }
+}
+
+/// Whether an attempt is recorded in the ledger before it is sent.
+enum Recording {
+    NotDurable,
+    Recorded(Lease),
+    /// The request may no longer be sent, or the ledger refused the attempt.
+    Refused,
+}
+
+/// How waiting for the response ended.
+enum Received {
+    /// The response decided the outcome.
+    Response { outcome: Outcome, head: ResponseHead },
+    /// The attempt was given up before that.
+    GaveUp(Outcome),
+}
+
+/// An attempt that is being carried out.
+pub(super) struct Attempt<'a> {
+    pub pool: &'a ExecutorPool,
+    pub executor: &'a Executor,
+    pub order: &'a DispatchOrder,
+}
+
+impl Attempt<'_> {
+    /// Carries the attempt out, up to its outcome.
+    pub async fn run(&self) -> AttemptEnd {
+        let mut connection = match self.connect().await {
+            Ok(connection) => connection,
+            Err(outcome) => return AttemptEnd::without_response(outcome, None),
+        };
+        let lease = match self.record().await {
+            Recording::NotDurable => None,
+            Recording::Recorded(lease) => Some(lease),
+            Recording::Refused => {
+                self.pool.put_back(self.executor, connection);
+                return AttemptEnd::without_response(Outcome::NotSent, None);
+            }
+        };
+        let now = Instant::now();
+        if self.is_outdated(now) {
+            self.pool.put_back(self.executor, connection);
+            return AttemptEnd::without_response(Outcome::NotSent, lease);
+        }
+        // The peer may have closed the connection while the attempt was recorded.
+        if lease.is_some() && !connection.quiet() {
+            return AttemptEnd::without_response(Outcome::NotSent, lease);
+        }
+        if !self.send(&mut connection, lease.as_ref(), now).await {
+            // An executor does not run a request whose last byte it never receives.
+            connection.abandon();
+            return AttemptEnd::without_response(Outcome::NoConnection, lease);
+        }
+        let received = self.receive(&mut connection, lease.as_ref()).await;
+        self.finish(connection, lease, received)
+    }
+
+    /// Obtains a connection, as long as the request may still be sent.
+    async fn connect(&self) -> Result<PooledConnection, Outcome> {
+        let class = self.order.in_flight.request.class;
+        // A late duplicate of the previous response can claim that nothing ran, without naming a request. Only
+        // an idempotent request is safe to retry after that.
+        let reuse = match self.pool.codec.now().effect(class) {
+            Some(Effect::Idempotent) => IdleReuse::Any,
+            _ => IdleReuse::WithoutLateResponse,
+        };
+        let max_connections = self.pool.max_connections_for_attempts();
+        tokio::select! {
+            biased;
+            () = self.withdrawn() => Err(Outcome::NotSent),
+            () = sleep_until(self.order.attempt_deadline) => Err(Outcome::NoConnection),
+            () = sleep_until(self.order.send_deadline) => Err(Outcome::NotSent),
+            connection = self.pool.connect(self.executor, max_connections, reuse) => {
+                connection.map_err(|error| error.outcome())
+            }
+        }
+    }
+
+    /// Records the attempt of a durable request; no byte is sent before it is on disk.
+    async fn record(&self) -> Recording {
+        let order = self.order;
+        let (Some(durable), Some(executor_name)) = (order.in_flight.durable.get(), &order.executor_name)
+        else {
+            return Recording::NotDurable;
+        };
+        let request_id = order.in_flight.request_id;
+        let lease = tokio::select! {
+            biased;
+            () = self.send_forbidden() => None,
+            lease = durable.lease(request_id, executor_name, order.attempt_deadline) => lease,
+        };
+        lease.map_or(Recording::Refused, Recording::Recorded)
+    }
+
+    /// Whether the decision to send the request has been overtaken.
+    fn is_outdated(&self, now: Instant) -> bool {
+        let limits = &self.pool.limits;
+        // After a standstill of the process, events may be queued that rule this dispatch out.
+        let stood_still = now - self.order.decided_at > limits.times().connect_wait + limits.standstill;
+        // The warm-up budget that was charged belongs to an earlier incarnation of the executor.
+        let is_other_incarnation = self.executor.incarnation() != self.order.incarnation;
+        self.order.in_flight.is_over()
+            || self.executor.gate.is_closed()
+            || now >= self.order.send_deadline
+            || stood_still
+            || is_other_incarnation
+    }
+
+    /// Writes the request; false if its last byte was not written, for an error or because it may no longer be
+    /// sent. An executor that reads slowly can delay that byte for as long as it likes.
+    async fn send(&self, connection: &mut PooledConnection, lease: Option<&Lease>, now: Instant) -> bool {
+        let request = &self.order.in_flight.request;
+        let head = self.pool.codec.now().allocation(
+            request,
+            connection.address,
+            self.order.attempt_deadline - now,
+            lease.and_then(Lease::told_to_executor),
+        );
+        let parts: [&[u8]; 2] = [&head, &request.body];
+        tokio::select! {
+            biased;
+            written = connection.write(&parts) => written.is_ok(),
+            () = self.send_forbidden() => false,
+        }
+    }
+
+    /// Reads the response up to the attempt's outcome, or gives up on it.
+    async fn receive(
+        &self,
+        connection: &mut PooledConnection,
+        lease: Option<&Lease>,
+    ) -> Result<Received, ResponseError> {
+        let reader = ResponseReader::new(self.pool, self.order, lease);
+        tokio::select! {
+            biased;
+            read = reader.read(connection) => read.map(|(outcome, head)| Received::Response { outcome, head }),
+            () = lease_expired(lease) => Ok(Received::GaveUp(Outcome::TimedOut)),
+            outcome = self.order.cancel_signal.cancelled() => Ok(Received::GaveUp(outcome)),
+            () = self.abandoned() => Ok(Received::GaveUp(Outcome::Cancelled)),
+            () = sleep_until(self.order.attempt_deadline) => Ok(Received::GaveUp(Outcome::TimedOut)),
+        }
+    }
+
+    fn finish(
+        &self,
+        mut connection: PooledConnection,
+        lease: Option<Lease>,
+        received: Result<Received, ResponseError>,
+    ) -> AttemptEnd {
+        match received {
+            Ok(Received::Response { outcome, mut head }) => {
+                // A rejection does not name its request, so it may be a duplicate response to the previous
+                // attempt. It is accepted, but the connection is closed in case this request is running.
+                let names_request = head.status == 200 || !outcome.never_ran();
+                head.keep &= names_request || connection.is_clear(&self.pool.limits);
+                connection.last_response_at = Some(Instant::now());
+                AttemptEnd { outcome, lease, unread: Some(UnreadResponse { connection, head }) }
+            }
+            Ok(Received::GaveUp(outcome)) => {
+                connection.abandon();
+                AttemptEnd::without_response(outcome, lease)
+            }
+            Err(error) => {
+                connection.abandon();
+                if error.is_protocol_violation() {
+                    let address = connection.address;
+                    tracing::warn!(%address, %error, "invalid response from executor, connection closed");
+                }
+                AttemptEnd::without_response(Outcome::Reset, lease)
+            }
+        }
+    }
+
+    /// Completes when the attempt is cancelled, the request is over, or the executor is closed to requests.
+    async fn withdrawn(&self) {
+        tokio::select! {
+            biased;
+            _ = self.order.cancel_signal.cancelled() => {}
+            () = self.order.in_flight.over() => {}
+            () = self.executor.gate.closed() => {}
+        }
+    }
+
+    /// Completes when no further byte of the request may be written.
+    async fn send_forbidden(&self) {
+        tokio::select! {
+            biased;
+            () = self.withdrawn() => {}
+            () = sleep_until(self.order.send_deadline) => {}
+        }
+    }
+
+    /// Completes when nobody waits for the request any more and its class allows to break it off.
+    async fn abandoned(&self) {
+        let in_flight = &self.order.in_flight;
+        if self.pool.codec.now().may_withdraw(in_flight.request.class) {
+            in_flight.over().await;
+        } else {
+            std::future::pending().await
+        }
+    }
+}
+
+/// Completes when the executor of a recorded attempt has sent no sign of life for the lease's duration.
+async fn lease_expired(lease: Option<&Lease>) {
+    match lease {
+        Some(lease) => lease.over().await,
+        None => std::future::pending().await,
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/upstream/attempt_status.rs
@@ -0,0 +1,75 @@
+//! Asks an executor what became of a recorded attempt whose outcome is unknown.
+use super::executor::{Executor, IdleReuse};
+use super::pool::ExecutorPool;
+use crate::durable::Lease;
+use crate::in_flight::{Answer, InFlightRequest};
+use crate::protocol::{self, AttemptFate};
+use bytes::BytesMut;
+use std::time::Duration;
+use tokio::time::{sleep, sleep_until, timeout};
+use troutknot::Outcome;
+
+/// Interval between two queries while the executor reports no final state.
+const QUERY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Queries the status of one attempt. The query fences it: an attempt that has not started never will.
+pub(super) struct AttemptStatusQuery<'a> {
+    pub pool: &'a ExecutorPool,
+    pub executor: &'a Executor,
+    pub in_flight: &'a InFlightRequest,
+    pub lease: &'a Lease,
+}
+
+impl AttemptStatusQuery<'_> {
+    /// Repeats the query until the executor reports a final state. None if the executor does not support fences
+    /// or does not know the attempt, or if the request is over first. An expired lease proves nothing.
+    pub async fn resolve(&self) -> Option<Outcome> {
+        if !self.lease.fences_known() {
+            return None;
+        }
+        loop {
+            let probe_timeout = self.pool.limits.times().probe_wait;
+            let fate = tokio::select! {
+                biased;
+                () = self.in_flight.over() => return None,
+                () = sleep_until(self.in_flight.deadline) => return None,
+                fate = timeout(probe_timeout, self.query()) => fate.ok().flatten(),
+            };
+            match fate {
+                Some(AttemptFate::Never) if self.lease.fenced() => return Some(Outcome::NoConnection),
+                Some(AttemptFate::Done(result)) => {
+                    self.in_flight.answer(Answer::Completed(result));
+                    return Some(Outcome::Completed);
+                }
+                Some(AttemptFate::Never | AttemptFate::Lost) => return None,
+                Some(AttemptFate::Running) | None => {}
+            }
+            tokio::select! {
+                () = self.in_flight.over() => return None,
+                () = sleep(QUERY_INTERVAL) => {}
+            }
+        }
+    }
+
+    /// One query; none if the executor cannot be reached or its response is not understood.
+    async fn query(&self) -> Option<AttemptFate> {
+        let limits = &self.pool.limits;
+        let connection = self.pool.connect(self.executor, limits.executors, IdleReuse::Any).await;
+        let mut connection = connection.ok()?;
+        let query = self.pool.codec.now().fence(
+            &self.in_flight.request.id,
+            self.lease.fence,
+            self.lease.age(),
+            self.executor.address()?,
+        );
+        connection.write(&[&query]).await.ok()?;
+        let mut head = connection.answer_head().await.ok()?;
+        let mut body = BytesMut::new();
+        connection.body(&mut head.body, &mut body, 2 * limits.body, false).await.ok()?;
+        let fate = protocol::fate(&head, &body);
+        if head.keep {
+            self.pool.put_back(self.executor, connection);
+        }
+        fate
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/upstream/pool.rs
@@ -0,0 +1,228 @@
+//! The executors of a node and the connections to them.
+use super::connection::{ConnectionCounter, PooledConnection};
+use super::executor::{Executor, ExecutorEndpoint, IdleReuse};
+use crate::byte_budget::ByteBudget;
+use crate::config::limits::Limits;
+use crate::event::NodeEvent;
+use crate::hot_restart::SiblingProcess;
+use crate::http1::Connection;
+use crate::protocol::{Codec, Current};
+use slotmap::SecondaryMap;
+use std::cell::RefCell;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+use tokio::time::{sleep, timeout};
+use troutknot::{ExecutorId, Outcome};
+
+/// Lower bound on the interval between two searches for expired connections.
+const MIN_EXPIRY_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Searches for expired connections per idle timeout.
+const EXPIRY_CHECKS_PER_TIMEOUT: u32 = 8;
+
+/// One in this number of connections is reserved for load probes and attempt status queries.
+const CONNECTIONS_PER_RESERVED: usize = 16;
+
+/// Why there is no connection to an executor.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ConnectError {
+    #[error("every connection that the node may have is in use")]
+    Exhausted,
+    #[error("the endpoint list gives no address")]
+    NoAddress,
+    #[error("connecting timed out")]
+    TimedOut,
+    #[error("cannot connect")]
+    Failed(#[source] io::Error),
+}
+
+impl ConnectError {
+    /// What it means for an attempt.
+    pub fn outcome(&self) -> Outcome {
+        match self {
+            ConnectError::Exhausted => Outcome::NotSent,
+            ConnectError::NoAddress | ConnectError::TimedOut | ConnectError::Failed(_) => {
+                Outcome::NoConnection
+            }
+        }
+    }
+}
+
+/// The executors that the driver registered, with pooled connections to each.
+pub struct ExecutorPool {
+    pub limits: Rc<Limits>,
+    pub codec: Rc<Current<Codec>>,
+    /// Where outcomes and load reports are sent.
+    pub events: mpsc::Sender<NodeEvent>,
+    /// The node's other process during a hot restart.
+    pub sibling: Rc<SiblingProcess>,
+    executors: RefCell<SecondaryMap<ExecutorId, Rc<Executor>>>,
+    open_connections: ConnectionCounter,
+    ring_bytes: Rc<ByteBudget>,
+}
+
+impl ExecutorPool {
+    /// A pool without executors.
+    pub fn new(
+        limits: Rc<Limits>,
+        codec: Rc<Current<Codec>>,
+        events: mpsc::Sender<NodeEvent>,
+        sibling: Rc<SiblingProcess>,
+    ) -> Rc<Self> {
+        Rc::new(ExecutorPool {
+            // A connection has two rings.
+            ring_bytes: ByteBudget::new(limits.executors * 2 * limits.ring),
+            limits,
+            codec,
+            events,
+            sibling,
+            executors: RefCell::default(),
+            open_connections: ConnectionCounter::default(),
+        })
+    }
+
+    /// Takes over what the endpoint list says of an executor, which is registered if it is new. An executor that
+    /// is not ready is sent nothing more after the drain wait.
+    pub fn set_endpoint(&self, executor: ExecutorId, endpoint: ExecutorEndpoint) {
+        self.executor_or_insert(executor).set_endpoint(endpoint, self.limits.times().drain_wait);
+    }
+
+    /// Allocates memory for this number of executors in one step.
+    pub fn reserve(&self, executors: usize) {
+        self.executors.borrow_mut().set_capacity(executors);
+    }
+
+    /// Sends nothing more to an executor after the drain wait.
+    pub fn start_draining(&self, executor: ExecutorId) {
+        if let Some(executor) = self.executor(executor) {
+            executor.gate.close_after(self.limits.times().drain_wait);
+        }
+    }
+
+    /// Closes the idle connections to an executor, which may have ended without notice.
+    pub fn close_idle_connections(&self, executor: ExecutorId) {
+        if let Some(executor) = self.executor(executor) {
+            executor.idle.clear();
+        }
+    }
+
+    /// Counts the starts and moves of an executor that the endpoint list has reported; 0 if it is not registered.
+    pub fn incarnation(&self, executor: ExecutorId) -> u64 {
+        self.executor(executor).map_or(0, |executor| executor.incarnation())
+    }
+
+    /// Removes an executor: its idle connections are closed, and nothing more is sent to it.
+    pub fn release(&self, executor: ExecutorId) {
+        if let Some(executor) = self.executors.borrow_mut().remove(executor) {
+            executor.idle.clear();
+            executor.gate.close();
+        }
+    }
+
+    /// The number of connections that are open or being opened.
+    pub fn connection_count(&self) -> usize {
+        self.open_connections.get()
+    }
+
+    /// The number of registered executors.
+    #[cfg(test)]
+    pub fn executor_count(&self) -> usize {
+        self.executors.borrow().len()
+    }
+
+    /// The limit on open connections past which no attempt opens another one.
+    pub(super) fn max_connections_for_attempts(&self) -> usize {
+        let limit = self.limits.executors;
+        limit - (limit / CONNECTIONS_PER_RESERVED).max(1)
+    }
+
+    /// A registered executor.
+    pub(super) fn executor(&self, executor: ExecutorId) -> Option<Rc<Executor>> {
+        self.executors.borrow().get(executor).cloned()
+    }
+
+    pub(super) fn executor_or_insert(&self, id: ExecutorId) -> Rc<Executor> {
+        if let Some(executor) = self.executor(id) {
+            return executor;
+        }
+        let executor: Rc<Executor> = Rc::default();
+        self.executors.borrow_mut().insert(id, executor.clone());
+        executor
+    }
+
+    /// An idle connection, or a new one if fewer than `max_connections` are open on all executors.
+    ///
+    /// # Errors
+    /// If the limit is reached and none is idle, or if the executor cannot be reached.
+    pub(super) async fn connect(
+        &self,
+        executor: &Executor,
+        max_connections: usize,
+        reuse: IdleReuse,
+    ) -> Result<PooledConnection, ConnectError> {
+        if let Some(connection) = executor.idle.take(&self.limits, reuse) {
+            return Ok(connection);
+        }
+        let open_connections = self.open_connections.get() + self.sibling.other().executors;
+        if open_connections >= max_connections && !self.close_longest_idle() {
+            return Err(ConnectError::Exhausted);
+        }
+        self.open(executor).await
+    }
+
+    async fn open(&self, executor: &Executor) -> Result<PooledConnection, ConnectError> {
+        let address = executor.address().ok_or(ConnectError::NoAddress)?;
+        let permit = self.open_connections.acquire();
+        let incarnation = executor.incarnation();
+        let stream = timeout(self.limits.times().connect_wait, TcpStream::connect(address))
+            .await
+            .map_err(|_| ConnectError::TimedOut)?
+            .map_err(ConnectError::Failed)?;
+        // Bytes in the send buffer cannot be withdrawn from an executor that reads slowly.
+        let _ = socket2::SockRef::from(&stream).set_send_buffer_size(self.limits.ring);
+        let connection = Connection::new(stream, self.limits.ring, &self.ring_bytes);
+        Ok(PooledConnection::new(connection, address, incarnation, permit))
+    }
+
+    /// Closes the connection that is idle the longest, of all executors; false if none is idle.
+    fn close_longest_idle(&self) -> bool {
+        let executors = self.executors.borrow();
+        let longest_idle = executors
+            .values()
+            .filter_map(|executor| Some((executor.idle.oldest_since()?, executor)))
+            .min_by_key(|(since, _)| *since);
+        match longest_idle {
+            Some((_, executor)) => {
+                executor.idle.close_oldest();
+                true
+            }
+            None => false,
+        }
+    }
+
+    /// Keeps a connection whose last message is complete for the next one.
+    pub(super) fn put_back(&self, executor: &Executor, mut connection: PooledConnection) {
+        if executor.accepts(&connection) {
+            connection.rest();
+            executor.idle.push(connection);
+        }
+    }
+
+    /// Closes idle connections before the executor does, which might be while a request is sent on them.
+    pub async fn close_expired_connections(self: Rc<Self>) {
+        loop {
+            let interval = self.limits.times().retire_after / EXPIRY_CHECKS_PER_TIMEOUT;
+            sleep(interval.max(MIN_EXPIRY_INTERVAL)).await;
+            for executor in self.executors.borrow().values() {
+                if executor.gate.is_closed() {
+                    executor.idle.clear();
+                } else {
+                    executor.idle.close_unusable(&self.limits);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/upstream/probe.rs
@@ -0,0 +1,41 @@
+//! Load probes: asks an executor for its load report.
+use super::executor::{Executor, IdleReuse};
+use super::pool::ExecutorPool;
+use bytes::BytesMut;
+use tokio::time::{Instant, timeout_at};
+use troutknot::{ExecutorId, LoadReport, ProbeReply};
+
+/// Probes an executor. None if it is not registered, or if it does not report in time.
+pub(super) async fn probe(pool: &ExecutorPool, executor: ExecutorId) -> Option<ProbeReply> {
+    let started_at = Instant::now();
+    let probe_timeout = pool.limits.times().probe_wait;
+    let report = match pool.executor(executor) {
+        Some(executor) => timeout_at(started_at + probe_timeout, request_report(pool, &executor)).await,
+        None => Ok(None),
+    };
+    if report.is_err() {
+        // Connections to a machine that is cut off stay open without an error.
+        pool.close_idle_connections(executor);
+    }
+    let latency = started_at.elapsed();
+    // After a standstill of the process the report is out of date.
+    if latency > probe_timeout + pool.limits.standstill {
+        return None;
+    }
+    let report = report.ok().flatten()?;
+    Some(ProbeReply { latency: latency.as_secs_f64() * 1000.0, report })
+}
+
+async fn request_report(pool: &ExecutorPool, executor: &Executor) -> Option<LoadReport> {
+    let mut connection = pool.connect(executor, pool.limits.executors, IdleReuse::Any).await.ok()?;
+    let request = pool.codec.now().probe(executor.address()?);
+    connection.write(&[request.as_bytes()]).await.ok()?;
+    let mut head = connection.answer_head().await.ok()?;
+    let mut body = BytesMut::new();
+    connection.body(&mut head.body, &mut body, pool.limits.ring, false).await.ok()?;
+    let report = (head.status == 200).then(|| pool.codec.now().reading(&head, &body));
+    if head.keep {
+        pool.put_back(executor, connection);
+    }
+    report
+}
--- /dev/null
+++ b/crates/daemon/src/upstream/response.rs
@@ -0,0 +1,120 @@
+//! Reads an executor's response to an attempt, up to the event that decides the outcome.
+use super::attempt::DispatchOrder;
+use super::connection::PooledConnection;
+use super::pool::ExecutorPool;
+use crate::durable::Lease;
+use crate::event::NodeEvent;
+use crate::http1::{Failed, ResponseHead};
+use crate::in_flight::Answer;
+use crate::protocol::{self, AttemptEvent};
+use bytes::BytesMut;
+use troutknot::{Event as CoreEvent, Outcome};
+
+/// Why a response gives no outcome.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ResponseError {
+    #[error("{0}")]
+    Http(Failed),
+    #[error("invalid event: {0}")]
+    InvalidEvent(String),
+    #[error("the request was returned as not started after it had started")]
+    ReturnedAfterStart,
+    #[error("the response ended without an outcome")]
+    NoOutcome,
+}
+
+impl From<Failed> for ResponseError {
+    fn from(error: Failed) -> Self {
+        ResponseError::Http(error)
+    }
+}
+
+impl ResponseError {
+    /// Whether the executor broke the protocol, in contrast to a connection that was lost.
+    pub fn is_protocol_violation(&self) -> bool {
+        matches!(self, ResponseError::Http(Failed::Bad(_)) | ResponseError::InvalidEvent(_))
+    }
+}
+
+/// Reads one response and reports its events.
+pub(super) struct ResponseReader<'a> {
+    pool: &'a ExecutorPool,
+    order: &'a DispatchOrder,
+    lease: Option<&'a Lease>,
+    has_started: bool,
+}
+
+impl<'a> ResponseReader<'a> {
+    /// A reader of the response to `order`; signs of life extend the lease.
+    pub fn new(pool: &'a ExecutorPool, order: &'a DispatchOrder, lease: Option<&'a Lease>) -> Self {
+        ResponseReader { pool, order, lease, has_started: false }
+    }
+
+    /// Reads up to the outcome. The head tells how the rest of the response is framed.
+    ///
+    /// # Errors
+    /// If the connection ends before the outcome, or the response breaks the protocol.
+    pub async fn read(
+        mut self,
+        connection: &mut PooledConnection,
+    ) -> Result<(Outcome, ResponseHead), ResponseError> {
+        let mut head = connection.answer_head().await?;
+        self.extend_lease(false);
+        if let Some(outcome) = protocol::taken(&head) {
+            return Ok((outcome, head));
+        }
+        // JSON escapes can make a result longer than the body that it encodes.
+        let max_bytes = 2 * self.pool.limits.body;
+        let mut buffer = BytesMut::new();
+        loop {
+            let is_complete = connection.body(&mut head.body, &mut buffer, max_bytes, true).await?;
+            while let Some(line) = protocol::next_line(&mut buffer, is_complete) {
+                if let Some(outcome) = self.handle_line(&line)? {
+                    return Ok((outcome, head));
+                }
+            }
+            if is_complete {
+                return Err(ResponseError::NoOutcome);
+            }
+        }
+    }
+
+    /// Returns the outcome if this event decides it.
+    fn handle_line(&mut self, line: &[u8]) -> Result<Option<Outcome>, ResponseError> {
+        let in_flight = &self.order.in_flight;
+        let event = protocol::line(line, &in_flight.request.id).map_err(ResponseError::InvalidEvent)?;
+        let is_running = matches!(event, AttemptEvent::Started | AttemptEvent::Progress(_));
+        self.extend_lease(is_running);
+        self.has_started |= is_running;
+        let (request_id, attempt_id) = (in_flight.request_id, self.order.attempt_id);
+        match event {
+            AttemptEvent::Started => {
+                self.report(CoreEvent::AttemptStarted { request_id, attempt_id });
+                Ok(None)
+            }
+            AttemptEvent::Progress(share) => {
+                self.report(CoreEvent::AttemptProgressed { request_id, attempt_id, share });
+                Ok(None)
+            }
+            AttemptEvent::Result(result) => {
+                in_flight.answer(Answer::Completed(result));
+                Ok(Some(Outcome::Completed))
+            }
+            AttemptEvent::Ended(outcome) if self.has_started && outcome.never_ran() => {
+                Err(ResponseError::ReturnedAfterStart)
+            }
+            AttemptEvent::Ended(outcome) => Ok(Some(outcome)),
+        }
+    }
+
+    fn extend_lease(&self, is_running: bool) {
+        if let Some(lease) = self.lease {
+            lease.beat(is_running);
+        }
+    }
+
+    /// Progress may be lost if the driver is behind; the outcome may not, and is not reported here.
+    fn report(&self, event: CoreEvent) {
+        let _ = self.pool.events.try_send(NodeEvent::Core(event));
+    }
+}
