--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -53,8 +53,10 @@
     /// Reads to the response's end and puts the connection back, unless that takes longer than the tail timeout.
     pub async fn finish(mut self, pool: &ExecutorPool, executor: &Executor) {
         let mut discarded = BytesMut::new();
-        let rest = self.connection.body(&mut self.head.body, &mut discarded, pool.limits.body, false);
-        if self.head.keep && matches!(timeout(pool.limits.tail_wait, rest).await, Ok(Ok(true))) {
+        let rest =
+            self.connection.body(&mut self.head.body, &mut discarded, pool.limits.max_body_bytes, false);
+        if self.head.keep && matches!(timeout(pool.limits.rest_of_message_timeout, rest).await, Ok(Ok(true)))
+        {
             pool.put_back(executor, self.connection);
         }
     }
@@ -157,7 +159,8 @@
     fn is_outdated(&self, now: Instant) -> bool {
         let limits = &self.pool.limits;
         // After a standstill of the process, events may be queued that rule this dispatch out.
-        let stood_still = now - self.order.decided_at > limits.times().connect_wait + limits.standstill;
+        let stood_still =
+            now - self.order.decided_at > limits.timeouts().connect_timeout + limits.stall_threshold;
         // The warm-up budget that was charged belongs to an earlier incarnation of the executor.
         let is_other_incarnation = self.executor.incarnation() != self.order.incarnation;
         self.order.in_flight.is_over()
--- a/crates/daemon/src/upstream/attempt_status.rs
+++ b/crates/daemon/src/upstream/attempt_status.rs
@@ -28,7 +28,7 @@
             return None;
         }
         loop {
-            let probe_timeout = self.pool.limits.times().probe_wait;
+            let probe_timeout = self.pool.limits.timeouts().probe_timeout;
             let fate = tokio::select! {
                 biased;
                 () = self.in_flight.over() => return None,
@@ -54,7 +54,8 @@
     /// One query; none if the executor cannot be reached or its response is not understood.
     async fn query(&self) -> Option<AttemptFate> {
         let limits = &self.pool.limits;
-        let connection = self.pool.connect(self.executor, limits.executors, IdleReuse::Any).await;
+        let connection =
+            self.pool.connect(self.executor, limits.upstream.max_connections, IdleReuse::Any).await;
         let mut connection = connection.ok()?;
         let query = self.pool.codec.now().fence(
             &self.in_flight.request.id,
@@ -65,7 +66,7 @@
         connection.write(&[&query]).await.ok()?;
         let mut head = connection.answer_head().await.ok()?;
         let mut body = BytesMut::new();
-        connection.body(&mut head.body, &mut body, 2 * limits.body, false).await.ok()?;
+        connection.body(&mut head.body, &mut body, 2 * limits.max_body_bytes, false).await.ok()?;
         let fate = protocol::fate(&head, &body);
         if head.keep {
             self.pool.put_back(self.executor, connection);
--- a/crates/daemon/src/upstream/pool.rs
+++ b/crates/daemon/src/upstream/pool.rs
@@ -74,7 +74,7 @@
     ) -> Rc<Self> {
         Rc::new(ExecutorPool {
             // A connection has two rings.
-            ring_bytes: ByteBudget::new(limits.executors * 2 * limits.ring),
+            ring_bytes: ByteBudget::new(limits.upstream.max_connections * 2 * limits.connection_buffer_bytes),
             limits,
             codec,
             events,
@@ -87,7 +87,8 @@
     /// Takes over what the endpoint list says of an executor, which is registered if it is new. An executor that
     /// is not ready is sent nothing more after the drain wait.
     pub fn set_endpoint(&self, executor: ExecutorId, endpoint: ExecutorEndpoint) {
-        self.executor_or_insert(executor).set_endpoint(endpoint, self.limits.times().drain_wait);
+        self.executor_or_insert(executor)
+            .set_endpoint(endpoint, self.limits.timeouts().drained_dispatch_grace);
     }
 
     /// Allocates memory for this number of executors in one step.
@@ -98,7 +99,7 @@
     /// Sends nothing more to an executor after the drain wait.
     pub fn start_draining(&self, executor: ExecutorId) {
         if let Some(executor) = self.executor(executor) {
-            executor.gate.close_after(self.limits.times().drain_wait);
+            executor.gate.close_after(self.limits.timeouts().drained_dispatch_grace);
         }
     }
 
@@ -135,7 +136,7 @@
 
     /// The limit on open connections past which no attempt opens another one.
     pub(super) fn max_connections_for_attempts(&self) -> usize {
-        let limit = self.limits.executors;
+        let limit = self.limits.upstream.max_connections;
         limit - (limit / CONNECTIONS_PER_RESERVED).max(1)
     }
 
@@ -177,13 +178,13 @@
         let address = executor.address().ok_or(ConnectError::NoAddress)?;
         let permit = self.open_connections.acquire();
         let incarnation = executor.incarnation();
-        let stream = timeout(self.limits.times().connect_wait, TcpStream::connect(address))
+        let stream = timeout(self.limits.timeouts().connect_timeout, TcpStream::connect(address))
             .await
             .map_err(|_| ConnectError::TimedOut)?
             .map_err(ConnectError::Failed)?;
         // Bytes in the send buffer cannot be withdrawn from an executor that reads slowly.
-        let _ = socket2::SockRef::from(&stream).set_send_buffer_size(self.limits.ring);
-        let connection = Connection::new(stream, self.limits.ring, &self.ring_bytes);
+        let _ = socket2::SockRef::from(&stream).set_send_buffer_size(self.limits.connection_buffer_bytes);
+        let connection = Connection::new(stream, self.limits.connection_buffer_bytes, &self.ring_bytes);
         Ok(PooledConnection::new(connection, address, incarnation, permit))
     }
 
@@ -214,7 +215,7 @@
     /// Closes idle connections before the executor does, which might be while a request is sent on them.
     pub async fn close_expired_connections(self: Rc<Self>) {
         loop {
-            let interval = self.limits.times().retire_after / EXPIRY_CHECKS_PER_TIMEOUT;
+            let interval = self.limits.timeouts().max_pooled_idle / EXPIRY_CHECKS_PER_TIMEOUT;
             sleep(interval.max(MIN_EXPIRY_INTERVAL)).await;
             for executor in self.executors.borrow().values() {
                 if executor.gate.is_closed() {
--- a/crates/daemon/src/upstream/probe.rs
+++ b/crates/daemon/src/upstream/probe.rs
@@ -8,7 +8,7 @@
 /// Probes an executor. None if it is not registered, or if it does not report in time.
 pub(super) async fn probe(pool: &ExecutorPool, executor: ExecutorId) -> Option<ProbeReply> {
     let started_at = Instant::now();
-    let probe_timeout = pool.limits.times().probe_wait;
+    let probe_timeout = pool.limits.timeouts().probe_timeout;
     let report = match pool.executor(executor) {
         Some(executor) => timeout_at(started_at + probe_timeout, request_report(pool, &executor)).await,
         None => Ok(None),
@@ -19,7 +19,7 @@
     }
     let latency = started_at.elapsed();
     // After a standstill of the process the report is out of date.
-    if latency > probe_timeout + pool.limits.standstill {
+    if latency > probe_timeout + pool.limits.stall_threshold {
         return None;
     }
     let report = report.ok().flatten()?;
@@ -27,12 +27,13 @@
 }
 
 async fn request_report(pool: &ExecutorPool, executor: &Executor) -> Option<LoadReport> {
-    let mut connection = pool.connect(executor, pool.limits.executors, IdleReuse::Any).await.ok()?;
+    let mut connection =
+        pool.connect(executor, pool.limits.upstream.max_connections, IdleReuse::Any).await.ok()?;
     let request = pool.codec.now().probe(executor.address()?);
     connection.write(&[request.as_bytes()]).await.ok()?;
     let mut head = connection.answer_head().await.ok()?;
     let mut body = BytesMut::new();
-    connection.body(&mut head.body, &mut body, pool.limits.ring, false).await.ok()?;
+    connection.body(&mut head.body, &mut body, pool.limits.connection_buffer_bytes, false).await.ok()?;
     let report = (head.status == 200).then(|| pool.codec.now().reading(&head, &body));
     if head.keep {
         pool.put_back(executor, connection);
--- a/crates/daemon/src/upstream/response.rs
+++ b/crates/daemon/src/upstream/response.rs
@@ -64,7 +64,7 @@
             return Ok((outcome, head));
         }
         // JSON escapes can make a result longer than the body that it encodes.
-        let max_bytes = 2 * self.pool.limits.body;
+        let max_bytes = 2 * self.pool.limits.max_body_bytes;
         let mut buffer = BytesMut::new();
         loop {
             let is_complete = connection.body(&mut head.body, &mut buffer, max_bytes, true).await?;
--- a/crates/daemon/tests/unit/upstream.rs
+++ b/crates/daemon/tests/unit/upstream.rs
@@ -30,16 +30,16 @@
 fn pool_for_effect(effect: &str, drain_grace: Duration) -> (Rc<ExecutorPool>, mpsc::Receiver<NodeEvent>) {
     let codec = Codec::of_effect(effect);
     let wait = Duration::from_secs(5);
-    let mut limits = Limits::of(&crate::config::limits::LimitInputs {
+    let mut limits = Limits::new(&crate::config::limits::LimitInputs {
         memory_mb: 64,
-        sockets: 128,
-        connect_wait: Some(wait),
-        executors_idle: Some(wait),
+        max_sockets: 128,
+        connect_timeout: Some(wait),
+        executor_idle_timeout: Some(wait),
         drain_grace: Some(drain_grace),
         ..Default::default()
     });
     // Longer than any test, so that no connection becomes clear of duplicate responses.
-    limits.second_answer = wait;
+    limits.upstream.duplicate_response_window = wait;
     let (events, received) = mpsc::channel(16);
     (ExecutorPool::new(Rc::new(limits), codec, events, Rc::default()), received)
 }
@@ -258,7 +258,7 @@
     let (first, _) = listener(AcceptQueue::Free);
     let (second, _) = listener(AcceptQueue::Free);
     let [first_address, second_address] = [&first, &second].map(|l| l.local_addr().unwrap());
-    let max_connections = pool.limits.executors;
+    let max_connections = pool.limits.upstream.max_connections;
     pool.set_endpoint(executor(), endpoint(Some(first_address), Some(1.0), true));
     let entry = pool.executor_or_insert(executor());
     // What happens while the connection is idle, and whether it is reused.
