--- /dev/null
+++ b/crates/daemon/src/downstream/admission.rs
@@ -0,0 +1,76 @@
+//! Admits a request: detects duplicates, reserves its memory and sets its deadlines.
+use super::DownstreamServer;
+use super::connection::ConnectionAdmission;
+use crate::in_flight::{ClientRequest, InFlightRequest};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Upper bound on the part of a client's timeout that the margin of a request's deadline may take.
+const MAX_DEADLINE_MARGIN_SHARE: f64 = 0.2;
+
+/// Upper bound on the part of a client's timeout that the margin of the last answer may take.
+const MAX_LAST_ANSWER_MARGIN_SHARE: f64 = 0.1;
+
+/// A request that is in flight from now on.
+pub(super) struct AdmittedRequest {
+    pub in_flight: Rc<InFlightRequest>,
+    /// When the client gets its answer at the latest, whatever became of the request.
+    pub last_answer_at: Instant,
+}
+
+/// Why a request is not admitted.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum AdmissionError {
+    #[error("a request with this id is open or was admitted recently")]
+    Duplicate,
+    #[error("the node has no capacity for the request")]
+    NoCapacity,
+}
+
+impl DownstreamServer {
+    /// Admits a request whose client waits for `time_left` from now on.
+    ///
+    /// # Errors
+    /// If the request is a duplicate, or if its connection or its bytes exceed the node's limits.
+    pub(super) fn admit(
+        &self,
+        request: ClientRequest,
+        time_left: Duration,
+        admission: ConnectionAdmission,
+    ) -> Result<AdmittedRequest, AdmissionError> {
+        let admitted_at = Instant::now();
+        let margin =
+            bounded_margin(self.limits.downstream.deadline_margin, time_left, MAX_DEADLINE_MARGIN_SHARE);
+        let deadline = admitted_at + (time_left - margin);
+        let last_answer_at = admitted_at + self.last_answer_wait(time_left);
+        let client_id = request.id.clone();
+        if self.request_ids.is_open(&client_id) {
+            return Err(AdmissionError::Duplicate);
+        }
+        if admission == ConnectionAdmission::OverLimit {
+            return Err(AdmissionError::NoCapacity);
+        }
+        let request_id = self.request_ids.next();
+        let in_flight = InFlightRequest::new(request_id, request, deadline, &self.request_bytes)
+            .ok_or(AdmissionError::NoCapacity)?;
+        let token = troutknot_membership::token(&client_id);
+        if !self.request_ids.record_token(token, &self.limits) {
+            return Err(AdmissionError::Duplicate);
+        }
+        self.sibling.announce_request(token);
+        self.request_ids.open(client_id);
+        Ok(AdmittedRequest { in_flight, last_answer_at })
+    }
+
+    /// How long a client that waits for `time_left` may go without an answer.
+    pub(super) fn last_answer_wait(&self, time_left: Duration) -> Duration {
+        let margin = self.limits.downstream.last_answer_margin;
+        time_left - bounded_margin(margin, time_left, MAX_LAST_ANSWER_MARGIN_SHARE)
+    }
+}
+
+/// The margin before the end of `time_left`, which takes at most this share of it.
+fn bounded_margin(margin: Duration, time_left: Duration, max_share: f64) -> Duration {
+    margin.min(time_left.mul_f64(max_share))
+}
--- /dev/null
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -0,0 +1,173 @@
+//! Handles a durable request: it is recorded in the ledger before it is dispatched, and a repeat of it joins it.
+use super::DownstreamServer;
+use super::admission::AdmissionError;
+use super::connection::{ClientSession, ExchangeEnd};
+use super::eviction::ConnectionState;
+use super::request::Submission;
+use super::response::millis;
+use crate::durable::{Durable, Found, JoinedRequest};
+use crate::event::NodeEvent;
+use crate::in_flight::{Answer, ClientRequest};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, sleep_until};
+use troutknot::RequestId;
+
+/// Retry-After of durable requests that cannot be recorded now.
+const LEDGER_RETRY_AFTER: Duration = Duration::from_secs(1);
+
+/// Why a durable request gets no answer.
+#[derive(Debug, thiserror::Error)]
+enum DurableError {
+    #[error("the idempotency key was used for another request")]
+    KeyMismatch,
+    #[error("a request with this id is open or on record")]
+    Duplicate,
+    #[error("the client disconnected")]
+    Disconnected,
+}
+
+impl DurableError {
+    /// The status of the response; none if nobody is left to receive it.
+    fn status(&self) -> Option<u16> {
+        match self {
+            DurableError::KeyMismatch => Some(422),
+            DurableError::Duplicate => Some(409),
+            DurableError::Disconnected => None,
+        }
+    }
+}
+
+/// The answer to a durable request.
+struct DurableAnswer {
+    answer: Answer,
+    /// The job that this client is to be recorded as having the answer of.
+    acknowledges: Option<RequestId>,
+}
+
+impl DurableAnswer {
+    /// Nothing can be recorded at present.
+    fn retry_later() -> Self {
+        DurableAnswer { answer: Answer::Rejected(Some(millis(LEDGER_RETRY_AFTER))), acknowledges: None }
+    }
+}
+
+/// A job whose answer is waited for.
+struct PendingJob {
+    job: Rc<JoinedRequest>,
+    acknowledges: Option<RequestId>,
+    /// When the client gets its answer at the latest.
+    last_answer_at: Instant,
+}
+
+/// What became of a new durable request.
+enum JobStart {
+    Recorded(PendingJob),
+    /// It was not recorded, and this is its answer.
+    NotRecorded(DurableAnswer),
+}
+
+impl ClientSession {
+    /// Handles a request that is to be recorded.
+    pub(super) async fn handle_durable(&mut self, submission: Submission) -> ExchangeEnd {
+        self.entry.set_state(ConnectionState::Busy);
+        let requested_reuse = submission.reuse;
+        let DurableAnswer { answer, acknowledges } = match self.run_durable(submission).await {
+            Ok(answer) => answer,
+            Err(error) => {
+                return match error.status() {
+                    Some(status) => self.reject(status, &error).await,
+                    None => ExchangeEnd::Drop,
+                };
+            }
+        };
+        let reuse = self.reuse_after_answer(requested_reuse);
+        let delivery = self.send_answer(&answer, reuse).await;
+        if let Some(request_id) = acknowledges.filter(|_| delivery.is_written) {
+            self.server.ledger().iter().for_each(|ledger| ledger.acknowledged(request_id));
+        }
+        delivery.end
+    }
+
+    /// Records a request, or finds it in the ledger, and waits for its answer.
+    async fn run_durable(&mut self, submission: Submission) -> Result<DurableAnswer, DurableError> {
+        // During a hot restart the older process may still have the ledger open.
+        let Some(ledger) = self.server.ledger() else { return Ok(DurableAnswer::retry_later()) };
+        let pending = match ledger.find(&submission.request) {
+            Found::OtherBody => return Err(DurableError::KeyMismatch),
+            Found::Twice => return Err(DurableError::Duplicate),
+            Found::Ended(request_id) => {
+                // An answer that cannot be read leaves open whether the request ran.
+                let answer = ledger.recorded(request_id).await.unwrap_or(Answer::Failed);
+                return Ok(DurableAnswer { answer, acknowledges: Some(request_id) });
+            }
+            Found::Open(job) => {
+                let last_answer_at = Instant::now() + self.server.last_answer_wait(submission.time_left);
+                PendingJob { job, acknowledges: None, last_answer_at }
+            }
+            Found::New => match self.start_job(&ledger, submission).await? {
+                JobStart::Recorded(pending) => pending,
+                JobStart::NotRecorded(answer) => return Ok(answer),
+            },
+        };
+        self.wait_for_job(pending).await
+    }
+
+    /// Records a new request and hands it to the driver.
+    async fn start_job(
+        &self,
+        ledger: &Rc<Durable>,
+        submission: Submission,
+    ) -> Result<JobStart, DurableError> {
+        if !ledger.is_ready() {
+            return Ok(JobStart::NotRecorded(DurableAnswer::retry_later()));
+        }
+        let Submission { request, time_left, .. } = submission;
+        let admitted = match self.server.admit(request, time_left, self.admission) {
+            Ok(admitted) => admitted,
+            Err(AdmissionError::Duplicate) => return Err(DurableError::Duplicate),
+            Err(AdmissionError::NoCapacity) => {
+                return Ok(JobStart::NotRecorded(DurableAnswer::retry_later()));
+            }
+        };
+        let (in_flight, last_answer_at) = (admitted.in_flight, admitted.last_answer_at);
+        let _ = in_flight.durable.set(ledger.clone());
+        let recorded = ledger.take(&in_flight, last_answer_at).await;
+        // From here on the ledger detects duplicates of it.
+        self.server.request_ids.close(&in_flight.request.id);
+        let job = match recorded {
+            Ok(job) => job,
+            Err(answer) => {
+                return Ok(JobStart::NotRecorded(DurableAnswer { answer, acknowledges: None }));
+            }
+        };
+        let acknowledges = Some(in_flight.request_id);
+        let _ = self.server.events.send(NodeEvent::RequestArrived(in_flight)).await;
+        Ok(JobStart::Recorded(PendingJob { job, acknowledges, last_answer_at }))
+    }
+
+    /// Waits for the answer to a job. The job goes on if the client disconnects.
+    async fn wait_for_job(&mut self, pending: PendingJob) -> Result<DurableAnswer, DurableError> {
+        let answer = tokio::select! {
+            biased;
+            answer = pending.job.answered() => answer,
+            () = self.connection.gone() => return Err(DurableError::Disconnected),
+            () = sleep_until(pending.last_answer_at) => Answer::Failed,
+        };
+        Ok(DurableAnswer { answer, acknowledges: pending.acknowledges })
+    }
+}
+
+impl DownstreamServer {
+    /// Whether a request is recorded in the ledger: by its idempotency key, or by the effect of its class.
+    pub(super) fn is_durable(&self, request: &ClientRequest) -> bool {
+        let Some(config) = &self.durable_config else { return false };
+        let effect = self.codec.now().effect(request.class);
+        request.key.is_some() || effect.is_some_and(|effect| config.takes(effect))
+    }
+
+    /// The ledger, once this process has it open.
+    pub(super) fn ledger(&self) -> Option<Rc<Durable>> {
+        self.ledger.borrow().clone()
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/downstream/exchange.rs
@@ -0,0 +1,137 @@
+//! Handles one request of a client: health checks, job status, and requests for the executors.
+use super::admission::{AdmissionError, AdmittedRequest};
+use super::connection::{ClientSession, ExchangeEnd, ResponseSize};
+use super::eviction::ConnectionState;
+use super::request::{ConnectionReuse, Submission};
+use super::response::{Response, SendError, millis};
+use crate::event::NodeEvent;
+use crate::in_flight::{Answer, InFlightRequest};
+use crate::lifecycle::LifecycleState;
+use std::rc::Rc;
+use tokio::time::{sleep_until, timeout_at};
+
+/// How the end of an exchange follows from its response.
+fn end_after(sent: &Result<(), SendError>, reuse: ConnectionReuse, size: ResponseSize) -> ExchangeEnd {
+    match (sent, reuse) {
+        (Ok(()), ConnectionReuse::KeepAlive) => ExchangeEnd::KeepAlive,
+        _ => ExchangeEnd::Close(size),
+    }
+}
+
+/// An answer that was handed to the connection.
+pub(super) struct Delivery {
+    /// Whether its last byte was written.
+    pub is_written: bool,
+    pub end: ExchangeEnd,
+}
+
+impl ClientSession {
+    /// Answers a health check, whose connection is not reused.
+    pub(super) async fn report_readiness(&mut self) -> ExchangeEnd {
+        let is_ready = *self.server.lifecycle.borrow() == LifecycleState::Serving;
+        let mut text = self.server.status.borrow().clone();
+        if let Some(ledger) = self.server.ledger() {
+            text += &ledger.said();
+        }
+        let response = Response::text(if is_ready { 200 } else { 503 }, text);
+        let sent = self.send(&response, ConnectionReuse::Close).await;
+        end_after(&sent, ConnectionReuse::Close, ResponseSize::Small)
+    }
+
+    /// Answers what the ledger records of a job.
+    pub(super) async fn report_job(&mut self, client_id: &str, reuse: ConnectionReuse) -> ExchangeEnd {
+        let response = match self.server.ledger().map(|ledger| ledger.tell(client_id)) {
+            Some(Some(job)) => Response::text(200, job),
+            Some(None) => Response::text(404, String::new()),
+            None => Response::text(503, String::new()),
+        };
+        let sent = self.send(&response, reuse).await;
+        end_after(&sent, reuse, ResponseSize::Small)
+    }
+
+    /// Handles a request for the executors.
+    pub(super) async fn handle_submission(&mut self, submission: Submission) -> ExchangeEnd {
+        if *self.server.lifecycle.borrow() == LifecycleState::Drained {
+            let retry_after = self.server.limits.downstream.malformed_retry_after;
+            let answer = Answer::Rejected(Some(millis(retry_after)));
+            let response = Response::answer(&self.server.codec.now(), &answer);
+            let sent = self.send(&response, ConnectionReuse::Close).await;
+            return end_after(&sent, ConnectionReuse::Close, ResponseSize::Small);
+        }
+        if self.server.is_durable(&submission.request) {
+            self.handle_durable(submission).await
+        } else {
+            self.handle_in_memory(submission).await
+        }
+    }
+
+    async fn handle_in_memory(&mut self, submission: Submission) -> ExchangeEnd {
+        let Submission { request, time_left, reuse } = submission;
+        let admitted = match self.server.admit(request, time_left, self.admission) {
+            Ok(admitted) => admitted,
+            Err(error @ AdmissionError::Duplicate) => return self.reject(409, &error).await,
+            Err(AdmissionError::NoCapacity) => {
+                let retry_after = self.server.limits.downstream.rejected_retry_after;
+                let answer = Answer::Rejected(Some(millis(retry_after)));
+                return self.send_answer(&answer, ConnectionReuse::Close).await.end;
+            }
+        };
+        self.entry.set_state(ConnectionState::Busy);
+        let answer = self.wait_for_answer(&admitted).await;
+        self.server.request_ids.close(&admitted.in_flight.request.id);
+        let Some(answer) = answer else { return ExchangeEnd::Drop };
+        let reuse = self.reuse_after_answer(reuse);
+        self.send_answer(&answer, reuse).await.end
+    }
+
+    /// Whether the connection is used again after an answer. It is closed if the node is over its limit, so that
+    /// waiting connections are accepted, or if input was discarded, so that no request could be told apart.
+    pub(super) fn reuse_after_answer(&self, requested: ConnectionReuse) -> ConnectionReuse {
+        let server = &self.server;
+        let must_close = server.connection_count() > server.max_connections()
+            || self.connection.is_overrun()
+            || server.lifecycle.borrow().closes_after_answer();
+        if must_close { ConnectionReuse::Close } else { requested }
+    }
+
+    /// Writes the final answer to a request.
+    pub(super) async fn send_answer(&mut self, answer: &Answer, reuse: ConnectionReuse) -> Delivery {
+        let response = Response::answer(&self.server.codec.now(), answer);
+        let is_large = response.body_len() > self.server.limits.connection_buffer_bytes;
+        let size = if is_large { ResponseSize::Large } else { ResponseSize::Small };
+        let sent = self.send(&response, reuse).await;
+        Delivery { is_written: sent.is_ok(), end: end_after(&sent, reuse, size) }
+    }
+
+    /// Hands a request to the driver and waits for its answer. None if the client disconnects first.
+    async fn wait_for_answer(&mut self, admitted: &AdmittedRequest) -> Option<Answer> {
+        let in_flight = &admitted.in_flight;
+        let answer = tokio::select! {
+            biased;
+            answer = self.server.dispatch_and_wait(in_flight) => return Some(answer),
+            () = self.connection.gone() => None,
+            // The client gets an answer before it gives up, even if the driver is late.
+            () = sleep_until(admitted.last_answer_at) => Some(Answer::Failed),
+        };
+        in_flight.close();
+        let _ = self.server.events.send(NodeEvent::ClientLeft(in_flight.request_id)).await;
+        if answer.is_none() {
+            tracing::debug!(request = %in_flight.request.id, "client disconnected");
+        }
+        answer
+    }
+}
+
+impl super::DownstreamServer {
+    /// Hands a request to the driver and waits for its answer.
+    ///
+    /// A request that arrives before the first endpoint list waits for it, for a bounded time: by the cached list
+    /// it could be sent to an executor that has drained since.
+    async fn dispatch_and_wait(&self, in_flight: &Rc<InFlightRequest>) -> Answer {
+        let mut lifecycle = self.lifecycle.clone();
+        let has_list = lifecycle.wait_for(|state| *state != LifecycleState::Starting);
+        let _ = timeout_at(self.first_list_due, has_list).await;
+        let _ = self.events.send(NodeEvent::RequestArrived(in_flight.clone())).await;
+        in_flight.answered().await
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/downstream/request_ids.rs
@@ -0,0 +1,87 @@
+//! Ids of requests: which client ids are open or were used recently, and the numbers given to new requests.
+use crate::config::limits::Limits;
+use std::cell::{Cell, RefCell};
+use std::collections::HashSet;
+use tokio::time::Instant;
+use troutknot::RequestId;
+
+/// Detects duplicates by the ids that clients give their requests, and numbers requests.
+pub(super) struct RequestIds {
+    open: RefCell<HashSet<String>>,
+    recent: RefCell<RecentTokens>,
+    next: Cell<u64>,
+}
+
+impl RequestIds {
+    /// Without any request so far.
+    pub fn new() -> Self {
+        RequestIds { open: RefCell::default(), recent: RefCell::new(RecentTokens::new()), next: Cell::new(0) }
+    }
+
+    /// Whether a request with this client id is open.
+    pub fn is_open(&self, client_id: &str) -> bool {
+        self.open.borrow().contains(client_id)
+    }
+
+    /// Notes that a request with this token was admitted. Returns false if the token was seen within the
+    /// deduplication window.
+    pub fn record_token(&self, token: u64, limits: &Limits) -> bool {
+        self.recent.borrow_mut().insert(token, limits)
+    }
+
+    /// Tokens seen within the deduplication window.
+    pub fn recent_tokens(&self) -> Vec<u64> {
+        let recent = self.recent.borrow();
+        recent.older.iter().chain(&recent.newer).copied().collect()
+    }
+
+    /// The id that the next request gets once it is opened.
+    pub fn next(&self) -> RequestId {
+        RequestId(self.next.get())
+    }
+
+    /// Opens a request under the [`next`](Self::next) id.
+    pub fn open(&self, client_id: String) {
+        self.next.set(self.next.get() + 1);
+        self.open.borrow_mut().insert(client_id);
+    }
+
+    /// Closes a request; its token stays within the deduplication window.
+    pub fn close(&self, client_id: &str) {
+        self.open.borrow_mut().remove(client_id);
+    }
+
+    /// Gives the next request the id `first`, or a higher one that is due anyway.
+    pub fn skip_to(&self, first: u64) {
+        self.next.set(self.next.get().max(first));
+    }
+
+    /// The number of open requests.
+    #[cfg(test)]
+    pub fn open_count(&self) -> usize {
+        self.open.borrow().len()
+    }
+}
+
+/// Tokens in two generations. The older one is dropped after the longest deadline, or if memory is short.
+struct RecentTokens {
+    newer: HashSet<u64>,
+    older: HashSet<u64>,
+    rotated_at: Instant,
+}
+
+impl RecentTokens {
+    fn new() -> Self {
+        RecentTokens { newer: HashSet::new(), older: HashSet::new(), rotated_at: Instant::now() }
+    }
+
+    /// Returns false if the token is present.
+    fn insert(&mut self, token: u64, limits: &Limits) -> bool {
+        let is_expired = self.rotated_at.elapsed() >= limits.timeouts().max_deadline;
+        if is_expired || self.newer.len() >= limits.downstream.max_completed_ids / 2 {
+            self.older = std::mem::take(&mut self.newer);
+            self.rotated_at = Instant::now();
+        }
+        !self.older.contains(&token) && self.newer.insert(token)
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/downstream/response.rs
@@ -0,0 +1,73 @@
+//! Responses to clients.
+use super::request::ConnectionReuse;
+use crate::http1::{self, Connection};
+use crate::in_flight::Answer;
+use crate::protocol::Codec;
+use bytes::Bytes;
+use std::io;
+use std::time::Duration;
+use tokio::time::timeout;
+use troutknot::Millis;
+
+/// A response before it is written.
+pub(super) struct Response {
+    status: u16,
+    headers: Vec<(&'static str, String)>,
+    body: Bytes,
+}
+
+/// Why a response was not written.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum SendError {
+    #[error("the client did not take the response in time")]
+    TimedOut,
+    #[error("cannot write the response")]
+    Io(#[source] io::Error),
+}
+
+impl Response {
+    /// A response with a text for people.
+    pub fn text(status: u16, text: String) -> Self {
+        Response { status, headers: Vec::new(), body: text.into() }
+    }
+
+    /// The final answer to a request.
+    pub fn answer(codec: &Codec, answer: &Answer) -> Self {
+        let (status, headers, body) = codec.answer(answer);
+        Response { status, headers, body }
+    }
+
+    /// A request that cannot be handled; the client is told when to retry if the settings allow it.
+    pub fn rejection(codec: &Codec, status: u16, retry_after: Duration) -> Self {
+        Response { status, headers: codec.come_back(Some(millis(retry_after))), body: Bytes::new() }
+    }
+
+    /// The length of the body in bytes.
+    pub fn body_len(&self) -> usize {
+        self.body.len()
+    }
+
+    /// Writes the response.
+    ///
+    /// # Errors
+    /// If the connection breaks or the client does not read within `write_timeout`.
+    pub async fn send(
+        &self,
+        connection: &mut Connection,
+        reuse: ConnectionReuse,
+        write_timeout: Duration,
+    ) -> Result<(), SendError> {
+        let keeps_alive = reuse == ConnectionReuse::KeepAlive;
+        let head = http1::answer(self.status, self.body.len(), keeps_alive, &self.headers);
+        let parts: [&[u8]; 2] = [&head, &self.body];
+        timeout(write_timeout, connection.write(&parts))
+            .await
+            .map_err(|_| SendError::TimedOut)?
+            .map_err(SendError::Io)
+    }
+}
+
+/// A duration in the core's unit.
+pub(super) fn millis(duration: Duration) -> Millis {
+    duration.as_secs_f64() * 1000.0
+}
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -24,7 +24,7 @@
 use config::node::{NodeConfig, Own, ReloadTargets, ResolvedNodeConfig, stated};
 use config::operator::{DiscoverySource, DurableConfig, OperatorFile};
 use discovery::{EndpointUpdate, EndpointUpdateSender, merge::EndpointMerge};
-use downstream::{DownstreamContext, DownstreamServer};
+use downstream::{DownstreamContext, DownstreamServer, ListenerOrigin};
 use driver::{Driver, WatchRequests};
 use durable::Durable;
 use event::NodeEvent;
@@ -300,7 +300,8 @@
     }
     drop(before);
     spawn_local(executors.clone().close_expired_connections());
-    spawn_local(clients.clone().accept(listener, was_passed));
+    let origin = if was_passed { ListenerOrigin::Inherited } else { ListenerOrigin::Bound };
+    spawn_local(clients.clone().accept(listener, origin));
     let figures = driver.figures.clone();
     let driver = spawn_local(driver.run());
     tracing::info!(
--- a/crates/daemon/tests/unit/lib.rs
+++ b/crates/daemon/tests/unit/lib.rs
@@ -39,7 +39,7 @@
     let addr = listener.local_addr().unwrap();
     let mut staged = lifecycle.watch();
     let ended = async {
-        spawn_local(clients.clone().accept(listener, false));
+        spawn_local(clients.clone().accept(listener, ListenerOrigin::Bound));
         let comes = async {
             staged.wait_for(|stage| *stage == lifecycle::LifecycleState::Closing).await.unwrap();
             let mut client = std::net::TcpStream::connect(addr).unwrap();
