--- a/crates/daemon/src/downstream/durable_exchange.rs
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -131,7 +131,7 @@
             }
         };
         let (in_flight, last_answer_at) = (admitted.in_flight, admitted.last_answer_at);
-        let _ = in_flight.durable.set(ledger.clone());
+        in_flight.is_durable.set(true);
         let recorded = ledger.take(&in_flight, last_answer_at).await;
         // From here on the ledger detects duplicates of it.
         self.server.request_ids.close(&in_flight.request.id);
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -17,7 +17,7 @@
 use crate::config::operator::DurableConfig;
 use crate::durable::Durable;
 use crate::event::NodeEvent;
-use crate::hot_restart::SiblingProcess;
+use crate::hot_restart::sibling::SiblingProcess;
 use crate::lifecycle::LifecycleState;
 use crate::protocol::{Codec, Current};
 use eviction::ClientConnections;
@@ -95,7 +95,7 @@
 
     /// Upper bound on connections whose requests are admitted; the sibling's connections count against it.
     fn max_connections(&self) -> usize {
-        self.limits.downstream.max_connections.saturating_sub(self.sibling.other().clients)
+        self.limits.downstream.max_connections.saturating_sub(self.sibling.usage().clients)
     }
 
     /// Tokens of the ids of requests that were admitted within the deduplication window.
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -142,8 +142,7 @@
     /// Records the attempt of a durable request; no byte is sent before it is on disk.
     async fn record(&self) -> Recording {
         let order = self.order;
-        let (Some(durable), Some(executor_name)) = (order.in_flight.durable.get(), &order.executor_name)
-        else {
+        let (Some(durable), Some(executor_name)) = (self.pool.durable.get(), &order.executor_name) else {
             return Recording::NotDurable;
         };
         let request_id = order.in_flight.request_id;
--- a/crates/daemon/src/upstream/pool.rs
+++ b/crates/daemon/src/upstream/pool.rs
@@ -3,12 +3,13 @@
 use super::executor::{Executor, ExecutorEndpoint, IdleReuse};
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::Limits;
+use crate::durable::Durable;
 use crate::event::NodeEvent;
-use crate::hot_restart::SiblingProcess;
+use crate::hot_restart::sibling::SiblingProcess;
 use crate::http1::Connection;
 use crate::protocol::{Codec, Current};
 use slotmap::SecondaryMap;
-use std::cell::RefCell;
+use std::cell::{OnceCell, RefCell};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -59,6 +60,8 @@
     pub events: mpsc::Sender<NodeEvent>,
     /// The node's other process during a hot restart.
     pub sibling: Rc<SiblingProcess>,
+    /// Records attempts of durable requests; set once this process has the ledger open.
+    pub durable: OnceCell<Rc<Durable>>,
     executors: RefCell<SecondaryMap<ExecutorId, Rc<Executor>>>,
     open_connections: ConnectionCounter,
     ring_bytes: Rc<ByteBudget>,
@@ -79,6 +82,7 @@
             codec,
             events,
             sibling,
+            durable: OnceCell::new(),
             executors: RefCell::default(),
             open_connections: ConnectionCounter::default(),
         })
@@ -167,7 +171,7 @@
         if let Some(connection) = executor.idle.take(&self.limits, reuse) {
             return Ok(connection);
         }
-        let open_connections = self.open_connections.get() + self.sibling.other().executors;
+        let open_connections = self.open_connections.get() + self.sibling.usage().executors;
         if open_connections >= max_connections && !self.close_longest_idle() {
             return Err(ConnectError::Exhausted);
         }
