--- a/crates/daemon/src/downstream/listener.rs
+++ b/crates/daemon/src/downstream/listener.rs
@@ -24,6 +24,13 @@
     Inherited,
 }
 
+impl ListenerOrigin {
+    /// The origin of a listening socket that is inherited if there is one to inherit.
+    pub fn of(inherited: Option<&std::net::TcpListener>) -> Self {
+        if inherited.is_some() { ListenerOrigin::Inherited } else { ListenerOrigin::Bound }
+    }
+}
+
 impl DownstreamServer {
     /// Accepts connections until the node ends.
     ///
@@ -105,7 +112,7 @@
     pub(super) fn spawn_session(self: &Rc<Self>, stream: TcpStream, admission: ConnectionAdmission) {
         let entry = self.connections.insert();
         let server = self.clone();
-        tokio::task::spawn_local(async move {
+        self.tasks.spawn(async move {
             ClientSession::new(server.clone(), stream, entry.clone(), admission).run().await;
             server.connections.remove(&entry);
         });
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -20,6 +20,7 @@
 use crate::hot_restart::sibling::SiblingProcess;
 use crate::lifecycle::LifecycleState;
 use crate::protocol::{Codec, Current};
+use crate::tasks::TaskGroup;
 use eviction::ClientConnections;
 use request_ids::RequestIds;
 use std::cell::RefCell;
@@ -40,6 +41,8 @@
     pub durable_config: Option<DurableConfig>,
     /// The node's other process during a hot restart.
     pub sibling: Rc<SiblingProcess>,
+    /// Owns the tasks that serve connections.
+    pub tasks: TaskGroup,
 }
 
 /// Serves the clients of a node.
@@ -53,6 +56,7 @@
     /// None as long as an older process of the node has the ledger open.
     ledger: RefCell<Option<Rc<Durable>>>,
     sibling: Rc<SiblingProcess>,
+    tasks: TaskGroup,
     /// Memory for the contents of open requests.
     pub request_bytes: Rc<ByteBudget>,
     /// Memory for the buffers of connections.
@@ -68,7 +72,8 @@
 impl DownstreamServer {
     /// A server without connections.
     pub fn new(context: DownstreamContext) -> Rc<Self> {
-        let DownstreamContext { limits, codec, events, lifecycle, status, durable_config, sibling } = context;
+        let DownstreamContext { limits, codec, events, lifecycle, status, durable_config, sibling, tasks } =
+            context;
         let max_slow_body_bytes = limits.downstream.max_partial_bodies * limits.max_body_bytes;
         Rc::new(DownstreamServer {
             request_bytes: ByteBudget::new(limits.downstream.max_reserved_bytes),
@@ -85,6 +90,7 @@
             status,
             durable_config,
             sibling,
+            tasks,
         })
     }
 
--- a/crates/daemon/tests/unit/downstream.rs
+++ b/crates/daemon/tests/unit/downstream.rs
@@ -23,6 +23,7 @@
         status: Rc::default(),
         durable_config: None,
         sibling: Rc::default(),
+        tasks: TaskGroup::default(),
     });
     let complete = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nConnection: close\r\n\
                  Content-Length: 2\r\n\r\nab";
@@ -78,6 +79,7 @@
         status: Rc::default(),
         durable_config: None,
         sibling: Rc::default(),
+        tasks: TaskGroup::default(),
     });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let send = |id: &str| {
