--- a/crates/daemon/src/hot_restart/sibling.rs
+++ b/crates/daemon/src/hot_restart/sibling.rs
@@ -37,6 +37,12 @@
         }
     }
 
+    /// Announces a request that this process has admitted, by the token of its id, so that the sibling rejects
+    /// a duplicate.
+    pub fn announce_request(&self, token: u64) {
+        self.send(Message::Ids { ids: vec![token] });
+    }
+
     /// Sends a numbered message, and reports to `done` once the sibling has acknowledged it or is gone.
     pub fn mirror(&self, message: impl FnOnce(u64) -> Message, done: oneshot::Sender<bool>) {
         if self.outbox.borrow().is_none() {
--- a/crates/daemon/src/node/startup.rs
+++ b/crates/daemon/src/node/startup.rs
@@ -2,10 +2,10 @@
 use crate::config::limits::{LimitInputs, Limits};
 use crate::config::node::{NodeConfig, ResolvedNodeConfig, stated};
 use crate::config::operator::{DiscoverySource, GossipConfig, OperatorFile};
+use crate::downstream::ListenerOrigin;
 use crate::error::NodeError;
 use crate::gossip::GossipSocket;
 use crate::protocol::{Codec, Current};
-use crate::shutdown::ListenerOrigin;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
