--- a/crates/daemon/src/hot_restart/takeover.rs
+++ b/crates/daemon/src/hot_restart/takeover.rs
@@ -208,13 +208,13 @@
         tracing::debug!(%error, "hot restart: the other process is gone");
         self.sibling.disconnect();
         // The other process uses nothing any more, however it ended.
-        self.downstream.set_sibling_usage(Usage::default());
+        self.set_sibling_usage(Usage::default());
         let _ = self.events.send(NodeEvent::SiblingChanged(false)).await;
     }
 
     async fn send_state(&self) {
         self.sibling.send(Message::Hello { version: PROTOCOL_VERSION, name: self.name.clone() });
-        let ids = self.downstream.ids_lately();
+        let ids = self.downstream.recent_request_ids();
         for message in codec::split_list(&ids, |ids| Message::Ids { ids }) {
             self.sibling.send(message);
         }
@@ -248,14 +248,21 @@
 
     fn usage(&self) -> Usage {
         Usage {
-            clients: self.downstream.connections(),
-            executors: self.executors.connections(),
-            bytes: self.downstream.held.used(),
-            rings: self.downstream.rings.used(),
-            slow_bodies: self.downstream.slow_bodies.used(),
+            clients: self.downstream.connection_count(),
+            executors: self.executors.connection_count(),
+            bytes: self.downstream.request_bytes.used(),
+            rings: self.downstream.ring_bytes.used(),
+            slow_bodies: self.downstream.slow_body_bytes.used(),
         }
     }
 
+    /// Sets what the other process uses of the memory that both share.
+    fn set_sibling_usage(&self, usage: Usage) {
+        self.downstream.request_bytes.set_used_by_sibling(usage.bytes);
+        self.downstream.ring_bytes.set_used_by_sibling(usage.rings);
+        self.downstream.slow_body_bytes.set_used_by_sibling(usage.slow_bodies);
+    }
+
     async fn receive_all(&self, reader: &mut LinkReader, role: Role) -> LinkError {
         loop {
             match reader.receive().await {
@@ -281,10 +288,10 @@
                 self.sibling.send(Message::Acknowledged { number });
             }
             Message::Acknowledged { number } => self.sibling.acknowledge(number),
-            Message::Ids { ids } => self.downstream.taken_elsewhere(&ids),
+            Message::Ids { ids } => self.downstream.record_sibling_requests(&ids),
             Message::Usage(usage) => {
                 self.sibling.set_usage(usage);
-                self.downstream.set_sibling_usage(usage);
+                self.set_sibling_usage(usage);
             }
             Message::Ready if role == Role::Old => {
                 tracing::info!("hot restart: the new process takes clients");
