--- a/crates/daemon/src/byte_budget.rs
+++ b/crates/daemon/src/byte_budget.rs
@@ -1,8 +1,8 @@
-//! A budget of bytes that many share. Without I/O.
+//! A limit on memory that many connections or requests share. Without I/O.
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How many bytes are reserved, against the most that may be, here and in a sibling process together.
+/// Counts reserved bytes against a limit, which holds for this process and its sibling together.
 pub struct ByteBudget {
     used: Cell<usize>,
     used_by_sibling: Cell<usize>,
@@ -10,27 +10,27 @@
 }
 
 impl ByteBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(ByteBudget { used: Cell::new(0), used_by_sibling: Cell::new(0), limit })
     }
 
-    /// Whether so many more fit.
+    /// Whether this many more bytes fit.
     pub fn fits(&self, bytes: usize) -> bool {
         self.used.get() + self.used_by_sibling.get() + bytes <= self.limit
     }
 
-    /// How many bytes this process has reserved.
+    /// The bytes that this process has reserved.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// Notes what the sibling process has reserved.
+    /// Sets the bytes that the sibling process has reserved.
     pub fn set_used_by_sibling(&self, bytes: usize) {
         self.used_by_sibling.set(bytes);
     }
 
-    /// Reserves so many bytes; false where they do not fit, and nothing is reserved then.
+    /// Reserves bytes. Returns false, and reserves nothing, if they do not fit.
     pub fn try_reserve(&self, bytes: usize) -> bool {
         let fits = self.fits(bytes);
         if fits {
@@ -39,18 +39,18 @@
         fits
     }
 
-    /// Gives back bytes that were reserved.
+    /// Returns bytes that were reserved with [`try_reserve`](Self::try_reserve).
     pub fn release(&self, bytes: usize) {
         self.used.set(self.used.get() - bytes);
     }
 
-    /// Reserves so many bytes until what is returned is dropped; none where they do not fit.
+    /// Reserves bytes until the returned value is dropped; None if they do not fit.
     pub fn reserve(self: &Rc<Self>, bytes: usize) -> Option<Reservation> {
         self.try_reserve(bytes).then(|| Reservation { budget: self.clone(), bytes })
     }
 }
 
-/// Bytes of a budget, given back when this is dropped.
+/// Reserved bytes of a budget, released when this is dropped.
 pub struct Reservation {
     budget: Rc<ByteBudget>,
     bytes: usize,
--- a/crates/daemon/src/config/limits.rs
+++ b/crates/daemon/src/config/limits.rs
@@ -1,5 +1,5 @@
 //! Limits of one node: memory, connections and timeouts, computed once at start from [`LimitInputs`].
-use crate::ring_buffer::FIRST;
+use crate::ring_buffer::INITIAL_BYTES;
 use std::cell::Cell;
 use std::time::Duration;
 
@@ -254,7 +254,7 @@
 
 impl ConnectionShares {
     fn new(inputs: &LimitInputs, max_body_bytes: usize) -> Self {
-        let connections = inputs.available_sockets().min(inputs.memory_bytes() / 12 / (2 * FIRST));
+        let connections = inputs.available_sockets().min(inputs.memory_bytes() / 12 / (2 * INITIAL_BYTES));
         let rejected = (connections / 16).max(2);
         let upstream_memory = 2 * inputs.memory_fraction(9, 16);
         let upstream = (connections / 3).min(upstream_memory / (2 * max_body_bytes)).max(2);
@@ -330,7 +330,7 @@
             executor_bounds: ExecutorBounds::default(),
             admin: AdminLimits {
                 max_connections: MAX_ADMIN_CONNECTIONS,
-                buffer_bytes: 2 * FIRST,
+                buffer_bytes: 2 * INITIAL_BYTES,
                 call_timeout: Duration::from_millis(500),
                 drain_settle_time: Duration::from_millis(1000),
             },
@@ -385,7 +385,7 @@
         let (downstream, upstream, admin) = (&self.downstream, &self.upstream, &self.admin);
         let partial_bodies = 2 * downstream.max_partial_bodies * self.max_body_bytes;
         let response_bodies = 2 * upstream.max_connections * self.max_body_bytes;
-        let downstream_buffers = downstream.max_connections * 2 * FIRST + downstream.buffer_bytes;
+        let downstream_buffers = downstream.max_connections * 2 * INITIAL_BYTES + downstream.buffer_bytes;
         let upstream_buffers = upstream.max_connections * self.connection_buffer_bytes * 2;
         let list_bytes = if inputs.has_consul {
             self.discovery.max_consul_answer_bytes
@@ -395,7 +395,7 @@
         // Each of two processes has these of its own; only one of them has the ledger open.
         let bytes_per_process = downstream.max_completed_ids * COMPLETED_ID_BYTES
             + admin.max_connections * admin.buffer_bytes * 2
-            + downstream.max_rejected_connections * 2 * FIRST
+            + downstream.max_rejected_connections * 2 * INITIAL_BYTES
             + list_bytes;
         let ledger = if inputs.has_ledger { self.max_durable_jobs * JOB_BYTES } else { 0 };
         downstream.max_reserved_bytes
--- a/crates/daemon/src/driver/events.rs
+++ b/crates/daemon/src/driver/events.rs
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn handle_request(&mut self, now: Millis, in_flight: Rc<InFlightRequest>) {
-        if in_flight.is_over() {
+        if in_flight.is_closed() {
             return;
         }
         if self.is_shut_down {
@@ -81,7 +81,7 @@
     ) {
         self.log_attempt_ended(request_id, attempt_id, outcome);
         let request = self.requests.get(&request_id);
-        let is_request_closed = request.is_none_or(|request| request.in_flight.is_over());
+        let is_request_closed = request.is_none_or(|request| request.in_flight.is_closed());
         if is_request_closed {
             self.requests.remove(&request_id);
         }
--- a/crates/daemon/src/in_flight.rs
+++ b/crates/daemon/src/in_flight.rs
@@ -1,6 +1,6 @@
-//! One request between the client that asked and the executors that may run it: the only place where the client
-//! side and the executor side meet.
-use crate::byte_budget::ByteBudget;
+//! A request between its client and the executors. The client side and the executor side know each other by this
+//! alone.
+use crate::byte_budget::{ByteBudget, Reservation};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,40 +8,49 @@
 use tokio::time::Instant;
 use troutknot::{Millis, Outcome, RequestClassId, RequestId, TenantId};
 
-/// What a client handed in.
+/// A request as its client made it.
 pub struct ClientRequest {
-    /// The id that the client gave, which goes on unchanged.
+    /// The client's id, which is forwarded unchanged.
     pub id: String,
-    /// By which its client asks for it again, where it is taken durably.
+    /// The idempotency key, if the client gave one and durable requests are enabled.
     pub key: Option<String>,
+    /// The HTTP method.
     pub method: String,
+    /// The HTTP target.
     pub target: String,
-    /// The header lines that go on unchanged.
+    /// The header lines that are forwarded unchanged.
     pub fields: Bytes,
+    /// The body.
     pub body: Bytes,
+    /// The class, by the settings.
     pub class: RequestClassId,
+    /// The tenant, by the settings.
     pub tenant: TenantId,
+    /// The slots of an executor that it takes.
     pub slots: f64,
+    /// The memory of an executor that it takes.
     pub memory: f64,
-    /// Whether the client has asked before.
+    /// Whether the client has made it before.
     pub is_retry: bool,
 }
 
-/// The final answer.
+/// The final answer to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// The result.
+    /// The result of an executor.
     Completed(Bytes),
-    /// Not served; after how long the client may ask again, where that is said.
+    /// The request was not served and did not run; with the time after which the client may retry, if there is one.
     Rejected(Option<Millis>),
-    /// Failed, and perhaps run.
+    /// The request failed, and may have run.
     Failed,
 }
 
-/// A request that is open, or over with an attempt still in flight. Its bytes count against a budget until it is
+/// A request that is open, or closed with an attempt still in flight. Its bytes count against a budget until it is
 /// dropped.
 pub struct InFlightRequest {
+    /// The id of the request within the node.
     pub request_id: RequestId,
+    /// The request as its client made it.
     pub request: ClientRequest,
     /// When it must have its final answer.
     pub deadline: Instant,
@@ -49,67 +58,64 @@
     pub is_durable: Cell<bool>,
     state: RefCell<State>,
     answered: Notify,
-    over: Notify,
-    budget: Rc<ByteBudget>,
-    reserved_bytes: usize,
+    closed: Notify,
+    _reservation: Reservation,
 }
 
 enum State {
     Open,
     Answered(Answer),
-    /// The answer was taken away to be written, or the client left.
+    /// The client has left or was answered by its own side.
     Closed,
 }
 
 impl InFlightRequest {
-    /// None where the bytes of this request do not fit into the budget.
+    /// Opens a request; None if its bytes do not fit into the budget.
     pub fn new(
         request_id: RequestId,
         request: ClientRequest,
         deadline: Instant,
         budget: &Rc<ByteBudget>,
     ) -> Option<Rc<Self>> {
-        let reserved_bytes = request.fields.len() + request.body.len();
-        budget.try_reserve(reserved_bytes).then(|| {
-            Rc::new(InFlightRequest {
-                request_id,
-                request,
-                deadline,
-                is_durable: Cell::new(false),
-                state: RefCell::new(State::Open),
-                answered: Notify::new(),
-                over: Notify::new(),
-                budget: budget.clone(),
-                reserved_bytes,
-            })
-        })
+        let reservation = budget.reserve(request.fields.len() + request.body.len())?;
+        Some(Rc::new(InFlightRequest {
+            request_id,
+            request,
+            deadline,
+            is_durable: Cell::new(false),
+            state: RefCell::new(State::Open),
+            answered: Notify::new(),
+            closed: Notify::new(),
+            _reservation: reservation,
+        }))
     }
 
-    /// Gives the final answer; only the first one counts, and only while the client is there.
+    /// Gives the final answer. Returns false, without effect, if the request was closed before.
     pub fn answer(&self, answer: Answer) -> bool {
         let mut state = self.state.borrow_mut();
-        let is_first = matches!(*state, State::Open);
-        if is_first {
+        let is_open = matches!(*state, State::Open);
+        if is_open {
             *state = State::Answered(answer);
             self.answered.notify_one();
-            self.over.notify_waiters();
+            self.closed.notify_waiters();
         }
-        is_first
+        is_open
     }
 
-    /// The client left, or will be told by its own side; nothing more is owed. False where it was over.
+    /// Closes the request without an answer: the client has left, or its side answers by itself. Returns false if
+    /// it was closed before.
     pub fn close(&self) -> bool {
         let before = std::mem::replace(&mut *self.state.borrow_mut(), State::Closed);
-        self.over.notify_waiters();
+        self.closed.notify_waiters();
         matches!(before, State::Open)
     }
 
-    /// Whether there is an answer, or the client left.
-    pub fn is_over(&self) -> bool {
+    /// Whether the request has its answer, or was closed without one.
+    pub fn is_closed(&self) -> bool {
         !matches!(*self.state.borrow(), State::Open)
     }
 
-    /// Waits for the final answer; for the client side alone.
+    /// Waits for the final answer. To be called by one task only.
     pub async fn answered(&self) -> Answer {
         loop {
             if let State::Answered(answer) = &*self.state.borrow() {
@@ -119,22 +125,16 @@
         }
     }
 
-    /// Ends once there is an answer or the client left.
-    pub async fn over(&self) {
-        let over = self.over.notified();
-        if !self.is_over() {
-            over.await
+    /// Returns once the request has its answer, or was closed without one.
+    pub async fn closed(&self) {
+        let closed = self.closed.notified();
+        if !self.is_closed() {
+            closed.await
         }
     }
 }
 
-impl Drop for InFlightRequest {
-    fn drop(&mut self) {
-        self.budget.release(self.reserved_bytes);
-    }
-}
-
-/// Tells one attempt that it must end, and with which outcome.
+/// Cancels one attempt, with the outcome that it is to end with.
 #[derive(Default)]
 pub struct CancelSignal {
     outcome: Cell<Option<Outcome>>,
@@ -142,16 +142,18 @@
 }
 
 impl CancelSignal {
+    /// Cancels the attempt.
     pub fn cancel(&self, outcome: Outcome) {
         self.outcome.set(Some(outcome));
         self.changed.notify_waiters();
     }
 
+    /// Whether the attempt was cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.outcome.get().is_some()
     }
 
-    /// Waits until it is told; it may be asked any number of times.
+    /// Waits until the attempt is cancelled, and returns the outcome. Several tasks may wait.
     pub async fn cancelled(&self) -> Outcome {
         loop {
             let changed = self.changed.notified();
--- a/crates/daemon/src/ring_buffer.rs
+++ b/crates/daemon/src/ring_buffer.rs
@@ -1,136 +1,165 @@
-//! The ring buffer that stands between a socket and the codec, one a direction of each connection.
+//! The buffer between a socket and the parser, one for each direction of a connection.
 use crate::byte_budget::ByteBudget;
 use std::io::{self, IoSlice, IoSliceMut};
 use std::rc::Rc;
 
-/// The first size that is taken, which every ring may have; it doubles up to the most as bytes pile up.
-pub const FIRST: usize = 2048;
+/// Initial size in bytes, which does not count against the shared budget.
+pub const INITIAL_BYTES: usize = 2048;
 
-/// Bytes in the order they came, never more than a fixed number. An empty ring holds no memory for long.
+/// A FIFO of bytes with a maximum size. It doubles as bytes pile up; an empty one can release its memory.
 pub struct RingBuffer {
-    store: Vec<u8>,
+    storage: Vec<u8>,
     start: usize,
     len: usize,
-    most: usize,
-    /// What this ring and others hold beyond their first size, all together.
-    held: Rc<ByteBudget>,
+    max_bytes: usize,
+    /// Memory beyond the initial size, shared by many buffers.
+    budget: Rc<ByteBudget>,
 }
 
 impl Drop for RingBuffer {
     fn drop(&mut self) {
-        self.held.release(self.beyond_first());
+        self.budget.release(self.budgeted_bytes());
     }
 }
 
 impl RingBuffer {
-    pub fn new(most: usize, held: &Rc<ByteBudget>) -> Self {
-        RingBuffer { store: Vec::new(), start: 0, len: 0, most, held: held.clone() }
+    /// Creates an empty buffer, which has no memory yet.
+    pub fn new(max_bytes: usize, budget: &Rc<ByteBudget>) -> Self {
+        RingBuffer { storage: Vec::new(), start: 0, len: 0, max_bytes, budget: budget.clone() }
     }
 
-    fn beyond_first(&self) -> usize {
-        self.store.len().saturating_sub(FIRST)
+    /// Memory that counts against the budget.
+    fn budgeted_bytes(&self) -> usize {
+        self.storage.len().saturating_sub(INITIAL_BYTES)
     }
 
-    /// The size that it grows to next, and how much more of what is held together that takes.
-    fn next_size(&self) -> (usize, usize) {
-        let size = (2 * self.store.len()).clamp(FIRST.min(self.most), self.most);
-        (size, size.saturating_sub(FIRST) - self.beyond_first())
+    fn next_size(&self) -> usize {
+        (2 * self.storage.len()).clamp(INITIAL_BYTES.min(self.max_bytes), self.max_bytes)
     }
 
+    /// Memory that the next size takes from the budget.
+    fn next_reservation(&self) -> usize {
+        self.next_size().saturating_sub(INITIAL_BYTES) - self.budgeted_bytes()
+    }
+
+    /// Number of bytes in the buffer.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Whether there are no bytes in the buffer.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Whether no more fits: it has its most, or may not grow as others hold too much.
+    /// Whether no byte can be added: the buffer has its maximum size, or the budget does not let it grow.
     pub fn is_full(&self) -> bool {
-        self.len == self.most || (self.len == self.store.len() && !self.held.fits(self.next_size().1))
+        let may_not_grow = self.len == self.storage.len() && !self.budget.fits(self.next_reservation());
+        self.len == self.max_bytes || may_not_grow
     }
 
-    /// Gives the memory of an empty ring back, for connections that may stand idle for long.
+    /// Releases the memory of an empty buffer. To be called when the connection becomes idle.
     pub fn release(&mut self) {
         if self.len == 0 {
-            self.held.release(self.beyond_first());
-            (self.store, self.start) = (Vec::new(), 0);
+            self.budget.release(self.budgeted_bytes());
+            self.storage = Vec::new();
+            self.start = 0;
         }
     }
 
-    /// The bytes in one piece.
+    /// All bytes as one slice.
     pub fn bytes(&mut self) -> &[u8] {
-        if self.start + self.len > self.store.len() {
-            self.store.rotate_left(self.start);
+        if self.start + self.len > self.storage.len() {
+            self.storage.rotate_left(self.start);
             self.start = 0;
         }
-        &self.store[self.start..self.start + self.len]
+        &self.storage[self.start..self.start + self.len]
     }
 
-    pub fn consume(&mut self, n: usize) {
-        assert!(n <= self.len, "more is consumed than there is");
-        self.len -= n;
-        self.start = if self.len == 0 { 0 } else { (self.start + n) % self.store.len() };
+    /// Removes bytes from the front.
+    ///
+    /// # Panics
+    /// If the buffer has fewer bytes.
+    pub fn consume(&mut self, count: usize) {
+        assert!(count <= self.len, "{count} bytes consumed of {}", self.len);
+        self.len -= count;
+        self.start = if self.len == 0 { 0 } else { (self.start + count) % self.storage.len() };
     }
 
-    /// Takes as many of these bytes as there is room for.
+    /// Appends as many of the bytes as fit, and returns their number.
     pub fn push(&mut self, bytes: &[u8]) -> usize {
-        if self.is_full() {
-            return 0;
-        }
-        let taken = self.read_from(|parts| {
-            let mut taken = 0;
-            for part in parts {
-                let n = part.len().min(bytes.len() - taken);
-                part[..n].copy_from_slice(&bytes[taken..taken + n]);
-                taken += n;
+        let mut pushed = 0;
+        // Each round fills the present size and then grows, so that a small message never takes the maximum.
+        while pushed < bytes.len() && !self.is_full() {
+            let added = self.read_from(|parts| Ok(copy_into(parts, &bytes[pushed..])));
+            match added {
+                Ok(added) if added > 0 => pushed += added,
+                _ => break,
             }
-            Ok(taken)
-        });
-        let taken = taken.unwrap_or(0);
-        // The room grows step by step, so that a small message never takes the most.
-        if taken < bytes.len() && taken > 0 { taken + self.push(&bytes[taken..]) } else { taken }
+        }
+        pushed
     }
 
-    /// Lets a reader fill the free room; how many bytes it says to have written are in the ring then.
+    /// Lets `read` fill the free space, and adds as many bytes as it returns to have written.
+    ///
+    /// # Errors
+    /// Those of `read`, and [`io::ErrorKind::OutOfMemory`] if the budget does not let the buffer grow.
     pub fn read_from(
         &mut self,
         read: impl FnOnce(&mut [IoSliceMut]) -> io::Result<usize>,
     ) -> io::Result<usize> {
-        if self.len == self.store.len() && self.len < self.most {
-            let (size, more) = self.next_size();
-            if !self.held.try_reserve(more) {
-                return Err(io::ErrorKind::OutOfMemory.into());
-            }
-            self.bytes();
-            self.store.rotate_left(self.start);
-            self.start = 0;
-            self.store.resize(size, 0);
+        if self.len == self.storage.len() && self.len < self.max_bytes {
+            self.grow()?;
         }
-        let (size, end) = (self.store.len(), self.start + self.len);
-        let n = if self.len == size {
+        let (size, end) = (self.storage.len(), self.start + self.len);
+        let added = if self.len == size {
             0
         } else if end < size {
-            let (front, back) = self.store.split_at_mut(end);
+            let (front, back) = self.storage.split_at_mut(end);
             read(&mut [IoSliceMut::new(back), IoSliceMut::new(&mut front[..self.start])])?
         } else {
-            read(&mut [IoSliceMut::new(&mut self.store[end - size..self.start])])?
+            read(&mut [IoSliceMut::new(&mut self.storage[end - size..self.start])])?
         };
-        self.len += n;
-        Ok(n)
+        self.len += added;
+        Ok(added)
     }
 
-    /// Lets a writer take bytes from the front; how many it says to have taken are gone then.
+    fn grow(&mut self) -> io::Result<()> {
+        if !self.budget.try_reserve(self.next_reservation()) {
+            return Err(io::ErrorKind::OutOfMemory.into());
+        }
+        let size = self.next_size();
+        self.storage.rotate_left(self.start);
+        self.start = 0;
+        self.storage.resize(size, 0);
+        Ok(())
+    }
+
+    /// Lets `write` take bytes from the front, and removes as many as it returns to have taken.
+    ///
+    /// # Errors
+    /// Those of `write`.
     pub fn write_to(&mut self, write: impl FnOnce(&[IoSlice]) -> io::Result<usize>) -> io::Result<usize> {
-        let (size, end) = (self.store.len(), self.start + self.len);
-        let n = if end <= size {
-            write(&[IoSlice::new(&self.store[self.start..end])])?
+        let (size, end) = (self.storage.len(), self.start + self.len);
+        let taken = if end <= size {
+            write(&[IoSlice::new(&self.storage[self.start..end])])?
         } else {
-            write(&[IoSlice::new(&self.store[self.start..]), IoSlice::new(&self.store[..end - size])])?
+            write(&[IoSlice::new(&self.storage[self.start..]), IoSlice::new(&self.storage[..end - size])])?
         };
-        self.consume(n);
-        Ok(n)
+        self.consume(taken);
+        Ok(taken)
+    }
+}
+
+/// Copies as many bytes as fit into the parts, and returns their number.
+fn copy_into(parts: &mut [IoSliceMut], bytes: &[u8]) -> usize {
+    let mut copied = 0;
+    for part in parts {
+        let count = part.len().min(bytes.len() - copied);
+        part[..count].copy_from_slice(&bytes[copied..copied + count]);
+        copied += count;
     }
+    copied
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -162,7 +162,7 @@
             now - self.order.decided_at > limits.timeouts().connect_timeout + limits.stall_threshold;
         // The warm-up budget that was charged belongs to an earlier incarnation of the executor.
         let is_other_incarnation = self.executor.incarnation() != self.order.incarnation;
-        self.order.in_flight.is_over()
+        self.order.in_flight.is_closed()
             || self.executor.gate.is_closed()
             || now >= self.order.send_deadline
             || stood_still
@@ -239,7 +239,7 @@
         tokio::select! {
             biased;
             _ = self.order.cancel_signal.cancelled() => {}
-            () = self.order.in_flight.over() => {}
+            () = self.order.in_flight.closed() => {}
             () = self.executor.gate.closed() => {}
         }
     }
@@ -257,7 +257,7 @@
     async fn abandoned(&self) {
         let in_flight = &self.order.in_flight;
         if self.pool.codec.now().may_withdraw(in_flight.request.class) {
-            in_flight.over().await;
+            in_flight.closed().await;
         } else {
             std::future::pending().await
         }
--- a/crates/daemon/src/upstream/attempt_status.rs
+++ b/crates/daemon/src/upstream/attempt_status.rs
@@ -31,7 +31,7 @@
             let probe_timeout = self.pool.limits.timeouts().probe_timeout;
             let fate = tokio::select! {
                 biased;
-                () = self.in_flight.over() => return None,
+                () = self.in_flight.closed() => return None,
                 () = sleep_until(self.in_flight.deadline) => return None,
                 fate = timeout(probe_timeout, self.query()) => fate.ok().flatten(),
             };
@@ -45,7 +45,7 @@
                 Some(AttemptFate::Running) | None => {}
             }
             tokio::select! {
-                () = self.in_flight.over() => return None,
+                () = self.in_flight.closed() => return None,
                 () = sleep(QUERY_INTERVAL) => {}
             }
         }
--- a/crates/daemon/tests/unit/downstream.rs
+++ b/crates/daemon/tests/unit/downstream.rs
@@ -52,7 +52,7 @@
         client.read_exact(&mut got).unwrap();
         assert_eq!(String::from_utf8(got).unwrap(), expected, "{sent}");
     }
-    assert!(matches!(received.try_recv(), Ok(NodeEvent::RequestArrived(in_flight)) if in_flight.is_over()));
+    assert!(matches!(received.try_recv(), Ok(NodeEvent::RequestArrived(in_flight)) if in_flight.is_closed()));
     assert!(matches!(received.try_recv(), Ok(NodeEvent::ClientLeft(_))));
 }
 
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -90,7 +90,7 @@
 
     /// Takes in what the sides tell until these are answered; how many were completed.
     async fn serve(&mut self, in_flight_requests: &[Rc<InFlightRequest>]) -> usize {
-        while !in_flight_requests.iter().all(|in_flight| in_flight.is_over()) {
+        while !in_flight_requests.iter().all(|in_flight| in_flight.is_closed()) {
             let told = timeout(HARD_LIMIT, self.driver.events.recv()).await;
             self.tell(told.expect("it is answered in time").expect("the sides go on"));
         }
@@ -348,7 +348,7 @@
     for (what, in_flight, expected) in
         [("before", before, "Rejected"), ("after", after, "Rejected"), ("sent", sent, "Failed")]
     {
-        assert!(in_flight.is_over(), "{what}: it has its answer");
+        assert!(in_flight.is_closed(), "{what}: it has its answer");
         assert!(format!("{:?}", in_flight.answered().await).starts_with(expected), "{what}");
     }
 }
--- a/crates/daemon/tests/unit/in_flight.rs
+++ b/crates/daemon/tests/unit/in_flight.rs
@@ -30,9 +30,9 @@
     assert!(make(3).is_none(), "what is held is bounded");
     assert!(request.answer(Answer::Failed) && !request.answer(Answer::Rejected(None)));
     assert_eq!(request.answered().await, Answer::Failed);
-    request.over().await;
+    request.closed().await;
     drop(request);
     let left = make(10).unwrap();
-    assert!(left.close() && left.is_over() && !left.answer(Answer::Failed));
-    left.over().await;
+    assert!(left.close() && left.is_closed() && !left.answer(Answer::Failed));
+    left.closed().await;
 }
--- a/crates/daemon/tests/unit/limits.rs
+++ b/crates/daemon/tests/unit/limits.rs
@@ -23,12 +23,12 @@
         let bodies = downstream.max_reserved_bytes
             + 2 * downstream.max_partial_bodies * limits.max_body_bytes
             + 2 * upstream.max_connections * limits.max_body_bytes;
-        let downstream_buffers = downstream.max_connections * 2 * FIRST + downstream.buffer_bytes;
+        let downstream_buffers = downstream.max_connections * 2 * INITIAL_BYTES + downstream.buffer_bytes;
         let buffers = downstream_buffers + upstream.max_connections * limits.connection_buffer_bytes * 2;
         // Each of two processes has these of its own; only one of them has the ledger open.
         let per_process = downstream.max_completed_ids * 24
             + admin.max_connections * admin.buffer_bytes * 2
-            + downstream.max_rejected_connections * 2 * FIRST
+            + downstream.max_rejected_connections * 2 * INITIAL_BYTES
             + bounds.max_retained * EXECUTOR_BYTES
             + (bounds.max_registered - bounds.max_retained) * RELEASED_BYTES
             + bounds.max_unretained_entries * UNRETAINED_ENTRY_BYTES
