--- /dev/null
+++ b/crates/daemon/src/config/consul.rs
@@ -0,0 +1,222 @@
+//! The section `[lists.consul]` of the operator's file: which services of Consul are watched, and how.
+use crate::config::validation::Validator;
+use serde::Deserialize;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+use troutknot::Millis;
+use troutknot_consul::blocking::{Consistency, Pace, Watched};
+use troutknot_consul::roster::{Damping, Panic, Terms};
+
+const MAX_AGENTS: usize = 16;
+const MAX_SERVICES: usize = 64;
+const ONE_DAY: Duration = Duration::from_secs(86_400);
+
+/// Terms of the watches of Consul.
+#[derive(Deserialize, Clone, Debug, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct ConsulConfig {
+    /// Agents to query; a query that fails goes to the next one.
+    pub agents: Vec<SocketAddr>,
+    /// File with the ACL token, read at start and on reload.
+    pub token_file: Option<PathBuf>,
+    /// The services to watch. If two list one executor, the first service's entry is used.
+    pub services: Vec<ServiceConfig>,
+    /// The consistency mode of the queries.
+    #[serde(default)]
+    pub consistency: ConsistencyMode,
+    /// How long an agent may block a query while nothing changes.
+    #[serde(rename = "wait", default = "default_query_wait", with = "humantime_serde")]
+    pub query_wait: Duration,
+    /// Upper bound on the backoff between queries that fail.
+    #[serde(rename = "longest_retry", default = "default_max_backoff", with = "humantime_serde")]
+    pub max_backoff: Duration,
+    /// Upper bound on the age of a stale answer.
+    #[serde(rename = "oldest_view", default = "default_max_staleness", with = "humantime_serde")]
+    pub max_staleness: Duration,
+    /// How many executors may disappear at once.
+    #[serde(default)]
+    pub panic: PanicConfig,
+    /// Flap damping of executors.
+    #[serde(default)]
+    pub damping: DampingConfig,
+}
+
+fn default_query_wait() -> Duration {
+    Duration::from_secs(10)
+}
+
+fn default_max_backoff() -> Duration {
+    Duration::from_secs(10)
+}
+
+fn default_max_staleness() -> Duration {
+    Duration::from_secs(10)
+}
+
+/// Consul's consistency mode of a query.
+#[derive(Deserialize, Clone, Copy, Debug, PartialEq, Default)]
+#[serde(rename_all = "kebab-case")]
+pub enum ConsistencyMode {
+    /// The leader answers without a confirmation of its leadership.
+    #[default]
+    Default,
+    /// Any server answers.
+    Stale,
+    /// The leader confirms its leadership first.
+    Consistent,
+}
+
+/// A service to watch.
+#[derive(Deserialize, Clone, Debug, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct ServiceConfig {
+    /// The service's name in the catalogue.
+    pub name: String,
+    /// The datacenter; none for the agent's own.
+    pub datacenter: Option<String>,
+    /// The namespace, for Consul Enterprise.
+    pub namespace: Option<String>,
+    /// A filter expression of the health API.
+    pub filter: Option<String>,
+}
+
+/// Bounds the share of executors that may disappear from the answers at once.
+#[derive(Deserialize, Clone, Debug, PartialEq)]
+#[serde(deny_unknown_fields, default)]
+pub struct PanicConfig {
+    /// The share, from 0 to 1, of executors that may disappear within the window.
+    #[serde(rename = "share")]
+    pub max_missing_share: f64,
+    /// The window.
+    #[serde(rename = "span", with = "humantime_serde")]
+    pub window: Duration,
+    /// An executor that has been missing for this long is removed in any case.
+    #[serde(rename = "believed_after", with = "humantime_serde")]
+    pub max_missing_time: Duration,
+}
+
+impl Default for PanicConfig {
+    fn default() -> Self {
+        let Panic { share, span, believed_after } = Terms::default().panic;
+        PanicConfig {
+            max_missing_share: share,
+            window: duration_of(span),
+            max_missing_time: duration_of(believed_after),
+        }
+    }
+}
+
+/// Flap damping: an executor that fails and recovers repeatedly is suppressed for a while.
+#[derive(Deserialize, Clone, Debug, PartialEq)]
+#[serde(deny_unknown_fields, default)]
+pub struct DampingConfig {
+    /// Whether damping is enabled.
+    #[serde(rename = "on")]
+    pub is_enabled: bool,
+    /// Half-life of the penalty, which grows by 1 with each failure.
+    #[serde(with = "humantime_serde")]
+    pub half_life: Duration,
+    /// An executor with a higher penalty is suppressed.
+    #[serde(rename = "cutoff")]
+    pub suppress_threshold: f64,
+    /// A suppressed executor is listed again once its penalty is lower.
+    #[serde(rename = "reuse")]
+    pub reuse_threshold: f64,
+    /// Upper bound on the time for which an executor is suppressed.
+    #[serde(rename = "longest", with = "humantime_serde")]
+    pub max_suppress_time: Duration,
+}
+
+impl Default for DampingConfig {
+    fn default() -> Self {
+        let damping = Terms::default().damping.expect("damping is enabled by default");
+        DampingConfig {
+            is_enabled: true,
+            half_life: duration_of(damping.half_life),
+            suppress_threshold: damping.cutoff,
+            reuse_threshold: damping.reuse,
+            max_suppress_time: duration_of(damping.longest),
+        }
+    }
+}
+
+fn duration_of(millis: Millis) -> Duration {
+    Duration::from_secs_f64(millis / 1000.0)
+}
+
+fn millis_of(duration: Duration) -> Millis {
+    duration.as_secs_f64() * 1000.0
+}
+
+impl ConsulConfig {
+    /// The watches, in the order of precedence.
+    pub fn watches(&self) -> Vec<Watched> {
+        let consistency = match self.consistency {
+            ConsistencyMode::Default => Consistency::Default,
+            ConsistencyMode::Stale => Consistency::Stale,
+            ConsistencyMode::Consistent => Consistency::Consistent,
+        };
+        let watch_of = |service: &ServiceConfig| Watched {
+            service: service.name.clone(),
+            datacenter: service.datacenter.clone(),
+            namespace: service.namespace.clone(),
+            filter: service.filter.clone(),
+            consistency,
+        };
+        self.services.iter().map(watch_of).collect()
+    }
+
+    /// Timing of the blocking queries.
+    pub fn query_timing(&self) -> Pace {
+        Pace {
+            wait: millis_of(self.query_wait),
+            longest_retry: millis_of(self.max_backoff),
+            oldest_contact: millis_of(self.max_staleness),
+            ..Pace::default()
+        }
+    }
+
+    /// Terms of the roster, which holds at most `max_executors` executors.
+    pub fn roster_terms(&self, max_executors: usize) -> Terms {
+        let damping = Damping {
+            half_life: millis_of(self.damping.half_life),
+            cutoff: self.damping.suppress_threshold,
+            reuse: self.damping.reuse_threshold,
+            longest: millis_of(self.damping.max_suppress_time),
+        };
+        let panic = Panic {
+            share: self.panic.max_missing_share,
+            span: millis_of(self.panic.window),
+            believed_after: millis_of(self.panic.max_missing_time),
+        };
+        Terms {
+            damping: self.damping.is_enabled.then_some(damping),
+            panic,
+            most: max_executors,
+            ..Terms::default()
+        }
+    }
+
+    /// Checks all values.
+    pub(super) fn validate(&self, validator: &mut Validator) {
+        let (millis, secs) = (Duration::from_millis, Duration::from_secs);
+        validator.check_count("lists.consul.agents", self.agents.len(), 1..=MAX_AGENTS, "addresses");
+        validator.check_count("lists.consul.services", self.services.len(), 1..=MAX_SERVICES, "services");
+        validator.check_rule(
+            "lists.consul.services",
+            self.services.iter().all(|service| !service.name.is_empty()),
+            "has a service with an empty name",
+        );
+        validator.check_duration("lists.consul.wait", self.query_wait, millis(100)..=secs(600));
+        validator.check_duration("lists.consul.longest_retry", self.max_backoff, millis(250)..=secs(600));
+        validator.check_duration("lists.consul.oldest_view", self.max_staleness, millis(100)..=ONE_DAY);
+        validator.check_number("lists.consul.panic.share", self.panic.max_missing_share, 0.0..=1.0);
+        validator.check_duration("lists.consul.panic.span", self.panic.window, millis(100)..=ONE_DAY);
+        let DampingConfig { half_life, suppress_threshold, reuse_threshold, .. } = self.damping;
+        validator.check_duration("lists.consul.damping.half_life", half_life, millis(100)..=ONE_DAY);
+        let is_ordered =
+            reuse_threshold > 0.0 && suppress_threshold >= reuse_threshold && suppress_threshold <= 100.0;
+        validator.check_rule("lists.consul.damping", is_ordered, "needs 0 < `reuse` <= `cutoff` <= 100");
+    }
+}
--- a/crates/daemon/src/config/mod.rs
+++ b/crates/daemon/src/config/mod.rs
@@ -1,4 +1,9 @@
-//! What a node is configured with: the platform's node file, the operator's own file, and the limits that follow.
+//! Configuration of a node: the platform's node file, the operator's file, and the limits derived from both.
+pub mod consul;
+pub mod durable;
+mod file;
 pub mod limits;
 pub mod node;
 pub mod operator;
+pub mod reload;
+mod validation;
--- a/crates/daemon/src/config/node.rs
+++ b/crates/daemon/src/config/node.rs
@@ -1,213 +1,210 @@
-//! What a node is told: read at its start, and again whenever it is asked to.
-use crate::config::limits::{LimitInputs, Limits, MAX_POLL_INTERVAL};
-use crate::config::operator::{Consul, OperatorFile};
-use crate::event::NodeEvent;
-use crate::protocol::{Codec, Current, EndpointList};
+//! The platform's node file (JSON): the node's addresses, resources and settings, and the endpoint list it starts with.
+use crate::config::file::read_text;
+use crate::config::limits::{LimitInputs, MAX_POLL_INTERVAL};
+use crate::protocol::{Codec, EndpointList};
 use serde::Deserialize;
-use std::io::Read;
-use std::net::SocketAddr;
+use std::io;
+use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
-use std::rc::Rc;
 use std::time::Duration;
-use tokio::signal::unix::Signal;
-use tokio::sync::{mpsc, watch};
 use troutknot::{Millis, Settings};
-use troutknot_configuration::{IdCatalog, parse_settings};
+use troutknot_configuration::{IdCatalog, SettingsErrors};
 
-/// A file that is longer is not read.
-const MOST_BYTES: u64 = 16 * 1024 * 1024;
+/// Only this much of the file is read.
+const MAX_FILE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Names the address where operators call this process, before what the file says.
-const MANAGEMENT: &str = "ROUTER_MANAGEMENT";
+/// Overrides the address of the admin API, so that two processes of one node can each have their own.
+const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_MANAGEMENT";
 
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
+/// A setting that is a time is ignored if it is as long or longer.
+const MAX_SETTING_MILLIS: Millis = 1e9;
+
+/// The platform's settings as they stand in the node file.
+pub type RawSettings = serde_json::Map<String, serde_json::Value>;
+
+/// Why a node file cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum NodeFileError {
+    /// The file cannot be read.
+    #[error("cannot read `{}`: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// The cause.
+        source: io::Error,
+    },
+    /// The file is no JSON, or a key is missing or of the wrong type.
+    #[error("`{}`: {source}", path.display())]
+    Syntax {
+        /// The file.
+        path: PathBuf,
+        /// The cause.
+        source: serde_json::Error,
+    },
+    /// The environment variable that overrides the admin address is no socket address.
+    #[error("{ADMIN_ADDRESS_VARIABLE}: `{value}`: {source}")]
+    AdminAddress {
+        /// The variable's value.
+        value: String,
+        /// The cause.
+        source: AddrParseError,
+    },
+}
+
+/// Why the values of a node file cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum NodeConfigError {
+    /// The seed cannot be parsed.
+    #[error("`seed` must be a hexadecimal number of at most 64 bits, not `{seed}`")]
+    Seed {
+        /// The seed as it stands in the file.
+        seed: String,
+    },
+    /// Settings are missing or not allowed.
+    #[error(transparent)]
+    Settings(#[from] SettingsErrors),
+}
+
+/// A node file.
 #[derive(Deserialize)]
 pub struct NodeConfig {
+    /// The node's name, unique among the nodes.
     pub name: String,
-    pub listen: SocketAddr,
-    pub discovery: SocketAddr,
-    /// Where operators call, if they do.
-    #[serde(default)]
-    pub management: Option<SocketAddr>,
+    /// Where clients connect.
+    #[serde(rename = "listen")]
+    pub listen_address: SocketAddr,
+    /// The platform's discovery service.
+    #[serde(rename = "discovery")]
+    pub discovery_address: SocketAddr,
+    /// Where the admin API listens; none without one.
+    #[serde(rename = "management", default)]
+    pub admin_address: Option<SocketAddr>,
+    /// Seed of the random source, in hexadecimal.
     pub seed: String,
-    pub limits: NodeLimits,
-    pub known: Option<EndpointList>,
-    pub settings: serde_json::Map<String, serde_json::Value>,
+    /// Memory and sockets of the process.
+    #[serde(rename = "limits")]
+    pub resources: Resources,
+    /// The endpoint list to start with.
+    #[serde(rename = "known")]
+    pub cached_list: Option<EndpointList>,
+    /// The platform's settings.
+    pub settings: RawSettings,
 }
 
+/// Memory and sockets that the process may use.
 #[derive(Deserialize, PartialEq)]
-pub struct NodeLimits {
+pub struct Resources {
+    /// Memory in MiB.
     pub memory_mb: u64,
-    pub sockets: u64,
+    /// Sockets that may be open at the same time.
+    #[serde(rename = "sockets")]
+    pub max_sockets: u64,
 }
 
-/// The same in the forms that the parts of the node take it in.
+/// The values of a node file in the types that the parts of a node use.
 pub struct ResolvedNodeConfig {
+    /// Seed of the random source.
     pub seed: u64,
+    /// The settings of the dispatcher.
     pub settings: Settings,
+    /// The codec for the settings' names and wire format.
     pub codec: Codec,
 }
 
-/// What new settings change while the node runs.
-pub struct ReloadTargets {
-    pub catalog: IdCatalog,
-    pub limits: Rc<Limits>,
-    pub codec: Rc<Current<Codec>>,
-    pub events: mpsc::Sender<NodeEvent>,
-}
-
-impl ReloadTargets {
-    /// Takes new settings as one, or nothing of them.
-    async fn take(&mut self, settings: &serde_json::Map<String, serde_json::Value>) -> Result<(), String> {
-        let mut resolved = self.catalog.resolve(settings).map_err(|errors| errors.to_string())?;
-        bound_poll_interval(&mut resolved.settings);
-        let settings_in_force = resolved.settings.clone();
-        let codec = Codec::of(settings, resolved);
-        self.limits.update_timeouts(&stated(&settings_in_force, &codec));
-        // The module has heard of a project type before the first work unit of it comes.
-        self.events
-            .send(NodeEvent::SettingsChanged(Box::new(settings_in_force)))
-            .await
-            .map_err(|_| "the node ends".to_string())?;
-        self.codec.replace(codec);
-        Ok(())
-    }
-}
-
-/// Bounds the span in which the list is asked for again, for settings that leave more time than a change has.
-fn bound_poll_interval(settings: &mut Settings) {
-    let longest = MAX_POLL_INTERVAL.as_secs_f64() * 1000.0;
-    let stated = settings.rules.poll_interval.unwrap_or(longest);
-    settings.rules.poll_interval = Some(stated.min(longest));
-}
-
-/// What the settings state of times.
-pub fn stated(settings: &Settings, codec: &Codec) -> LimitInputs {
-    let span = |stated: Option<Millis>| {
-        let millis = stated.filter(|millis| (0.0..1e9).contains(millis))?;
-        Some(Duration::from_secs_f64(millis / 1000.0))
-    };
-    LimitInputs {
-        connect_timeout: span(settings.limits.connect_timeout),
-        executor_idle_timeout: span(settings.limits.idle_timeout),
-        drain_grace: span(settings.rules.drain_grace),
-        max_deadline: codec.longest(),
-        ..LimitInputs::default()
-    }
-}
-
-/// The operator's own file, and who is told when it says otherwise.
-pub struct Own {
-    pub path: Option<PathBuf>,
-    pub file: OperatorFile,
-    pub consul: watch::Sender<Option<Consul>>,
-}
-
-impl Own {
-    fn reread(&mut self) {
-        let Some(path) = &self.path else { return };
-        match OperatorFile::read(path) {
-            Err(why) => {
-                let why = why.replace('\n', "; ");
-                tracing::warn!("new file of the operator not taken, the old one goes on: {why}");
-            }
-            Ok(mut newer) => {
-                // What is read at the start alone.
-                (newer.peers, newer.durable) = (self.file.peers.clone(), self.file.durable.clone());
-                if newer.lists.sources != self.file.lists.sources {
-                    tracing::info!("the sources of the list are kept as at the start");
-                }
-                // Also where it says the same: the token's file may hold another one.
-                self.consul.send_replace(newer.lists.consul.clone());
-                self.file = newer;
-            }
-        }
-    }
-}
-
 impl NodeConfig {
-    pub fn read(path: &Path) -> Result<Self, String> {
-        let shown = path.display();
-        let mut text = String::new();
-        let read = std::fs::File::open(path).and_then(|file| file.take(MOST_BYTES).read_to_string(&mut text));
-        read.map_err(|e| format!("cannot read `{shown}`: {e}"))?;
-        let mut told: Self = serde_json::from_str(&text).map_err(|e| format!("`{shown}`: {e}"))?;
-        // A process that stands in for another has an address of its own.
-        if let Some(own) = std::env::var(MANAGEMENT).ok().filter(|own| !own.is_empty()) {
-            let at = own.parse().map_err(|e| format!("{MANAGEMENT}: `{own}`: {e}"))?;
-            told.management = Some(at);
+    /// Reads a node file. The environment may override the address of the admin API.
+    ///
+    /// # Errors
+    /// If the file cannot be read or parsed, or the override is no socket address.
+    pub fn read(path: &Path) -> Result<Self, NodeFileError> {
+        let text = read_text(path, MAX_FILE_BYTES)
+            .map_err(|source| NodeFileError::Read { path: path.into(), source })?;
+        let mut config: Self = serde_json::from_str(&text)
+            .map_err(|source| NodeFileError::Syntax { path: path.into(), source })?;
+        if let Some(admin_address) = admin_address_override()? {
+            config.admin_address = Some(admin_address);
         }
-        Ok(told)
+        Ok(config)
     }
 
-    fn seed(&self) -> Result<u64, String> {
-        u64::from_str_radix(&self.seed, 16).map_err(|_| format!("odd seed `{}`", self.seed))
+    /// The seed of the random source.
+    ///
+    /// # Errors
+    /// If it is no hexadecimal number of 64 bits.
+    pub fn parse_seed(&self) -> Result<u64, NodeConfigError> {
+        u64::from_str_radix(&self.seed, 16).map_err(|_| NodeConfigError::Seed { seed: self.seed.clone() })
     }
 
-    pub fn understood(&self, catalog: &mut IdCatalog) -> Result<ResolvedNodeConfig, String> {
-        let seed = self.seed()?;
-        let mut resolved = catalog.resolve(&self.settings).map_err(|errors| errors.to_string())?;
-        bound_poll_interval(&mut resolved.settings);
-        let settings = resolved.settings.clone();
-        Ok(ResolvedNodeConfig { seed, settings, codec: Codec::of(&self.settings, resolved) })
+    /// Converts the values, with ids of the catalog for the names in the settings.
+    ///
+    /// # Errors
+    /// If the seed or the settings are not allowed.
+    pub fn resolve(&self, catalog: &mut IdCatalog) -> Result<ResolvedNodeConfig, NodeConfigError> {
+        let seed = self.parse_seed()?;
+        let (settings, codec) = resolve_settings(&self.settings, catalog)?;
+        Ok(ResolvedNodeConfig { seed, settings, codec })
     }
 
-    /// What a newer one says otherwise that holds until the node's end.
-    fn kept(&self, newer: &NodeConfig) -> Vec<&'static str> {
-        let differ = [
+    /// The keys whose values differ in a newer file and take effect only after a restart.
+    pub fn changes_after_restart(&self, newer: &NodeConfig) -> Vec<&'static str> {
+        let changes = [
             ("name", self.name != newer.name),
-            ("listen", self.listen != newer.listen),
-            ("management", self.management != newer.management),
+            ("listen", self.listen_address != newer.listen_address),
+            ("management", self.admin_address != newer.admin_address),
             ("seed", self.seed != newer.seed),
-            ("limits", self.limits != newer.limits),
+            ("limits", self.resources != newer.resources),
         ];
-        differ.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect()
+        changes.into_iter().filter(|(_, is_changed)| *is_changed).map(|(key, _)| key).collect()
     }
+}
 
-    /// Reads the files again at each signal, until the node's end: the settings, and which list is followed.
-    pub async fn reread(
-        mut self,
-        path: PathBuf,
-        mut asked: Signal,
-        discovery: watch::Sender<SocketAddr>,
-        mut own: Own,
-        mut retuned: ReloadTargets,
-    ) {
-        while asked.recv().await.is_some() {
-            own.reread();
-            // Guards against a new file that is bad: it is checked to its end before anything of it is taken.
-            let newer = match NodeConfig::read(&path) {
-                Ok(newer) => match newer.seed() {
-                    Ok(_) => match parse_settings(&newer.settings)
-                        .map_err(|error| error.to_string())
-                        .and_then(|settings| own.file.fits(&settings))
-                    {
-                        Ok(()) => retuned.take(&newer.settings).await.map(|()| newer),
-                        Err(why) => Err(why),
-                    },
-                    Err(why) => Err(why),
-                }
-                .map_err(|why| format!("`{}`: {why}", path.display())),
-                Err(why) => Err(why),
-            };
-            match newer {
-                Err(why) => tracing::warn!("new configuration not taken, the old one goes on: {why}"),
-                Ok(newer) => {
-                    let kept = self.kept(&newer).join(", ");
-                    let kept = if kept.is_empty() { kept } else { format!("; kept as at the start: {kept}") };
-                    let moved = discovery.send_replace(newer.discovery) != newer.discovery;
-                    let what = if moved { "the list is now followed at" } else { "the list is still at" };
-                    let settings = if newer.settings == self.settings {
-                        "the same"
-                    } else {
-                        "new, for work from now on"
-                    };
-                    tracing::info!(
-                        "configuration read again, {what} {}, settings are {settings}{kept}",
-                        newer.discovery
-                    );
-                    self.settings = newer.settings;
-                }
-            }
-        }
+fn admin_address_override() -> Result<Option<SocketAddr>, NodeFileError> {
+    let value = std::env::var(ADMIN_ADDRESS_VARIABLE).unwrap_or_default();
+    if value.is_empty() {
+        return Ok(None);
     }
+    match value.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(source) => Err(NodeFileError::AdminAddress { value, source }),
+    }
+}
+
+/// Converts settings for the dispatcher and the codec, with ids of the catalog for their names.
+///
+/// # Errors
+/// If settings are missing or not allowed; the catalog is unchanged then.
+pub fn resolve_settings(
+    raw_settings: &RawSettings,
+    catalog: &mut IdCatalog,
+) -> Result<(Settings, Codec), SettingsErrors> {
+    let mut resolved = catalog.resolve(raw_settings)?;
+    bound_poll_interval(&mut resolved.settings);
+    let settings = resolved.settings.clone();
+    Ok((settings, Codec::of(raw_settings, resolved)))
+}
+
+/// Bounds the poll interval of the endpoint list, so that an update is applied in time after a failed poll.
+fn bound_poll_interval(settings: &mut Settings) {
+    let max_interval = MAX_POLL_INTERVAL.as_secs_f64() * MILLIS_PER_SECOND;
+    let interval = settings.rules.poll_interval.unwrap_or(max_interval);
+    settings.rules.poll_interval = Some(interval.min(max_interval));
+}
+
+/// The inputs of the limits that stand in the settings; the others have their defaults.
+pub fn limit_inputs(settings: &Settings, codec: &Codec) -> LimitInputs {
+    LimitInputs {
+        connect_timeout: duration_of(settings.limits.connect_timeout),
+        executor_idle_timeout: duration_of(settings.limits.idle_timeout),
+        drain_grace: duration_of(settings.rules.drain_grace),
+        max_deadline: codec.longest(),
+        ..LimitInputs::default()
+    }
+}
+
+/// A setting as a duration; none if it is missing, negative or too large.
+fn duration_of(setting: Option<Millis>) -> Option<Duration> {
+    let millis = setting.filter(|millis| (0.0..MAX_SETTING_MILLIS).contains(millis))?;
+    Some(Duration::from_secs_f64(millis / MILLIS_PER_SECOND))
 }
--- /dev/null
+++ b/crates/daemon/src/config/validation.rs
@@ -0,0 +1,90 @@
+//! Checks of values in a configuration file, which collect all faults instead of stopping at the first one.
+use humantime_serde::re::humantime::format_duration;
+use std::ops::RangeInclusive;
+use std::time::Duration;
+
+/// A value of a configuration file that is not allowed, with its key and what is allowed.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum ConfigFault {
+    /// A duration is out of its range.
+    #[error("`{key}` must be {} to {}", format_duration(*allowed.start()), format_duration(*allowed.end()))]
+    Duration {
+        /// The key, with the sections it stands in.
+        key: &'static str,
+        /// The allowed range.
+        allowed: RangeInclusive<Duration>,
+    },
+    /// A list is too short or too long.
+    #[error("`{key}` must name {} to {} {items}", allowed.start(), allowed.end())]
+    Count {
+        /// The key, with the sections it stands in.
+        key: &'static str,
+        /// The allowed number of items.
+        allowed: RangeInclusive<usize>,
+        /// What the list consists of.
+        items: &'static str,
+    },
+    /// A number is out of its range.
+    #[error("`{key}` must be {} to {}", allowed.start(), allowed.end())]
+    Number {
+        /// The key, with the sections it stands in.
+        key: &'static str,
+        /// The allowed range.
+        allowed: RangeInclusive<f64>,
+    },
+    /// A value breaks another rule.
+    #[error("`{key}` {rule}")]
+    Rule {
+        /// The key, with the sections it stands in.
+        key: &'static str,
+        /// What is wrong and what is allowed.
+        rule: &'static str,
+    },
+}
+
+/// Collects the faults of one file.
+#[derive(Default)]
+pub struct Validator {
+    faults: Vec<ConfigFault>,
+}
+
+impl Validator {
+    /// Checks that a duration is within a range.
+    pub fn check_duration(&mut self, key: &'static str, value: Duration, allowed: RangeInclusive<Duration>) {
+        if !allowed.contains(&value) {
+            self.faults.push(ConfigFault::Duration { key, allowed });
+        }
+    }
+
+    /// Checks that the number of items of a list is within a range.
+    pub fn check_count(
+        &mut self,
+        key: &'static str,
+        count: usize,
+        allowed: RangeInclusive<usize>,
+        items: &'static str,
+    ) {
+        if !allowed.contains(&count) {
+            self.faults.push(ConfigFault::Count { key, allowed, items });
+        }
+    }
+
+    /// Checks that a number is within a range.
+    pub fn check_number(&mut self, key: &'static str, value: f64, allowed: RangeInclusive<f64>) {
+        if !allowed.contains(&value) {
+            self.faults.push(ConfigFault::Number { key, allowed });
+        }
+    }
+
+    /// Checks a rule of another kind, given whether the value follows it.
+    pub fn check_rule(&mut self, key: &'static str, is_followed: bool, rule: &'static str) {
+        if !is_followed {
+            self.faults.push(ConfigFault::Rule { key, rule });
+        }
+    }
+
+    /// All faults, in the order of the checks.
+    pub fn into_faults(self) -> Vec<ConfigFault> {
+        self.faults
+    }
+}
--- a/crates/daemon/src/discovery/consul.rs
+++ b/crates/daemon/src/discovery/consul.rs
@@ -1,8 +1,8 @@
 //! Follows Consul: a task for each watched service, which asks the agents in turn, and one for what the roster
 //! does by itself. What a roster says becomes changes of the list, told like the platform's.
 use crate::byte_budget::ByteBudget;
+use crate::config::consul::ConsulConfig;
 use crate::config::limits::Limits;
-use crate::config::operator::Consul;
 use crate::discovery::{EndpointUpdate, EndpointUpdateSender};
 use crate::http1::{Connection, Failed};
 use crate::protocol::EndpointEntry;
@@ -32,7 +32,7 @@
     pub clock: Clock,
     pub told: EndpointUpdateSender,
     /// What the operator's file says; none where it no longer names Consul.
-    pub wanted: watch::Receiver<Option<Consul>>,
+    pub wanted: watch::Receiver<Option<ConsulConfig>>,
     /// What the node says of its list, where it is asked.
     pub status: Rc<RefCell<String>>,
 }
@@ -65,8 +65,10 @@
         let clock = self.clock;
         // The roster's times are the clock's own, which are Unix times already.
         let first = self.wanted.borrow().clone();
-        let terms =
-            first.as_ref().map(|c| c.terms(self.limits.executor_bounds.max_retained)).unwrap_or_default();
+        let terms = first
+            .as_ref()
+            .map(|c| c.roster_terms(self.limits.executor_bounds.max_retained))
+            .unwrap_or_default();
         let shared = Rc::new(Shared {
             limits: self.limits.clone(),
             clock,
@@ -99,12 +101,12 @@
 impl Shared {
     /// Starts and ends watches so that they are those that are wanted; one that stays is not disturbed, but
     /// where the agents or the token are others.
-    async fn follow(self: &Rc<Self>, wanted: Option<Consul>, next: &mut usize) {
+    async fn follow(self: &Rc<Self>, wanted: Option<ConsulConfig>, next: &mut usize) {
         let mut kept: Vec<Watching> = std::mem::take(&mut *self.watches.borrow_mut());
         if let Some(consul) = &wanted {
-            self.roster.borrow_mut().set_terms(consul.terms(self.limits.executor_bounds.max_retained));
+            self.roster.borrow_mut().set_terms(consul.roster_terms(self.limits.executor_bounds.max_retained));
             let token = consul.token_file.as_deref().and_then(read_token);
-            for watched in consul.watched() {
+            for watched in consul.watches() {
                 let was = kept.iter().position(|w| w.watched == watched).map(|at| kept.swap_remove(at));
                 let number = was.as_ref().map_or_else(
                     || {
@@ -114,7 +116,11 @@
                     |was| was.number,
                 );
                 let asks = Asks {
-                    blocking: Blocking::new(watched.clone(), consul.pace(), consul.agents.len() as u32),
+                    blocking: Blocking::new(
+                        watched.clone(),
+                        consul.query_timing(),
+                        consul.agents.len() as u32,
+                    ),
                     agents: consul.agents.clone(),
                     token: token.clone(),
                     number,
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -1,7 +1,7 @@
 //! The client side: accepts connections, takes work units in, and writes each its one final answer.
 use crate::byte_budget::ByteBudget;
+use crate::config::durable::DurableConfig;
 use crate::config::limits::Limits;
-use crate::config::operator::DurableConfig;
 use crate::durable::{Durable, Found, JoinedRequest};
 use crate::event::NodeEvent;
 use crate::hot_restart::{
@@ -488,7 +488,7 @@
     fn is_durable(&self, work: &ClientRequest) -> bool {
         let effect = self.codec.now().effect(work.class);
         let takes =
-            |terms: &DurableConfig| work.key.is_some() || effect.is_some_and(|effect| terms.takes(effect));
+            |terms: &DurableConfig| work.key.is_some() || effect.is_some_and(|effect| terms.includes(effect));
         self.durably.as_ref().is_some_and(takes)
     }
 
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -22,7 +22,7 @@
 
 impl Lease {
     pub fn new(durable: Rc<Durable>, request_id: RequestId, number: usize, fence: Fence, at: Millis) -> Self {
-        let span = durable.terms.lease.unwrap_or(Duration::from_secs(86_400));
+        let span = durable.terms.lease_duration.unwrap_or(Duration::from_secs(86_400));
         Lease {
             durable,
             request_id,
@@ -39,12 +39,12 @@
     /// What the executor is told of it: the fence, and the lease in milliseconds; none where it knows neither.
     pub fn told_to_executor(&self) -> Option<(u64, Option<Millis>)> {
         let terms = &self.durable.terms;
-        let lease = terms.lease.map(|span| span.as_secs_f64() * 1000.0);
-        (terms.fences || lease.is_some()).then_some((self.fence.0, lease))
+        let lease = terms.lease_duration.map(|span| span.as_secs_f64() * 1000.0);
+        (terms.has_fencing || lease.is_some()).then_some((self.fence.0, lease))
     }
 
     pub fn fences_known(&self) -> bool {
-        self.durable.terms.fences
+        self.durable.terms.has_fencing
     }
 
     /// How long ago it was recorded.
@@ -58,7 +58,7 @@
         if started && !self.started.replace(true) {
             self.durable.later(Record::Started { request_id, attempt_id });
         }
-        let Some(span) = self.durable.terms.lease else { return };
+        let Some(span) = self.durable.terms.lease_duration else { return };
         self.until.set(now + span);
         // Not each one: a lease on record may be shorter than it is, never longer.
         if self.told.get().is_none_or(|told| now - told >= span / 3) {
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -5,8 +5,8 @@
 pub use lease::Lease;
 
 use crate::byte_budget::ByteBudget;
+use crate::config::durable::{DurableConfig, LedgerSync};
 use crate::config::limits::Limits;
-use crate::config::operator::{DurableConfig, LedgerSync};
 use crate::event::{NodeEvent, RecoveredAttempt};
 use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
 use crate::lifecycle::LifecycleState;
@@ -138,8 +138,8 @@
             move || Store::open(&path)
         });
         let sync_mode = match terms.sync {
-            LedgerSync::Together => SyncMode::Shared,
-            LedgerSync::Each => SyncMode::Separate,
+            LedgerSync::Batched => SyncMode::Shared,
+            LedgerSync::PerRecord => SyncMode::Separate,
         };
         let began = Instant::now();
         let opened = Committer::start(open, sync_mode, max_attempts);
@@ -205,8 +205,8 @@
 
     /// Whether new work may be taken.
     pub fn is_ready(&self) -> bool {
-        let ready = self.committer.check_ready(self.terms.slow_after);
-        let full = self.ledger.borrow().len() >= self.terms.most.min(self.limits.max_durable_jobs);
+        let ready = self.committer.check_ready(self.terms.slow_sync_threshold);
+        let full = self.ledger.borrow().len() >= self.terms.max_jobs.min(self.limits.max_durable_jobs);
         let why = ready.err().map(|error| error.to_string()).or(full.then(|| "it is full".to_string()));
         if self.failing.replace(why.is_some()) != why.is_some() {
             match &why {
@@ -275,7 +275,7 @@
         };
         let Some(row) = self.apply(record) else { return Err(come_back) };
         let joint = self.joint(request_id);
-        let written = timeout(self.terms.slow_after, self.write(vec![row])).await;
+        let written = timeout(self.terms.slow_sync_threshold, self.write(vec![row])).await;
         if !matches!(written, Ok(Ok(()))) {
             tracing::debug!("ledger: a work unit is deferred, its record is not on disk in time");
             // Whoever asks again is deferred as well until that is on record, and asks anew afterwards.
@@ -352,7 +352,7 @@
     ) -> Option<Lease> {
         let now = self.now();
         let until_cut = cut.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
-        let span = self.terms.lease.map_or(until_cut, |span| span.as_secs_f64() * 1000.0);
+        let span = self.terms.lease_duration.map_or(until_cut, |span| span.as_secs_f64() * 1000.0);
         let (fence, number) = {
             let ledger = self.ledger.borrow();
             let known = ledger.job(request_id)?;
@@ -456,7 +456,7 @@
     pub async fn forget(self: Rc<Self>) {
         loop {
             sleep(FORGET_EVERY).await;
-            let then = self.now() - self.terms.kept.as_secs_f64() * 1000.0;
+            let then = self.now() - self.terms.retention.as_secs_f64() * 1000.0;
             loop {
                 let mut old = self.ledger.borrow().answered_before(then, MOST_FORGOTTEN);
                 // Guards against a ledger that fills up as more is answered than is forgotten at a time.
@@ -507,7 +507,7 @@
     pub fn said(&self) -> String {
         let (ledger, mut said) = (self.ledger.borrow(), String::new());
         let open = ledger.open_jobs().count();
-        let state = match self.committer.check_ready(self.terms.slow_after) {
+        let state = match self.committer.check_ready(self.terms.slow_sync_threshold) {
             Ok(()) => "ready".to_string(),
             Err(why) => format!("new work is deferred: {why}"),
         };
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -20,9 +20,11 @@
 mod upstream;
 
 use admin::AdminServer;
+use config::durable::DurableConfig;
 use config::limits::{LimitInputs, Limits};
-use config::node::{NodeConfig, Own, ReloadTargets, ResolvedNodeConfig, stated};
-use config::operator::{DiscoverySource, DurableConfig, OperatorFile};
+use config::node::{NodeConfig, ResolvedNodeConfig, limit_inputs};
+use config::operator::{DiscoverySource, OperatorFile};
+use config::reload::{ConfigReloader, NodeReload, OperatorReload};
 use discovery::{EndpointUpdate, EndpointUpdateSender, merge::EndpointMerge};
 use downstream::DownstreamServer;
 use driver::{Driver, WatchRequests};
@@ -90,7 +92,7 @@
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
     // Before anything is read, which may take a while: a signal that comes meanwhile is seen once the node runs.
     let signals = runtime.block_on(async { Signals::listen() })?;
-    let told = NodeConfig::read(path)?;
+    let told = NodeConfig::read(path).map_err(|error| error.to_string())?;
     LocalSet::new().block_on(&runtime, run(told, path.to_owned(), passed, signals))
 }
 
@@ -117,8 +119,9 @@
 /// # Errors
 /// One plain line that says why not.
 pub fn check(path: &Path) -> Result<(), String> {
-    let understood = NodeConfig::read(path)?.understood(&mut IdCatalog::default());
-    understood.map(|_| ()).map_err(|why| format!("`{}`: {why}", path.display()))
+    let config = NodeConfig::read(path).map_err(|error| error.to_string())?;
+    let resolved = config.resolve(&mut IdCatalog::default());
+    resolved.map(|_| ()).map_err(|error| format!("`{}`: {error}", path.display()))
 }
 
 /// Says whether an operator's own file could be used.
@@ -126,7 +129,7 @@
 /// # Errors
 /// Every fault on a line of its own.
 pub fn check_own(path: &Path) -> Result<(), String> {
-    OperatorFile::read(path).map(|_| ())
+    OperatorFile::read(path).map(|_| ()).map_err(|error| error.to_string())
 }
 
 /// The file that `ROUTER_CONFIG` names.
@@ -145,31 +148,37 @@
 ) -> Result<(), String> {
     let Signals { mut terminate, mut interrupt, reread } = signals;
     let mut catalog = IdCatalog::default();
-    let ResolvedNodeConfig { seed, settings, codec } = told.understood(&mut catalog)?;
-    let own_path = OperatorFile::named();
-    let file = own_path.as_deref().map(OperatorFile::read).transpose()?.unwrap_or_default();
-    file.fits(&settings)?;
-    let peers =
-        file.peers.clone().map(|p| GossipSocket::listen(p.listen, p.nodes, passed.is_some())).transpose()?;
+    let ResolvedNodeConfig { seed, settings, codec } =
+        told.resolve(&mut catalog).map_err(|error| error.to_string())?;
+    let own_path = OperatorFile::path_from_environment();
+    let file = own_path.as_deref().map(OperatorFile::read).transpose();
+    let file = file.map_err(|error| error.to_string())?.unwrap_or_default();
+    file.check_settings(&settings).map_err(|error| error.to_string())?;
+    let peers = file
+        .gossip
+        .clone()
+        .map(|p| GossipSocket::listen(p.listen_address, p.peers, passed.is_some()))
+        .transpose()?;
     let limits = Rc::new(Limits::new(&LimitInputs {
-        memory_mb: told.limits.memory_mb,
-        max_sockets: told.limits.sockets,
-        has_consul: file.lists.sources.contains(&DiscoverySource::Consul),
+        memory_mb: told.resources.memory_mb,
+        max_sockets: told.resources.max_sockets,
+        has_consul: file.discovery.sources.contains(&DiscoverySource::Consul),
         has_ledger: file.durable.is_some(),
         has_inherited_socket: passed.is_some(),
-        ..stated(&settings, &codec)
+        ..limit_inputs(&settings, &codec)
     }));
     let codec = Current::new(codec);
     let cannot = |at: SocketAddr| move |e| format!("cannot listen at {at}: {e}");
-    let passed = passed.map(TcpListener::from_std).transpose().map_err(cannot(told.listen))?;
+    let passed = passed.map(TcpListener::from_std).transpose().map_err(cannot(told.listen_address))?;
     let was_passed = passed.is_some();
     let listener = match passed {
         Some(listener) => listener,
-        None => listen(told.listen, limits.listen_backlog).map_err(cannot(told.listen))?,
+        None => listen(told.listen_address, limits.listen_backlog).map_err(cannot(told.listen_address))?,
     };
     let management =
-        told.management.map(|at| listen(at, limits.listen_backlog).map_err(cannot(at))).transpose()?;
-    let address = listener.local_addr().map_err(|e| format!("cannot listen at {}: {e}", told.listen))?;
+        told.admin_address.map(|at| listen(at, limits.listen_backlog).map_err(cannot(at))).transpose()?;
+    let address =
+        listener.local_addr().map_err(|e| format!("cannot listen at {}: {e}", told.listen_address))?;
 
     let clock = Clock::start();
     let beside: Rc<SiblingProcess> = Rc::default();
@@ -183,9 +192,10 @@
     let (mut inherited, older) = older.unzip();
     if let Some(inherited) = &mut inherited {
         // What the process before this one was told of the list is newer than what the configuration says.
-        let version = inherited.version.or(told.known.as_ref().map(|known| known.version));
+        let version = inherited.version.or(told.cached_list.as_ref().map(|known| known.version));
         let entries = std::mem::take(&mut inherited.entries);
-        told.known = Some(EndpointList { version: version.unwrap_or(0), full: true, entries, beyond: 0 });
+        told.cached_list =
+            Some(EndpointList { version: version.unwrap_or(0), full: true, entries, beyond: 0 });
     }
     let (events, told_events) = mpsc::channel(limits.event_queue_capacity);
     let lifecycle = Rc::new(Lifecycle::new());
@@ -239,12 +249,12 @@
     if let Some(peers) = peers {
         spawn_local(peers.receive(codec.clone(), events.clone()));
     }
-    let version = told.known.as_ref().map(|known| known.version);
+    let version = told.cached_list.as_ref().map(|known| known.version);
     // A platform's list that is followed alone goes on from its version, and needs no second copy of it.
-    let is_alone = file.lists.sources.as_slice() == [DiscoverySource::Platform];
-    let before = told.known.as_ref().filter(|_| !is_alone);
+    let is_alone = file.discovery.sources.as_slice() == [DiscoverySource::Platform];
+    let before = told.cached_list.as_ref().filter(|_| !is_alone);
     let before = before.map_or(Vec::new(), |known| known.entries.clone());
-    if let Some(known) = told.known.take() {
+    if let Some(known) = told.cached_list.take() {
         if let Some(inherited) = &mut inherited {
             driver.leave_out(std::mem::take(&mut inherited.excluded));
         }
@@ -258,12 +268,12 @@
         inherited.ids = Vec::new();
         driver.take_over(clock.now(), inherited);
     }
-    let (discovery, followed) = watch::channel(told.discovery);
-    let (consul, consul_wanted) = watch::channel(file.lists.consul.clone());
+    let (discovery, followed) = watch::channel(told.discovery_address);
+    let (consul, consul_wanted) = watch::channel(file.discovery.consul.clone());
     let merge = Rc::new(RefCell::new(EndpointMerge::new(limits.executor_bounds.max_listed)));
     let retention = Retention::of_node(&told.name);
-    for (place, source) in file.lists.sources.iter().enumerate() {
-        let several = file.lists.sources.len() > 1;
+    for (place, source) in file.discovery.sources.iter().enumerate() {
+        let several = file.discovery.sources.len() > 1;
         let events = events.clone();
         let told = if several {
             EndpointUpdateSender::among(events, place, &merge)
@@ -333,10 +343,19 @@
         });
         spawn_local(handover.run(older));
     }
-    let own = Own { path: own_path, file, consul };
-    let retuned =
-        ReloadTargets { catalog, limits: limits.clone(), codec: codec.clone(), events: events.clone() };
-    spawn_local(told.reread(path, reread, discovery, own, retuned));
+    let reloader = ConfigReloader {
+        node: NodeReload {
+            path,
+            config: told,
+            discovery_address: discovery,
+            catalog,
+            limits: limits.clone(),
+            codec: codec.clone(),
+            events: events.clone(),
+        },
+        operator: OperatorReload { path: own_path, file, consul },
+    };
+    spawn_local(reloader.run(reread));
     let unlisted = sleep(limits.cached_list_after);
     tokio::pin!(driver, unlisted);
     loop {
--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -237,7 +237,7 @@
     for bad in ["agents = []", "[lists", "[lists]\nsources = [\"dns\"]"] {
         std::fs::write(&own, bad).unwrap();
         node.signal("HUP");
-        node.logged("new file of the operator not taken");
+        node.logged("new operator's file rejected");
     }
     let token = format!("{own}.token");
     std::fs::write(&token, "wrong").unwrap();
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -228,7 +228,7 @@
     for bad in ["", "{\"name\": 5}", &node.config.to_string().replace("render", "").replace("30000000", "0")]
     {
         node.reread(bad);
-        node.logged("new configuration not taken");
+        node.logged("new configuration rejected");
     }
     let mut config = node.config.clone();
     config["discovery"] = json!(second.addr.to_string());
@@ -237,7 +237,7 @@
     for _ in 0..20 {
         node.reread(&config.to_string());
     }
-    assert!(node.logged("the list is now followed at").ends_with("; kept as at the start: limits"));
+    assert!(node.logged("address_changed=true").ends_with(" restart_required=limits"));
     let asked = second.asked.recv_timeout(Duration::from_secs(4)).expect("it is asked at once");
     assert!(asked.ends_with("&index=7 HTTP/1.1"), "the list is kept: {asked}");
     second.lines.send(list(9, false, &[entry("s-1", &old, "Terminating")])).unwrap();
@@ -467,7 +467,7 @@
         ("{\"name\": 5}".into(), "string"),
         (with("/listen", json!("here")), "socket address"),
         (with("/listen", json!("192.0.2.1:1")), "cannot listen at"),
-        (with("/seed", json!("none")), "odd seed"),
+        (with("/seed", json!("none")), "`seed` must be a hexadecimal number of at most 64 bits"),
         (with("/limits", json!({"memory_mb": -1, "sockets": 64})), "invalid value"),
         (with("/settings", json!({})), "names none"),
         (with("/settings/project_types/0/hard_limit", json!("long")), "wrong type"),
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -283,7 +283,7 @@
     under_way.get_mut().write_all(work("render", &new_id(), 9.0, "").as_bytes()).unwrap();
     executor.wait_for(1);
     config["settings"] = types(&[("render", "unsafe", 20), ("thumb", "safe", 2)], 2);
-    retune(&config, "settings are new, for work from now on");
+    retune(&config, "settings_changed=true");
     executor.go_on.send(()).unwrap();
     assert_eq!(answer(&mut under_way).0, 200, "it is sent three times, as when it came");
     for (name, acts, status) in [
@@ -301,23 +301,23 @@
         ("/settings/limits/max_allocations", json!(-1), "`limits.max_allocations` is not a positive number"),
         ("/settings/contract", json!({}), "`contract.drain_grace` is missing"),
         ("/settings", json!({}), "names none"),
-        ("/seed", json!("zz"), "odd seed"),
+        ("/seed", json!("zz"), "`seed` must be a hexadecimal number of at most 64 bits"),
     ] {
         let mut bad = good.clone();
         // What comes before the fault must not be taken either.
         bad["settings"]["project_types"][0]["name"] = json!("other");
         *bad.pointer_mut(at).unwrap() = value;
-        let line = retune(&bad, "new configuration not taken");
+        let line = retune(&bad, "new configuration rejected");
         assert!(line.contains(&node.path) && line.contains(said), "{line}");
         assert_eq!((post("other", &[]), post("render", &[]), post("thumb", &[])), (404, 200, 200), "{at}");
     }
     node.reread(&good.to_string()[..500]);
-    node.logged("new configuration not taken");
+    node.logged("new configuration rejected");
     // Two files within a second: the last one holds.
     config["settings"] = types(&[("thumb", "safe", 2)], 3);
-    retune(&config, "settings are new");
+    retune(&config, "settings_changed=true");
     config["settings"] = types(&[("publish", "unsafe", 2), ("render", "safe", 2)], 3);
-    retune(&config, "settings are new");
+    retune(&config, "settings_changed=true");
     assert_eq!((post("publish", &loses), post("render", &loses), post("thumb", &[])), (502, 200, 404));
 }
 
@@ -641,7 +641,7 @@
         let mut config = process.node.config.clone();
         config["settings"] = types(&[("render", "safe", 20), ("thumb", "safe", 2)], 2);
         process.node.reread(&config.to_string());
-        process.node.logged("settings are new");
+        process.node.logged("settings_changed=true");
     }
     assert_eq!(ask(&mut platform.connect(), work("thumb", &new_id(), 1.0, "")).0, 200);
     assert_eq!(ask(&mut platform.connect(), work("publish", &new_id(), 1.0, "")).0, 404);
--- a/crates/daemon/tests/shape.rs
+++ b/crates/daemon/tests/shape.rs
@@ -49,7 +49,7 @@
         assert!(!out.status.success() && said.lines().count() == 1 && said.contains(part), "{said}");
         if own.is_empty() {
             old.reread(&config.to_string());
-            assert!(old.logged("not taken").contains(part), "{part}");
+            assert!(old.logged("new configuration rejected").contains(part), "{part}");
             assert_eq!(old.ask(work("render", &new_id(), 3.0, "")).0, 200, "the old ones go on");
         }
     }
--- a/crates/daemon/tests/unit/compatibility.rs
+++ b/crates/daemon/tests/unit/compatibility.rs
@@ -1,6 +1,8 @@
 //! Files and lines that an earlier release wrote (commit cc67128): a next process of a node reads them, and an
 //! operator's file goes on meaning the same.
-use crate::config::operator::{DiscoverySource, LedgerSync, Lists, OperatorFile, Taken, Wish};
+use crate::config::consul::ConsistencyMode;
+use crate::config::durable::{DurableEffect, LedgerSync};
+use crate::config::operator::{DiscoveryConfig, DiscoverySource, OperatorFile};
 use crate::hot_restart::codec::{Bounds, Inherited, read, write};
 use std::path::Path;
 use std::time::Duration;
@@ -37,19 +39,30 @@
 #[test]
 fn an_earlier_file_of_the_operator_means_the_same() {
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/operator.toml"));
-    let OperatorFile { lists: Lists { sources, consul }, durable, peers } = OperatorFile::read(path).unwrap();
+    let OperatorFile { discovery: DiscoveryConfig { sources, consul }, durable, gossip } =
+        OperatorFile::read(path).unwrap();
     assert_eq!(sources, [DiscoverySource::Consul]);
-    let (consul, durable, peers) = (consul.unwrap(), durable.unwrap(), peers.unwrap());
+    let (consul, durable, gossip) = (consul.unwrap(), durable.unwrap(), gossip.unwrap());
     assert_eq!((consul.agents.len(), consul.services[0].name.as_str()), (1, "box"));
-    assert_eq!((consul.consistency, consul.wait), (Wish::Consistent, Duration::from_secs(10)));
-    assert_eq!((consul.panic.share, consul.damping.on, consul.damping.cutoff), (0.5, true, 1.5));
+    assert_eq!(
+        (consul.consistency, consul.query_wait),
+        (ConsistencyMode::Consistent, Duration::from_secs(10))
+    );
+    assert_eq!((consul.panic.max_missing_share, consul.damping.is_enabled), (0.5, true));
+    assert_eq!(consul.damping.suppress_threshold, 1.5);
     assert_eq!(durable.path, Path::new("/var/lib/troutknot/ledger"));
-    assert_eq!(durable.effects, [Taken::Rerunnable, Taken::Receipted, Taken::Exclusive]);
-    assert_eq!((durable.key_header.as_str(), durable.kept), ("Idempotency-Key", Duration::from_secs(600)));
     assert_eq!(
-        (durable.sync, durable.slow_after, durable.most),
-        (LedgerSync::Each, Duration::from_millis(250), 9000)
+        durable.effects,
+        [DurableEffect::Idempotent, DurableEffect::Deduplicated, DurableEffect::AtMostOnce]
+    );
+    assert_eq!(
+        (durable.key_header.as_str(), durable.retention),
+        ("Idempotency-Key", Duration::from_secs(600))
+    );
+    assert_eq!(
+        (durable.sync, durable.slow_sync_threshold, durable.max_jobs),
+        (LedgerSync::PerRecord, Duration::from_millis(250), 9000)
     );
-    assert_eq!((durable.lease, durable.fences), (Some(Duration::from_secs(2)), true));
-    assert_eq!((peers.listen.port(), peers.nodes.len()), (3100, 3));
+    assert_eq!((durable.lease_duration, durable.has_fencing), (Some(Duration::from_secs(2)), true));
+    assert_eq!((gossip.listen_address.port(), gossip.peers.len()), (3100, 3));
 }
