--- a/crates/daemon/examples/fleet_memory.rs
+++ b/crates/daemon/examples/fleet_memory.rs
@@ -144,7 +144,9 @@
     thread::spawn(move || {
         lines
             .filter(|line| {
-                line.contains("left out") || line.contains("garbage") || line.contains("gives no list")
+                line.contains("left out")
+                    || line.contains("invalid endpoint list")
+                    || line.contains("gives no list")
             })
             .for_each(|line| println!("{line}"))
     });
--- a/crates/daemon/src/discovery/consul.rs
+++ b/crates/daemon/src/discovery/consul.rs
@@ -292,7 +292,7 @@
         let answered = self.watches.borrow().iter().any(|w| w.answered_at.get().is_some());
         if answered || !changes.is_empty() {
             // That nothing has changed is word from the list as well.
-            self.told.tell(EndpointUpdate::changes(changes.into_iter().map(entry_of).collect())).await;
+            self.told.send(EndpointUpdate::changes(changes.into_iter().map(entry_of).collect())).await;
         }
         self.say();
         self.changed.notify_one();
--- a/crates/daemon/src/discovery/merge.rs
+++ b/crates/daemon/src/discovery/merge.rs
@@ -1,87 +1,104 @@
-//! Several sources of one list. Figures of an executor come from the first source that lists it; it is ready
-//! only while every source that names it says so, for what any of them has told counts as learned.
+//! Merges the endpoint lists of several sources.
+//!
+//! An executor's entry comes from the source with the highest precedence that lists it. An executor is ready only
+//! while every source that knows it says so, because a source that reports a drain may be ahead of the others.
 use crate::protocol::EndpointEntry;
 use compact_str::CompactString;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, HashSet};
 use troutknot::ListUpdate;
 
-/// What each source last said of one executor, by the source's place in the order.
+const READY: &str = "Ready";
+const DRAINING: &str = "Terminating";
+const GONE: &str = "Gone";
+
+/// The entries of one executor.
 #[derive(Default)]
-struct Said {
-    by: BTreeMap<usize, EndpointEntry>,
-    told: Option<EndpointEntry>,
+struct MergedExecutor {
+    /// The last entry of each source, by the source's precedence.
+    by_source: BTreeMap<usize, EndpointEntry>,
+    /// The merged entry that was sent last.
+    sent: Option<EndpointEntry>,
 }
 
+/// The merged list.
 pub struct EndpointMerge {
-    executors: BTreeMap<CompactString, Said>,
-    /// So many are kept in mind; further ones are left out. Guards against lists that name ever new ones.
-    most: usize,
+    executors: BTreeMap<CompactString, MergedExecutor>,
+    max_executors: usize,
 }
 
-const READY: &str = "Ready";
-const GONE: &str = "Gone";
-
-impl Said {
-    fn wanted(&self) -> Option<EndpointEntry> {
-        let first = self.by.values().find(|entry| entry.state != GONE).or(self.by.values().next())?;
-        let mut wanted = first.clone();
-        // One that a source has let go and another still lists only drains: it may be back there.
-        if wanted.state == READY
-            && let Some(strict) = self.by.values().find(|entry| entry.state != READY)
+impl MergedExecutor {
+    fn merged(&self) -> Option<EndpointEntry> {
+        let listed = self.by_source.values().find(|entry| entry.state != GONE);
+        let mut merged = listed.or(self.by_source.values().next())?.clone();
+        let not_ready = self.by_source.values().find(|entry| entry.state != READY);
+        if merged.state == READY
+            && let Some(not_ready) = not_ready
         {
-            wanted.state = if strict.state == GONE { "Terminating".into() } else { strict.state.clone() };
+            // It is only draining if a source still lists it.
+            merged.state = if not_ready.state == GONE { DRAINING.into() } else { not_ready.state.clone() };
         }
-        Some(wanted)
+        Some(merged)
+    }
+
+    fn is_gone(&self) -> bool {
+        self.by_source.values().all(|entry| entry.state == GONE)
     }
 }
 
 impl EndpointMerge {
-    pub fn new(most: usize) -> Self {
-        EndpointMerge { executors: BTreeMap::new(), most }
+    /// A merge that ignores further executors once it has `max_executors`.
+    pub fn new(max_executors: usize) -> Self {
+        EndpointMerge { executors: BTreeMap::new(), max_executors }
     }
 
-    /// What changes for the node by a source's word.
-    pub fn take(
+    /// Applies an update of one source and returns the merged entries that changed.
+    pub fn apply(
         &mut self,
-        source: usize,
+        precedence: usize,
         kind: ListUpdate,
         entries: Vec<EndpointEntry>,
     ) -> Vec<EndpointEntry> {
-        let mut touched: Vec<CompactString> = entries.iter().map(|entry| entry.id.clone()).collect();
+        let mut dirty: Vec<CompactString> = entries.iter().map(|entry| entry.id.clone()).collect();
         if kind != ListUpdate::Delta {
-            // Who is missing from a whole list is gone.
-            let named: std::collections::HashSet<&str> =
-                entries.iter().map(|entry| entry.id.as_str()).collect();
-            for (id, said) in &mut self.executors {
-                if let Some(entry) = said.by.get_mut(&source)
-                    && !named.contains(id.as_str())
-                {
-                    entry.state = GONE.into();
-                    touched.push(id.clone());
-                }
-            }
+            dirty.extend(self.mark_missing_as_gone(precedence, &entries));
         }
         for entry in entries {
-            if self.executors.len() >= self.most && !self.executors.contains_key(&entry.id) {
-                continue;
+            let is_known = self.executors.contains_key(&entry.id);
+            if is_known || self.executors.len() < self.max_executors {
+                let executor = self.executors.entry(entry.id.clone()).or_default();
+                executor.by_source.insert(precedence, entry);
             }
-            let said = self.executors.entry(entry.id.clone()).or_default();
-            said.by.insert(source, entry);
         }
-        let mut changes = Vec::new();
-        for id in touched {
-            let Some(said) = self.executors.get_mut(&id) else { continue };
-            let Some(wanted) = said.wanted() else { continue };
-            if said.told.as_ref() != Some(&wanted) {
-                said.told = Some(wanted.clone());
-                changes.push(wanted);
-            }
-            // Guards against a list that names ever new ones: who is gone everywhere is not kept in mind.
-            if said.by.values().all(|entry| entry.state == GONE) {
-                self.executors.remove(&id);
+        dirty.iter().filter_map(|id| self.take_change(id)).collect()
+    }
+
+    /// Marks the executors of a source that its snapshot does not list, and returns their ids.
+    fn mark_missing_as_gone(&mut self, precedence: usize, snapshot: &[EndpointEntry]) -> Vec<CompactString> {
+        let listed: HashSet<&str> = snapshot.iter().map(|entry| entry.id.as_str()).collect();
+        let mut missing = Vec::new();
+        for (id, executor) in &mut self.executors {
+            if let Some(entry) = executor.by_source.get_mut(&precedence)
+                && !listed.contains(id.as_str())
+            {
+                entry.state = GONE.into();
+                missing.push(id.clone());
             }
         }
-        changes
+        missing
+    }
+
+    /// The merged entry of an executor if it changed. Removes an executor that is gone from all sources.
+    fn take_change(&mut self, id: &CompactString) -> Option<EndpointEntry> {
+        let executor = self.executors.get_mut(id)?;
+        let merged = executor.merged()?;
+        let is_changed = executor.sent.as_ref() != Some(&merged);
+        if is_changed {
+            executor.sent = Some(merged.clone());
+        }
+        if executor.is_gone() {
+            self.executors.remove(id);
+        }
+        is_changed.then_some(merged)
     }
 }
 
--- a/crates/daemon/src/discovery/mod.rs
+++ b/crates/daemon/src/discovery/mod.rs
@@ -1,8 +1,9 @@
-//! The sources of the list of executors: each follows one, and all tell the same events.
+//! Sources of the endpoint list. Each source runs as a task and sends its updates to the driver.
 pub mod consul;
 pub mod merge;
 pub mod parser;
 pub mod platform;
+mod versions;
 
 use crate::event::NodeEvent;
 use crate::protocol::{EndpointEntry, EndpointList};
@@ -39,54 +40,81 @@
     }
 }
 
-/// Where a source tells what it has; with several, what follows from all of them is told on.
+/// The driver's queue is closed, because the node is shutting down.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the node is shutting down")]
+pub struct ShuttingDown;
+
+/// Sends the updates of one source to the driver, merged with those of the other sources.
 #[derive(Clone)]
 pub struct EndpointUpdateSender {
     events: mpsc::Sender<NodeEvent>,
-    merge: Option<(usize, Rc<RefCell<EndpointMerge>>)>,
+    merge: Option<MergeHandle>,
+}
+
+/// The precedence of one source in a merge of several.
+#[derive(Clone)]
+struct MergeHandle {
+    precedence: usize,
+    merge: Rc<RefCell<EndpointMerge>>,
+}
+
+/// A reserved place in the driver's queue, for one update.
+pub struct UpdatePermit<'a> {
+    sender: &'a EndpointUpdateSender,
+    permit: mpsc::Permit<'a, NodeEvent>,
 }
 
 impl EndpointUpdateSender {
     /// For the only source.
-    pub fn alone(events: mpsc::Sender<NodeEvent>) -> Self {
+    pub fn unmerged(events: mpsc::Sender<NodeEvent>) -> Self {
         EndpointUpdateSender { events, merge: None }
     }
 
-    /// For each of several sources, by its place in the order.
-    pub fn among(events: mpsc::Sender<NodeEvent>, place: usize, merge: &Rc<RefCell<EndpointMerge>>) -> Self {
-        EndpointUpdateSender { events, merge: Some((place, merge.clone())) }
+    /// For one of several sources, by its precedence, from 0 for the highest.
+    pub fn merged(
+        events: mpsc::Sender<NodeEvent>,
+        precedence: usize,
+        merge: &Rc<RefCell<EndpointMerge>>,
+    ) -> Self {
+        EndpointUpdateSender { events, merge: Some(MergeHandle { precedence, merge: merge.clone() }) }
     }
 
-    /// What needs no merging goes on as it is.
+    /// Sends an event that is no update of the list.
     ///
     /// # Errors
-    /// Once the node ends.
-    pub async fn event(&self, event: NodeEvent) -> Result<(), String> {
-        self.events.send(event).await.map_err(|_| "the node ends".to_string())
+    /// If the node is shutting down.
+    pub async fn send_event(&self, event: NodeEvent) -> Result<(), ShuttingDown> {
+        self.events.send(event).await.map_err(|_| ShuttingDown)
     }
 
-    /// Room for one [`Told::list`], so that what counts as known has been told.
+    /// Waits for a place in the driver's queue.
     ///
     /// # Errors
-    /// Once the node ends.
-    pub async fn room(&self) -> Result<mpsc::Permit<'_, NodeEvent>, String> {
-        self.events.reserve().await.map_err(|_| "the node ends".to_string())
+    /// If the node is shutting down.
+    pub async fn reserve(&self) -> Result<UpdatePermit<'_>, ShuttingDown> {
+        let permit = self.events.reserve().await.map_err(|_| ShuttingDown)?;
+        Ok(UpdatePermit { sender: self, permit })
     }
 
-    /// What to tell of a list, or of changes to it.
-    pub fn list(&self, list: EndpointUpdate) -> NodeEvent {
-        match &self.merge {
-            None => NodeEvent::ListReceived(list),
-            Some((place, merge)) => {
-                let changes = merge.borrow_mut().take(*place, list.kind, list.entries);
-                NodeEvent::ListReceived(EndpointUpdate::changes(changes))
-            }
+    /// Sends an update; it is dropped if the node is shutting down.
+    pub async fn send(&self, update: EndpointUpdate) {
+        if let Ok(permit) = self.reserve().await {
+            permit.send(update);
         }
     }
 
-    pub async fn tell(&self, list: EndpointUpdate) {
-        if let Ok(room) = self.room().await {
-            room.send(self.list(list));
-        }
+    fn merge(&self, update: EndpointUpdate) -> EndpointUpdate {
+        let Some(MergeHandle { precedence, merge }) = &self.merge else { return update };
+        let changes = merge.borrow_mut().apply(*precedence, update.kind, update.entries);
+        EndpointUpdate::changes(changes)
+    }
+}
+
+impl UpdatePermit<'_> {
+    /// Merges and sends an update.
+    pub fn send(self, update: EndpointUpdate) {
+        let update = self.sender.merge(update);
+        self.permit.send(NodeEvent::ListReceived(update));
     }
 }
--- a/crates/daemon/src/discovery/parser.rs
+++ b/crates/daemon/src/discovery/parser.rs
@@ -1,7 +1,8 @@
-//! Reads lists as they come, each a JSON object over one line or several, with empty lines between them.
+//! Incremental parser of endpoint lists. A list is a JSON object over one or several lines; empty lines between lists
+//! are keep-alives.
 //!
-//! Each byte is looked at once, where a parser would begin anew with each piece. Entries are taken as soon as they
-//! are whole, so a list of many thousands is never held as text. Without I/O.
+//! Each byte is scanned once, and an entry is parsed as soon as its object is complete, so that a list of many
+//! thousands of entries is never buffered as text. The parser performs no I/O.
 use crate::protocol::{EndpointEntry, EndpointList};
 use crate::retention;
 use bytes::{Buf, BytesMut};
@@ -9,47 +10,86 @@
 use serde_json::value::RawValue;
 use troutknot_membership::{Rank, Retention};
 
-/// Stands in the rest of a list where an entry was taken out.
-const TAKEN: &str = "0";
+/// Replaces an entry that was parsed in the text of its list.
+const ENTRY_PLACEHOLDER: &str = "0";
 
-/// Entries of a list of changes; one with more is taken to be as long as the list before.
-const FEW: usize = 64;
+/// A list with more entries than this is expected to be as long as the list before.
+const MAX_SHORT_LIST_ENTRIES: usize = 64;
 
-/// How much a reader takes and holds.
+/// Entries over the bound are dropped once they are this part of it, because dropping takes a pass over all entries.
+const EXCESS_DIVISOR: usize = 4;
+
+/// Why bytes of a watch are not an endpoint list.
+#[derive(Debug, thiserror::Error)]
+pub enum ParseError {
+    /// The list or the text to buffer is over its bound.
+    #[error("invalid endpoint list: it is too long")]
+    TooLong,
+    /// A keep-alive arrived inside a list.
+    #[error("invalid endpoint list: it is truncated")]
+    Truncated,
+    /// The text outside a list is not white space.
+    #[error("invalid endpoint list: it is no JSON object")]
+    NotAnObject,
+    /// The object without its entries cannot be parsed.
+    #[error("invalid endpoint list: {0}")]
+    Object(#[source] serde_json::Error),
+    /// An entry cannot be parsed.
+    #[error("invalid endpoint list: {0} in an entry")]
+    Entry(#[source] serde_json::Error),
+    /// An item of `servers` is no entry.
+    #[error("invalid endpoint list: an item of `servers` is no entry")]
+    NotAnEntry,
+    /// An object with the fields of the entries and the items of `servers` differ.
+    #[error("invalid endpoint list: the entries and the items of `servers` differ")]
+    MisplacedEntry,
+    /// A delta has more entries than the node can retain.
+    #[error("invalid endpoint list: {count} changes at once, at most {max} are allowed")]
+    TooManyChanges {
+        /// Entries of the delta.
+        count: usize,
+        /// The bound.
+        max: usize,
+    },
+}
+
+/// Bounds of the memory that a parser uses.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadBounds {
-    /// Of one list, in bytes.
-    pub list: usize,
-    /// Of what is held as text, in bytes.
-    pub text: usize,
-    /// Of entries in one list; of a whole list with more, those that this node would keep first are taken.
-    pub entries: usize,
+pub struct ParseBounds {
+    /// Size of one list.
+    pub max_list_bytes: usize,
+    /// Size of the text that is buffered.
+    pub max_buffered_bytes: usize,
+    /// Entries of one list. Of a snapshot with more, those that this node prefers to retain are returned.
+    pub max_entries: usize,
 }
 
+/// An incremental parser; see the module's documentation.
 pub struct EndpointListParser {
-    bounds: ReadBounds,
+    bounds: ParseBounds,
     retention: Retention,
-    text: BytesMut,
-    /// So much of the text has been looked at; there the object is so deep, inside a string, after a backslash.
-    seen: usize,
-    deep: u32,
-    quoted: bool,
-    escaped: bool,
-    /// What stands on the line so far is only white space.
-    blank: bool,
-    /// Of the list that has begun: its bytes so far, itself without its entries, and these.
-    length: usize,
-    rest: Vec<u8>,
+    buffer: BytesMut,
+    /// The length of the buffer's prefix that was scanned.
+    scanned: usize,
+    /// Nesting depth of objects at the scan position.
+    depth: u32,
+    is_in_string: bool,
+    is_escaped: bool,
+    /// The current line has only white space so far.
+    is_blank_line: bool,
+    /// Bytes of the current list so far.
+    list_bytes: usize,
+    /// The text of the current list without its entries.
+    remainder: Vec<u8>,
     entries: Vec<EndpointEntry>,
-    /// How many the list before had.
-    entries_before: usize,
-    /// Entries that were cut for the bound.
-    beyond: usize,
+    previous_entry_count: usize,
+    /// Entries of the current list that were dropped for the bound.
+    dropped_entries: usize,
 }
 
-/// A list without its entries: [`TAKEN`] for each, or the text of one that could not be read.
+/// A list without its entries: each item is [`ENTRY_PLACEHOLDER`] or the text of an entry that cannot be parsed.
 #[derive(Deserialize)]
-struct Rest<'a> {
+struct Remainder<'a> {
     version: u64,
     #[serde(default)]
     full: bool,
@@ -57,192 +97,195 @@
     servers: Vec<&'a RawValue>,
 }
 
-/// Why a list over its length is none.
-pub fn too_long() -> String {
-    "garbage: a list is too long".into()
-}
-
 impl EndpointListParser {
-    pub fn new(bounds: ReadBounds, retention: Retention) -> Self {
+    /// A parser for the watches of a node, which prefers entries in the order of `retention`.
+    pub fn new(bounds: ParseBounds, retention: Retention) -> Self {
         EndpointListParser {
             bounds,
             retention,
-            text: BytesMut::new(),
-            seen: 0,
-            deep: 0,
-            quoted: false,
-            escaped: false,
-            blank: false,
-            length: 0,
-            rest: Vec::new(),
+            buffer: BytesMut::new(),
+            scanned: 0,
+            depth: 0,
+            is_in_string: false,
+            is_escaped: false,
+            is_blank_line: false,
+            list_bytes: 0,
+            remainder: Vec::new(),
             entries: Vec::new(),
-            entries_before: 0,
-            beyond: 0,
+            previous_entry_count: 0,
+            dropped_entries: 0,
         }
     }
 
-    /// Whether an object has begun and not ended.
-    pub fn is_inside(&self) -> bool {
-        self.deep > 0
+    /// Whether the scan position is inside a list.
+    pub fn is_inside_list(&self) -> bool {
+        self.depth > 0
     }
 
+    /// Appends bytes that were received.
     pub fn push(&mut self, bytes: BytesMut) {
-        self.text.unsplit(bytes);
+        self.buffer.unsplit(bytes);
     }
 
-    /// The next whole list.
+    /// The next complete list; none until more bytes are pushed.
     ///
     /// # Errors
-    /// What is no list, is cut short, or is over its bounds.
-    pub fn next(&mut self) -> Result<Option<EndpointList>, String> {
-        while let Some(&byte) = self.text.get(self.seen) {
-            self.seen += 1;
-            self.length += 1;
-            if self.look_at(byte)? {
-                return self.list().map(Some);
+    /// If the bytes are no list, or a list is truncated or over its bounds. The parser must not be used afterwards.
+    pub fn next(&mut self) -> Result<Option<EndpointList>, ParseError> {
+        while let Some(&byte) = self.buffer.get(self.scanned) {
+            self.scanned += 1;
+            self.list_bytes += 1;
+            let is_complete = self.scan(byte)?;
+            if is_complete {
+                return self.finish_list().map(Some);
             }
-            self.blank = byte == b'\n' || (self.blank && byte.is_ascii_whitespace());
+            self.is_blank_line = byte == b'\n' || (self.is_blank_line && byte.is_ascii_whitespace());
         }
-        if self.length > self.bounds.list || self.rest.len() + self.text.len() > self.bounds.text {
-            return Err(too_long());
+        let buffered_bytes = self.remainder.len() + self.buffer.len();
+        if self.list_bytes > self.bounds.max_list_bytes || buffered_bytes > self.bounds.max_buffered_bytes {
+            return Err(ParseError::TooLong);
         }
         Ok(None)
     }
 
-    /// Takes the byte at which the text has been looked at last; true with the end of a list.
-    fn look_at(&mut self, byte: u8) -> Result<bool, String> {
-        // What stands in the list beside its entries.
-        let is_rest = self.deep == 1;
+    /// Scans the last byte of the scanned prefix. Returns true if it ends a list.
+    fn scan(&mut self, byte: u8) -> Result<bool, ParseError> {
+        if self.depth == 0 {
+            self.scan_between_lists(byte)?;
+            return Ok(false);
+        }
         match byte {
-            _ if self.escaped => self.escaped = false,
-            b'\\' if self.quoted => self.escaped = true,
-            b'"' if self.deep > 0 => self.quoted = !self.quoted,
-            // A sign of life inside an object says that the rest of it never comes.
-            b'\n' if self.deep > 0 && self.blank => return Err("garbage: a list is cut".into()),
-            _ if self.quoted => {}
-            b'{' if self.deep == 0 => {
-                self.begin();
-                return Ok(false);
-            }
+            _ if self.is_escaped => self.is_escaped = false,
+            b'\\' if self.is_in_string => self.is_escaped = true,
+            b'"' => self.is_in_string = !self.is_in_string,
+            // The source sends keep-alives only between lists, so the rest of this one will never arrive.
+            b'\n' if self.is_blank_line => return Err(ParseError::Truncated),
+            _ if self.is_in_string => {}
             b'{' => {
-                self.deep += 1;
-                return Ok(false);
-            }
-            b'}' if self.deep > 1 => {
-                self.deep -= 1;
-                if self.deep == 1 {
-                    self.take_entry()?;
-                }
-                return Ok(false);
-            }
-            b'}' if self.deep == 1 => {
-                self.deep = 0;
-                self.drop_seen();
-                self.rest.push(byte);
-                return Ok(true);
-            }
-            _ if self.deep == 0 && byte.is_ascii_whitespace() => {
-                self.drop_seen();
+                self.depth += 1;
                 return Ok(false);
             }
-            _ if self.deep == 0 => return Err("garbage: no list".into()),
+            b'}' => return self.close_object(),
             _ => {}
         }
-        if is_rest {
-            self.drop_seen();
-            if self.quoted || !byte.is_ascii_whitespace() {
-                self.rest.push(byte);
+        if self.depth == 1 {
+            self.discard_scanned();
+            if self.is_in_string || !byte.is_ascii_whitespace() {
+                self.remainder.push(byte);
             }
         }
         Ok(false)
     }
 
-    fn drop_seen(&mut self) {
-        self.text.advance(self.seen);
-        self.seen = 0;
+    fn scan_between_lists(&mut self, byte: u8) -> Result<(), ParseError> {
+        match byte {
+            b'{' => self.begin_list(),
+            byte if byte.is_ascii_whitespace() => self.discard_scanned(),
+            _ => return Err(ParseError::NotAnObject),
+        }
+        Ok(())
+    }
+
+    /// Handles the end of an object. Returns true if it is the list itself.
+    fn close_object(&mut self) -> Result<bool, ParseError> {
+        self.depth -= 1;
+        match self.depth {
+            0 => {
+                self.discard_scanned();
+                self.remainder.push(b'}');
+                Ok(true)
+            }
+            1 => self.finish_entry().map(|()| false),
+            _ => Ok(false),
+        }
+    }
+
+    fn discard_scanned(&mut self) {
+        self.buffer.advance(self.scanned);
+        self.scanned = 0;
     }
 
-    fn begin(&mut self) {
-        (self.deep, self.length, self.beyond) = (1, 1, 0);
+    fn begin_list(&mut self) {
+        self.depth = 1;
+        self.list_bytes = 1;
+        self.dropped_entries = 0;
         self.entries.clear();
-        self.rest.clear();
-        self.rest.push(b'{');
-        self.drop_seen();
+        self.remainder.clear();
+        self.remainder.push(b'{');
+        self.discard_scanned();
     }
 
-    /// Takes the entry out that has just ended. What is none stays where it stands, and counts only if it
-    /// stands among the entries.
-    fn take_entry(&mut self) -> Result<(), String> {
-        let text = self.text.split_to(self.seen);
-        self.seen = 0;
-        if text.len() > self.bounds.text {
-            return Err(too_long());
+    /// Parses the object that has just ended. The text of one that is no entry stays in the remainder, where it is
+    /// an error only as an item of `servers`.
+    fn finish_entry(&mut self) -> Result<(), ParseError> {
+        let text = self.buffer.split_to(self.scanned);
+        self.scanned = 0;
+        if text.len() > self.bounds.max_buffered_bytes {
+            return Err(ParseError::TooLong);
         }
-        match serde_json::from_slice(&text) {
-            Ok(entry) => {
-                self.push_entry(entry);
-                self.rest.extend_from_slice(TAKEN.as_bytes());
-                // Now and then, as it takes time.
-                if self.entries.len() > self.bounds.entries + self.bounds.entries / 4 {
-                    self.cut();
-                }
-            }
-            Err(_) => self.rest.extend_from_slice(&text),
+        let Ok(entry) = serde_json::from_slice(&text) else {
+            self.remainder.extend_from_slice(&text);
+            return Ok(());
+        };
+        self.push_entry(entry);
+        self.remainder.extend_from_slice(ENTRY_PLACEHOLDER.as_bytes());
+        let max_entries = self.bounds.max_entries;
+        if self.entries.len() > max_entries + max_entries / EXCESS_DIVISOR {
+            self.drop_excess_entries();
         }
         Ok(())
     }
 
     fn push_entry(&mut self, entry: EndpointEntry) {
-        if self.entries.len() == FEW {
-            // Growing step by step would leave as much memory behind as a list takes.
-            self.entries.reserve(self.entries_before.saturating_sub(FEW));
+        if self.entries.len() == MAX_SHORT_LIST_ENTRIES {
+            // Growth in steps would leave as much memory fragmented as the list occupies.
+            self.entries.reserve(self.previous_entry_count.saturating_sub(MAX_SHORT_LIST_ENTRIES));
         }
         self.entries.push(entry);
     }
 
-    /// Leaves so many entries as may be kept in mind.
-    fn cut(&mut self) {
+    fn drop_excess_entries(&mut self) {
         let ranks: Vec<Rank> =
             self.entries.iter().map(|entry| retention::rank(&self.retention, entry)).collect();
-        let mut chosen = Retention::choose(&ranks, self.bounds.entries).into_iter();
-        self.entries.retain(|_| chosen.next() == Some(true));
-        self.beyond += ranks.len() - self.entries.len();
+        let mut is_retained = Retention::choose(&ranks, self.bounds.max_entries).into_iter();
+        self.entries.retain(|_| is_retained.next() == Some(true));
+        self.dropped_entries += ranks.len() - self.entries.len();
     }
 
-    /// The list that has just ended.
-    fn list(&mut self) -> Result<EndpointList, String> {
-        if self.length > self.bounds.list || self.rest.len() > self.bounds.text {
-            return Err(too_long());
+    /// Builds the list that has just ended.
+    fn finish_list(&mut self) -> Result<EndpointList, ParseError> {
+        let text = std::mem::take(&mut self.remainder);
+        if self.list_bytes > self.bounds.max_list_bytes || text.len() > self.bounds.max_buffered_bytes {
+            return Err(ParseError::TooLong);
         }
-        let garbage = |e: serde_json::Error| format!("garbage: {e}");
-        let text = std::mem::take(&mut self.rest);
-        let rest: Rest = serde_json::from_slice(&text).map_err(garbage)?;
-        let mut taken = 0;
-        for entry in &rest.servers {
-            match entry.get() {
-                TAKEN => taken += 1,
-                bad => return Err(bad_entry(bad)),
-            }
+        let remainder: Remainder = serde_json::from_slice(&text).map_err(ParseError::Object)?;
+        if let Some(item) = remainder.servers.iter().find(|item| item.get() != ENTRY_PLACEHOLDER) {
+            return Err(invalid_entry(item.get()));
         }
-        if taken != self.entries.len() + self.beyond {
-            return Err("garbage: entries stand elsewhere than in `servers`".into());
+        let count = remainder.servers.len();
+        if count != self.entries.len() + self.dropped_entries {
+            return Err(ParseError::MisplacedEntry);
         }
-        self.cut();
-        let most = self.bounds.entries;
-        if !rest.full && self.beyond > 0 {
-            return Err(format!("garbage: {taken} changes at once, at most {most} are taken"));
+        self.drop_excess_entries();
+        if !remainder.full && self.dropped_entries > 0 {
+            return Err(ParseError::TooManyChanges { count, max: self.bounds.max_entries });
         }
         let entries = std::mem::take(&mut self.entries);
-        self.entries_before = entries.len();
-        Ok(EndpointList { version: rest.version, full: rest.full, entries, beyond: self.beyond })
+        self.previous_entry_count = entries.len();
+        Ok(EndpointList {
+            version: remainder.version,
+            full: remainder.full,
+            entries,
+            beyond: self.dropped_entries,
+        })
     }
 }
 
-/// Why the text of an entry is none.
-fn bad_entry(text: &str) -> String {
+/// Why an item of `servers` is no entry.
+fn invalid_entry(text: &str) -> ParseError {
     match serde_json::from_str::<EndpointEntry>(text) {
-        Err(e) => format!("garbage: {e} in an entry"),
-        Ok(_) => "garbage: no entry".into(),
+        Err(error) => ParseError::Entry(error),
+        Ok(_) => ParseError::NotAnEntry,
     }
 }
 
--- a/crates/daemon/src/discovery/platform.rs
+++ b/crates/daemon/src/discovery/platform.rs
@@ -1,13 +1,16 @@
-//! Follows the list of executors: one watch at a time, opened when the dispatcher asks for it.
+//! Watches the platform's discovery service: one watch at a time, opened when the dispatcher requests it.
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::Limits;
-use crate::discovery::parser::{self, EndpointListParser, ReadBounds};
-use crate::discovery::{EndpointUpdate, EndpointUpdateSender};
+use crate::discovery::parser::{EndpointListParser, ParseBounds, ParseError};
+use crate::discovery::versions::{ListPosition, VersionFilter};
+use crate::discovery::{EndpointUpdate, EndpointUpdateSender, ShuttingDown};
 use crate::driver::WatchRequests;
 use crate::event::NodeEvent;
-use crate::http1::{Bad, Connection, Failed};
+use crate::http1::{Bad, Body, Connection, Failed, ResponseHead};
 use crate::protocol::{Codec, Current, EndpointList};
 use bytes::BytesMut;
+use std::convert::Infallible;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpStream;
@@ -16,205 +19,279 @@
 use troutknot::{Event as CoreEvent, ListUpdate};
 use troutknot_membership::Retention;
 
-/// So many watches in a row must show an older list before it is taken for a new count of versions.
-const OLD_LISTS: u32 = 3;
+/// The part of the idle timeout in which a source whose first list is outdated may catch up.
+///
+/// After a failover a source can lag by up to 4 s. The watches after which it counts as restarted have to take longer
+/// than that, because its list could re-add executors that drain.
+const CATCH_UP_SHARE: f64 = 0.8;
 
-/// The part of the silence in which a source that showed an older list may catch up. After a move it is late by up to
-/// 4 s, and must not bring back what drains: so long take the openings that make its count a new one.
-const CATCH_UP: f64 = 0.8;
+const STATUS_OK: u16 = 200;
 
-pub struct Follower {
-    /// Where the list is followed; another address is followed at once.
-    pub discovery: watch::Receiver<SocketAddr>,
+/// Watches the platform's discovery service.
+pub struct PlatformWatcher {
+    /// The address of the service. A change reopens the watch at once.
+    pub address: watch::Receiver<SocketAddr>,
+    /// The limits of this node.
     pub limits: Rc<Limits>,
+    /// The codec in force.
     pub codec: Rc<Current<Codec>>,
-    pub told: EndpointUpdateSender,
-    /// Asks for a watch, or for one that begins with the whole list.
-    pub ask: Rc<WatchRequests>,
-    /// How this node chooses among more executors than it keeps.
+    /// Receives the updates.
+    pub updates: EndpointUpdateSender,
+    /// Requests for a watch, or for one that begins with a snapshot.
+    pub requests: Rc<WatchRequests>,
+    /// The order in which this node prefers entries if a list has too many.
     pub retention: Retention,
 }
 
-/// Why a watch broke off.
-#[derive(Debug)]
-struct Lost {
-    why: String,
-    /// Its source is there, and would not serve it.
-    turned_away: bool,
+/// Why a watch ended.
+#[derive(Debug, thiserror::Error)]
+enum WatchError {
+    /// The watch was not opened in time.
+    #[error("it was not opened in time")]
+    OpenTimeout,
+    /// The connection was not established.
+    #[error("cannot connect: {0}")]
+    Connect(#[source] io::Error),
+    /// The source accepted the connection and closed it without a response.
+    #[error("no response: {0}")]
+    NoResponse(Failed),
+    /// The source answered with another status than 200.
+    #[error("status {0}")]
+    Status(u16),
+    /// Neither a list nor a keep-alive arrived in time.
+    #[error("no update in time")]
+    IdleTimeout,
+    /// The source did not catch up with the current version in time.
+    #[error("its list is older than the current one")]
+    Outdated,
+    /// The connection failed.
+    #[error("connection failed: {0}")]
+    Connection(Failed),
+    /// The source sent something else than lists.
+    #[error(transparent)]
+    Parse(#[from] ParseError),
+    /// The source ended the watch.
+    #[error("closed by the source")]
+    Closed,
+    /// The node is shutting down.
+    #[error(transparent)]
+    ShuttingDown(#[from] ShuttingDown),
 }
 
-impl From<String> for Lost {
-    fn from(why: String) -> Self {
-        Lost { why, turned_away: false }
+impl WatchError {
+    /// Whether the source is reachable and rejected the watch.
+    fn is_rejection(&self) -> bool {
+        matches!(self, WatchError::NoResponse(_) | WatchError::Status(_))
     }
 }
 
-fn silent<E>(_: E) -> Lost {
-    "silent for too long".to_string().into()
+/// States of the watch loop.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum WatchState {
+    /// No watch is open, until the dispatcher requests one.
+    Idle,
+    /// A watch is opened or open.
+    Watching,
+    /// The node is shutting down.
+    Stopped,
 }
 
-/// Which of the versions that come are news.
-#[derive(Default)]
-struct Versions {
-    known: Option<u64>,
-    old: u32,
-    /// The whole list is to be told again, also if it is the one known.
-    whole_wanted: bool,
-}
+impl PlatformWatcher {
+    /// Watches until the node ends, from the version of the cached list on.
+    pub async fn run(self, cached_version: Option<u64>) {
+        let mut versions = VersionFilter::new(cached_version);
+        let mut address = self.address.clone();
+        let mut state = WatchState::Idle;
+        while state != WatchState::Stopped {
+            state = match state {
+                WatchState::Idle => self.wait_for_request(&mut address).await,
+                _ => self.watch_until_interrupted(&mut address, &mut versions).await,
+            };
+        }
+    }
 
-impl Versions {
-    /// Guards against lists that repeat or are old: none of them may bring back an executor that drains. An
-    /// older whole list that opens watch after watch is a new count of versions.
-    fn take(&mut self, list: &EndpointList, first: bool) -> Option<ListUpdate> {
-        let newer = self.known.is_none_or(|known| list.version > known);
-        let same = first && list.full && self.known == Some(list.version);
-        if !newer && !same {
-            let older = first && list.full;
-            self.old += u32::from(older);
-            if !older || self.old < OLD_LISTS {
-                return None;
+    async fn wait_for_request(&self, address: &mut watch::Receiver<SocketAddr>) -> WatchState {
+        tokio::select! {
+            () = self.requests.changes.notified() => {}
+            Ok(()) = address.changed() => {}
+        }
+        WatchState::Watching
+    }
+
+    /// Watches until the watch fails, the address changes or a snapshot is requested.
+    async fn watch_until_interrupted(
+        &self,
+        address: &mut watch::Receiver<SocketAddr>,
+        versions: &mut VersionFilter,
+    ) -> WatchState {
+        let current_address = *address.borrow_and_update();
+        tokio::select! {
+            biased;
+            Ok(()) = address.changed() => WatchState::Watching,
+            () = self.requests.whole.notified() => {
+                versions.is_snapshot_needed = true;
+                WatchState::Watching
             }
+            Err(error) = self.watch(current_address, versions) => self.report_lost_watch(&error).await,
+        }
+    }
+
+    async fn report_lost_watch(&self, error: &WatchError) -> WatchState {
+        tracing::warn!(%error, "watch of the endpoint list lost");
+        let event = CoreEvent::EndpointWatchLost { is_rejected: error.is_rejection() };
+        match self.updates.send_event(NodeEvent::Core(event)).await {
+            Ok(()) => WatchState::Idle,
+            Err(ShuttingDown) => WatchState::Stopped,
+        }
+    }
+
+    /// Opens a watch and applies its lists until it fails.
+    async fn watch(
+        &self,
+        address: SocketAddr,
+        versions: &mut VersionFilter,
+    ) -> Result<Infallible, WatchError> {
+        // A single timeout, because the timeouts of its steps would add up to more than the time in which a source
+        // that became unresponsive has to be noticed.
+        let opening = self.open(address, versions.resume_version());
+        let opened = timeout(self.limits.discovery.watch_open_timeout, opening).await;
+        let (connection, head) = opened.map_err(|_| WatchError::OpenTimeout)??;
+        if head.status != STATUS_OK {
+            return Err(WatchError::Status(head.status));
         }
-        (self.known, self.old) = (Some(list.version), 0);
-        self.whole_wanted &= !list.full;
-        Some(if list.full { ListUpdate::Snapshot } else { ListUpdate::Delta })
+        tracing::debug!(%address, "watch of the endpoint list open");
+        // An empty delta, because the first list may follow later.
+        let opened = CoreEvent::EndpointsUpdated { update: ListUpdate::Delta, endpoints: Vec::new() };
+        self.updates.send_event(NodeEvent::Core(opened)).await?;
+        OpenWatch::new(self, connection, head.body).run(versions).await
+    }
+
+    async fn open(
+        &self,
+        address: SocketAddr,
+        resume_version: Option<u64>,
+    ) -> Result<(Connection, ResponseHead), WatchError> {
+        let connecting = timeout(self.limits.timeouts().connect_timeout, TcpStream::connect(address)).await;
+        let stream = connecting.map_err(|_| WatchError::OpenTimeout)?.map_err(WatchError::Connect)?;
+        let buffer_bytes = self.limits.connection_buffer_bytes;
+        let mut connection = Connection::new(stream, buffer_bytes, &ByteBudget::new(2 * buffer_bytes));
+        let request = self.codec.now().watch(address, resume_version);
+        let written = connection.write(&[request.as_bytes()]).await;
+        written.map_err(|error| WatchError::NoResponse(error.into()))?;
+        let head = connection.answer_head().await.map_err(WatchError::NoResponse)?;
+        Ok((connection, head))
+    }
+
+    fn parser(&self) -> EndpointListParser {
+        let bounds = ParseBounds {
+            max_list_bytes: self.limits.discovery.max_list_bytes,
+            max_buffered_bytes: self.limits.discovery.max_buffered_text_bytes,
+            max_entries: self.limits.executor_bounds.max_listed,
+        };
+        EndpointListParser::new(bounds, self.retention)
     }
 }
 
-impl Follower {
-    fn reader(&self) -> EndpointListParser {
-        let limits = &self.limits.discovery;
-        EndpointListParser::new(
-            ReadBounds {
-                list: limits.max_list_bytes,
-                text: limits.max_buffered_text_bytes,
-                entries: self.limits.executor_bounds.max_listed,
-            },
-            self.retention,
-        )
+/// A watch that the source accepted.
+struct OpenWatch<'a> {
+    watcher: &'a PlatformWatcher,
+    connection: Connection,
+    body: Body,
+    parser: EndpointListParser,
+    /// When the watch counts as lost without a further update.
+    idle_deadline: Instant,
+    /// When the watch is given up because the first list was outdated and no newer one followed.
+    catch_up_deadline: Option<Instant>,
+    position: ListPosition,
+}
+
+impl<'a> OpenWatch<'a> {
+    fn new(watcher: &'a PlatformWatcher, connection: Connection, body: Body) -> Self {
+        OpenWatch {
+            watcher,
+            connection,
+            body,
+            parser: watcher.parser(),
+            idle_deadline: Instant::now() + watcher.limits.discovery.watch_idle_timeout,
+            catch_up_deadline: None,
+            position: ListPosition::First,
+        }
     }
 
-    /// Follows from the version that is known.
-    pub async fn run(self, known: Option<u64>) {
-        let mut versions = Versions { known, ..Versions::default() };
-        let (mut followed, mut moved) = (self.discovery.clone(), false);
+    async fn run(mut self, versions: &mut VersionFilter) -> Result<Infallible, WatchError> {
+        let mut buffer = BytesMut::new();
         loop {
-            if !moved {
-                tokio::select! {
-                    () = self.ask.changes.notified() => {}
-                    Ok(()) = followed.changed() => {}
-                }
+            let is_end = self.read(&mut buffer).await?;
+            let has_line_end = buffer.contains(&b'\n');
+            self.parser.push(buffer.split());
+            while let Some(list) = self.parser.next()? {
+                self.apply(list, versions).await?;
             }
-            let discovery = *followed.borrow_and_update();
-            let Lost { why, turned_away } = tokio::select! {
-                biased;
-                Ok(()) = followed.changed() => {
-                    moved = true;
-                    continue;
-                }
-                () = self.ask.whole.notified() => {
-                    (moved, versions.whole_wanted) = (true, true);
-                    continue;
-                }
-                ended = self.watch(discovery, &mut versions) => {
-                    ended.err().unwrap_or_else(|| "it was ended".to_string().into())
-                }
-            };
-            moved = false;
-            tracing::warn!("watch of the list broke off: {why}");
-            if self
-                .told
-                .event(NodeEvent::Core(CoreEvent::EndpointWatchLost { is_rejected: turned_away }))
-                .await
-                .is_err()
-            {
-                return;
+            // Only a list or a keep-alive between lists extends the deadline: a source that sends a list byte by
+            // byte has to be noticed as well.
+            if has_line_end && !self.parser.is_inside_list() {
+                self.extend_idle_deadline();
+            }
+            if is_end {
+                return Err(WatchError::Closed);
             }
         }
     }
 
-    async fn watch(&self, discovery: SocketAddr, versions: &mut Versions) -> Result<(), Lost> {
-        let silence = self.limits.discovery.watch_idle_timeout;
-        let said = |e: Failed| e.to_string();
-        // One time for all of it. Guards against a source that is silent again when it is asked anew: waits that
-        // are bounded one by one add up past the span after which its silence counts as told.
-        let opening = async {
-            let stream = timeout(self.limits.timeouts().connect_timeout, TcpStream::connect(discovery)).await;
-            let stream = stream.map_err(silent)?.map_err(|e| e.to_string())?;
-            let mut connection = Connection::new(
-                stream,
-                self.limits.connection_buffer_bytes,
-                &ByteBudget::new(2 * self.limits.connection_buffer_bytes),
-            );
-            let after = versions.known.filter(|_| !versions.whole_wanted);
-            let ask = self.codec.now().watch(discovery, after);
-            // Whoever takes a connection and ends it unserved is there.
-            let turned_away = |why: String| Lost { why, turned_away: true };
-            connection.write(&[ask.as_bytes()]).await.map_err(|e| turned_away(e.to_string()))?;
-            let head = connection.answer_head().await.map_err(|e| turned_away(said(e)))?;
-            Ok::<_, Lost>((connection, head))
-        };
-        let opened = timeout(self.limits.discovery.watch_open_timeout, opening).await;
-        let (mut connection, mut head) = opened.map_err(silent)??;
-        if head.status != 200 {
-            return Err(Lost { why: format!("status {}", head.status), turned_away: true });
+    /// Reads at least one byte. Returns true at the end of the body.
+    async fn read(&mut self, buffer: &mut BytesMut) -> Result<bool, WatchError> {
+        let max_bytes = self.watcher.limits.discovery.max_list_bytes;
+        let reading = self.connection.body_piece(&mut self.body, buffer, max_bytes);
+        let deadline = self.catch_up_deadline.map_or(self.idle_deadline, |at| at.min(self.idle_deadline));
+        match timeout_at(deadline, reading).await {
+            Ok(Ok(is_end)) => Ok(is_end),
+            Ok(Err(Failed::Bad(Bad::BodyTooLarge))) => Err(ParseError::TooLong.into()),
+            Ok(Err(error)) => Err(WatchError::Connection(error)),
+            Err(_) if deadline < self.idle_deadline => Err(WatchError::Outdated),
+            Err(_) => Err(WatchError::IdleTimeout),
         }
-        tracing::debug!("watch of the list stands");
-        // The watch stands, even if the list follows late.
-        let none = CoreEvent::EndpointsUpdated { update: ListUpdate::Delta, endpoints: Vec::new() };
-        self.told.event(NodeEvent::Core(none)).await?;
-        let (mut buffer, most, mut first) = (BytesMut::new(), self.limits.discovery.max_list_bytes, true);
-        let (mut lists, mut due) = (self.reader(), Instant::now() + silence);
-        // Guards against a source with another count of versions, that of a new address perhaps: passed over for as
-        // long as its watch stands, it would never be followed. One that is only late has the time to catch up.
-        let mut behind: Option<Instant> = None;
-        loop {
-            // News of the list, and nothing less, ends the wait. Guards against a list that drips.
-            let more = connection.body_piece(&mut head.body, &mut buffer, most);
-            let until = behind.map_or(due, |behind| behind.min(due));
-            let ended = match timeout_at(until, more).await {
-                Err(_) if until < due => {
-                    return Err("its list is older than the one held".to_string().into());
-                }
-                more => more.map_err(silent)?.map_err(|e| match e {
-                    Failed::Bad(Bad::BodyTooLarge) => parser::too_long(),
-                    e => said(e),
-                })?,
-            };
-            let ends_line = buffer.contains(&b'\n');
-            lists.push(buffer.split());
-            while let Some(list) = lists.next()? {
-                due = Instant::now() + silence;
-                // Guards against a move to another address between the two: a version that counts as known
-                // has been told.
-                let told = self.told.room().await?;
-                let news = versions.take(&list, first);
-                if news.is_some() {
-                    behind = None;
-                } else if first && list.full {
-                    behind = Some(Instant::now() + silence.mul_f64(CATCH_UP));
+    }
+
+    async fn apply(&mut self, list: EndpointList, versions: &mut VersionFilter) -> Result<(), WatchError> {
+        self.extend_idle_deadline();
+        // Reserved before the version is accepted: if the watch is interrupted here, the next one has to continue
+        // from a version that was applied.
+        let permit = self.watcher.updates.reserve().await?;
+        let accepted = versions.accept(&list, self.position);
+        let is_first_snapshot = self.position == ListPosition::First && list.full;
+        self.position = ListPosition::Later;
+        let mut update = match accepted {
+            Some(kind) => {
+                self.catch_up_deadline = None;
+                EndpointUpdate::of(kind, list)
+            }
+            None => {
+                if is_first_snapshot {
+                    self.catch_up_deadline = Some(catch_up_deadline(&self.watcher.limits));
                 }
-                first = false;
-                if news.is_none() && !list.entries.is_empty() {
-                    tracing::info!("list version {} is not new, passed over", list.version);
+                if !list.entries.is_empty() {
+                    tracing::info!(version = list.version, "endpoint list is not new, ignored");
                 }
-                // That nothing has changed is word from the list as well.
-                let mut news =
-                    news.map_or_else(EndpointUpdate::nothing_new, |kind| EndpointUpdate::of(kind, list));
-                news.version = versions.known;
-                told.send(self.told.list(news));
+                // Sent as well, because it shows that the current list is up to date.
+                EndpointUpdate::nothing_new()
             }
-            if ends_line && !lists.is_inside() {
-                // An empty line says that nothing has changed.
-                due = Instant::now() + silence;
-            }
-            if ended {
-                return Ok(());
-            }
-        }
+        };
+        update.version = versions.current;
+        permit.send(update);
+        Ok(())
+    }
+
+    fn extend_idle_deadline(&mut self) {
+        self.idle_deadline = Instant::now() + self.watcher.limits.discovery.watch_idle_timeout;
     }
 }
 
+/// The versions of a restarted source, or of a new address, may be lower for good. The watch is given up then, so that
+/// the next ones establish the restart.
+fn catch_up_deadline(limits: &Limits) -> Instant {
+    Instant::now() + limits.discovery.watch_idle_timeout.mul_f64(CATCH_UP_SHARE)
+}
+
 #[cfg(test)]
 #[path = "../../tests/unit/platform.rs"]
 mod tests;
--- /dev/null
+++ b/crates/daemon/src/discovery/versions.rs
@@ -0,0 +1,61 @@
+//! Decides by its version whether an endpoint list is new.
+use crate::protocol::EndpointList;
+use troutknot::ListUpdate;
+
+/// Watches in a row that have to begin with an older snapshot until the source counts as restarted.
+const RESTARTED_AFTER: u32 = 3;
+
+/// The place of a list in its watch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListPosition {
+    /// The first list of the watch.
+    First,
+    /// A list after the first one.
+    Later,
+}
+
+/// Filters lists that are repeated or outdated, so that none of them re-adds an executor that drains.
+#[derive(Default)]
+pub struct VersionFilter {
+    /// The version of the last list that was accepted.
+    pub current: Option<u64>,
+    outdated_watches: u32,
+    /// A snapshot is needed even if its version is the current one.
+    pub is_snapshot_needed: bool,
+}
+
+impl VersionFilter {
+    /// A filter that starts from the version of a cached list.
+    pub fn new(cached_version: Option<u64>) -> Self {
+        VersionFilter { current: cached_version, ..VersionFilter::default() }
+    }
+
+    /// The version to continue from in the next watch; none to request a snapshot.
+    pub fn resume_version(&self) -> Option<u64> {
+        self.current.filter(|_| !self.is_snapshot_needed)
+    }
+
+    /// Accepts a list, and returns how to apply it; none if it is not new.
+    ///
+    /// An older snapshot at the begin of several watches in a row means that the source restarted and counts its
+    /// versions from the beginning; it is accepted.
+    pub fn accept(&mut self, list: &EndpointList, position: ListPosition) -> Option<ListUpdate> {
+        let is_first_snapshot = position == ListPosition::First && list.full;
+        let is_newer = self.current.is_none_or(|current| list.version > current);
+        let is_repeated_snapshot = is_first_snapshot && self.current == Some(list.version);
+        if !is_newer && !is_repeated_snapshot {
+            self.outdated_watches += u32::from(is_first_snapshot);
+            if !is_first_snapshot || self.outdated_watches < RESTARTED_AFTER {
+                return None;
+            }
+        }
+        self.current = Some(list.version);
+        self.outdated_watches = 0;
+        self.is_snapshot_needed &= !list.full;
+        Some(if list.full { ListUpdate::Snapshot } else { ListUpdate::Delta })
+    }
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/versions.rs"]
+mod tests;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -276,22 +276,22 @@
         let several = file.discovery.sources.len() > 1;
         let events = events.clone();
         let told = if several {
-            EndpointUpdateSender::among(events, place, &merge)
+            EndpointUpdateSender::merged(events, place, &merge)
         } else {
-            EndpointUpdateSender::alone(events)
+            EndpointUpdateSender::unmerged(events)
         };
         match source {
             DiscoverySource::Platform => {
                 if several {
                     // Its watch goes on from the version held before, and the node has been told of that.
-                    let _ = merge.borrow_mut().take(place, ListUpdate::Snapshot, before.clone());
+                    let _ = merge.borrow_mut().apply(place, ListUpdate::Snapshot, before.clone());
                 }
-                let follower = discovery::platform::Follower {
-                    discovery: followed.clone(),
+                let follower = discovery::platform::PlatformWatcher {
+                    address: followed.clone(),
                     limits: limits.clone(),
                     codec: codec.clone(),
-                    told,
-                    ask: follow.clone(),
+                    updates: told,
+                    requests: follow.clone(),
                     retention,
                 };
                 // The list is followed from the start, also where nobody has to ask for it.
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -186,7 +186,7 @@
     let discovery = FailingDiscovery::start(failure, first, second);
     let node = start_patient_node(&discovery, settings);
     if failure == Refused {
-        (0..FAILED_CALLS).for_each(|_| _ = node.logged("watch of the list broke off"));
+        (0..FAILED_CALLS).for_each(|_| _ = node.logged("watch of the endpoint list lost"));
         discovery.reachable.send(()).unwrap();
     }
     let told_after = discovery.told_after.recv_timeout(2 * PATIENCE).expect("the list is asked for again");
@@ -256,7 +256,7 @@
             let _ends = SetAtEnd(&over);
             all.spawn(|| hold_connections(node.addr, 2 * SOCKETS as usize, &over));
             if failure == Refused {
-                (0..FAILED_CALLS).for_each(|_| _ = node.logged("watch of the list broke off"));
+                (0..FAILED_CALLS).for_each(|_| _ = node.logged("watch of the endpoint list lost"));
                 discovery.reachable.send(()).unwrap();
             }
             let told_after =
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -201,11 +201,11 @@
     discovery.lines.send(list(8, false, &[entry("s-1", &one, "Terminating")])).unwrap();
     // An older list after the drain must not bring the executor back.
     discovery.lines.send(both).unwrap();
-    node.logged("version 7 is not new");
+    node.logged("endpoint list is not new, ignored version=7");
     assert_eq!(used(20), (0, 20), "nothing to one that drains");
     for broken in ["", "{\"version\": what"] {
         discovery.lines.send(broken.into()).unwrap();
-        node.logged("watch of the list broke off");
+        node.logged("watch of the endpoint list lost");
         assert!(discovery.asked.recv_timeout(PATIENCE).unwrap().ends_with("&index=8 HTTP/1.1"));
         assert_eq!(used(5), (0, 5), "the list stays in use meanwhile");
     }
--- a/crates/daemon/tests/unit/endpoint_list_parser.rs
+++ b/crates/daemon/tests/unit/endpoint_list_parser.rs
@@ -1,26 +1,26 @@
-//! Lists as they come over a connection: in any pieces, over their bounds, and odd.
+//! Endpoint lists in pieces of any size, over their bounds, and invalid.
 use super::*;
 
-const BOUNDS: ReadBounds = ReadBounds { list: 4096, text: 1024, entries: 8 };
+const BOUNDS: ParseBounds = ParseBounds { max_list_bytes: 4096, max_buffered_bytes: 1024, max_entries: 8 };
 
-fn reader(bounds: ReadBounds) -> EndpointListParser {
+fn parser(bounds: ParseBounds) -> EndpointListParser {
     EndpointListParser::new(bounds, Retention::of_node("n0"))
 }
 
-/// What comes out of a text in pieces of this size, and why it ends, if it is no list.
-fn read(bounds: ReadBounds, text: &str, step: usize) -> (Vec<EndpointList>, Option<String>, bool) {
-    let (mut reader, mut got) = (reader(bounds), Vec::new());
+/// Parses a text in pieces of this size: the lists, the error, and whether the end is inside a list.
+fn read(bounds: ParseBounds, text: &str, step: usize) -> (Vec<EndpointList>, Option<String>, bool) {
+    let (mut parser, mut lists) = (parser(bounds), Vec::new());
     for piece in text.as_bytes().chunks(step) {
-        reader.push(BytesMut::from(piece));
+        parser.push(BytesMut::from(piece));
         loop {
-            match reader.next() {
-                Ok(Some(list)) => got.push(list),
+            match parser.next() {
+                Ok(Some(list)) => lists.push(list),
                 Ok(None) => break,
-                Err(why) => return (got, Some(why), reader.is_inside()),
+                Err(error) => return (lists, Some(error.to_string()), parser.is_inside_list()),
             }
         }
     }
-    (got, None, reader.is_inside())
+    (lists, None, parser.is_inside_list())
 }
 
 fn entry(name: &str) -> String {
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn lists_come_over_one_line_or_several_and_in_any_pieces() {
+fn lists_over_one_or_several_lines_are_parsed_in_pieces_of_any_size() {
     let one = "{\"version\":1,\"servers\":[]}";
     let nested = "{\"version\":2,\"more\":{\"a\":{}},\"servers\":[{\"id\":\"{\",\"state\":\"}\",\"b\":{}}]}";
     let indented = "{\n  \"servers\": [\n    {\"id\":\"a\",\n\"state\":\"Gone\"}\n  ],\n \"version\":3\n}\n";
     let quoted = "\t{\r\n\t\"a\": \"}\\\"{\\\\\",\r\n\"version\":4,\"full\":true,\r\n\"servers\":[]}\r\n";
-    // Of each list its version, whether it is whole, and the names of its entries.
+    // Version, whether it is a snapshot, and the names of the entries.
     type Expected<'a> = (u64, bool, &'a [&'a str]);
     let cases: &[(String, &[Expected], bool)] = &[
         (format!("{one}\n"), &[(1, false, &[])], true),
@@ -73,9 +73,9 @@
     }
 }
 
-/// Entries are read as a parser of the whole text would read them.
+/// Entries equal those of a parser that has the complete text.
 #[test]
-fn entries_come_out_as_they_stand() {
+fn entries_are_parsed_with_all_their_fields() {
     let full = r#"{"id":"s-1","addr":"10.1.0.18:3000","zone":"a","kind":"m2","cell":3,"state":"Ready","weight":0.5,"started_ms":7}"#;
     let escaped = r#"{"id":"s-\"2\"","state":"Gone","later":[{"x":"}"}]}"#;
     let text = list(9, true, &[full.into(), escaped.into()]);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_is_cut_odd_or_over_its_bounds_is_no_list() {
+fn lists_that_are_truncated_invalid_or_over_the_bounds_are_errors() {
     let names = |count: usize| (0..count).map(|number| entry(&format!("s-{number}"))).collect::<Vec<_>>();
     let long = "x".repeat(1100);
     for (what, text, part) in [
@@ -101,47 +101,54 @@
             "missing field `state`",
         ),
         ("an entry without a name", list(1, true, &["{\"state\":\"Ready\"}".into()]), "missing field `id`"),
-        ("an odd entry", list(1, true, &["7".into()]), "in an entry"),
-        ("a figure like the mark of an entry", list(1, true, &["0".into()]), "elsewhere"),
+        ("an item that is no entry", list(1, true, &["7".into()]), "in an entry"),
         (
-            "entries elsewhere",
+            "a figure like the mark of an entry",
+            list(1, true, &["0".into()]),
+            "the entries and the items of `servers` differ",
+        ),
+        (
+            "entries in another list",
             format!("{{\"version\":1,\"others\":[{}],\"servers\":[]}}", entry("a")),
-            "elsewhere",
+            "the entries and the items of `servers` differ",
         ),
-        ("a comma too many", list(1, true, &[entry("a"), String::new()]), "garbage"),
+        ("a comma too many", list(1, true, &[entry("a"), String::new()]), "trailing comma"),
         (
-            "cut within an entry",
+            "truncated within an entry",
             format!("{{\"version\":1,\"servers\":[{}\n\n", &entry("a")[..20]),
-            "a list is cut",
+            "it is truncated",
         ),
-        ("over its length", list(1, true, &vec![entry("a"); 120]), "a list is too long"),
+        ("over its bound", list(1, true, &vec![entry("a"); 120]), "it is too long"),
         (
-            "over its length, and never ends",
+            "over its bound, and never ends",
             "{\"servers\":[".to_string() + &names(200).join(","),
-            "a list is too long",
+            "it is too long",
         ),
-        ("an entry over what is held", list(1, true, &[entry(&long)]), "a list is too long"),
-        ("a text over what is held", format!("{{\"version\":1,\"a\":\"{long}"), "a list is too long"),
-        ("changes over their bound", list(1, false, &names(9)), "9 changes at once, at most 8"),
+        ("an entry over the buffer", list(1, true, &[entry(&long)]), "it is too long"),
+        ("a text over the buffer", format!("{{\"version\":1,\"a\":\"{long}"), "it is too long"),
+        ("a delta over the bound", list(1, false, &names(9)), "9 changes at once, at most 8"),
     ] {
         for step in [1, 7, 500] {
             let (got, why, _) = read(BOUNDS, &text, step);
-            let why = why.unwrap_or_else(|| panic!("{what} by {step} is taken: {got:?}"));
-            assert!(got.is_empty() && why.starts_with("garbage: ") && why.contains(part), "{what}: {why}");
+            let why = why.unwrap_or_else(|| panic!("{what} by {step} is accepted: {got:?}"));
+            assert!(
+                got.is_empty() && why.starts_with("invalid endpoint list: ") && why.contains(part),
+                "{what}: {why}"
+            );
         }
     }
 }
 
-/// It is cut to those that the node would keep first, and says how many others there are.
+/// The others are counted.
 #[test]
-fn of_a_whole_list_over_its_bound_the_first_of_this_node_are_taken() {
+fn of_a_snapshot_over_the_bound_the_entries_that_the_node_prefers_are_returned() {
     let texts: Vec<String> = (0..40).map(|number| entry(&format!("s-{number}"))).collect();
     let (got, why, _) = read(BOUNDS, &list(1, true, &texts), 100);
     assert!(why.is_none(), "{why:?}");
     let retention = Retention::of_node("n0");
     let all: Vec<EndpointEntry> = texts.iter().map(|text| serde_json::from_str(text).unwrap()).collect();
     let ranks: Vec<Rank> = all.iter().map(|entry| retention::rank(&retention, entry)).collect();
-    let chosen = Retention::choose(&ranks, BOUNDS.entries);
+    let chosen = Retention::choose(&ranks, BOUNDS.max_entries);
     let expected: Vec<EndpointEntry> =
         all.into_iter().zip(chosen).filter_map(|(entry, is_chosen)| is_chosen.then_some(entry)).collect();
     assert_eq!((&got[0].entries, got[0].beyond), (&expected, 32));
