--- a/crates/daemon/src/discovery/mod.rs
+++ b/crates/daemon/src/discovery/mod.rs
@@ -5,40 +5,13 @@
 pub mod platform;
 mod versions;
 
+pub use crate::event::EndpointUpdate;
+
 use crate::event::NodeEvent;
-use crate::protocol::{EndpointEntry, EndpointList};
 use merge::EndpointMerge;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use troutknot::ListUpdate;
-
-/// A list, or changes of one, as it is told to the driver.
-#[derive(Debug)]
-pub struct EndpointUpdate {
-    pub kind: ListUpdate,
-    pub entries: Vec<EndpointEntry>,
-    /// Where its source counts them.
-    pub version: Option<u64>,
-    /// Entries that were cut for the bound when it was read.
-    pub beyond: usize,
-}
-
-impl EndpointUpdate {
-    pub fn of(kind: ListUpdate, list: EndpointList) -> Self {
-        let EndpointList { version, entries, beyond, .. } = list;
-        EndpointUpdate { kind, entries, version: Some(version), beyond }
-    }
-
-    pub fn changes(entries: Vec<EndpointEntry>) -> Self {
-        EndpointUpdate { kind: ListUpdate::Delta, entries, version: None, beyond: 0 }
-    }
-
-    /// That nothing has changed.
-    pub fn nothing_new() -> Self {
-        EndpointUpdate::changes(Vec::new())
-    }
-}
 
 /// The driver's queue is closed, because the node is shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/daemon/tests/unit/compatibility.rs
+++ b/crates/daemon/tests/unit/compatibility.rs
@@ -3,7 +3,7 @@
 use crate::config::consul::ConsistencyMode;
 use crate::config::durable::{DurableEffect, LedgerSync};
 use crate::config::operator::{DiscoveryConfig, DiscoverySource, OperatorFile};
-use crate::hot_restart::codec::{Bounds, Inherited, read, write};
+use crate::hot_restart::codec::{Bounds, Inherited, decode, encode};
 use std::path::Path;
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
     let mut inherited = Inherited::default();
     let mut last = 0;
     for (number, line) in lines.lines().enumerate() {
-        let message = read(line.as_bytes()).unwrap();
-        assert_eq!(String::from_utf8(write(&message)).unwrap().trim_end(), line);
-        if last == 0 && inherited.take(message, "n0", BOUNDS).unwrap() {
+        let message = decode(line.as_bytes()).unwrap();
+        assert_eq!(String::from_utf8(encode(&message)).unwrap().trim_end(), line);
+        if last == 0 && inherited.apply(message, "n0", BOUNDS).unwrap() {
             last = number;
         }
     }
