--- a/crates/daemon/examples/fleet_memory.rs
+++ b/crates/daemon/examples/fleet_memory.rs
@@ -146,7 +146,7 @@
             .filter(|line| {
                 line.contains("left out")
                     || line.contains("invalid endpoint list")
-                    || line.contains("gives no list")
+                    || line.contains("consul query failed")
             })
             .for_each(|line| println!("{line}"))
     });
--- /dev/null
+++ b/crates/daemon/src/discovery/consul/query.rs
@@ -0,0 +1,158 @@
+//! Blocking queries of one service to Consul's health API.
+use crate::byte_budget::ByteBudget;
+use crate::config::consul::ConsulConfig;
+use crate::config::limits::Limits;
+use crate::http1::{Connection, Failed, ResponseHead};
+use bytes::BytesMut;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+use troutknot::Millis;
+use troutknot_consul::blocking::{Blocking, Head, Refused, Watched};
+use troutknot_consul::health::{Bounds, Member, Reader, Unusable};
+
+/// Wait before the query to the next agent, unless all agents have failed.
+const FAILOVER_WAIT: Millis = 50.0;
+
+const MAX_TOKEN_BYTES: usize = 256;
+
+/// Why a query has no usable answer.
+#[derive(Debug, thiserror::Error)]
+pub enum QueryError {
+    /// The agent did not answer in time.
+    #[error("no answer in time")]
+    Timeout,
+    /// The connection was not established in time.
+    #[error("no connection in time")]
+    ConnectTimeout,
+    /// The connection was not established.
+    #[error("cannot connect: {0}")]
+    Connect(#[source] io::Error),
+    /// The connection failed, or the response is malformed or too long.
+    #[error("connection failed: {0}")]
+    Connection(Failed),
+    /// The head of the answer shows that it must not be used.
+    #[error(transparent)]
+    Refused(#[from] Refused),
+    /// The body is no list of healthy instances.
+    #[error(transparent)]
+    Unusable(#[from] Unusable),
+}
+
+/// The answer to a query.
+pub struct Answer {
+    /// How long to wait before the next query.
+    pub next_query_after: Millis,
+    /// The instances of the service.
+    pub members: Vec<Rc<Member>>,
+}
+
+/// An ACL token.
+#[derive(Clone)]
+pub struct AclToken(String);
+
+/// The queries of one service, to one agent until that fails.
+pub struct ServiceQueries {
+    blocking: Blocking,
+    reader: Reader,
+    agents: Vec<SocketAddr>,
+    agent_index: usize,
+    token: Option<AclToken>,
+}
+
+impl ServiceQueries {
+    /// Queries that begin at the first agent.
+    pub fn new(config: &ConsulConfig, watched: Watched, token: Option<AclToken>) -> Self {
+        let agents = config.agents.clone();
+        let blocking = Blocking::new(watched, config.query_timing(), agents.len() as u32);
+        ServiceQueries { blocking, reader: Reader::default(), agents, agent_index: 0, token }
+    }
+
+    /// The address of the agent that is queried next.
+    pub fn agent(&self) -> SocketAddr {
+        self.agents[self.agent_index % self.agents.len()]
+    }
+
+    /// Sends one blocking query and waits for its answer.
+    ///
+    /// # Errors
+    /// If there is no answer in time, or it must not be used.
+    pub async fn query(&mut self, limits: &Limits) -> Result<Answer, QueryError> {
+        let query_timeout = Duration::from_secs_f64(self.blocking.deadline() / 1000.0);
+        let exchanged = timeout(query_timeout, self.exchange(limits)).await;
+        let (head, body) = exchanged.map_err(|_| QueryError::Timeout)??;
+        let field = |name: &str| head.headers.one(name).ok().flatten();
+        let consul_head = Head {
+            status: head.status,
+            index: field("x-consul-index"),
+            known_leader: field("x-consul-knownleader"),
+            last_contact: field("x-consul-lastcontact"),
+        };
+        self.blocking.check(&consul_head)?;
+        let bounds = Bounds {
+            body: limits.discovery.max_consul_answer_bytes,
+            entries: limits.executor_bounds.max_retained,
+            ..Bounds::default()
+        };
+        let members = self.reader.read(&body, &bounds)?;
+        Ok(Answer { next_query_after: self.blocking.answered(&consul_head), members })
+    }
+
+    async fn exchange(&self, limits: &Limits) -> Result<(ResponseHead, BytesMut), QueryError> {
+        let address = self.agent();
+        let connecting = timeout(limits.timeouts().connect_timeout, TcpStream::connect(address)).await;
+        let stream = connecting.map_err(|_| QueryError::ConnectTimeout)?.map_err(QueryError::Connect)?;
+        let buffer_bytes = limits.connection_buffer_bytes;
+        let mut connection = Connection::new(stream, buffer_bytes, &ByteBudget::new(2 * buffer_bytes));
+        let written = connection.write(&[self.request(address).as_bytes()]).await;
+        written.map_err(|error| QueryError::Connection(error.into()))?;
+        let mut head = connection.answer_head().await.map_err(QueryError::Connection)?;
+        let mut body = BytesMut::new();
+        let max_bytes = limits.discovery.max_consul_answer_bytes;
+        let reading = connection.body(&mut head.body, &mut body, max_bytes, false);
+        reading.await.map_err(QueryError::Connection)?;
+        Ok((head, body))
+    }
+
+    fn request(&self, address: SocketAddr) -> String {
+        let target = self.blocking.target();
+        let token = match &self.token {
+            Some(AclToken(token)) => format!("X-Consul-Token: {token}\r\n"),
+            None => String::new(),
+        };
+        format!("GET {target} HTTP/1.1\r\nHost: {address}\r\n{token}Connection: close\r\n\r\n")
+    }
+
+    /// Moves on to the next agent after a failure, and returns how long to wait before its query. The backoff applies
+    /// once all agents have failed; `jitter` is a random number from 0 to 1.
+    pub fn fail_over(&mut self, jitter: f64) -> Millis {
+        self.agent_index += 1;
+        self.blocking.moved();
+        let backoff = self.blocking.failed(jitter);
+        let have_all_failed = self.blocking.failures().is_multiple_of(self.agents.len() as u32);
+        if have_all_failed { backoff } else { backoff.min(FAILOVER_WAIT) }
+    }
+}
+
+/// Reads the ACL token. A file that cannot be read or holds no token is logged, and queries go without one.
+pub fn read_token(path: &Path) -> Option<AclToken> {
+    let path_shown = path.display();
+    let text = match std::fs::read_to_string(path) {
+        Ok(text) => text,
+        Err(error) => {
+            tracing::warn!(path = %path_shown, %error, "consul token cannot be read");
+            return None;
+        }
+    };
+    let token = text.trim();
+    let is_valid =
+        (1..=MAX_TOKEN_BYTES).contains(&token.len()) && token.bytes().all(|byte| byte.is_ascii_graphic());
+    if !is_valid {
+        tracing::warn!(path = %path_shown, "consul token file holds no token, querying without one");
+    }
+    is_valid.then(|| AclToken(token.to_string()))
+}
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -304,8 +304,13 @@
             }
             DiscoverySource::Consul => {
                 let (limits, wanted) = (limits.clone(), consul_wanted.clone());
-                let follower =
-                    discovery::consul::Follower { limits, clock, told, wanted, status: status.clone() };
+                let follower = discovery::consul::ConsulWatcher {
+                    limits,
+                    clock,
+                    updates: told,
+                    config: wanted,
+                    status: status.clone(),
+                };
                 // With the platform's list beside it, that one keeps what was held before.
                 let known = if several { Vec::new() } else { before.clone() };
                 spawn_local(follower.run(known));
--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -151,10 +151,10 @@
 #[test]
 fn whatever_an_agent_says_wrongly_the_last_list_stays() {
     let wrongs = [
-        (Wrong::Silent, "silent for too long"),
+        (Wrong::Silent, "no answer in time"),
         (Wrong::Status500, "status 500"),
         (Wrong::NoLeader, "it has no leader"),
-        (Wrong::HalfBody, "gives no list"),
+        (Wrong::HalfBody, "connection failed: "),
         (Wrong::Garbage, "no JSON of the health API"),
     ];
     thread::scope(|all| {
@@ -166,12 +166,12 @@
                 let node = follow(&own_file(None, &standins.agents, ""));
                 wait_until_used(&node, "both are used", &[&one, &two], &[true, true]);
                 standins.script(0, wrong);
-                let line = node.logged("gives no list of box");
-                assert!(line.contains(said) && line.contains("2 listed"), "{wrong:?}: {line}");
+                let line = node.logged("consul query failed, keeping the last list service=box");
+                assert!(line.contains(said) && line.contains("count=2"), "{wrong:?}: {line}");
                 wait_until_used(&node, "both are used still", &[&one, &two], &[true, true]);
                 standins.set("s0", Status::Critical);
                 standins.script(0, Wrong::Nothing);
-                node.logged("consul answers again for box");
+                node.logged("consul query recovered service=box");
                 wait_until_used(&node, "what it missed counts", &[&one, &two], &[false, true]);
             });
         }
@@ -189,12 +189,12 @@
     (0..2).for_each(|agent| standins.script(agent, Wrong::Empty));
     // A new index, so that those that wait are answered.
     standins.set("s0", Status::Passing);
-    let line = node.logged("too many vanished at once");
-    assert!(line.contains("2 of 2 that are missing stay listed"), "{line}");
+    let line = node.logged("too many executors missing in consul");
+    assert!(line.contains("they stay listed missing=2 count=2"), "{line}");
     assert_eq!(used(&node, 20, &all).iter().sum::<usize>(), 20, "the rest is served by");
     (0..2).for_each(|agent| standins.script(agent, Wrong::Nothing));
     standins.set("s0", Status::Passing);
-    node.logged("no executor that is missing stays listed any more");
+    node.logged("no executor missing in consul stays listed");
 }
 
 #[test]
@@ -245,7 +245,8 @@
     let panic = "[lists.consul.panic]\nshare = 1.0";
     own_file(Some(&own), &second.agents, &format!("token_file = \"{token}\"\n{panic}"));
     node.signal("HUP");
-    assert!(node.logged("gives no list of box").contains("status 403"));
+    let line = node.logged("consul query failed, keeping the last list service=box");
+    assert!(line.contains("status 403"), "{line}");
     assert_eq!(used(&node, 5, &[&one, &two]), [5, 0], "the list is kept meanwhile");
     std::fs::write(&token, "secret\n").unwrap();
     node.signal("HUP");
@@ -382,7 +383,7 @@
             until("the next question is out", || Instant::now() > asked);
             let start = Instant::now();
             standins.with(move |cluster, _| cluster.set("box", &["s0003"], status));
-            node.logged("consul: 1 changes told");
+            node.logged("consul changes sent count=1");
             took.push(start.elapsed().as_secs_f64() * 1000.0);
         }
         took.sort_by(f64::total_cmp);
@@ -420,6 +421,6 @@
     wait_until_used(&node, "both again", &all, &[true, true]);
     std::fs::write(&own, text).unwrap();
     node.signal("HUP");
-    node.logged("service cart is no longer followed");
+    node.logged("consul service no longer watched service=cart");
     wait_until_used(&node, "the one that is left", &all, &[true, false]);
 }
