--- a/crates/daemon/src/discovery/consul/mod.rs
+++ b/crates/daemon/src/discovery/consul/mod.rs
@@ -250,7 +250,7 @@
         // An update without changes shows that the list is up to date.
         if has_answer || !changes.is_empty() {
             let entries = changes.into_iter().map(entry_of).collect();
-            self.updates.send(EndpointUpdate::changes(entries)).await;
+            self.updates.send(EndpointUpdate::delta(entries)).await;
         }
         self.refresh_status();
         self.timer_changed.notify_one();
--- a/crates/daemon/src/discovery/mod.rs
+++ b/crates/daemon/src/discovery/mod.rs
@@ -80,7 +80,7 @@
     fn merge(&self, update: EndpointUpdate) -> EndpointUpdate {
         let Some(MergeHandle { precedence, merge }) = &self.merge else { return update };
         let changes = merge.borrow_mut().apply(*precedence, update.kind, update.entries);
-        EndpointUpdate::changes(changes)
+        EndpointUpdate::delta(changes)
     }
 }
 
--- a/crates/daemon/src/discovery/platform.rs
+++ b/crates/daemon/src/discovery/platform.rs
@@ -111,7 +111,7 @@
 
     async fn wait_for_request(&self, address: &mut watch::Receiver<SocketAddr>) -> WatchState {
         tokio::select! {
-            () = self.requests.changes.notified() => {}
+            () = self.requests.resume.notified() => {}
             Ok(()) = address.changed() => {}
         }
         WatchState::Watching
@@ -127,7 +127,7 @@
         tokio::select! {
             biased;
             Ok(()) = address.changed() => WatchState::Watching,
-            () = self.requests.whole.notified() => {
+            () = self.requests.snapshot.notified() => {
                 versions.is_snapshot_needed = true;
                 WatchState::Watching
             }
@@ -262,7 +262,7 @@
         let mut update = match accepted {
             Some(kind) => {
                 self.catch_up_deadline = None;
-                EndpointUpdate::of(kind, list)
+                EndpointUpdate::from_list(kind, list)
             }
             None => {
                 if is_first_snapshot {
@@ -272,7 +272,7 @@
                     tracing::info!(version = list.version, "endpoint list is not new, ignored");
                 }
                 // Sent as well, because it shows that the current list is up to date.
-                EndpointUpdate::nothing_new()
+                EndpointUpdate::unchanged()
             }
         };
         update.version = versions.current;
--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -301,12 +301,12 @@
     }
 
     fn list(&mut self, list: EndpointUpdate) -> CoreEvent {
-        let EndpointUpdate { kind, entries, version, beyond } = list;
+        let EndpointUpdate { kind, entries, version, dropped_entries } = list;
         let entries = match kind {
             ListUpdate::Delta => self.select(|retention, kept| retention.apply_delta(entries, kept)),
             // Who is missing from a whole list is gone.
             _ => {
-                let selected = self.select(|retention, _| retention.apply_snapshot(entries, beyond));
+                let selected = self.select(|retention, _| retention.apply_snapshot(entries, dropped_entries));
                 self.shut_missing(&selected);
                 self.reserve(selected.len());
                 selected
@@ -331,7 +331,7 @@
             tracing::warn!("{} entries of a list are repeated in it, the last ones count", selected.repeated);
         }
         if selected.needs_snapshot {
-            self.follow.whole.notify_one();
+            self.follow.snapshot.notify_one();
         }
         selected.entries
     }
@@ -391,8 +391,8 @@
     /// Says how many executors are left out, whenever that is another figure.
     fn log_figures(&mut self) {
         let figures = self.retention.statistics();
-        if figures.left_out != self.figures.replace(figures).left_out {
-            match figures.left_out {
+        if figures.unretained != self.figures.replace(figures).unretained {
+            match figures.unretained {
                 0 => tracing::info!("executors: {figures}"),
                 _ => tracing::warn!("more executors are listed than there is memory for: {figures}"),
             }
@@ -590,7 +590,7 @@
                 let codec = self.codec.now();
                 self.peers.iter().for_each(|peers| peers.broadcast(said, codec.type_names()));
             }
-            Action::WatchEndpoints => self.follow.changes.notify_one(),
+            Action::WatchEndpoints => self.follow.resume.notify_one(),
             Action::ReleaseExecutor { executor } => self.release(executor),
             Action::Log(event) => decision_log::record(event),
         }
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -16,24 +16,24 @@
     /// The version of the list, if its source counts versions.
     pub version: Option<u64>,
     /// Number of entries that the reader dropped because the list exceeded its size limit.
-    pub beyond: usize,
+    pub dropped_entries: usize,
 }
 
 impl EndpointUpdate {
     /// Wraps a list that was read from its source.
-    pub fn of(kind: ListUpdate, list: EndpointList) -> Self {
+    pub fn from_list(kind: ListUpdate, list: EndpointList) -> Self {
         let EndpointList { version, entries, beyond, .. } = list;
-        EndpointUpdate { kind, entries, version: Some(version), beyond }
+        EndpointUpdate { kind, entries, version: Some(version), dropped_entries: beyond }
     }
 
     /// Wraps changed entries from a source that counts no versions.
-    pub fn changes(entries: Vec<EndpointEntry>) -> Self {
-        EndpointUpdate { kind: ListUpdate::Delta, entries, version: None, beyond: 0 }
+    pub fn delta(entries: Vec<EndpointEntry>) -> Self {
+        EndpointUpdate { kind: ListUpdate::Delta, entries, version: None, dropped_entries: 0 }
     }
 
     /// A confirmation that the list has not changed.
-    pub fn nothing_new() -> Self {
-        EndpointUpdate::changes(Vec::new())
+    pub fn unchanged() -> Self {
+        EndpointUpdate::delta(Vec::new())
     }
 }
 
@@ -41,9 +41,9 @@
 #[derive(Default)]
 pub struct WatchRequests {
     /// Continue the watch from the last version.
-    pub changes: Notify,
-    /// Restart the watch with a complete list.
-    pub whole: Notify,
+    pub resume: Notify,
+    /// Reopen the watch, beginning with a snapshot.
+    pub snapshot: Notify,
 }
 
 /// An attempt of an earlier process of this node.
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -1,8 +1,11 @@
-//! What nodes tell one another, as datagrams between addresses that the operator's file names. They may be lost,
-//! late, doubled or forged: no rule rests on one, and what is not understood or comes from elsewhere is counted.
+//! Gossip between nodes: datagrams between the addresses that the operator's file names.
+//!
+//! Datagrams may be lost, delayed, duplicated or forged, so nothing depends on one. A datagram that cannot be decoded
+//! or has an unknown sender is dropped and counted.
 use crate::event::NodeEvent;
 use crate::protocol::{Codec, Current};
 use socket2::{Domain, Socket, Type};
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,74 +15,107 @@
 use troutknot::{Event as CoreEvent, GossipMessage};
 use troutknot_gossip::{ClassNames, MAX_MESSAGE_BYTES, decode, encode};
 
-/// What was passed over is said in the log once in so long.
-const SAID_EVERY: Duration = Duration::from_secs(10);
+/// The shortest time between two log lines about dropped datagrams.
+const DROP_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
+/// The socket for gossip cannot be opened.
+#[derive(Debug, thiserror::Error)]
+#[error("`peers.listen`: cannot listen at {address}: {source}")]
+pub struct GossipListenError {
+    /// The address of the operator's file.
+    address: SocketAddr,
+    source: io::Error,
+}
+
+/// Whether another process of this node may have the same address.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AddressUse {
+    /// This process alone has the address.
+    Exclusive,
+    /// During a hot restart both processes have it; each datagram is received by one of them.
+    Shared,
+}
+
+/// A socket for datagrams from and to the other nodes.
 pub struct GossipSocket {
     socket: UdpSocket,
-    others: Vec<SocketAddr>,
+    peers: Vec<SocketAddr>,
 }
 
 impl GossipSocket {
-    /// Where `shared`, the process before this one may still have the address; each datagram then comes to one.
+    /// Opens a socket at an address. The address itself is left out of the peers.
     ///
     /// # Errors
-    /// Where the address cannot be had.
-    pub fn listen(at: SocketAddr, others: Vec<SocketAddr>, shared: bool) -> Result<Rc<Self>, String> {
-        let bound = || {
-            let socket = Socket::new(Domain::for_address(at), Type::DGRAM, None)?;
-            socket.set_reuse_port(shared)?;
-            socket.bind(&at.into())?;
-            socket.set_nonblocking(true)?;
-            UdpSocket::from_std(socket.into())
-        };
-        let socket = bound();
-        let socket = socket.map_err(|e| format!("`peers.listen`: cannot listen at {at}: {e}"))?;
-        Ok(Rc::new(GossipSocket {
-            socket,
-            others: others.into_iter().filter(|other| *other != at).collect(),
-        }))
+    /// If the address cannot be bound.
+    pub fn listen(
+        address: SocketAddr,
+        mut peers: Vec<SocketAddr>,
+        address_use: AddressUse,
+    ) -> Result<Rc<Self>, GossipListenError> {
+        let socket = bind(address, address_use).map_err(|source| GossipListenError { address, source })?;
+        peers.retain(|peer| *peer != address);
+        Ok(Rc::new(GossipSocket { socket, peers }))
     }
 
-    /// Tells all others. What finds no room on its way is dropped, as any of it may be.
-    pub fn broadcast(&self, said: GossipMessage, types: ClassNames) {
-        let bytes = encode(said, types);
-        for other in &self.others {
-            let _ = self.socket.try_send_to(&bytes, *other);
+    /// Sends a message to all peers. A datagram that cannot be sent at once is dropped.
+    pub fn broadcast(&self, message: GossipMessage, classes: ClassNames) {
+        let bytes = encode(message, classes);
+        for peer in &self.peers {
+            let _ = self.socket.try_send_to(&bytes, *peer);
         }
     }
 
-    /// Hears the others until the node ends.
+    /// Receives messages of the peers until the node ends, and sends them to the driver.
     pub async fn receive(self: Rc<Self>, codec: Rc<Current<Codec>>, events: mpsc::Sender<NodeEvent>) {
-        // One byte over the most shows what is longer.
+        // A datagram of one byte more than a message may have is recognized as too long.
         let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
-        let (mut passed_over, mut said) = (0u64, Instant::now() - SAID_EVERY);
+        let mut drops = DropCounter::new();
         loop {
-            let Ok((length, from)) = self.socket.recv_from(&mut bytes).await else {
-                // An error of an earlier send, told by the network; the socket goes on.
+            let Ok((length, sender)) = self.socket.recv_from(&mut bytes).await else {
+                // The network reports an error of an earlier send this way; the socket is still usable.
                 tokio::task::yield_now().await;
                 continue;
             };
-            let known = self.others.contains(&from);
-            match decode(&bytes[..length], codec.now().type_names()).filter(|_| known) {
-                Some(heard) => {
-                    // Guards against a crowd of messages: with no room for one, it is lost like any other.
-                    let _ = events.try_send(NodeEvent::Core(CoreEvent::GossipReceived(heard)));
-                }
-                None => {
-                    passed_over += 1;
-                    if said.elapsed() >= SAID_EVERY {
-                        said = Instant::now();
-                        tracing::warn!(
-                            "{passed_over} messages passed over: not understood, or not of a peer"
-                        );
-                    }
+            let is_peer = self.peers.contains(&sender);
+            match decode(&bytes[..length], codec.now().type_names()).filter(|_| is_peer) {
+                // Dropped if the driver's queue is full, so that a flood of datagrams cannot block the node.
+                Some(message) => {
+                    let _ = events.try_send(NodeEvent::Core(CoreEvent::GossipReceived(message)));
                 }
+                None => drops.count(),
             }
         }
     }
 }
 
+fn bind(address: SocketAddr, address_use: AddressUse) -> io::Result<UdpSocket> {
+    let socket = Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
+    socket.set_reuse_port(address_use == AddressUse::Shared)?;
+    socket.bind(&address.into())?;
+    socket.set_nonblocking(true)?;
+    UdpSocket::from_std(socket.into())
+}
+
+/// Counts dropped datagrams and logs the count now and then.
+struct DropCounter {
+    count: u64,
+    logged_at: Instant,
+}
+
+impl DropCounter {
+    fn new() -> Self {
+        DropCounter { count: 0, logged_at: Instant::now() - DROP_LOG_INTERVAL }
+    }
+
+    fn count(&mut self) {
+        self.count += 1;
+        if self.logged_at.elapsed() >= DROP_LOG_INTERVAL {
+            self.logged_at = Instant::now();
+            tracing::warn!(count = self.count, "gossip datagrams dropped, malformed or not of a peer");
+        }
+    }
+}
+
 #[cfg(test)]
 #[path = "../tests/unit/gossip.rs"]
 mod tests;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -31,7 +31,7 @@
 use driver::Driver;
 use durable::Durable;
 use event::{NodeEvent, WatchRequests};
-use gossip::GossipSocket;
+use gossip::{AddressUse, GossipSocket};
 use hot_restart::{codec::Bounds, inherited_socket, sibling::SiblingProcess, takeover, takeover::Takeover};
 use lifecycle::{Drain, Lifecycle, Shutdown};
 use protocol::{Codec, Current, EndpointList};
@@ -157,11 +157,13 @@
     let file = own_path.as_deref().map(OperatorFile::read).transpose();
     let file = file.map_err(|error| error.to_string())?.unwrap_or_default();
     file.check_settings(&settings).map_err(|error| error.to_string())?;
+    let address_use = if passed.is_some() { AddressUse::Shared } else { AddressUse::Exclusive };
     let peers = file
         .gossip
         .clone()
-        .map(|p| GossipSocket::listen(p.listen_address, p.peers, passed.is_some()))
-        .transpose()?;
+        .map(|gossip| GossipSocket::listen(gossip.listen_address, gossip.peers, address_use))
+        .transpose()
+        .map_err(|error| error.to_string())?;
     let limits = Rc::new(Limits::new(&LimitInputs {
         memory_mb: told.resources.memory_mb,
         max_sockets: told.resources.max_sockets,
@@ -262,7 +264,8 @@
         if let Some(inherited) = &mut inherited {
             driver.leave_out(std::mem::take(&mut inherited.excluded));
         }
-        driver.tell(clock.now(), NodeEvent::ListReceived(EndpointUpdate::of(ListUpdate::Cached, known)));
+        driver
+            .tell(clock.now(), NodeEvent::ListReceived(EndpointUpdate::from_list(ListUpdate::Cached, known)));
     }
     if let Some(mut inherited) = inherited {
         clients.taken_elsewhere(&inherited.ids);
@@ -299,7 +302,7 @@
                     retention,
                 };
                 // The list is followed from the start, also where nobody has to ask for it.
-                follow.changes.notify_one();
+                follow.resume.notify_one();
                 spawn_local(follower.run(version));
             }
             DiscoverySource::Consul => {
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -1,29 +1,31 @@
-//! The endpoint list as it was last told, and the executors that operators excluded, which lie over it: one that is
-//! excluded and ready in the list drains for everything behind. Without I/O.
+//! The endpoint list as it was last received, and the executors that operators excluded.
+//!
+//! An executor that is excluded and listed as ready counts as draining. The module performs no I/O.
 use crate::protocol::EndpointEntry;
 use slotmap::SecondaryMap;
 use std::collections::{BTreeSet, VecDeque};
 use troutknot::ExecutorId;
 
-/// Names that stay excluded while no executor of that name is listed; the oldest is forgotten first.
-pub const MAX_ABSENT: usize = 1024;
+/// Upper bound on excluded executors that are not listed. The oldest of them is admitted again beyond it.
+pub const MAX_EXCLUDED_ABSENT: usize = 1024;
+
 const READY: &str = "Ready";
 const DRAINING: &str = "Terminating";
 const GONE: &str = "Gone";
 
-/// What is listed and what is excluded.
+/// Listed and excluded executors.
 #[derive(Default)]
 pub struct Membership {
     listed: SecondaryMap<ExecutorId, EndpointEntry>,
     excluded: BTreeSet<String>,
-    /// Those of them that are not listed, in the order in which they went.
+    /// Excluded executors that are not listed, the oldest first.
     excluded_absent: VecDeque<String>,
-    /// The version of the list, where its source counts versions.
+    /// The version of the list, if its source counts versions.
     pub version: Option<u64>,
 }
 
 impl Membership {
-    /// Keeps what the list says of an executor; what is to be gone by follows.
+    /// Stores an entry of the list, and returns the entry that is effective with the exclusions.
     pub fn update(&mut self, executor: ExecutorId, entry: EndpointEntry) -> EndpointEntry {
         let mut effective = entry.clone();
         if self.excluded.contains(entry.id.as_str()) {
@@ -36,83 +38,84 @@
         effective
     }
 
-    /// Makes space for so many executors in all, at once.
+    /// Reserves memory for this number of executors in total.
     pub fn reserve(&mut self, executors: usize) {
         self.listed.set_capacity(executors);
     }
 
-    /// It is missing from a complete list.
+    /// Marks an executor as gone that is missing in a snapshot.
     pub fn mark_gone(&mut self, executor: ExecutorId) {
         if let Some(entry) = self.listed.get_mut(executor) {
             entry.state = GONE.into();
         }
     }
 
-    /// Its handle is released: what the list said of it is forgotten. If it is excluded it stays so by name.
+    /// Removes the entry of an executor whose handle is released. An exclusion remains by name.
     pub fn release(&mut self, executor: ExecutorId) {
         if let Some(entry) = self.listed.remove(executor)
             && self.excluded.contains(entry.id.as_str())
         {
-            self.retain_absent(entry.id.to_string());
+            self.add_excluded_absent(entry.id.to_string());
         }
     }
 
-    /// Excludes an executor, or lets it serve again: a set and no count, so one call undoes any number of calls
-    /// before. What the list says of it, to be taken anew; none where nothing changes or it is not listed.
+    /// Excludes an executor, or admits it again. One call reverts any number of earlier calls.
+    ///
+    /// Returns the listed entry, to be applied again; none if nothing changes or the executor is not listed.
     pub fn set_excluded(
         &mut self,
         executor: Option<ExecutorId>,
         name: &str,
         is_excluded: bool,
     ) -> Option<EndpointEntry> {
-        let changes =
+        let is_changed =
             if is_excluded { self.excluded.insert(name.into()) } else { self.excluded.remove(name) };
         let entry = executor.and_then(|executor| self.listed.get(executor)).cloned();
         match (is_excluded, &entry) {
-            (true, None) if changes => self.retain_absent(name.into()),
+            (true, None) if is_changed => self.add_excluded_absent(name.into()),
             (false, _) => self.excluded_absent.retain(|absent| absent != name),
             _ => {}
         }
-        entry.filter(|_| changes)
+        entry.filter(|_| is_changed)
     }
 
-    /// Takes over who is excluded, before any list.
+    /// Adds exclusions of an earlier process, before a list is received.
     pub fn import_excluded(&mut self, names: BTreeSet<String>) {
         for name in names {
             if self.excluded.insert(name.clone()) {
-                self.retain_absent(name);
+                self.add_excluded_absent(name);
             }
         }
     }
 
-    /// Names of all that are excluded.
+    /// Names of all excluded executors.
     pub fn excluded(&self) -> &BTreeSet<String> {
         &self.excluded
     }
 
-    /// What the list says of one executor; none where it is gone.
+    /// The entry of an executor as it is listed; none if it is gone.
     pub fn entry(&self, executor: ExecutorId) -> Option<&EndpointEntry> {
         self.listed.get(executor).filter(|entry| !entry.is_gone())
     }
 
-    /// What the list says, without who is gone.
+    /// All entries as they are listed, without executors that are gone.
     pub fn listed(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.listed.values().filter(|entry| !entry.is_gone())
     }
 
-    /// The number of executors of which anything is kept, but for names.
+    /// The number of entries, with executors that are gone and not released.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.listed.len()
     }
 
-    /// Guards against names without end: of those that are excluded and not listed the oldest is let in again.
-    fn retain_absent(&mut self, name: String) {
+    /// Bounded, because callers can name executors that never existed.
+    fn add_excluded_absent(&mut self, name: String) {
         self.excluded_absent.push_back(name);
-        if self.excluded_absent.len() > MAX_ABSENT
+        if self.excluded_absent.len() > MAX_EXCLUDED_ABSENT
             && let Some(oldest) = self.excluded_absent.pop_front()
         {
-            tracing::warn!("{oldest} was left out by hand and is not listed; that is forgotten now");
+            tracing::warn!(executor = %oldest, "exclusion of an executor that is not listed dropped");
             self.excluded.remove(&oldest);
         }
     }
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -1,105 +1,116 @@
-//! Which of the listed executors this node keeps, and those that it leaves out. Without I/O.
+//! Chooses which of the listed executors this node retains.
 //!
-//! Up to the bound a list passes as it is. Above it the [`Retention`] of this node chooses anew with each list,
-//! and entries that lose are held for when there is room, up to a bound of their own: one that fits again comes
-//! in at once, whatever its source tells of next. Past that bound the lowest are only counted, and the source is
-//! asked for its whole list once what is held is used up.
+//! Up to the bound all executors are retained. Beyond it, [`Retention`] chooses anew with each update of the list. The
+//! entries that are not chosen are cached up to a bound of their own, so that one of them can be retained as soon as
+//! there is capacity. Beyond that bound the lowest-ranked entries are only counted, and a snapshot is requested once
+//! all cached entries are used up. The module performs no I/O.
 use crate::protocol::EndpointEntry;
 use compact_str::CompactString;
 use std::collections::{HashMap, HashSet};
+use std::fmt;
 use troutknot_membership::{Rank, Readiness, Retention};
 
-/// How many executors are listed, and what becomes of them.
+/// Numbers of executors. The text is an answer of the admin API.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetentionStatistics {
+    /// All executors that are listed.
     pub listed: usize,
-    pub kept: usize,
-    /// Not kept; as of the last whole list where they are more than are held.
-    pub left_out: usize,
+    /// Executors that are retained.
+    pub retained: usize,
+    /// Executors that are not retained. If not all of them are cached, their number is that of the last snapshot.
+    pub unretained: usize,
+    /// Upper bound on the executors that are retained.
     pub bound: usize,
 }
 
-impl std::fmt::Display for RetentionStatistics {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let RetentionStatistics { listed, kept, left_out, bound } = self;
-        write!(f, "{listed} listed, {kept} kept, {left_out} left out, bound {bound}")
+impl fmt::Display for RetentionStatistics {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        let RetentionStatistics { listed, retained, unretained, bound } = self;
+        write!(formatter, "{listed} listed, {retained} kept, {unretained} left out, bound {bound}")
     }
 }
 
-/// What a list changes for the node.
+/// What an update of the list changes for the node.
 #[derive(Debug, Default, PartialEq)]
 pub struct RetentionChange {
-    /// Entries to take, in order; one that was kept and loses its place stands there as gone.
+    /// Entries to apply, in order. An executor that is no longer retained has an entry that says it is gone.
     pub entries: Vec<EndpointEntry>,
-    /// How many entries named an executor that the same list names again later.
+    /// The number of entries that a later one of the same update replaced.
     pub repeated: usize,
-    /// The source must tell its whole list, for there is room and what fits is not held.
+    /// Whether to request a snapshot, because there is capacity and no entry is cached.
     pub needs_snapshot: bool,
 }
 
-/// The executors that are kept now, as the list last told them.
+/// The executors that are retained now, with their last entries.
 pub trait RetainedEntries {
-    /// None for one that is not kept, or gone.
+    /// The entry of one executor; none if it is gone or not retained.
     fn entry(&self, name: &str) -> Option<&EndpointEntry>;
+    /// All entries.
     fn entries(&self) -> impl Iterator<Item = &EndpointEntry>;
 }
 
+/// Chooses the executors to retain.
 pub struct EndpointRetention {
     retention: Retention,
     bound: usize,
     max_unretained: usize,
-    kept: usize,
+    retained: usize,
+    /// Cached entries of executors that are not retained.
     unretained: HashMap<CompactString, EndpointEntry>,
-    /// Left out and not held.
-    forgotten: usize,
-    /// The whole list was asked for, and has not come yet.
-    is_asked: bool,
+    /// The number of executors that are neither retained nor cached.
+    uncached: usize,
+    /// A snapshot was requested and has not arrived.
+    is_snapshot_requested: bool,
 }
 
-/// The place of an executor in a node's order.
+/// The rank of an executor in a node's order of preference.
 pub fn rank(retention: &Retention, entry: &EndpointEntry) -> Rank {
-    let standing = if entry.is_ready() { Readiness::Ready } else { Readiness::Draining };
-    retention.rank(&entry.id, standing)
+    let readiness = if entry.is_ready() { Readiness::Ready } else { Readiness::Draining };
+    retention.rank(&entry.id, readiness)
 }
 
-/// Leaves the last entry of each name; how many others there were.
+/// Removes all but the last entry of each name, and returns how many were removed.
 fn remove_repeated(entries: &mut Vec<EndpointEntry>) -> usize {
-    let mut places: Vec<usize> = (0..entries.len()).collect();
-    places.sort_unstable_by(|&a, &b| entries[a].id.cmp(&entries[b].id).then(a.cmp(&b)));
-    let is_same = |pair: &&[usize]| entries[pair[0]].id == entries[pair[1]].id;
-    let repeated: HashSet<usize> = places.windows(2).filter(is_same).map(|pair| pair[0]).collect();
-    let mut place = 0..;
-    entries.retain(|_| place.next().is_some_and(|place| !repeated.contains(&place)));
+    let mut indices: Vec<usize> = (0..entries.len()).collect();
+    indices.sort_unstable_by(|&a, &b| entries[a].id.cmp(&entries[b].id).then(a.cmp(&b)));
+    let is_repeated = |pair: &&[usize]| entries[pair[0]].id == entries[pair[1]].id;
+    let repeated: HashSet<usize> = indices.windows(2).filter(is_repeated).map(|pair| pair[0]).collect();
+    let mut index = 0..;
+    entries.retain(|_| index.next().is_some_and(|index| !repeated.contains(&index)));
     repeated.len()
 }
 
 impl EndpointRetention {
-    /// For the node of this name, which keeps at most `bound` executors and holds `max_unretained` others.
+    /// For the node of this name, which retains at most `bound` executors and caches `max_unretained` other entries.
     pub fn new(node: &str, bound: usize, max_unretained: usize) -> Self {
-        let retention = Retention::of_node(node);
-        let unretained = HashMap::new();
         EndpointRetention {
-            retention,
+            retention: Retention::of_node(node),
             bound,
             max_unretained,
-            kept: 0,
-            unretained,
-            forgotten: 0,
-            is_asked: false,
+            retained: 0,
+            unretained: HashMap::new(),
+            uncached: 0,
+            is_snapshot_requested: false,
         }
     }
 
+    /// The numbers of executors.
     pub fn statistics(&self) -> RetentionStatistics {
-        let left_out = self.unretained.len() + self.forgotten;
-        RetentionStatistics { listed: self.kept + left_out, kept: self.kept, left_out, bound: self.bound }
+        let unretained = self.unretained.len() + self.uncached;
+        RetentionStatistics {
+            listed: self.retained + unretained,
+            retained: self.retained,
+            unretained,
+            bound: self.bound,
+        }
     }
 
-    /// What the list says of an executor that is left out, as far as that is held.
+    /// The cached entry of an executor that is not retained.
     pub fn unretained_entry(&self, name: &str) -> Option<&EndpointEntry> {
         self.unretained.get(name)
     }
 
-    /// All that is held of those left out.
+    /// All cached entries of executors that are not retained.
     pub fn unretained(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.unretained.values()
     }
@@ -108,107 +119,124 @@
         rank(&self.retention, entry)
     }
 
-    /// Takes a whole list, of which `beyond` more entries were cut when it was read. Whoever is not among what
-    /// is selected has lost its place, or is gone.
-    pub fn apply_snapshot(&mut self, mut entries: Vec<EndpointEntry>, beyond: usize) -> RetentionChange {
+    /// Applies a snapshot, of which the parser dropped a number of entries. An executor without an entry in the
+    /// result is gone or no longer retained.
+    pub fn apply_snapshot(
+        &mut self,
+        mut entries: Vec<EndpointEntry>,
+        dropped_entries: usize,
+    ) -> RetentionChange {
         let repeated = remove_repeated(&mut entries);
         entries.retain(|entry| !entry.is_gone());
         self.unretained.clear();
-        (self.forgotten, self.is_asked) = (beyond, false);
-        let mut lost = Vec::new();
+        self.uncached = dropped_entries;
+        self.is_snapshot_requested = false;
+        let mut losing = Vec::new();
         if entries.len() > self.bound {
             let ranks: Vec<Rank> = entries.iter().map(|entry| self.rank(entry)).collect();
-            let mut chosen = Retention::choose(&ranks, self.bound).into_iter();
-            lost.extend(entries.extract_if(.., |_| chosen.next() == Some(false)));
+            let mut is_chosen = Retention::choose(&ranks, self.bound).into_iter();
+            losing.extend(entries.extract_if(.., |_| is_chosen.next() == Some(false)));
         }
-        self.kept = entries.len();
-        self.hold(lost);
+        self.retained = entries.len();
+        self.cache(losing);
         RetentionChange { entries, repeated, needs_snapshot: false }
     }
 
-    /// Takes changes of the list.
+    /// Applies changes of the list.
     pub fn apply_delta(
         &mut self,
         mut entries: Vec<EndpointEntry>,
-        before: &impl RetainedEntries,
+        current: &impl RetainedEntries,
     ) -> RetentionChange {
         let repeated = remove_repeated(&mut entries);
-        let mut told = Vec::with_capacity(entries.len());
-        let mut may_change_places = false;
+        let mut accepted = Vec::with_capacity(entries.len());
+        let mut may_change_choice = false;
         for entry in entries {
-            match before.entry(&entry.id) {
-                Some(was) => {
-                    self.kept -= usize::from(entry.is_gone());
-                    may_change_places |= was.state != entry.state;
-                    told.push(entry);
+            match current.entry(&entry.id) {
+                Some(previous) => {
+                    self.retained -= usize::from(entry.is_gone());
+                    may_change_choice |= previous.state != entry.state;
+                    accepted.push(entry);
                 }
                 None if entry.is_gone() => {
                     self.unretained.remove(&entry.id);
                 }
-                None if self.kept < self.bound && self.unretained.is_empty() => {
-                    self.kept += 1;
-                    told.push(entry);
+                None if self.retained < self.bound && self.unretained.is_empty() => {
+                    self.retained += 1;
+                    accepted.push(entry);
                 }
                 None => {
                     self.unretained.insert(entry.id.clone(), entry);
-                    may_change_places = true;
+                    may_change_choice = true;
                 }
             }
         }
-        if self.has_waiting() || (may_change_places && !self.unretained.is_empty()) {
-            told = self.compete(told, before);
+        if self.has_waiting() || (may_change_choice && !self.unretained.is_empty()) {
+            accepted = self.choose_again(accepted, current);
         }
-        let is_short = self.forgotten > 0 && self.kept < self.bound && self.unretained.is_empty();
-        let needs_snapshot = is_short && !std::mem::replace(&mut self.is_asked, is_short);
-        RetentionChange { entries: told, repeated, needs_snapshot }
+        RetentionChange { entries: accepted, repeated, needs_snapshot: self.request_snapshot() }
     }
 
-    /// Whether one that is left out would be kept now.
+    /// Returns true once if executors that are not cached could be retained.
+    fn request_snapshot(&mut self) -> bool {
+        let is_needed = self.uncached > 0 && self.retained < self.bound && self.unretained.is_empty();
+        if !is_needed {
+            return false;
+        }
+        !std::mem::replace(&mut self.is_snapshot_requested, true)
+    }
+
+    /// Whether a cached entry could be retained now.
     pub fn has_waiting(&self) -> bool {
-        self.kept < self.bound && !self.unretained.is_empty()
+        self.retained < self.bound && !self.unretained.is_empty()
     }
 
-    /// There was no handle for one that was selected: it waits, whatever else is held.
+    /// Caches an entry that was chosen and for which there is no free handle, even beyond the bound of the cache.
     pub fn defer(&mut self, entry: EndpointEntry) {
-        self.kept -= 1;
+        self.retained -= 1;
         self.unretained.insert(entry.id.clone(), entry);
     }
 
-    /// Chooses anew among all that are kept, by what is told now, and all that are held besides.
-    fn compete(&mut self, mut told: Vec<EndpointEntry>, before: &impl RetainedEntries) -> Vec<EndpointEntry> {
-        let told_names: HashSet<&str> = told.iter().map(|entry| entry.id.as_str()).collect();
-        let unchanged = before.entries().filter(|entry| !told_names.contains(entry.id.as_str()));
-        let keeping: Vec<&EndpointEntry> =
-            unchanged.chain(told.iter().filter(|entry| !entry.is_gone())).collect();
-        let candidates = || keeping.iter().copied().chain(self.unretained.values());
-        let ranks: Vec<Rank> = candidates().map(|entry| self.rank(entry)).collect();
-        let chosen = Retention::choose(&ranks, self.bound);
-        let losing = keeping.iter().zip(&chosen).filter(|(_, is_chosen)| !**is_chosen);
-        let lost: Vec<EndpointEntry> = losing.map(|(entry, _)| (*entry).clone()).collect();
-        let winning = self.unretained.values().zip(&chosen[keeping.len()..]).filter(|(_, chosen)| **chosen);
-        let won: Vec<CompactString> = winning.map(|(entry, _)| entry.id.clone()).collect();
-        self.kept = chosen.iter().filter(|&&is_chosen| is_chosen).count();
-        // Only one that was kept is told as gone.
-        let lost_names: HashSet<&str> = lost.iter().map(|entry| entry.id.as_str()).collect();
-        told.retain(|entry| !lost_names.contains(entry.id.as_str()));
-        let kept_before = lost.iter().filter(|entry| before.entry(&entry.id).is_some());
-        told.extend(kept_before.map(|entry| entry.clone().into_gone()));
-        told.extend(won.iter().filter_map(|name| self.unretained.remove(name)));
-        self.hold(lost);
-        told
+    /// Chooses among all retained executors, with the update applied, and all cached ones.
+    fn choose_again(
+        &mut self,
+        mut accepted: Vec<EndpointEntry>,
+        current: &impl RetainedEntries,
+    ) -> Vec<EndpointEntry> {
+        let updated: HashSet<&str> = accepted.iter().map(|entry| entry.id.as_str()).collect();
+        let unchanged = current.entries().filter(|entry| !updated.contains(entry.id.as_str()));
+        let retained: Vec<&EndpointEntry> =
+            unchanged.chain(accepted.iter().filter(|entry| !entry.is_gone())).collect();
+        let candidates = retained.iter().copied().chain(self.unretained.values());
+        let ranks: Vec<Rank> = candidates.map(|entry| self.rank(entry)).collect();
+        let is_chosen = Retention::choose(&ranks, self.bound);
+        let (retained_chosen, unretained_chosen) = is_chosen.split_at(retained.len());
+        let losing = retained.iter().zip(retained_chosen).filter(|(_, is_chosen)| !**is_chosen);
+        let losing: Vec<EndpointEntry> = losing.map(|(entry, _)| (*entry).clone()).collect();
+        let winning = self.unretained.values().zip(unretained_chosen).filter(|(_, is_chosen)| **is_chosen);
+        let winning: Vec<CompactString> = winning.map(|(entry, _)| entry.id.clone()).collect();
+        self.retained = is_chosen.iter().filter(|&&is_chosen| is_chosen).count();
+        let losing_names: HashSet<&str> = losing.iter().map(|entry| entry.id.as_str()).collect();
+        accepted.retain(|entry| !losing_names.contains(entry.id.as_str()));
+        // An executor that was not retained before has no entry to take back.
+        let retained_before = losing.iter().filter(|entry| current.entry(&entry.id).is_some());
+        accepted.extend(retained_before.map(|entry| entry.clone().into_gone()));
+        accepted.extend(winning.iter().filter_map(|name| self.unretained.remove(name)));
+        self.cache(losing);
+        accepted
     }
 
-    /// Holds what lost, and of all that is held the highest ranks.
-    fn hold(&mut self, lost: Vec<EndpointEntry>) {
-        self.unretained.extend(lost.into_iter().map(|entry| (entry.id.clone(), entry)));
+    /// Caches entries, and drops those with the lowest ranks beyond the bound.
+    fn cache(&mut self, entries: Vec<EndpointEntry>) {
+        self.unretained.extend(entries.into_iter().map(|entry| (entry.id.clone(), entry)));
         if self.unretained.len() <= self.max_unretained {
             return;
         }
         let ranks: Vec<Rank> = self.unretained.values().map(|entry| self.rank(entry)).collect();
-        let mut chosen = Retention::choose(&ranks, self.max_unretained).into_iter();
+        let mut is_chosen = Retention::choose(&ranks, self.max_unretained).into_iter();
         let before = self.unretained.len();
-        self.unretained.retain(|_, _| chosen.next() == Some(true));
-        self.forgotten += before - self.unretained.len();
+        self.unretained.retain(|_, _| is_chosen.next() == Some(true));
+        self.uncached += before - self.unretained.len();
     }
 }
 
--- a/crates/daemon/tests/capacity.rs
+++ b/crates/daemon/tests/capacity.rs
@@ -175,8 +175,8 @@
     assert!(long.len() > 1024 * 1024, "it is over its bound");
     for (what, text, part) in [
         ("no state", &cut, "missing field `state`"),
-        ("too long", &long, "a list is too long"),
-        ("cut in the middle of an entry", &format!("{}\n\n", &long[..5000]), "a list is cut"),
+        ("too long", &long, "invalid endpoint list: it is too long"),
+        ("cut in the middle of an entry", &format!("{}\n\n", &long[..5000]), "invalid endpoint list: it is truncated"),
     ] {
         discovery.lines.send(text.clone()).unwrap();
         called.node.logged(part);
--- a/crates/daemon/tests/shape.rs
+++ b/crates/daemon/tests/shape.rs
@@ -68,7 +68,7 @@
     };
     let (node, other, at) = start();
     UdpSocket::bind("127.0.0.1:0").unwrap().send_to(&[1, 1], at).unwrap();
-    node.logged("messages passed over");
+    node.logged("gossip datagrams dropped");
     other.send_to(&[1; 1000], at).unwrap();
     other.send_to(&[1, 1], at).unwrap();
     node.logged("idle connections were lost");
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -45,7 +45,12 @@
     }
 
     fn list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) {
-        self.tell(NodeEvent::ListReceived(EndpointUpdate { kind, entries, version: None, beyond: 0 }));
+        self.tell(NodeEvent::ListReceived(EndpointUpdate {
+            kind,
+            entries,
+            version: None,
+            dropped_entries: 0,
+        }));
     }
 
     /// Lets the time pass in which those that are gone are looked over.
@@ -278,7 +283,10 @@
         let (executor, asked) = (format!("s-{number}"), CallOrigin::Sibling(number));
         rig.tell(NodeEvent::SetExcluded { executor, is_excluded: true, origin: asked });
     }
-    assert_eq!((rig.kept(), rig.driver.membership.excluded().len()), (0, crate::membership::MAX_ABSENT));
+    assert_eq!(
+        (rig.kept(), rig.driver.membership.excluded().len()),
+        (0, crate::membership::MAX_EXCLUDED_ABSENT)
+    );
     assert!(rig.driver.membership.excluded().contains("s-4999"));
 }
 
--- a/crates/daemon/tests/unit/membership.rs
+++ b/crates/daemon/tests/unit/membership.rs
@@ -1,47 +1,47 @@
-//! Who is out by hand lies over the list.
+//! Exclusions by operators and the entries that are effective with them.
 use super::*;
 use troutknot_membership::ExecutorRegistry;
 
 #[test]
-fn who_is_out_drains_whatever_the_list_says_until_one_call_back() {
+fn an_excluded_executor_drains_in_any_listed_state_until_it_is_admitted_again() {
     let mut membership = Membership::default();
     let a = ExecutorRegistry::default().register("a");
-    let said = |membership: &mut Membership, state: &str| {
+    let update = |membership: &mut Membership, state: &str| {
         membership.update(a, EndpointEntry::of("a", "x", state)).state
     };
-    assert_eq!(said(&mut membership, READY), READY);
-    let out = membership.set_excluded(Some(a), "a", true).expect("it changes");
-    assert_eq!(membership.update(a, out).state, DRAINING);
-    assert!(membership.set_excluded(Some(a), "a", true).is_none(), "twice out");
-    for (state, believed) in [("Gone", "Gone"), (READY, DRAINING), (DRAINING, DRAINING), (READY, DRAINING)] {
-        assert_eq!(said(&mut membership, state), believed, "{state}");
+    assert_eq!(update(&mut membership, READY), READY);
+    let excluded = membership.set_excluded(Some(a), "a", true).expect("it changes");
+    assert_eq!(membership.update(a, excluded).state, DRAINING);
+    assert!(membership.set_excluded(Some(a), "a", true).is_none(), "it is excluded already");
+    for (state, effective) in [("Gone", "Gone"), (READY, DRAINING), (DRAINING, DRAINING), (READY, DRAINING)] {
+        assert_eq!(update(&mut membership, state), effective, "{state}");
     }
     membership.mark_gone(a);
-    let back = membership.set_excluded(Some(a), "a", false).expect("one call back undoes both");
-    assert_eq!(back.state, "Gone", "what the list says by then");
+    let admitted = membership.set_excluded(Some(a), "a", false).expect("one call reverts both");
+    assert_eq!(admitted.state, "Gone", "the state that is listed by then");
     assert!(membership.set_excluded(Some(a), "a", false).is_none() && membership.excluded().is_empty());
-    assert_eq!(said(&mut membership, READY), READY);
-    // One that the list has not named yet, taken over from the process before.
+    assert_eq!(update(&mut membership, READY), READY);
+    // An exclusion of an earlier process, of an executor that is not listed yet.
     let mut next = Membership::default();
     next.import_excluded(["a".to_string()].into());
-    assert_eq!(said(&mut next, READY), DRAINING);
+    assert_eq!(update(&mut next, READY), DRAINING);
 }
 
-/// Left out before or while it is gone, it stays out under the name when it is back under another handle.
+/// An executor that is excluded before or after it is gone is excluded when it is listed under another handle.
 #[test]
-fn who_is_out_stays_out_by_name_while_it_is_gone() {
-    for out_while_gone in [false, true] {
+fn an_exclusion_remains_by_name_while_the_executor_is_gone() {
+    for is_excluded_while_gone in [false, true] {
         let (mut registry, mut membership) = (ExecutorRegistry::default(), Membership::default());
         let first = registry.register("a");
         membership.update(first, EndpointEntry::of("a", "x", READY));
-        if !out_while_gone {
+        if !is_excluded_while_gone {
             membership.set_excluded(Some(first), "a", true);
         }
         membership.mark_gone(first);
         membership.release(first);
         registry.release(first);
-        if out_while_gone {
-            assert!(membership.set_excluded(None, "a", true).is_none(), "the list says nothing of it");
+        if is_excluded_while_gone {
+            assert!(membership.set_excluded(None, "a", true).is_none(), "it is not listed");
         }
         assert_eq!(membership.listed().count(), 0);
         let second = registry.register("a");
@@ -49,7 +49,7 @@
         assert_eq!(
             membership.update(second, EndpointEntry::of("a", "x", READY)).state,
             DRAINING,
-            "{out_while_gone}"
+            "{is_excluded_while_gone}"
         );
         membership.release(second);
         assert!(membership.set_excluded(None, "a", false).is_none() && membership.excluded().is_empty());
@@ -58,12 +58,12 @@
 }
 
 #[test]
-fn names_that_are_out_and_not_listed_are_bounded() {
+fn excluded_names_that_are_not_listed_are_bounded() {
     let (mut registry, mut membership) = (ExecutorRegistry::default(), Membership::default());
     let listed = registry.register("listed");
     membership.update(listed, EndpointEntry::of("listed", "x", READY));
     membership.set_excluded(Some(listed), "listed", true);
-    for number in 0..3 * MAX_ABSENT {
+    for number in 0..3 * MAX_EXCLUDED_ABSENT {
         let name = format!("s-{number}");
         let executor = registry.register(&name);
         membership.update(executor, EndpointEntry::of(&name, "x", READY));
@@ -71,10 +71,16 @@
         membership.release(executor);
         registry.release(executor);
     }
-    assert_eq!((membership.excluded().len(), membership.excluded_absent.len()), (MAX_ABSENT + 1, MAX_ABSENT));
-    assert!(membership.excluded().contains("listed"), "one that is listed is never forgotten");
-    assert!(membership.excluded().contains(&format!("s-{}", 3 * MAX_ABSENT - 1)), "nor the latest");
-    let names = (0..3 * MAX_ABSENT).map(|number| format!("t-{number}"));
+    assert_eq!(
+        (membership.excluded().len(), membership.excluded_absent.len()),
+        (MAX_EXCLUDED_ABSENT + 1, MAX_EXCLUDED_ABSENT)
+    );
+    assert!(membership.excluded().contains("listed"), "the exclusion of a listed executor is never dropped");
+    assert!(
+        membership.excluded().contains(&format!("s-{}", 3 * MAX_EXCLUDED_ABSENT - 1)),
+        "nor the latest one"
+    );
+    let names = (0..3 * MAX_EXCLUDED_ABSENT).map(|number| format!("t-{number}"));
     membership.import_excluded(names.collect());
-    assert_eq!(membership.excluded().len(), MAX_ABSENT + 1);
+    assert_eq!(membership.excluded().len(), MAX_EXCLUDED_ABSENT + 1);
 }
--- a/crates/daemon/tests/unit/retention.rs
+++ b/crates/daemon/tests/unit/retention.rs
@@ -1,10 +1,10 @@
-//! Who is kept and who is left out, list after list.
+//! Which executors are retained and which are not, update after update.
 use super::*;
 use std::collections::BTreeMap;
 
 const NODE: &str = "n0";
 
-/// The executors that are kept, as the driver holds them.
+/// The executors that are retained, as the driver stores them.
 #[derive(Default)]
 struct Store(BTreeMap<CompactString, EndpointEntry>);
 
@@ -18,34 +18,34 @@
     }
 }
 
-/// A selection with its store, which takes what is selected.
+/// A retention with its store, to which each change is applied.
 struct Node {
     retention: EndpointRetention,
     store: Store,
 }
 
 impl Node {
-    fn new(bound: usize, most_left_out: usize) -> Self {
-        Node { retention: EndpointRetention::new(NODE, bound, most_left_out), store: Store::default() }
+    fn new(bound: usize, max_unretained: usize) -> Self {
+        Node { retention: EndpointRetention::new(NODE, bound, max_unretained), store: Store::default() }
     }
 
-    fn whole(&mut self, entries: Vec<EndpointEntry>, beyond: usize) -> RetentionChange {
-        let selected = self.retention.apply_snapshot(entries, beyond);
+    fn snapshot(&mut self, entries: Vec<EndpointEntry>, dropped: usize) -> RetentionChange {
+        let change = self.retention.apply_snapshot(entries, dropped);
         self.store.0.clear();
-        self.take(&selected);
-        selected
+        self.apply(&change);
+        change
     }
 
-    fn changes(&mut self, entries: Vec<EndpointEntry>) -> RetentionChange {
-        let selected = self.retention.apply_delta(entries, &self.store);
-        self.take(&selected);
-        selected
+    fn delta(&mut self, entries: Vec<EndpointEntry>) -> RetentionChange {
+        let change = self.retention.apply_delta(entries, &self.store);
+        self.apply(&change);
+        change
     }
 
-    fn take(&mut self, selected: &RetentionChange) {
-        for entry in &selected.entries {
+    fn apply(&mut self, change: &RetentionChange) {
+        for entry in &change.entries {
             match entry.is_gone() {
-                true => assert!(self.store.0.remove(&entry.id).is_some(), "it was kept"),
+                true => assert!(self.store.0.remove(&entry.id).is_some(), "it was retained"),
                 false => _ = self.store.0.insert(entry.id.clone(), entry.clone()),
             }
         }
@@ -68,8 +68,8 @@
     (0..count).map(|number| entry(&format!("s-{number:04}"), "Ready")).collect()
 }
 
-/// The names that the node would keep of all that are listed.
-fn best(listed: &BTreeMap<CompactString, EndpointEntry>, bound: usize) -> Vec<&str> {
+/// The names that the node would retain of all that are listed.
+fn preferred(listed: &BTreeMap<CompactString, EndpointEntry>, bound: usize) -> Vec<&str> {
     let retention = Retention::of_node(NODE);
     let mut ranked: Vec<&EndpointEntry> = listed.values().collect();
     ranked.sort_by_key(|entry| std::cmp::Reverse(rank(&retention, entry)));
@@ -78,10 +78,10 @@
     names
 }
 
-/// A small generator, so that a failure names its seed.
-struct Draws(u64);
+/// A linear congruential generator, so that a failure can name its seed.
+struct Random(u64);
 
-impl Draws {
+impl Random {
     fn below(&mut self, bound: usize) -> usize {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) as usize % bound
@@ -89,143 +89,147 @@
 }
 
 #[test]
-fn a_list_within_the_bound_passes_as_it_is() {
+fn a_list_within_the_bound_is_retained_as_it_is() {
     let mut node = Node::new(4, 2);
     let list = vec![entry("c", "Ready"), entry("a", "Terminating"), entry("b", "odd")];
-    assert_eq!(node.whole(list.clone(), 0), RetentionChange { entries: list, ..RetentionChange::default() });
+    assert_eq!(
+        node.snapshot(list.clone(), 0),
+        RetentionChange { entries: list, ..RetentionChange::default() }
+    );
     let changes = vec![entry("d", "Ready"), entry("c", "Gone"), entry("e", "Ready"), entry("a", "Ready")];
     assert_eq!(
-        node.changes(changes.clone()),
+        node.delta(changes.clone()),
         RetentionChange { entries: changes, ..RetentionChange::default() }
     );
-    assert_eq!(node.changes(vec![entry("f", "Gone")]), RetentionChange::default(), "one that never was");
-    let figures = RetentionStatistics { listed: 4, kept: 4, left_out: 0, bound: 4 };
+    assert_eq!(node.delta(vec![entry("f", "Gone")]), RetentionChange::default(), "it was never listed");
+    let figures = RetentionStatistics { listed: 4, retained: 4, unretained: 0, bound: 4 };
     assert_eq!((node.retention.statistics(), node.names()), (figures, vec!["a", "b", "d", "e"]));
 }
 
-/// After every list those are kept that a choice among all would keep, by the last word on each, and the
-/// difference is all that is told.
+/// After each update the executors are retained that a choice among all of them would retain, and only the
+/// difference is returned.
 #[test]
-fn whatever_changes_the_best_are_kept() {
+fn the_preferred_executors_are_retained_after_any_change() {
     const BOUND: usize = 20;
     for seed in 0..200 {
-        let (mut draws, mut node) = (Draws(seed), Node::new(BOUND, 60));
+        let (mut random, mut node) = (Random(seed), Node::new(BOUND, 60));
         let mut listed: BTreeMap<CompactString, EndpointEntry> = BTreeMap::new();
         for step in 0..40 {
             let before: Vec<String> = node.names().into_iter().map(str::to_string).collect();
-            let many = 1 + draws.below(12);
-            let mut change = BTreeMap::new();
-            for _ in 0..many {
-                let state = ["Ready", "Ready", "Ready", "Terminating", "Gone"][draws.below(5)];
-                let entry = entry(&format!("s-{}", draws.below(60)), state);
-                change.insert(entry.id.clone(), entry);
+            let count = 1 + random.below(12);
+            let mut changed = BTreeMap::new();
+            for _ in 0..count {
+                let state = ["Ready", "Ready", "Ready", "Terminating", "Gone"][random.below(5)];
+                let entry = entry(&format!("s-{}", random.below(60)), state);
+                changed.insert(entry.id.clone(), entry);
             }
-            let is_whole = draws.below(10) == 0;
-            if is_whole {
+            let is_snapshot = random.below(10) == 0;
+            if is_snapshot {
                 listed.clear();
             }
-            for (name, entry) in &change {
+            for (name, entry) in &changed {
                 match entry.is_gone() {
                     true => _ = listed.remove(name),
                     false => _ = listed.insert(name.clone(), entry.clone()),
                 }
             }
-            let entries: Vec<EndpointEntry> = change.into_values().collect();
-            let told = if is_whole { node.whole(entries, 0) } else { node.changes(entries) };
-            assert!(!told.needs_snapshot && told.repeated == 0, "seed {seed} step {step}");
-            let expected = best(&listed, BOUND);
+            let entries: Vec<EndpointEntry> = changed.into_values().collect();
+            let change = if is_snapshot { node.snapshot(entries, 0) } else { node.delta(entries) };
+            assert!(!change.needs_snapshot && change.repeated == 0, "seed {seed} step {step}");
+            let expected = preferred(&listed, BOUND);
             assert_eq!(node.names(), expected, "seed {seed} step {step}");
             assert!(node.store.0.iter().all(|(name, entry)| listed.get(name) == Some(entry)));
-            let (kept, all) = (expected.len(), listed.len());
-            let figures = RetentionStatistics { listed: all, kept, left_out: all - kept, bound: BOUND };
+            let (retained, all) = (expected.len(), listed.len());
+            let figures =
+                RetentionStatistics { listed: all, retained, unretained: all - retained, bound: BOUND };
             assert_eq!(node.retention.statistics(), figures, "seed {seed} step {step}");
             let lost = before.iter().filter(|name| !expected.contains(&name.as_str())).count();
-            let gone = told.entries.iter().filter(|entry| entry.is_gone()).count();
-            assert!(is_whole || gone == lost, "seed {seed} step {step}: {gone} of {lost} are told gone");
+            let gone = change.entries.iter().filter(|entry| entry.is_gone()).count();
+            assert!(is_snapshot || gone == lost, "seed {seed} step {step}: {gone} of {lost} are gone");
         }
     }
 }
 
 #[test]
-fn one_executor_replaced_changes_one_that_is_kept_at_most() {
+fn the_replacement_of_one_executor_changes_at_most_one_that_is_retained() {
     let mut node = Node::new(100, 50);
-    node.whole(fleet(150), 0);
+    node.snapshot(fleet(150), 0);
     for number in 0..150 {
         let before: Vec<String> = node.names().into_iter().map(str::to_string).collect();
         let (old, new) = (format!("s-{number:04}"), format!("t-{number:04}"));
-        let told = node.changes(vec![entry(&old, "Gone"), entry(&new, "Ready")]);
+        let change = node.delta(vec![entry(&old, "Gone"), entry(&new, "Ready")]);
         let lost: Vec<&String> =
             before.iter().filter(|name| !node.names().contains(&name.as_str())).collect();
-        assert!(lost.len() <= 1 && told.entries.len() <= 2, "{lost:?}: {told:?}");
+        assert!(lost.len() <= 1 && change.entries.len() <= 2, "{lost:?}: {change:?}");
         assert_eq!(node.names().len(), 100);
     }
 }
 
 #[test]
-fn who_drains_goes_first_and_takes_no_place_of_one_that_is_ready() {
+fn a_draining_executor_never_displaces_one_that_is_ready() {
     let mut node = Node::new(3, 9);
-    node.whole(ready(&["a", "b", "c"]), 0);
+    node.snapshot(ready(&["a", "b", "c"]), 0);
     let drains = ["d", "e", "f", "g"].map(|name| entry(name, "Terminating"));
-    assert_eq!(node.changes(drains.to_vec()).entries, [], "none of them takes a place");
-    node.changes(vec![entry("b", "Terminating")]);
+    assert_eq!(node.delta(drains.to_vec()).entries, [], "none of them displaces another");
+    node.delta(vec![entry("b", "Terminating")]);
     assert!(node.names().contains(&"a") && node.names().contains(&"c"));
-    // Of those that drain the node keeps the first in its order; each that is ready comes before them.
-    let told = node.changes(ready(&["h"])).entries;
+    // Each ready executor is preferred to all that drain.
+    let change = node.delta(ready(&["h"])).entries;
     assert_eq!(node.names(), ["a", "c", "h"]);
-    assert!(told.iter().any(|entry| entry.is_gone()), "it is told that it has lost its place: {told:?}");
+    assert!(change.iter().any(|entry| entry.is_gone()), "an executor is displaced: {change:?}");
 }
 
-/// One that loses its place keeps its figures: they tell its start, its address and its place.
+/// The entry of a displaced executor retains its start, its address and its cell.
 #[test]
-fn one_that_loses_its_place_and_gets_it_again_is_as_it_was_listed() {
+fn an_executor_that_is_displaced_and_retained_again_has_the_entry_that_was_listed() {
     let mut node = Node::new(2, 9);
     let mut list = vec![entry("a", "Terminating"), entry("b", "Ready")];
     (list[0].started_ms, list[0].cell) = (Some(7.0), Some(3));
-    node.whole(list.clone(), 0);
-    let told = node.changes(ready(&["c"])).entries;
-    assert_eq!(told[0], list[0].clone().into_gone());
-    assert_eq!(node.changes(vec![entry("c", "Gone")]).entries[1], list[0]);
+    node.snapshot(list.clone(), 0);
+    let change = node.delta(ready(&["c"])).entries;
+    assert_eq!(change[0], list[0].clone().into_gone());
+    assert_eq!(node.delta(vec![entry("c", "Gone")]).entries[1], list[0]);
 }
 
 #[test]
-fn names_that_a_list_repeats_are_one_executor_and_the_last_word_counts() {
+fn of_repeated_entries_of_one_executor_the_last_one_is_used() {
     let mut node = Node::new(2, 2);
     let list = vec![entry("a", "Ready"), entry("b", "Ready"), entry("a", "Terminating"), entry("a", "Ready")];
-    let told = node.whole(list, 0);
-    assert_eq!((told.repeated, node.retention.statistics().kept), (2, 2));
-    let told = node.changes(vec![entry("a", "Gone"), entry("c", "Ready"), entry("a", "Terminating")]);
-    assert_eq!(told.repeated, 1);
-    assert_eq!(node.names(), ["b", "c"], "it drains, and another one is ready");
+    let change = node.snapshot(list, 0);
+    assert_eq!((change.repeated, node.retention.statistics().retained), (2, 2));
+    let change = node.delta(vec![entry("a", "Gone"), entry("c", "Ready"), entry("a", "Terminating")]);
+    assert_eq!(change.repeated, 1);
+    assert_eq!(node.names(), ["b", "c"], "a drains, and c is ready");
     assert_eq!(node.retention.statistics().listed, 3);
 }
 
 #[test]
-fn past_what_is_held_the_whole_list_is_asked_for_once() {
+fn a_snapshot_is_requested_once_when_the_cached_entries_are_used_up() {
     let mut node = Node::new(10, 5);
-    node.whole(fleet(18), 2);
+    node.snapshot(fleet(18), 2);
     assert_eq!(
         node.retention.statistics(),
-        RetentionStatistics { listed: 20, kept: 10, left_out: 10, bound: 10 }
+        RetentionStatistics { listed: 20, retained: 10, unretained: 10, bound: 10 }
     );
     assert_eq!(node.retention.unretained().count(), 5);
-    // The five that are held come in for the first five that go.
-    let mut asked = Vec::new();
+    // The five cached entries replace the first five executors that are gone.
+    let mut requested = Vec::new();
     for number in 0..10 {
         let name = node.names()[0].to_string();
-        let told = node.changes(vec![entry(&name, "Gone")]);
-        assert_eq!(node.retention.statistics().kept, if number < 5 { 10 } else { 14 - number });
-        asked.push(told.needs_snapshot);
+        let change = node.delta(vec![entry(&name, "Gone")]);
+        assert_eq!(node.retention.statistics().retained, if number < 5 { 10 } else { 14 - number });
+        requested.push(change.needs_snapshot);
     }
-    assert_eq!(asked, [vec![false; 5], vec![true], vec![false; 4]].concat(), "once, until it comes");
-    node.whole(fleet(9), 0);
+    assert_eq!(requested, [vec![false; 5], vec![true], vec![false; 4]].concat(), "once, until it arrives");
+    node.snapshot(fleet(9), 0);
     assert_eq!(
         node.retention.statistics(),
-        RetentionStatistics { listed: 9, kept: 9, left_out: 0, bound: 10 }
+        RetentionStatistics { listed: 9, retained: 9, unretained: 0, bound: 10 }
     );
 }
 
 #[test]
-fn one_that_finds_no_handle_waits_until_there_is_one() {
+fn an_executor_without_a_free_handle_waits_for_one() {
     let mut node = Node::new(2, 2);
     let selected = node.retention.apply_snapshot(ready(&["a", "b"]), 0);
     for entry in selected.entries {
@@ -233,10 +237,10 @@
     }
     assert_eq!(
         node.retention.statistics(),
-        RetentionStatistics { listed: 2, kept: 0, left_out: 2, bound: 2 }
+        RetentionStatistics { listed: 2, retained: 0, unretained: 2, bound: 2 }
     );
     assert!(node.retention.has_waiting() && node.retention.unretained_entry("a").is_some());
-    node.changes(Vec::new());
+    node.delta(Vec::new());
     assert!(!node.retention.has_waiting());
     assert_eq!(node.names(), ["a", "b"]);
 }
