--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
 use troutknot_emulator::scripted::{Act, Discovery, Executor};
-use troutknot_standins::consul::{Agent, Cluster, Instance, Status, Wrong};
+use troutknot_fake_consul::{Agent, Cluster, Instance, Status, Wrong};
 
 /// The stand-ins on a thread of their own.
 struct Standins {
@@ -143,7 +143,7 @@
     assert!(String::from_utf8_lossy(&said.1).contains("list from consul: 2 listed"), "{said:?}");
     // A change that comes while the node ends.
     node.terminate();
-    node.logged("asked to end");
+    node.logged("shutdown requested");
     standins.set("s0", Status::Passing);
     assert!(node.process.wait().unwrap().success());
 }
