--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -1,188 +1,154 @@
-//! Where operators call: a listener of its own, where the configuration names one. Each connection is a task of
-//! its own and carries one call, which is answered once what it asks for holds.
-mod calls;
+//! The admin API, on a listener of its own if the node file names one. Each connection carries one call.
+mod handlers;
+mod routes;
 
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::Limits;
-use crate::event::{CallOrigin, NodeEvent};
-use crate::hot_restart::{codec::Message, sibling::SiblingProcess};
-use crate::http1::{self, Connection, Failed};
-use crate::lifecycle::{DrainOrigin, DrainRequest, Lifecycle, LifecycleState, Shutdown};
+use crate::event::NodeEvent;
+use crate::hot_restart::sibling::SiblingProcess;
+use crate::http1::{self, Connection, Failed, RequestHead};
+use crate::lifecycle::Lifecycle;
 use crate::retention::RetentionStatistics;
-use calls::{Call, UnknownCall};
-use std::borrow::Cow;
+use handlers::{AdminHandlers, AdminResponse};
+use routes::{AdminCall, RouteError};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{Notify, mpsc, oneshot};
+use tokio::sync::{Notify, mpsc};
 use tokio::task::spawn_local;
-use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
+use tokio::time::{Instant, sleep, sleep_until, timeout};
 
+/// Wait after a connection could not be accepted, for instance for lack of descriptors.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(150);
+
+/// Serves the admin API.
 pub struct AdminServer {
+    handlers: AdminHandlers,
     limits: Rc<Limits>,
-    events: mpsc::Sender<NodeEvent>,
-    lifecycle: Rc<Lifecycle>,
-    beside: Rc<SiblingProcess>,
-    /// How many executors are listed, and what becomes of them.
-    figures: Rc<Cell<RetentionStatistics>>,
-    rings: Rc<ByteBudget>,
-    /// Connections whose call is not whole, by their number, the longest first.
-    waiting: RefCell<VecDeque<(u64, Rc<Notify>)>>,
-    open: Cell<usize>,
-    next: Cell<u64>,
+    buffers: Rc<ByteBudget>,
+    /// Connections whose request is not complete, the oldest first.
+    incomplete: RefCell<VecDeque<IncompleteRequest>>,
+    open_connections: Cell<usize>,
+    next_number: Cell<u64>,
 }
 
-type Answered = (u16, Cow<'static, str>);
-
-const DONE: Answered = (200, Cow::Borrowed("done"));
+/// A connection whose request is not complete.
+struct IncompleteRequest {
+    connection_number: u64,
+    /// Closes the connection.
+    close: Rc<Notify>,
+}
 
 impl AdminServer {
+    /// A server for this node, which reports `statistics`.
     pub fn new(
         limits: Rc<Limits>,
         events: mpsc::Sender<NodeEvent>,
         lifecycle: Rc<Lifecycle>,
-        beside: Rc<SiblingProcess>,
-        figures: Rc<Cell<RetentionStatistics>>,
+        sibling: Rc<SiblingProcess>,
+        statistics: Rc<Cell<RetentionStatistics>>,
     ) -> Rc<Self> {
+        let buffers = ByteBudget::new(limits.admin.max_connections * 2 * limits.admin.buffer_bytes);
+        let handlers = AdminHandlers { limits: limits.clone(), events, lifecycle, sibling, statistics };
         Rc::new(AdminServer {
-            rings: ByteBudget::new(limits.admin.max_connections * 2 * limits.admin.buffer_bytes),
+            handlers,
             limits,
-            events,
-            lifecycle,
-            beside,
-            figures,
-            waiting: RefCell::default(),
-            open: Cell::new(0),
-            next: Cell::new(0),
+            buffers,
+            incomplete: RefCell::default(),
+            open_connections: Cell::new(0),
+            next_number: Cell::new(0),
         })
     }
 
+    /// Accepts connections until the node ends.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => self.take(stream),
-                Err(e) => {
-                    tracing::warn!("cannot accept a call: {e}");
-                    sleep(self.limits.downstream.min_new_connection_age).await;
+                Ok((stream, _)) => self.serve_or_drop(stream),
+                Err(error) => {
+                    tracing::warn!(%error, "admin connection cannot be accepted");
+                    sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// Serves a connection. Guards against callers that connect and say nothing: where there are too many,
-    /// the one that is waited for longest is closed for the newcomer.
-    fn take(self: &Rc<Self>, stream: TcpStream) {
-        let (this, number, close) = (self.clone(), self.next.get(), Rc::new(Notify::new()));
-        if self.open.get() >= self.limits.admin.max_connections {
-            match self.waiting.borrow_mut().pop_front() {
-                Some((_, longest)) => longest.notify_one(),
-                // All of them are being answered, which takes less than a second.
-                None => return,
-            }
+    /// Serves a connection. At the limit it replaces the oldest one whose request is incomplete, so that callers who
+    /// send nothing cannot block the API; if there is none, it is dropped.
+    fn serve_or_drop(self: &Rc<Self>, stream: TcpStream) {
+        if self.open_connections.get() >= self.limits.admin.max_connections {
+            let Some(oldest) = self.incomplete.borrow_mut().pop_front() else { return };
+            oldest.close.notify_one();
         }
-        self.next.set(number + 1);
-        self.open.set(self.open.get() + 1);
-        self.waiting.borrow_mut().push_back((number, close.clone()));
+        let connection_number = self.next_number.get();
+        self.next_number.set(connection_number + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
+        let close: Rc<Notify> = Rc::default();
+        self.incomplete.borrow_mut().push_back(IncompleteRequest { connection_number, close: close.clone() });
+        let server = self.clone();
         spawn_local(async move {
-            let mut connection = Connection::new(stream, this.limits.admin.buffer_bytes, &this.rings);
-            this.serve(&mut connection, number, &close).await;
+            let buffer_bytes = server.limits.admin.buffer_bytes;
+            let mut connection = Connection::new(stream, buffer_bytes, &server.buffers);
+            server.serve(&mut connection, connection_number, &close).await;
             drop(connection);
-            this.waits_no_more(number);
-            this.open.set(this.open.get() - 1);
+            server.mark_complete(connection_number);
+            server.open_connections.set(server.open_connections.get() - 1);
         });
     }
 
-    fn waits_no_more(&self, number: u64) {
-        self.waiting.borrow_mut().retain(|(waits, _)| *waits != number);
+    fn mark_complete(&self, connection_number: u64) {
+        self.incomplete.borrow_mut().retain(|request| request.connection_number != connection_number);
     }
 
-    async fn serve(&self, connection: &mut Connection, number: u64, close: &Notify) {
-        let due = Instant::now() + self.limits.downstream.io_timeout;
+    async fn serve(&self, connection: &mut Connection, connection_number: u64, close: &Notify) {
+        let deadline = Instant::now() + self.limits.downstream.io_timeout;
         let head = tokio::select! {
             biased;
             head = connection.request_head() => head,
             () = close.notified() => return,
-            () = sleep_until(due) => return,
+            () = sleep_until(deadline) => return,
         };
-        self.waits_no_more(number);
-        let mut allow = None;
-        let (status, said) = match head {
+        self.mark_complete(connection_number);
+        let response = match head {
             Ok(None) | Err(Failed::Ended | Failed::Broken(_)) => return,
-            Err(Failed::Bad(bad)) => (bad.status(), "the call cannot be read".into()),
-            Ok(Some(head)) => match calls::call(&head.method, &head.target) {
-                Ok(call) => {
-                    let answered = self.answer(&call).await;
-                    match &call {
-                        Call::IsReady | Call::Executors => {}
-                        call => tracing::info!("called: {call:?}, answered {} {}", answered.0, answered.1),
-                    }
-                    answered
-                }
-                Err(UnknownCall::UnknownPath) => (404, "there is no such call".into()),
-                Err(UnknownCall::OddPath) => (400, "an executor has a name of 1 to 255 bytes".into()),
-                Err(UnknownCall::WrongMethod(by)) => {
-                    allow = Some(("Allow", by.to_string()));
-                    (405, "the call is made by another method".into())
-                }
-            },
+            Err(Failed::Bad(error)) => AdminResponse::new(error.status(), "the call cannot be read"),
+            Ok(Some(head)) => self.respond(&head).await,
         };
-        let fields: Vec<_> = allow.into_iter().collect();
-        let said = format!("{said}\n");
-        let head = http1::answer(status, said.len(), false, &fields);
-        let written =
-            timeout(self.limits.admin.call_timeout, connection.write(&[&head, said.as_bytes()])).await;
-        if matches!(written, Ok(Ok(()))) {
-            connection.end(self.limits.rest_of_message_timeout, self.limits.max_discarded_bytes).await;
-        }
+        self.write(connection, &response).await;
     }
 
-    async fn answer(&self, call: &Call) -> Answered {
-        match call {
-            Call::IsReady if self.lifecycle.facts().is_ready() => (200, "ready".into()),
-            Call::IsReady => (503, "not ready".into()),
-            Call::Executors => (200, self.figures.get().to_string().into()),
-            Call::Out { executor, out } => self.leave_out(executor, *out).await,
-            Call::Drain(to_drain) => {
-                if self.lifecycle.facts().shutdown != Shutdown::None {
-                    return (503, "the node ends".into());
-                }
-                let request = if *to_drain { DrainRequest::Drain } else { DrainRequest::Resume };
-                self.lifecycle.request_drain(
-                    request,
-                    DrainOrigin::Operator,
-                    self.limits.admin.drain_settle_time,
-                );
-                let (done, holds) = oneshot::channel();
-                let drained = |number| Message::Drained { drained: *to_drain, number };
-                self.beside.mirror(drained, done);
-                match timeout(self.limits.admin.call_timeout, holds).await {
-                    Ok(Ok(_)) => DONE,
-                    _ => (503, "the other process of this node does not answer".into()),
-                }
-            }
+    async fn respond(&self, head: &RequestHead) -> AdminResponse {
+        let call = match routes::route(&head.method, &head.target) {
+            Ok(call) => call,
+            Err(error) => return error_response(error),
+        };
+        let response = self.handlers.handle(&call).await;
+        let is_query = matches!(call, AdminCall::Readiness | AdminCall::Statistics);
+        if !is_query {
+            tracing::info!(?call, status = response.status, reason = %response.body, "admin call");
         }
+        response
     }
 
-    async fn leave_out(&self, executor: &str, out: bool) -> Answered {
-        let until = Instant::now() + self.limits.admin.call_timeout;
-        // An executor may be known only once there is a list.
-        let mut stage = self.lifecycle.watch();
-        let _ = timeout_at(until, stage.wait_for(|stage| *stage != LifecycleState::Starting)).await;
-        let (done, holds) = oneshot::channel();
-        let event = NodeEvent::SetExcluded {
-            executor: executor.to_string(),
-            is_excluded: out,
-            origin: CallOrigin::Operator(done),
-        };
-        let told = async {
-            self.events.send(event).await.ok()?;
-            holds.await.ok()
-        };
-        match timeout_at(until + self.limits.admin.call_timeout / 2, told).await {
-            Ok(Some(true)) => DONE,
-            Ok(Some(false)) => (404, "no such executor was ever listed".into()),
-            _ => (503, "the node is too busy".into()),
+    async fn write(&self, connection: &mut Connection, response: &AdminResponse) {
+        let body = format!("{}\n", response.body);
+        let fields: Vec<(&str, String)> =
+            response.allowed_method.iter().map(|method| ("Allow", method.to_string())).collect();
+        let head = http1::answer(response.status, body.len(), false, &fields);
+        let parts = [&head[..], body.as_bytes()];
+        let written = timeout(self.limits.admin.call_timeout, connection.write(&parts)).await;
+        if matches!(written, Ok(Ok(()))) {
+            connection.end(self.limits.rest_of_message_timeout, self.limits.max_discarded_bytes).await;
         }
     }
 }
+
+fn error_response(error: RouteError) -> AdminResponse {
+    let allowed_method = match error {
+        RouteError::MethodNotAllowed { allowed } => Some(allowed),
+        _ => None,
+    };
+    AdminResponse { allowed_method, ..AdminResponse::new(error.status(), error.to_string()) }
+}
--- a/crates/daemon/tests/capacity.rs
+++ b/crates/daemon/tests/capacity.rs
@@ -78,7 +78,7 @@
             self.call("PUT /v1/node/activate HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n").0,
             200
         );
-        self.node.logged("called: Drain(false)");
+        self.node.logged("admin call call=Drain(Resume) status=200");
         let lines = std::mem::take(&mut *self.node.before.lock().unwrap());
         lines.into_iter().filter(|line| line.contains(part)).collect()
     }
