--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -13,8 +13,8 @@
 pub use listener::ListenerOrigin;
 
 use crate::byte_budget::ByteBudget;
+use crate::config::durable::DurableConfig;
 use crate::config::limits::Limits;
-use crate::config::operator::DurableConfig;
 use crate::durable::Durable;
 use crate::event::NodeEvent;
 use crate::hot_restart::sibling::SiblingProcess;
--- a/crates/daemon/src/node/discovery.rs
+++ b/crates/daemon/src/node/discovery.rs
@@ -1,7 +1,8 @@
 //! Starts the sources of the endpoint list that the operator's file names.
 use super::Shared;
 use super::startup::Configuration;
-use crate::config::operator::{Consul, DiscoverySource};
+use crate::config::consul::ConsulConfig;
+use crate::config::operator::DiscoverySource;
 use crate::discovery::merge::EndpointMerge;
 use crate::discovery::{EndpointUpdateSender, consul, platform};
 use crate::protocol::{EndpointEntry, EndpointList};
@@ -34,29 +35,29 @@
     /// The address of the platform's discovery service.
     pub platform: watch::Sender<SocketAddr>,
     /// The operator's configuration of Consul, if the file still names it.
-    pub consul: watch::Sender<Option<Consul>>,
+    pub consul: watch::Sender<Option<ConsulConfig>>,
 }
 
 /// Starts a task for each source. Updates of several sources are merged.
 pub fn start(configuration: &Configuration, shared: &Shared, cached: CachedList) -> DiscoveryControls {
-    let lists = &configuration.operator.lists;
+    let discovery = &configuration.operator.discovery;
     let controls = DiscoveryControls {
-        platform: watch::Sender::new(configuration.node.discovery),
-        consul: watch::Sender::new(lists.consul.clone()),
+        platform: watch::Sender::new(configuration.node.discovery_address),
+        consul: watch::Sender::new(discovery.consul.clone()),
     };
     let merge = Rc::new(RefCell::new(EndpointMerge::new(shared.limits.executor_bounds.max_listed)));
-    let is_merged = lists.sources.len() > 1;
-    for (position, source) in lists.sources.iter().enumerate() {
+    let is_merged = discovery.sources.len() > 1;
+    for (position, source) in discovery.sources.iter().enumerate() {
         let sender = match is_merged {
-            true => EndpointUpdateSender::among(shared.events.clone(), position, &merge),
-            false => EndpointUpdateSender::alone(shared.events.clone()),
+            true => EndpointUpdateSender::merged(shared.events.clone(), position, &merge),
+            false => EndpointUpdateSender::unmerged(shared.events.clone()),
         };
         match source {
             DiscoverySource::Platform => {
                 if is_merged {
                     // The watch continues from the cached version, whose entries the driver already has.
                     let entries = cached.entries.clone();
-                    let _ = merge.borrow_mut().take(position, ListUpdate::Snapshot, entries);
+                    let _ = merge.borrow_mut().apply(position, ListUpdate::Snapshot, entries);
                 }
                 start_platform(&configuration.node.name, shared, &controls, sender, cached.version);
             }
@@ -77,17 +78,17 @@
     sender: EndpointUpdateSender,
     version: Option<u64>,
 ) {
-    let follower = platform::Follower {
-        discovery: controls.platform.subscribe(),
+    let watcher = platform::PlatformWatcher {
+        address: controls.platform.subscribe(),
         limits: shared.limits.clone(),
         codec: shared.codec.clone(),
-        told: sender,
-        ask: shared.watch_requests.clone(),
+        updates: sender,
+        requests: shared.watch_requests.clone(),
         retention: Retention::of_node(node_name),
     };
     // The watch begins at once, without a request of the dispatcher.
-    shared.watch_requests.changes.notify_one();
-    shared.tasks.spawn(follower.run(version));
+    shared.watch_requests.resume.notify_one();
+    shared.tasks.spawn(watcher.run(version));
 }
 
 fn start_consul(
@@ -96,12 +97,12 @@
     sender: EndpointUpdateSender,
     cached_entries: Vec<EndpointEntry>,
 ) {
-    let follower = consul::Follower {
+    let watcher = consul::ConsulWatcher {
         limits: shared.limits.clone(),
         clock: shared.clock,
-        told: sender,
-        wanted: controls.consul.subscribe(),
+        updates: sender,
+        config: controls.consul.subscribe(),
         status: shared.discovery_status.clone(),
     };
-    shared.tasks.spawn(follower.run(cached_entries));
+    shared.tasks.spawn(watcher.run(cached_entries));
 }
--- a/crates/daemon/tests/capacity.rs
+++ b/crates/daemon/tests/capacity.rs
@@ -78,7 +78,7 @@
             self.call("PUT /v1/node/activate HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n").0,
             200
         );
-        self.node.logged("called: Drain(false)");
+        self.node.logged("admin call call=Drain(Resume) status=200");
         let lines = std::mem::take(&mut *self.node.before.lock().unwrap());
         lines.into_iter().filter(|line| line.contains(part)).collect()
     }
@@ -175,8 +175,12 @@
     assert!(long.len() > 1024 * 1024, "it is over its bound");
     for (what, text, part) in [
         ("no state", &cut, "missing field `state`"),
-        ("too long", &long, "a list is too long"),
-        ("cut in the middle of an entry", &format!("{}\n\n", &long[..5000]), "a list is cut"),
+        ("too long", &long, "invalid endpoint list: it is too long"),
+        (
+            "cut in the middle of an entry",
+            &format!("{}\n\n", &long[..5000]),
+            "invalid endpoint list: it is truncated",
+        ),
     ] {
         discovery.lines.send(text.clone()).unwrap();
         called.node.logged(part);
