--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,179 +1,203 @@
-//! Admission where probes are forbidden: new requests are turned away at once while own attempts begin late, and
-//! taken again once they begin in time.
+//! Load shedding where probes are forbidden: new requests are rejected while this node's attempts start late, and
+//! admitted again once they start in time.
 mod helpers;
 use helpers::*;
 use std::collections::BTreeMap;
 use troutknot::*;
 
-const RUNS: Millis = 50.0;
-/// What begins later began late: the promised turnaround of 100 ms, and once more the running time.
+const RUNNING_TIME: Millis = 50.0;
+/// The latest start in time: the latency objective of 100 ms, and the running time.
 const LATEST_START: Millis = 150.0;
-/// Where starts are not told, what ends later ended late: a quarter of the hard limit of 5 s.
+/// The latest end in time if starts are not reported: a quarter of the deadline of 5 s.
 const LATEST_END: Millis = 1250.0;
 
-fn settings_without_probes(starts_told: bool) -> Settings {
+fn settings_without_probes(starts_reported: bool) -> Settings {
     let mut settings = settings_of(300.0, Some(0.0));
     settings.limits.probes_enabled = false;
-    settings.executors.reports_start = starts_told;
+    settings.executors.reports_start = starts_reported;
     settings
 }
 
-/// So many requests in turn of which each waits so long and runs for [`RUNS`]; how many of them were taken.
-fn taken_of(node: &mut Node, requests: usize, project_type: u32, wait: Millis, starts_told: bool) -> usize {
-    let mut taken = 0;
+/// Offers requests one after the other, of which each starts after `wait` and runs for [`RUNNING_TIME`]. Returns how
+/// many were admitted.
+fn admitted_of(node: &mut Node, requests: usize, class: u32, wait: Millis, starts_reported: bool) -> usize {
+    let mut admitted = 0;
     for _ in 0..requests {
-        let (request_id, actions) = node.arrive(project_type);
-        if push_of(&actions).is_none() {
-            assert_eq!(said(&actions), 'd', "what is not taken is answered at once");
+        let (request_id, actions) = node.arrive(class);
+        if dispatched_to(&actions).is_none() {
+            assert_eq!(
+                response_to(&actions),
+                Response::Rejected,
+                "a request that is not admitted is answered at once"
+            );
             node.now += 1.0;
             continue;
         }
-        taken += 1;
+        admitted += 1;
         node.now += wait;
-        node.tell(Event::TimerFired);
-        if starts_told {
-            node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
+        node.handle(Event::TimerFired);
+        if starts_reported {
+            node.handle(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
         }
-        node.now += RUNS;
-        node.end(request_id, 0, Outcome::Completed);
+        node.now += RUNNING_TIME;
+        node.end_attempt(request_id, 0, Outcome::Completed);
     }
-    taken
+    admitted
 }
 
 #[test]
-fn requests_are_turned_away_at_once_while_attempts_begin_late_and_taken_again_after() {
-    for (starts_told, latest) in [(true, LATEST_START), (false, LATEST_END)] {
-        let mut node = with(settings_without_probes(starts_told));
-        node.warm(4);
-        let in_time = latest - 2.0 * RUNS;
-        assert_eq!(taken_of(&mut node, 200, 0, in_time, starts_told), 200, "nothing is late");
-        let taken = taken_of(&mut node, 400, 0, latest + 100.0, starts_told);
-        assert!((5..80).contains(&taken), "{taken} of 400 taken while all begin late");
-        taken_of(&mut node, 800, 0, in_time, starts_told);
-        assert_eq!(taken_of(&mut node, 200, 0, in_time, starts_told), 200, "the overload is over");
+fn requests_are_rejected_while_attempts_start_late_and_admitted_again_after() {
+    for (starts_reported, latest) in [(true, LATEST_START), (false, LATEST_END)] {
+        let mut node = node_with(settings_without_probes(starts_reported));
+        node.list_warm(4);
+        let in_time = latest - 2.0 * RUNNING_TIME;
+        assert_eq!(admitted_of(&mut node, 200, 0, in_time, starts_reported), 200, "nothing is late");
+        let admitted = admitted_of(&mut node, 400, 0, latest + 100.0, starts_reported);
+        assert!((5..80).contains(&admitted), "{admitted} of 400 admitted while all start late");
+        admitted_of(&mut node, 800, 0, in_time, starts_reported);
+        assert_eq!(admitted_of(&mut node, 200, 0, in_time, starts_reported), 200, "the overload is over");
     }
 }
 
 #[test]
-fn a_start_that_is_late_is_observed_before_it_comes_and_once() {
-    let late = |tells: bool| {
-        let mut node = with(settings_without_probes(true));
-        node.warm(4);
-        let (out, _): (Vec<RequestId>, Vec<_>) = (0..12).map(|_| node.arrive(0)).unzip();
+fn a_late_start_counts_once_before_it_is_reported() {
+    let admitted_after = |is_reported: bool| {
+        let mut node = node_with(settings_without_probes(true));
+        node.list_warm(4);
+        let (in_flight, _): (Vec<RequestId>, Vec<_>) = (0..12).map(|_| node.arrive(0)).unzip();
         node.now += 2.0 * LATEST_START;
-        node.tell(Event::TimerFired);
-        if tells {
+        node.handle(Event::TimerFired);
+        if is_reported {
             node.now += 500.0;
-            out.iter().for_each(|&request_id| {
-                _ = node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) })
+            in_flight.iter().for_each(|&request_id| {
+                _ = node.handle(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) })
             });
         }
-        (0..400).filter(|_| push_of(&node.arrive(0).1).is_some()).count()
+        (0..400).filter(|_| dispatched_to(&node.arrive(0).1).is_some()).count()
     };
-    let (silent, told) = (late(false), late(true));
-    assert!((20..100).contains(&silent), "{silent} of 400 taken after twelve that began late");
-    assert_eq!(silent, told, "starts that come late say nothing more");
+    let (unreported, reported) = (admitted_after(false), admitted_after(true));
+    assert!((20..100).contains(&unreported), "{unreported} of 400 admitted after twelve late starts");
+    assert_eq!(unreported, reported, "a late start that is reported does not count again");
 }
 
 #[test]
-fn what_needs_more_work_for_its_value_is_turned_away_first() {
+fn requests_of_higher_cost_for_their_value_are_rejected_first() {
     let mut settings = settings_without_probes(true);
     settings.classes[0].value = 10.0;
     settings.classes[1].value = 1.0;
-    let mut node = with(settings);
-    node.warm(4);
-    taken_of(&mut node, 5, 0, 3000.0, true);
-    let mut taken = [0, 0];
-    for k in 0..600_usize {
-        let (_, actions) = node.arrive((k % 2) as u32);
-        taken[k % 2] += usize::from(push_of(&actions).is_some());
+    let mut node = node_with(settings);
+    node.list_warm(4);
+    admitted_of(&mut node, 5, 0, 3000.0, true);
+    let mut admitted = [0, 0];
+    for number in 0..600_usize {
+        let (_, actions) = node.arrive((number % 2) as u32);
+        admitted[number % 2] += usize::from(dispatched_to(&actions).is_some());
     }
-    assert!(taken[0] > 2 * taken[1] && taken[1] > 0, "{taken:?}");
+    assert!(admitted[0] > 2 * admitted[1] && admitted[1] > 0, "{admitted:?}");
 }
 
-/// Settings that allow probes show queues, and nothing is turned away by starts that come late.
+/// Where probes show queues, late starts have no effect on admission.
 #[test]
-fn late_starts_turn_nothing_away_where_queues_can_be_seen() {
-    let mut node = node_of(300.0, Some(0.0));
-    node.warm(4);
+fn late_starts_do_not_count_where_queues_can_be_probed() {
+    let mut node = node_numbered(300.0, Some(0.0));
+    node.list_warm(4);
     for _ in 0..100 {
-        let (request_id, executor) = node.pushed(0);
+        let (request_id, executor) = node.dispatched(0);
         node.now += 4000.0;
-        node.tell(Event::TimerFired);
-        node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
+        node.handle(Event::TimerFired);
+        node.handle(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
         node.now += 50.0;
-        node.end(request_id, 0, Outcome::Completed);
+        node.end_attempt(request_id, 0, Outcome::Completed);
         assert!(number_of(executor) < 4);
     }
 }
 
-/// Executors with first-in-first-out queues that nobody can look into, driven step by step.
+/// The start or the end of a request of a node.
+struct DueEvent {
+    node: usize,
+    request_id: RequestId,
+    is_start: bool,
+}
+
+/// Executors with first-in-first-out queues that cannot be probed.
 struct QueueModel {
-    /// When each slot of each executor is free again.
+    /// When each slot of each executor is free.
     free_at: Vec<[Millis; 2]>,
-    /// What comes next, by time and number: a start or an end of a request of a node.
-    due: BTreeMap<(u64, u64), (usize, RequestId, bool)>,
+    /// What is due, by time and sequence number.
+    due: BTreeMap<(u64, u64), DueEvent>,
     sequence: u64,
 }
 
 impl QueueModel {
-    fn offer(&mut self, now: Millis, node: usize, request_id: RequestId, executor: ExecutorId, runs: Millis) {
+    fn offer(
+        &mut self,
+        now: Millis,
+        node: usize,
+        request_id: RequestId,
+        executor: ExecutorId,
+        running_time: Millis,
+    ) {
         let slots = &mut self.free_at[number_of(executor) as usize];
         let slot = if slots[0] <= slots[1] { 0 } else { 1 };
-        let begins = slots[slot].max(now + 1.0);
-        slots[slot] = begins + runs;
-        for (at, is_start) in [(begins, true), (begins + runs, false)] {
+        let starts_at = slots[slot].max(now + 1.0);
+        slots[slot] = starts_at + running_time;
+        for (at, is_start) in [(starts_at, true), (starts_at + running_time, false)] {
             self.sequence += 1;
-            self.due.insert((at.to_bits(), self.sequence), (node, request_id, is_start));
+            self.due.insert((at.to_bits(), self.sequence), DueEvent { node, request_id, is_start });
         }
     }
 }
 
-/// Ten nodes offer so many times what eight executors can do, for 60 s; the share of all that ended within a second,
-/// and the share that was turned away.
-fn served_in_time(load: f64) -> (f64, f64) {
+/// The shares of requests that were answered within a second, and that were rejected.
+struct Served {
+    in_time: f64,
+    rejected: f64,
+}
+
+/// Ten nodes offer this multiple of the capacity of eight executors for 60 s.
+fn serve(load: f64) -> Served {
     const NODES: usize = 10;
     const WORK: Millis = 400.0;
-    let apart = WORK / (8.0 * 2.0) / load;
+    let interval = WORK / (8.0 * 2.0) / load;
     let mut nodes: Vec<Node> =
-        (0..NODES).map(|seed| with_seed(settings_without_probes(true), seed as u64)).collect();
-    nodes.iter_mut().for_each(|node| node.warm(8));
+        (0..NODES).map(|seed| node_with_seed(settings_without_probes(true), seed as u64)).collect();
+    nodes.iter_mut().for_each(|node| node.list_warm(8));
     let mut model = QueueModel { free_at: vec![[0.0; 2]; 8], due: BTreeMap::new(), sequence: 0 };
-    let mut sent: BTreeMap<(usize, RequestId), Millis> = BTreeMap::new();
-    let (mut in_time, mut turned_away, mut offered) = (0, 0, 0);
-    while (offered as f64) * apart < 60_000.0 {
-        let now = offered as f64 * apart;
+    let mut in_flight: BTreeMap<(usize, RequestId), Millis> = BTreeMap::new();
+    let (mut in_time, mut rejected, mut offered) = (0, 0, 0);
+    while (offered as f64) * interval < 60_000.0 {
+        let now = offered as f64 * interval;
         while let Some(entry) = model.due.first_entry().filter(|due| f64::from_bits(due.key().0) <= now) {
-            let ((bits, _), (node, request_id, is_start)) = entry.remove_entry();
+            let ((bits, _), DueEvent { node, request_id, is_start }) = entry.remove_entry();
             nodes[node].now = f64::from_bits(bits);
             if is_start {
-                nodes[node].tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
-            } else if let Some(at) = sent.remove(&(node, request_id)) {
+                nodes[node].handle(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
+            } else if let Some(at) = in_flight.remove(&(node, request_id)) {
                 in_time += usize::from(nodes[node].now - at <= 1000.0);
-                nodes[node].end(request_id, 0, Outcome::Completed);
+                nodes[node].end_attempt(request_id, 0, Outcome::Completed);
             }
         }
         let node = offered % NODES;
         offered += 1;
         nodes[node].now = now;
-        nodes[node].tell(Event::TimerFired);
+        nodes[node].handle(Event::TimerFired);
         let (request_id, actions) = nodes[node].arrive(0);
-        match push_of(&actions) {
+        match dispatched_to(&actions) {
             Some(executor) => {
-                sent.insert((node, request_id), now);
+                in_flight.insert((node, request_id), now);
                 model.offer(now, node, request_id, executor, WORK);
             }
-            None => turned_away += 1,
+            None => rejected += 1,
         }
     }
-    (in_time as f64 / offered as f64, turned_away as f64 / offered as f64)
+    Served { in_time: in_time as f64 / offered as f64, rejected: rejected as f64 / offered as f64 }
 }
 
 #[test]
-fn half_as_much_again_as_executors_can_do_is_served_in_time_in_part() {
-    let (in_time, turned_away) = served_in_time(1.5);
-    assert!(in_time > 0.3, "{in_time} in time, {turned_away} turned away");
-    assert!((0.2..0.6).contains(&turned_away), "{in_time} in time, {turned_away} turned away");
-    let (in_time, turned_away) = served_in_time(0.7);
-    assert!(in_time > 0.8 && turned_away < 0.02, "{in_time} in time, {turned_away} turned away");
+fn an_overload_of_half_the_capacity_is_served_in_part() {
+    let Served { in_time, rejected } = serve(1.5);
+    assert!(in_time > 0.3, "{in_time} in time, {rejected} rejected");
+    assert!((0.2..0.6).contains(&rejected), "{in_time} in time, {rejected} rejected");
+    let Served { in_time, rejected } = serve(0.7);
+    assert!(in_time > 0.8 && rejected < 0.02, "{in_time} in time, {rejected} rejected");
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,4 +1,4 @@
-//! What deployments of another shape ask of the module, by events alone.
+//! Connections that break while idle, hedged requests, rejections by class, and budgets by weights.
 mod helpers;
 use helpers::*;
 use troutknot::settings::WeightSource;
@@ -10,8 +10,8 @@
     ReportsStart,
 }
 
-/// The settings of the tests, with idle connections kept for 15 s and flags as named.
-fn shape(flags: &[Flag]) -> Settings {
+/// Settings with an idle timeout of 15 s and these flags.
+fn settings_with(flags: &[Flag]) -> Settings {
     let mut settings = settings_of(1.0, None);
     settings.limits.idle_timeout = Some(15_000.0);
     for flag in flags {
@@ -24,47 +24,52 @@
     settings
 }
 
-/// A reset before any start over a connection that was idle is told, and idle ones are closed for 30 s.
+/// After a reset over an idle connection before any start, peers are notified, and idle connections are closed for 30 s.
 #[test]
-fn idle_connections_that_are_gone_are_closed_before_they_are_used() {
-    for (idle, begun, after, gone) in [
+fn idle_connections_are_closed_after_one_broke() {
+    for (idle_time, has_started, reset_after, is_stale) in [
         (2e3, false, 1.0, true),
         (2e3, true, 1.0, false),
         (2e3, false, 900.0, false),
         (16e3, false, 1.0, false),
     ] {
-        let mut node = with(shape(&[Flag::Gossip]));
-        node.warm(1);
-        let (request_id, _) = node.pushed(0);
-        node.end(request_id, 0, Outcome::Completed);
-        node.now += idle;
-        let (request_id, _) = node.pushed(3);
-        if begun {
-            node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
+        let mut node = node_with(settings_with(&[Flag::Gossip]));
+        node.list_warm(1);
+        let (request_id, _) = node.dispatched(0);
+        node.end_attempt(request_id, 0, Outcome::Completed);
+        node.now += idle_time;
+        let (request_id, _) = node.dispatched(3);
+        if has_started {
+            node.handle(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
         }
-        node.now += after;
-        let actions = node.end(request_id, 0, Outcome::Reset);
+        node.now += reset_after;
+        let actions = node.end_attempt(request_id, 0, Outcome::Reset);
         assert_eq!(
-            (said(&actions), actions.contains(&Action::Gossip(GossipMessage::IdleConnectionLost))),
-            ('a', gone)
+            (response_to(&actions), actions.contains(&Action::Gossip(GossipMessage::IdleConnectionLost))),
+            (Response::Failed, is_stale)
         );
         for age in 0..40 {
             let (request_id, actions) = node.arrive(0);
             let closes = node
-                .answer(actions, |_| 0.0)
+                .answer_probes(actions, |_| 0.0)
                 .iter()
                 .any(|a| matches!(a, Action::CloseIdleConnections { .. }));
-            assert_eq!(closes, gone && (1..30).contains(&age), "{idle} {begun} {after}: {age} s");
-            node.end(request_id, 0, Outcome::Completed);
+            assert_eq!(
+                closes,
+                is_stale && (1..30).contains(&age),
+                "{idle_time} {has_started} {reset_after}: {age} s"
+            );
+            node.end_attempt(request_id, 0, Outcome::Completed);
             node.now += 1000.0;
         }
     }
 }
 
-/// What has not begun though its executor shows room was lost: a copy goes elsewhere if it may, and it is told.
+/// An attempt that has not started though its executor shows capacity was lost: the request is hedged if it may be, and
+/// peers are notified.
 #[test]
-fn a_second_copy_where_the_first_was_lost() {
-    for (flags, project_type, begun, queue, free, copied) in [
+fn a_lost_attempt_is_hedged() {
+    for (flags, class, has_started, queue_length, free_slots, is_hedged) in [
         (3, 0, false, 0.0, 4.0, true),
         (3, 1, false, 0.0, 4.0, true),
         (3, 3, false, 0.0, 4.0, false),
@@ -72,93 +77,109 @@
         (3, 0, false, 2.0, 4.0, false),
         (2, 0, false, 0.0, 4.0, false),
     ] {
-        let mut node = with(shape(&[Flag::Gossip, Flag::ReportsStart, Flag::Hedging][..flags]));
-        node.warm(4);
-        let (request_id, executor) = node.pushed(project_type);
-        if begun {
-            node.tell(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
+        let mut node = node_with(settings_with(&[Flag::Gossip, Flag::ReportsStart, Flag::Hedging][..flags]));
+        node.list_warm(4);
+        let (request_id, executor) = node.dispatched(class);
+        if has_started {
+            node.handle(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
         }
         node.now += 600.0;
-        let asked = node.tell(Event::TimerFired).contains(&Action::Probe { executor });
-        assert_eq!(asked, flags == 3 && !begun);
-        let reading =
-            LoadReport { queue_length: Some(queue), free_slots: Some(free), ..LoadReport::default() };
-        let actions = node.tell(replied(executor, 1.0, reading));
-        let told = actions.iter().any(|a| matches!(a, Action::Gossip(GossipMessage::WorkRejected { .. })));
-        let second = push_of(&node.answer(actions, |_| 0.0));
+        let is_checked = node.handle(Event::TimerFired).contains(&Action::Probe { executor });
+        assert_eq!(is_checked, flags == 3 && !has_started);
+        let report = LoadReport {
+            queue_length: Some(queue_length),
+            free_slots: Some(free_slots),
+            ..LoadReport::default()
+        };
+        let actions = node.handle(probe_reply(executor, 1.0, report));
+        let is_reported =
+            actions.iter().any(|a| matches!(a, Action::Gossip(GossipMessage::WorkRejected { .. })));
+        let second = dispatched_to(&node.answer_probes(actions, |_| 0.0));
         assert_eq!(
-            (told, second.is_some_and(|second| second != executor)),
-            (asked && queue == 0.0 && free > 0.0, copied)
+            (is_reported, second.is_some_and(|second| second != executor)),
+            (is_checked && queue_length == 0.0 && free_slots > 0.0, is_hedged)
         );
     }
 }
 
-/// Both outcomes of two copies, in either order: one answer.
+/// Whatever the outcomes of two attempts and their order, a request has one answer.
 #[test]
-fn two_copies_have_one_answer() {
+fn a_hedged_request_has_one_answer() {
     use Outcome::*;
-    for (early, late, order, expected) in
-        [(Completed, Reset, [0, 1], 'h'), (Reset, Completed, [1, 0], 'h'), (Rejected, TimedOut, [1, 0], 'p')]
-    {
-        let mut node = with(shape(&[Flag::Hedging, Flag::ReportsStart]));
-        node.warm(6);
-        let (request_id, _) = node.pushed(0);
+    for (early, late, order, expected) in [
+        (Completed, Reset, [0, 1], Response::Waiting),
+        (Reset, Completed, [1, 0], Response::Waiting),
+        (Rejected, TimedOut, [1, 0], Response::Dispatching),
+    ] {
+        let mut node = node_with(settings_with(&[Flag::Hedging, Flag::ReportsStart]));
+        node.list_warm(6);
+        let (request_id, _) = node.dispatched(0);
         node.now += 600.0;
-        let actions = node.tell(Event::TimerFired);
-        push_of(&node.answer(actions, |_| 0.0)).expect("a second copy");
-        assert_eq!(said(&node.end(request_id, order[0], early)), 'h', "answered, or the other is out");
-        let actions = node.end(request_id, order[1], late);
-        assert_eq!(said(&actions), expected, "{early:?} {late:?}");
+        let actions = node.handle(Event::TimerFired);
+        dispatched_to(&node.answer_probes(actions, |_| 0.0)).expect("a second attempt");
+        assert_eq!(
+            response_to(&node.end_attempt(request_id, order[0], early)),
+            Response::Waiting,
+            "answered, or the other is in flight"
+        );
+        let actions = node.end_attempt(request_id, order[1], late);
+        assert_eq!(response_to(&actions), expected, "{early:?} {late:?}");
     }
 }
 
-/// What an executor turns away, or another says so, counts for that type alone and never shuts it out.
+/// Rejections, observed or reported by a peer, count for their class alone and never exclude an executor.
 #[test]
-fn what_an_executor_turns_away_is_remembered_by_type() {
-    let token = listing(2, 2, EndpointState::Ready, None).token as u32;
-    for (seen, token, less) in [(true, 0, true), (false, token, true), (false, 5, false)] {
-        let mut node = with(shape(&[Flag::Gossip]));
-        node.warm(4);
-        let mut sent = [0; 2];
-        for k in 0..800 {
+fn rejections_count_by_class() {
+    let token = endpoint(2, 2, EndpointState::Ready, None).token as u32;
+    for (is_observed, token, is_fewer) in [(true, 0, true), (false, token, true), (false, 5, false)] {
+        let mut node = node_with(settings_with(&[Flag::Gossip]));
+        node.list_warm(4);
+        let mut dispatched = [0; 2];
+        for number in 0..800 {
             node.now += 50.0;
-            let told = GossipMessage::WorkRejected { token, class: RequestClassId(3) };
-            let echo = if seen { Vec::new() } else { node.tell(Event::GossipReceived(told)) };
-            assert!(!echo.contains(&Action::Gossip(told)));
-            let (request_id, executor) = node.pushed([0, 3][k % 2]);
-            sent[k % 2] += usize::from(number_of(executor) == 2);
-            let turned = seen && number_of(executor) == 2 && k % 2 == 1;
-            let actions =
-                node.end(request_id, 0, if turned { Outcome::Rejected } else { Outcome::Completed });
-            node.answer(actions, |_| 0.0);
-            node.end(request_id, 1, Outcome::Completed);
+            let message = GossipMessage::WorkRejected { token, class: RequestClassId(3) };
+            let echo = if is_observed { Vec::new() } else { node.handle(Event::GossipReceived(message)) };
+            assert!(!echo.contains(&Action::Gossip(message)));
+            let (request_id, executor) = node.dispatched([0, 3][number % 2]);
+            dispatched[number % 2] += usize::from(number_of(executor) == 2);
+            let is_rejected = is_observed && number_of(executor) == 2 && number % 2 == 1;
+            let actions = node.end_attempt(
+                request_id,
+                0,
+                if is_rejected { Outcome::Rejected } else { Outcome::Completed },
+            );
+            node.answer_probes(actions, |_| 0.0);
+            node.end_attempt(request_id, 1, Outcome::Completed);
         }
-        assert!(sent[0] > 60 && sent[1] > 0 && (sent[1] < 60) == less, "{sent:?}");
+        let [other, rejected] = dispatched;
+        assert!(other > 60 && rejected > 0 && (rejected < 60) == is_fewer, "{dispatched:?}");
     }
 }
 
-/// Few nodes have a fresh executor's budget where work is long; falling sizes say how much by the largest.
+/// The longer the latency objective, the fewer nodes share a budget; if weights fall with load, the largest one is the
+/// capacity.
 #[test]
-fn a_cold_budget_goes_by_settings_and_sizes() {
-    for (turnaround, weight_source, holders) in [
+fn the_nodes_of_a_budget_follow_from_objective_and_weights() {
+    for (latency_objective, weight_source, nodes) in [
         (50.0, WeightSource::Unstated, 8),
         (500.0, WeightSource::Unstated, 3),
         (700.0, WeightSource::Unstated, 2),
         (900.0, WeightSource::Unstated, 0),
         (900.0, WeightSource::Live, 2),
     ] {
-        let probes = |&me: &u64| {
-            let mut settings = settings_of(40.0, Some(me as f64));
-            settings.classes[0].latency_objective = Some(turnaround);
+        let has_budget = |&number: &u64| {
+            let mut settings = settings_of(40.0, Some(number as f64));
+            settings.classes[0].latency_objective = Some(latency_objective);
             settings.weight_source = weight_source.clone();
-            let mut node = with_seed(settings, me);
+            let mut node = node_with_seed(settings, number);
             node.now = 50_000.0;
-            let sized =
-                |size, started| Endpoint { weight: size, ..listing(5, 5, EndpointState::Ready, started) };
-            node.list(ListUpdate::Snapshot, &[sized(4.0, None)]);
-            node.list(ListUpdate::Snapshot, &[sized(1.0, Some(45_000.0))]);
+            let weighted =
+                |weight, started| Endpoint { weight, ..endpoint(5, 5, EndpointState::Ready, started) };
+            node.update_endpoints(ListUpdate::Snapshot, &[weighted(4.0, None)]);
+            node.update_endpoints(ListUpdate::Snapshot, &[weighted(1.0, Some(45_000.0))]);
             node.arrive(0).1.iter().any(|a| matches!(a, Action::Probe { .. }))
         };
-        assert_eq!((0..40).filter(probes).count(), holders, "{turnaround} {weight_source:?}");
+        let count = (0..40).filter(has_budget).count();
+        assert_eq!(count, nodes, "{latency_objective} {weight_source:?}");
     }
 }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,43 +1,46 @@
-//! Shared by the tests: a node with given settings and short ways to tell it things.
+//! A node with given settings, and short ways to report events to it.
 #![allow(dead_code)]
 use slotmap::{Key, KeyData};
 use troutknot::settings::{ClassSettings, RuleSettings, TenantSettings};
 use troutknot::*;
 
-/// The handle in the slot of this number, the first one that it had.
+/// The first handle of the slot with this number.
 pub fn executor(number: u32) -> ExecutorId {
-    executor_again(number, 0)
+    reused_handle(number, 0)
 }
 
-/// The handle in the slot of this number, after it was released so often.
-pub fn executor_again(number: u32, releases: u32) -> ExecutorId {
-    // Slot 0 is never given, and the generations of slots that are taken are odd.
+/// The handle of the slot with this number after this many releases.
+pub fn reused_handle(number: u32, releases: u32) -> ExecutorId {
+    // Slot 0 is never used, and the generation of a slot in use is odd.
     let (slot, generation) = (u64::from(number) + 1, u64::from(2 * releases + 1));
     KeyData::from_ffi(generation << 32 | slot).into()
 }
 
-/// The number of the slot that a handle stands for.
+/// The number of a handle's slot.
 pub fn number_of(executor: ExecutorId) -> u32 {
     executor.data().as_ffi() as u32 - 1
 }
 
+/// A dispatcher with its clock.
 pub struct Node {
-    pub node: Dispatcher,
+    pub dispatcher: Dispatcher,
     pub now: Millis,
-    next: u64,
+    last_request: u64,
 }
 
-/// Project types by number: 0 rerunnable, 1 receipted for all, 2 receipted in a group, 3 exclusive.
+/// A node with the settings of [`settings_of`].
 pub fn node(nodes: f64) -> Node {
-    node_of(nodes, None)
+    node_numbered(nodes, None)
 }
 
-/// The same, told its own number among the nodes.
-pub fn node_of(nodes: f64, me: Option<f64>) -> Node {
-    with(settings_of(nodes, me))
+/// A node that knows its own number among the nodes.
+pub fn node_numbered(nodes: f64, number: Option<f64>) -> Node {
+    node_with(settings_of(nodes, number))
 }
 
-pub fn settings_of(nodes: f64, me: Option<f64>) -> Settings {
+/// Settings with four classes: 0 idempotent, 1 deduplicated by all executors, 2 deduplicated within a group, 3
+/// at most once.
+pub fn settings_of(nodes: f64, number: Option<f64>) -> Settings {
     let class = |(effect, deduplication_scope)| ClassSettings {
         effect,
         deduplication_scope,
@@ -54,11 +57,11 @@
         (Effect::Deduplicated, DeduplicationScope::Group),
         (Effect::AtMostOnce, DeduplicationScope::Group),
     ];
-    // Tenant 0 has a quota without end, tenant 1 hardly any.
+    // Tenant 0 has an ample quota, tenant 1 hardly any.
     let tenants = [1e9, 1.0].map(|quota| TenantSettings { quota_per_s: Some(quota) });
     let mut settings = Settings {
         nodes,
-        node: me,
+        node: number,
         classes: classes.map(class).into(),
         tenants: tenants.into(),
         over_quota_value: 0.2,
@@ -78,72 +81,73 @@
     settings
 }
 
-pub fn with(settings: Settings) -> Node {
-    with_seed(settings, 11)
+pub fn node_with(settings: Settings) -> Node {
+    node_with_seed(settings, 11)
 }
 
-pub fn with_seed(settings: Settings, seed: u64) -> Node {
-    start_at(0.0, settings, seed)
+pub fn node_with_seed(settings: Settings, seed: u64) -> Node {
+    node_started_at(0.0, settings, seed)
 }
 
-/// A process that starts then.
-pub fn start_at(now: Millis, settings: Settings, seed: u64) -> Node {
-    Node { node: Dispatcher::new(&settings, seed, now), now, next: 0 }
+/// A node whose process starts at this time.
+pub fn node_started_at(now: Millis, settings: Settings, seed: u64) -> Node {
+    Node { dispatcher: Dispatcher::new(&settings, seed, now), now, last_request: 0 }
 }
 
-pub fn listing(number: u32, group: u32, phase: EndpointState, started: Option<Millis>) -> Endpoint {
-    let (place, kind) = (ZoneId(0), MachineTypeId(0));
-    let token = (number as u64).wrapping_mul(0x9e3779b97f4a7c15);
+pub fn endpoint(number: u32, group: u32, state: EndpointState, started_at: Option<Millis>) -> Endpoint {
     Endpoint {
         executor: executor(number),
-        token,
-        zone: place,
-        machine_type: kind,
+        token: u64::from(number).wrapping_mul(0x9e3779b97f4a7c15),
+        zone: ZoneId(0),
+        machine_type: MachineTypeId(0),
         deduplication_group: DeduplicationGroupId(group),
-        state: phase,
+        state,
         weight: 1.0,
-        started_at: started,
+        started_at,
     }
 }
 
-/// A probe that was answered.
-pub fn replied(executor: ExecutorId, latency: Millis, report: LoadReport) -> Event {
+/// The reply to a probe.
+pub fn probe_reply(executor: ExecutorId, latency: Millis, report: LoadReport) -> Event {
     Event::ProbeCompleted { executor, reply: Some(ProbeReply { latency, report }) }
 }
 
 impl Node {
-    pub fn emit(&mut self) -> Vec<Action> {
+    /// The actions that are due.
+    pub fn poll(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.node.poll_actions(self.now, &mut actions);
+        self.dispatcher.poll_actions(self.now, &mut actions);
         actions
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        self.node.handle_event(self.now, event);
-        self.emit()
+    /// Reports one event, and returns the actions that follow.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        self.dispatcher.handle_event(self.now, event);
+        self.poll()
     }
 
-    pub fn list(&mut self, kind: ListUpdate, entries: &[Endpoint]) -> Vec<Action> {
-        self.tell(Event::EndpointsUpdated { update: kind, endpoints: entries.to_vec() })
+    pub fn update_endpoints(&mut self, update: ListUpdate, endpoints: &[Endpoint]) -> Vec<Action> {
+        self.handle(Event::EndpointsUpdated { update, endpoints: endpoints.to_vec() })
     }
 
-    /// Healthy warm executors 0..n, each in a group of its own.
-    pub fn warm(&mut self, n: u32) {
-        let entries: Vec<Endpoint> = (0..n).map(|e| listing(e, e, EndpointState::Ready, None)).collect();
-        self.list(ListUpdate::Snapshot, &entries);
+    /// Lists this many ready, warm executors from 0 on, each in a group of its own.
+    pub fn list_warm(&mut self, count: u32) {
+        let warm = |number| endpoint(number, number, EndpointState::Ready, None);
+        let endpoints: Vec<Endpoint> = (0..count).map(warm).collect();
+        self.update_endpoints(ListUpdate::Snapshot, &endpoints);
     }
 
-    pub fn arrive(&mut self, project_type: u32) -> (RequestId, Vec<Action>) {
-        self.arrive_for(project_type, 0)
+    pub fn arrive(&mut self, class: u32) -> (RequestId, Vec<Action>) {
+        self.arrive_for(class, 0)
     }
 
-    pub fn arrive_for(&mut self, project_type: u32, customer: u32) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let request_id = RequestId(self.next);
-        let actions = self.tell(Event::RequestArrived {
+    pub fn arrive_for(&mut self, class: u32, tenant: u32) -> (RequestId, Vec<Action>) {
+        self.last_request += 1;
+        let request_id = RequestId(self.last_request);
+        let actions = self.handle(Event::RequestArrived {
             request_id,
-            class: RequestClassId(project_type),
-            tenant: TenantId(customer),
+            class: RequestClassId(class),
+            tenant: TenantId(tenant),
             slots: 1.0,
             memory: 0.0,
             time_left: 5000.0,
@@ -152,63 +156,97 @@
         (request_id, actions)
     }
 
-    /// Answers every probe among the actions with the queue that `queue` gives, until no probe is asked for.
-    pub fn answer(&mut self, mut actions: Vec<Action>, queue: impl Fn(u32) -> f64) -> Vec<Action> {
+    /// Replies to each probe with the queue length that `queue` gives by executor, until there are no more
+    /// probes. Returns the other actions. An executor without a queue has four free slots.
+    pub fn answer_probes(&mut self, mut actions: Vec<Action>, queue: impl Fn(u32) -> f64) -> Vec<Action> {
         let mut others = Vec::new();
-        while let Some(at) = actions.iter().position(|a| matches!(a, Action::Probe { .. })) {
+        while let Some(at) = actions.iter().position(|action| matches!(action, Action::Probe { .. })) {
             let Action::Probe { executor } = actions.remove(at) else { unreachable!() };
-            let held = queue(number_of(executor));
-            let free = if held > 0.0 { 0.0 } else { 4.0 };
-            let reading =
-                LoadReport { queue_length: Some(held), free_slots: Some(free), ..LoadReport::default() };
-            actions.extend(self.tell(replied(executor, 1.0, reading)));
+            let queue_length = queue(number_of(executor));
+            let free_slots = if queue_length > 0.0 { 0.0 } else { 4.0 };
+            let report = LoadReport {
+                queue_length: Some(queue_length),
+                free_slots: Some(free_slots),
+                ..LoadReport::default()
+            };
+            actions.extend(self.handle(probe_reply(executor, 1.0, report)));
         }
         others.append(&mut actions);
         others
     }
 
-    pub fn end(&mut self, request_id: RequestId, attempt_id: u32, outcome: Outcome) -> Vec<Action> {
-        let closed = outcome == Outcome::Completed;
-        self.tell(Event::AttemptEnded {
+    /// Ends an attempt; one that completed closes its request.
+    pub fn end_attempt(&mut self, request_id: RequestId, attempt_id: u32, outcome: Outcome) -> Vec<Action> {
+        self.handle(Event::AttemptEnded {
             request_id,
             attempt_id: AttemptId(attempt_id),
             outcome,
-            is_request_closed: closed,
+            is_request_closed: outcome == Outcome::Completed,
         })
     }
 
-    /// A work unit taken, probed and pushed: its id and where it went.
-    pub fn pushed(&mut self, project_type: u32) -> (RequestId, ExecutorId) {
-        let (request_id, actions) = self.arrive(project_type);
-        let actions = self.answer(actions, |_| 0.0);
-        (request_id, push_of(&actions).expect("room everywhere"))
+    /// A request that arrived and was dispatched after probes that showed free capacity: its id and executor.
+    pub fn dispatched(&mut self, class: u32) -> (RequestId, ExecutorId) {
+        let (request_id, actions) = self.arrive(class);
+        let actions = self.answer_probes(actions, |_| 0.0);
+        (request_id, dispatched_to(&actions).expect("all executors have capacity"))
     }
 }
 
-pub fn push_of(actions: &[Action]) -> Option<ExecutorId> {
-    actions.iter().find_map(|a| match a {
+/// The executor of the first dispatch among the actions.
+pub fn dispatched_to(actions: &[Action]) -> Option<ExecutorId> {
+    actions.iter().find_map(|action| match action {
         Action::Dispatch { executor, .. } => Some(*executor),
         _ => None,
     })
 }
 
-/// Until when what is pushed may go out.
+/// The executor of the first probe among the actions.
+pub fn probed(actions: &[Action]) -> Option<ExecutorId> {
+    actions.iter().find_map(|action| match action {
+        Action::Probe { executor } => Some(*executor),
+        _ => None,
+    })
+}
+
+/// The send deadline of the first dispatch among the actions.
 pub fn send_deadline(actions: &[Action]) -> Option<Millis> {
-    actions.iter().find_map(|a| {
-        if let Action::Dispatch { send_deadline, .. } = a { Some(*send_deadline) } else { None }
+    actions.iter().find_map(|action| match action {
+        Action::Dispatch { send_deadline, .. } => Some(*send_deadline),
+        _ => None,
     })
 }
 
-/// What an answer to a batch did for work units: p push or probe, d deferral, a abort, h nothing.
-pub fn said(actions: &[Action]) -> char {
-    let mut said = 'h';
+/// What actions mean for the requests.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum Response {
+    /// A request waits.
+    Waiting,
+    /// A request is probed for or dispatched.
+    Dispatching,
+    Rejected,
+    Failed,
+}
+
+/// The first answer among the actions; else whether there is a probe or a dispatch.
+pub fn response_to(actions: &[Action]) -> Response {
+    let mut response = Response::Waiting;
     for action in actions {
         match action {
-            Action::Dispatch { .. } | Action::Probe { .. } => said = 'p',
-            Action::Reject { .. } => return 'd',
-            Action::Fail { .. } => return 'a',
+            Action::Dispatch { .. } | Action::Probe { .. } => response = Response::Dispatching,
+            Action::Reject { .. } => return Response::Rejected,
+            Action::Fail { .. } => return Response::Failed,
             _ => {}
         }
     }
-    said
+    response
+}
+
+/// One of 300 nodes that may not probe.
+pub fn node_without_probes(starts_reported: bool) -> Node {
+    let mut settings = settings_of(300.0, Some(0.0));
+    settings.limits.probes_enabled = false;
+    settings.limits.hedging_enabled = true;
+    settings.executors.reports_start = starts_reported;
+    node_with(settings)
 }
--- a/tests/unit/random_days.rs
+++ b/tests/unit/random_days.rs
@@ -1,12 +1,12 @@
-//! Random days against the module, with state reclaimed and without: no rule is broken, and what is held is
-//! bounded by what is in force.
+//! Random days of events, with state reclaimed and not: no rule is violated, and the state is bounded by the
+//! executors that are listed or needed.
 //!
-//! The host here keeps its own books. Everything that the module does is checked against these, and a faulty
-//! way to reclaim has to be found out by the same check.
+//! The host here keeps its own record, against which each action is checked. The same checks have to find
+//! wrong ways to reclaim state.
 use super::Dispatcher;
 use crate::state::executor_table::Reclaiming;
 use crate::*;
-use helpers::replied;
+use helpers::probe_reply;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use slotmap::SlotMap;
@@ -16,28 +16,28 @@
 mod helpers;
 
 const STEPS: usize = 100_000;
-/// No day has more events than that: whatever goes wrong, it ends.
-const MOST_EVENTS: usize = 20 * STEPS;
+/// Upper bound on the events of a day, so that a faulty day ends.
+const MAX_EVENTS: usize = 20 * STEPS;
 const FLEET: usize = 24;
 const GROUPS: u32 = 3;
-const MOST_OPEN: usize = 150;
+const MAX_OPEN: usize = 150;
 const FREE_SLOTS: f64 = 4.0;
 const RUNNING_TIME: Millis = 100.0;
-const LIMIT: Millis = 5000.0;
-/// As the helpers' values state them; a smaller budget than theirs is used up more often.
-const WINDOW: Millis = 2000.0;
-const FALL: Millis = 1000.0;
-const RAMP: Millis = 10_000.0;
-const COLD_SHARE: f64 = 0.25;
-const FALL_MULTIPLE: f64 = 0.5;
-/// An executor may stand unneeded for so long until it is looked at.
-const LOOKED_AT_WITHIN: Millis = 1000.0;
-
-const RERUNNABLE: u32 = 0;
-const IN_GROUP: u32 = 2;
-const EXCLUSIVE: u32 = 3;
-
-struct Sent {
+const DEADLINE: Millis = 5000.0;
+/// Figures of the helpers' settings, with a smaller budget, which is used up more often.
+const DEDUPLICATION_WINDOW: Millis = 2000.0;
+const BUDGET_WINDOW: Millis = 1000.0;
+const RAMP_DURATION: Millis = 10_000.0;
+const INITIAL_CAPACITY: f64 = 0.25;
+const BUDGET_MULTIPLE: f64 = 0.5;
+/// Upper bound on the time for which the state of an executor is retained unneeded.
+const RECLAIM_INTERVAL: Millis = 1000.0;
+
+const IDEMPOTENT: u32 = 0;
+const DEDUPLICATED_IN_GROUP: u32 = 2;
+const AT_MOST_ONCE: u32 = 3;
+
+struct SentAttempt {
     executor: ExecutorId,
     group: u32,
     at: Millis,
@@ -45,32 +45,39 @@
 }
 
 struct Request {
-    project_type: u32,
-    sent: Vec<Sent>,
+    class: u32,
+    attempts: Vec<SentAttempt>,
 }
 
 impl Request {
-    fn first_that_may_have_run(&self) -> Option<&Sent> {
-        self.sent.iter().find(|sent| !sent.outcome.is_some_and(Outcome::never_ran))
+    fn first_possible_run(&self) -> Option<&SentAttempt> {
+        self.attempts.iter().find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
     }
 }
 
-/// One executor by its name, as the list has it.
-struct Named {
+/// One executor by its name, as the endpoint list has it.
+struct NamedExecutor {
     group: u32,
-    phase: EndpointState,
-    started: Option<Millis>,
+    state: EndpointState,
+    started_at: Option<Millis>,
     handle: Option<ExecutorId>,
-    /// When work went there while it was cold.
-    cold: Vec<Millis>,
-    /// Whether anything needed it after the last event, and when that was so last.
-    needed: bool,
+    /// When it got requests in slow start.
+    warm_up_dispatches: Vec<Millis>,
+    /// Whether its state was needed after the last event.
+    is_needed: bool,
+    /// When its state was needed last.
     needed_at: Millis,
 }
 
-/// What comes by itself at its time.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Answer {
+    Rejected,
+    Failed,
+}
+
+/// What happens at its time.
 enum Due {
-    Ends { request_id: RequestId, attempt: usize, outcome: Outcome },
+    AttemptEnds { request_id: RequestId, attempt: usize, outcome: Outcome },
     Timer,
 }
 
@@ -79,10 +86,10 @@
     answers: usize,
     completed: usize,
     released: usize,
-    most_held: usize,
+    max_executors: usize,
     stale: u64,
-    repeated: usize,
-    back_before_release: usize,
+    retried: usize,
+    listed_again_before_release: usize,
 }
 
 struct Day {
@@ -90,7 +97,7 @@
     random: ChaCha8Rng,
     now: Millis,
     events: usize,
-    names: BTreeMap<u64, Named>,
+    names: BTreeMap<u64, NamedExecutor>,
     listed: Vec<u64>,
     next_name: u64,
     handles: SlotMap<ExecutorId, u64>,
@@ -105,15 +112,16 @@
     reclaiming: Reclaiming,
 }
 
+/// An error names the violation.
 type Checked = Result<(), String>;
 
-fn ensure(holds: bool, broken: &str) -> Checked {
-    if holds { Ok(()) } else { Err(broken.to_string()) }
+fn ensure(is_satisfied: bool, violation: &str) -> Checked {
+    if is_satisfied { Ok(()) } else { Err(violation.to_string()) }
 }
 
 fn play(seed: u64, reclaiming: Reclaiming, steps: usize) -> Result<Figures, String> {
     let mut settings = helpers::settings_of(1.0, None);
-    settings.rules.budget_multiple = FALL_MULTIPLE;
+    settings.rules.budget_multiple = BUDGET_MULTIPLE;
     let mut node = Dispatcher::new(&settings, seed, 0.0);
     node.fleet.executors.reclaiming = reclaiming;
     let mut day = Day {
@@ -135,11 +143,12 @@
         figures: Figures::default(),
         reclaiming,
     };
-    day.whole_list_of_new_names()?;
+    day.list_new_fleet()?;
     for step in 0..steps {
-        day.step().map_err(|broken| format!("seed {seed}, step {step}, at {:.1} ms: {broken}", day.now))?;
+        day.step()
+            .map_err(|violation| format!("seed {seed}, step {step}, at {:.1} ms: {violation}", day.now))?;
     }
-    day.end().map_err(|broken| format!("seed {seed}, at the end: {broken}"))?;
+    day.end().map_err(|violation| format!("seed {seed}, at the end: {violation}"))?;
     day.figures.stale = day.node.stale_events();
     Ok(day.figures)
 }
@@ -152,28 +161,28 @@
         match self.random.random_range(0..100) {
             0..32 => self.arrive(),
             32..82 => self.answer_probe(),
-            82..88 => self.list_change(),
+            82..88 => self.change_endpoint(),
             88..90 => self.withdraw(),
             90..94 => self.stale_event(),
-            94 if self.random.random_bool(0.02) => self.whole_list_of_new_names(),
-            94 if self.random.random_bool(0.1) => self.whole_list_of_some(),
-            _ => self.tell(Event::TimerFired),
+            94 if self.random.random_bool(0.02) => self.list_new_fleet(),
+            94 if self.random.random_bool(0.1) => self.list_part_of_fleet(),
+            _ => self.handle(Event::TimerFired),
         }
     }
 
-    /// All that is open is seen to its end, and all executors leave.
+    /// Waits until all requests are answered, after all executors have left.
     fn end(&mut self) -> Checked {
-        self.tell_list(ListUpdate::Snapshot, &[])?;
+        self.update_endpoints(ListUpdate::Snapshot, &[])?;
         while !self.probes.is_empty() {
             self.answer_probe()?;
         }
-        self.pass(self.now + 2.0 * LIMIT)?;
+        self.pass(self.now + 2.0 * DEADLINE)?;
         ensure(self.open.is_empty(), "a request was never answered")?;
         let left = if self.reclaiming == Reclaiming::Never { self.handles.len() } else { 0 };
-        ensure(self.node.executor_count() == left, "an executor is held that nothing needs")
+        ensure(self.node.executor_count() == left, "the state of an executor is retained that nothing needs")
     }
 
-    /// Lets time pass, and what is due happen.
+    /// Advances the time, and reports what is due.
     fn pass(&mut self, until: Millis) -> Checked {
         while let Some((&(bits, number), _)) = self.due.first_key_value()
             && f64::from_bits(bits) <= until
@@ -183,10 +192,10 @@
             match due {
                 Due::Timer if f64::from_bits(bits) == self.timer_at => {
                     self.timer_at = f64::INFINITY;
-                    self.tell(Event::TimerFired)?;
+                    self.handle(Event::TimerFired)?;
                 }
                 Due::Timer => {}
-                Due::Ends { request_id, attempt, outcome } => {
+                Due::AttemptEnds { request_id, attempt, outcome } => {
                     self.attempt_ends(request_id, attempt, outcome)?
                 }
             }
@@ -201,19 +210,19 @@
     }
 
     fn arrive(&mut self) -> Checked {
-        if self.open.len() >= MOST_OPEN {
+        if self.open.len() >= MAX_OPEN {
             return Ok(());
         }
         self.next_request += 1;
-        let (request_id, project_type) = (RequestId(self.next_request), self.random.random_range(0..4));
-        self.open.insert(request_id, Request { project_type, sent: Vec::new() });
-        self.tell(Event::RequestArrived {
+        let (request_id, class) = (RequestId(self.next_request), self.random.random_range(0..4));
+        self.open.insert(request_id, Request { class, attempts: Vec::new() });
+        self.handle(Event::RequestArrived {
             request_id,
-            class: RequestClassId(project_type),
+            class: RequestClassId(class),
             tenant: TenantId(0),
             slots: 1.0,
             memory: 0.0,
-            time_left: LIMIT,
+            time_left: DEADLINE,
             is_retry: false,
         })
     }
@@ -225,81 +234,81 @@
         let executor = self.probes.swap_remove(self.random.random_range(0..self.probes.len()));
         let (answered, is_full) = (self.random.random_bool(0.95), self.random.random_bool(0.1));
         let (queue, free_slots) = if is_full { (2.0, 0.0) } else { (0.0, FREE_SLOTS) };
-        let reading =
+        let report =
             LoadReport { queue_length: Some(queue), free_slots: Some(free_slots), ..LoadReport::default() };
-        let reply = answered.then_some(ProbeReply { latency: 1.0, report: reading });
-        self.tell(Event::ProbeCompleted { executor, reply })
+        let reply = answered.then_some(ProbeReply { latency: 1.0, report });
+        self.handle(Event::ProbeCompleted { executor, reply })
     }
 
-    fn list_change(&mut self) -> Checked {
+    fn change_endpoint(&mut self) -> Checked {
         let name = self.listed[self.random.random_range(0..self.listed.len())];
         let Some(named) = self.names.get_mut(&name) else { return Ok(()) };
-        let was_gone = named.phase == EndpointState::Gone;
-        (named.phase, named.started) = match self.random.random_range(0..10) {
-            0..3 => (EndpointState::Gone, named.started),
-            3 => (EndpointState::Draining, named.started),
+        let was_gone = named.state == EndpointState::Gone;
+        (named.state, named.started_at) = match self.random.random_range(0..10) {
+            0..3 => (EndpointState::Gone, named.started_at),
+            3 => (EndpointState::Draining, named.started_at),
             4 => (EndpointState::Ready, Some(self.now)),
-            _ => (EndpointState::Ready, named.started),
+            _ => (EndpointState::Ready, named.started_at),
         };
-        let back = was_gone && named.phase != EndpointState::Gone && named.handle.is_some();
-        self.figures.back_before_release += usize::from(back);
-        self.tell_list(ListUpdate::Delta, &[name])
+        let is_listed_again = was_gone && named.state != EndpointState::Gone && named.handle.is_some();
+        self.figures.listed_again_before_release += usize::from(is_listed_again);
+        self.update_endpoints(ListUpdate::Delta, &[name])
     }
 
-    fn whole_list_of_new_names(&mut self) -> Checked {
+    fn list_new_fleet(&mut self) -> Checked {
         let first = self.next_name;
         self.next_name += FLEET as u64;
         self.listed = (first..self.next_name).collect();
         for name in first..self.next_name {
             let group = self.random.random_range(0..GROUPS);
-            let started = self.random.random_bool(0.5).then_some(self.now);
-            let named = Named {
+            let started_at = self.random.random_bool(0.5).then_some(self.now);
+            let named = NamedExecutor {
                 group,
-                phase: EndpointState::Ready,
-                started,
+                state: EndpointState::Ready,
+                started_at,
                 handle: None,
-                cold: Vec::new(),
-                needed: true,
+                warm_up_dispatches: Vec::new(),
+                is_needed: true,
                 needed_at: self.now,
             };
             self.names.insert(name, named);
         }
         let all = self.listed.clone();
-        self.tell_list(ListUpdate::Snapshot, &all)
+        self.update_endpoints(ListUpdate::Snapshot, &all)
     }
 
-    fn whole_list_of_some(&mut self) -> Checked {
+    fn list_part_of_fleet(&mut self) -> Checked {
         let (mut some, random) = (self.listed.clone(), &mut self.random);
         some.retain(|_| random.random_bool(0.8));
         for name in &some {
-            self.names.get_mut(name).into_iter().for_each(|named| named.phase = EndpointState::Ready);
+            self.names.get_mut(name).into_iter().for_each(|named| named.state = EndpointState::Ready);
         }
-        self.tell_list(ListUpdate::Snapshot, &some)
+        self.update_endpoints(ListUpdate::Snapshot, &some)
     }
 
-    fn tell_list(&mut self, kind: ListUpdate, told: &[u64]) -> Checked {
-        if kind == ListUpdate::Snapshot {
-            let missing = self.names.iter_mut().filter(|(name, _)| !told.contains(name));
-            missing.for_each(|(_, named)| named.phase = EndpointState::Gone);
+    fn update_endpoints(&mut self, update: ListUpdate, names: &[u64]) -> Checked {
+        if update == ListUpdate::Snapshot {
+            let missing = self.names.iter_mut().filter(|(name, _)| !names.contains(name));
+            missing.for_each(|(_, named)| named.state = EndpointState::Gone);
         }
-        let mut entries = Vec::new();
-        for name in told {
+        let mut endpoints = Vec::new();
+        for name in names {
             let Some(named) = self.names.get_mut(name) else { continue };
-            // It is needed by the event that tells of it.
-            named.needed |= named.handle.is_none();
+            // The event that lists it needs it.
+            named.is_needed |= named.handle.is_none();
             let executor = *named.handle.get_or_insert_with(|| self.handles.insert(*name));
-            entries.push(Endpoint {
+            endpoints.push(Endpoint {
                 executor,
                 token: *name,
                 zone: ZoneId(0),
                 machine_type: MachineTypeId(0),
                 deduplication_group: DeduplicationGroupId(named.group),
-                state: named.phase,
+                state: named.state,
                 weight: 1.0,
-                started_at: named.started,
+                started_at: named.started_at,
             });
         }
-        self.tell(Event::EndpointsUpdated { update: kind, endpoints: entries })
+        self.handle(Event::EndpointsUpdated { update, endpoints })
     }
 
     fn withdraw(&mut self) -> Checked {
@@ -307,21 +316,21 @@
         let Some(request_id) = self.open.keys().nth(nth).copied() else { return Ok(()) };
         self.open.remove(&request_id);
         self.figures.answers += 1;
-        self.tell(Event::RequestWithdrawn { request_id })
+        self.handle(Event::RequestWithdrawn { request_id })
     }
 
-    /// Something for an executor or a request that is no more.
+    /// Reports an event for an executor that is released or a request that is answered.
     fn stale_event(&mut self) -> Checked {
         let Some(last) = self.released.len().checked_sub(1) else { return Ok(()) };
         let executor = self.released[self.random.random_range(0..=last)];
-        let (before, kind) = (self.node.stale_events(), self.random.random_range(0..4));
-        let reading = LoadReport::of_free_slots(1000.0);
-        let event = match kind {
-            0 => replied(executor, 1.0, reading),
+        let (before, choice) = (self.node.stale_events(), self.random.random_range(0..4));
+        let report = LoadReport::of_free_slots(1000.0);
+        let event = match choice {
+            0 => probe_reply(executor, 1.0, report),
             1 => Event::ProbeCompleted { executor, reply: None },
             2 => {
-                let project_type = RequestClassId(0);
-                Event::GossipReceived(GossipMessage::WorkRejected { token: u32::MAX, class: project_type })
+                let class = RequestClassId(0);
+                Event::GossipReceived(GossipMessage::WorkRejected { token: u32::MAX, class })
             }
             _ => {
                 let request_id = RequestId(self.random.random_range(0..=self.next_request));
@@ -336,21 +345,21 @@
                 }
             }
         };
-        self.tell(event)?;
+        self.handle(event)?;
         let counted = self.node.stale_events() - before;
-        ensure(counted == u64::from(kind < 3), "an outdated event was not dropped and counted")
+        ensure(counted == u64::from(choice < 3), "an outdated event was not dropped and counted")
     }
 
     fn attempt_ends(&mut self, request_id: RequestId, attempt: usize, outcome: Outcome) -> Checked {
         if let Some(request) = self.open.get_mut(&request_id) {
-            request.sent[attempt].outcome = Some(outcome);
+            request.attempts[attempt].outcome = Some(outcome);
         }
         let closed = outcome == Outcome::Completed;
         if closed && self.open.remove(&request_id).is_some() {
             self.figures.answers += 1;
             self.figures.completed += 1;
         }
-        self.tell(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             request_id,
             attempt_id: AttemptId(attempt as u32),
             outcome,
@@ -358,29 +367,29 @@
         })
     }
 
-    /// Tells the module one event, and checks all that it does.
-    fn tell(&mut self, event: Event) -> Checked {
+    /// Reports one event to the dispatcher, and checks all actions that follow.
+    fn handle(&mut self, event: Event) -> Checked {
         self.events += 1;
-        ensure(self.events < MOST_EVENTS, "the day does not end")?;
+        ensure(self.events < MAX_EVENTS, "the day does not end")?;
         let mut actions = Vec::new();
         self.node.handle_event(self.now, event);
         self.node.poll_actions(self.now, &mut actions);
         for action in actions {
-            self.act(action)?;
+            self.check_action(action)?;
         }
-        self.check_what_is_held()
+        self.check_executors()
     }
 
-    fn act(&mut self, action: Action) -> Checked {
+    fn check_action(&mut self, action: Action) -> Checked {
         match action {
             Action::Dispatch { request_id, executor, attempt_deadline, .. } => {
-                self.pushed(request_id, executor, attempt_deadline)
+                self.check_dispatch(request_id, executor, attempt_deadline)
             }
-            Action::Reject { request_id, .. } => self.answered(request_id, true),
-            Action::Fail { request_id } => self.answered(request_id, false),
+            Action::Reject { request_id, .. } => self.check_answer(request_id, Answer::Rejected),
+            Action::Fail { request_id } => self.check_answer(request_id, Answer::Failed),
             Action::Probe { executor } => {
                 ensure(self.handles.contains_key(executor), "a probe of a released executor")?;
-                ensure(!self.probes.contains(&executor), "a second probe while one is out")?;
+                ensure(!self.probes.contains(&executor), "a second probe while one is in flight")?;
                 self.probes.push(executor);
                 Ok(())
             }
@@ -391,29 +400,37 @@
                 }
                 Ok(())
             }
-            Action::ReleaseExecutor { executor } => self.release(executor),
+            Action::ReleaseExecutor { executor } => self.check_release(executor),
             _ => Ok(()),
         }
     }
 
-    fn pushed(&mut self, request_id: RequestId, executor: ExecutorId, attempt_deadline: Millis) -> Checked {
-        let name = self.handles.get(executor).ok_or("work for a released executor")?;
-        let named = self.names.get_mut(name).ok_or("work for an executor that was never listed")?;
-        ensure(named.phase == EndpointState::Ready, "work for an executor that drains or is gone")?;
-        let request = self.open.get_mut(&request_id).ok_or("work is sent after its answer")?;
-        ensure(request.sent.iter().all(|sent| sent.outcome.is_some()), "sent while an attempt is out")?;
-        if let Some(first) = request.first_that_may_have_run() {
-            self.figures.repeated += 1;
-            ensure(request.project_type != EXCLUSIVE, "at-most-once work is sent twice")?;
-            let in_window = request.project_type == RERUNNABLE || self.now - first.at <= WINDOW;
-            ensure(in_window, "a repeat after its window")?;
-            let in_group = request.project_type != IN_GROUP || first.group == named.group;
-            ensure(in_group, "a repeat outside its group")?;
+    fn check_dispatch(
+        &mut self,
+        request_id: RequestId,
+        executor: ExecutorId,
+        attempt_deadline: Millis,
+    ) -> Checked {
+        let name = self.handles.get(executor).ok_or("a dispatch to a released executor")?;
+        let named = self.names.get_mut(name).ok_or("a dispatch to an executor that was never listed")?;
+        ensure(named.state == EndpointState::Ready, "a dispatch to an executor that is draining or gone")?;
+        let request = self.open.get_mut(&request_id).ok_or("a dispatch after the answer")?;
+        ensure(
+            request.attempts.iter().all(|attempt| attempt.outcome.is_some()),
+            "a dispatch while an attempt is in flight",
+        )?;
+        if let Some(first) = request.first_possible_run() {
+            self.figures.retried += 1;
+            ensure(request.class != AT_MOST_ONCE, "a retry of at-most-once work that may have run")?;
+            let in_window = request.class == IDEMPOTENT || self.now - first.at <= DEDUPLICATION_WINDOW;
+            ensure(in_window, "a retry after the window")?;
+            let in_group = request.class != DEDUPLICATED_IN_GROUP || first.group == named.group;
+            ensure(in_group, "a retry outside the group")?;
         }
-        let sent = Sent { executor, group: named.group, at: self.now, outcome: None };
-        request.sent.push(sent);
-        Self::check_cold_budget(self.now, named)?;
-        let attempt = request.sent.len() - 1;
+        let sent = SentAttempt { executor, group: named.group, at: self.now, outcome: None };
+        request.attempts.push(sent);
+        Self::check_warm_up_budget(self.now, named)?;
+        let attempt = request.attempts.len() - 1;
         let (at, outcome) = match self.random.random_range(0..100) {
             0..70 => (self.now + RUNNING_TIME, Outcome::Completed),
             70..76 => (self.now + 1.0, Outcome::Rejected),
@@ -421,42 +438,50 @@
             82..94 => (self.now + 300.0 * self.random.random::<f64>(), Outcome::Reset),
             _ => (attempt_deadline, Outcome::TimedOut),
         };
-        self.at(at, Due::Ends { request_id, attempt, outcome });
+        self.at(at, Due::AttemptEnds { request_id, attempt, outcome });
         Ok(())
     }
 
-    fn check_cold_budget(now: Millis, named: &mut Named) -> Checked {
-        let (Some(start), then) = (named.started, now - FALL) else { return Ok(()) };
-        if then >= start + RAMP {
+    fn check_warm_up_budget(now: Millis, named: &mut NamedExecutor) -> Checked {
+        let (Some(start), then) = (named.started_at, now - BUDGET_WINDOW) else { return Ok(()) };
+        if then >= start + RAMP_DURATION {
             return Ok(());
         }
-        let warmth = COLD_SHARE + (1.0 - COLD_SHARE) * ((then - start) / RAMP).max(0.0);
-        let budget = FALL_MULTIPLE * warmth * FREE_SLOTS * FALL;
-        named.cold.retain(|at| *at >= then && *at >= start);
-        named.cold.push(now);
-        let spent = named.cold.len() as f64 * RUNNING_TIME;
-        ensure(spent <= budget, "more than the cold budget")
+        let progress =
+            INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * ((then - start) / RAMP_DURATION).max(0.0);
+        let budget = BUDGET_MULTIPLE * progress * FREE_SLOTS * BUDGET_WINDOW;
+        named.warm_up_dispatches.retain(|at| *at >= then && *at >= start);
+        named.warm_up_dispatches.push(now);
+        let spent = named.warm_up_dispatches.len() as f64 * RUNNING_TIME;
+        ensure(spent <= budget, "more than the warm-up budget")
     }
 
-    fn answered(&mut self, request_id: RequestId, deferred: bool) -> Checked {
+    fn check_answer(&mut self, request_id: RequestId, answer: Answer) -> Checked {
         let request = self.open.remove(&request_id).ok_or("a second answer")?;
         self.figures.answers += 1;
-        ensure(request.sent.iter().all(|sent| sent.outcome.is_some()), "an answer while an attempt is out")?;
-        let strict = request.project_type == EXCLUSIVE || request.project_type == IN_GROUP;
-        let may_have_run = request.first_that_may_have_run().is_some();
-        ensure(!(deferred && strict && may_have_run), "work may come again that may have run")
+        ensure(
+            request.attempts.iter().all(|attempt| attempt.outcome.is_some()),
+            "an answer while an attempt is in flight",
+        )?;
+        let strict = request.class == AT_MOST_ONCE || request.class == DEDUPLICATED_IN_GROUP;
+        let may_have_run = request.first_possible_run().is_some();
+        ensure(
+            !(answer == Answer::Rejected && strict && may_have_run),
+            "a rejection of work that may have run",
+        )
     }
 
-    fn release(&mut self, executor: ExecutorId) -> Checked {
+    fn check_release(&mut self, executor: ExecutorId) -> Checked {
         let name = self.handles.remove(executor).ok_or("released twice")?;
         let named = self.names.get_mut(&name).ok_or("released though never listed")?;
-        ensure(named.phase == EndpointState::Gone, "released though it is listed")?;
-        ensure(!self.probes.contains(&executor), "released while a probe is out")?;
-        let names_it = |request: &Request| request.sent.iter().any(|sent| sent.executor == executor);
-        ensure(!self.open.values().any(names_it), "released while an open request names it")?;
-        let start = named.started.unwrap_or(f64::NEG_INFINITY);
-        let counts = |at: &Millis| *at >= self.now - FALL && *at >= start;
-        ensure(!named.cold.iter().any(counts), "released while its cold budget counts")?;
+        ensure(named.state == EndpointState::Gone, "released though it is listed")?;
+        ensure(!self.probes.contains(&executor), "released while a probe is in flight")?;
+        let refers_to_it =
+            |request: &Request| request.attempts.iter().any(|attempt| attempt.executor == executor);
+        ensure(!self.open.values().any(refers_to_it), "released while an open request refers to it")?;
+        let start = named.started_at.unwrap_or(f64::NEG_INFINITY);
+        let counts = |at: &Millis| *at >= self.now - BUDGET_WINDOW && *at >= start;
+        ensure(!named.warm_up_dispatches.iter().any(counts), "released while its warm-up budget counts")?;
         named.handle = None;
         if !self.listed.contains(&name) {
             self.names.remove(&name);
@@ -466,58 +491,59 @@
         Ok(())
     }
 
-    /// Who is held is in force, or needed, or was so a moment ago.
-    fn check_what_is_held(&mut self) -> Checked {
-        let held = self.node.executor_count();
-        ensure(held == self.handles.len(), "host and module do not hold the same")?;
-        self.figures.most_held = self.figures.most_held.max(held);
+    /// Executors with state are listed, or needed, or were so a moment ago.
+    fn check_executors(&mut self) -> Checked {
+        let executors = self.node.executor_count();
+        ensure(executors == self.handles.len(), "host and dispatcher differ in their executors")?;
+        self.figures.max_executors = self.figures.max_executors.max(executors);
         if self.reclaiming == Reclaiming::Never {
             return Ok(());
         }
         for (executor, name) in &self.handles {
             let Some(named) = self.names.get_mut(name) else { continue };
-            // What was needed after the last event was so until this one.
-            if named.needed {
+            // State that was needed after the last event was needed until this one.
+            if named.is_needed {
                 named.needed_at = self.now;
             }
-            let names_it =
+            let refers_to_it =
                 |request: &crate::state::request::Request| request.executors().any(|other| other == executor);
-            named.needed = named.phase != EndpointState::Gone
+            named.is_needed = named.state != EndpointState::Gone
                 || self.probes.contains(&executor)
-                || self.node.requests.values().any(names_it);
-            let spent_until = named.cold.last().map_or(f64::NEG_INFINITY, |at| at + FALL);
-            let stands = self.now - named.needed_at.max(spent_until);
-            let in_time = named.needed || stands <= LOOKED_AT_WITHIN + 1.0;
-            ensure(in_time, "an executor is held that nothing needs")?;
+                || self.node.requests.values().any(refers_to_it);
+            let spent_until =
+                named.warm_up_dispatches.last().map_or(f64::NEG_INFINITY, |at| at + BUDGET_WINDOW);
+            let unneeded_for = self.now - named.needed_at.max(spent_until);
+            let in_time = named.is_needed || unneeded_for <= RECLAIM_INTERVAL + 1.0;
+            ensure(in_time, "the state of an executor is retained that nothing needs")?;
         }
         Ok(())
     }
 }
 
 #[test]
-fn random_days_break_no_rule_and_hold_no_more_than_is_in_force() {
+fn random_days_violate_no_rule_and_retain_only_needed_state() {
     for reclaiming in [Reclaiming::Unneeded, Reclaiming::Never] {
         let figures =
-            play(20_261, reclaiming, STEPS).unwrap_or_else(|broken| panic!("{reclaiming:?}: {broken}"));
+            play(20_261, reclaiming, STEPS).unwrap_or_else(|violation| panic!("{reclaiming:?}: {violation}"));
         println!("{reclaiming:?}: {figures:?}");
-        // What is checked has happened often.
-        let often = figures.answers > STEPS / 10 && figures.completed > STEPS / 20 && figures.repeated > 100;
-        assert!(often && figures.back_before_release > 50, "{reclaiming:?}: {figures:?}");
+        // The checked cases occur often.
+        let often = figures.answers > STEPS / 10 && figures.completed > STEPS / 20 && figures.retried > 100;
+        assert!(often && figures.listed_again_before_release > 50, "{reclaiming:?}: {figures:?}");
         let reclaims = reclaiming == Reclaiming::Unneeded;
         assert_eq!(figures.released > 300, reclaims, "{reclaiming:?}: {figures:?}");
-        assert_eq!(figures.most_held <= 4 * FLEET, reclaims, "{reclaiming:?}: {figures:?}");
+        assert_eq!(figures.max_executors <= 4 * FLEET, reclaims, "{reclaiming:?}: {figures:?}");
         assert_eq!(figures.stale > 1000, reclaims, "{reclaiming:?}: {figures:?}");
     }
 }
 
-/// The check finds out a module that reclaims too early.
+/// The checks find state that is reclaimed too early.
 #[test]
-fn a_state_that_is_reclaimed_too_early_is_found_out() {
+fn state_that_is_reclaimed_too_early_is_detected() {
     for (wrong, expected) in [
-        (Reclaiming::Referenced, "released while an open request names it"),
+        (Reclaiming::Referenced, "released while an open request refers to it"),
         (Reclaiming::InUse, "released while"),
     ] {
-        let broken = play(20_261, wrong, STEPS).expect_err("the check finds it");
-        assert!(broken.contains(expected), "{wrong:?}: {broken}");
+        let violation = play(20_261, wrong, STEPS).expect_err("the check finds it");
+        assert!(violation.contains(expected), "{wrong:?}: {violation}");
     }
 }
