--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -5,16 +5,15 @@
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::Limits;
 use crate::event::{CallOrigin, NodeEvent};
-use crate::hot_restart::{SiblingProcess, codec::Message};
+use crate::hot_restart::{codec::Message, sibling::SiblingProcess};
 use crate::http1::{self, Connection, Failed};
-use crate::lifecycle::{Drain, Lifecycle, LifecycleState, Shutdown};
+use crate::lifecycle::{DrainOrigin, DrainRequest, Lifecycle, LifecycleState, Shutdown};
 use crate::retention::RetentionStatistics;
 use calls::{Call, UnknownCall};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::task::spawn_local;
@@ -47,7 +46,7 @@
         figures: Rc<Cell<RetentionStatistics>>,
     ) -> Rc<Self> {
         Rc::new(AdminServer {
-            rings: ByteBudget::new(limits.callers * 2 * limits.call_ring),
+            rings: ByteBudget::new(limits.admin.max_connections * 2 * limits.admin.buffer_bytes),
             limits,
             events,
             lifecycle,
@@ -65,7 +64,7 @@
                 Ok((stream, _)) => self.take(stream),
                 Err(e) => {
                     tracing::warn!("cannot accept a call: {e}");
-                    sleep(self.limits.fresh_settle).await;
+                    sleep(self.limits.downstream.min_new_connection_age).await;
                 }
             }
         }
@@ -75,7 +74,7 @@
     /// the one that is waited for longest is closed for the newcomer.
     fn take(self: &Rc<Self>, stream: TcpStream) {
         let (this, number, close) = (self.clone(), self.next.get(), Rc::new(Notify::new()));
-        if self.open.get() >= self.limits.callers {
+        if self.open.get() >= self.limits.admin.max_connections {
             match self.waiting.borrow_mut().pop_front() {
                 Some((_, longest)) => longest.notify_one(),
                 // All of them are being answered, which takes less than a second.
@@ -86,7 +85,7 @@
         self.open.set(self.open.get() + 1);
         self.waiting.borrow_mut().push_back((number, close.clone()));
         spawn_local(async move {
-            let mut connection = Connection::new(stream, this.limits.call_ring, &this.rings);
+            let mut connection = Connection::new(stream, this.limits.admin.buffer_bytes, &this.rings);
             this.serve(&mut connection, number, &close).await;
             drop(connection);
             this.waits_no_more(number);
@@ -99,7 +98,7 @@
     }
 
     async fn serve(&self, connection: &mut Connection, number: u64, close: &Notify) {
-        let due = Instant::now() + self.limits.client_wait;
+        let due = Instant::now() + self.limits.downstream.io_timeout;
         let head = tokio::select! {
             biased;
             head = connection.request_head() => head,
@@ -131,9 +130,10 @@
         let fields: Vec<_> = allow.into_iter().collect();
         let said = format!("{said}\n");
         let head = http1::answer(status, said.len(), false, &fields);
-        let written = timeout(self.limits.call_wait, connection.write(&[&head, said.as_bytes()])).await;
+        let written =
+            timeout(self.limits.admin.call_timeout, connection.write(&[&head, said.as_bytes()])).await;
         if matches!(written, Ok(Ok(()))) {
-            connection.end(self.limits.tail_wait, self.limits.scrap).await;
+            connection.end(self.limits.rest_of_message_timeout, self.limits.max_discarded_bytes).await;
         }
     }
 
@@ -147,11 +147,16 @@
                 if self.lifecycle.facts().shutdown != Shutdown::None {
                     return (503, "the node ends".into());
                 }
-                drain(&self.lifecycle, self.limits.drain_settle, *to_drain, false);
+                let request = if *to_drain { DrainRequest::Drain } else { DrainRequest::Resume };
+                self.lifecycle.request_drain(
+                    request,
+                    DrainOrigin::Operator,
+                    self.limits.admin.drain_settle_time,
+                );
                 let (done, holds) = oneshot::channel();
                 let drained = |number| Message::Drained { drained: *to_drain, number };
                 self.beside.mirror(drained, done);
-                match timeout(self.limits.call_wait, holds).await {
+                match timeout(self.limits.admin.call_timeout, holds).await {
                     Ok(Ok(_)) => DONE,
                     _ => (503, "the other process of this node does not answer".into()),
                 }
@@ -160,7 +165,7 @@
     }
 
     async fn leave_out(&self, executor: &str, out: bool) -> Answered {
-        let until = Instant::now() + self.limits.call_wait;
+        let until = Instant::now() + self.limits.admin.call_timeout;
         // An executor may be known only once there is a list.
         let mut stage = self.lifecycle.watch();
         let _ = timeout_at(until, stage.wait_for(|stage| *stage != LifecycleState::Starting)).await;
@@ -174,33 +179,10 @@
             self.events.send(event).await.ok()?;
             holds.await.ok()
         };
-        match timeout_at(until + self.limits.call_wait / 2, told).await {
+        match timeout_at(until + self.limits.admin.call_timeout / 2, told).await {
             Ok(Some(true)) => DONE,
             Ok(Some(false)) => (404, "no such executor was ever listed".into()),
             _ => (503, "the node is too busy".into()),
         }
     }
 }
-
-/// Empties the node, or ends that; again the same changes nothing. `inherited` says that another process of the
-/// node was told so.
-pub fn drain(lifecycle: &Rc<Lifecycle>, settle: Duration, drain: bool, inherited: bool) {
-    let before = lifecycle.facts();
-    if drain == (before.drain != Drain::None) {
-        return;
-    }
-    let number = before.drain_changes + 1;
-    lifecycle.update(|facts| {
-        (facts.drain, facts.drain_changes) = (if drain { Drain::Begun } else { Drain::None }, number);
-        facts.is_drain_inherited = drain && inherited;
-    });
-    let lifecycle = lifecycle.clone();
-    spawn_local(async move {
-        sleep(settle).await;
-        lifecycle.update(|facts| {
-            if drain && facts.drain_changes == number {
-                facts.drain = Drain::Settled;
-            }
-        });
-    });
-}
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -31,8 +31,8 @@
     fn start(discovery: &Discovery, how: impl FnOnce(&mut std::process::Command)) -> Self {
         let config = config(discovery, settings());
         let node = Node::start_from(config, |path| launch_with(path, "info", "", how));
-        let line = node.logged("operators call at ");
-        let calls = line.split("operators call at ").nth(1).unwrap().trim().parse().unwrap();
+        let line = node.logged("admin listening");
+        let calls = address(&line);
         let operated = Operated { node, calls };
         until("it is ready", || operated.call("GET", "/v1/readyz") == 200);
         operated
@@ -169,18 +169,18 @@
     // A connection may take longer than the grace; its first try is repeated after a second.
     config["settings"]["limits"]["connect_timeout"] = json!(10_000_000);
     let node = Node::start_from(config, |path| launch_with(path, "debug", "", |_| ()));
-    let line = node.logged("operators call at ");
-    let calls = line.split("operators call at ").nth(1).unwrap().trim().parse().unwrap();
+    let line = node.logged("admin listening");
+    let calls = address(&line);
     let operated = Operated { node, calls };
     until("it is ready", || operated.call("GET", "/v1/readyz") == 200);
     let mut client = operated.node.connect();
     client.get_mut().write_all(work("render", &new_id(), 9.0, "").as_bytes()).unwrap();
-    operated.node.logged("push: alloc 0 to s-1");
+    operated.node.logged("attempt dispatched executor=s-1 attempt=0 ");
     discovery.lines.send(list(8, false, &[named("s-2", executor.addr)])).unwrap();
-    operated.node.logged("listed: s-2");
+    operated.node.logged("endpoint updated executor=s-2 ");
     assert_eq!(operated.call("PUT", "/v1/executors/s-1/suspend"), 200);
     // It was never sent, so it goes elsewhere once the grace nears its end.
-    operated.node.logged("NotSent");
+    operated.node.logged("outcome=NotSent");
     assert_eq!(answer(&mut client).0, 200);
     assert_eq!(executor.seen.lock().unwrap().len(), 1);
     crowded.go_on.send(()).unwrap();
@@ -239,8 +239,8 @@
     }
     assert_eq!(operated.node.ask(work("render", &new_id(), 3.0, "")).0, 200, "in the middle of emptying");
     operated.node.terminate();
-    operated.node.logged("asked to end");
-    assert!(operated.node.logged("ended with").contains("ended with 0"));
+    operated.node.logged("shutdown requested");
+    assert!(operated.node.logged("shutdown complete").ends_with("connections=0"));
 }
 
 /// Project types by name, effect and limit in seconds.
@@ -396,13 +396,13 @@
     executors.iter().for_each(|e| e.acts.lock().unwrap().clear());
     let new = platform.start(&discovery);
     old.node.terminate();
-    old.node.logged("asked to end");
+    old.node.logged("shutdown requested");
     let (status, (head, _)) = ask(&mut kept, work("render", &new_id(), 3.0, ""));
     assert_eq!((status, field(&head, "connection")), (200, Some("close")), "the old one's connection");
     used_by(&platform, &executors);
     assert_eq!(answer(&mut under_way).0, 503, "what was under way has its answer");
     drop(under_way);
-    assert!(old.node.logged("ended with").contains("ended with 0"));
+    assert!(old.node.logged("shutdown complete").ends_with("connections=0"));
     assert_eq!(new.health(), 200);
 }
 
@@ -415,7 +415,7 @@
     let id = new_id();
     assert_eq!(platform.post(&id), 200);
     let second = platform.start(&discovery);
-    first.node.logged("the next process takes clients");
+    first.node.logged("hot restart: the new process takes clients");
     assert_eq!(platform.post(&id), 409, "taken by the process before");
     assert_eq!(used_by(&platform, &executors), [1].into(), "out over the upgrade");
     // Calls to either while both run.
@@ -430,12 +430,12 @@
     assert_eq!(first.call("PUT", "/v1/node/activate"), 200);
     assert_eq!(second.health(), 200);
     first.node.terminate();
-    assert!(first.node.logged("ended with").contains("ended with 0"));
+    assert!(first.node.logged("shutdown complete").ends_with("connections=0"));
     // The next upgrade at once, while the node is drained.
     assert_eq!(second.call("PUT", "/v1/node/drain"), 200);
     let third = platform.start(&discovery);
     second.node.terminate();
-    assert!(second.node.logged("ended with").contains("ended with 0"));
+    assert!(second.node.logged("shutdown complete").ends_with("connections=0"));
     assert_eq!(third.health(), 503, "still drained");
     assert_eq!(third.call("PUT", "/v1/node/activate"), 200);
     assert_eq!(used_by(&platform, &executors), [1].into(), "still out");
@@ -450,9 +450,9 @@
     let mut first = platform.start(&discovery);
     // The newer one dies, and the older serves on.
     let mut dies = platform.start(&discovery);
-    first.node.logged("the next process takes clients");
+    first.node.logged("hot restart: the new process takes clients");
     dies.node.process.kill().unwrap();
-    first.node.logged("the next process has ended, this one goes on");
+    first.node.logged("hot restart: the new process has ended, this process continues");
     used_by(&platform, &executors);
     assert_eq!(first.call("PUT", "/v1/executors/s-1/suspend"), 200, "nobody else is waited for");
     // The older one dies, and the newer has all it was told; then so has the next one.
@@ -465,7 +465,7 @@
     });
     let third = platform.start(&discovery);
     second.node.terminate();
-    assert!(second.node.logged("ended with").contains("ended with 0"));
+    assert!(second.node.logged("shutdown complete").ends_with("connections=0"));
     assert_eq!(used_by(&platform, &executors), [1].into());
     assert_eq!(third.health(), 200);
 }
@@ -476,12 +476,15 @@
     let platform = Platform::new();
     drop(platform.start(&discovery));
     let place = platform.meeting_place().expect("it is left behind by a process that was killed");
-    used_by_a_start(&platform, &discovery, &executors, "no process of this node runs yet");
+    used_by_a_start(&platform, &discovery, &executors, "hot restart: no other process of this node runs");
     for (said, logged) in [
-        ("", "from the configuration: it ended"),
-        ("what\n", "from the configuration: no message"),
-        ("{\"say\":\"hello\",\"form\":99,\"name\":\"n0\"}\n", "it speaks form 99"),
-        ("{\"say\":\"hello\",\"form\":1,\"name\":\"n0\"}\n{\"say\":\"out\",\"execut", "it ended"),
+        ("", "from the configuration error=connection closed"),
+        ("what\n", "from the configuration error=malformed message"),
+        ("{\"say\":\"hello\",\"form\":99,\"name\":\"n0\"}\n", "unsupported protocol version 99"),
+        (
+            "{\"say\":\"hello\",\"form\":1,\"name\":\"n0\"}\n{\"say\":\"out\",\"execut",
+            "error=connection closed",
+        ),
     ] {
         let _ = std::fs::remove_file(&place);
         let odd = UnixListener::bind(&place).unwrap();
@@ -525,16 +528,16 @@
     under_way.get_mut().write_all(keyed("k1").as_bytes()).unwrap();
     executor.wait_for(1);
     let new = platform.start_by(&discovery, &own);
-    old.node.logged("the next process takes clients");
+    old.node.logged("hot restart: the new process takes clients");
     assert_eq!(ask(&mut platform.connect(), keyed("k1")).0, 503, "it is open in the process before");
     assert_eq!(ask(&mut platform.connect(), keyed("k2")).0, 503);
     assert_eq!(platform.post(&new_id()), 200, "other work is served");
     old.node.terminate();
-    old.node.logged("asked to end");
+    old.node.logged("shutdown requested");
     executor.go_on.send(()).unwrap();
     assert_eq!(answer(&mut under_way).0, 200);
     drop(under_way);
-    assert!(old.node.logged("ended with").contains("ended with 0"));
+    assert!(old.node.logged("shutdown complete").ends_with("connections=0"));
     until("the new process has the ledger", || ask(&mut platform.connect(), keyed("k1")).0 == 200);
     assert_eq!(ask(&mut platform.connect(), keyed("k2")).0, 200);
     assert_eq!(executor.seen.lock().unwrap().len(), 3, "each ran once");
@@ -567,7 +570,7 @@
         assert!(sum <= 256, "{sum} descriptors {what}");
     };
     most("beside each other");
-    old.node.logged("the next process takes clients");
+    old.node.logged("hot restart: the new process takes clients");
     for connection in &mut held {
         let (status, (head, _)) = ask(connection, work("render", &new_id(), 9.0, ""));
         assert_eq!((status, field(&head, "connection")), (200, Some("close")));
@@ -577,7 +580,7 @@
     used_by(&platform, &executors);
     most("after they moved");
     old.node.terminate();
-    assert!(old.node.logged("ended with").contains("ended with 0"));
+    assert!(old.node.logged("shutdown complete").ends_with("connections=0"));
 }
 
 #[test]
@@ -590,7 +593,7 @@
         assert_eq!(ask(connection, work("render", &new_id(), 9.0, "")).0, 200);
     }
     let new = platform.start(&discovery);
-    old.node.logged("the next process takes clients");
+    old.node.logged("hot restart: the new process takes clients");
     // Of each body half comes, which is waited for; where there are too many the node says so at once.
     let drip = |connection: &mut BufReader<TcpStream>| {
         let request = work("render", &new_id(), 9.0, "half");
@@ -625,18 +628,18 @@
     let mut silent = config(&discovery, settings());
     silent["discovery"] = json!("127.0.0.1:9");
     let node = Node::start_from(silent, |path| launch_with(path, "info", "", |_| ()));
-    let line = node.logged("operators call at ");
-    let calls = line.split("operators call at ").nth(1).unwrap().trim().parse().unwrap();
+    let line = node.logged("admin listening");
+    let calls = address(&line);
     let starting = Operated { node, calls };
     assert_eq!((starting.call("GET", "/v1/readyz"), starting.call("PUT", "/v1/node/drain")), (503, 200));
-    starting.node.logged("no word from the list yet");
+    starting.node.logged("no endpoint list received yet");
     assert_eq!(starting.health(), 503, "drained since before it was ready");
     assert_eq!(starting.call("PUT", "/v1/node/activate"), 200);
     until("it takes clients", || starting.health() == 200);
 
     let platform = Platform::new();
     let (old, new) = (platform.start(&discovery), platform.start(&discovery));
-    old.node.logged("the next process takes clients");
+    old.node.logged("hot restart: the new process takes clients");
     for process in [&old, &new] {
         let mut config = process.node.config.clone();
         config["settings"] = types(&[("render", "safe", 20), ("thumb", "safe", 2)], 2);
@@ -646,7 +649,7 @@
     assert_eq!(ask(&mut platform.connect(), work("thumb", &new_id(), 1.0, "")).0, 200);
     assert_eq!(ask(&mut platform.connect(), work("publish", &new_id(), 1.0, "")).0, 404);
     old.node.terminate();
-    assert!(old.node.logged("ended with").contains("ended with 0"));
+    assert!(old.node.logged("shutdown complete").ends_with("connections=0"));
     used_by(&platform, &executors);
 }
 
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -2,7 +2,12 @@
 use super::*;
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::{LimitInputs, Limits};
+use crate::event::{CallOrigin, EndpointUpdate};
+use crate::hot_restart::codec::{self, Inherited};
+use crate::in_flight::Answer;
 use crate::in_flight::ClientRequest;
+use crate::protocol::EndpointEntry;
+use crate::upstream::DispatchOrder;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -10,10 +15,36 @@
 use tokio::sync::oneshot;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
+use troutknot::{AttemptId, ListUpdate};
 
 const HARD_LIMIT: Duration = Duration::from_secs(5);
 const ID_FIELD: &str = "Request-Id: ";
 
+fn driver(memory_mb: u64, max_sockets: u64) -> Driver {
+    let (settings, codec) = Codec::of_one_type(HARD_LIMIT.as_micros() as u64);
+    let limits = Rc::new(Limits::new(&LimitInputs { memory_mb, max_sockets, ..LimitInputs::default() }));
+    let bounds = &limits.executor_bounds;
+    let retention = EndpointRetention::new("", bounds.max_retained, bounds.max_unretained_entries);
+    let (sender, events) = mpsc::channel(limits.event_queue_capacity);
+    let sibling: Rc<SiblingProcess> = Rc::default();
+    let executors = ExecutorPool::new(limits, codec.clone(), sender, sibling.clone());
+    let clock = Clock::start();
+    let dispatcher = Dispatcher::new(&settings, 1, clock.now());
+    Driver::new(DriverConfig {
+        dispatcher,
+        clock,
+        codec,
+        executors,
+        watch_requests: Rc::default(),
+        events,
+        lifecycle: Rc::new(Lifecycle::new()),
+        sibling,
+        retention,
+        gossip: None,
+        tasks: TaskGroup::default(),
+    })
+}
+
 /// A driver that is told events by hand, at times of its own.
 struct Rig {
     driver: Driver,
@@ -25,22 +56,15 @@
 
 impl Rig {
     fn new(memory_mb: u64) -> Self {
-        let (settings, codec) = Codec::of_one_type(HARD_LIMIT.as_micros() as u64);
-        let limits = Rc::new(Limits::of(&LimitInputs { memory_mb, sockets: 1024, ..LimitInputs::default() }));
-        let (events, told) = mpsc::channel(limits.events);
-        let executors = ExecutorPool::new(limits, codec.clone(), events, Rc::default());
-        let clock = Clock::start();
-        let dispatcher = Dispatcher::new(&settings, 1, clock.now());
-        let lifecycle = Rc::new(Lifecycle::new());
-        let driver = Driver::new(dispatcher, clock, codec, executors, Rc::default(), told, lifecycle);
+        let driver = driver(memory_mb, 1024);
         Rig { driver, ahead: 0.0, held: ByteBudget::new(1 << 20), next_request: 0 }
     }
 
     fn tell(&mut self, event: NodeEvent) {
         let (now, mut actions) = (self.driver.clock.now() + self.ahead, Vec::new());
-        self.driver.tell(now, event);
+        self.driver.handle_event(now, event);
         self.driver.dispatcher.poll_actions(now, &mut actions);
-        actions.into_iter().for_each(|action| self.driver.act(action));
+        actions.into_iter().for_each(|action| self.driver.perform(action));
     }
 
     fn list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) {
@@ -80,7 +104,7 @@
     /// What the node, its sides and the dispatcher keep in mind: the same number of executors.
     fn kept(&self) -> usize {
         let kept = self.driver.registry.len();
-        assert_eq!(self.driver.executors.kept(), kept, "the executor side");
+        assert_eq!(self.driver.executors.executor_count(), kept, "the executor side");
         assert_eq!(self.driver.membership.len(), kept, "the list");
         assert_eq!(self.driver.dispatcher.executor_count(), kept, "the dispatcher");
         kept
@@ -155,7 +179,7 @@
         }
         rig.list(ListUpdate::Snapshot, Vec::new());
         rig.look_over();
-        assert_eq!((rig.kept(), rig.driver.executors.connections()), (0, 0));
+        assert_eq!((rig.kept(), rig.driver.executors.connection_count()), (0, 0));
     };
     local.run_until(all).await;
 }
@@ -210,29 +234,29 @@
         assert!(matches!(told, NodeEvent::Core(CoreEvent::ProbeCompleted { reply: None, .. })));
         rig.tell(told);
         assert_eq!(rig.driver.dispatcher.stale_events(), 1);
-        executors.close_idle(released);
-        executors.shut(released);
+        executors.close_idle_connections(released);
+        executors.start_draining(released);
         executors.release(released);
         let in_flight = rig.arrive();
-        let (stop, life, cut) = (Rc::default(), executors.life(released), Instant::now() + HARD_LIMIT);
-        let push = DispatchOrder {
+        let deadline = Instant::now() + HARD_LIMIT;
+        let order = DispatchOrder {
             in_flight: in_flight.clone(),
             executor: released,
-            name: None,
+            executor_name: None,
             attempt_id: AttemptId(7),
-            decided: Instant::now(),
-            life,
-            cut,
-            send_deadline: cut,
-            stop,
+            decided_at: Instant::now(),
+            incarnation: executors.incarnation(released),
+            attempt_deadline: deadline,
+            send_deadline: deadline,
+            cancel_signal: Rc::default(),
         };
-        executors.clone().allocate(push).await;
+        executors.clone().dispatch(order).await;
         for action in [
             Action::Probe { executor: released },
             Action::CloseIdleConnections { executor: released },
             Action::ReleaseExecutor { executor: released },
         ] {
-            rig.driver.act(action);
+            rig.driver.perform(action);
         }
         assert_eq!(rig.serve(&[in_flight]).await, 1, "another executor serves it");
         assert_eq!(rig.kept(), 2);
@@ -298,7 +322,7 @@
     rig.list(ListUpdate::Cached, vec![ready("a", addr), EndpointEntry::gone("b")]);
     let mut inherited = Inherited::default();
     inherited.executors = ["a", "b", "c", "d"].map(known).into();
-    rig.driver.take_over(now, inherited);
+    rig.driver.import_state(now, inherited);
     assert_eq!((rig.kept(), rig.driver.dispatcher.stale_events()), (2, 0));
     rig.look_over();
     assert_eq!(rig.kept(), 1);
@@ -307,14 +331,8 @@
 /// What the driver is told after the word to end, or in the same moment, is answered as well.
 #[tokio::test]
 async fn work_that_comes_once_the_node_ends_is_answered_at_once() {
-    let (settings, codec) = Codec::of_one_type(5_000_000);
-    let limits = Rc::new(Limits::of(&LimitInputs { memory_mb: 64, sockets: 128, ..LimitInputs::default() }));
-    let (events, told) = mpsc::channel(16);
-    let executors = ExecutorPool::new(limits, codec.clone(), events, Rc::default());
-    let clock = Clock::start();
-    let dispatcher = Dispatcher::new(&settings, 1, clock.now());
-    let lifecycle = Rc::new(Lifecycle::new());
-    let mut driver = Driver::new(dispatcher, clock, codec, executors, Rc::default(), told, lifecycle);
+    let mut driver = driver(64, 128);
+    let clock = driver.clock;
     let held = ByteBudget::new(100);
     let in_flight = |request_id: u64| {
         let work = ClientRequest::of(&request_id.to_string(), 0);
@@ -322,11 +340,11 @@
         InFlightRequest::new(RequestId(request_id), work, limit, &held).unwrap()
     };
     let [before, after, sent] = [1, 2, 3].map(in_flight);
-    driver.tell(clock.now(), NodeEvent::RequestArrived(before.clone()));
-    driver.tell(clock.now(), NodeEvent::RequestArrived(sent.clone()));
-    driver.open.get_mut(&sent.request_id).unwrap().attempts = 1;
-    driver.tell(clock.now(), NodeEvent::ShutDown);
-    driver.tell(clock.now(), NodeEvent::RequestArrived(after.clone()));
+    driver.handle_event(clock.now(), NodeEvent::RequestArrived(before.clone()));
+    driver.handle_event(clock.now(), NodeEvent::RequestArrived(sent.clone()));
+    driver.requests.get_mut(&sent.request_id).unwrap().attempts = 1;
+    driver.handle_event(clock.now(), NodeEvent::ShutDown);
+    driver.handle_event(clock.now(), NodeEvent::RequestArrived(after.clone()));
     for (what, in_flight, expected) in
         [("before", before, "Rejected"), ("after", after, "Rejected"), ("sent", sent, "Failed")]
     {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,7 +14,7 @@
 //! ```
 //!
 //! [`policy`] contains the rules, one module each; [`dispatcher`] applies them. The hosts are `crates/daemon`,
-//! the node, `crates/wirehost`, the adapter to the simulator, and `crates/simulation`, which simulates days
+//! the node, `crates/simulator-adapter`, the adapter to the simulator, and `crates/simulation`, which simulates days
 //! of a fleet.
 
 // Unit tests use the helpers of the integration tests, which name this crate.
