--- a/crates/daemon/examples/fleet_memory.rs
+++ b/crates/daemon/examples/fleet_memory.rs
@@ -145,8 +145,8 @@
         lines
             .filter(|line| {
                 line.contains("left out")
-                    || line.contains("invalid response")
-                    || line.contains("gives no list")
+                    || line.contains("invalid endpoint list")
+                    || line.contains("consul query failed")
             })
             .for_each(|line| println!("{line}"))
     });
--- a/crates/daemon/src/driver/endpoints.rs
+++ b/crates/daemon/src/driver/endpoints.rs
@@ -29,10 +29,10 @@
 impl Driver {
     /// Applies an update of the endpoint list.
     pub(super) fn handle_endpoint_update(&mut self, now: Millis, update: EndpointUpdate) {
-        let EndpointUpdate { kind, entries, version, beyond } = update;
+        let EndpointUpdate { kind, entries, version, dropped_entries } = update;
         let selected = match kind {
             ListUpdate::Delta => self.select(|retention, retained| retention.apply_delta(entries, retained)),
-            _ => self.select_snapshot(entries, beyond),
+            _ => self.select_snapshot(entries, dropped_entries),
         };
         let endpoints = self.register_all(selected);
         self.membership.version = version.or(self.membership.version);
@@ -51,8 +51,8 @@
     }
 
     /// Selects among the entries of a complete list; executors that it does not name are gone.
-    fn select_snapshot(&mut self, entries: Vec<EndpointEntry>, beyond: usize) -> Vec<EndpointEntry> {
-        let selected = self.select(|retention, _| retention.apply_snapshot(entries, beyond));
+    fn select_snapshot(&mut self, entries: Vec<EndpointEntry>, dropped_entries: usize) -> Vec<EndpointEntry> {
+        let selected = self.select(|retention, _| retention.apply_snapshot(entries, dropped_entries));
         self.shut_missing(&selected);
         self.reserve(selected.len());
         selected
@@ -72,7 +72,7 @@
             );
         }
         if selected.needs_snapshot {
-            self.watch_requests.whole.notify_one();
+            self.watch_requests.snapshot.notify_one();
         }
         selected.entries
     }
@@ -201,10 +201,10 @@
     pub(super) fn log_retention(&mut self) {
         let statistics = self.retention.statistics();
         let previous = self.retention_statistics.replace(statistics);
-        if statistics.left_out == previous.left_out {
+        if statistics.unretained == previous.unretained {
             return;
         }
-        match statistics.left_out {
+        match statistics.unretained {
             0 => tracing::info!(%statistics, "all listed executors are retained"),
             _ => tracing::warn!(%statistics, "more executors are listed than fit into memory"),
         }
--- a/crates/daemon/src/durable/jobs.rs
+++ b/crates/daemon/src/durable/jobs.rs
@@ -1,6 +1,6 @@
 //! The life of a durable request in this process: found or accepted, dispatched, answered, and forgotten.
 use super::payload::{self, StoredRequest};
-use super::{Durable, JoinedRequest, Lease};
+use super::{Durable, Lease, PendingAnswer};
 use crate::event::NodeEvent;
 use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
 use std::rc::Rc;
@@ -22,36 +22,36 @@
 const UNRECORDED_RETRY_AFTER: Millis = 1000.0;
 
 /// What the ledger has of a request that a client makes.
-pub enum Found {
+pub enum LookupResult {
     /// Nothing: the request is new.
     New,
     /// The same request, not answered yet.
-    Open(Rc<JoinedRequest>),
+    Open(Rc<PendingAnswer>),
     /// The same request, with its answer.
-    Ended(RequestId),
+    Answered(RequestId),
     /// Another request with the same idempotency key.
-    OtherBody,
+    KeyMismatch,
     /// A request with the same id and without a key by which it could be recognized as the same.
-    Twice,
+    DuplicateId,
 }
 
 impl Durable {
     /// Looks a request up by its idempotency key, or else by its id.
-    pub fn find(&self, request: &ClientRequest) -> Found {
+    pub fn look_up(&self, request: &ClientRequest) -> LookupResult {
         let ledger = self.ledger.borrow();
         let Some(request_id) = request.key.as_ref().and_then(|key| ledger.find_by_key(key)) else {
             let is_known = ledger.find_by_client_id(&request.id).is_some();
-            return if is_known { Found::Twice } else { Found::New };
+            return if is_known { LookupResult::DuplicateId } else { LookupResult::New };
         };
-        let Some(job) = ledger.job(request_id) else { return Found::New };
+        let Some(job) = ledger.job(request_id) else { return LookupResult::New };
         if job.digest != payload::digest(request) {
-            return Found::OtherBody;
+            return LookupResult::KeyMismatch;
         }
-        match self.waiters.get(request_id) {
-            Some(joined) => Found::Open(joined),
-            None if job.answered_at.is_some() => Found::Ended(request_id),
+        match self.pending_answers.get(request_id) {
+            Some(pending) => LookupResult::Open(pending),
+            None if job.answered_at.is_some() => LookupResult::Answered(request_id),
             // Open since an earlier process, and not recovered yet.
-            None => Found::Open(self.waiters.join(request_id)),
+            None => LookupResult::Open(self.pending_answers.join(request_id)),
         }
     }
 
@@ -60,27 +60,27 @@
     ///
     /// # Errors
     /// The answer to a request that could not be recorded in time; it was not and will not be sent.
-    pub async fn take(
+    pub async fn accept(
         self: &Rc<Self>,
         in_flight: &Rc<InFlightRequest>,
         answer_by: Instant,
-    ) -> Result<Rc<JoinedRequest>, Answer> {
+    ) -> Result<Rc<PendingAnswer>, Answer> {
         let rejected = Answer::Rejected(Some(UNRECORDED_RETRY_AFTER));
-        let Some(row) = self.apply_taken(in_flight) else { return Err(rejected) };
+        let Some(row) = self.apply_accepted(in_flight) else { return Err(rejected) };
         let request_id = in_flight.request_id;
-        let joined = self.waiters.join(request_id);
-        let written = timeout(self.config.slow_after, self.write(vec![row])).await;
+        let pending = self.pending_answers.join(request_id);
+        let written = timeout(self.config.slow_sync_threshold, self.write(vec![row])).await;
         if !matches!(written, Ok(Ok(()))) {
             tracing::debug!(request = request_id.0, "request rejected, its record is not on disk in time");
-            self.withdraw(request_id, &joined, rejected.clone());
+            self.withdraw(request_id, &pending, rejected.clone());
             return Err(rejected);
         }
-        self.tasks.spawn(self.clone().record_answer(in_flight.clone(), joined.clone(), answer_by));
-        Ok(joined)
+        self.tasks.spawn(self.clone().record_answer(in_flight.clone(), pending.clone(), answer_by));
+        Ok(pending)
     }
 
     /// The record of a new request; None if it cannot be made.
-    fn apply_taken(&self, in_flight: &InFlightRequest) -> Option<Row> {
+    fn apply_accepted(&self, in_flight: &InFlightRequest) -> Option<Row> {
         let request = &in_flight.request;
         let time_left = in_flight.deadline.saturating_duration_since(Instant::now());
         let codec = self.codec.now();
@@ -98,17 +98,17 @@
 
     /// Ends a request whose record was not written in time. A client that repeats it is rejected until that is on
     /// record; afterwards it is a new request.
-    fn withdraw(&self, request_id: RequestId, joined: &JoinedRequest, answer: Answer) {
+    fn withdraw(&self, request_id: RequestId, pending: &PendingAnswer, answer: Answer) {
         self.record_soon(Record::Answered { request_id, answer: payload::to_recorded(&answer) });
         self.record_soon(Record::Forgotten { request_id });
-        self.waiters.publish(request_id, joined, answer);
+        self.pending_answers.publish(request_id, pending, answer);
     }
 
     /// Waits for the answer, also if no client does any more, records it, and gives it to those that wait.
     pub(super) async fn record_answer(
         self: Rc<Self>,
         in_flight: Rc<InFlightRequest>,
-        joined: Rc<JoinedRequest>,
+        pending: Rc<PendingAnswer>,
         answer_by: Instant,
     ) {
         let request_id = in_flight.request_id;
@@ -124,7 +124,7 @@
             // The request may run later: a client that repeats it with its key makes a new one.
             self.record_soon(Record::Forgotten { request_id });
         }
-        self.waiters.publish(request_id, &joined, answer);
+        self.pending_answers.publish(request_id, &pending, answer);
     }
 
     /// The answer, or a failure if there is none by `answer_by`.
@@ -141,12 +141,12 @@
     }
 
     /// Records that an answer was written to a client.
-    pub fn acknowledged(&self, request_id: RequestId) {
+    pub fn record_acknowledged(&self, request_id: RequestId) {
         self.record_soon(Record::Acknowledged { request_id });
     }
 
     /// Reads the answer that is on record; None, logged, if it cannot be read.
-    pub async fn recorded(&self, request_id: RequestId) -> Option<Answer> {
+    pub async fn recorded_answer(&self, request_id: RequestId) -> Option<Answer> {
         let rows = self.read(request_id).await;
         let log = |error: &_| tracing::warn!(request = request_id.0, %error, "recorded answer not readable");
         rows.inspect_err(log).ok()?.into_iter().find_map(|row| match row.record {
@@ -157,7 +157,7 @@
 
     /// Records an attempt; it may be sent once this returns a lease. None if the request may not have another
     /// attempt, or the record was not written; the attempt must not be sent then.
-    pub async fn lease(
+    pub async fn record_attempt(
         self: &Rc<Self>,
         request_id: RequestId,
         executor: &str,
@@ -166,7 +166,7 @@
         let now = self.now();
         let (attempt_id, fence) = self.next_attempt(request_id, now)?;
         let until_deadline = deadline.saturating_duration_since(Instant::now());
-        let lease_time = self.config.lease.unwrap_or(until_deadline);
+        let lease_time = self.config.lease_duration.unwrap_or(until_deadline);
         let lease_until = now + lease_time.as_secs_f64() * 1000.0;
         let executor = executor.into();
         let row = self.apply(Record::Dispatched { request_id, fence, executor, lease_until })?;
@@ -189,7 +189,7 @@
     pub async fn forget_answered(self: Rc<Self>) {
         loop {
             sleep(FORGET_INTERVAL).await;
-            let before = self.now() - self.config.kept.as_secs_f64() * 1000.0;
+            let before = self.now() - self.config.retention.as_secs_f64() * 1000.0;
             while self.forget_batch(before) == Batch::Full {
                 tokio::task::yield_now().await;
             }
@@ -200,7 +200,7 @@
     fn forget_batch(&self, before: Millis) -> Batch {
         let mut answered = self.ledger.borrow().answered_before(before, MAX_FORGOTTEN);
         let is_full = answered.len() == MAX_FORGOTTEN;
-        answered.retain(|request_id| !self.waiters.contains(*request_id));
+        answered.retain(|request_id| !self.pending_answers.contains(*request_id));
         for request_id in &answered {
             self.record_soon(Record::Forgotten { request_id: *request_id });
         }
@@ -222,7 +222,7 @@
 impl Drop for UnsentAttempt {
     fn drop(&mut self) {
         if let Some(lease) = &self.0 {
-            lease.ended(Outcome::NotSent);
+            lease.record_outcome(Outcome::NotSent);
         }
     }
 }
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -38,7 +38,7 @@
         fence: Fence,
         recorded_at: Millis,
     ) -> Self {
-        let lease_time = durable.config.lease.unwrap_or(UNLIMITED_LEASE);
+        let lease_time = durable.config.lease_duration.unwrap_or(UNLIMITED_LEASE);
         Lease {
             durable,
             request_id,
@@ -54,15 +54,15 @@
 
     /// The fencing token and the lease in milliseconds, as they are sent to the executor; None if executors
     /// support neither.
-    pub fn told_to_executor(&self) -> Option<(u64, Option<Millis>)> {
+    pub fn fence_and_lease(&self) -> Option<(u64, Option<Millis>)> {
         let config = &self.durable.config;
-        let lease_time = config.lease.map(|lease_time| lease_time.as_secs_f64() * 1000.0);
-        (config.fences || lease_time.is_some()).then_some((self.fence.0, lease_time))
+        let lease_time = config.lease_duration.map(|lease_time| lease_time.as_secs_f64() * 1000.0);
+        (config.has_fencing || lease_time.is_some()).then_some((self.fence.0, lease_time))
     }
 
     /// Whether executors support fencing.
-    pub fn fences_known(&self) -> bool {
-        self.durable.config.fences
+    pub fn has_fencing(&self) -> bool {
+        self.durable.config.has_fencing
     }
 
     /// Time since the attempt was recorded.
@@ -71,12 +71,12 @@
     }
 
     /// Extends the lease after a sign of life; `has_started` if it says that the request is running.
-    pub fn beat(&self, has_started: bool) {
+    pub fn record_heartbeat(&self, has_started: bool) {
         let (request_id, attempt_id, now) = (self.request_id, self.attempt_id, Instant::now());
         if has_started && !self.has_started.replace(true) {
             self.durable.record_soon(Record::Started { request_id, attempt_id });
         }
-        let Some(lease_time) = self.durable.config.lease else { return };
+        let Some(lease_time) = self.durable.config.lease_duration else { return };
         self.expires_at.set(now + lease_time);
         let interval = lease_time / RECORDED_HEARTBEATS_PER_LEASE;
         let is_recent = |recorded_at: Instant| now - recorded_at < interval;
@@ -88,7 +88,7 @@
     }
 
     /// Returns once the lease has expired.
-    pub async fn over(&self) {
+    pub async fn expired(&self) {
         loop {
             let expires_at = self.expires_at.get();
             sleep_until(expires_at).await;
@@ -99,7 +99,7 @@
     }
 
     /// Records the outcome; only the first one counts.
-    pub fn ended(&self, outcome: Outcome) {
+    pub fn record_outcome(&self, outcome: Outcome) {
         if !self.has_ended.replace(true) {
             let (request_id, attempt_id) = (self.request_id, self.attempt_id);
             self.durable.record_soon(Record::Ended { request_id, attempt_id, outcome });
@@ -108,7 +108,7 @@
 
     /// Records that the executor has not run the attempt and refuses it from now on. Returns false if the attempt
     /// has ended, or is on record as running.
-    pub fn fenced(&self) -> bool {
+    pub fn record_fenced(&self) -> bool {
         if self.has_ended.get() {
             return false;
         }
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -10,12 +10,12 @@
 mod status;
 mod waiters;
 
-pub use jobs::Found;
+pub use jobs::LookupResult;
 pub use lease::Lease;
-pub use waiters::JoinedRequest;
+pub use waiters::PendingAnswer;
 
+use crate::config::durable::{DurableConfig, LedgerSync};
 use crate::config::limits::Limits;
-use crate::config::operator::{DurableConfig, LedgerSync};
 use crate::event::NodeEvent;
 use crate::protocol::{Codec, Current};
 use crate::tasks::TaskGroup;
@@ -30,7 +30,7 @@
 use troutknot_ledger::committer::{Committer, NotReady, NotWritten, ReadError, StartError, SyncMode};
 use troutknot_ledger::store::Store;
 use troutknot_ledger::{Ledger, Record, Row};
-use waiters::Waiters;
+use waiters::PendingAnswers;
 
 /// Bounds on the attempts of a durable request, which the settings may narrow.
 const ATTEMPTS_RANGE: std::ops::RangeInclusive<usize> = 1..=3;
@@ -85,7 +85,7 @@
     tasks: TaskGroup,
     committer: Committer,
     ledger: RefCell<Ledger>,
-    waiters: Waiters,
+    pending_answers: PendingAnswers,
     max_attempts: usize,
     /// Requests that were open at the start, by deadline, until they are recovered.
     unrecovered: RefCell<Vec<RequestId>>,
@@ -124,7 +124,7 @@
             tasks,
             committer,
             ledger: RefCell::new(ledger),
-            waiters: Waiters::default(),
+            pending_answers: PendingAnswers::default(),
             max_attempts,
             unrecovered_count: Cell::new(unrecovered.len()),
             unrecovered: RefCell::new(unrecovered),
@@ -138,7 +138,7 @@
     }
 
     /// The first request number that the ledger has not used.
-    pub fn next_wu(&self) -> u64 {
+    pub fn next_request_number(&self) -> u64 {
         self.ledger.borrow().next_number()
     }
 
@@ -156,8 +156,8 @@
     }
 
     fn check_available(&self) -> Result<(), Unavailable> {
-        self.committer.check_ready(self.config.slow_after)?;
-        let limit = self.config.most.min(self.limits.max_durable_jobs);
+        self.committer.check_ready(self.config.slow_sync_threshold)?;
+        let limit = self.config.max_jobs.min(self.limits.max_durable_jobs);
         if self.ledger.borrow().len() >= limit { Err(Unavailable::Full) } else { Ok(()) }
     }
 
@@ -193,8 +193,8 @@
     let path = config.path.clone();
     let open = Box::new(move || Store::open(&path));
     let sync_mode = match config.sync {
-        LedgerSync::Together => SyncMode::Shared,
-        LedgerSync::Each => SyncMode::Separate,
+        LedgerSync::Batched => SyncMode::Shared,
+        LedgerSync::PerRecord => SyncMode::Separate,
     };
     let started = Committer::start(open, sync_mode, max_attempts);
     started.map_err(|source| DurableError::Open { path: config.path.clone(), source })
--- a/crates/daemon/src/durable/recovery.rs
+++ b/crates/daemon/src/durable/recovery.rs
@@ -35,7 +35,7 @@
 }
 
 /// The first record of a request, decoded.
-struct TakenRequest {
+struct AcceptedRequest {
     client_id: String,
     key: Option<String>,
     deadline: Millis,
@@ -74,8 +74,8 @@
         if let Some(row) = self.apply(Record::Answered { request_id, answer: RecordedAnswer::Failed }) {
             let _ = self.write(vec![row]).await;
         }
-        let joined = self.waiters.join(request_id);
-        self.waiters.publish(request_id, &joined, Answer::Failed);
+        let pending = self.pending_answers.join(request_id);
+        self.pending_answers.publish(request_id, &pending, Answer::Failed);
     }
 
     async fn recover_request(
@@ -83,25 +83,25 @@
         request_id: RequestId,
         reserved_bytes: &Rc<ByteBudget>,
     ) -> Result<(), RecoveryError> {
-        let taken = self.read_taken(request_id).await?;
-        let in_flight = self.reserve(request_id, &taken, reserved_bytes).await?;
+        let accepted = self.read_accepted(request_id).await?;
+        let in_flight = self.reserve(request_id, &accepted, reserved_bytes).await?;
         in_flight.is_durable.set(true);
         let attempts = self.earlier_attempts(request_id)?;
         // The dispatcher answers a request that is past its deadline as well, a moment later.
         let limits = &self.limits;
         let grace = limits.downstream.deadline_margin + limits.timeouts().connect_timeout;
         let answer_by = in_flight.deadline + grace;
-        let joined = self.waiters.join(request_id);
-        self.tasks.spawn(self.clone().record_answer(in_flight.clone(), joined, answer_by));
+        let pending = self.pending_answers.join(request_id);
+        self.tasks.spawn(self.clone().record_answer(in_flight.clone(), pending, answer_by));
         let _ = self.events.send(NodeEvent::RequestRecovered(in_flight, attempts)).await;
         Ok(())
     }
 
-    async fn read_taken(&self, request_id: RequestId) -> Result<TakenRequest, RecoveryError> {
+    async fn read_accepted(&self, request_id: RequestId) -> Result<AcceptedRequest, RecoveryError> {
         for row in self.read(request_id).await? {
             if let Record::Taken { client_id, key, deadline, payload, .. } = row.record {
                 let stored = postcard::from_bytes(&payload)?;
-                return Ok(TakenRequest { client_id, key, deadline, stored });
+                return Ok(AcceptedRequest { client_id, key, deadline, stored });
             }
         }
         Err(RecoveryError::MissingFirstRecord)
@@ -111,12 +111,12 @@
     async fn reserve(
         &self,
         request_id: RequestId,
-        taken: &TakenRequest,
+        accepted: &AcceptedRequest,
         reserved_bytes: &Rc<ByteBudget>,
     ) -> Result<Rc<InFlightRequest>, RecoveryError> {
         loop {
-            let request = self.restore_request(taken)?;
-            let deadline = self.instant_of(taken.deadline);
+            let request = self.restore_request(accepted)?;
+            let deadline = self.instant_of(accepted.deadline);
             match InFlightRequest::new(request_id, request, deadline, reserved_bytes) {
                 Some(in_flight) => return Ok(in_flight),
                 None => sleep(RESERVE_INTERVAL).await,
@@ -124,9 +124,9 @@
         }
     }
 
-    fn restore_request(&self, taken: &TakenRequest) -> Result<ClientRequest, UnknownClass> {
-        let (client_id, key) = (taken.client_id.clone(), taken.key.clone());
-        taken.stored.to_request(client_id, key, &self.codec.now())
+    fn restore_request(&self, accepted: &AcceptedRequest) -> Result<ClientRequest, UnknownClass> {
+        let (client_id, key) = (accepted.client_id.clone(), accepted.key.clone());
+        accepted.stored.to_request(client_id, key, &self.codec.now())
     }
 
     fn instant_of(&self, deadline: Millis) -> Instant {
--- a/crates/daemon/src/durable/status.rs
+++ b/crates/daemon/src/durable/status.rs
@@ -22,14 +22,14 @@
 
 impl Durable {
     /// What is on record of the request with this client's id, as a line of JSON; None if nothing is.
-    pub fn tell(&self, client_id: &str) -> Option<String> {
+    pub fn describe_request(&self, client_id: &str) -> Option<String> {
         let ledger = self.ledger.borrow();
         let request_id = ledger.find_by_client_id(client_id)?;
         let (job, now) = (ledger.job(request_id)?, self.now());
         let attempts: Vec<Value> =
             job.attempts.iter().map(|attempt| describe_attempt(attempt, now)).collect();
         let state = match job.answered_at {
-            Some(_) if !self.waiters.contains(request_id) => "answered",
+            Some(_) if !self.pending_answers.contains(request_id) => "answered",
             _ if attempts.is_empty() => "taken",
             _ => "allocated",
         };
@@ -40,9 +40,9 @@
     }
 
     /// State of the ledger, as the readiness response shows it.
-    pub fn said(&self) -> String {
+    pub fn status_text(&self) -> String {
         let ledger = self.ledger.borrow();
-        let state = match self.committer.check_ready(self.config.slow_after) {
+        let state = match self.committer.check_ready(self.config.slow_sync_threshold) {
             Ok(()) => "ready".to_string(),
             Err(error) => format!("new work is deferred: {error}"),
         };
--- a/crates/daemon/src/durable/waiters.rs
+++ b/crates/daemon/src/durable/waiters.rs
@@ -7,13 +7,13 @@
 use troutknot::RequestId;
 
 /// A request whose answer is not on record yet. All clients that ask for it share one value.
-pub struct JoinedRequest {
+pub struct PendingAnswer {
     answer: watch::Sender<Option<Answer>>,
 }
 
-impl JoinedRequest {
+impl PendingAnswer {
     fn new() -> Rc<Self> {
-        Rc::new(JoinedRequest { answer: watch::channel(None).0 })
+        Rc::new(PendingAnswer { answer: watch::channel(None).0 })
     }
 
     /// Waits for the answer, which is given once it is on record.
@@ -26,16 +26,16 @@
 
 /// The requests whose answers are not on record yet.
 #[derive(Default)]
-pub(super) struct Waiters(RefCell<HashMap<RequestId, Rc<JoinedRequest>>>);
+pub(super) struct PendingAnswers(RefCell<HashMap<RequestId, Rc<PendingAnswer>>>);
 
-impl Waiters {
+impl PendingAnswers {
     /// The value shared by those that wait for this request; begins one if there is none.
-    pub(super) fn join(&self, request_id: RequestId) -> Rc<JoinedRequest> {
-        self.0.borrow_mut().entry(request_id).or_insert_with(JoinedRequest::new).clone()
+    pub(super) fn join(&self, request_id: RequestId) -> Rc<PendingAnswer> {
+        self.0.borrow_mut().entry(request_id).or_insert_with(PendingAnswer::new).clone()
     }
 
     /// The value shared by those that wait for this request, if its answer is not on record yet.
-    pub(super) fn get(&self, request_id: RequestId) -> Option<Rc<JoinedRequest>> {
+    pub(super) fn get(&self, request_id: RequestId) -> Option<Rc<PendingAnswer>> {
         self.0.borrow().get(&request_id).cloned()
     }
 
@@ -45,8 +45,8 @@
     }
 
     /// Gives the answer, which is on record, to all that wait for it.
-    pub(super) fn publish(&self, request_id: RequestId, joined: &JoinedRequest, answer: Answer) {
-        joined.answer.send_replace(Some(answer));
+    pub(super) fn publish(&self, request_id: RequestId, pending: &PendingAnswer, answer: Answer) {
+        pending.answer.send_replace(Some(answer));
         self.0.borrow_mut().remove(&request_id);
     }
 }
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,7 +1,9 @@
 //! Why a node cannot start, or stopped.
+use crate::config::node::{NodeConfigError, NodeFileError};
+use crate::config::operator::{OperatorFileError, SettingsConflict};
 use crate::durable::DurableError;
+use crate::gossip::GossipListenError;
 use crate::hot_restart::inherited_socket::InheritedSocketError;
-use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,16 +26,25 @@
     /// Signals cannot be received.
     #[error("cannot receive signals: {0}")]
     Signals(#[source] io::Error),
-    /// The node's configuration, or the operator's file, is not valid.
-    #[error("{0}")]
-    Configuration(#[source] Box<dyn Error>),
+    /// The node's configuration file cannot be read.
+    #[error(transparent)]
+    NodeFile(#[from] NodeFileError),
+    /// The node's configuration is not valid.
+    #[error(transparent)]
+    NodeConfig(#[from] NodeConfigError),
+    /// The operator's file cannot be read or is not valid.
+    #[error(transparent)]
+    OperatorFile(#[from] OperatorFileError),
+    /// The operator's file does not fit the settings of the node.
+    #[error(transparent)]
+    SettingsConflict(#[from] SettingsConflict),
     /// A configuration file that was to be checked is not valid.
     #[error("`{}`: {source}", path.display())]
     InvalidFile {
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
-        source: Box<dyn Error>,
+        source: NodeConfigError,
     },
     /// The address cannot be listened at.
     #[error("cannot listen at {address}: {source}")]
@@ -44,8 +55,8 @@
         source: io::Error,
     },
     /// The address of other nodes' messages cannot be listened at.
-    #[error("{0}")]
-    Gossip(#[source] Box<dyn Error>),
+    #[error(transparent)]
+    Gossip(#[from] GossipListenError),
     /// The address of the admin API cannot be determined.
     #[error("cannot determine the address of the admin API: {0}")]
     AdminAddress(#[source] io::Error),
--- a/crates/daemon/src/node/ledger.rs
+++ b/crates/daemon/src/node/ledger.rs
@@ -1,6 +1,6 @@
 //! Opens the ledger of durable requests, which only one process at a time can have open.
 use super::Shared;
-use crate::config::operator::DurableConfig;
+use crate::config::durable::DurableConfig;
 use crate::downstream::DownstreamServer;
 use crate::durable::{Durable, DurableConnections, DurableError};
 use crate::upstream::ExecutorPool;
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -1,32 +1,14 @@
 //! One attempt of a request at an executor: connect, record, send, and read the response up to its outcome.
 use super::connection::PooledConnection;
+use super::dispatch::DispatchOrder;
 use super::executor::{Executor, IdleReuse};
 use super::pool::ExecutorPool;
 use super::response::{ResponseError, ResponseReader};
 use crate::durable::Lease;
 use crate::http1::ResponseHead;
-use crate::in_flight::{CancelSignal, InFlightRequest};
 use bytes::BytesMut;
-use std::rc::Rc;
 use tokio::time::{Instant, sleep_until, timeout};
-use troutknot::{AttemptId, Effect, ExecutorId, Outcome};
-
-/// An attempt that the driver wants carried out.
-pub struct DispatchOrder {
-    pub in_flight: Rc<InFlightRequest>,
-    pub executor: ExecutorId,
-    /// The executor's name in the endpoint list; set if the attempt is recorded in the ledger.
-    pub executor_name: Option<String>,
-    pub attempt_id: AttemptId,
-    pub decided_at: Instant,
-    /// The executor's incarnation that the dispatch was decided for, from [`ExecutorPool::incarnation`].
-    pub incarnation: u64,
-    /// When the attempt times out.
-    pub attempt_deadline: Instant,
-    /// The last byte of the request is written before this instant, or never.
-    pub send_deadline: Instant,
-    pub cancel_signal: Rc<CancelSignal>,
-}
+use troutknot::{Effect, Outcome};
 
 /// How an attempt ended.
 pub(super) struct AttemptEnd {
@@ -149,7 +131,7 @@
         let lease = tokio::select! {
             biased;
             () = self.send_forbidden() => None,
-            lease = durable.lease(request_id, executor_name, order.attempt_deadline) => lease,
+            lease = durable.record_attempt(request_id, executor_name, order.attempt_deadline) => lease,
         };
         lease.map_or(Recording::Refused, Recording::Recorded)
     }
@@ -177,7 +159,7 @@
             request,
             connection.address,
             self.order.attempt_deadline - now,
-            lease.and_then(Lease::told_to_executor),
+            lease.and_then(Lease::fence_and_lease),
         );
         let parts: [&[u8]; 2] = [&head, &request.body];
         tokio::select! {
@@ -267,7 +249,7 @@
 /// Completes when the executor of a recorded attempt has sent no sign of life for the lease's duration.
 async fn lease_expired(lease: Option<&Lease>) {
     match lease {
-        Some(lease) => lease.over().await,
+        Some(lease) => lease.expired().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/daemon/src/upstream/attempt_status.rs
+++ b/crates/daemon/src/upstream/attempt_status.rs
@@ -24,7 +24,7 @@
     /// Repeats the query until the executor reports a final state. None if the executor does not support fences
     /// or does not know the attempt, or if the request is over first. An expired lease proves nothing.
     pub async fn resolve(&self) -> Option<Outcome> {
-        if !self.lease.fences_known() {
+        if !self.lease.has_fencing() {
             return None;
         }
         loop {
@@ -36,7 +36,7 @@
                 fate = timeout(probe_timeout, self.query()) => fate.ok().flatten(),
             };
             match fate {
-                Some(AttemptFate::Never) if self.lease.fenced() => return Some(Outcome::NoConnection),
+                Some(AttemptFate::Never) if self.lease.record_fenced() => return Some(Outcome::NoConnection),
                 Some(AttemptFate::Done(result)) => {
                     self.in_flight.answer(Answer::Completed(result));
                     return Some(Outcome::Completed);
--- a/crates/daemon/src/upstream/response.rs
+++ b/crates/daemon/src/upstream/response.rs
@@ -1,6 +1,6 @@
 //! Reads an executor's response to an attempt, up to the event that decides the outcome.
-use super::attempt::DispatchOrder;
 use super::connection::PooledConnection;
+use super::dispatch::DispatchOrder;
 use super::pool::ExecutorPool;
 use crate::durable::Lease;
 use crate::event::NodeEvent;
@@ -109,7 +109,7 @@
 
     fn extend_lease(&self, is_running: bool) {
         if let Some(lease) = self.lease {
-            lease.beat(is_running);
+            lease.record_heartbeat(is_running);
         }
     }
 
