--- a/crates/daemon/src/downstream/admission.rs
+++ b/crates/daemon/src/downstream/admission.rs
@@ -1,6 +1,5 @@
-//! Admits a request: detects duplicates, reserves its memory and sets its deadlines.
+//! Admits requests: detects duplicates, reserves memory and sets deadlines.
 use super::DownstreamServer;
-use super::connection::ConnectionAdmission;
 use crate::in_flight::{ClientRequest, InFlightRequest};
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,6 +11,14 @@
 /// Upper bound on the part of a client's timeout that the margin of the last answer may take.
 const MAX_LAST_ANSWER_MARGIN_SHARE: f64 = 0.1;
 
+/// Whether an accepted connection is within the node's limits.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub(super) enum ConnectionAdmission {
+    Admitted,
+    /// New requests on it are rejected for lack of capacity.
+    OverLimit,
+}
+
 /// A request that is in flight from now on.
 pub(super) struct AdmittedRequest {
     pub in_flight: Rc<InFlightRequest>,
@@ -70,7 +77,7 @@
     }
 }
 
-/// The margin before the end of `time_left`, which takes at most this share of it.
+/// The margin before the end of `time_left`, bounded by a share of it.
 fn bounded_margin(margin: Duration, time_left: Duration, max_share: f64) -> Duration {
     margin.min(time_left.mul_f64(max_share))
 }
--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -1,22 +1,15 @@
 //! The life of one client connection: waits for requests, has each one handled, and closes.
 use super::DownstreamServer;
+use super::admission::ConnectionAdmission;
 use super::eviction::{ConnectionEntry, ConnectionState};
-use super::request::{ConnectionReuse, ParsedRequest, ReadError};
-use super::response::{Response, SendError};
+use super::exchange::{Exchange, ExchangeEnd};
+use super::request::ReadError;
+use super::response::ResponseSize;
 use crate::http1::Connection;
-use std::fmt::Display;
 use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-/// Whether an accepted connection is within the node's limits.
-#[derive(Clone, Copy, PartialEq, Debug)]
-pub(super) enum ConnectionAdmission {
-    Admitted,
-    /// New requests on it are rejected for lack of capacity.
-    OverLimit,
-}
-
 /// Whether an idle connection has input.
 #[derive(PartialEq)]
 enum Input {
@@ -25,30 +18,12 @@
     None,
 }
 
-/// Whether a response may be incomplete at the client when its last byte is written here.
-#[derive(Clone, Copy, PartialEq)]
-pub(super) enum ResponseSize {
-    Small,
-    /// A part of it may still be in the send buffer.
-    Large,
-}
-
-/// How the handling of one request ended.
-pub(super) enum ExchangeEnd {
-    /// The connection waits for the next request.
-    KeepAlive,
-    /// The connection is closed after this response, or because its client has disconnected.
-    Close(ResponseSize),
-    /// Nothing is left to do before the connection is dropped.
-    Drop,
-}
-
 /// One client connection that is served.
 pub(super) struct ClientSession {
-    pub server: Rc<DownstreamServer>,
-    pub connection: Connection,
-    pub entry: Rc<ConnectionEntry>,
-    pub admission: ConnectionAdmission,
+    server: Rc<DownstreamServer>,
+    connection: Connection,
+    entry: Rc<ConnectionEntry>,
+    admission: ConnectionAdmission,
     /// When the first request has to be complete.
     first_request_due: Instant,
 }
@@ -75,7 +50,8 @@
             }
             match self.serve_request().await {
                 ExchangeEnd::KeepAlive => {}
-                ExchangeEnd::Close(size) => return self.finish(size).await,
+                ExchangeEnd::Close(size) => return self.close(size).await,
+                ExchangeEnd::CloseGracefully => return self.close_gracefully().await,
                 ExchangeEnd::Drop => return,
             }
         }
@@ -105,7 +81,7 @@
             self.entry.set_state(ConnectionState::Idle { since: now });
             return now + limits.idle_timeout;
         }
-        // While idle connections are closed, a new one without a request is not kept open for long either.
+        // While idle connections are being closed, a new one has less time to send its first request.
         if self.server.lifecycle.borrow().closes_idle() {
             return self.first_request_due.min(now + limits.min_new_connection_age);
         }
@@ -128,43 +104,24 @@
             () = sleep_until(due) => Err(ReadError::TimedOut),
         };
         self.entry.stop_waiting();
+        let mut exchange = Exchange {
+            server: &self.server,
+            connection: &mut self.connection,
+            entry: &self.entry,
+            admission: self.admission,
+        };
         match request {
-            Ok(request) => self.handle(request).await,
+            Ok(request) => exchange.handle(request).await,
             Err(error) => match error.status() {
-                Some(status) => self.reject(status, &error).await,
+                Some(status) => exchange.reject(status, &error).await,
                 None => ExchangeEnd::Close(ResponseSize::Small),
             },
         }
     }
 
-    async fn handle(&mut self, request: ParsedRequest) -> ExchangeEnd {
-        match request {
-            ParsedRequest::ReadinessCheck => self.report_readiness().await,
-            ParsedRequest::JobStatus { client_id, reuse } => self.report_job(&client_id, reuse).await,
-            ParsedRequest::Submission(submission) => self.handle_submission(submission).await,
-        }
-    }
-
-    /// Rejects a request and closes the connection, as the next request cannot be told from the rest of this one.
-    pub async fn reject(&mut self, status: u16, reason: &dyn Display) -> ExchangeEnd {
-        tracing::debug!(status, %reason, "request rejected");
-        let retry_after = self.server.limits.downstream.malformed_retry_after;
-        let response = Response::rejection(&self.server.codec.now(), status, retry_after);
-        if self.send(&response, ConnectionReuse::Close).await.is_ok() {
-            self.close_gracefully().await;
-        }
-        ExchangeEnd::Drop
-    }
-
-    /// Writes a response.
-    pub async fn send(&mut self, response: &Response, reuse: ConnectionReuse) -> Result<(), SendError> {
-        let write_timeout = self.server.limits.downstream.io_timeout;
-        response.send(&mut self.connection, reuse, write_timeout).await
-    }
-
     /// Closes the connection after the last response. If the client has sent more, or a part of the response may
     /// not have arrived, an immediate close could reset the connection and discard that part.
-    async fn finish(&mut self, size: ResponseSize) {
+    async fn close(&mut self, size: ResponseSize) {
         let may_lose_response =
             size == ResponseSize::Large || self.connection.is_overrun() || !self.connection.quiet();
         let is_admitted = self.admission == ConnectionAdmission::Admitted;
--- a/crates/daemon/src/downstream/durable_exchange.rs
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -1,12 +1,11 @@
 //! Handles a durable request: it is recorded in the ledger before it is dispatched, and a repeat of it joins it.
 use super::DownstreamServer;
-use super::admission::AdmissionError;
-use super::connection::{ClientSession, ExchangeEnd};
-use super::eviction::ConnectionState;
+use super::admission::{AdmissionError, ConnectionAdmission};
 use super::request::Submission;
 use super::response::millis;
 use crate::durable::{Durable, Found, JoinedRequest};
 use crate::event::NodeEvent;
+use crate::http1::Connection;
 use crate::in_flight::{Answer, ClientRequest};
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +17,7 @@
 
 /// Why a durable request gets no answer.
 #[derive(Debug, thiserror::Error)]
-enum DurableError {
+pub(super) enum DurableError {
     #[error("the idempotency key was used for another request")]
     KeyMismatch,
     #[error("a request with this id is open or on record")]
@@ -29,7 +28,7 @@
 
 impl DurableError {
     /// The status of the response; none if nobody is left to receive it.
-    fn status(&self) -> Option<u16> {
+    pub fn status(&self) -> Option<u16> {
         match self {
             DurableError::KeyMismatch => Some(422),
             DurableError::Duplicate => Some(409),
@@ -39,10 +38,10 @@
 }
 
 /// The answer to a durable request.
-struct DurableAnswer {
-    answer: Answer,
-    /// The job that this client is to be recorded as having the answer of.
-    acknowledges: Option<RequestId>,
+pub(super) struct DurableAnswer {
+    pub answer: Answer,
+    /// The job to record as acknowledged once its answer is written.
+    pub acknowledges: Option<RequestId>,
 }
 
 impl DurableAnswer {
@@ -67,30 +66,19 @@
     NotRecorded(DurableAnswer),
 }
 
-impl ClientSession {
-    /// Handles a request that is to be recorded.
-    pub(super) async fn handle_durable(&mut self, submission: Submission) -> ExchangeEnd {
-        self.entry.set_state(ConnectionState::Busy);
-        let requested_reuse = submission.reuse;
-        let DurableAnswer { answer, acknowledges } = match self.run_durable(submission).await {
-            Ok(answer) => answer,
-            Err(error) => {
-                return match error.status() {
-                    Some(status) => self.reject(status, &error).await,
-                    None => ExchangeEnd::Drop,
-                };
-            }
-        };
-        let reuse = self.reuse_after_answer(requested_reuse);
-        let delivery = self.send_answer(&answer, reuse).await;
-        if let Some(request_id) = acknowledges.filter(|_| delivery.is_written) {
-            self.server.ledger().iter().for_each(|ledger| ledger.acknowledged(request_id));
-        }
-        delivery.end
-    }
+/// A durable request up to its answer.
+pub(super) struct DurableExchange<'a> {
+    pub server: &'a DownstreamServer,
+    pub connection: &'a mut Connection,
+    pub admission: ConnectionAdmission,
+}
 
+impl DurableExchange<'_> {
     /// Records a request, or finds it in the ledger, and waits for its answer.
-    async fn run_durable(&mut self, submission: Submission) -> Result<DurableAnswer, DurableError> {
+    ///
+    /// # Errors
+    /// If the request contradicts what is on record, or if the client disconnects.
+    pub async fn run(&mut self, submission: Submission) -> Result<DurableAnswer, DurableError> {
         // During a hot restart the older process may still have the ledger open.
         let Some(ledger) = self.server.ledger() else { return Ok(DurableAnswer::retry_later()) };
         let pending = match ledger.find(&submission.request) {
--- a/crates/daemon/src/downstream/exchange.rs
+++ b/crates/daemon/src/downstream/exchange.rs
@@ -1,33 +1,83 @@
 //! Handles one request of a client: health checks, job status, and requests for the executors.
-use super::admission::{AdmissionError, AdmittedRequest};
-use super::connection::{ClientSession, ExchangeEnd, ResponseSize};
-use super::eviction::ConnectionState;
-use super::request::{ConnectionReuse, Submission};
-use super::response::{Response, SendError, millis};
+use super::DownstreamServer;
+use super::admission::{AdmissionError, AdmittedRequest, ConnectionAdmission};
+use super::durable_exchange::{DurableAnswer, DurableExchange};
+use super::eviction::{ConnectionEntry, ConnectionState};
+use super::request::{ParsedRequest, Submission};
+use super::response::{ConnectionReuse, Response, ResponseSize, SendError, millis};
 use crate::event::NodeEvent;
+use crate::http1::Connection;
 use crate::in_flight::{Answer, InFlightRequest};
 use crate::lifecycle::LifecycleState;
+use std::fmt::Display;
 use std::rc::Rc;
 use tokio::time::{sleep_until, timeout_at};
 
-/// How the end of an exchange follows from its response.
-fn end_after(sent: &Result<(), SendError>, reuse: ConnectionReuse, size: ResponseSize) -> ExchangeEnd {
-    match (sent, reuse) {
-        (Ok(()), ConnectionReuse::KeepAlive) => ExchangeEnd::KeepAlive,
-        _ => ExchangeEnd::Close(size),
+/// How the handling of one request ended.
+pub(super) enum ExchangeEnd {
+    /// The connection waits for the next request.
+    KeepAlive,
+    /// The connection is closed after this response, or because its client has disconnected.
+    Close(ResponseSize),
+    /// The connection is closed with a part of the request unread.
+    CloseGracefully,
+    /// Nothing is left to do before the connection is dropped.
+    Drop,
+}
+
+impl ExchangeEnd {
+    /// The end after a response.
+    fn after(sent: &Result<(), SendError>, reuse: ConnectionReuse, size: ResponseSize) -> Self {
+        match (sent, reuse) {
+            (Ok(()), ConnectionReuse::KeepAlive) => ExchangeEnd::KeepAlive,
+            _ => ExchangeEnd::Close(size),
+        }
     }
 }
 
 /// An answer that was handed to the connection.
-pub(super) struct Delivery {
+struct Delivery {
     /// Whether its last byte was written.
-    pub is_written: bool,
-    pub end: ExchangeEnd,
+    is_written: bool,
+    end: ExchangeEnd,
+}
+
+/// One request of a client and its response.
+pub(super) struct Exchange<'a> {
+    pub server: &'a DownstreamServer,
+    pub connection: &'a mut Connection,
+    pub entry: &'a ConnectionEntry,
+    pub admission: ConnectionAdmission,
 }
 
-impl ClientSession {
+impl Exchange<'_> {
+    /// Handles a request up to its response.
+    pub async fn handle(&mut self, request: ParsedRequest) -> ExchangeEnd {
+        match request {
+            ParsedRequest::ReadinessCheck => self.report_readiness().await,
+            ParsedRequest::JobStatus { client_id, reuse } => self.report_job(&client_id, reuse).await,
+            ParsedRequest::Submission(submission) => self.handle_submission(submission).await,
+        }
+    }
+
+    /// Rejects a request. The connection is closed, because it is unknown where the next request starts.
+    pub async fn reject(&mut self, status: u16, reason: &dyn Display) -> ExchangeEnd {
+        tracing::debug!(status, %reason, "request rejected");
+        let retry_after = self.server.limits.downstream.malformed_retry_after;
+        let response = Response::rejection(&self.server.codec.now(), status, retry_after);
+        match self.send(&response, ConnectionReuse::Close).await {
+            Ok(()) => ExchangeEnd::CloseGracefully,
+            Err(_) => ExchangeEnd::Drop,
+        }
+    }
+
+    async fn send(&mut self, response: &Response, reuse: ConnectionReuse) -> Result<(), SendError> {
+        let write_timeout = self.server.limits.downstream.io_timeout;
+        response.send(self.connection, reuse, write_timeout).await
+    }
+
     /// Answers a health check, whose connection is not reused.
-    pub(super) async fn report_readiness(&mut self) -> ExchangeEnd {
+    async fn report_readiness(&mut self) -> ExchangeEnd {
         let is_ready = *self.server.lifecycle.borrow() == LifecycleState::Serving;
         let mut text = self.server.status.borrow().clone();
         if let Some(ledger) = self.server.ledger() {
@@ -35,28 +85,28 @@
         }
         let response = Response::text(if is_ready { 200 } else { 503 }, text);
         let sent = self.send(&response, ConnectionReuse::Close).await;
-        end_after(&sent, ConnectionReuse::Close, ResponseSize::Small)
+        ExchangeEnd::after(&sent, ConnectionReuse::Close, ResponseSize::Small)
     }
 
     /// Answers what the ledger records of a job.
-    pub(super) async fn report_job(&mut self, client_id: &str, reuse: ConnectionReuse) -> ExchangeEnd {
+    async fn report_job(&mut self, client_id: &str, reuse: ConnectionReuse) -> ExchangeEnd {
         let response = match self.server.ledger().map(|ledger| ledger.tell(client_id)) {
             Some(Some(job)) => Response::text(200, job),
             Some(None) => Response::text(404, String::new()),
             None => Response::text(503, String::new()),
         };
         let sent = self.send(&response, reuse).await;
-        end_after(&sent, reuse, ResponseSize::Small)
+        ExchangeEnd::after(&sent, reuse, ResponseSize::Small)
     }
 
     /// Handles a request for the executors.
-    pub(super) async fn handle_submission(&mut self, submission: Submission) -> ExchangeEnd {
+    async fn handle_submission(&mut self, submission: Submission) -> ExchangeEnd {
         if *self.server.lifecycle.borrow() == LifecycleState::Drained {
             let retry_after = self.server.limits.downstream.malformed_retry_after;
             let answer = Answer::Rejected(Some(millis(retry_after)));
             let response = Response::answer(&self.server.codec.now(), &answer);
             let sent = self.send(&response, ConnectionReuse::Close).await;
-            return end_after(&sent, ConnectionReuse::Close, ResponseSize::Small);
+            return ExchangeEnd::after(&sent, ConnectionReuse::Close, ResponseSize::Small);
         }
         if self.server.is_durable(&submission.request) {
             self.handle_durable(submission).await
@@ -84,9 +134,34 @@
         self.send_answer(&answer, reuse).await.end
     }
 
+    /// Handles a request that is recorded in the ledger.
+    async fn handle_durable(&mut self, submission: Submission) -> ExchangeEnd {
+        self.entry.set_state(ConnectionState::Busy);
+        let requested_reuse = submission.reuse;
+        let mut durable =
+            DurableExchange { server: self.server, connection: self.connection, admission: self.admission };
+        let DurableAnswer { answer, acknowledges } = match durable.run(submission).await {
+            Ok(answer) => answer,
+            Err(error) => {
+                return match error.status() {
+                    Some(status) => self.reject(status, &error).await,
+                    None => ExchangeEnd::Drop,
+                };
+            }
+        };
+        let reuse = self.reuse_after_answer(requested_reuse);
+        let delivery = self.send_answer(&answer, reuse).await;
+        if delivery.is_written
+            && let (Some(ledger), Some(request_id)) = (self.server.ledger(), acknowledges)
+        {
+            ledger.acknowledged(request_id);
+        }
+        delivery.end
+    }
+
     /// Whether the connection is used again after an answer. It is closed if the node is over its limit, so that
-    /// waiting connections are accepted, or if input was discarded, so that no request could be told apart.
-    pub(super) fn reuse_after_answer(&self, requested: ConnectionReuse) -> ConnectionReuse {
+    /// waiting connections are accepted, or if input was discarded that may contain the next request.
+    fn reuse_after_answer(&self, requested: ConnectionReuse) -> ConnectionReuse {
         let server = &self.server;
         let must_close = server.connection_count() > server.max_connections()
             || self.connection.is_overrun()
@@ -95,12 +170,12 @@
     }
 
     /// Writes the final answer to a request.
-    pub(super) async fn send_answer(&mut self, answer: &Answer, reuse: ConnectionReuse) -> Delivery {
+    async fn send_answer(&mut self, answer: &Answer, reuse: ConnectionReuse) -> Delivery {
         let response = Response::answer(&self.server.codec.now(), answer);
         let is_large = response.body_len() > self.server.limits.connection_buffer_bytes;
         let size = if is_large { ResponseSize::Large } else { ResponseSize::Small };
         let sent = self.send(&response, reuse).await;
-        Delivery { is_written: sent.is_ok(), end: end_after(&sent, reuse, size) }
+        Delivery { is_written: sent.is_ok(), end: ExchangeEnd::after(&sent, reuse, size) }
     }
 
     /// Hands a request to the driver and waits for its answer. None if the client disconnects first.
@@ -122,7 +197,7 @@
     }
 }
 
-impl super::DownstreamServer {
+impl DownstreamServer {
     /// Hands a request to the driver and waits for its answer.
     ///
     /// A request that arrives before the first endpoint list waits for it, for a bounded time: by the cached list
--- a/crates/daemon/src/downstream/listener.rs
+++ b/crates/daemon/src/downstream/listener.rs
@@ -1,6 +1,7 @@
 //! Accepts connections of clients within the node's limits.
 use super::DownstreamServer;
-use super::connection::{ClientSession, ConnectionAdmission};
+use super::admission::ConnectionAdmission;
+use super::connection::ClientSession;
 use crate::lifecycle::LifecycleState;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/daemon/src/downstream/request.rs
+++ b/crates/daemon/src/downstream/request.rs
@@ -1,5 +1,6 @@
 //! Reads one request of a client from its connection.
 use super::DownstreamServer;
+use super::response::ConnectionReuse;
 use crate::byte_budget::Reservation;
 use crate::http1::{self, Bad, Connection, Failed, RequestHead};
 use crate::in_flight::ClientRequest;
@@ -7,20 +8,6 @@
 use bytes::BytesMut;
 use std::time::Duration;
 
-/// Whether a connection is used for another request after a response.
-#[derive(Clone, Copy, PartialEq, Debug)]
-pub(super) enum ConnectionReuse {
-    KeepAlive,
-    Close,
-}
-
-impl ConnectionReuse {
-    /// What the client asks for by its request.
-    fn requested_by(head: &RequestHead) -> Self {
-        if head.keep { ConnectionReuse::KeepAlive } else { ConnectionReuse::Close }
-    }
-}
-
 /// A complete request of a client.
 pub(super) enum ParsedRequest {
     /// The health check of a load balancer.
--- a/crates/daemon/src/downstream/response.rs
+++ b/crates/daemon/src/downstream/response.rs
@@ -1,6 +1,5 @@
 //! Responses to clients.
-use super::request::ConnectionReuse;
-use crate::http1::{self, Connection};
+use crate::http1::{self, Connection, RequestHead};
 use crate::in_flight::Answer;
 use crate::protocol::Codec;
 use bytes::Bytes;
@@ -9,6 +8,28 @@
 use tokio::time::timeout;
 use troutknot::Millis;
 
+/// Whether a connection is used for another request after a response.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub(super) enum ConnectionReuse {
+    KeepAlive,
+    Close,
+}
+
+impl ConnectionReuse {
+    /// What the client asks for by its request.
+    pub fn requested_by(head: &RequestHead) -> Self {
+        if head.keep { ConnectionReuse::KeepAlive } else { ConnectionReuse::Close }
+    }
+}
+
+/// Whether a response may be incomplete at the client when its last byte is written here.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum ResponseSize {
+    Small,
+    /// A part of it may still be in the send buffer.
+    Large,
+}
+
 /// A response before it is written.
 pub(super) struct Response {
     status: u16,
@@ -37,7 +58,7 @@
         Response { status, headers, body }
     }
 
-    /// A request that cannot be handled; the client is told when to retry if the settings allow it.
+    /// The rejection of a request that cannot be handled, with a Retry-After if the settings allow it.
     pub fn rejection(codec: &Codec, status: u16, retry_after: Duration) -> Self {
         Response { status, headers: codec.come_back(Some(millis(retry_after))), body: Bytes::new() }
     }
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -1,32 +1,14 @@
 //! One attempt of a request at an executor: connect, record, send, and read the response up to its outcome.
 use super::connection::PooledConnection;
+use super::dispatch::DispatchOrder;
 use super::executor::{Executor, IdleReuse};
 use super::pool::ExecutorPool;
 use super::response::{ResponseError, ResponseReader};
 use crate::durable::Lease;
 use crate::http1::ResponseHead;
-use crate::in_flight::{CancelSignal, InFlightRequest};
 use bytes::BytesMut;
-use std::rc::Rc;
 use tokio::time::{Instant, sleep_until, timeout};
-use troutknot::{AttemptId, Effect, ExecutorId, Outcome};
-
-/// An attempt that the driver wants carried out.
-pub struct DispatchOrder {
-    pub in_flight: Rc<InFlightRequest>,
-    pub executor: ExecutorId,
-    /// The executor's name in the endpoint list; set if the attempt is recorded in the ledger.
-    pub executor_name: Option<String>,
-    pub attempt_id: AttemptId,
-    pub decided_at: Instant,
-    /// The executor's incarnation that the dispatch was decided for, from [`ExecutorPool::incarnation`].
-    pub incarnation: u64,
-    /// When the attempt times out.
-    pub attempt_deadline: Instant,
-    /// The last byte of the request is written before this instant, or never.
-    pub send_deadline: Instant,
-    pub cancel_signal: Rc<CancelSignal>,
-}
+use troutknot::{Effect, Outcome};
 
 /// How an attempt ended.
 pub(super) struct AttemptEnd {
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -5,13 +5,14 @@
 mod attempt;
 mod attempt_status;
 mod connection;
+mod dispatch;
 mod executor;
 mod gate;
 mod pool;
 mod probe;
 mod response;
 
-pub use attempt::DispatchOrder;
+pub use dispatch::DispatchOrder;
 pub use executor::ExecutorEndpoint;
 pub use pool::ExecutorPool;
 
--- a/crates/daemon/src/upstream/pool.rs
+++ b/crates/daemon/src/upstream/pool.rs
@@ -55,11 +55,11 @@
 /// The executors that the driver registered, with pooled connections to each.
 pub struct ExecutorPool {
     pub limits: Rc<Limits>,
-    pub codec: Rc<Current<Codec>>,
+    pub(super) codec: Rc<Current<Codec>>,
     /// Where outcomes and load reports are sent.
-    pub events: mpsc::Sender<NodeEvent>,
+    pub(super) events: mpsc::Sender<NodeEvent>,
     /// The node's other process during a hot restart.
-    pub sibling: Rc<SiblingProcess>,
+    sibling: Rc<SiblingProcess>,
     /// Records attempts of durable requests; set once this process has the ledger open.
     pub durable: OnceCell<Rc<Durable>>,
     executors: RefCell<SecondaryMap<ExecutorId, Rc<Executor>>>,
--- a/crates/daemon/src/upstream/response.rs
+++ b/crates/daemon/src/upstream/response.rs
@@ -1,6 +1,6 @@
 //! Reads an executor's response to an attempt, up to the event that decides the outcome.
-use super::attempt::DispatchOrder;
 use super::connection::PooledConnection;
+use super::dispatch::DispatchOrder;
 use super::pool::ExecutorPool;
 use crate::durable::Lease;
 use crate::event::NodeEvent;
--- a/crates/daemon/tests/unit/downstream.rs
+++ b/crates/daemon/tests/unit/downstream.rs
@@ -1,5 +1,5 @@
 //! The downstream side against clients on loopback sockets; the tests play the driver.
-use super::connection::ConnectionAdmission;
+use super::admission::ConnectionAdmission;
 use super::*;
 use std::io::{Read, Write};
 use std::time::Duration;
