--- a/crates/daemon/src/downstream/durable_exchange.rs
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -151,7 +151,7 @@
     pub(super) fn is_durable(&self, request: &ClientRequest) -> bool {
         let Some(config) = &self.durable_config else { return false };
         let effect = self.codec.now().effect(request.class);
-        request.key.is_some() || effect.is_some_and(|effect| config.takes(effect))
+        request.key.is_some() || effect.is_some_and(|effect| config.includes(effect))
     }
 
     /// The ledger, once this process has it open.
--- a/crates/daemon/tests/shape.rs
+++ b/crates/daemon/tests/shape.rs
@@ -49,7 +49,7 @@
         assert!(!out.status.success() && said.lines().count() == 1 && said.contains(part), "{said}");
         if own.is_empty() {
             old.reread(&config.to_string());
-            assert!(old.logged("not taken").contains(part), "{part}");
+            assert!(old.logged("new configuration rejected").contains(part), "{part}");
             assert_eq!(old.ask(work("render", &new_id(), 3.0, "")).0, 200, "the old ones go on");
         }
     }
@@ -68,7 +68,7 @@
     };
     let (node, other, at) = start();
     UdpSocket::bind("127.0.0.1:0").unwrap().send_to(&[1, 1], at).unwrap();
-    node.logged("messages passed over");
+    node.logged("gossip datagrams dropped");
     other.send_to(&[1; 1000], at).unwrap();
     other.send_to(&[1, 1], at).unwrap();
     node.logged("idle connections were lost");
