--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,7 +1,9 @@
 //! Why a node cannot start, or stopped.
+use crate::config::node::{NodeConfigError, NodeFileError};
+use crate::config::operator::{OperatorFileError, SettingsConflict};
 use crate::durable::DurableError;
+use crate::gossip::GossipListenError;
 use crate::hot_restart::inherited_socket::InheritedSocketError;
-use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,17 +26,23 @@
     /// Signals cannot be received.
     #[error("cannot receive signals: {0}")]
     Signals(#[source] io::Error),
-    /// The node's configuration, or the operator's file, is not valid.
-    #[error("{0}")]
-    Configuration(#[source] Box<dyn Error>),
-    /// A configuration file that was to be checked is not valid.
+    /// The node file cannot be read or parsed.
+    #[error(transparent)]
+    NodeFile(#[from] NodeFileError),
+    /// A value of the node file is not allowed.
     #[error("`{}`: {source}", path.display())]
-    InvalidFile {
+    NodeConfig {
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
-        source: Box<dyn Error>,
+        source: NodeConfigError,
     },
+    /// The operator's file cannot be used.
+    #[error(transparent)]
+    OperatorFile(#[from] OperatorFileError),
+    /// The settings of the node file do not go with the operator's file.
+    #[error(transparent)]
+    SettingsConflict(#[from] SettingsConflict),
     /// The address cannot be listened at.
     #[error("cannot listen at {address}: {source}")]
     Listen {
@@ -44,8 +52,8 @@
         source: io::Error,
     },
     /// The address of other nodes' messages cannot be listened at.
-    #[error("{0}")]
-    Gossip(#[source] Box<dyn Error>),
+    #[error(transparent)]
+    Gossip(#[from] GossipListenError),
     /// The address of the admin API cannot be determined.
     #[error("cannot determine the address of the admin API: {0}")]
     AdminAddress(#[source] io::Error),
--- a/crates/daemon/src/node/check.rs
+++ b/crates/daemon/src/node/check.rs
@@ -10,9 +10,9 @@
 /// # Errors
 /// What is wrong with the file, with its path.
 pub fn check(path: &Path) -> Result<(), NodeError> {
-    let config = NodeConfig::read(path).map_err(|error| NodeError::Configuration(error.into()))?;
+    let config = NodeConfig::read(path)?;
     let resolved = config.resolve(&mut IdCatalog::default());
-    resolved.map(|_| ()).map_err(|error| NodeError::InvalidFile { path: path.into(), source: error.into() })
+    resolved.map(|_| ()).map_err(|error| NodeError::NodeConfig { path: path.into(), source: error })
 }
 
 /// Checks whether a node could use this operator's file.
@@ -20,7 +20,8 @@
 /// # Errors
 /// Every fault in the file, each on a line of its own.
 pub fn check_operator_file(path: &Path) -> Result<(), NodeError> {
-    OperatorFile::read(path).map(|_| ()).map_err(|error| NodeError::Configuration(error.into()))
+    OperatorFile::read(path)?;
+    Ok(())
 }
 
 /// The path of the configuration file that `ROUTER_CONFIG` names.
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -53,7 +53,7 @@
     let runtime = runtime.map_err(NodeError::Runtime)?;
     // Before the configuration is read: a signal that arrives meanwhile is handled once the node runs.
     let signals = runtime.block_on(async { Signals::listen() })?;
-    let config = NodeConfig::read(path).map_err(|error| NodeError::Configuration(error.into()))?;
+    let config = NodeConfig::read(path)?;
     LocalSet::new().block_on(&runtime, run(config, path.to_owned(), inherited_listener, signals))
 }
 
--- a/crates/daemon/src/node/startup.rs
+++ b/crates/daemon/src/node/startup.rs
@@ -68,12 +68,12 @@
     pub fn resolve(node: NodeConfig, path: PathBuf) -> Result<Self, NodeError> {
         let mut catalog = IdCatalog::default();
         let resolved = node.resolve(&mut catalog);
-        let resolved = resolved.map_err(|error| NodeError::Configuration(error.into()))?;
+        let resolved = resolved.map_err(|source| NodeError::NodeConfig { path: path.clone(), source })?;
         let ResolvedNodeConfig { seed, settings, codec } = resolved;
         let operator_path = OperatorFile::path_from_environment();
         let operator = operator_path.as_deref().map(OperatorFile::read).transpose();
-        let operator = operator.map_err(|error| NodeError::Configuration(error.into()))?.unwrap_or_default();
-        operator.check_settings(&settings).map_err(|error| NodeError::Configuration(error.into()))?;
+        let operator = operator?.unwrap_or_default();
+        operator.check_settings(&settings)?;
         let codec = Current::new(codec);
         Ok(Configuration { node, path, operator, operator_path, catalog, seed, settings, codec })
     }
@@ -105,7 +105,7 @@
     };
     let open = |config: GossipConfig| {
         let socket = GossipSocket::listen(config.listen_address, config.peers, address_use);
-        socket.map_err(|error| NodeError::Gossip(error.into()))
+        socket.map_err(NodeError::Gossip)
     };
     operator.gossip.clone().map(open).transpose()
 }
