--- a/crates/daemon/src/config/limits.rs
+++ b/crates/daemon/src/config/limits.rs
@@ -9,7 +9,7 @@
 /// Log lines that may wait to be written; further lines are dropped.
 pub const LOG_QUEUE_LINES: usize = 1024;
 
-/// Upper bound on the interval between two polls of the endpoint list, whatever the settings say.
+/// Upper bound on the interval between two polls of the endpoint list; longer settings are reduced to it.
 pub const MAX_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Memory of one durable job in the ledger's index: its row, id, idempotency key and attempts.
@@ -37,10 +37,10 @@
 /// The share of the configured memory that is given out; the rest covers the program and fragmentation.
 const BUDGETED_MEMORY_SHARE: f64 = 0.9;
 
-/// One handle more than retained executors for each so many, for those not released yet.
+/// Retained executors for each additional handle of an executor that is not released yet.
 const EXECUTORS_PER_RELEASED: usize = 16;
 
-/// One entry of an executor that is not retained for each so many that are.
+/// Retained executors for each cached entry of one that is not retained.
 const EXECUTORS_PER_UNRETAINED_ENTRY: usize = 4;
 
 /// Memory of the id of a completed request.
@@ -49,7 +49,7 @@
 const MAX_LIST_BYTES: usize = 64 * MIB;
 const MAX_CONSUL_ANSWER_BYTES: usize = 12 * MIB;
 
-/// Requests with a longer deadline do not delay a shutdown further.
+/// A deadline longer than this does not delay a shutdown further.
 const MAX_SHUTDOWN_WAIT: Duration = Duration::from_secs(3);
 
 /// What the deployment configures and the limits follow from.
@@ -63,7 +63,7 @@
     pub drain_grace: Option<Duration>,
     /// The longest deadline of any request class.
     pub max_deadline: Duration,
-    /// Whether Consul is a source of the endpoint list; its answers need more memory.
+    /// Whether Consul is a source of the endpoint list. Its answers need more memory.
     pub has_consul: bool,
     /// Whether the listening socket was inherited, so that two processes share the limits for a while.
     pub has_inherited_socket: bool,
@@ -146,7 +146,7 @@
     pub max_partial_bodies: usize,
     /// Memory reserved for the contents of all open requests.
     pub max_reserved_bytes: usize,
-    /// Ids of completed requests kept for deduplication; at least half of them are.
+    /// Ids of completed requests that are stored for deduplication; at least half of them at any time.
     pub max_completed_ids: usize,
     /// Bounds the reading of a request, from connect for the first one, and the writing of an answer.
     pub io_timeout: Duration,
--- a/crates/daemon/src/discovery/consul/mod.rs
+++ b/crates/daemon/src/discovery/consul/mod.rs
@@ -151,7 +151,7 @@
         if let Some(previous) = &previous {
             previous.task.abort();
         }
-        let number = previous.as_ref().map_or_else(|| self.allocate_number(), |previous| previous.number);
+        let number = previous.as_ref().map_or_else(|| self.take_number(), |previous| previous.number);
         let last_answer_at = previous.as_ref().and_then(|previous| previous.last_answer_at.get());
         let is_failing = previous.is_some_and(|previous| previous.is_failing.get());
         ServiceWatch {
@@ -163,7 +163,7 @@
         }
     }
 
-    fn allocate_number(&self) -> WatchNumber {
+    fn take_number(&self) -> WatchNumber {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         WatchNumber(number)
--- a/crates/daemon/tests/unit/compatibility.rs
+++ b/crates/daemon/tests/unit/compatibility.rs
@@ -1,5 +1,5 @@
-//! Files and lines that an earlier release wrote (commit cc67128): a next process of a node reads them, and an
-//! operator's file goes on meaning the same.
+//! Files and lines that an earlier release wrote (commit cc67128): the lines between two processes of a node are
+//! read and written as before, and an operator's file has the same meaning.
 use crate::config::consul::ConsistencyMode;
 use crate::config::durable::{DurableEffect, LedgerSync};
 use crate::config::operator::{DiscoveryConfig, DiscoverySource, OperatorFile};
@@ -21,7 +21,7 @@
             last = number;
         }
     }
-    assert_eq!((lines.lines().count(), last), (14, 9), "all is told with the tenth line");
+    assert_eq!((lines.lines().count(), last), (14, 9), "the state is complete with the tenth line");
     assert_eq!((inherited.version, inherited.entries.len(), inherited.ids.len()), (None, 2, 2));
     assert_eq!(inherited.excluded.iter().collect::<Vec<_>>(), ["s-1"], "the other one serves again");
     let entry = &inherited.entries[0];
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_earlier_file_of_the_operator_means_the_same() {
+fn an_earlier_operators_file_has_the_same_meaning() {
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/operator.toml"));
     let OperatorFile { discovery: DiscoveryConfig { sources, consul }, durable, gossip } =
         OperatorFile::read(path).unwrap();
