--- a/crates/daemon/src/driver/actions.rs
+++ b/crates/daemon/src/driver/actions.rs
@@ -22,7 +22,7 @@
                 self.tasks.spawn(self.executors.clone().probe(executor));
             }
             Action::SetTimer { at } => self.set_timer(at),
-            Action::CloseIdleConnections { executor } => self.executors.close_idle(executor),
+            Action::CloseIdleConnections { executor } => self.executors.close_idle_connections(executor),
             Action::Gossip(message) => self.send_gossip(message),
             Action::WatchEndpoints => self.watch_requests.resume.notify_one(),
             Action::ReleaseExecutor { executor } => self.release(executor),
@@ -56,16 +56,16 @@
         let latest = in_flight.deadline;
         let order = DispatchOrder {
             executor,
-            name: in_flight.is_durable.get().then(|| name.to_string()),
+            executor_name: in_flight.is_durable.get().then(|| name.to_string()),
             attempt_id,
-            decided: decided_at,
-            life: self.executors.life(executor),
-            cut: self.clock.instant_of(attempt_deadline).min(latest),
+            decided_at,
+            incarnation: self.executors.incarnation(executor),
+            attempt_deadline: self.clock.instant_of(attempt_deadline).min(latest),
             send_deadline: self.clock.instant_of(send_deadline).min(latest),
-            stop: cancel_signal,
+            cancel_signal,
             in_flight,
         };
-        self.tasks.spawn(self.executors.clone().allocate(order));
+        self.tasks.spawn(self.executors.clone().dispatch(order));
     }
 
     fn cancel(&self, request_id: RequestId, attempt_id: AttemptId) {
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -9,7 +9,7 @@
 use crate::config::node::NodeConfig;
 use crate::config::reload::{ConfigReloader, NodeReload, OperatorReload};
 use crate::discovery::EndpointUpdate;
-use crate::downstream::DownstreamServer;
+use crate::downstream::{DownstreamContext, DownstreamServer, ListenerOrigin};
 use crate::driver::{Driver, DriverConfig};
 use crate::error::NodeError;
 use crate::event::{NodeEvent, WatchRequests};
@@ -22,7 +22,7 @@
 use crate::lifecycle::{Drain, Lifecycle};
 use crate::protocol::{Codec, Current, EndpointList};
 use crate::retention::EndpointRetention;
-use crate::shutdown::{GracefulShutdown, ListenerOrigin};
+use crate::shutdown::GracefulShutdown;
 use crate::tasks::TaskGroup;
 use crate::upstream::ExecutorPool;
 use discovery::{CachedList, DiscoveryControls};
@@ -148,15 +148,16 @@
             shared.events.clone(),
             shared.sibling.clone(),
         );
-        let downstream = DownstreamServer::new(
-            shared.limits.clone(),
-            shared.codec.clone(),
-            shared.events.clone(),
-            shared.lifecycle.watch(),
-            shared.discovery_status.clone(),
-            configuration.operator.durable.clone(),
-            shared.sibling.clone(),
-        );
+        let downstream = DownstreamServer::new(DownstreamContext {
+            limits: shared.limits.clone(),
+            codec: shared.codec.clone(),
+            events: shared.events.clone(),
+            lifecycle: shared.lifecycle.watch(),
+            status: shared.discovery_status.clone(),
+            durable_config: configuration.operator.durable.clone(),
+            sibling: shared.sibling.clone(),
+            tasks: shared.tasks.clone(),
+        });
         NodeBuilder { configuration, shared, received_events, gossip, executors, downstream }
     }
 
@@ -176,9 +177,8 @@
         }
         let cached_list = self.restore(&mut driver, inherited);
         let controls = discovery::start(&self.configuration, &self.shared, cached_list);
-        self.shared.tasks.spawn(self.executors.clone().retire_idle());
-        let is_inherited = listeners.origin == ListenerOrigin::Inherited;
-        self.shared.tasks.spawn(self.downstream.clone().accept(listeners.clients, is_inherited));
+        self.shared.tasks.spawn(self.executors.clone().close_expired_connections());
+        self.shared.tasks.spawn(self.downstream.clone().accept(listeners.clients, listeners.origin));
         let admin = self.build_admin(&driver);
         let driver = spawn_local(driver.run());
         self.log_listening(listeners.address);
@@ -210,7 +210,7 @@
                 Err(_) => {}
             }
         }
-        self.downstream.number_from(self.shared.clock.now().max(0.0) as u64 * 1000);
+        self.downstream.set_first_request_id(self.shared.clock.now().max(0.0) as u64 * 1000);
         self.shared.tasks.spawn(opener.open_once_released());
         Ok(())
     }
@@ -252,7 +252,7 @@
     }
 
     fn restore_state(&self, driver: &mut Driver, mut inherited: Inherited) {
-        self.downstream.taken_elsewhere(&std::mem::take(&mut inherited.ids));
+        self.downstream.record_sibling_requests(&std::mem::take(&mut inherited.ids));
         if inherited.is_drained {
             self.shared.lifecycle.update(|facts| {
                 facts.drain = Drain::Settled;
@@ -336,7 +336,7 @@
     /// Serves until a signal asks the node to end, then shuts down.
     async fn run(mut self, mut terminate: Signal, mut interrupt: Signal) -> Result<(), NodeError> {
         self.serve(&mut terminate, &mut interrupt).await?;
-        tracing::info!(connections = self.downstream.connections(), "shutdown requested");
+        tracing::info!(connections = self.downstream.connection_count(), "shutdown requested");
         let shutdown = GracefulShutdown {
             limits: self.shared.limits.clone(),
             downstream: self.downstream.clone(),
