--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -26,26 +26,23 @@
     /// Signals cannot be received.
     #[error("cannot receive signals: {0}")]
     Signals(#[source] io::Error),
-    /// The node's configuration file cannot be read.
+    /// The node file cannot be read or parsed.
     #[error(transparent)]
     NodeFile(#[from] NodeFileError),
-    /// The node's configuration is not valid.
-    #[error(transparent)]
-    NodeConfig(#[from] NodeConfigError),
-    /// The operator's file cannot be read or is not valid.
-    #[error(transparent)]
-    OperatorFile(#[from] OperatorFileError),
-    /// The operator's file does not fit the settings of the node.
-    #[error(transparent)]
-    SettingsConflict(#[from] SettingsConflict),
-    /// A configuration file that was to be checked is not valid.
+    /// A value of the node file is not allowed.
     #[error("`{}`: {source}", path.display())]
-    InvalidFile {
+    NodeConfig {
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
         source: NodeConfigError,
     },
+    /// The operator's file cannot be used.
+    #[error(transparent)]
+    OperatorFile(#[from] OperatorFileError),
+    /// The settings of the node file do not go with the operator's file.
+    #[error(transparent)]
+    SettingsConflict(#[from] SettingsConflict),
     /// The address cannot be listened at.
     #[error("cannot listen at {address}: {source}")]
     Listen {
--- a/crates/daemon/src/node/check.rs
+++ b/crates/daemon/src/node/check.rs
@@ -12,8 +12,7 @@
 pub fn check(path: &Path) -> Result<(), NodeError> {
     let config = NodeConfig::read(path)?;
     let resolved = config.resolve(&mut IdCatalog::default());
-    resolved.map_err(|source| NodeError::InvalidFile { path: path.into(), source })?;
-    Ok(())
+    resolved.map(|_| ()).map_err(|error| NodeError::NodeConfig { path: path.into(), source: error })
 }
 
 /// Checks whether a node could use this operator's file.
