--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -46,47 +46,55 @@
     pub snapshot: Notify,
 }
 
-/// An attempt of an earlier process of this node.
+/// An attempt of an earlier process of this node, as the ledger has it.
 pub struct RecoveredAttempt {
-    /// The name that the list gives its executor.
+    /// The name of its executor.
     pub executor: String,
+    /// When it was recorded, which is just before it was sent.
     pub sent_at: Millis,
-    /// None where it is not known.
+    /// How it ended; None if that is not known.
     pub outcome: Option<Outcome>,
     /// The fencing token that was recorded with it.
     pub fence: Fence,
 }
 
-/// Where an operator's call came.
+/// Where an operator called.
 pub enum CallOrigin {
-    /// Here; who waits hears whether the executor is known.
+    /// At this process. The caller waits to learn whether the executor is known, once the call has taken effect.
     Operator(oneshot::Sender<bool>),
-    /// To the sibling process, which knows the executor and numbers what it asks for.
+    /// At the sibling process, which waits until its message of this number is acknowledged.
     Sibling(u64),
 }
 
-/// What the sides tell the driver.
+/// What the parts of the node report to the driver.
 pub enum NodeEvent {
-    /// A request was taken.
+    /// A client made a request.
     RequestArrived(Rc<InFlightRequest>),
-    /// One is open from an earlier process, with its attempts in order.
+    /// A request is open since an earlier process, with its attempts in order.
     RequestRecovered(Rc<InFlightRequest>, Vec<RecoveredAttempt>),
     /// The client of a request has left.
     ClientLeft(RequestId),
-    /// What the dispatcher may be told as it is; whether an end closes the request is found by the driver.
+    /// An event for the dispatcher. The driver determines whether the end of an attempt closes its request.
     Core(CoreEvent),
-    /// A source told of executors.
+    /// A discovery source has a list of endpoints, or changes to one.
     ListReceived(EndpointUpdate),
-    /// An operator excludes an executor, or lets it serve again.
-    SetExcluded { executor: String, is_excluded: bool, origin: CallOrigin },
-    /// A next process of this node is to be told all that is known here.
+    /// An operator excludes an executor, or includes it again.
+    SetExcluded {
+        /// The executor's name.
+        executor: String,
+        /// True to exclude it.
+        is_excluded: bool,
+        /// Where the operator called.
+        origin: CallOrigin,
+    },
+    /// The state of this process is to be sent to the sibling.
     ExportState,
-    /// Whether a sibling process runs.
+    /// The sibling process was connected (true), or has gone.
     SiblingChanged(bool),
-    /// New settings.
+    /// The settings were reloaded.
     SettingsChanged(Box<Settings>),
-    /// The node ends soon: what is in flight is cancelled, and nothing more is sent.
+    /// The shutdown cancels the attempts in flight, and lets no further ones be sent.
     CancelInFlight,
-    /// The node ends now: what is open gets its last answer.
+    /// The shutdown answers all open requests.
     ShutDown,
 }
