--- a/crates/daemon/src/node/startup.rs
+++ b/crates/daemon/src/node/startup.rs
@@ -67,9 +67,12 @@
     /// If either is not valid, or they do not fit together.
     pub fn resolve(node: NodeConfig, path: PathBuf) -> Result<Self, NodeError> {
         let mut catalog = IdCatalog::default();
-        let ResolvedNodeConfig { seed, settings, codec } = node.resolve(&mut catalog)?;
+        let resolved = node.resolve(&mut catalog);
+        let resolved = resolved.map_err(|source| NodeError::NodeConfig { path: path.clone(), source })?;
+        let ResolvedNodeConfig { seed, settings, codec } = resolved;
         let operator_path = OperatorFile::path_from_environment();
-        let operator = operator_path.as_deref().map(OperatorFile::read).transpose()?.unwrap_or_default();
+        let operator = operator_path.as_deref().map(OperatorFile::read).transpose();
+        let operator = operator?.unwrap_or_default();
         operator.check_settings(&settings)?;
         let codec = Current::new(codec);
         Ok(Configuration { node, path, operator, operator_path, catalog, seed, settings, codec })
@@ -100,8 +103,11 @@
         ListenerOrigin::Inherited => AddressUse::Shared,
         ListenerOrigin::Bound => AddressUse::Exclusive,
     };
-    let open = |config: GossipConfig| GossipSocket::listen(config.listen_address, config.peers, address_use);
-    Ok(operator.gossip.clone().map(open).transpose()?)
+    let open = |config: GossipConfig| {
+        let socket = GossipSocket::listen(config.listen_address, config.peers, address_use);
+        socket.map_err(NodeError::Gossip)
+    };
+    operator.gossip.clone().map(open).transpose()
 }
 
 /// The listening sockets of a node.
