--- a/crates/daemon/src/driver/actions.rs
+++ b/crates/daemon/src/driver/actions.rs
@@ -24,7 +24,7 @@
             Action::SetTimer { at } => self.set_timer(at),
             Action::CloseIdleConnections { executor } => self.executors.close_idle(executor),
             Action::Gossip(message) => self.send_gossip(message),
-            Action::WatchEndpoints => self.watch_requests.changes.notify_one(),
+            Action::WatchEndpoints => self.watch_requests.resume.notify_one(),
             Action::ReleaseExecutor { executor } => self.release(executor),
             Action::Log(event) => decision_log::record(event),
         }
--- a/crates/daemon/src/node/check.rs
+++ b/crates/daemon/src/node/check.rs
@@ -11,7 +11,7 @@
 /// What is wrong with the file, with its path.
 pub fn check(path: &Path) -> Result<(), NodeError> {
     let config = NodeConfig::read(path).map_err(|error| NodeError::Configuration(error.into()))?;
-    let resolved = config.understood(&mut IdCatalog::default());
+    let resolved = config.resolve(&mut IdCatalog::default());
     resolved.map(|_| ()).map_err(|error| NodeError::InvalidFile { path: path.into(), source: error.into() })
 }
 
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -6,7 +6,8 @@
 
 use crate::admin::AdminServer;
 use crate::config::limits::Limits;
-use crate::config::node::{NodeConfig, Own, ReloadTargets};
+use crate::config::node::NodeConfig;
+use crate::config::reload::{ConfigReloader, NodeReload, OperatorReload};
 use crate::discovery::EndpointUpdate;
 use crate::downstream::DownstreamServer;
 use crate::driver::{Driver, DriverConfig};
@@ -90,9 +91,9 @@
     let node = &mut configuration.node;
     let mut handover = takeover::request_state(path?, &node.name, bounds).await?;
     let inherited = &mut handover.inherited;
-    let version = inherited.version.or(node.known.as_ref().map(|known| known.version)).unwrap_or(0);
+    let version = inherited.version.or(node.cached_list.as_ref().map(|known| known.version)).unwrap_or(0);
     let entries = std::mem::take(&mut inherited.entries);
-    node.known = Some(EndpointList { version, full: true, entries, beyond: 0 });
+    node.cached_list = Some(EndpointList { version, full: true, entries, beyond: 0 });
     Some(handover)
 }
 
@@ -237,12 +238,12 @@
     /// Begins with the cached endpoint list and with the state of the old process. Returns the cached list for the
     /// discovery sources.
     fn restore(&mut self, driver: &mut Driver, mut inherited: Option<Inherited>) -> CachedList {
-        let Some(known) = self.configuration.node.known.take() else { return CachedList::default() };
-        let cached = CachedList::of(&known, &self.configuration.operator.lists.sources);
+        let Some(known) = self.configuration.node.cached_list.take() else { return CachedList::default() };
+        let cached = CachedList::of(&known, &self.configuration.operator.discovery.sources);
         if let Some(inherited) = &mut inherited {
             driver.exclude(std::mem::take(&mut inherited.excluded));
         }
-        let update = EndpointUpdate::of(ListUpdate::Cached, known);
+        let update = EndpointUpdate::from_list(ListUpdate::Cached, known);
         driver.handle_event(self.shared.clock.now(), NodeEvent::ListReceived(update));
         if let Some(inherited) = inherited {
             self.restore_state(driver, inherited);
@@ -309,9 +310,17 @@
     fn start_reload(self, reload: Signal, controls: DiscoveryControls) {
         let Configuration { node, path, operator, operator_path, catalog, .. } = self.configuration;
         let Shared { limits, codec, events, tasks, .. } = self.shared;
-        let own = Own { path: operator_path, file: operator, consul: controls.consul };
-        let targets = ReloadTargets { catalog, limits, codec, events };
-        tasks.spawn(node.reread(path, reload, controls.platform, own, targets));
+        let node = NodeReload {
+            path,
+            config: node,
+            discovery_address: controls.platform,
+            catalog,
+            limits,
+            codec,
+            events,
+        };
+        let operator = OperatorReload { path: operator_path, file: operator, consul: controls.consul };
+        tasks.spawn(ConfigReloader { node, operator }.run(reload));
     }
 }
 
