--- a/crates/daemon/src/driver/endpoints.rs
+++ b/crates/daemon/src/driver/endpoints.rs
@@ -5,6 +5,7 @@
 use crate::membership::Membership;
 use crate::protocol::EndpointEntry;
 use crate::retention::{EndpointRetention, RetainedEntries, RetentionChange};
+use crate::upstream::ExecutorEndpoint;
 use std::collections::BTreeSet;
 use troutknot::{Endpoint, EndpointState, Event as CoreEvent, ExecutorId, ListUpdate, Millis};
 use troutknot_membership::ExecutorRegistry;
@@ -98,7 +99,7 @@
         }
         for executor in missing {
             self.membership.mark_gone(executor);
-            self.executors.shut(executor);
+            self.executors.start_draining(executor);
         }
     }
 
@@ -137,8 +138,12 @@
             tracing::warn!(executor = %entry.id, address = %entry.addr, "executor address not valid");
             endpoint.state = EndpointState::Draining;
         }
-        let is_ready = endpoint.state == EndpointState::Ready;
-        self.executors.listed(executor, address, endpoint.started_at, is_ready);
+        let executor_endpoint = ExecutorEndpoint {
+            address,
+            started_at: endpoint.started_at,
+            is_ready: endpoint.state == EndpointState::Ready,
+        };
+        self.executors.set_endpoint(executor, executor_endpoint);
         tracing::debug!(
             executor = %entry.id,
             state = ?endpoint.state,
--- a/crates/daemon/src/driver/recovery.rs
+++ b/crates/daemon/src/driver/recovery.rs
@@ -50,7 +50,8 @@
             self.dispatcher.handle_event(now, event);
         } else if let Some(durable) = self.executors.durable.get() {
             let lease = Lease::new(durable.clone(), request_id, attempt_id, fence, sent_at);
-            self.tasks.spawn(self.executors.clone().settle(in_flight.clone(), executor, attempt_id, lease));
+            let executors = self.executors.clone();
+            self.tasks.spawn(executors.recover_attempt(in_flight.clone(), executor, attempt_id, lease));
         }
     }
 
--- a/crates/daemon/src/node/ledger.rs
+++ b/crates/daemon/src/node/ledger.rs
@@ -40,8 +40,8 @@
             },
         )?;
         let _ = self.executors.durable.set(durable.clone());
-        self.downstream.open_ledger(durable.clone());
-        let reserved_bytes = self.downstream.held.clone();
+        self.downstream.set_ledger(durable.clone());
+        let reserved_bytes = self.downstream.request_bytes.clone();
         self.shared.tasks.spawn(durable.clone().recover(self.shared.lifecycle.watch(), reserved_bytes));
         self.shared.tasks.spawn(durable.forget_answered());
         Ok(())
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: serves what was taken and what still arrives, closes idle connections, and ends once no
 //! connection is left or the time is up.
 use crate::config::limits::Limits;
-use crate::downstream::DownstreamServer;
+use crate::downstream::{DownstreamServer, ListenerOrigin};
 use crate::event::NodeEvent;
 use crate::lifecycle::{Lifecycle, Shutdown};
 use std::rc::Rc;
@@ -16,22 +16,6 @@
 /// before a count is accepted before the next one.
 const IDLE_COUNTS: u32 = 2;
 
-/// Where the listening socket of the clients comes from.
-#[derive(Clone, Copy, PartialEq, Debug)]
-pub enum ListenerOrigin {
-    /// This process bound it; nobody else accepts its connections.
-    Bound,
-    /// The platform passed it on; another process may accept its connections, too.
-    Inherited,
-}
-
-impl ListenerOrigin {
-    /// The origin of a listening socket that is inherited if there is one to inherit.
-    pub fn of(inherited: Option<&std::net::TcpListener>) -> Self {
-        if inherited.is_some() { ListenerOrigin::Inherited } else { ListenerOrigin::Bound }
-    }
-}
-
 /// What a graceful shutdown acts on.
 pub struct GracefulShutdown {
     /// Bound each phase.
@@ -54,11 +38,11 @@
         self.stop_accepting(timeouts.close_idle_after, requested_at).await;
         self.lifecycle.update(|facts| facts.shutdown = Shutdown::Closing);
         self.wait_until_idle(requested_at, timeouts.cancel_after).await;
-        if self.downstream.connections() > 0 {
+        if self.downstream.connection_count() > 0 {
             let _ = self.events.send(NodeEvent::CancelInFlight).await;
             self.wait_until_idle(requested_at, timeouts.answer_open_after).await;
         }
-        let connections = self.downstream.connections();
+        let connections = self.downstream.connection_count();
         if connections > 0 {
             let _ = self.events.send(NodeEvent::ShutDown).await;
             self.wait_until_idle(requested_at, timeouts.answer_open_after + self.limits.last_write_timeout)
@@ -86,7 +70,7 @@
     async fn wait_until_idle(&self, requested_at: Instant, limit: Duration) {
         let mut idle_counts = 0;
         while idle_counts < IDLE_COUNTS && requested_at.elapsed() < limit {
-            idle_counts = if self.downstream.connections() > 0 { 0 } else { idle_counts + 1 };
+            idle_counts = if self.downstream.connection_count() > 0 { 0 } else { idle_counts + 1 };
             sleep(COUNT_INTERVAL).await;
         }
     }
--- a/crates/daemon/tests/unit/shutdown.rs
+++ b/crates/daemon/tests/unit/shutdown.rs
@@ -1,9 +1,11 @@
 //! The end of a node while a client connects.
 use super::*;
 use crate::config::limits::LimitInputs;
+use crate::downstream::DownstreamContext;
 use crate::in_flight::Answer;
 use crate::lifecycle::LifecycleState;
 use crate::protocol::Codec;
+use crate::tasks::TaskGroup;
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
@@ -22,14 +24,21 @@
     let (events, mut told) = mpsc::channel(16);
     let lifecycle = Rc::new(Lifecycle::new());
     lifecycle.update(|facts| facts.is_listed = true);
-    let (stage, none) = (lifecycle.watch(), Rc::default());
-    let clients =
-        DownstreamServer::new(limits.clone(), codec, events.clone(), stage, none, None, Rc::default());
+    let clients = DownstreamServer::new(DownstreamContext {
+        limits: limits.clone(),
+        codec,
+        events: events.clone(),
+        lifecycle: lifecycle.watch(),
+        status: Rc::default(),
+        durable_config: None,
+        sibling: Rc::default(),
+        tasks: TaskGroup::default(),
+    });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let mut staged = lifecycle.watch();
     let ended = async {
-        spawn_local(clients.clone().accept(listener, false));
+        spawn_local(clients.clone().accept(listener, ListenerOrigin::Bound));
         let comes = async {
             staged.wait_for(|stage| *stage == LifecycleState::Closing).await.unwrap();
             let mut client = std::net::TcpStream::connect(addr).unwrap();
