--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -6,7 +6,7 @@
 use crate::config::limits::Limits;
 use crate::event::NodeEvent;
 use crate::hot_restart::sibling::SiblingProcess;
-use crate::http1::{self, Connection, Failed, RequestHead};
+use crate::http1::{self, Connection, ReceiveError, RequestHead};
 use crate::lifecycle::Lifecycle;
 use crate::retention::RetentionStatistics;
 use handlers::{AdminHandlers, AdminResponse};
@@ -106,14 +106,16 @@
         let deadline = Instant::now() + self.limits.downstream.io_timeout;
         let head = tokio::select! {
             biased;
-            head = connection.request_head() => head,
+            head = connection.read_request_head() => head,
             () = close.notified() => return,
             () = sleep_until(deadline) => return,
         };
         self.mark_complete(connection_number);
         let response = match head {
-            Ok(None) | Err(Failed::Ended | Failed::Broken(_)) => return,
-            Err(Failed::Bad(error)) => AdminResponse::new(error.status(), "the call cannot be read"),
+            Ok(None) | Err(ReceiveError::UnexpectedEof | ReceiveError::Io(_)) => return,
+            Err(ReceiveError::Message(error)) => {
+                AdminResponse::new(error.status(), "the call cannot be read")
+            }
             Ok(Some(head)) => self.respond(&head).await,
         };
         self.write(connection, &response).await;
@@ -136,11 +138,13 @@
         let body = format!("{}\n", response.body);
         let fields: Vec<(&str, String)> =
             response.allowed_method.iter().map(|method| ("Allow", method.to_string())).collect();
-        let head = http1::answer(response.status, body.len(), false, &fields);
+        let head = http1::response_head(response.status, body.len(), false, &fields);
         let parts = [&head[..], body.as_bytes()];
         let written = timeout(self.limits.admin.call_timeout, connection.write(&parts)).await;
         if matches!(written, Ok(Ok(()))) {
-            connection.end(self.limits.rest_of_message_timeout, self.limits.max_discarded_bytes).await;
+            connection
+                .lingering_close(self.limits.rest_of_message_timeout, self.limits.max_discarded_bytes)
+                .await;
         }
     }
 }
--- a/crates/daemon/src/config/node.rs
+++ b/crates/daemon/src/config/node.rs
@@ -182,7 +182,7 @@
     let mut resolved = catalog.resolve(raw_settings)?;
     bound_poll_interval(&mut resolved.settings);
     let settings = resolved.settings.clone();
-    Ok((settings, Codec::of(raw_settings, resolved)))
+    Ok((settings, Codec::new(raw_settings, resolved)))
 }
 
 /// Bounds the poll interval of the endpoint list, so that an update is applied in time after a failed poll.
@@ -198,7 +198,7 @@
         connect_timeout: duration_of(settings.limits.connect_timeout),
         executor_idle_timeout: duration_of(settings.limits.idle_timeout),
         drain_grace: duration_of(settings.rules.drain_grace),
-        max_deadline: codec.longest(),
+        max_deadline: codec.max_deadline(),
         ..LimitInputs::default()
     }
 }
--- a/crates/daemon/src/config/reload.rs
+++ b/crates/daemon/src/config/reload.rs
@@ -142,7 +142,7 @@
         // The dispatcher has to know a new request class before the codec accepts its first request.
         let event = NodeEvent::SettingsChanged(Box::new(settings));
         self.events.send(event).await.map_err(|_| ReloadError::ShuttingDown)?;
-        self.codec.replace(codec);
+        self.codec.store(codec);
         Ok(())
     }
 
--- a/crates/daemon/src/discovery/consul/query.rs
+++ b/crates/daemon/src/discovery/consul/query.rs
@@ -2,7 +2,7 @@
 use crate::byte_budget::ByteBudget;
 use crate::config::consul::ConsulConfig;
 use crate::config::limits::Limits;
-use crate::http1::{Connection, Failed, ResponseHead};
+use crate::http1::{Connection, ReceiveError, ResponseHead};
 use bytes::BytesMut;
 use std::io;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
     Connect(#[source] io::Error),
     /// The connection failed, or the response is malformed or too long.
     #[error("connection failed: {0}")]
-    Connection(Failed),
+    Connection(ReceiveError),
     /// The head of the answer shows that it must not be used.
     #[error(transparent)]
     Refused(#[from] Refused),
@@ -85,7 +85,7 @@
         let query_timeout = Duration::from_secs_f64(self.blocking.deadline() / 1000.0);
         let exchanged = timeout(query_timeout, self.exchange(limits)).await;
         let (head, body) = exchanged.map_err(|_| QueryError::Timeout)??;
-        let field = |name: &str| head.headers.one(name).ok().flatten();
+        let field = |name: &str| head.headers.single(name).ok().flatten();
         let consul_head = Head {
             status: head.status,
             index: field("x-consul-index"),
@@ -110,10 +110,10 @@
         let mut connection = Connection::new(stream, buffer_bytes, &ByteBudget::new(2 * buffer_bytes));
         let written = connection.write(&[self.request(address).as_bytes()]).await;
         written.map_err(|error| QueryError::Connection(error.into()))?;
-        let mut head = connection.answer_head().await.map_err(QueryError::Connection)?;
+        let mut head = connection.read_response_head().await.map_err(QueryError::Connection)?;
         let mut body = BytesMut::new();
         let max_bytes = limits.discovery.max_consul_answer_bytes;
-        let reading = connection.body(&mut head.body, &mut body, max_bytes, false);
+        let reading = connection.read_body(&mut head.body, &mut body, max_bytes);
         reading.await.map_err(QueryError::Connection)?;
         Ok((head, body))
     }
--- a/crates/daemon/src/discovery/merge.rs
+++ b/crates/daemon/src/discovery/merge.rs
@@ -3,14 +3,11 @@
 //! An executor's entry comes from the source with the highest precedence that lists it. An executor is ready only
 //! while every source that knows it says so, because a source that reports a drain may be ahead of the others.
 use crate::protocol::EndpointEntry;
+use crate::protocol::endpoint_state::{DRAINING, GONE, READY};
 use compact_str::CompactString;
 use std::collections::{BTreeMap, HashSet};
 use troutknot::ListUpdate;
 
-const READY: &str = "Ready";
-const DRAINING: &str = "Terminating";
-const GONE: &str = "Gone";
-
 /// The entries of one executor.
 #[derive(Default)]
 struct MergedExecutor {
--- a/crates/daemon/src/discovery/parser.rs
+++ b/crates/daemon/src/discovery/parser.rs
@@ -274,9 +274,9 @@
         self.previous_entry_count = entries.len();
         Ok(EndpointList {
             version: remainder.version,
-            full: remainder.full,
+            is_snapshot: remainder.full,
             entries,
-            beyond: self.dropped_entries,
+            dropped_entries: self.dropped_entries,
         })
     }
 }
--- a/crates/daemon/src/discovery/platform.rs
+++ b/crates/daemon/src/discovery/platform.rs
@@ -5,7 +5,7 @@
 use crate::discovery::versions::{ListPosition, VersionFilter};
 use crate::discovery::{EndpointUpdate, EndpointUpdateSender, ShuttingDown};
 use crate::event::{NodeEvent, WatchRequests};
-use crate::http1::{Bad, Body, Connection, Failed, ResponseHead};
+use crate::http1::{BodyDecoder, Connection, MessageError, ReceiveError, ResponseHead};
 use crate::protocol::{Codec, Current, EndpointList};
 use bytes::BytesMut;
 use std::convert::Infallible;
@@ -53,7 +53,7 @@
     Connect(#[source] io::Error),
     /// The source accepted the connection and closed it without a response.
     #[error("no response: {0}")]
-    NoResponse(Failed),
+    NoResponse(ReceiveError),
     /// The source answered with another status than 200.
     #[error("status {0}")]
     Status(u16),
@@ -65,7 +65,7 @@
     Outdated,
     /// The connection failed.
     #[error("connection failed: {0}")]
-    Connection(Failed),
+    Connection(ReceiveError),
     /// The source sent something else than lists.
     #[error(transparent)]
     Parse(#[from] ParseError),
@@ -174,10 +174,10 @@
         let stream = connecting.map_err(|_| WatchError::OpenTimeout)?.map_err(WatchError::Connect)?;
         let buffer_bytes = self.limits.connection_buffer_bytes;
         let mut connection = Connection::new(stream, buffer_bytes, &ByteBudget::new(2 * buffer_bytes));
-        let request = self.codec.now().watch(address, resume_version);
+        let request = self.codec.load().watch_request(address, resume_version);
         let written = connection.write(&[request.as_bytes()]).await;
         written.map_err(|error| WatchError::NoResponse(error.into()))?;
-        let head = connection.answer_head().await.map_err(WatchError::NoResponse)?;
+        let head = connection.read_response_head().await.map_err(WatchError::NoResponse)?;
         Ok((connection, head))
     }
 
@@ -195,7 +195,7 @@
 struct OpenWatch<'a> {
     watcher: &'a PlatformWatcher,
     connection: Connection,
-    body: Body,
+    body: BodyDecoder,
     parser: EndpointListParser,
     /// When the watch counts as lost without a further update.
     idle_deadline: Instant,
@@ -205,7 +205,7 @@
 }
 
 impl<'a> OpenWatch<'a> {
-    fn new(watcher: &'a PlatformWatcher, connection: Connection, body: Body) -> Self {
+    fn new(watcher: &'a PlatformWatcher, connection: Connection, body: BodyDecoder) -> Self {
         OpenWatch {
             watcher,
             connection,
@@ -240,11 +240,11 @@
     /// Reads at least one byte. Returns true at the end of the body.
     async fn read(&mut self, buffer: &mut BytesMut) -> Result<bool, WatchError> {
         let max_bytes = self.watcher.limits.discovery.max_list_bytes;
-        let reading = self.connection.body_piece(&mut self.body, buffer, max_bytes);
+        let reading = self.connection.read_body_part(&mut self.body, buffer, max_bytes);
         let deadline = self.catch_up_deadline.map_or(self.idle_deadline, |at| at.min(self.idle_deadline));
         match timeout_at(deadline, reading).await {
             Ok(Ok(is_end)) => Ok(is_end),
-            Ok(Err(Failed::Bad(Bad::BodyTooLarge))) => Err(ParseError::TooLong.into()),
+            Ok(Err(ReceiveError::Message(MessageError::BodyTooLarge))) => Err(ParseError::TooLong.into()),
             Ok(Err(error)) => Err(WatchError::Connection(error)),
             Err(_) if deadline < self.idle_deadline => Err(WatchError::Outdated),
             Err(_) => Err(WatchError::IdleTimeout),
@@ -257,7 +257,7 @@
         // from a version that was applied.
         let permit = self.watcher.updates.reserve().await?;
         let accepted = versions.accept(&list, self.position);
-        let is_first_snapshot = self.position == ListPosition::First && list.full;
+        let is_first_snapshot = self.position == ListPosition::First && list.is_snapshot;
         self.position = ListPosition::Later;
         let mut update = match accepted {
             Some(kind) => {
--- a/crates/daemon/src/discovery/versions.rs
+++ b/crates/daemon/src/discovery/versions.rs
@@ -40,7 +40,7 @@
     /// An older snapshot at the begin of several watches in a row means that the source restarted and counts its
     /// versions from the beginning; it is accepted.
     pub fn accept(&mut self, list: &EndpointList, position: ListPosition) -> Option<ListUpdate> {
-        let is_first_snapshot = position == ListPosition::First && list.full;
+        let is_first_snapshot = position == ListPosition::First && list.is_snapshot;
         let is_newer = self.current.is_none_or(|current| list.version > current);
         let is_repeated_snapshot = is_first_snapshot && self.current == Some(list.version);
         if !is_newer && !is_repeated_snapshot {
@@ -51,8 +51,8 @@
         }
         self.current = Some(list.version);
         self.outdated_watches = 0;
-        self.is_snapshot_needed &= !list.full;
-        Some(if list.full { ListUpdate::Snapshot } else { ListUpdate::Delta })
+        self.is_snapshot_needed &= !list.is_snapshot;
+        Some(if list.is_snapshot { ListUpdate::Snapshot } else { ListUpdate::Delta })
     }
 }
 
--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -45,7 +45,7 @@
     /// Serves the connection until it is to be closed.
     pub async fn run(mut self) {
         loop {
-            if !self.connection.has_input() && self.wait_for_input().await == Input::None {
+            if !self.connection.has_buffered_input() && self.wait_for_input().await == Input::None {
                 return;
             }
             match self.serve_request().await {
@@ -60,15 +60,15 @@
     /// Waits for the first byte of a request. None arrives if the client disconnects or the wait times out, or if
     /// the connection is evicted or closed for a shutdown before.
     async fn wait_for_input(&mut self) -> Input {
-        self.connection.rest();
+        self.connection.release_buffers();
         let has_served = self.entry.state().has_served();
         let idle_until = self.start_idle_timeout();
         let mut lifecycle = self.server.lifecycle.clone();
         let has_input = tokio::select! {
             biased;
             read = self.connection.read() => matches!(read, Ok(count) if count > 0),
-            () = self.entry.evicted() => !self.connection.quiet(),
-            _ = lifecycle.wait_for(|state| state.closes_idle()), if has_served => !self.connection.quiet(),
+            () = self.entry.evicted() => !self.connection.is_quiet(),
+            _ = lifecycle.wait_for(|state| state.closes_idle()), if has_served => !self.connection.is_quiet(),
             () = sleep_until(idle_until) => false,
         };
         if has_input { Input::Available } else { Input::None }
@@ -122,8 +122,9 @@
     /// Closes the connection after the last response. If the client has sent more, or a part of the response may
     /// not have arrived, an immediate close could reset the connection and discard that part.
     async fn close(&mut self, size: ResponseSize) {
-        let may_lose_response =
-            size == ResponseSize::Large || self.connection.is_overrun() || !self.connection.quiet();
+        let may_lose_response = size == ResponseSize::Large
+            || self.connection.has_discarded_input()
+            || !self.connection.is_quiet();
         let is_admitted = self.admission == ConnectionAdmission::Admitted;
         if is_admitted && self.entry.state().has_served() && may_lose_response {
             self.close_gracefully().await;
@@ -135,6 +136,6 @@
     async fn close_gracefully(&mut self) {
         self.entry.set_state(ConnectionState::New { since: Instant::now() });
         let limits = &self.server.limits;
-        self.connection.end(limits.rest_of_message_timeout, limits.max_discarded_bytes).await;
+        self.connection.lingering_close(limits.rest_of_message_timeout, limits.max_discarded_bytes).await;
     }
 }
--- a/crates/daemon/src/downstream/durable_exchange.rs
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -139,7 +139,7 @@
         let answer = tokio::select! {
             biased;
             answer = pending.job.answered() => answer,
-            () = self.connection.gone() => return Err(DurableError::Disconnected),
+            () = self.connection.closed_by_peer() => return Err(DurableError::Disconnected),
             () = sleep_until(pending.last_answer_at) => Answer::Failed,
         };
         Ok(DurableAnswer { answer, acknowledges: pending.acknowledges })
@@ -150,7 +150,7 @@
     /// Whether a request is recorded in the ledger: by its idempotency key, or by the effect of its class.
     pub(super) fn is_durable(&self, request: &ClientRequest) -> bool {
         let Some(config) = &self.durable_config else { return false };
-        let effect = self.codec.now().effect(request.class);
+        let effect = self.codec.load().effect(request.class);
         request.key.is_some() || effect.is_some_and(|effect| config.includes(effect))
     }
 
--- a/crates/daemon/src/downstream/exchange.rs
+++ b/crates/daemon/src/downstream/exchange.rs
@@ -64,7 +64,7 @@
     pub async fn reject(&mut self, status: u16, reason: &dyn Display) -> ExchangeEnd {
         tracing::debug!(status, %reason, "request rejected");
         let retry_after = self.server.limits.downstream.malformed_retry_after;
-        let response = Response::rejection(&self.server.codec.now(), status, retry_after);
+        let response = Response::rejection(&self.server.codec.load(), status, retry_after);
         match self.send(&response, ConnectionReuse::Close).await {
             Ok(()) => ExchangeEnd::CloseGracefully,
             Err(_) => ExchangeEnd::Drop,
@@ -104,7 +104,7 @@
         if *self.server.lifecycle.borrow() == LifecycleState::Drained {
             let retry_after = self.server.limits.downstream.malformed_retry_after;
             let answer = Answer::Rejected(Some(millis(retry_after)));
-            let response = Response::answer(&self.server.codec.now(), &answer);
+            let response = Response::answer(&self.server.codec.load(), &answer);
             let sent = self.send(&response, ConnectionReuse::Close).await;
             return ExchangeEnd::after(&sent, ConnectionReuse::Close, ResponseSize::Small);
         }
@@ -164,14 +164,14 @@
     fn reuse_after_answer(&self, requested: ConnectionReuse) -> ConnectionReuse {
         let server = &self.server;
         let must_close = server.connection_count() > server.max_connections()
-            || self.connection.is_overrun()
+            || self.connection.has_discarded_input()
             || server.lifecycle.borrow().closes_after_answer();
         if must_close { ConnectionReuse::Close } else { requested }
     }
 
     /// Writes the final answer to a request.
     async fn send_answer(&mut self, answer: &Answer, reuse: ConnectionReuse) -> Delivery {
-        let response = Response::answer(&self.server.codec.now(), answer);
+        let response = Response::answer(&self.server.codec.load(), answer);
         let is_large = response.body_len() > self.server.limits.connection_buffer_bytes;
         let size = if is_large { ResponseSize::Large } else { ResponseSize::Small };
         let sent = self.send(&response, reuse).await;
@@ -184,7 +184,7 @@
         let answer = tokio::select! {
             biased;
             answer = self.server.dispatch_and_wait(in_flight) => return Some(answer),
-            () = self.connection.gone() => None,
+            () = self.connection.closed_by_peer() => None,
             // The client gets an answer before it gives up, even if the driver is late.
             () = sleep_until(admitted.last_answer_at) => Some(Answer::Failed),
         };
--- a/crates/daemon/src/downstream/request.rs
+++ b/crates/daemon/src/downstream/request.rs
@@ -2,9 +2,9 @@
 use super::DownstreamServer;
 use super::response::ConnectionReuse;
 use crate::byte_budget::Reservation;
-use crate::http1::{self, Bad, Connection, Failed, RequestHead};
+use crate::http1::{self, Connection, MessageError, ReceiveError, RequestHead};
 use crate::in_flight::ClientRequest;
-use crate::protocol::{self, READY_PATH, TELL_PATH};
+use crate::protocol::{self, HEALTH_PATH, REQUEST_STATUS_PATH, RequestError, RequestWithTimeout};
 use bytes::BytesMut;
 use std::time::Duration;
 
@@ -33,10 +33,10 @@
     Disconnected,
     #[error("the request did not arrive in time")]
     TimedOut,
-    #[error("{0}")]
-    Malformed(Bad),
-    #[error("{reason}")]
-    Invalid { status: u16, reason: &'static str },
+    #[error(transparent)]
+    Malformed(#[from] MessageError),
+    #[error(transparent)]
+    Invalid(#[from] RequestError),
     #[error("a job's status is read by GET")]
     MethodNotAllowed,
     #[error("too many bodies arrive in parts")]
@@ -49,29 +49,19 @@
         match self {
             ReadError::Disconnected => None,
             ReadError::TimedOut => Some(408),
-            ReadError::Malformed(bad) => Some(bad.status()),
-            ReadError::Invalid { status, .. } => Some(*status),
+            ReadError::Malformed(error) => Some(error.status()),
+            ReadError::Invalid(error) => Some(error.status()),
             ReadError::MethodNotAllowed => Some(405),
             ReadError::TooManyPartialBodies => Some(503),
         }
     }
-
-    fn invalid((status, reason): (u16, &'static str)) -> Self {
-        ReadError::Invalid { status, reason }
-    }
-}
-
-impl From<Bad> for ReadError {
-    fn from(bad: Bad) -> Self {
-        ReadError::Malformed(bad)
-    }
 }
 
-impl From<Failed> for ReadError {
-    fn from(failed: Failed) -> Self {
-        match failed {
-            Failed::Bad(bad) => ReadError::Malformed(bad),
-            Failed::Broken(_) | Failed::Ended => ReadError::Disconnected,
+impl From<ReceiveError> for ReadError {
+    fn from(error: ReceiveError) -> Self {
+        match error {
+            ReceiveError::Message(error) => ReadError::Malformed(error),
+            ReceiveError::Io(_) | ReceiveError::UnexpectedEof => ReadError::Disconnected,
         }
     }
 }
@@ -82,24 +72,25 @@
     /// # Errors
     /// If the client is gone, or if its request is malformed or too large.
     pub(super) async fn read_request(&self, connection: &mut Connection) -> Result<ParsedRequest, ReadError> {
-        let head = connection.request_head().await?.ok_or(ReadError::Disconnected)?;
-        if head.target == READY_PATH {
+        let head = connection.read_request_head().await?.ok_or(ReadError::Disconnected)?;
+        if head.target == HEALTH_PATH {
             return Ok(ParsedRequest::ReadinessCheck);
         }
         let reuse = ConnectionReuse::requested_by(&head);
-        if let Some(client_id) = head.target.strip_prefix(TELL_PATH).filter(|_| self.durable_config.is_some())
+        if let Some(client_id) =
+            head.target.strip_prefix(REQUEST_STATUS_PATH).filter(|_| self.durable_config.is_some())
         {
             if head.method != "GET" {
                 return Err(ReadError::MethodNotAllowed);
             }
             return Ok(ParsedRequest::JobStatus { client_id: client_id.to_string(), reuse });
         }
-        let (mut request, time_left) = self.codec.now().work(&head).map_err(ReadError::invalid)?;
+        let RequestWithTimeout { mut request, timeout } = self.codec.load().parse_request(&head)?;
         if let Some(config) = &self.durable_config {
-            request.key = protocol::key(&head, &config.key_header).map_err(ReadError::invalid)?;
+            request.key = protocol::parse_idempotency_key(&head, &config.key_header)?;
         }
         request.body = self.read_body(connection, head).await?.freeze();
-        Ok(ParsedRequest::Submission(Submission { request, time_left, reuse }))
+        Ok(ParsedRequest::Submission(Submission { request, time_left: timeout, reuse }))
     }
 
     /// Reads the body that follows `head`. One that did not arrive with its head reserves memory first, which
@@ -111,15 +102,15 @@
     ) -> Result<BytesMut, ReadError> {
         let max_bytes = self.limits.max_body_bytes;
         let mut body = BytesMut::new();
-        if connection.body_so_far(&mut head.body, &mut body, max_bytes)? {
+        if connection.take_buffered_body(&mut head.body, &mut body, max_bytes)? {
             return Ok(body);
         }
         let _reservation: Reservation =
             self.slow_body_bytes.reserve(max_bytes).ok_or(ReadError::TooManyPartialBodies)?;
-        if head.asks_first {
-            connection.write(&[http1::GO_ON]).await.map_err(|_| ReadError::Disconnected)?;
+        if head.expects_continue {
+            connection.write(&[http1::CONTINUE]).await.map_err(|_| ReadError::Disconnected)?;
         }
-        connection.body(&mut head.body, &mut body, max_bytes, false).await?;
+        connection.read_body(&mut head.body, &mut body, max_bytes).await?;
         Ok(body)
     }
 }
--- a/crates/daemon/src/downstream/response.rs
+++ b/crates/daemon/src/downstream/response.rs
@@ -1,7 +1,7 @@
 //! Responses to clients.
-use crate::http1::{self, Connection, RequestHead};
+use crate::http1::{self, Connection, Field, RequestHead};
 use crate::in_flight::Answer;
-use crate::protocol::Codec;
+use crate::protocol::{Codec, ResponseParts};
 use bytes::Bytes;
 use std::io;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 impl ConnectionReuse {
     /// What the client asks for by its request.
     pub fn requested_by(head: &RequestHead) -> Self {
-        if head.keep { ConnectionReuse::KeepAlive } else { ConnectionReuse::Close }
+        if head.keep_alive { ConnectionReuse::KeepAlive } else { ConnectionReuse::Close }
     }
 }
 
@@ -33,7 +33,7 @@
 /// A response before it is written.
 pub(super) struct Response {
     status: u16,
-    headers: Vec<(&'static str, String)>,
+    headers: Vec<Field>,
     body: Bytes,
 }
 
@@ -54,13 +54,13 @@
 
     /// The final answer to a request.
     pub fn answer(codec: &Codec, answer: &Answer) -> Self {
-        let (status, headers, body) = codec.answer(answer);
-        Response { status, headers, body }
+        let ResponseParts { status, fields, body } = codec.response(answer);
+        Response { status, headers: fields, body }
     }
 
     /// The rejection of a request that cannot be handled, with a Retry-After if the settings allow it.
     pub fn rejection(codec: &Codec, status: u16, retry_after: Duration) -> Self {
-        Response { status, headers: codec.come_back(Some(millis(retry_after))), body: Bytes::new() }
+        Response { status, headers: codec.retry_after_field(Some(millis(retry_after))), body: Bytes::new() }
     }
 
     /// The length of the body in bytes.
@@ -79,7 +79,7 @@
         write_timeout: Duration,
     ) -> Result<(), SendError> {
         let keeps_alive = reuse == ConnectionReuse::KeepAlive;
-        let head = http1::answer(self.status, self.body.len(), keeps_alive, &self.headers);
+        let head = http1::response_head(self.status, self.body.len(), keeps_alive, &self.headers);
         let parts: [&[u8]; 2] = [&head, &self.body];
         timeout(write_timeout, connection.write(&parts))
             .await
--- a/crates/daemon/src/driver/actions.rs
+++ b/crates/daemon/src/driver/actions.rs
@@ -98,7 +98,7 @@
 
     fn send_gossip(&self, message: GossipMessage) {
         if let Some(gossip) = &self.gossip {
-            gossip.broadcast(message, self.codec.now().type_names());
+            gossip.broadcast(message, self.codec.load().class_names());
         }
     }
 }
--- a/crates/daemon/src/driver/endpoints.rs
+++ b/crates/daemon/src/driver/endpoints.rs
@@ -132,10 +132,10 @@
     /// Applies the list's entry of one executor, after what operators excluded, to all parts of the node.
     pub(super) fn update_endpoint(&mut self, executor: ExecutorId, entry: EndpointEntry) -> Endpoint {
         let entry = self.membership.update(executor, entry);
-        let mut endpoint = self.codec.now().listing(&entry, executor);
-        let address = entry.addr.parse().ok();
+        let mut endpoint = self.codec.load().endpoint(&entry, executor);
+        let address = entry.address.parse().ok();
         if address.is_none() && endpoint.state == EndpointState::Ready {
-            tracing::warn!(executor = %entry.id, address = %entry.addr, "executor address not valid");
+            tracing::warn!(executor = %entry.id, address = %entry.address, "executor address not valid");
             endpoint.state = EndpointState::Draining;
         }
         let executor_endpoint = ExecutorEndpoint {
--- a/crates/daemon/src/driver/recovery.rs
+++ b/crates/daemon/src/driver/recovery.rs
@@ -107,7 +107,7 @@
             Some(ClassRunningTime { class: name.to_string(), time })
         };
         RunningTimes {
-            classes: self.codec.now().taken_types().filter_map(class_running_time).collect(),
+            classes: self.codec.load().current_classes().filter_map(class_running_time).collect(),
             mean_running_time: state.mean_running_time,
             busy_probe_ratio: state.busy_probe_ratio,
             probe_latency: state.probe_latency,
@@ -134,10 +134,10 @@
 
     /// Running times by the ids that the classes have in this process; classes that are unknown here are dropped.
     fn import_class_running_times(&self, times: &[ClassRunningTime]) -> Vec<ObservedMean> {
-        let codec = self.codec.now();
-        let count = codec.taken_types().map(|(_, class)| class.0 as usize + 1).max().unwrap_or(0);
+        let codec = self.codec.load();
+        let count = codec.current_classes().map(|(_, class)| class.0 as usize + 1).max().unwrap_or(0);
         let mut class_running_times = vec![ObservedMean::default(); count];
-        for (name, class) in codec.taken_types() {
+        for (name, class) in codec.current_classes() {
             if let Some(known) = times.iter().find(|known| known.class == name) {
                 class_running_times[class.0 as usize] = known.time;
             }
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -1,5 +1,6 @@
 //! One allocation on record: its signs of life, and its one end.
 use super::Durable;
+use crate::protocol::LeaseFields;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -42,11 +43,11 @@
         }
     }
 
-    /// What the executor is told of it: the fence, and the lease in milliseconds; none where it knows neither.
-    pub fn told_to_executor(&self) -> Option<(u64, Option<Millis>)> {
+    /// What the executor receives of the lease; none if it supports neither fences nor leases.
+    pub fn told_to_executor(&self) -> Option<LeaseFields> {
         let terms = &self.durable.terms;
-        let lease = terms.lease_duration.map(|span| span.as_secs_f64() * 1000.0);
-        (terms.has_fencing || lease.is_some()).then_some((self.fence.0, lease))
+        let duration = terms.lease_duration.map(|span| span.as_secs_f64() * 1000.0);
+        (terms.has_fencing || duration.is_some()).then_some(LeaseFields { fence: self.fence, duration })
     }
 
     pub fn fences_known(&self) -> bool {
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -155,7 +155,7 @@
     /// If the ledger cannot be opened or read.
     pub fn open(terms: DurableConfig, connections: DurableConnections) -> Result<Rc<Self>, DurableError> {
         let DurableConnections { limits, clock, codec, events, tasks } = connections;
-        let max_attempts = codec.now().max_attempts().clamp(1, 3);
+        let max_attempts = codec.load().max_attempts().clamp(1, 3);
         let path = terms.path.clone();
         let open = Box::new({
             let path = path.clone();
@@ -278,7 +278,7 @@
     ) -> Result<Rc<JoinedRequest>, Answer> {
         let (request_id, work) = (in_flight.request_id, &in_flight.request);
         let left = in_flight.deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
-        let (project_type, customer) = self.codec.now().names_of(work);
+        let (project_type, customer) = self.codec.load().class_and_tenant_names(work);
         let sent = Sent {
             method: work.method.clone(),
             target: work.target.clone(),
@@ -292,7 +292,7 @@
         let come_back = Answer::Rejected(Some(1000.0));
         let record = Record::Taken {
             request_id,
-            effect: self.codec.now().effect(work.class).unwrap_or(Effect::AtMostOnce),
+            effect: self.codec.load().effect(work.class).unwrap_or(Effect::AtMostOnce),
             deadline: self.now() + left,
             client_id: work.id.clone(),
             key: work.key.clone(),
@@ -429,7 +429,7 @@
         });
         let (id, key, limit, work) = taken.ok_or("its first record is missing")?;
         let sent: Sent = postcard::from_bytes(work).map_err(|e| e.to_string())?;
-        let places = self.codec.now().places_of(&sent.project_type, &sent.customer);
+        let places = self.codec.load().class_and_tenant_ids(&sent.project_type, &sent.customer);
         let (project_type, customer) =
             places.ok_or_else(|| format!("project type `{}` is no longer known", sent.project_type))?;
         let work = || ClientRequest {
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -22,8 +22,8 @@
 impl EndpointUpdate {
     /// Wraps a list that was read from its source.
     pub fn from_list(kind: ListUpdate, list: EndpointList) -> Self {
-        let EndpointList { version, entries, beyond, .. } = list;
-        EndpointUpdate { kind, entries, version: Some(version), dropped_entries: beyond }
+        let EndpointList { version, entries, dropped_entries, .. } = list;
+        EndpointUpdate { kind, entries, version: Some(version), dropped_entries }
     }
 
     /// Wraps changed entries from a source that counts no versions.
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -77,7 +77,7 @@
                 continue;
             };
             let is_peer = self.peers.contains(&sender);
-            match decode(&bytes[..length], codec.now().type_names()).filter(|_| is_peer) {
+            match decode(&bytes[..length], codec.load().class_names()).filter(|_| is_peer) {
                 // Dropped if the driver's queue is full, so that a flood of datagrams cannot block the node.
                 Some(message) => {
                     let _ = events.try_send(NodeEvent::Core(CoreEvent::GossipReceived(message)));
--- /dev/null
+++ b/crates/daemon/src/http1/head.rs
@@ -0,0 +1,122 @@
+//! Heads of requests and responses.
+use super::body::BodyDecoder;
+use super::error::MessageError;
+use bytes::Bytes;
+
+/// Fields that a head may have.
+const MAX_FIELDS: usize = 64;
+
+/// Header fields in the order in which they were received, with their names as they were spelled.
+#[derive(Debug, Default)]
+pub struct Headers(pub Vec<(String, Bytes)>);
+
+impl Headers {
+    fn from_parsed(parsed: &[httparse::Header]) -> Self {
+        let copied = parsed.iter().map(|field| (field.name.into(), Bytes::copy_from_slice(field.value)));
+        Headers(copied.collect())
+    }
+
+    /// The values of all fields of this name.
+    pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Bytes> {
+        let named = self.0.iter().filter(move |(field_name, _)| field_name.eq_ignore_ascii_case(name));
+        named.map(|(_, value)| value)
+    }
+
+    /// The value of a field that may occur once, without surrounding whitespace; none if it is missing.
+    ///
+    /// # Errors
+    /// If the field is repeated or is not UTF-8.
+    pub fn single(&self, name: &str) -> Result<Option<&str>, MessageError> {
+        let mut found = None;
+        for (field_name, value) in &self.0 {
+            if !field_name.eq_ignore_ascii_case(name) {
+                continue;
+            }
+            let text = std::str::from_utf8(value).map_err(|_| MessageError::FieldNotText)?;
+            if found.replace(text.trim()).is_some() {
+                return Err(MessageError::RepeatedField);
+            }
+        }
+        Ok(found)
+    }
+
+    /// Whether a comma-separated field contains this token, in any case.
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
+        let texts = self.values(name).filter_map(|value| std::str::from_utf8(value).ok());
+        texts.flat_map(|text| text.split(',')).any(|element| element.trim().eq_ignore_ascii_case(token))
+    }
+}
+
+/// The head of a request.
+#[derive(Debug)]
+pub struct RequestHead {
+    pub method: String,
+    pub target: String,
+    pub headers: Headers,
+    /// Decodes the body that follows.
+    pub body: BodyDecoder,
+    /// Whether the client may send another request over this connection.
+    pub keep_alive: bool,
+    /// Whether the client waits for an interim response before it sends the body (RFC 9110, section 10.1.1).
+    pub expects_continue: bool,
+}
+
+/// The head of a response.
+#[derive(Debug)]
+pub struct ResponseHead {
+    pub status: u16,
+    pub headers: Headers,
+    /// Decodes the body that follows.
+    pub body: BodyDecoder,
+    /// Whether another request may be sent over this connection.
+    pub keep_alive: bool,
+}
+
+/// A head and the number of bytes that it takes.
+pub type Parsed<T> = (T, usize);
+
+/// Whether the sender of this head wants the connection to persist (RFC 9112, section 9.3).
+fn is_persistent(headers: &Headers, minor_version: u8) -> bool {
+    !headers.has_token("connection", "close")
+        && (minor_version >= 1 || headers.has_token("connection", "keep-alive"))
+}
+
+/// Parses the request head at the start of `bytes`; none if it is incomplete.
+///
+/// # Errors
+/// If the head is malformed, has too many fields, or does not say where its body ends.
+pub fn parse_request_head(bytes: &[u8]) -> Result<Option<Parsed<RequestHead>>, MessageError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut parsed = httparse::Request::new(&mut fields);
+    let httparse::Status::Complete(length) = parsed.parse(bytes)? else { return Ok(None) };
+    let headers = Headers::from_parsed(parsed.headers);
+    let minor_version = parsed.version.unwrap_or(1);
+    // RFC 9112, section 3.2.
+    if minor_version >= 1 && headers.single("host")?.is_none() {
+        return Err(MessageError::MissingHost);
+    }
+    let head = RequestHead {
+        method: parsed.method.unwrap_or("").into(),
+        target: parsed.path.unwrap_or("").into(),
+        body: BodyDecoder::for_request(&headers)?,
+        keep_alive: is_persistent(&headers, minor_version),
+        expects_continue: headers.has_token("expect", "100-continue"),
+        headers,
+    };
+    Ok(Some((head, length)))
+}
+
+/// Parses the response head at the start of `bytes`; none if it is incomplete.
+///
+/// # Errors
+/// If the head is malformed, has too many fields, or does not say where its body ends.
+pub fn parse_response_head(bytes: &[u8]) -> Result<Option<Parsed<ResponseHead>>, MessageError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut parsed = httparse::Response::new(&mut fields);
+    let httparse::Status::Complete(length) = parsed.parse(bytes)? else { return Ok(None) };
+    let headers = Headers::from_parsed(parsed.headers);
+    let status = parsed.code.unwrap_or(0);
+    let body = BodyDecoder::for_response(status, &headers)?;
+    let keep_alive = is_persistent(&headers, parsed.version.unwrap_or(1)) && body != BodyDecoder::UntilClose;
+    Ok(Some((ResponseHead { status, headers, body, keep_alive }, length)))
+}
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -2,6 +2,7 @@
 //!
 //! An executor that is excluded and listed as ready counts as draining. The module performs no I/O.
 use crate::protocol::EndpointEntry;
+use crate::protocol::endpoint_state::{DRAINING, GONE, READY};
 use slotmap::SecondaryMap;
 use std::collections::{BTreeSet, VecDeque};
 use troutknot::ExecutorId;
@@ -9,10 +10,6 @@
 /// Upper bound on excluded executors that are not listed. The oldest of them is admitted again beyond it.
 pub const MAX_EXCLUDED_ABSENT: usize = 1024;
 
-const READY: &str = "Ready";
-const DRAINING: &str = "Terminating";
-const GONE: &str = "Gone";
-
 /// Listed and excluded executors.
 #[derive(Default)]
 pub struct Membership {
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -93,7 +93,7 @@
     let inherited = &mut handover.inherited;
     let version = inherited.version.or(node.cached_list.as_ref().map(|known| known.version)).unwrap_or(0);
     let entries = std::mem::take(&mut inherited.entries);
-    node.cached_list = Some(EndpointList { version, full: true, entries, beyond: 0 });
+    node.cached_list = Some(EndpointList { version, is_snapshot: true, entries, dropped_entries: 0 });
     Some(handover)
 }
 
--- a/crates/daemon/src/node/startup.rs
+++ b/crates/daemon/src/node/startup.rs
@@ -86,7 +86,7 @@
             has_consul: self.operator.discovery.sources.contains(&DiscoverySource::Consul),
             has_ledger: self.operator.durable.is_some(),
             has_inherited_socket: listener_origin == ListenerOrigin::Inherited,
-            ..limit_inputs(&self.settings, &self.codec.now())
+            ..limit_inputs(&self.settings, &self.codec.load())
         })
     }
 }
--- /dev/null
+++ b/crates/daemon/src/protocol/attempt_events.rs
@@ -0,0 +1,125 @@
+//! What an executor reports about an attempt: the status of its response, one event a line, and the state of an
+//! attempt on request.
+use super::names;
+use crate::http1::ResponseHead;
+use bytes::{Bytes, BytesMut};
+use serde::Deserialize;
+use serde_json::value::RawValue;
+use troutknot::Outcome;
+
+/// One event of an attempt.
+#[derive(Debug, PartialEq)]
+pub enum AttemptEvent {
+    Started,
+    /// The completed share, from 0 to 1.
+    Progress(f64),
+    Result(Bytes),
+    Ended(Outcome),
+}
+
+/// Why a line is not an event of the attempt.
+#[derive(Debug, thiserror::Error)]
+pub enum EventError {
+    #[error("invalid event: {0}")]
+    Json(#[from] serde_json::Error),
+    /// A late response to an earlier attempt on a reused connection; a line without an id may be one, too.
+    #[error("the event names another request or none")]
+    OtherRequest,
+    #[error("the event `done` has no result")]
+    MissingResult,
+    #[error("unknown state `{0}`")]
+    UnknownState(String),
+}
+
+#[derive(Deserialize)]
+struct EventLine<'a> {
+    id: Option<String>,
+    state: String,
+    share: Option<f64>,
+    #[serde(borrow)]
+    result: Option<&'a RawValue>,
+}
+
+/// The outcome that the head of an executor's response decides; none if events follow in the body.
+pub fn outcome_of_head(head: &ResponseHead) -> Option<Outcome> {
+    let is_not_started = matches!(head.headers.single(names::NOT_STARTED), Ok(Some("1")));
+    match head.status {
+        200 => None,
+        503 | 504 if is_not_started => Some(Outcome::Rejected),
+        _ => Some(Outcome::Error),
+    }
+}
+
+/// Removes the next line that is not blank. A last line without a line feed counts if the body is complete.
+pub fn next_line(buffer: &mut BytesMut, is_complete: bool) -> Option<BytesMut> {
+    loop {
+        let line_length = buffer.iter().position(|&byte| byte == b'\n').map(|position| position + 1);
+        let length = line_length.or(is_complete.then_some(buffer.len())).filter(|&length| length > 0)?;
+        let line = buffer.split_to(length);
+        if !line.trim_ascii().is_empty() {
+            return Some(line);
+        }
+    }
+}
+
+/// Parses a line of an executor's response to the request with this id.
+///
+/// # Errors
+/// If the line is malformed or belongs to another request.
+pub fn parse_attempt_event(line: &[u8], request_id: &str) -> Result<AttemptEvent, EventError> {
+    let event: EventLine = serde_json::from_slice(line)?;
+    if event.id.as_deref() != Some(request_id) {
+        return Err(EventError::OtherRequest);
+    }
+    match event.state.as_str() {
+        "started" => Ok(AttemptEvent::Started),
+        "running" => Ok(AttemptEvent::Progress(event.share.unwrap_or(0.0))),
+        "done" => {
+            let result = event.result.ok_or(EventError::MissingResult)?;
+            Ok(AttemptEvent::Result(result_bytes(result)))
+        }
+        "failed" => Ok(AttemptEvent::Ended(Outcome::Error)),
+        "returned" => Ok(AttemptEvent::Ended(Outcome::Rejected)),
+        "lost" => Ok(AttemptEvent::Ended(Outcome::Reset)),
+        unknown => Err(EventError::UnknownState(unknown.to_string())),
+    }
+}
+
+/// The text of a JSON string; other JSON values as they are written.
+fn result_bytes(result: &RawValue) -> Bytes {
+    let json = result.get();
+    let text = serde_json::from_str::<String>(json).unwrap_or_else(|_| json.to_string());
+    text.into()
+}
+
+/// The state of an attempt, as its executor reports it on request.
+#[derive(Debug, PartialEq)]
+pub enum AttemptFate {
+    /// It has not run, and the executor will refuse it.
+    NeverRan,
+    Running,
+    Completed(Bytes),
+    /// It may have run.
+    Unknown,
+}
+
+#[derive(Deserialize)]
+struct FateBody {
+    state: String,
+    result: Option<String>,
+}
+
+/// Parses the response to a fence request; none if it is not one.
+pub fn parse_attempt_fate(head: &ResponseHead, body: &[u8]) -> Option<AttemptFate> {
+    if head.status != 200 {
+        return None;
+    }
+    let fate: FateBody = serde_json::from_slice(body).ok()?;
+    match fate.state.as_str() {
+        "never" => Some(AttemptFate::NeverRan),
+        "running" => Some(AttemptFate::Running),
+        "done" => fate.result.map(|result| AttemptFate::Completed(result.into())),
+        // The safe interpretation of a state that this version does not know.
+        _ => Some(AttemptFate::Unknown),
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/protocol/endpoint_list.rs
@@ -0,0 +1,112 @@
+//! The endpoint list of discovery.
+use super::codec::Codec;
+use super::names::{self, endpoint_state};
+use compact_str::CompactString;
+use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
+use troutknot::{DeduplicationGroupId, Endpoint, EndpointState, ExecutorId, MachineTypeId, Millis, ZoneId};
+use troutknot_membership::token;
+
+/// A version of the endpoint list.
+#[derive(Deserialize, Clone, Debug)]
+pub struct EndpointList {
+    pub version: u64,
+    /// Whether this is a complete list rather than the changes since the version before.
+    #[serde(default, rename = "full")]
+    pub is_snapshot: bool,
+    #[serde(rename = "servers")]
+    pub entries: Vec<EndpointEntry>,
+    /// Entries that were dropped as the list exceeds a bound.
+    #[serde(skip)]
+    pub dropped_entries: usize,
+}
+
+/// One executor as the endpoint list describes it.
+///
+/// Tens of thousands are retained at once, so texts of up to 24 bytes are stored inline.
+#[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
+pub struct EndpointEntry {
+    /// Name of the executor.
+    pub id: CompactString,
+    /// Address and port; may be empty if the executor is gone.
+    #[serde(default, rename = "addr")]
+    pub address: CompactString,
+    pub zone: Option<CompactString>,
+    #[serde(rename = "kind")]
+    pub machine_type: Option<CompactString>,
+    #[serde(rename = "cell")]
+    pub deduplication_group: Option<u32>,
+    pub state: CompactString,
+    pub weight: Option<f64>,
+    /// When the executor started, in milliseconds since the Unix epoch.
+    #[serde(rename = "started_ms")]
+    pub started_at: Option<Millis>,
+}
+
+impl EndpointEntry {
+    /// An executor that is not listed, of which only the name is known.
+    pub fn gone(id: &str) -> Self {
+        EndpointEntry {
+            id: id.into(),
+            address: CompactString::default(),
+            zone: None,
+            machine_type: None,
+            deduplication_group: None,
+            state: endpoint_state::GONE.into(),
+            weight: None,
+            started_at: None,
+        }
+    }
+
+    /// The same executor once it is no longer listed.
+    pub fn into_gone(self) -> Self {
+        EndpointEntry { state: endpoint_state::GONE.into(), ..self }
+    }
+
+    /// Whether the executor is no longer listed.
+    pub fn is_gone(&self) -> bool {
+        self.state == endpoint_state::GONE
+    }
+
+    /// Whether the executor takes requests.
+    pub fn is_ready(&self) -> bool {
+        self.state == endpoint_state::READY
+    }
+
+    fn endpoint_state(&self) -> EndpointState {
+        match self.state.as_str() {
+            endpoint_state::READY => EndpointState::Ready,
+            endpoint_state::GONE => EndpointState::Gone,
+            // The safe interpretation of a state that this version does not know: no new requests.
+            _ => EndpointState::Draining,
+        }
+    }
+}
+
+impl Codec {
+    /// The request that watches the endpoint list, from the version after `version` or from a snapshot.
+    pub fn watch_request(&self, discovery: SocketAddr, version: Option<u64>) -> String {
+        let index = version.map_or(String::new(), |version| format!("&index={version}"));
+        format!("GET {}?stream=1{index} HTTP/1.1\r\nHost: {discovery}\r\n\r\n", names::ENDPOINT_LIST_PATH)
+    }
+
+    /// An entry in the dispatcher's terms.
+    pub fn endpoint(&self, entry: &EndpointEntry, executor: ExecutorId) -> Endpoint {
+        Endpoint {
+            executor,
+            token: token(&entry.id),
+            zone: ZoneId(id_of(entry.zone.as_deref(), &self.zone_names)),
+            machine_type: MachineTypeId(id_of(entry.machine_type.as_deref(), &self.machine_type_names)),
+            deduplication_group: DeduplicationGroupId(entry.deduplication_group.unwrap_or(0)),
+            state: entry.endpoint_state(),
+            weight: entry.weight.unwrap_or(1.0),
+            started_at: entry.started_at.filter(|&started_at| started_at > 0.0),
+        }
+    }
+}
+
+/// The id of a name: the first id if no name is given, and one that no name has if the settings do not list it.
+fn id_of(name: Option<&str>, names: &[String]) -> u32 {
+    let Some(name) = name else { return 0 };
+    names.iter().position(|known| known == name).map_or(u32::MAX, |id| id as u32)
+}
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -35,9 +35,9 @@
     /// Reads to the response's end and puts the connection back, unless that takes longer than the tail timeout.
     pub async fn finish(mut self, pool: &ExecutorPool, executor: &Executor) {
         let mut discarded = BytesMut::new();
-        let rest =
-            self.connection.body(&mut self.head.body, &mut discarded, pool.limits.max_body_bytes, false);
-        if self.head.keep && matches!(timeout(pool.limits.rest_of_message_timeout, rest).await, Ok(Ok(true)))
+        let rest = self.connection.read_body(&mut self.head.body, &mut discarded, pool.limits.max_body_bytes);
+        if self.head.keep_alive
+            && matches!(timeout(pool.limits.rest_of_message_timeout, rest).await, Ok(Ok(())))
         {
             pool.put_back(executor, self.connection);
         }
@@ -88,12 +88,12 @@
             return AttemptEnd::without_response(Outcome::NotSent, lease);
         }
         // The peer may have closed the connection while the attempt was recorded.
-        if lease.is_some() && !connection.quiet() {
+        if lease.is_some() && !connection.is_quiet() {
             return AttemptEnd::without_response(Outcome::NotSent, lease);
         }
         if !self.send(&mut connection, lease.as_ref(), now).await {
             // An executor does not run a request whose last byte it never receives.
-            connection.abandon();
+            connection.reset_on_drop();
             return AttemptEnd::without_response(Outcome::NoConnection, lease);
         }
         let received = self.receive(&mut connection, lease.as_ref()).await;
@@ -105,7 +105,7 @@
         let class = self.order.in_flight.request.class;
         // A late duplicate of the previous response can claim that nothing ran, without naming a request. Only
         // an idempotent request is safe to retry after that.
-        let reuse = match self.pool.codec.now().effect(class) {
+        let reuse = match self.pool.codec.load().effect(class) {
             Some(Effect::Idempotent) => IdleReuse::Any,
             _ => IdleReuse::WithoutLateResponse,
         };
@@ -155,7 +155,7 @@
     /// sent. An executor that reads slowly can delay that byte for as long as it likes.
     async fn send(&self, connection: &mut PooledConnection, lease: Option<&Lease>, now: Instant) -> bool {
         let request = &self.order.in_flight.request;
-        let head = self.pool.codec.now().allocation(
+        let head = self.pool.codec.load().dispatch_head(
             request,
             connection.address,
             self.order.attempt_deadline - now,
@@ -197,16 +197,16 @@
                 // A rejection does not name its request, so it may be a duplicate response to the previous
                 // attempt. It is accepted, but the connection is closed in case this request is running.
                 let names_request = head.status == 200 || !outcome.never_ran();
-                head.keep &= names_request || connection.is_clear(&self.pool.limits);
+                head.keep_alive &= names_request || connection.is_clear(&self.pool.limits);
                 connection.last_response_at = Some(Instant::now());
                 AttemptEnd { outcome, lease, unread: Some(UnreadResponse { connection, head }) }
             }
             Ok(Received::GaveUp(outcome)) => {
-                connection.abandon();
+                connection.reset_on_drop();
                 AttemptEnd::without_response(outcome, lease)
             }
             Err(error) => {
-                connection.abandon();
+                connection.reset_on_drop();
                 if error.is_protocol_violation() {
                     let address = connection.address;
                     tracing::warn!(%address, %error, "invalid response from executor, connection closed");
@@ -238,7 +238,7 @@
     /// Completes when nobody waits for the request any more and its class allows to break it off.
     async fn abandoned(&self) {
         let in_flight = &self.order.in_flight;
-        if self.pool.codec.now().may_withdraw(in_flight.request.class) {
+        if self.pool.codec.load().is_cancellable(in_flight.request.class) {
             in_flight.over().await;
         } else {
             std::future::pending().await
--- a/crates/daemon/src/upstream/attempt_status.rs
+++ b/crates/daemon/src/upstream/attempt_status.rs
@@ -36,12 +36,12 @@
                 fate = timeout(probe_timeout, self.query()) => fate.ok().flatten(),
             };
             match fate {
-                Some(AttemptFate::Never) if self.lease.fenced() => return Some(Outcome::NoConnection),
-                Some(AttemptFate::Done(result)) => {
+                Some(AttemptFate::NeverRan) if self.lease.fenced() => return Some(Outcome::NoConnection),
+                Some(AttemptFate::Completed(result)) => {
                     self.in_flight.answer(Answer::Completed(result));
                     return Some(Outcome::Completed);
                 }
-                Some(AttemptFate::Never | AttemptFate::Lost) => return None,
+                Some(AttemptFate::NeverRan | AttemptFate::Unknown) => return None,
                 Some(AttemptFate::Running) | None => {}
             }
             tokio::select! {
@@ -57,18 +57,18 @@
         let connection =
             self.pool.connect(self.executor, limits.upstream.max_connections, IdleReuse::Any).await;
         let mut connection = connection.ok()?;
-        let query = self.pool.codec.now().fence(
+        let query = self.pool.codec.load().fence_request(
             &self.in_flight.request.id,
             self.lease.fence,
             self.lease.age(),
             self.executor.address()?,
         );
         connection.write(&[&query]).await.ok()?;
-        let mut head = connection.answer_head().await.ok()?;
+        let mut head = connection.read_response_head().await.ok()?;
         let mut body = BytesMut::new();
-        connection.body(&mut head.body, &mut body, 2 * limits.max_body_bytes, false).await.ok()?;
-        let fate = protocol::fate(&head, &body);
-        if head.keep {
+        connection.read_body(&mut head.body, &mut body, 2 * limits.max_body_bytes).await.ok()?;
+        let fate = protocol::parse_attempt_fate(&head, &body);
+        if head.keep_alive {
             self.pool.put_back(self.executor, connection);
         }
         fate
--- a/crates/daemon/src/upstream/executor.rs
+++ b/crates/daemon/src/upstream/executor.rs
@@ -83,7 +83,7 @@
 impl IdleConnection {
     /// An executor may close a connection that is idle for longer, while a request is sent on it.
     fn is_usable(&self, limits: &Limits) -> bool {
-        self.since.elapsed() < limits.timeouts().max_pooled_idle && self.connection.quiet()
+        self.since.elapsed() < limits.timeouts().max_pooled_idle && self.connection.is_quiet()
     }
 }
 
--- a/crates/daemon/src/upstream/pool.rs
+++ b/crates/daemon/src/upstream/pool.rs
@@ -211,7 +211,7 @@
     /// Keeps a connection whose last message is complete for the next one.
     pub(super) fn put_back(&self, executor: &Executor, mut connection: PooledConnection) {
         if executor.accepts(&connection) {
-            connection.rest();
+            connection.release_buffers();
             executor.idle.push(connection);
         }
     }
--- a/crates/daemon/src/upstream/probe.rs
+++ b/crates/daemon/src/upstream/probe.rs
@@ -29,13 +29,13 @@
 async fn request_report(pool: &ExecutorPool, executor: &Executor) -> Option<LoadReport> {
     let mut connection =
         pool.connect(executor, pool.limits.upstream.max_connections, IdleReuse::Any).await.ok()?;
-    let request = pool.codec.now().probe(executor.address()?);
+    let request = pool.codec.load().probe_request(executor.address()?);
     connection.write(&[request.as_bytes()]).await.ok()?;
-    let mut head = connection.answer_head().await.ok()?;
+    let mut head = connection.read_response_head().await.ok()?;
     let mut body = BytesMut::new();
-    connection.body(&mut head.body, &mut body, pool.limits.connection_buffer_bytes, false).await.ok()?;
-    let report = (head.status == 200).then(|| pool.codec.now().reading(&head, &body));
-    if head.keep {
+    connection.read_body(&mut head.body, &mut body, pool.limits.connection_buffer_bytes).await.ok()?;
+    let report = (head.status == 200).then(|| pool.codec.load().load_report(&head, &body));
+    if head.keep_alive {
         pool.put_back(executor, connection);
     }
     report
--- a/crates/daemon/src/upstream/response.rs
+++ b/crates/daemon/src/upstream/response.rs
@@ -4,35 +4,29 @@
 use super::pool::ExecutorPool;
 use crate::durable::Lease;
 use crate::event::NodeEvent;
-use crate::http1::{Failed, ResponseHead};
+use crate::http1::{ReceiveError, ResponseHead};
 use crate::in_flight::Answer;
-use crate::protocol::{self, AttemptEvent};
+use crate::protocol::{self, AttemptEvent, EventError};
 use bytes::BytesMut;
 use troutknot::{Event as CoreEvent, Outcome};
 
 /// Why a response gives no outcome.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResponseError {
-    #[error("{0}")]
-    Http(Failed),
-    #[error("invalid event: {0}")]
-    InvalidEvent(String),
+    #[error(transparent)]
+    Http(#[from] ReceiveError),
+    #[error(transparent)]
+    Event(#[from] EventError),
     #[error("the request was returned as not started after it had started")]
     ReturnedAfterStart,
     #[error("the response ended without an outcome")]
     NoOutcome,
 }
 
-impl From<Failed> for ResponseError {
-    fn from(error: Failed) -> Self {
-        ResponseError::Http(error)
-    }
-}
-
 impl ResponseError {
     /// Whether the executor broke the protocol, in contrast to a connection that was lost.
     pub fn is_protocol_violation(&self) -> bool {
-        matches!(self, ResponseError::Http(Failed::Bad(_)) | ResponseError::InvalidEvent(_))
+        matches!(self, ResponseError::Http(ReceiveError::Message(_)) | ResponseError::Event(_))
     }
 }
 
@@ -58,16 +52,16 @@
         mut self,
         connection: &mut PooledConnection,
     ) -> Result<(Outcome, ResponseHead), ResponseError> {
-        let mut head = connection.answer_head().await?;
+        let mut head = connection.read_response_head().await?;
         self.extend_lease(false);
-        if let Some(outcome) = protocol::taken(&head) {
+        if let Some(outcome) = protocol::outcome_of_head(&head) {
             return Ok((outcome, head));
         }
         // JSON escapes can make a result longer than the body that it encodes.
         let max_bytes = 2 * self.pool.limits.max_body_bytes;
         let mut buffer = BytesMut::new();
         loop {
-            let is_complete = connection.body(&mut head.body, &mut buffer, max_bytes, true).await?;
+            let is_complete = connection.read_body_line(&mut head.body, &mut buffer, max_bytes).await?;
             while let Some(line) = protocol::next_line(&mut buffer, is_complete) {
                 if let Some(outcome) = self.handle_line(&line)? {
                     return Ok((outcome, head));
@@ -82,7 +76,7 @@
     /// Returns the outcome if this event decides it.
     fn handle_line(&mut self, line: &[u8]) -> Result<Option<Outcome>, ResponseError> {
         let in_flight = &self.order.in_flight;
-        let event = protocol::line(line, &in_flight.request.id).map_err(ResponseError::InvalidEvent)?;
+        let event = protocol::parse_attempt_event(line, &in_flight.request.id)?;
         let is_running = matches!(event, AttemptEvent::Started | AttemptEvent::Progress(_));
         self.extend_lease(is_running);
         self.has_started |= is_running;
--- a/crates/daemon/tests/unit/compatibility.rs
+++ b/crates/daemon/tests/unit/compatibility.rs
@@ -25,7 +25,7 @@
     assert_eq!((inherited.version, inherited.entries.len(), inherited.ids.len()), (None, 2, 2));
     assert_eq!(inherited.excluded.iter().collect::<Vec<_>>(), ["s-1"], "the other one serves again");
     let entry = &inherited.entries[0];
-    assert_eq!((entry.id.as_str(), entry.weight, entry.started_ms), ("s-1", Some(1.5), Some(5.0)));
+    assert_eq!((entry.id.as_str(), entry.weight, entry.started_at), ("s-1", Some(1.5), Some(5.0)));
     let executor = &inherited.executors[0];
     assert_eq!(executor.failure_score, (0.5, 10.0).into());
     assert_eq!((executor.observations, executor.max_slots), ((2.0, 10.0).into(), 4.0));
--- a/crates/daemon/tests/unit/endpoint_list_parser.rs
+++ b/crates/daemon/tests/unit/endpoint_list_parser.rs
@@ -60,7 +60,7 @@
             let (got, why, is_inside) = read(BOUNDS, text, step);
             let names = |list: &EndpointList| list.entries.iter().map(|entry| entry.id.to_string()).collect();
             let got: Vec<(u64, bool, Vec<String>)> =
-                got.iter().map(|list| (list.version, list.full, names(list))).collect();
+                got.iter().map(|list| (list.version, list.is_snapshot, names(list))).collect();
             let expected: Vec<(u64, bool, Vec<String>)> = expected
                 .iter()
                 .map(|(version, full, names)| {
@@ -84,7 +84,7 @@
     for step in 1..=text.len() {
         let (got, why, _) = read(BOUNDS, &text, step);
         assert!(why.is_none() && got.len() == 1, "{why:?}");
-        assert_eq!((got[0].version, got[0].full, &got[0].entries), (9, true, &expected));
+        assert_eq!((got[0].version, got[0].is_snapshot, &got[0].entries), (9, true, &expected));
     }
 }
 
@@ -151,5 +151,5 @@
     let chosen = Retention::choose(&ranks, BOUNDS.max_entries);
     let expected: Vec<EndpointEntry> =
         all.into_iter().zip(chosen).filter_map(|(entry, is_chosen)| is_chosen.then_some(entry)).collect();
-    assert_eq!((&got[0].entries, got[0].beyond), (&expected, 32));
+    assert_eq!((&got[0].entries, got[0].dropped_entries), (&expected, 32));
 }
--- a/crates/daemon/tests/unit/merge.rs
+++ b/crates/daemon/tests/unit/merge.rs
@@ -9,7 +9,7 @@
         let changes: Vec<String> = merge
             .apply(precedence, kind, entries)
             .into_iter()
-            .map(|entry| format!("{} {} {}", entry.id, entry.addr, entry.state))
+            .map(|entry| format!("{} {} {}", entry.id, entry.address, entry.state))
             .collect();
         changes.join(", ")
     };
--- a/crates/daemon/tests/unit/protocol.rs
+++ b/crates/daemon/tests/unit/protocol.rs
@@ -1,35 +1,39 @@
-//! What lines and heads say, and words for the other tests.
+//! Events and response heads of executors, and codecs for the tests of other modules.
 use super::*;
+use crate::http1;
+use bytes::BytesMut;
+use serde_json::Value;
+use std::rc::Rc;
+use troutknot::{Outcome, Settings};
 
 impl Codec {
-    /// With one project type, `render`, and its settings.
+    /// A codec of one class, `render`, and its settings.
     pub fn of_one_type(hard_limit_us: u64) -> (Settings, Rc<Current<Codec>>) {
-        Self::told(serde_json::json!({"name": "render", "hard_limit": hard_limit_us}))
+        Self::with_class(serde_json::json!({"name": "render", "hard_limit": hard_limit_us}))
     }
 
-    /// With one that has this effect.
+    /// A codec of one class, `render`, with this effect.
     pub fn of_effect(effect: &str) -> Rc<Current<Codec>> {
-        Self::told(serde_json::json!({"name": "render", "hard_limit": 5_000_000, "effect": effect})).1
+        Self::with_class(serde_json::json!({"name": "render", "hard_limit": 5_000_000, "effect": effect})).1
     }
 
-    fn told(project_type: Value) -> (Settings, Rc<Current<Codec>>) {
-        let settings = serde_json::json!({"project_types": [project_type]});
+    fn with_class(class: Value) -> (Settings, Rc<Current<Codec>>) {
+        let settings = serde_json::json!({"project_types": [class]});
         let settings = settings.as_object().unwrap();
         let resolved = troutknot_configuration::IdCatalog::default().resolve(settings).unwrap();
-        (resolved.settings.clone(), Current::new(Codec::of(settings, resolved)))
+        (resolved.settings.clone(), Current::new(Codec::new(settings, resolved)))
     }
 }
 
 impl EndpointEntry {
-    pub fn of(id: &str, addr: &str, state: &str) -> Self {
-        let (id, addr, state) = (id.into(), addr.into(), state.into());
-        EndpointEntry { id, addr, zone: None, kind: None, cell: None, state, weight: None, started_ms: None }
+    pub fn of(id: &str, address: &str, state: &str) -> Self {
+        EndpointEntry { address: address.into(), state: state.into(), ..EndpointEntry::gone(id) }
     }
 }
 
 #[test]
-fn lines_of_executors_and_what_they_prove() {
-    let of = |text: &str| line(text.as_bytes(), "a1");
+fn lines_of_executors_are_parsed_as_events() {
+    let of = |text: &str| parse_attempt_event(text.as_bytes(), "a1");
     for (text, expected) in [
         (r#"{"id":"a1","from":"s","state":"started"}"#, Some(AttemptEvent::Started)),
         (r#"{"id":"a1","state":"running","share":0.4}"#, Some(AttemptEvent::Progress(0.4))),
@@ -54,7 +58,7 @@
 }
 
 #[test]
-fn heads_of_executors_and_what_they_prove() {
+fn response_heads_of_executors_decide_outcomes() {
     for (status, fields, expected) in [
         (200, "", None),
         (503, "Not-Started: 1\r\n", Some(Outcome::Rejected)),
@@ -65,7 +69,7 @@
         (302, "", Some(Outcome::Error)),
     ] {
         let text = format!("HTTP/1.1 {status} x\r\n{fields}Content-Length: 0\r\n\r\n");
-        let (head, _) = http1::answer_head(text.as_bytes()).unwrap().unwrap();
-        assert_eq!(taken(&head), expected, "{text}");
+        let (head, _) = http1::parse_response_head(text.as_bytes()).unwrap().unwrap();
+        assert_eq!(outcome_of_head(&head), expected, "{text}");
     }
 }
--- a/crates/daemon/tests/unit/retention.rs
+++ b/crates/daemon/tests/unit/retention.rs
@@ -184,7 +184,7 @@
 fn an_executor_that_is_displaced_and_retained_again_has_the_entry_that_was_listed() {
     let mut node = Node::new(2, 9);
     let mut list = vec![entry("a", "Terminating"), entry("b", "Ready")];
-    (list[0].started_ms, list[0].cell) = (Some(7.0), Some(3));
+    (list[0].started_at, list[0].deduplication_group) = (Some(7.0), Some(3));
     node.snapshot(list.clone(), 0);
     let change = node.delta(ready(&["c"])).entries;
     assert_eq!(change[0], list[0].clone().into_gone());
--- a/crates/daemon/tests/unit/versions.rs
+++ b/crates/daemon/tests/unit/versions.rs
@@ -1,8 +1,8 @@
 //! Which versions of a list are accepted.
 use super::*;
 
-fn list(version: u64, full: bool) -> EndpointList {
-    EndpointList { version, full, entries: Vec::new(), beyond: 0 }
+fn list(version: u64, is_snapshot: bool) -> EndpointList {
+    EndpointList { version, is_snapshot, entries: Vec::new(), dropped_entries: 0 }
 }
 
 #[test]
