--- a/crates/daemon/examples/fleet_memory.rs
+++ b/crates/daemon/examples/fleet_memory.rs
@@ -147,7 +147,6 @@
                 line.contains("left out")
                     || line.contains("invalid endpoint list")
                     || line.contains("consul query failed")
-                    || line.contains("invalid response")
             })
             .for_each(|line| println!("{line}"))
     });
--- a/crates/daemon/src/driver/endpoints.rs
+++ b/crates/daemon/src/driver/endpoints.rs
@@ -138,12 +138,9 @@
             tracing::warn!(executor = %entry.id, address = %entry.address, "executor address not valid");
             endpoint.state = EndpointState::Draining;
         }
-        let executor_endpoint = ExecutorEndpoint {
-            address,
-            started_at: endpoint.started_at,
-            is_ready: endpoint.state == EndpointState::Ready,
-        };
-        self.executors.set_endpoint(executor, executor_endpoint);
+        let is_ready = endpoint.state == EndpointState::Ready;
+        self.executors
+            .set_endpoint(executor, ExecutorEndpoint { address, started_at: endpoint.started_at, is_ready });
         tracing::debug!(
             executor = %entry.id,
             state = ?endpoint.state,
