--- a/crates/ledger/examples/cost.rs
+++ b/crates/ledger/examples/commit_throughput.rs
@@ -1,7 +1,7 @@
-//! What durability costs on a disk: work units a second and the time each waits for its records, with one sync for
-//! all that wait and with one each; bytes and syncs of a work unit; and how long a start takes by what is on record.
+//! Measures the ledger on a disk: requests per second and how long each waits for its records, with shared and with
+//! separate syncs; bytes and syncs per request; and how long opening a ledger takes by its number of records.
 //!
-//!     cargo run --release -p troutknot-ledger --example cost -- FOLDER
+//!     cargo run --release -p troutknot-ledger --example commit_throughput -- FOLDER
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, mpsc};
@@ -56,7 +56,7 @@
         told.recv().expect("the ledger lives").expect("the disk takes it");
     }
 
-    /// One work unit's life, and how long it waited for its records.
+    /// Records one request from arrival to its end, and returns how long it waited for its records.
     fn life(&self) -> Duration {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let (request_id, began) = (RequestId(number), Instant::now());
@@ -116,7 +116,7 @@
     );
 }
 
-/// A start after a crash: a copy of a file that is open has not been closed.
+/// Opens a ledger that was closed, and one of a process that crashed: the copy of an open file.
 fn recovery(path: &Path, records: u64) {
     let store = Store::open(path).expect("the ledger opens");
     let of = |number: u64| {
