--- a/crates/daemon/src/durable/jobs.rs
+++ b/crates/daemon/src/durable/jobs.rs
@@ -83,7 +83,7 @@
     fn apply_accepted(&self, in_flight: &InFlightRequest) -> Option<Row> {
         let request = &in_flight.request;
         let time_left = in_flight.deadline.saturating_duration_since(Instant::now());
-        let codec = self.codec.now();
+        let codec = self.codec.load();
         let record = Record::Taken {
             request_id: in_flight.request_id,
             effect: codec.effect(request.class).unwrap_or(Effect::AtMostOnce),
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -1,5 +1,6 @@
 //! One recorded attempt: its heartbeats, by which its lease is extended, and its outcome.
 use super::Durable;
+use crate::protocol::LeaseFields;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -52,12 +53,11 @@
         }
     }
 
-    /// The fencing token and the lease in milliseconds, as they are sent to the executor; None if executors
-    /// support neither.
-    pub fn fence_and_lease(&self) -> Option<(u64, Option<Millis>)> {
+    /// The fencing token and the lease, as they are sent to the executor; None if executors support neither.
+    pub fn fields(&self) -> Option<LeaseFields> {
         let config = &self.durable.config;
-        let lease_time = config.lease_duration.map(|lease_time| lease_time.as_secs_f64() * 1000.0);
-        (config.has_fencing || lease_time.is_some()).then_some((self.fence.0, lease_time))
+        let duration = config.lease_duration.map(|lease_time| lease_time.as_secs_f64() * 1000.0);
+        (config.has_fencing || duration.is_some()).then_some(LeaseFields { fence: self.fence, duration })
     }
 
     /// Whether executors support fencing.
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -102,7 +102,7 @@
     /// If the ledger cannot be opened or read.
     pub fn open(config: DurableConfig, connections: DurableConnections) -> Result<Rc<Self>, DurableError> {
         let DurableConnections { limits, clock, codec, events, tasks } = connections;
-        let max_attempts = codec.now().max_attempts().clamp(*ATTEMPTS_RANGE.start(), *ATTEMPTS_RANGE.end());
+        let max_attempts = codec.load().max_attempts().clamp(*ATTEMPTS_RANGE.start(), *ATTEMPTS_RANGE.end());
         let started_at = Instant::now();
         let (committer, ledger) = start_committer(&config, max_attempts)?;
         let unrecovered = open_requests(&ledger);
--- a/crates/daemon/src/durable/recovery.rs
+++ b/crates/daemon/src/durable/recovery.rs
@@ -126,7 +126,7 @@
 
     fn restore_request(&self, accepted: &AcceptedRequest) -> Result<ClientRequest, UnknownClass> {
         let (client_id, key) = (accepted.client_id.clone(), accepted.key.clone());
-        accepted.stored.to_request(client_id, key, &self.codec.now())
+        accepted.stored.to_request(client_id, key, &self.codec.load())
     }
 
     fn instant_of(&self, deadline: Millis) -> Instant {
