--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn held_work_whose_client_left_is_never_sent() {
+fn a_queued_request_whose_client_left_is_never_dispatched() {
     serving_and_ending(|ending, ways| {
         let (executor, discovery) = one_executor();
         let mut node = Node::start_with(&discovery, (256, 64), patient(), "debug");
@@ -147,7 +147,7 @@
 
 /// The first attempt is turned away unstarted, and the request is held for a second one when its client leaves.
 #[test]
-fn a_request_whose_client_left_between_two_attempts_gets_no_further_one() {
+fn a_request_whose_client_left_between_attempts_is_not_retried() {
     // A node that ends gives up 3 s after the signal, and the second look has to come well before.
     const OBJECTIVE: u64 = 12_000_000;
     serving_and_ending(|ending, ways| {
@@ -182,7 +182,7 @@
 
 /// Rerunnable work is lost in its executor once its client has left; exclusive work is left to run there.
 #[test]
-fn work_whose_client_left_once_it_was_sent_is_not_sent_again() {
+fn a_dispatched_request_whose_client_left_is_not_retried() {
     let (executor, discovery) = one_executor();
     let mut settings = settings();
     for (project_type, cancel) in [("render", false), ("publish", true)] {
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn work_whose_client_left_while_it_connects_is_never_sent() {
+fn an_attempt_whose_client_left_while_connecting_is_never_sent() {
     let play = |ending: bool, how: Leaves, project_type: &str| {
         let crowded = Crowded::start();
         let discovery = Discovery::start(list(7, true, &[entry_at("s-1", crowded.addr, "Ready")]));
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn work_whose_client_left_while_it_is_written_never_comes_whole() {
+fn an_attempt_whose_client_left_while_being_written_never_arrives_complete() {
     const SIZE: usize = 64 * 1024;
     serving_and_ending(|ending, ways| {
         let slow = Slow::start();
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn a_client_that_sends_much_ahead_is_answered_and_told_that_its_connection_ends() {
+fn a_client_that_pipelines_too_much_is_answered_and_its_connection_closes() {
     let (executor, discovery) = one_executor();
     let node = Node::start(&discovery);
     for (ahead, kept) in [(10, true), (200_000, false)] {
@@ -279,7 +279,7 @@
 
 /// What comes while a node ends is judged as ever, in time, and takes nothing from what is taken.
 #[test]
-fn bad_bytes_to_a_node_that_ends_are_answered_or_closed_in_time() {
+fn malformed_requests_during_shutdown_are_answered_or_closed_in_time() {
     let (executor, discovery) = one_executor();
     let mut node = Node::start(&discovery);
     let (_, mut taken) = out(&node, &executor, Act::Wait, "publish");
@@ -316,7 +316,7 @@
 
 /// Ten thousand clients that leave at some byte of a request, or right after it.
 #[test]
-fn clients_that_leave_at_any_byte_leave_nothing_behind() {
+fn clients_that_disconnect_at_any_byte_leak_nothing() {
     let (_executor, discovery) = one_executor();
     let node = Node::start_with(&discovery, (256, 16), settings(), "info");
     let addr = node.addr;
@@ -358,7 +358,7 @@
 
 /// A node whose configuration comes only once the test has it come.
 #[test]
-fn signals_that_come_before_the_node_has_read_its_configuration_are_seen() {
+fn signals_during_the_start_are_handled() {
     for signals in [&["HUP", "TERM"][..], &["HUP", "HUP", "INT"], &["TERM", "TERM"], &["INT"]] {
         let (_executor, discovery) = one_executor();
         let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.addr.to_string(),
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn signals_that_cross_each_other_end_the_node_once_and_in_order() {
+fn concurrent_signals_shut_the_node_down_once_and_in_order() {
     let (executor, discovery) = one_executor();
     for signals in
         [&["HUP", "TERM"][..], &["TERM", "HUP"], &["TERM", "TERM", "INT"], &["TERM", "HUP", "TERM"]]
@@ -403,7 +403,7 @@
 
 /// Names, effects, customers, limits and prices that no file of the project has.
 #[test]
-fn the_settings_of_another_customer_are_all_that_names_and_limits_come_from() {
+fn names_and_deadlines_come_from_the_settings_alone() {
     let (executor, discovery) = one_executor();
     let kind = |name: &str, effect: &str, hard_limit: u64, credit: f64| {
         json!({"name": name, "effect": effect, "key_scope": "cell", "hard_limit": hard_limit,
@@ -444,7 +444,7 @@
 
 /// A close over bytes that come once it has begun would reset it, and take what its client has not read yet.
 #[test]
-fn the_last_answer_of_a_connection_comes_whole_whatever_its_client_sends_meanwhile() {
+fn the_last_response_of_a_connection_arrives_complete_whatever_the_client_sends() {
     let (executor, discovery) = one_executor();
     let node = Node::start(&discovery);
     for size in [60_000; 10] {
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_change_is_known_in_time_after_any_failure_of_discovery() {
+fn a_change_is_applied_in_time_after_any_failure_of_discovery() {
     let executor = Executor::start();
     let (short, long) = (Duration::from_millis(500), Duration::from_secs(30));
     let fleets = [("automatic", short), ("automatic", long), ("subscribe", short)];
--- a/crates/daemon/tests/durable.rs
+++ b/crates/daemon/tests/durable.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_client_that_asks_again_gets_what_is_on_record_or_joins_what_is_open() {
+fn a_retry_with_its_key_gets_the_recorded_answer_or_joins_the_open_request() {
     let (executor, discovery) = one_executor();
     let place = place("");
     let node = start(&discovery, &place);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn what_is_on_record_of_a_work_unit_is_told() {
+fn the_status_of_a_recorded_request_is_served() {
     let (executor, discovery) = one_executor();
     let place = place(FENCES);
     let node = start(&discovery, &place);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn without_the_file_nothing_of_it_is_there() {
+fn without_the_section_nothing_is_durable() {
     let (executor, discovery) = one_executor();
     let node = Node::start(&discovery);
     assert_eq!(node.ask(keyed("publish", "a1", "k1", "")).0, 200);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn what_was_out_when_the_node_died_is_settled_by_its_executors_word() {
+fn attempts_in_flight_at_a_crash_are_settled_by_their_executors() {
     let done = json!({"state": "done", "result": "late"});
     let (running, never) = (json!({"state": "running"}), json!({"state": "never"}));
     // What the executor says, one answer after the other; what the client gets, and how often it was sent.
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_result_whose_end_is_on_record_and_whose_answer_is_not_is_asked_for() {
+fn a_recorded_end_without_an_answer_is_queried() {
     let (executor, discovery) = one_executor();
     let place = place(FENCES);
     die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn executors_that_know_no_fences_get_nothing_exclusive_again() {
+fn at_most_once_requests_are_not_retried_without_fencing() {
     for (kind, status, sent) in [("publish", 502, 1), ("render", 200, 2)] {
         let (executor, discovery) = one_executor();
         let place = place("");
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn allocations_are_counted_over_restarts() {
+fn attempts_are_counted_across_restarts() {
     let (executor, discovery) = one_executor();
     let place = place("");
     let request = keyed("render", "a1", "k", "b");
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_lease_that_runs_out_frees_nothing() {
+fn an_expired_lease_does_not_permit_a_retry() {
     let (executor, discovery) = one_executor();
     let place = place("fences = true\nlease = \"200ms\"");
     let node = start(&discovery, &place);
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn one_ledger_has_one_node() {
+fn a_ledger_has_one_node() {
     let (_executor, discovery) = one_executor();
     let place = place("");
     let node = start(&discovery, &place);
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_clock_that_jumps_back_over_a_restart_gives_nothing_more_time() {
+fn a_clock_that_jumps_back_across_a_restart_extends_no_deadline() {
     const HOUR: f64 = 3_600_000.0;
     let (executor, discovery) = one_executor();
     let place = place(FENCES);
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn what_is_past_its_limit_as_the_node_comes_back_is_answered_and_not_sent() {
+fn requests_past_their_deadline_at_a_restart_are_answered_and_not_dispatched() {
     for (taken_only, status, sent) in [(true, 200, 2), (false, 502, 1)] {
         let (executor, discovery) = one_executor();
         let place = place("");
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn what_is_kept_no_longer_is_forgotten_and_a_full_ledger_defers() {
+fn expired_records_are_removed_and_a_full_ledger_rejects() {
     let (executor, discovery) = one_executor();
     let place = place("kept = \"100ms\"\nmost = 1");
     let node = start(&discovery, &place);
@@ -350,7 +350,7 @@
 
 #[test]
 #[ignore = "a measurement: cargo test --release -p troutknotd --test durable -- --ignored --nocapture"]
-fn fifty_thousand_open_at_the_restart() {
+fn fifty_thousand_open_requests_at_a_restart() {
     for count in [1_000u64, 50_000] {
         let (executor, discovery) = one_executor();
         let place = place("most = 200000");
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -12,7 +12,7 @@
 use troutknot_emulator::scripted::{Act, Discovery, Executor};
 
 #[test]
-fn answers_follow_from_what_executors_do_and_what_may_run_twice() {
+fn answers_follow_from_outcomes_and_effects() {
     use Act::*;
     let (executor, discovery) = one_executor();
     let node = Node::start(&discovery);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn bad_input_gets_its_status_and_the_node_serves_on() {
+fn bad_input_gets_its_status_and_the_node_continues() {
     let (executor, discovery) = one_executor();
     let node = Node::start(&discovery);
     let good = work("render", "1", 3.0, "");
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn whoever_sends_no_request_is_closed_in_time_however_it_drips() {
+fn connections_without_a_complete_request_are_closed_in_time() {
     let (_executor, discovery) = one_executor();
     let node = Node::start(&discovery);
     let good = work("render", "1", 3.0, "ab");
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn crowds_that_hold_connections_do_not_keep_usual_clients_out() {
+fn idle_connections_do_not_keep_other_clients_out() {
     let (_executor, discovery) = one_executor();
     let node = Node::start_with(&discovery, (64, 64), settings(), "info");
     // Before each crowd one that works, so that it is known; then more than the node may hold.
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn the_list_is_followed_through_drains_breaks_repeats_and_garbage() {
+fn the_endpoint_list_is_watched_through_drains_failures_repeats_and_garbage() {
     let (one, two) = (Executor::start(), Executor::start());
     let both = list(7, true, &[entry("s-1", &one, "Ready"), entry("s-2", &two, "Ready")]);
     let discovery = Discovery::start(both.clone());
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_new_configuration_is_followed_at_once_and_a_bad_one_is_not_taken() {
+fn a_new_configuration_is_applied_at_once_and_a_bad_one_is_rejected() {
     let (old, new) = (Executor::start(), Executor::start());
     let first = Discovery::start(list(7, true, &[entry("s-1", &old, "Ready")]));
     let second = Discovery::start(list(8, false, &[entry("s-2", &new, "Ready")]));
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn executors_that_cannot_be_reached_cost_no_effect_and_no_answer() {
+fn unreachable_executors_cost_no_effect_and_no_answer() {
     let (one, two) = (Executor::start(), Executor::start());
     let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut dead = entry("s-2", &two, "Ready");
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn clients_that_leave_are_withdrawn_and_nothing_is_sent_for_them_after() {
+fn requests_of_clients_that_disconnect_are_withdrawn_and_not_dispatched_again() {
     let (executor, discovery) = one_executor();
     let mut node = Node::start(&discovery);
     // The first act loses the work unit once the client has left: it would be sent again for one that waits.
@@ -305,7 +305,7 @@
 
 /// Every attempt tells its executor at most what the client has left.
 #[test]
-fn the_deadline_passed_to_an_executor_is_what_the_client_has_left() {
+fn the_deadline_sent_to_an_executor_is_what_the_client_has_left() {
     const SLACK: f64 = 0.15;
     let (executor, discovery) = one_executor();
     let node = Node::start(&discovery);
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn what_is_out_for_a_client_that_left_is_broken_off_where_it_may_run_again() {
+fn idempotent_attempts_of_a_client_that_left_are_cancelled() {
     let (executor, discovery) = one_executor();
     let mut settings = settings();
     settings["limits"]["cancel"] = json!(true);
@@ -355,7 +355,7 @@
 }
 
 #[test]
-fn asked_to_end_it_answers_what_is_taken_and_what_still_comes() {
+fn a_graceful_shutdown_answers_open_and_late_requests() {
     let (executor, discovery) = one_executor();
     let mut node = Node::start(&discovery);
     executor.acts.lock().unwrap().push_back(Act::Wait);
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn what_is_out_when_the_time_to_end_is_over_is_answered_all_the_same() {
+fn requests_in_flight_at_the_end_of_a_shutdown_are_answered() {
     // With limits that are longer than a node has to end, and with ones that are over before it closes.
     for hard_limit in [30_000_000, 200_000] {
         let (executor, discovery) = one_executor();
@@ -408,7 +408,7 @@
 }
 
 #[test]
-fn a_full_node_says_so_and_keeps_within_its_limits() {
+fn a_full_node_rejects_and_stays_within_its_limits() {
     // Descriptors and megabytes it may have, connections and the size of a body.
     for (sockets, memory_mb, count, size) in [(64, 64, 60, 0), (300, 16, 150, 60_000)] {
         let (executor, discovery) = one_executor();
@@ -444,7 +444,7 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_does_not_stop_the_node() {
+fn an_unread_log_does_not_block_the_node() {
     let (_executor, discovery) = one_executor();
     let node = Node::start_with(&discovery, (256, 64), settings(), "debug");
     for _ in 0..3000 {
@@ -454,7 +454,7 @@
 }
 
 #[test]
-fn bad_configuration_is_one_plain_line() {
+fn a_bad_configuration_is_one_error_line() {
     let good = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c",
         "limits": {"memory_mb": 64, "sockets": 64}, "settings": settings()});
     let with = |path: &str, value: Value| {
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn calls_are_told_apart_and_unfinished_ones_keep_nobody_out() {
+fn admin_calls_are_routed_and_unfinished_ones_do_not_block_others() {
     let (_executors, discovery) = two_executors();
     let operated = Operated::start(&discovery, |_| ());
     let _crowd: Vec<_> = (0..40)
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_caller_is_answered_within_a_second_while_the_core_is_short_and_the_node_full() {
+fn an_admin_call_is_answered_within_a_second_on_an_overloaded_node() {
     let (_executors, discovery) = two_executors();
     let operated = Operated::start(&discovery, |_| ());
     // A fifth of a processor at most, and as many connections as there may be.
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_ban_reaches_an_allocation_that_is_still_connecting() {
+fn an_exclusion_reaches_an_attempt_that_is_connecting() {
     let (executor, crowded) = (Executor::start(), Crowded::start());
     let named = |name: &str, addr: SocketAddr| {
         let addr = addr.to_string();
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn an_executor_that_is_out_gets_nothing_whatever_the_list_says() {
+fn an_excluded_executor_gets_nothing_whatever_the_list_says() {
     let (executors, discovery) = two_executors();
     let operated = Operated::start(&discovery, |_| ());
     assert_eq!(used(&operated, &executors, 60), [0, 1].into());
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_drained_node_is_empty_in_time_and_takes_clients_again() {
+fn a_drained_node_is_empty_in_time_and_serves_again_once_activated() {
     let (executors, discovery) = two_executors();
     let operated = Operated::start(&discovery, |_| ());
     let (mut idle, mut busy) = (operated.node.connect(), operated.node.connect());
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn new_settings_hold_for_new_work_and_a_broken_file_changes_nothing() {
+fn new_settings_apply_to_new_requests_and_a_broken_file_changes_nothing() {
     let (executor, discovery) = one_executor();
     let operated = Operated::start(&discovery, |_| ());
     let node = &operated.node;
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn clients_see_no_gap_while_one_process_follows_another() {
+fn clients_see_no_gap_during_a_hot_restart() {
     let (executors, discovery) = two_executors();
     let platform = Platform::new();
     let old = platform.start(&discovery);
@@ -407,7 +407,7 @@
 }
 
 #[test]
-fn what_holds_at_one_process_holds_at_the_next_and_at_both_meanwhile() {
+fn state_is_handed_over_and_admin_calls_apply_to_both_processes() {
     let (executors, discovery) = two_executors();
     let platform = Platform::new();
     let first = platform.start(&discovery);
@@ -471,7 +471,7 @@
 }
 
 #[test]
-fn what_cannot_be_taken_over_is_one_line_and_the_node_starts() {
+fn a_failed_takeover_is_one_line_and_the_node_starts() {
     let (executors, discovery) = two_executors();
     let platform = Platform::new();
     drop(platform.start(&discovery));
@@ -513,7 +513,7 @@
 }
 
 #[test]
-fn a_ledger_is_held_by_one_process_and_its_work_is_never_open_in_both() {
+fn one_process_at_a_time_has_the_ledger_open() {
     let (executor, discovery) = one_executor();
     let platform = Platform::new();
     let file = |end: &str| format!("{}.{end}", platform.folder.display());
@@ -546,7 +546,7 @@
 }
 
 #[test]
-fn both_processes_together_keep_to_the_descriptors_also_where_the_old_one_held_all() {
+fn both_processes_together_stay_within_the_descriptor_limit() {
     let (executors, discovery) = two_executors();
     let platform = Platform::new();
     let old = platform.start(&discovery);
@@ -584,7 +584,7 @@
 }
 
 #[test]
-fn both_processes_together_hold_no_more_bodies_that_drip_than_one_may() {
+fn both_processes_together_stay_within_the_limit_of_slow_bodies() {
     let (executors, discovery) = two_executors();
     let platform = Platform::new();
     let old = platform.start(&discovery);
@@ -622,7 +622,7 @@
 }
 
 #[test]
-fn a_drain_while_starting_holds_and_sighup_reaches_both_processes() {
+fn a_drain_during_the_start_applies_and_sighup_reaches_both_processes() {
     let (executors, discovery) = two_executors();
     // Nobody is there to tell the list, so the start takes a second.
     let mut silent = config(&discovery, settings());
@@ -654,7 +654,7 @@
 }
 
 #[test]
-fn a_drain_ends_what_drips_and_sees_durable_work_through() {
+fn a_drain_closes_slow_connections_and_completes_durable_requests() {
     let (executor, discovery) = one_executor();
     let folder = Platform::new();
     let file = |end: &str| format!("{}.{end}", folder.folder.display());
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -191,7 +191,7 @@
 
 /// Gone and back with another address: under another handle, and work goes to the new address alone.
 #[tokio::test]
-async fn who_is_back_at_another_address_is_sent_work_there() {
+async fn an_executor_that_returns_at_another_address_gets_requests_there() {
     let local = LocalSet::new();
     let all = async {
         let done: [Rc<std::cell::Cell<usize>>; 2] = Default::default();
@@ -221,7 +221,7 @@
 
 /// What comes for a released executor is dropped and counted, on every side.
 #[tokio::test]
-async fn what_comes_for_a_released_executor_harms_nothing() {
+async fn events_for_a_released_executor_are_harmless() {
     let local = LocalSet::new();
     let all = async {
         let addr = executors_at_one_address(Rc::default()).await;
@@ -271,7 +271,7 @@
 
 /// Left out by hand before it went or while it is gone, it stays out when it is back, until it is called in.
 #[tokio::test]
-async fn who_is_left_out_by_hand_stays_out_though_it_was_released() {
+async fn an_excluded_executor_stays_excluded_after_its_release() {
     let local = LocalSet::new();
     let all = async {
         let done: Rc<std::cell::Cell<usize>> = Rc::default();
@@ -300,7 +300,7 @@
 
 /// What the other process of the node says of names that nobody lists keeps no executor in mind.
 #[tokio::test]
-async fn who_is_left_out_in_the_other_process_is_out_by_name_alone() {
+async fn an_exclusion_from_the_sibling_applies_by_name() {
     let mut rig = Rig::new(48);
     for number in 0..5000 {
         let (executor, asked) = (format!("s-{number}"), CallOrigin::Sibling(number));
@@ -316,7 +316,7 @@
 /// What a process before this one knew of executors that are not listed any more is left, but for what it spent
 /// of a cold budget, until that counts no more.
 #[tokio::test]
-async fn a_next_process_takes_over_who_is_listed() {
+async fn a_new_process_takes_over_the_listed_executors() {
     let mut rig = Rig::new(48);
     let now = rig.driver.clock.now();
     let known = |id: &str| codec::ExecutorState {
@@ -338,7 +338,7 @@
 
 /// What the driver is told after the word to end, or in the same moment, is answered as well.
 #[tokio::test]
-async fn work_that_comes_once_the_node_ends_is_answered_at_once() {
+async fn requests_after_the_shutdown_are_answered_at_once() {
     let mut driver = driver(64, 128);
     let clock = driver.clock;
     let held = ByteBudget::new(100);
--- a/crates/daemon/tests/unit/shutdown.rs
+++ b/crates/daemon/tests/unit/shutdown.rs
@@ -11,7 +11,7 @@
 
 /// A client that connects in the very moment in which the last count of connections comes out as none.
 #[tokio::test]
-async fn a_connection_that_comes_up_as_the_last_one_is_counted_is_served() {
+async fn a_connection_accepted_while_the_last_one_closes_is_served() {
     use std::io::{Read, Write};
     let (_, codec) = Codec::of_one_type(100_000);
     let longest = Duration::from_millis(100);
