--- a/crates/daemon/tests/capacity.rs
+++ b/crates/daemon/tests/capacity.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_list_over_the_bound_is_served_by_those_kept_and_what_fits_again_comes_in_at_once() {
+fn a_list_over_the_bound_is_served_by_the_retained_executors_and_fitting_ones_return_at_once() {
     let executor = Executor::start();
     // Nobody listens there: whoever is sent to one that is not listed any more fails.
     let discovery = Discovery::start(list(1, true, &fleet(0..10, &executor, "Ready")));
@@ -133,7 +133,7 @@
 
 /// Past what a node holds of those left out it asks for the whole list, once there is room that nobody fills.
 #[test]
-fn a_list_far_over_the_bound_is_asked_for_anew_when_there_is_room() {
+fn a_list_far_over_the_bound_is_requested_again_when_it_fits() {
     let executor = Executor::start();
     let probe = Discovery::start(list(1, true, &[]));
     let bound = Called::start(&probe, 16, Value::Null).figures().bound;
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn lists_that_are_too_long_cut_or_odd_change_nothing_that_is_held() {
+fn lists_that_are_too_long_truncated_or_malformed_change_nothing() {
     let executor = Executor::start();
     let discovery = Discovery::start(list(1, true, &fleet(0..10, &executor, "Ready")));
     let called = Called::start(&discovery, 16, Value::Null);
@@ -199,7 +199,7 @@
 
 /// From the configuration and by the watch, which is the most that reading takes.
 #[test]
-fn a_node_of_128_mb_serves_a_fleet_of_19_000_with_a_third_of_it_to_spare() {
+fn a_node_of_128_mb_serves_a_fleet_of_19_000() {
     const FLEET: usize = 19_000;
     let executor = Executor::start();
     let whole = fleet(0..FLEET, &executor, "Ready");
@@ -225,7 +225,7 @@
 
 /// One that drains loses its place to those that are ready; what runs there is seen through, and its name is known.
 #[test]
-fn one_that_loses_its_place_finishes_what_it_has_and_gets_nothing_new() {
+fn a_displaced_executor_completes_its_attempts_and_gets_nothing_new() {
     let (slow, others) = (Executor::start(), Executor::start());
     let first = vec![entry("slow", &slow, "Ready")];
     let discovery = Discovery::start(list(1, true, &first));
--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn whatever_an_agent_says_wrongly_the_last_list_stays() {
+fn any_faulty_answer_of_an_agent_keeps_the_last_list() {
     let wrongs = [
         (Wrong::Silent, "no answer in time"),
         (Wrong::Status500, "status 500"),
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn an_emptied_list_is_kept_and_said_so() {
+fn an_emptied_list_is_not_accepted_and_logged() {
     let executors: Vec<Executor> = (0..4).map(|_| Executor::start()).collect();
     let all: Vec<&Executor> = executors.iter().collect();
     let standins = Standins::start(2, None);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn agents_that_disagree_bring_nothing_back_and_the_next_one_is_asked() {
+fn agents_that_disagree_bring_no_executor_back_and_the_next_one_is_queried() {
     let (one, two) = (Executor::start(), Executor::start());
     let all = [&one, &two];
     let standins = Standins::start(3, None);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn sighup_changes_agents_services_and_token_while_a_question_is_out() {
+fn sighup_changes_agents_services_and_token_during_a_query() {
     let (one, two) = (Executor::start(), Executor::start());
     let (first, second) = (Standins::start(1, None), Standins::start(1, Some("secret")));
     first.register(&[&one]);
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn beside_the_platforms_list_the_strictest_word_counts() {
+fn with_the_platforms_list_the_strictest_state_counts() {
     let (one, two) = (Executor::start(), Executor::start());
     let all = [&one, &two];
     let standins = Standins::start(1, None);
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn a_file_of_the_operator_that_cannot_be_used_is_said_in_plain_lines() {
+fn an_invalid_operators_file_is_reported_in_plain_lines() {
     let good = own_file(None, &[nowhere()], "");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c",
         "limits": {"memory_mb": 64, "sockets": 64}, "settings": settings()});
@@ -401,7 +401,7 @@
 }
 
 #[test]
-fn several_services_are_one_list_also_where_answers_are_late() {
+fn several_services_are_one_list_also_if_answers_are_late() {
     let (one, two) = (Executor::start(), Executor::start());
     let all = [&one, &two];
     let standins = Standins::start(1, None);
