--- /dev/null
+++ b/crates/daemon/src/node/builder.rs
@@ -0,0 +1,308 @@
+//! Connects the parts of a node and starts their tasks.
+use super::Node;
+use super::discovery::{self, CachedList, DiscoveryControls};
+use super::ledger::LedgerOpener;
+use super::startup::{Configuration, Listeners};
+use crate::admin::AdminServer;
+use crate::config::limits::Limits;
+use crate::config::reload::{ConfigReloader, NodeReload, OperatorReload};
+use crate::discovery::EndpointUpdate;
+use crate::downstream::{DownstreamContext, DownstreamServer, ListenerOrigin};
+use crate::driver::{Driver, DriverConfig};
+use crate::error::NodeError;
+use crate::event::{NodeEvent, WatchRequests};
+use crate::gossip::GossipSocket;
+use crate::hot_restart::codec::{Bounds, Inherited};
+use crate::hot_restart::link::Link;
+use crate::hot_restart::sibling::SiblingProcess;
+use crate::hot_restart::takeover::{self, Handover, Takeover};
+use crate::lifecycle::{Drain, Lifecycle};
+use crate::protocol::{Codec, Current, EndpointList};
+use crate::retention::EndpointRetention;
+use crate::tasks::TaskGroup;
+use crate::upstream::ExecutorPool;
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::signal::unix::Signal;
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use troutknot::{Dispatcher, ListUpdate};
+use troutknot_clock::Clock;
+
+/// The takeover from an old process, as far as it has come before the node is built.
+#[derive(Default)]
+pub struct HotRestart {
+    /// Path of the socket on which the processes of this node find each other; None if there is no hot restart.
+    socket_path: Option<PathBuf>,
+    /// What the old process sent, if one runs.
+    handover: Option<Handover>,
+}
+
+impl HotRestart {
+    /// Requests the state of the old process if the listening socket was inherited. The endpoint list of the old
+    /// process replaces that of the configuration, which is older.
+    pub async fn begin(configuration: &mut Configuration, limits: &Limits, origin: ListenerOrigin) -> Self {
+        if origin == ListenerOrigin::Bound {
+            return HotRestart::default();
+        }
+        let node = &mut configuration.node;
+        let Some(path) = takeover::socket_path(&node.name) else { return HotRestart::default() };
+        let bounds = Bounds {
+            executors: limits.executor_bounds.max_listed,
+            ids: 2 * limits.downstream.max_completed_ids,
+        };
+        let mut handover = takeover::request_state(&path, &node.name, bounds).await;
+        if let Some(Handover { inherited, .. }) = &mut handover {
+            let configured_version = node.cached_list.as_ref().map(|list| list.version);
+            let version = inherited.version.or(configured_version).unwrap_or(0);
+            let entries = std::mem::take(&mut inherited.entries);
+            node.cached_list = Some(EndpointList { version, full: true, entries, beyond: 0 });
+        }
+        HotRestart { socket_path: Some(path), handover }
+    }
+}
+
+/// Values that the parts of a node share.
+#[derive(Clone)]
+pub struct Shared {
+    /// Limits on memory, connections and times.
+    pub limits: Rc<Limits>,
+    /// Encodes and decodes messages according to the present settings.
+    pub codec: Rc<Current<Codec>>,
+    /// The clock of the dispatcher.
+    pub clock: Clock,
+    /// Reaches the driver.
+    pub events: mpsc::Sender<NodeEvent>,
+    /// The lifecycle of the node.
+    pub lifecycle: Rc<Lifecycle>,
+    /// The other process of this node, if one runs.
+    pub sibling: Rc<SiblingProcess>,
+    /// Requests of the driver to the watch of the endpoint list.
+    pub watch_requests: Rc<WatchRequests>,
+    /// State of the discovery sources, as the readiness response shows it.
+    pub discovery_status: Rc<RefCell<String>>,
+    /// Owns the tasks of the node.
+    pub tasks: TaskGroup,
+}
+
+impl Shared {
+    /// The shared values of a node that starts.
+    pub fn new(
+        limits: Rc<Limits>,
+        codec: Rc<Current<Codec>>,
+        clock: Clock,
+        events: mpsc::Sender<NodeEvent>,
+    ) -> Self {
+        Shared {
+            limits,
+            codec,
+            clock,
+            events,
+            lifecycle: Rc::new(Lifecycle::new()),
+            sibling: Rc::default(),
+            watch_requests: Rc::default(),
+            discovery_status: Rc::default(),
+            tasks: TaskGroup::default(),
+        }
+    }
+}
+
+/// A node whose parts are being connected.
+pub struct NodeBuilder {
+    configuration: Configuration,
+    shared: Shared,
+    gossip: Option<Rc<GossipSocket>>,
+    executors: Rc<ExecutorPool>,
+    downstream: Rc<DownstreamServer>,
+}
+
+impl NodeBuilder {
+    /// Creates the two sides of the node.
+    pub fn new(configuration: Configuration, shared: Shared, gossip: Option<Rc<GossipSocket>>) -> Self {
+        let executors = ExecutorPool::new(
+            shared.limits.clone(),
+            shared.codec.clone(),
+            shared.events.clone(),
+            shared.sibling.clone(),
+        );
+        let downstream = DownstreamServer::new(DownstreamContext {
+            limits: shared.limits.clone(),
+            codec: shared.codec.clone(),
+            events: shared.events.clone(),
+            lifecycle: shared.lifecycle.watch(),
+            status: shared.discovery_status.clone(),
+            durable_config: configuration.operator.durable.clone(),
+            sibling: shared.sibling.clone(),
+            tasks: shared.tasks.clone(),
+        });
+        NodeBuilder { configuration, shared, gossip, executors, downstream }
+    }
+
+    /// Connects the parts and starts their tasks.
+    ///
+    /// # Errors
+    /// If the ledger cannot be opened, or the address of the admin API is not known.
+    pub fn build(
+        mut self,
+        received_events: mpsc::Receiver<NodeEvent>,
+        listeners: Listeners,
+        hot_restart: HotRestart,
+        reload: Signal,
+    ) -> Result<Node, NodeError> {
+        let (inherited, old_process) =
+            hot_restart.handover.map(|state| (state.inherited, state.link)).unzip();
+        self.open_ledger(listeners.origin, old_process.is_some())?;
+        let mut driver = self.build_driver(received_events);
+        if let Some(gossip) = self.gossip.take() {
+            self.shared.tasks.spawn(gossip.receive(self.shared.codec.clone(), self.shared.events.clone()));
+        }
+        let cached_list = self.restore(&mut driver, inherited);
+        let controls = discovery::start(&self.configuration, &self.shared, cached_list);
+        self.shared.tasks.spawn(self.executors.clone().close_expired_connections());
+        self.shared.tasks.spawn(self.downstream.clone().accept(listeners.clients, listeners.origin));
+        let admin = self.build_admin(&driver);
+        let driver = spawn_local(driver.run());
+        self.log_listening(listeners.address);
+        if let Some(listener) = listeners.admin {
+            self.start_admin(admin, listener)?;
+        }
+        if let Some(path) = hot_restart.socket_path {
+            self.start_takeover(path, old_process);
+        }
+        let (shared, downstream) = (self.shared.clone(), self.downstream.clone());
+        self.start_reload(reload, controls);
+        Ok(Node { shared, downstream, driver, listener_origin: listeners.origin })
+    }
+
+    /// Opens the ledger, if the operator's file names one. If another process may still have it open, a task waits
+    /// for it, and this process numbers its requests outside the ledger's range.
+    fn open_ledger(&self, origin: ListenerOrigin, has_old_process: bool) -> Result<(), NodeError> {
+        let Some(config) = self.configuration.operator.durable.clone() else { return Ok(()) };
+        let opener = LedgerOpener {
+            config,
+            shared: self.shared.clone(),
+            downstream: self.downstream.clone(),
+            executors: self.executors.clone(),
+        };
+        if !has_old_process {
+            match opener.open() {
+                Ok(()) => return Ok(()),
+                Err(error) if origin == ListenerOrigin::Bound => return Err(error.into()),
+                Err(_) => {}
+            }
+        }
+        self.downstream.set_first_request_id(self.shared.clock.now().max(0.0) as u64 * 1000);
+        self.shared.tasks.spawn(opener.open_once_released());
+        Ok(())
+    }
+
+    fn build_driver(&self, events: mpsc::Receiver<NodeEvent>) -> Driver {
+        let Configuration { node, settings, seed, .. } = &self.configuration;
+        let shared = &self.shared;
+        let bounds = &shared.limits.executor_bounds;
+        Driver::new(DriverConfig {
+            dispatcher: Dispatcher::new(settings, *seed, shared.clock.now()),
+            clock: shared.clock,
+            codec: shared.codec.clone(),
+            executors: self.executors.clone(),
+            watch_requests: shared.watch_requests.clone(),
+            events,
+            lifecycle: shared.lifecycle.clone(),
+            sibling: shared.sibling.clone(),
+            retention: EndpointRetention::new(&node.name, bounds.max_retained, bounds.max_unretained_entries),
+            gossip: self.gossip.clone(),
+            tasks: shared.tasks.clone(),
+        })
+    }
+
+    /// Begins with the cached endpoint list and with the state of the old process. Returns the cached list for the
+    /// discovery sources.
+    fn restore(&mut self, driver: &mut Driver, mut inherited: Option<Inherited>) -> CachedList {
+        let Some(known) = self.configuration.node.cached_list.take() else { return CachedList::default() };
+        let cached = CachedList::of(&known, &self.configuration.operator.discovery.sources);
+        if let Some(inherited) = &mut inherited {
+            driver.exclude(std::mem::take(&mut inherited.excluded));
+        }
+        let update = EndpointUpdate::from_list(ListUpdate::Cached, known);
+        driver.handle_event(self.shared.clock.now(), NodeEvent::ListReceived(update));
+        if let Some(inherited) = inherited {
+            self.restore_state(driver, inherited);
+        }
+        cached
+    }
+
+    fn restore_state(&self, driver: &mut Driver, mut inherited: Inherited) {
+        self.downstream.record_sibling_requests(&std::mem::take(&mut inherited.ids));
+        if inherited.is_drained {
+            self.shared.lifecycle.update(|facts| {
+                facts.drain = Drain::Settled;
+                facts.is_drain_inherited = true;
+            });
+        }
+        driver.import_state(self.shared.clock.now(), inherited);
+    }
+
+    fn build_admin(&self, driver: &Driver) -> Rc<AdminServer> {
+        AdminServer::new(
+            self.shared.limits.clone(),
+            self.shared.events.clone(),
+            self.shared.lifecycle.clone(),
+            self.shared.sibling.clone(),
+            driver.retention_statistics(),
+        )
+    }
+
+    fn log_listening(&self, address: SocketAddr) {
+        let limits = &self.shared.limits;
+        tracing::info!(
+            node = %self.configuration.node.name,
+            %address,
+            max_client_connections = limits.downstream.max_connections,
+            max_executor_connections = limits.upstream.max_connections,
+            max_request_bytes = limits.downstream.max_reserved_bytes,
+            "node listening"
+        );
+    }
+
+    fn start_admin(&self, admin: Rc<AdminServer>, listener: TcpListener) -> Result<(), NodeError> {
+        let address = listener.local_addr().map_err(NodeError::AdminAddress)?;
+        tracing::info!(%address, "admin listening");
+        self.shared.tasks.spawn(admin.accept(listener));
+        Ok(())
+    }
+
+    fn start_takeover(&self, path: PathBuf, old_process: Option<Link>) {
+        let takeover = Rc::new(Takeover {
+            name: self.configuration.node.name.clone(),
+            path,
+            sibling: self.shared.sibling.clone(),
+            limits: self.shared.limits.clone(),
+            events: self.shared.events.clone(),
+            lifecycle: self.shared.lifecycle.clone(),
+            downstream: self.downstream.clone(),
+            executors: self.executors.clone(),
+            tasks: self.shared.tasks.clone(),
+            bound: RefCell::default(),
+        });
+        self.shared.tasks.spawn(takeover.run(old_process));
+    }
+
+    fn start_reload(self, reload: Signal, controls: DiscoveryControls) {
+        let Configuration { node, path, operator, operator_path, catalog, .. } = self.configuration;
+        let Shared { limits, codec, events, tasks, .. } = self.shared;
+        let node = NodeReload {
+            path,
+            config: node,
+            discovery_address: controls.platform,
+            catalog,
+            limits,
+            codec,
+            events,
+        };
+        let operator = OperatorReload { path: operator_path, file: operator, consul: controls.consul };
+        tasks.spawn(ConfigReloader { node, operator }.run(reload));
+    }
+}
