--- a/crates/daemon/src/node/builder.rs
+++ b/crates/daemon/src/node/builder.rs
@@ -59,7 +59,7 @@
             let configured_version = node.cached_list.as_ref().map(|list| list.version);
             let version = inherited.version.or(configured_version).unwrap_or(0);
             let entries = std::mem::take(&mut inherited.entries);
-            node.cached_list = Some(EndpointList { version, full: true, entries, beyond: 0 });
+            node.cached_list = Some(EndpointList { version, is_snapshot: true, entries, dropped_entries: 0 });
         }
         HotRestart { socket_path: Some(path), handover }
     }
