--- /dev/null
+++ b/crates/daemon/src/discovery/consul/publish.rs
@@ -0,0 +1,94 @@
+//! Sends changes of the roster to the driver, reports its status, and runs its timers.
+use super::entry::entry_of;
+use super::{MILLIS_PER_SECOND, Shared};
+use crate::discovery::EndpointUpdate;
+use std::fmt::Write;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+use troutknot::Millis;
+use troutknot_consul::roster::Notice;
+
+/// How often the status is refreshed, and failing queries are logged, while nothing else happens.
+const STATUS_INTERVAL: Duration = Duration::from_secs(60);
+
+impl Shared {
+    /// Sends the roster's changes to the driver.
+    pub(super) async fn publish(&self) {
+        let (changes, notices) = self.roster.borrow_mut().changes(self.clock.now());
+        notices.iter().for_each(|notice| self.log_notice(notice));
+        tracing::debug!(count = changes.len(), "consul changes sent");
+        let has_answer = self.watches.borrow().iter().any(|watch| watch.last_answer_at.get().is_some());
+        // An update without changes shows that the list is up to date.
+        if has_answer || !changes.is_empty() {
+            let entries = changes.into_iter().map(entry_of).collect();
+            self.updates.send(EndpointUpdate::delta(entries)).await;
+        }
+        self.refresh_status();
+        self.timer_changed.notify_one();
+    }
+
+    fn log_notice(&self, notice: &Notice) {
+        match notice {
+            Notice::PanicBegins { kept: missing, listed: count } => {
+                tracing::warn!(missing, count, "too many executors missing in consul, they stay listed");
+            }
+            Notice::PanicEnds => tracing::info!("no executor missing in consul stays listed"),
+            Notice::HeldOut { id: executor, penalty, until } => {
+                let duration_ms = (until - self.clock.now()).round();
+                tracing::info!(%executor, penalty, duration_ms, "executor suppressed by flap damping");
+            }
+            Notice::LetIn { id: executor } => {
+                tracing::info!(%executor, "executor no longer suppressed by flap damping");
+            }
+            Notice::LeftOut { count } => {
+                tracing::warn!(count, "too many executors in consul, some are not retained");
+            }
+        }
+    }
+
+    /// Updates the status that a health check of this node returns.
+    pub(super) fn refresh_status(&self) {
+        let now = self.clock.now();
+        let (watches, roster) = (self.watches.borrow(), self.roster.borrow());
+        let (listed, missing) = (roster.listed(), roster.kept());
+        let mut status = format!("list from consul: {listed} listed, {missing} kept though missing\n");
+        for watch in watches.iter() {
+            let state = if watch.is_failing.get() { "failing" } else { "followed" };
+            let answered = match watch.last_answer_at.get() {
+                Some(at) => format!("answered {:.1} s ago", (now - at) / MILLIS_PER_SECOND),
+                None => "never answered".into(),
+            };
+            let _ = writeln!(status, "service {}: {state}, {answered}", watch.watched.service);
+        }
+        *self.status.borrow_mut() = status;
+    }
+
+    /// Waits for the roster's timers, and for changes of the time of the next one.
+    pub(super) async fn run_timers(self: Rc<Self>) {
+        loop {
+            let due_at = self.roster.borrow().next_at();
+            let wait = due_at.map_or(STATUS_INTERVAL, |at| self.time_until(at));
+            tokio::select! {
+                () = sleep(wait) => self.handle_timer(due_at).await,
+                () = self.timer_changed.notified() => {}
+            }
+        }
+    }
+
+    /// The time until a timer, at most the status interval.
+    fn time_until(&self, at: Millis) -> Duration {
+        let seconds = (at - self.clock.now()) / MILLIS_PER_SECOND;
+        Duration::from_secs_f64(seconds.clamp(0.0, STATUS_INTERVAL.as_secs_f64()))
+    }
+
+    async fn handle_timer(&self, due_at: Option<Millis>) {
+        self.refresh_status();
+        if due_at.is_some_and(|at| at <= self.clock.now()) {
+            self.publish().await;
+        } else if self.watches.borrow().iter().any(|watch| watch.is_failing.get()) {
+            let status = self.status.borrow().trim().replace('\n', ", ");
+            tracing::warn!(%status, "consul queries still failing");
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/discovery/consul/service.rs
@@ -0,0 +1,102 @@
+//! The task that watches one service, and the state of its watch.
+use super::query::{QueryError, ServiceQueries};
+use super::{CACHED_LIST, MILLIS_PER_SECOND, Shared};
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::JoinHandle;
+use tokio::time::sleep;
+use troutknot::Millis;
+use troutknot_consul::blocking::Watched;
+use troutknot_consul::health::Member;
+use troutknot_consul::roster::WatchNumber;
+
+/// The watch of one service.
+pub(super) struct ServiceWatch {
+    /// The service and the terms of its queries.
+    pub watched: Watched,
+    /// Identifies the watch in the roster.
+    pub number: WatchNumber,
+    /// Runs the queries.
+    pub task: JoinHandle<()>,
+    /// The time of the last usable answer.
+    pub last_answer_at: Cell<Option<Millis>>,
+    /// The last query failed.
+    pub is_failing: Cell<bool>,
+}
+
+impl Shared {
+    /// Queries a service until the task is aborted.
+    pub(super) async fn run_queries(self: Rc<Self>, mut queries: ServiceQueries, number: WatchNumber) {
+        loop {
+            let address = queries.agent();
+            let wait = match queries.query(&self.limits).await {
+                Ok(answer) => {
+                    self.apply_answer(number, &answer.members).await;
+                    answer.next_query_after
+                }
+                Err(error) => {
+                    self.record_failure(number, address, &error);
+                    queries.fail_over(self.random_jitter())
+                }
+            };
+            sleep(Duration::from_secs_f64(wait / MILLIS_PER_SECOND)).await;
+        }
+    }
+
+    /// A random number from 0 to 1, for jitter.
+    fn random_jitter(&self) -> f64 {
+        // Xorshift64 (Marsaglia, 2003); its state must not be 0.
+        let mut state = self.random_state.get() | 1;
+        state ^= state << 13;
+        state ^= state >> 7;
+        state ^= state << 17;
+        self.random_state.set(state);
+        (state >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    async fn apply_answer(&self, number: WatchNumber, members: &[Rc<Member>]) {
+        let now = self.clock.now();
+        for watch in self.watches.borrow().iter().filter(|watch| watch.number == number) {
+            if watch.is_failing.replace(false) {
+                let service = &watch.watched.service;
+                let elapsed_ms = watch.last_answer_at.get().map(|at| (now - at).round());
+                tracing::info!(%service, elapsed_ms, count = members.len(), "consul query recovered");
+            }
+            watch.last_answer_at.set(Some(now));
+        }
+        self.roster.borrow_mut().answer(now, number, members);
+        if self.have_all_answered() && self.has_cached_list.replace(false) {
+            self.roster.borrow_mut().answer(now, CACHED_LIST, &[]);
+        }
+        self.publish().await;
+    }
+
+    fn have_all_answered(&self) -> bool {
+        let roster = self.roster.borrow();
+        self.watches.borrow().iter().all(|watch| roster.has_answered(watch.number))
+    }
+
+    fn record_failure(&self, number: WatchNumber, address: SocketAddr, error: &QueryError) {
+        let now = self.clock.now();
+        let count = self.roster.borrow().listed();
+        for watch in self.watches.borrow().iter().filter(|watch| watch.number == number) {
+            let service = &watch.watched.service;
+            if watch.is_failing.replace(true) {
+                tracing::debug!(%service, %address, %error, "consul query failed again");
+            } else {
+                let elapsed_ms = watch.last_answer_at.get().map(|at| (now - at).round());
+                tracing::warn!(
+                    %service,
+                    %address,
+                    %error,
+                    elapsed_ms,
+                    count,
+                    "consul query failed, keeping the last list"
+                );
+            }
+        }
+        self.refresh_status();
+    }
+}
