--- a/crates/daemon/src/config/limits/mod.rs
+++ b/crates/daemon/src/config/limits/mod.rs
@@ -5,7 +5,7 @@
 pub use sides::{AdminLimits, DiscoveryLimits, DownstreamLimits, ExecutorBounds, UpstreamLimits};
 pub use timeouts::Timeouts;
 
-use crate::ring_buffer::FIRST;
+use crate::ring_buffer::INITIAL_BYTES;
 use sides::ConnectionShares;
 use std::cell::Cell;
 use std::time::Duration;
@@ -192,7 +192,7 @@
         let (downstream, upstream, admin) = (&self.downstream, &self.upstream, &self.admin);
         let partial_bodies = 2 * downstream.max_partial_bodies * self.max_body_bytes;
         let response_bodies = 2 * upstream.max_connections * self.max_body_bytes;
-        let downstream_buffers = downstream.max_connections * 2 * FIRST + downstream.buffer_bytes;
+        let downstream_buffers = downstream.max_connections * 2 * INITIAL_BYTES + downstream.buffer_bytes;
         let upstream_buffers = upstream.max_connections * self.connection_buffer_bytes * 2;
         let list_bytes = if inputs.has_consul {
             self.discovery.max_consul_answer_bytes
@@ -202,7 +202,7 @@
         // Each of two processes has these of its own; only one of them has the ledger open.
         let bytes_per_process = downstream.max_completed_ids * COMPLETED_ID_BYTES
             + admin.max_connections * admin.buffer_bytes * 2
-            + downstream.max_rejected_connections * 2 * FIRST
+            + downstream.max_rejected_connections * 2 * INITIAL_BYTES
             + list_bytes;
         let ledger = if inputs.has_ledger { self.max_durable_jobs * JOB_BYTES } else { 0 };
         downstream.max_reserved_bytes
--- a/crates/daemon/src/config/limits/sides.rs
+++ b/crates/daemon/src/config/limits/sides.rs
@@ -1,6 +1,6 @@
 //! Limits of each side of the node, and how the sockets are divided among them.
 use super::{LimitInputs, MIB};
-use crate::ring_buffer::FIRST;
+use crate::ring_buffer::INITIAL_BYTES;
 use std::time::Duration;
 
 /// The part of the spare descriptors that connections to the admin API may use.
@@ -106,7 +106,7 @@
 
 impl ConnectionShares {
     pub(super) fn new(inputs: &LimitInputs, max_body_bytes: usize) -> Self {
-        let connections = inputs.available_sockets().min(inputs.memory_bytes() / 12 / (2 * FIRST));
+        let connections = inputs.available_sockets().min(inputs.memory_bytes() / 12 / (2 * INITIAL_BYTES));
         let rejected = (connections / 16).max(2);
         let upstream_memory = 2 * inputs.memory_fraction(9, 16);
         let upstream = (connections / 3).min(upstream_memory / (2 * max_body_bytes)).max(2);
@@ -179,7 +179,7 @@
     pub(super) fn new() -> Self {
         AdminLimits {
             max_connections: MAX_ADMIN_CONNECTIONS,
-            buffer_bytes: 2 * FIRST,
+            buffer_bytes: 2 * INITIAL_BYTES,
             call_timeout: Duration::from_millis(500),
             drain_settle_time: Duration::from_secs(1),
         }
--- a/crates/daemon/src/downstream/exchange.rs
+++ b/crates/daemon/src/downstream/exchange.rs
@@ -81,7 +81,7 @@
         let is_ready = *self.server.lifecycle.borrow() == LifecycleState::Serving;
         let mut text = self.server.status.borrow().clone();
         if let Some(ledger) = self.server.ledger() {
-            text += &ledger.said();
+            text += &ledger.status_text();
         }
         let response = Response::text(if is_ready { 200 } else { 503 }, text);
         let sent = self.send(&response, ConnectionReuse::Close).await;
@@ -90,7 +90,7 @@
 
     /// Answers what the ledger records of a job.
     async fn report_job(&mut self, client_id: &str, reuse: ConnectionReuse) -> ExchangeEnd {
-        let response = match self.server.ledger().map(|ledger| ledger.tell(client_id)) {
+        let response = match self.server.ledger().map(|ledger| ledger.describe_request(client_id)) {
             Some(Some(job)) => Response::text(200, job),
             Some(None) => Response::text(404, String::new()),
             None => Response::text(503, String::new()),
@@ -154,7 +154,7 @@
         if delivery.is_written
             && let (Some(ledger), Some(request_id)) = (self.server.ledger(), acknowledges)
         {
-            ledger.acknowledged(request_id);
+            ledger.record_acknowledged(request_id);
         }
         delivery.end
     }
