--- a/crates/daemon/examples/fleet_memory.rs
+++ b/crates/daemon/examples/fleet_memory.rs
@@ -1,7 +1,7 @@
 //! Measures what a fleet of executors costs a real `troutknotd` in memory.
 //!
-//! Starts one process for each fleet size and way of listing, reads its resident memory from `/proc`, and
-//! prints the settled figure, the peak, and the bytes an executor by least squares.
+//! Starts one process for each fleet size and source of the endpoint list, and reads its resident memory from
+//! `/proc`. Prints the memory after the start, its peak, and the bytes per executor by least squares.
 //!
 //!     cargo run --profile kit -p troutknotd --example fleet_memory -- target/kit/troutknotd [MEMORY_MB [FLEET]...]
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,33 +15,34 @@
 
 const FLEETS: [usize; 5] = [100, 1_000, 5_000, 10_000, 19_000];
 const DEFAULT_MEMORY_MB: u64 = 512;
-const START_PATIENCE: Duration = Duration::from_secs(30);
-/// For the list to be taken and what it needed on the way to be given back.
-const SETTLE: Duration = Duration::from_millis(2500);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time for the node to parse the list and to free what it needed for that.
+const SETTLE_TIME: Duration = Duration::from_millis(2500);
 
-/// How a node learns of its fleet.
+/// Where a node has its endpoint list from.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum ListSource {
     Configuration,
     Watch,
     Both,
-    /// As `Both`, and the whole list again and again over the watch.
+    /// As `Both`, and further snapshots over the watch.
     Repeated,
-    /// By Consul's agent, in one service.
+    /// A Consul agent, in one service.
     Consul,
 }
 
-const WAYS: [(Way, &str); 5] = [
-    (Way::Configuration, "configuration"),
-    (Way::Watch, "watch"),
-    (Way::Both, "both"),
-    (Way::Repeated, "repeated"),
-    (Way::Consul, "consul"),
+const LIST_SOURCES: [(ListSource, &str); 5] = [
+    (ListSource::Configuration, "configuration"),
+    (ListSource::Watch, "watch"),
+    (ListSource::Both, "both"),
+    (ListSource::Repeated, "repeated"),
+    (ListSource::Consul, "consul"),
 ];
 
-/// How often a list is repeated, and how long apart.
+/// Snapshots that a watch sends in all.
 const REPETITIONS: u64 = 6;
-const APART: Duration = Duration::from_millis(200);
+/// Pause after each snapshot.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 struct Memory {
     settled_kb: f64,
@@ -69,7 +70,7 @@
     format!("{{\"version\":{version},\"full\":{full},\"servers\":[{}]}}", entries.join(","))
 }
 
-/// Serves one watch after another: the lists, then a sign of life every second.
+/// Serves watches: the lists, then a heartbeat every second.
 fn serve_discovery(listener: TcpListener, lists: Vec<String>) {
     for stream in listener.incoming().flatten() {
         let lists = lists.clone();
@@ -78,12 +79,12 @@
 }
 
 fn serve_watch(mut stream: TcpStream, lists: &[String]) -> std::io::Result<()> {
-    let mut asked = [0; 2048];
-    let _ = stream.read(&mut asked)?;
+    let mut request = [0; 2048];
+    let _ = stream.read(&mut request)?;
     write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
     for list in lists {
         write!(stream, "{:x}\r\n{list}\n\r\n", list.len() + 1)?;
-        thread::sleep(APART);
+        thread::sleep(REPEAT_INTERVAL);
     }
     loop {
         thread::sleep(Duration::from_secs(1));
@@ -91,9 +92,9 @@
     }
 }
 
-/// Starts Consul's agent with this fleet on a thread of its own.
+/// Starts a Consul agent with this fleet on its own thread.
 fn start_consul(executors: usize) -> SocketAddr {
-    let (told, address) = mpsc::channel();
+    let (sender, address) = mpsc::channel();
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, async move {
@@ -104,15 +105,15 @@
             };
             cluster.register_all("box", (0..executors).map(instance).collect());
             let agent = Agent::start(&cluster, ([127, 0, 0, 1], 0).into(), None).expect("a free port");
-            told.send(agent.addr).expect("it is waited for");
+            sender.send(agent.addr).expect("the address is received");
             std::future::pending::<()>().await;
         });
     });
     address.recv().expect("the agent starts")
 }
 
-/// The operator's own file, which names Consul.
-fn own_file(agent: SocketAddr) -> String {
+/// The operator's file, which names the agent.
+fn operator_file(agent: SocketAddr) -> String {
     format!(
         "[lists]\nsources = [\"consul\"]\n[lists.consul]\nagents = [\"{agent}\"]\nwait = \"300ms\"\n\
          [[lists.consul.services]]\nname = \"box\"\n"
@@ -133,25 +134,25 @@
 fn is_healthy(node: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(node) else { return false };
     let mut answer = String::new();
-    let asked = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n");
-    asked.is_ok() && stream.read_to_string(&mut answer).is_ok() && answer.starts_with("HTTP/1.1 200")
+    let sent = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n");
+    sent.is_ok() && stream.read_to_string(&mut answer).is_ok() && answer.starts_with("HTTP/1.1 200")
 }
 
-/// The address at which a node listens, by its log; the rest of its log is read away.
+/// The address at which a node listens, from its log. Warnings in the rest of the log are printed.
 fn address_of(process: &mut Child) -> SocketAddr {
     let mut lines = BufReader::new(process.stdout.take().expect("it is piped")).lines().map_while(Result::ok);
     let line = lines.find(|line| line.contains("node listening")).expect("the node starts");
     thread::spawn(move || {
         lines
             .filter(|line| {
-                line.contains("left out")
+                line.contains("more executors are listed than fit into memory")
                     || line.contains("invalid endpoint list")
                     || line.contains("consul query failed")
             })
             .for_each(|line| println!("{line}"))
     });
     let address = line.split_whitespace().find_map(|field| field.strip_prefix("address="));
-    address.and_then(|address| address.parse().ok()).expect("it says where")
+    address.and_then(|address| address.parse().ok()).expect("the line has an address")
 }
 
 fn status_kb(process: u32, field: &str) -> f64 {
@@ -160,38 +161,39 @@
     line.split_whitespace().nth(1).and_then(|figure| figure.parse().ok()).expect("a figure")
 }
 
-fn measure(program: &str, memory_mb: u64, way: Way, executors: usize) -> Memory {
+fn measure(program: &str, memory_mb: u64, source: ListSource, executors: usize) -> Memory {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let discovery = listener.local_addr().expect("it is bound");
-    let whole = list(8, true, executors);
-    let told = match way {
-        Way::Configuration => vec![list(9, false, 0)],
-        Way::Watch | Way::Both | Way::Consul => vec![whole.clone()],
-        Way::Repeated => (8..8 + REPETITIONS).map(|version| list(version, true, executors)).collect(),
+    let snapshot = list(8, true, executors);
+    let lists = match source {
+        ListSource::Configuration => vec![list(9, false, 0)],
+        ListSource::Watch | ListSource::Both | ListSource::Consul => vec![snapshot.clone()],
+        ListSource::Repeated => (8..8 + REPETITIONS).map(|version| list(version, true, executors)).collect(),
     };
-    thread::spawn(move || serve_discovery(listener, told));
-    let known = if matches!(way, Way::Watch | Way::Consul) { "null".to_string() } else { whole };
+    thread::spawn(move || serve_discovery(listener, lists));
+    let known =
+        if matches!(source, ListSource::Watch | ListSource::Consul) { "null".to_string() } else { snapshot };
     let path = std::env::temp_dir().join(format!("fleet-memory-{}.json", std::process::id()));
     std::fs::write(&path, configuration(discovery, memory_mb, &known)).expect("it is written");
-    let own = std::env::temp_dir().join(format!("fleet-memory-{}.toml", std::process::id()));
+    let operator_path = std::env::temp_dir().join(format!("fleet-memory-{}.toml", std::process::id()));
     let mut command = Command::new(program);
-    if way == Way::Consul {
-        std::fs::write(&own, own_file(start_consul(executors))).expect("it is written");
-        command.env("TROUTKNOT_FILE", &own);
+    if source == ListSource::Consul {
+        std::fs::write(&operator_path, operator_file(start_consul(executors))).expect("it is written");
+        command.env("TROUTKNOT_FILE", &operator_path);
     }
     let mut process =
         command.env("ROUTER_CONFIG", &path).stdout(Stdio::piped()).spawn().expect("the program runs");
-    let (node, end) = (address_of(&mut process), Instant::now() + START_PATIENCE);
-    while !is_healthy(node) && Instant::now() < end {
+    let (node, deadline) = (address_of(&mut process), Instant::now() + START_TIMEOUT);
+    while !is_healthy(node) && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(20));
     }
-    thread::sleep(SETTLE);
+    thread::sleep(SETTLE_TIME);
     let memory =
         Memory { settled_kb: status_kb(process.id(), "VmRSS"), peak_kb: status_kb(process.id(), "VmHWM") };
     process.kill().expect("it runs");
     process.wait().expect("it ends");
-    for file in [path, own] {
-        // The operator's own file is there for Consul alone.
+    for file in [path, operator_path] {
+        // Only the Consul source has an operator's file.
         let _ = std::fs::remove_file(file);
     }
     memory
@@ -215,11 +217,11 @@
     if fleets.is_empty() {
         fleets = FLEETS.to_vec();
     }
-    println!("way, executors, settled KB, peak KB");
-    for (way, name) in WAYS {
+    println!("source, executors, settled KB, peak KB");
+    for (source, name) in LIST_SOURCES {
         let (mut settled, mut peak) = (Vec::new(), Vec::new());
         for &executors in &fleets {
-            let memory = measure(&program, memory_mb, way, executors);
+            let memory = measure(&program, memory_mb, source, executors);
             println!("{name}, {executors}, {:.0}, {:.0}", memory.settled_kb, memory.peak_kb);
             settled.push((executors as f64, memory.settled_kb * 1024.0));
             peak.push((executors as f64, memory.peak_kb * 1024.0));
--- a/crates/daemon/src/downstream/exchange.rs
+++ b/crates/daemon/src/downstream/exchange.rs
@@ -62,7 +62,7 @@
 
     /// Rejects a request. The connection is closed, because it is unknown where the next request starts.
     pub async fn reject(&mut self, status: u16, reason: &dyn Display) -> ExchangeEnd {
-        tracing::debug!(status, %reason, "request rejected");
+        tracing::debug!(status, %reason, "request not admitted");
         let retry_after = self.server.limits.downstream.malformed_retry_after;
         let response = Response::rejection(&self.server.codec.now(), status, retry_after);
         match self.send(&response, ConnectionReuse::Close).await {
@@ -191,7 +191,8 @@
         in_flight.close();
         let _ = self.server.events.send(NodeEvent::ClientLeft(in_flight.request_id)).await;
         if answer.is_none() {
-            tracing::debug!(request = %in_flight.request.id, "client disconnected");
+            let client_id = &in_flight.request.id;
+            tracing::debug!(%client_id, request = in_flight.request_id.0, "client disconnected");
         }
         answer
     }
--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -63,12 +63,12 @@
     how.leave(client);
     let seen = (0..QUESTIONS).any(|_| {
         assert_eq!(node.ask("POST /sing HTTP/1.1\r\nHost: n\r\nRequest-Id: 1\r\n\r\n").0, 404);
-        node.logged("request rejected status=404");
+        node.logged("request not admitted status=404");
         node.before
             .lock()
             .unwrap()
             .iter()
-            .any(|line| line.contains(&format!("client disconnected request={id}")))
+            .any(|line| line.contains(&format!("client disconnected client_id={id}")))
     });
     assert!(seen, "{how:?}: not seen in time");
 }
