--- a/crates/daemon/src/config/limits.rs
+++ b/crates/daemon/src/config/limits.rs
@@ -1,5 +1,5 @@
 //! Limits of one node: memory, connections and timeouts, computed once at start from [`LimitInputs`].
-use crate::ring_buffer::FIRST;
+use crate::ring_buffer::INITIAL_BYTES;
 use std::cell::Cell;
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 /// Log lines that may wait to be written; further lines are dropped.
 pub const LOG_QUEUE_LINES: usize = 1024;
 
-/// Upper bound on the interval between two polls of the endpoint list, whatever the settings say.
+/// Upper bound on the interval between two polls of the endpoint list; longer settings are reduced to it.
 pub const MAX_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Memory of one durable job in the ledger's index: its row, id, idempotency key and attempts.
@@ -37,10 +37,10 @@
 /// The share of the configured memory that is given out; the rest covers the program and fragmentation.
 const BUDGETED_MEMORY_SHARE: f64 = 0.9;
 
-/// One handle more than retained executors for each so many, for those not released yet.
+/// Retained executors for each additional handle of an executor that is not released yet.
 const EXECUTORS_PER_RELEASED: usize = 16;
 
-/// One entry of an executor that is not retained for each so many that are.
+/// Retained executors for each cached entry of one that is not retained.
 const EXECUTORS_PER_UNRETAINED_ENTRY: usize = 4;
 
 /// Memory of the id of a completed request.
@@ -49,7 +49,7 @@
 const MAX_LIST_BYTES: usize = 64 * MIB;
 const MAX_CONSUL_ANSWER_BYTES: usize = 12 * MIB;
 
-/// Requests with a longer deadline do not delay a shutdown further.
+/// A deadline longer than this does not delay a shutdown further.
 const MAX_SHUTDOWN_WAIT: Duration = Duration::from_secs(3);
 
 /// What the deployment configures and the limits follow from.
@@ -63,7 +63,7 @@
     pub drain_grace: Option<Duration>,
     /// The longest deadline of any request class.
     pub max_deadline: Duration,
-    /// Whether Consul is a source of the endpoint list; its answers need more memory.
+    /// Whether Consul is a source of the endpoint list. Its answers need more memory.
     pub has_consul: bool,
     /// Whether the listening socket was inherited, so that two processes share the limits for a while.
     pub has_inherited_socket: bool,
@@ -146,7 +146,7 @@
     pub max_partial_bodies: usize,
     /// Memory reserved for the contents of all open requests.
     pub max_reserved_bytes: usize,
-    /// Ids of completed requests kept for deduplication; at least half of them are.
+    /// Ids of completed requests that are stored for deduplication; at least half of them at any time.
     pub max_completed_ids: usize,
     /// Bounds the reading of a request, from connect for the first one, and the writing of an answer.
     pub io_timeout: Duration,
@@ -254,7 +254,7 @@
 
 impl ConnectionShares {
     fn new(inputs: &LimitInputs, max_body_bytes: usize) -> Self {
-        let connections = inputs.available_sockets().min(inputs.memory_bytes() / 12 / (2 * FIRST));
+        let connections = inputs.available_sockets().min(inputs.memory_bytes() / 12 / (2 * INITIAL_BYTES));
         let rejected = (connections / 16).max(2);
         let upstream_memory = 2 * inputs.memory_fraction(9, 16);
         let upstream = (connections / 3).min(upstream_memory / (2 * max_body_bytes)).max(2);
@@ -330,7 +330,7 @@
             executor_bounds: ExecutorBounds::default(),
             admin: AdminLimits {
                 max_connections: MAX_ADMIN_CONNECTIONS,
-                buffer_bytes: 2 * FIRST,
+                buffer_bytes: 2 * INITIAL_BYTES,
                 call_timeout: Duration::from_millis(500),
                 drain_settle_time: Duration::from_millis(1000),
             },
@@ -385,7 +385,7 @@
         let (downstream, upstream, admin) = (&self.downstream, &self.upstream, &self.admin);
         let partial_bodies = 2 * downstream.max_partial_bodies * self.max_body_bytes;
         let response_bodies = 2 * upstream.max_connections * self.max_body_bytes;
-        let downstream_buffers = downstream.max_connections * 2 * FIRST + downstream.buffer_bytes;
+        let downstream_buffers = downstream.max_connections * 2 * INITIAL_BYTES + downstream.buffer_bytes;
         let upstream_buffers = upstream.max_connections * self.connection_buffer_bytes * 2;
         let list_bytes = if inputs.has_consul {
             self.discovery.max_consul_answer_bytes
@@ -395,7 +395,7 @@
         // Each of two processes has these of its own; only one of them has the ledger open.
         let bytes_per_process = downstream.max_completed_ids * COMPLETED_ID_BYTES
             + admin.max_connections * admin.buffer_bytes * 2
-            + downstream.max_rejected_connections * 2 * FIRST
+            + downstream.max_rejected_connections * 2 * INITIAL_BYTES
             + list_bytes;
         let ledger = if inputs.has_ledger { self.max_durable_jobs * JOB_BYTES } else { 0 };
         downstream.max_reserved_bytes
--- a/crates/daemon/src/downstream/durable_exchange.rs
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -3,7 +3,7 @@
 use super::admission::{AdmissionError, ConnectionAdmission};
 use super::request::Submission;
 use super::response::millis;
-use crate::durable::{Durable, Found, JoinedRequest};
+use crate::durable::{Durable, LookupResult, PendingAnswer};
 use crate::event::NodeEvent;
 use crate::http1::Connection;
 use crate::in_flight::{Answer, ClientRequest};
@@ -53,7 +53,7 @@
 
 /// A job whose answer is waited for.
 struct PendingJob {
-    job: Rc<JoinedRequest>,
+    job: Rc<PendingAnswer>,
     acknowledges: Option<RequestId>,
     /// When the client gets its answer at the latest.
     last_answer_at: Instant,
@@ -81,19 +81,19 @@
     pub async fn run(&mut self, submission: Submission) -> Result<DurableAnswer, DurableError> {
         // During a hot restart the older process may still have the ledger open.
         let Some(ledger) = self.server.ledger() else { return Ok(DurableAnswer::retry_later()) };
-        let pending = match ledger.find(&submission.request) {
-            Found::OtherBody => return Err(DurableError::KeyMismatch),
-            Found::Twice => return Err(DurableError::Duplicate),
-            Found::Ended(request_id) => {
+        let pending = match ledger.look_up(&submission.request) {
+            LookupResult::KeyMismatch => return Err(DurableError::KeyMismatch),
+            LookupResult::DuplicateId => return Err(DurableError::Duplicate),
+            LookupResult::Answered(request_id) => {
                 // An answer that cannot be read leaves open whether the request ran.
-                let answer = ledger.recorded(request_id).await.unwrap_or(Answer::Failed);
+                let answer = ledger.recorded_answer(request_id).await.unwrap_or(Answer::Failed);
                 return Ok(DurableAnswer { answer, acknowledges: Some(request_id) });
             }
-            Found::Open(job) => {
+            LookupResult::Open(job) => {
                 let last_answer_at = Instant::now() + self.server.last_answer_wait(submission.time_left);
                 PendingJob { job, acknowledges: None, last_answer_at }
             }
-            Found::New => match self.start_job(&ledger, submission).await? {
+            LookupResult::New => match self.start_job(&ledger, submission).await? {
                 JobStart::Recorded(pending) => pending,
                 JobStart::NotRecorded(answer) => return Ok(answer),
             },
@@ -120,7 +120,7 @@
         };
         let (in_flight, last_answer_at) = (admitted.in_flight, admitted.last_answer_at);
         in_flight.is_durable.set(true);
-        let recorded = ledger.take(&in_flight, last_answer_at).await;
+        let recorded = ledger.accept(&in_flight, last_answer_at).await;
         // From here on the ledger detects duplicates of it.
         self.server.request_ids.close(&in_flight.request.id);
         let job = match recorded {
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -118,7 +118,7 @@
 
     /// Records durable requests in this ledger from now on. New requests are numbered past those on record.
     pub fn set_ledger(&self, ledger: Rc<Durable>) {
-        self.request_ids.skip_to(ledger.next_wu());
+        self.request_ids.skip_to(ledger.next_request_number());
         self.ledger.replace(Some(ledger));
     }
 
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -131,7 +131,7 @@
         let lease = tokio::select! {
             biased;
             () = self.send_forbidden() => None,
-            lease = durable.lease(request_id, executor_name, order.attempt_deadline) => lease,
+            lease = durable.record_attempt(request_id, executor_name, order.attempt_deadline) => lease,
         };
         lease.map_or(Recording::Refused, Recording::Recorded)
     }
@@ -144,7 +144,7 @@
             now - self.order.decided_at > limits.timeouts().connect_timeout + limits.stall_threshold;
         // The warm-up budget that was charged belongs to an earlier incarnation of the executor.
         let is_other_incarnation = self.executor.incarnation() != self.order.incarnation;
-        self.order.in_flight.is_over()
+        self.order.in_flight.is_closed()
             || self.executor.gate.is_closed()
             || now >= self.order.send_deadline
             || stood_still
@@ -159,7 +159,7 @@
             request,
             connection.address,
             self.order.attempt_deadline - now,
-            lease.and_then(Lease::told_to_executor),
+            lease.and_then(Lease::fence_and_lease),
         );
         let parts: [&[u8]; 2] = [&head, &request.body];
         tokio::select! {
@@ -221,7 +221,7 @@
         tokio::select! {
             biased;
             _ = self.order.cancel_signal.cancelled() => {}
-            () = self.order.in_flight.over() => {}
+            () = self.order.in_flight.closed() => {}
             () = self.executor.gate.closed() => {}
         }
     }
@@ -239,7 +239,7 @@
     async fn abandoned(&self) {
         let in_flight = &self.order.in_flight;
         if self.pool.codec.now().may_withdraw(in_flight.request.class) {
-            in_flight.over().await;
+            in_flight.closed().await;
         } else {
             std::future::pending().await
         }
@@ -249,7 +249,7 @@
 /// Completes when the executor of a recorded attempt has sent no sign of life for the lease's duration.
 async fn lease_expired(lease: Option<&Lease>) {
     match lease {
-        Some(lease) => lease.over().await,
+        Some(lease) => lease.expired().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -41,7 +41,7 @@
                 let query = AttemptStatusQuery { pool: &self, executor: &executor, in_flight, lease };
                 outcome = query.resolve().await.unwrap_or(outcome);
             }
-            lease.ended(outcome);
+            lease.record_outcome(outcome);
         }
         self.report_outcome(request_id, attempt_id, outcome).await;
         if let Some(unread) = unread {
@@ -66,7 +66,7 @@
             None => None,
         };
         let outcome = outcome.unwrap_or(Outcome::Reset);
-        lease.ended(outcome);
+        lease.record_outcome(outcome);
         self.report_outcome(in_flight.request_id, attempt_id, outcome).await;
     }
 
--- a/crates/daemon/src/upstream/response.rs
+++ b/crates/daemon/src/upstream/response.rs
@@ -109,7 +109,7 @@
 
     fn extend_lease(&self, is_running: bool) {
         if let Some(lease) = self.lease {
-            lease.beat(is_running);
+            lease.record_heartbeat(is_running);
         }
     }
 
