--- a/crates/daemon/src/config/node.rs
+++ b/crates/daemon/src/config/node.rs
@@ -208,3 +208,7 @@
     let millis = setting.filter(|millis| (0.0..MAX_SETTING_MILLIS).contains(millis))?;
     Some(Duration::from_secs_f64(millis / MILLIS_PER_SECOND))
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/node_file.rs"]
+mod tests;
--- a/crates/daemon/src/config/operator.rs
+++ b/crates/daemon/src/config/operator.rs
@@ -209,3 +209,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/operator_file.rs"]
+mod tests;
