--- a/crates/daemon/src/durable/payload.rs
+++ b/crates/daemon/src/durable/payload.rs
@@ -27,7 +27,7 @@
 impl StoredRequest {
     /// Class and tenant are stored by name, since ids may change over a restart.
     pub(super) fn new(request: &ClientRequest, codec: &Codec) -> Self {
-        let (class, tenant) = codec.names_of(request);
+        let (class, tenant) = codec.class_and_tenant_names(request);
         StoredRequest {
             method: request.method.clone(),
             target: request.target.clone(),
@@ -50,7 +50,7 @@
         key: Option<String>,
         codec: &Codec,
     ) -> Result<ClientRequest, UnknownClass> {
-        let ids = codec.places_of(&self.class, &self.tenant);
+        let ids = codec.class_and_tenant_ids(&self.class, &self.tenant);
         let (class, tenant) = ids.ok_or_else(|| UnknownClass(self.class.clone()))?;
         Ok(ClientRequest {
             id: client_id,
