--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
 use troutknot_emulator::scripted::{Act, Discovery, Executor};
-use troutknot_fake_consul::{Agent, Cluster, Instance, Status, Wrong};
+use troutknot_fake_consul::{Agent, Cluster, Fault, Instance, Status};
 
 /// The stand-ins on a thread of their own.
 struct Standins {
@@ -53,8 +53,8 @@
         result.recv().unwrap()
     }
 
-    fn script(&self, agent: usize, wrong: Wrong) {
-        self.with(move |_, agents| agents[agent].script(wrong));
+    fn script(&self, agent: usize, wrong: Fault) {
+        self.with(move |_, agents| agents[agent].set_fault(wrong));
     }
 
     fn register(&self, executors: &[&Executor]) {
@@ -151,11 +151,11 @@
 #[test]
 fn any_faulty_answer_of_an_agent_keeps_the_last_list() {
     let wrongs = [
-        (Wrong::Silent, "no answer in time"),
-        (Wrong::Status500, "status 500"),
-        (Wrong::NoLeader, "it has no leader"),
-        (Wrong::HalfBody, "connection failed: "),
-        (Wrong::Garbage, "no JSON of the health API"),
+        (Fault::Silent, "no answer in time"),
+        (Fault::Status500, "status 500"),
+        (Fault::NoLeader, "it has no leader"),
+        (Fault::HalfBody, "connection failed: "),
+        (Fault::Garbage, "no JSON of the health API"),
     ];
     thread::scope(|all| {
         for (wrong, said) in wrongs {
@@ -170,7 +170,7 @@
                 assert!(line.contains(said) && line.contains("count=2"), "{wrong:?}: {line}");
                 wait_until_used(&node, "both are used still", &[&one, &two], &[true, true]);
                 standins.set("s0", Status::Critical);
-                standins.script(0, Wrong::Nothing);
+                standins.script(0, Fault::None);
                 node.logged("consul query recovered service=box");
                 wait_until_used(&node, "what it missed counts", &[&one, &two], &[false, true]);
             });
@@ -186,13 +186,13 @@
     standins.register(&all);
     let node = follow(&own_file(None, &standins.agents, ""));
     wait_until_used(&node, "all are used", &all, &[true; 4]);
-    (0..2).for_each(|agent| standins.script(agent, Wrong::Empty));
+    (0..2).for_each(|agent| standins.script(agent, Fault::Empty));
     // A new index, so that those that wait are answered.
     standins.set("s0", Status::Passing);
     let line = node.logged("too many executors missing in consul");
     assert!(line.contains("they stay listed missing=2 count=2"), "{line}");
     assert_eq!(used(&node, 20, &all).iter().sum::<usize>(), 20, "the rest is served by");
-    (0..2).for_each(|agent| standins.script(agent, Wrong::Nothing));
+    (0..2).for_each(|agent| standins.script(agent, Fault::None));
     standins.set("s0", Status::Passing);
     node.logged("no executor missing in consul stays listed");
 }
@@ -205,20 +205,20 @@
     standins.register(&all);
     let node = follow(&own_file(None, &standins.agents, "consistency = \"stale\""));
     wait_until_used(&node, "both are used", &all, &[true, true]);
-    standins.script(1, Wrong::StaleView);
+    standins.script(1, Fault::StaleView);
     standins.set("s0", Status::Maintenance);
     wait_until_used(&node, "the first agent says so", &all, &[false, true]);
     // The first one fails, the second shows the cluster as it was.
-    standins.script(0, Wrong::Status500);
+    standins.script(0, Fault::Status500);
     node.logged("is behind one at");
     assert_eq!(used(&node, 30, &all), [0, 30], "an older view brings nothing back");
     until("the third is asked", || {
-        standins.with(|_, agents| agents[2].asked().iter().any(|a| a.ends_with("&stale")))
+        standins.with(|_, agents| agents[2].take_requests().iter().any(|a| a.ends_with("&stale")))
     });
     standins.set("s0", Status::Passing);
     wait_until_used(&node, "what it says counts", &all, &[true, true]);
     // A cluster that was restored counts its indices anew.
-    (0..3).for_each(|agent| standins.script(agent, Wrong::Nothing));
+    (0..3).for_each(|agent| standins.script(agent, Fault::None));
     standins.with(|cluster, _| cluster.reset_index());
     standins.set("s1", Status::Critical);
     wait_until_used(&node, "the new count is taken", &all, &[true, false]);
@@ -257,7 +257,7 @@
 fn a_node_that_starts_with_consul_silent_serves_by_its_last_list() {
     let (one, two) = (Executor::start(), Executor::start());
     let standins = Standins::start(1, None);
-    standins.script(0, Wrong::Silent);
+    standins.script(0, Fault::Silent);
     standins.register(&[&two]);
     let mut saved = entry("s0@host-s0.dc1", &one, "Ready");
     saved["started_ms"] = json!(0);
@@ -266,7 +266,7 @@
     let node = Node::start_by(nowhere(), (256, 64), settings(), "info", known, &own);
     wait_until_used(&node, "the list held before", &[&one, &two], &[true, true]);
     // Then Consul answers: one is the same, elsewhere now, and the other is no more.
-    standins.script(0, Wrong::Nothing);
+    standins.script(0, Fault::None);
     wait_until_used(&node, "the new list", &[&one, &two], &[false, true]);
 }
 
@@ -413,7 +413,7 @@
     std::fs::write(&own, format!("{text}[[lists.consul.services]]\nname = \"cart\"\n")).unwrap();
     let node = follow(&own);
     wait_until_used(&node, "both services", &all, &[true, true]);
-    standins.script(0, Wrong::Late(Duration::from_millis(200)));
+    standins.script(0, Fault::Late(Duration::from_millis(200)));
     standins.with(|cluster, _| cluster.set("cart", &["c0"], Status::Critical));
     wait_until_used(&node, "a late word counts when it comes", &all, &[true, false]);
     // The operator takes a service out.
--- a/crates/rehearsal/src/lists.rs
+++ b/crates/rehearsal/src/lists.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use troutknot_emulator::discovery::{Agent, Member};
 use troutknot_emulator::observed::{ExecutorNumber, Listed, NodeNumber, Record, Seen};
-use troutknot_fake_consul::{self as fake_consul, Cluster, Instance, Status, Wrong};
+use troutknot_fake_consul::{self as fake_consul, Cluster, Fault, Instance, Status};
 
 pub const SERVICE: &str = "box";
 
@@ -80,15 +80,15 @@
 
     fn script(&self, how: Option<How>) {
         *self.wrong.borrow_mut() = how;
-        self.agent.script(match how {
-            None => Wrong::Nothing,
-            Some(How::Silent) => Wrong::Silent,
-            Some(How::Errors) => Wrong::Status500,
-            Some(How::NoLeader) => Wrong::NoLeader,
-            Some(How::Empty) => Wrong::Empty,
-            Some(How::HalfBody) => Wrong::HalfBody,
-            Some(How::StaleView) => Wrong::StaleView,
-            Some(How::Late) => Wrong::Late(Duration::from_millis(500)),
+        self.agent.set_fault(match how {
+            None => Fault::None,
+            Some(How::Silent) => Fault::Silent,
+            Some(How::Errors) => Fault::Status500,
+            Some(How::NoLeader) => Fault::NoLeader,
+            Some(How::Empty) => Fault::Empty,
+            Some(How::HalfBody) => Fault::HalfBody,
+            Some(How::StaleView) => Fault::StaleView,
+            Some(How::Late) => Fault::Late(Duration::from_millis(500)),
         });
         if how.is_none() {
             for (executor, listed) in self.missed.take() {
