--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -3,9 +3,6 @@
 //! [`start`] runs a node until it is asked to end; `troutknotd` and `troutknot node` are thin programs around it.
 //! The `driver` owns the dispatcher, which decides; `downstream` is the side of the clients, `upstream` that of
 //! the executors, and `discovery` follows the endpoint list. They exchange the messages of `event`.
-#![warn(missing_docs, clippy::unwrap_used)]
-#![cfg_attr(not(test), warn(clippy::too_many_lines))]
-
 mod admin;
 mod byte_budget;
 mod config;
--- a/crates/daemon/tests/capacity.rs
+++ b/crates/daemon/tests/capacity.rs
@@ -1,4 +1,5 @@
 //! Fleets of the size of a node's bound and above, on loopback: who is served, and what operators are told.
+#![allow(clippy::unwrap_used)]
 mod common;
 
 use common::*;
--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -1,4 +1,5 @@
 //! A node that follows Consul, as a process between scripted executors and stand-ins of agents.
+#![allow(clippy::unwrap_used)]
 mod common;
 
 use common::*;
--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -1,4 +1,5 @@
 //! Narrow moments of one node, each forced on real sockets: what comes just when it is between two steps.
+#![allow(clippy::unwrap_used)]
 mod common;
 
 use common::*;
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -1,4 +1,5 @@
 //! How soon a node knows what discovery has to tell once it can be reached again, whatever failed before.
+#![allow(clippy::unwrap_used)]
 mod common;
 
 use common::*;
--- a/crates/daemon/tests/durable.rs
+++ b/crates/daemon/tests/durable.rs
@@ -1,4 +1,5 @@
 //! A node that takes work durably, as a process that dies, between scripted executors.
+#![allow(clippy::unwrap_used)]
 mod common;
 
 use common::*;
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -1,4 +1,5 @@
 //! One node as a process between raw clients and scripted peers, on free loopback ports.
+#![allow(clippy::unwrap_used)]
 mod common;
 
 use common::*;
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -1,4 +1,5 @@
 //! What operators' staff do to a node that runs: calls, executors out by hand, drains, the next process.
+#![allow(clippy::unwrap_used)]
 mod common;
 
 use command_fds::{CommandFdExt, FdMapping};
--- a/crates/daemon/tests/shape.rs
+++ b/crates/daemon/tests/shape.rs
@@ -1,4 +1,5 @@
 //! A node under settings of either shape: nodes that talk, and what is refused as a mix of both.
+#![allow(clippy::unwrap_used)]
 mod common;
 
 use common::*;
--- a/crates/daemon/tests/unit/platform.rs
+++ b/crates/daemon/tests/unit/platform.rs
@@ -43,6 +43,41 @@
 }
 use Source::*;
 
+/// Serves one watch in the way of `source`, and never returns.
+async fn serve(source: Source, listener: &TcpListener) {
+    let (mut stream, _) = listener.accept().await.unwrap();
+    let mut request = [0; 1024];
+    assert!(stream.read(&mut request).await.unwrap() > 0);
+    if source == Rejects {
+        stream.write_all(b"HTTP/1.1 503 Busy\r\n\r\n").await.unwrap();
+    }
+    if source == Resets {
+        drop(stream);
+        return std::future::pending().await;
+    }
+    if !matches!(source, Silent | Rejects) {
+        stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").await.unwrap();
+    }
+    if matches!(source, Indented | ListOnly | Older) {
+        let list = b"{\n \"version\": 8,\n \"full\": true,\n \"servers\": [\n ]\n}\n";
+        stream.write_all(list).await.unwrap();
+    }
+    if source == Drips {
+        stream.write_all(b"{\n").await.unwrap();
+    }
+    let repeated: &[u8] = match source {
+        Drips => b" \"version\":\n",
+        Indented | Older => b"\n",
+        _ => return std::future::pending().await,
+    };
+    loop {
+        sleep(Duration::from_secs(2)).await;
+        if stream.write_all(repeated).await.is_err() {
+            return std::future::pending().await;
+        }
+    }
+}
+
 /// The clock is paused and advances only when all tasks wait, so that long timeouts take no time.
 #[tokio::test(start_paused = true)]
 async fn a_source_that_stops_responding_at_any_point_is_noticed_in_time() {
@@ -59,45 +94,12 @@
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (watcher, mut received, _address) = watcher(listener.local_addr().unwrap());
-        let serve = async {
-            let (mut stream, _) = listener.accept().await.unwrap();
-            let mut request = [0; 1024];
-            assert!(stream.read(&mut request).await.unwrap() > 0);
-            if source == Rejects {
-                stream.write_all(b"HTTP/1.1 503 Busy\r\n\r\n").await.unwrap();
-            }
-            if source == Resets {
-                drop(stream);
-                return std::future::pending().await;
-            }
-            if !matches!(source, Silent | Rejects) {
-                stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").await.unwrap();
-            }
-            if matches!(source, Indented | ListOnly | Older) {
-                let list = b"{\n \"version\": 8,\n \"full\": true,\n \"servers\": [\n ]\n}\n";
-                stream.write_all(list).await.unwrap();
-            }
-            if source == Drips {
-                stream.write_all(b"{\n").await.unwrap();
-            }
-            let repeated: &[u8] = match source {
-                Drips => b" \"version\":\n",
-                Indented | Older => b"\n",
-                _ => return std::future::pending().await,
-            };
-            loop {
-                sleep(Duration::from_secs(2)).await;
-                if stream.write_all(repeated).await.is_err() {
-                    return std::future::pending().await;
-                }
-            }
-        };
         let cached_version = (source == Older).then_some(100);
         let (start, mut versions) = (Instant::now(), VersionFilter::new(cached_version));
         let watched = async {
             tokio::select! {
                 Err(error) = watcher.watch(*watcher.address.borrow(), &mut versions) => Some(error),
-                () = serve => None,
+                () = serve(source, &listener) => None,
                 () = sleep(Duration::from_secs(60)) => None,
             }
         };
--- a/crates/daemon/tests/wire_format.rs
+++ b/crates/daemon/tests/wire_format.rs
@@ -11,6 +11,7 @@
 //!   the time that has passed; the number of decimals stays (`#.###`);
 //! - in the answer about a durable request its id, its instants (`"taken_ms":#`), and the `Content-Length`, which
 //!   follows from these.
+#![allow(clippy::unwrap_used)]
 mod common;
 
 use common::{Node, PATIENCE, entry_at, list, settings, until};
