--- a/crates/daemon/src/hot_restart/takeover.rs
+++ b/crates/daemon/src/hot_restart/takeover.rs
@@ -118,7 +118,7 @@
     /// Owns the tasks that are started here.
     pub tasks: TaskGroup,
     /// The socket for the next process, bound early if the old process announced that it ends.
-    pub bound: RefCell<Option<UnixListener>>,
+    pub early_listener: RefCell<Option<UnixListener>>,
 }
 
 impl Takeover {
@@ -129,8 +129,8 @@
             self.tasks.spawn(self.clone().announce_ready());
             self.exchange(link, Role::New).await;
         }
-        let bound = self.bound.take();
-        match bound.map_or_else(|| self.bind(), Ok) {
+        let early_listener = self.early_listener.take();
+        match early_listener.map_or_else(|| self.bind(), Ok) {
             Ok(listener) => self.accept_new_processes(listener).await,
             Err(error) => tracing::warn!(%error, "hot restart disabled, the socket cannot be bound"),
         }
@@ -299,7 +299,7 @@
             }
             Message::Leaving if role == Role::New => {
                 tracing::info!("hot restart: the old process was asked to end");
-                self.bound.replace(self.bind().ok());
+                self.early_listener.replace(self.bind().ok());
             }
             _ => {}
         }
--- a/crates/daemon/src/node/builder.rs
+++ b/crates/daemon/src/node/builder.rs
@@ -285,7 +285,7 @@
             downstream: self.downstream.clone(),
             executors: self.executors.clone(),
             tasks: self.shared.tasks.clone(),
-            bound: RefCell::default(),
+            early_listener: RefCell::default(),
         });
         self.shared.tasks.spawn(takeover.run(old_process));
     }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of a node as a process share.
+//! Shared by the tests that run a node as a process.
 #![allow(dead_code)]
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
@@ -108,7 +108,7 @@
     pub process: Child,
     pub addr: SocketAddr,
     pub log: Receiver<String>,
-    /// What it logged that was passed over.
+    /// Log lines that `logged` skipped.
     pub before: Mutex<Vec<String>>,
     pub config: Value,
     pub path: String,
@@ -123,7 +123,7 @@
         Node::start_by(discovery.addr, limits, settings, log, Value::Null, "")
     }
 
-    /// With a list from before, and the operator's own file where its path is not empty.
+    /// Starts a node with a cached endpoint list, and with the operator's file unless its path is empty.
     pub fn start_by(
         discovery: SocketAddr,
         limits: (u64, u64),
@@ -140,11 +140,11 @@
         node
     }
 
-    /// With this configuration, once it says where it listens.
+    /// Starts a node with this configuration, and returns once it listens.
     pub fn start_from(config: Value, launch: impl FnOnce(&str) -> Child) -> Self {
         let path = config_file(&config.to_string());
         let mut process = launch(&path);
-        // Few lines are taken from a log that a test does not read; then the pipe fills up.
+        // A test that does not read the log lets the pipe fill up.
         let (send, log) = mpsc::sync_channel(64);
         let lines = BufReader::new(process.stdout.take().unwrap()).lines();
         thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| send.send(line)));
@@ -180,12 +180,12 @@
         assert!(kill.args(["-s", name, &self.process.id().to_string()]).status().unwrap().success());
     }
 
-    /// Sends the signal that asks a node to end.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Replaces the configuration and has it read again.
+    /// Replaces the configuration and sends SIGHUP.
     pub fn reread(&self, config: &str) {
         std::fs::write(&self.path, config).unwrap();
         self.signal("HUP");
@@ -199,7 +199,7 @@
     }
 }
 
-/// The address that a log line has as a field.
+/// The field `address` of a log line.
 pub fn address(line: &str) -> SocketAddr {
     let field = line.split_whitespace().find_map(|field| field.strip_prefix("address="));
     field.expect("the line has an address").parse().unwrap()
@@ -213,7 +213,7 @@
 }
 
 pub fn ask(connection: &mut BufReader<TcpStream>, request: impl AsRef<[u8]>) -> (u16, Message) {
-    // The node may answer and close before it has taken all.
+    // The node may answer and close before it has read the whole request.
     let _ = connection.get_mut().write_all(request.as_ref());
     answer(connection)
 }
@@ -227,7 +227,7 @@
     )
 }
 
-/// An id that no test has used yet.
+/// A request id that no test has used yet.
 pub fn new_id() -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     format!("new-{}", NUMBER.fetch_add(1, Ordering::Relaxed))
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -1,4 +1,4 @@
-//! The driver, told events one after another.
+//! The driver, with events handled one after another.
 use super::*;
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::{LimitInputs, Limits};
@@ -17,11 +17,11 @@
 use tokio::time::timeout;
 use troutknot::{AttemptId, ListUpdate};
 
-const HARD_LIMIT: Duration = Duration::from_secs(5);
+const MAX_DEADLINE: Duration = Duration::from_secs(5);
 const ID_FIELD: &str = "Request-Id: ";
 
 fn driver(memory_mb: u64, max_sockets: u64) -> Driver {
-    let (settings, codec) = Codec::of_one_type(HARD_LIMIT.as_micros() as u64);
+    let (settings, codec) = Codec::of_one_type(MAX_DEADLINE.as_micros() as u64);
     let limits = Rc::new(Limits::new(&LimitInputs { memory_mb, max_sockets, ..LimitInputs::default() }));
     let bounds = &limits.executor_bounds;
     let retention = EndpointRetention::new("", bounds.max_retained, bounds.max_unretained_entries);
@@ -45,30 +45,30 @@
     })
 }
 
-/// A driver that is told events by hand, at times of its own.
-struct Rig {
+/// A driver that the test hands events to, at times of the test's own.
+struct TestDriver {
     driver: Driver,
     /// How far its time is ahead of the clock.
     ahead: Millis,
-    held: Rc<ByteBudget>,
+    budget: Rc<ByteBudget>,
     next_request: u64,
 }
 
-impl Rig {
+impl TestDriver {
     fn new(memory_mb: u64) -> Self {
         let driver = driver(memory_mb, 1024);
-        Rig { driver, ahead: 0.0, held: ByteBudget::new(1 << 20), next_request: 0 }
+        TestDriver { driver, ahead: 0.0, budget: ByteBudget::new(1 << 20), next_request: 0 }
     }
 
-    fn tell(&mut self, event: NodeEvent) {
+    fn handle(&mut self, event: NodeEvent) {
         let (now, mut actions) = (self.driver.clock.now() + self.ahead, Vec::new());
         self.driver.handle_event(now, event);
         self.driver.dispatcher.poll_actions(now, &mut actions);
         actions.into_iter().for_each(|action| self.driver.perform(action));
     }
 
-    fn list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) {
-        self.tell(NodeEvent::ListReceived(EndpointUpdate {
+    fn update_list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) {
+        self.handle(NodeEvent::ListReceived(EndpointUpdate {
             kind,
             entries,
             version: None,
@@ -76,28 +76,29 @@
         }));
     }
 
-    /// Lets the time pass in which those that are gone are looked over.
-    fn look_over(&mut self) {
+    /// Advances the time past the next reclaim of executors that are gone.
+    fn reclaim(&mut self) {
         self.ahead += 1100.0;
-        self.tell(NodeEvent::Core(CoreEvent::TimerFired));
+        self.handle(NodeEvent::Core(CoreEvent::TimerFired));
     }
 
-    fn arrive(&mut self) -> Rc<InFlightRequest> {
+    fn submit(&mut self) -> Rc<InFlightRequest> {
         self.next_request += 1;
         let id = self.next_request.to_string();
-        let work =
+        let request =
             ClientRequest { fields: format!("{ID_FIELD}{id}\r\n").into(), ..ClientRequest::of(&id, 0) };
-        let limit = Instant::now() + HARD_LIMIT;
-        let in_flight = InFlightRequest::new(RequestId(self.next_request), work, limit, &self.held).unwrap();
-        self.tell(NodeEvent::RequestArrived(in_flight.clone()));
+        let deadline = Instant::now() + MAX_DEADLINE;
+        let in_flight =
+            InFlightRequest::new(RequestId(self.next_request), request, deadline, &self.budget).unwrap();
+        self.handle(NodeEvent::RequestArrived(in_flight.clone()));
         in_flight
     }
 
-    /// Takes in what the sides tell until these are answered; how many were completed.
+    /// Handles the events of the sides until these requests are answered; returns how many were completed.
     async fn serve(&mut self, in_flight_requests: &[Rc<InFlightRequest>]) -> usize {
         while !in_flight_requests.iter().all(|in_flight| in_flight.is_closed()) {
-            let told = timeout(HARD_LIMIT, self.driver.events.recv()).await;
-            self.tell(told.expect("it is answered in time").expect("the sides go on"));
+            let event = timeout(MAX_DEADLINE, self.driver.events.recv()).await;
+            self.handle(event.expect("answered in time").expect("the channel is open"));
         }
         let mut completed = 0;
         for in_flight in in_flight_requests {
@@ -106,48 +107,48 @@
         completed
     }
 
-    /// What the node, its sides and the dispatcher keep in mind: the same number of executors.
-    fn kept(&self) -> usize {
-        let kept = self.driver.registry.len();
-        assert_eq!(self.driver.executors.executor_count(), kept, "the executor side");
-        assert_eq!(self.driver.membership.len(), kept, "the list");
-        assert_eq!(self.driver.dispatcher.executor_count(), kept, "the dispatcher");
-        kept
+    /// The number of executors that are registered, which is the same in all parts of the node.
+    fn registered(&self) -> usize {
+        let count = self.driver.registry.len();
+        assert_eq!(self.driver.executors.executor_count(), count, "upstream");
+        assert_eq!(self.driver.membership.len(), count, "membership");
+        assert_eq!(self.driver.dispatcher.executor_count(), count, "dispatcher");
+        count
     }
 
-    async fn call(&mut self, name: &str, out: bool) -> bool {
+    async fn set_excluded(&mut self, name: &str, is_excluded: bool) -> bool {
         let (done, known) = oneshot::channel();
-        self.tell(NodeEvent::SetExcluded {
+        self.handle(NodeEvent::SetExcluded {
             executor: name.into(),
-            is_excluded: out,
+            is_excluded,
             origin: CallOrigin::Operator(done),
         });
         known.await.unwrap()
     }
 }
 
-/// Executors on loopback: each connection answers probes and does work at once, and counts it.
-async fn executors_at_one_address(done: Rc<std::cell::Cell<usize>>) -> SocketAddr {
+/// Executors on loopback, all at one address. They answer probes and complete requests at once, and count these.
+async fn start_executors(completed: Rc<std::cell::Cell<usize>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            spawn_local(answer_all(stream, done.clone()));
+            spawn_local(serve_connection(stream, completed.clone()));
         }
     });
     addr
 }
 
-async fn answer_all(mut stream: TcpStream, done: Rc<std::cell::Cell<usize>>) {
-    let mut asked = [0; 2000];
-    while let Ok(length @ 1..) = stream.read(&mut asked).await {
-        let head = String::from_utf8_lossy(&asked[..length]).into_owned();
+async fn serve_connection(mut stream: TcpStream, completed: Rc<std::cell::Cell<usize>>) {
+    let mut request = [0; 2000];
+    while let Ok(length @ 1..) = stream.read(&mut request).await {
+        let head = String::from_utf8_lossy(&request[..length]).into_owned();
         let id = head.lines().find_map(|line| line.strip_prefix(ID_FIELD));
         let body = match id {
             Some(id) => format!(r#"{{"id":"{id}","state":"done","result":"xyz"}}"#),
             None => "queue=0,x0=4".to_string(),
         };
-        done.set(done.get() + usize::from(id.is_some()));
+        completed.set(completed.get() + usize::from(id.is_some()));
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         if stream.write_all(answer.as_bytes()).await.is_err() {
             return;
@@ -159,59 +160,60 @@
     EndpointEntry::of(name, &addr.to_string(), "Ready")
 }
 
-/// A fleet of 1,000 that is replaced twenty times, all names new in one list, in a node of 48 MB: each is served
-/// like the first, and what is kept goes by the one in force.
+/// A fleet of 1,000 is replaced twenty times, with new names throughout, in a node of 48 MB: each is served like the
+/// first, and only executors of the current one stay registered.
 #[tokio::test]
-async fn a_fleet_that_is_replaced_twenty_times_is_served_as_at_first() {
+async fn a_fleet_replaced_twenty_times_is_served_like_the_first() {
     const FLEET: usize = 1000;
     const REQUESTS: usize = 30;
     let local = LocalSet::new();
     let all = async {
-        let addr = executors_at_one_address(Rc::default()).await;
-        let mut rig = Rig::new(48);
+        let addr = start_executors(Rc::default()).await;
+        let mut rig = TestDriver::new(48);
         for replaced in 0..=20 {
-            let names = (0..FLEET).map(|k| ready(&format!("fleet-{replaced}-{k}"), addr));
-            rig.list(ListUpdate::Snapshot, names.collect());
-            assert!(rig.kept() <= 2 * FLEET, "{replaced}: before those that are gone are looked over");
+            let names = (0..FLEET).map(|number| ready(&format!("fleet-{replaced}-{number}"), addr));
+            rig.update_list(ListUpdate::Snapshot, names.collect());
+            assert!(rig.registered() <= 2 * FLEET, "{replaced}: before the reclaim");
             let mut completed = 0;
             for _ in 0..REQUESTS {
-                let in_flight = rig.arrive();
+                let in_flight = rig.submit();
                 completed += rig.serve(&[in_flight]).await;
             }
             assert_eq!(completed, REQUESTS, "{replaced}");
-            rig.look_over();
-            assert_eq!(rig.kept(), FLEET, "{replaced}");
+            rig.reclaim();
+            assert_eq!(rig.registered(), FLEET, "{replaced}");
         }
-        rig.list(ListUpdate::Snapshot, Vec::new());
-        rig.look_over();
-        assert_eq!((rig.kept(), rig.driver.executors.connection_count()), (0, 0));
+        rig.update_list(ListUpdate::Snapshot, Vec::new());
+        rig.reclaim();
+        assert_eq!((rig.registered(), rig.driver.executors.connection_count()), (0, 0));
     };
     local.run_until(all).await;
 }
 
-/// Gone and back with another address: under another handle, and work goes to the new address alone.
+/// An executor that is gone and listed again at another address gets requests only there, under another handle once
+/// it was released.
 #[tokio::test]
-async fn who_is_back_at_another_address_is_sent_work_there() {
+async fn an_executor_listed_again_at_another_address_gets_requests_there() {
     let local = LocalSet::new();
     let all = async {
         let done: [Rc<std::cell::Cell<usize>>; 2] = Default::default();
-        let first = executors_at_one_address(done[0].clone()).await;
-        let second = executors_at_one_address(done[1].clone()).await;
+        let first = start_executors(done[0].clone()).await;
+        let second = start_executors(done[1].clone()).await;
         for is_released in [false, true] {
             done.iter().for_each(|done| done.set(0));
-            let mut rig = Rig::new(48);
-            rig.list(ListUpdate::Snapshot, vec![ready("a", first)]);
+            let mut rig = TestDriver::new(48);
+            rig.update_list(ListUpdate::Snapshot, vec![ready("a", first)]);
             let before = rig.driver.registry.get("a");
-            let in_flight = rig.arrive();
+            let in_flight = rig.submit();
             assert_eq!(rig.serve(&[in_flight]).await, 1);
-            rig.list(ListUpdate::Snapshot, Vec::new());
+            rig.update_list(ListUpdate::Snapshot, Vec::new());
             if is_released {
-                rig.look_over();
-                assert_eq!(rig.kept(), 0);
+                rig.reclaim();
+                assert_eq!(rig.registered(), 0);
             }
-            rig.list(ListUpdate::Delta, vec![ready("a", second)]);
+            rig.update_list(ListUpdate::Delta, vec![ready("a", second)]);
             assert_eq!(rig.driver.registry.get("a") == before, !is_released);
-            let in_flight = rig.arrive();
+            let in_flight = rig.submit();
             assert_eq!(rig.serve(&[in_flight]).await, 1);
             assert_eq!((done[0].get(), done[1].get()), (1, 1), "{is_released}");
         }
@@ -219,31 +221,31 @@
     local.run_until(all).await;
 }
 
-/// What comes for a released executor is dropped and counted, on every side.
+/// Events and actions for a released executor are dropped and counted.
 #[tokio::test]
-async fn what_comes_for_a_released_executor_harms_nothing() {
+async fn events_for_a_released_executor_have_no_effect() {
     let local = LocalSet::new();
     let all = async {
-        let addr = executors_at_one_address(Rc::default()).await;
-        let mut rig = Rig::new(48);
-        rig.list(ListUpdate::Snapshot, vec![ready("a", addr)]);
+        let addr = start_executors(Rc::default()).await;
+        let mut rig = TestDriver::new(48);
+        rig.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
         let released = rig.driver.registry.get("a").unwrap();
-        rig.list(ListUpdate::Delta, vec![EndpointEntry::gone("a"), ready("b", addr)]);
-        rig.look_over();
-        rig.list(ListUpdate::Delta, vec![ready("c", addr)]);
+        rig.update_list(ListUpdate::Delta, vec![EndpointEntry::gone("a"), ready("b", addr)]);
+        rig.reclaim();
+        rig.update_list(ListUpdate::Delta, vec![ready("c", addr)]);
         let (reused, executors) = (rig.driver.registry.get("c").unwrap(), rig.driver.executors.clone());
-        assert!(reused != released && rig.kept() == 2);
-        // The slot of "a" is that of "c" by now.
+        assert!(reused != released && rig.registered() == 2);
+        // "c" has the slot that "a" had.
         executors.clone().probe(released).await;
-        let told = rig.driver.events.recv().await.unwrap();
-        assert!(matches!(told, NodeEvent::Core(CoreEvent::ProbeCompleted { reply: None, .. })));
-        rig.tell(told);
+        let event = rig.driver.events.recv().await.unwrap();
+        assert!(matches!(event, NodeEvent::Core(CoreEvent::ProbeCompleted { reply: None, .. })));
+        rig.handle(event);
         assert_eq!(rig.driver.dispatcher.stale_events(), 1);
         executors.close_idle_connections(released);
         executors.start_draining(released);
         executors.release(released);
-        let in_flight = rig.arrive();
-        let deadline = Instant::now() + HARD_LIMIT;
+        let in_flight = rig.submit();
+        let deadline = Instant::now() + MAX_DEADLINE;
         let order = DispatchOrder {
             in_flight: in_flight.clone(),
             executor: released,
@@ -264,62 +266,62 @@
             rig.driver.perform(action);
         }
         assert_eq!(rig.serve(&[in_flight]).await, 1, "another executor serves it");
-        assert_eq!(rig.kept(), 2);
+        assert_eq!(rig.registered(), 2);
     };
     local.run_until(all).await;
 }
 
-/// Left out by hand before it went or while it is gone, it stays out when it is back, until it is called in.
+/// An executor that operators excluded stays excluded when it is released and listed again, until it is included.
 #[tokio::test]
-async fn who_is_left_out_by_hand_stays_out_though_it_was_released() {
+async fn an_excluded_executor_stays_excluded_after_its_release() {
     let local = LocalSet::new();
     let all = async {
         let done: Rc<std::cell::Cell<usize>> = Rc::default();
-        let addr = executors_at_one_address(done.clone()).await;
-        let mut rig = Rig::new(48);
-        rig.list(ListUpdate::Snapshot, vec![ready("a", addr)]);
-        assert!(rig.call("a", true).await);
-        rig.list(ListUpdate::Snapshot, Vec::new());
-        rig.look_over();
-        assert_eq!(rig.kept(), 0);
-        assert!(!rig.call("b", true).await, "nobody knows it");
-        rig.list(ListUpdate::Snapshot, vec![ready("a", addr)]);
-        let in_flight = rig.arrive();
-        assert_eq!(rig.serve(&[in_flight]).await, 0, "it is given back at once");
-        assert_eq!(done.get(), 0, "and was never sent");
-        rig.list(ListUpdate::Snapshot, Vec::new());
-        rig.look_over();
-        assert!(rig.call("a", false).await, "it is called in while it is gone");
+        let addr = start_executors(done.clone()).await;
+        let mut rig = TestDriver::new(48);
+        rig.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
+        assert!(rig.set_excluded("a", true).await);
+        rig.update_list(ListUpdate::Snapshot, Vec::new());
+        rig.reclaim();
+        assert_eq!(rig.registered(), 0);
+        assert!(!rig.set_excluded("b", true).await, "it is not known");
+        rig.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
+        let in_flight = rig.submit();
+        assert_eq!(rig.serve(&[in_flight]).await, 0, "the request is rejected");
+        assert_eq!(done.get(), 0, "and never sent");
+        rig.update_list(ListUpdate::Snapshot, Vec::new());
+        rig.reclaim();
+        assert!(rig.set_excluded("a", false).await, "it is included while it is gone");
         assert!(rig.driver.membership.excluded().is_empty());
-        rig.list(ListUpdate::Snapshot, vec![ready("a", addr)]);
-        let in_flight = rig.arrive();
+        rig.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
+        let in_flight = rig.submit();
         assert_eq!((rig.serve(&[in_flight]).await, done.get()), (1, 1));
     };
     local.run_until(all).await;
 }
 
-/// What the other process of the node says of names that nobody lists keeps no executor in mind.
+/// Exclusions by the sibling process of names that are not listed register no executors.
 #[tokio::test]
-async fn who_is_left_out_in_the_other_process_is_out_by_name_alone() {
-    let mut rig = Rig::new(48);
+async fn an_exclusion_by_the_sibling_registers_no_executor() {
+    let mut rig = TestDriver::new(48);
     for number in 0..5000 {
-        let (executor, asked) = (format!("s-{number}"), CallOrigin::Sibling(number));
-        rig.tell(NodeEvent::SetExcluded { executor, is_excluded: true, origin: asked });
+        let (executor, origin) = (format!("s-{number}"), CallOrigin::Sibling(number));
+        rig.handle(NodeEvent::SetExcluded { executor, is_excluded: true, origin });
     }
     assert_eq!(
-        (rig.kept(), rig.driver.membership.excluded().len()),
+        (rig.registered(), rig.driver.membership.excluded().len()),
         (0, crate::membership::MAX_EXCLUDED_ABSENT)
     );
     assert!(rig.driver.membership.excluded().contains("s-4999"));
 }
 
-/// What a process before this one knew of executors that are not listed any more is left, but for what it spent
-/// of a cold budget, until that counts no more.
+/// The state of an old process is taken of executors that are listed, and of others only as long as what they used of
+/// a warm-up budget counts.
 #[tokio::test]
-async fn a_next_process_takes_over_who_is_listed() {
-    let mut rig = Rig::new(48);
+async fn a_new_process_takes_the_state_of_listed_executors() {
+    let mut rig = TestDriver::new(48);
     let now = rig.driver.clock.now();
-    let known = |id: &str| codec::ExecutorState {
+    let state = |id: &str| codec::ExecutorState {
         id: id.into(),
         failure_score: (1.0, 0.0).into(),
         observations: (1.0, 0.0).into(),
@@ -327,25 +329,25 @@
         warm_up_spent: if id == "d" { vec![(now, 50.0).into()] } else { Vec::new() },
     };
     let addr = "127.0.0.1:1".parse().unwrap();
-    rig.list(ListUpdate::Cached, vec![ready("a", addr), EndpointEntry::gone("b")]);
+    rig.update_list(ListUpdate::Cached, vec![ready("a", addr), EndpointEntry::gone("b")]);
     let mut inherited = Inherited::default();
-    inherited.executors = ["a", "b", "c", "d"].map(known).into();
+    inherited.executors = ["a", "b", "c", "d"].map(state).into();
     rig.driver.import_state(now, inherited);
-    assert_eq!((rig.kept(), rig.driver.dispatcher.stale_events()), (2, 0));
-    rig.look_over();
-    assert_eq!(rig.kept(), 1);
+    assert_eq!((rig.registered(), rig.driver.dispatcher.stale_events()), (2, 0));
+    rig.reclaim();
+    assert_eq!(rig.registered(), 1);
 }
 
-/// What the driver is told after the word to end, or in the same moment, is answered as well.
+/// Requests that arrive before or after the event to shut down are answered at once.
 #[tokio::test]
-async fn work_that_comes_once_the_node_ends_is_answered_at_once() {
+async fn requests_that_arrive_after_the_shutdown_are_answered_at_once() {
     let mut driver = driver(64, 128);
     let clock = driver.clock;
-    let held = ByteBudget::new(100);
+    let budget = ByteBudget::new(100);
     let in_flight = |request_id: u64| {
-        let work = ClientRequest::of(&request_id.to_string(), 0);
-        let limit = Instant::now() + std::time::Duration::from_secs(5);
-        InFlightRequest::new(RequestId(request_id), work, limit, &held).unwrap()
+        let request = ClientRequest::of(&request_id.to_string(), 0);
+        let deadline = Instant::now() + MAX_DEADLINE;
+        InFlightRequest::new(RequestId(request_id), request, deadline, &budget).unwrap()
     };
     let [before, after, sent] = [1, 2, 3].map(in_flight);
     driver.handle_event(clock.now(), NodeEvent::RequestArrived(before.clone()));
@@ -356,7 +358,7 @@
     for (what, in_flight, expected) in
         [("before", before, "Rejected"), ("after", after, "Rejected"), ("sent", sent, "Failed")]
     {
-        assert!(in_flight.is_closed(), "{what}: it has its answer");
+        assert!(in_flight.is_closed(), "{what}: it is answered");
         assert!(format!("{:?}", in_flight.answered().await).starts_with(expected), "{what}");
     }
 }
--- a/crates/daemon/tests/unit/hot_restart_codec.rs
+++ b/crates/daemon/tests/unit/hot_restart_codec.rs
@@ -1,9 +1,9 @@
-//! Lines between two processes of a node: what is read, and what is not taken.
+//! Messages between two processes of a node: which are accepted, and which are errors.
 use super::*;
 
 const BOUNDS: Bounds = Bounds { executors: 3, ids: 1000 };
 
-fn all(lines: &[&str]) -> Result<Option<Inherited>, CodecError> {
+fn apply_all(lines: &[&str]) -> Result<Option<Inherited>, CodecError> {
     let mut inherited = Inherited::default();
     for line in lines {
         if inherited.apply(decode(line.as_bytes())?, "n0", BOUNDS)? {
@@ -14,9 +14,9 @@
 }
 
 const HELLO: &str = r#"{"say":"hello","form":1,"name":"n0"}"#;
-const TOLD: &str = r#"{"say":"told"}"#;
+const COMPLETE: &str = r#"{"say":"told"}"#;
 
-/// As this release writes it: a later one must go on reading it.
+/// As this release writes it; later ones must be able to read it.
 const FROZEN: &[&str] = &[
     HELLO,
     r#"{"say":"out","executors":["s-1","s-2"]}"#,
@@ -26,47 +26,50 @@
     r#"{"say":"executors","executors":[{"id":"s-1","failed":[0.5,10.0],"judged":[2.0,10.0],"slots":4.0,"cold_spent":[[9.0,120.0]]}]}"#,
     r#"{"say":"work","types":[["render",120.0,31.0]],"mean_run":110.0,"waiting_share":0.1,"lag":1.5,"draws":2}"#,
     r#"{"say":"leave-out","executor":"s-2","out":false,"number":3}"#,
-    TOLD,
+    COMPLETE,
 ];
 
 #[test]
-fn what_this_release_writes_stays_readable() {
+fn messages_of_this_release_stay_readable() {
     for line in FROZEN {
         let message = decode(line.as_bytes()).unwrap();
         assert_eq!(String::from_utf8(encode(&message)).unwrap().trim_end(), *line);
     }
-    let inherited = all(FROZEN).unwrap().expect("all is told");
+    let inherited = apply_all(FROZEN).unwrap().expect("the state is complete");
     assert_eq!((inherited.excluded, inherited.is_drained), (BTreeSet::from(["s-1".to_string()]), true));
     assert_eq!((inherited.version, inherited.entries.len(), inherited.ids.len()), (Some(7), 1, 2));
     assert_eq!((inherited.executors[0].max_slots, inherited.running_times.unwrap().sample_size), (4.0, 2));
 }
 
 #[test]
-fn what_is_cut_odd_or_of_another_form_is_not_taken() {
+fn truncated_malformed_and_incompatible_messages_are_errors() {
     let later = r#"{"say":"weather","rain":true}"#;
-    assert!(all(&[HELLO, later, FROZEN[6], TOLD]).unwrap().is_some(), "more in the same form is skipped");
+    assert!(
+        apply_all(&[HELLO, later, FROZEN[6], COMPLETE]).unwrap().is_some(),
+        "unknown messages of the same version are ignored"
+    );
     let negative = FROZEN[6].replace("110.0", "-1.0");
-    assert!(all(&FROZEN[..FROZEN.len() - 1]).unwrap().is_none(), "cut off before its end");
+    assert!(apply_all(&FROZEN[..FROZEN.len() - 1]).unwrap().is_none(), "truncated");
     let many = r#"{"say":"out","executors":["1","2","3","4"]}"#;
     for (lines, part) in [
-        (&[TOLD][..], "states no protocol version"),
+        (&[COMPLETE][..], "states no protocol version"),
         (&[r#"{"say":"hello","form":2,"name":"n0"}"#], "version 2, this release speaks 1"),
         (&[r#"{"say":"hello","form":1,"name":"n1"}"#], "another node, `n1`"),
         (&["GET / HTTP/1.1"], "malformed message"),
         (&[HELLO, &FROZEN[3][..40]], "malformed message"),
         (&[HELLO, r#"{"say":"ids","ids":[-1]}"#], "malformed message"),
         (&[HELLO, r#"{"say":"executors","executors":[{"id":"s-1"}]}"#], "malformed message"),
-        (&[HELLO, TOLD], "without running times"),
+        (&[HELLO, COMPLETE], "without running times"),
         (&[HELLO, &negative], "-1 is not a finite number"),
         (&[HELLO, many], "list of 4 items, at most 3"),
     ] {
-        let why = all(lines).expect_err(part).to_string();
+        let why = apply_all(lines).expect_err(part).to_string();
         assert!(why.contains(part), "{why}");
     }
 }
 
 #[test]
-fn much_of_something_goes_into_several_lines_and_comes_out_whole() {
+fn a_long_list_is_split_into_messages_and_received_completely() {
     let ids: Vec<u64> = (0..999).collect();
     let lines = split_list(&ids, |ids| Message::Ids { ids });
     let mut inherited = Inherited::default();
--- a/crates/daemon/tests/unit/in_flight.rs
+++ b/crates/daemon/tests/unit/in_flight.rs
@@ -1,8 +1,8 @@
-//! One final answer, and none once the client has left.
+//! A request has one final answer, and none once its client has left.
 use super::*;
 
 impl ClientRequest {
-    /// One of class 0 with a body of this size, for the other tests too.
+    /// A request of class 0 with a body of this size; other tests use it as well.
     pub fn of(id: &str, size: usize) -> Self {
         ClientRequest {
             id: id.into(),
@@ -21,13 +21,13 @@
 }
 
 #[tokio::test]
-async fn the_first_answer_counts_and_none_after_the_client_left() {
+async fn only_the_first_answer_counts_and_none_once_the_client_has_left() {
     let budget = ByteBudget::new(10);
     let make = |bytes: usize| {
         InFlightRequest::new(RequestId(1), ClientRequest::of("1", bytes), Instant::now(), &budget)
     };
     let request = make(8).unwrap();
-    assert!(make(3).is_none(), "what is held is bounded");
+    assert!(make(3).is_none(), "the budget is exhausted");
     assert!(request.answer(Answer::Failed) && !request.answer(Answer::Rejected(None)));
     assert_eq!(request.answered().await, Answer::Failed);
     request.closed().await;
--- a/crates/daemon/tests/unit/inherited_socket.rs
+++ b/crates/daemon/tests/unit/inherited_socket.rs
@@ -1,8 +1,8 @@
-//! Descriptors that are no listening socket.
+//! Descriptors that are not a listening socket.
 use super::*;
 
 #[test]
-fn what_is_no_listening_tcp_socket_is_said() {
+fn descriptors_other_than_listening_tcp_sockets_are_errors() {
     use std::os::fd::AsFd;
     let listening = TcpListener::bind("127.0.0.1:0").unwrap();
     let connected = std::net::TcpStream::connect(listening.local_addr().unwrap()).unwrap();
@@ -20,8 +20,11 @@
             Err(expected) => assert!(checked.unwrap_err().to_string().starts_with(expected), "{expected}"),
         }
     }
-    for odd in ["x", "-1", "2", "99999"] {
-        assert!(listener(Some(odd)).unwrap_err().to_string().starts_with("ROUTER_PASSED_SOCKET: "), "{odd}");
+    for descriptor in ["x", "-1", "2", "99999"] {
+        assert!(
+            listener(Some(descriptor)).unwrap_err().to_string().starts_with("ROUTER_PASSED_SOCKET: "),
+            "{descriptor}"
+        );
     }
     assert!(listener(None).unwrap().is_none() && listener(Some("")).unwrap().is_none());
 }
--- a/crates/daemon/tests/unit/lifecycle.rs
+++ b/crates/daemon/tests/unit/lifecycle.rs
@@ -1,8 +1,8 @@
-//! What state follows from which facts.
+//! The state that follows from the facts.
 use super::*;
 
 #[test]
-fn the_state_follows_from_the_list_a_drain_and_the_shutdown() {
+fn the_state_follows_from_the_list_the_drain_and_the_shutdown() {
     use LifecycleState::*;
     for (is_listed, drain, shutdown, state, is_ready) in [
         (false, Drain::None, Shutdown::None, Starting, false),
--- a/crates/daemon/tests/unit/ring_buffer.rs
+++ b/crates/daemon/tests/unit/ring_buffer.rs
@@ -1,16 +1,16 @@
-//! Bytes keep their order, and rings their size.
+//! Ring buffers preserve the order of bytes, and their limits.
 use super::*;
 
 #[test]
-fn keeps_order_across_the_seam_and_never_grows_past_its_most() {
-    for most in [1, 7, 2048, 5000] {
-        let held = ByteBudget::new(16 * 1024);
-        let mut ring = RingBuffer::new(most, &held);
+fn bytes_stay_in_order_and_buffers_within_their_limits() {
+    for max_bytes in [1, 7, 2048, 5000] {
+        let budget = ByteBudget::new(16 * 1024);
+        let mut ring = RingBuffer::new(max_bytes, &budget);
         let (mut put, mut got) = (0u32, 0u32);
         for step in 0..5000usize {
             let wanted: Vec<u8> = (0..(step * 7919) % 97).map(|k| (put + k as u32) as u8).collect();
             put += ring.push(&wanted) as u32;
-            assert!(ring.len() <= most && ring.storage.len() <= most);
+            assert!(ring.len() <= max_bytes && ring.storage.len() <= max_bytes);
             let n = ((step * 104_729) % 89).min(ring.len());
             let expected: Vec<u8> = (0..n).map(|k| (got + k as u32) as u8).collect();
             if step % 2 == 0 {
@@ -32,12 +32,12 @@
         ring.release();
         assert_eq!(ring.storage.capacity(), 0);
     }
-    // Guards against many that grow at once: what two rings hold beyond their first size is bounded.
-    let held = ByteBudget::new(INITIAL_BYTES);
-    let [mut one, mut two] = [0, 1].map(|_| RingBuffer::new(16 * 1024, &held));
-    let much = [7; 3 * INITIAL_BYTES];
-    assert_eq!((one.push(&much), two.push(&much)), (2 * INITIAL_BYTES, INITIAL_BYTES));
+    // The growth of both buffers together is bounded.
+    let budget = ByteBudget::new(INITIAL_BYTES);
+    let [mut one, mut two] = [0, 1].map(|_| RingBuffer::new(16 * 1024, &budget));
+    let bytes = [7; 3 * INITIAL_BYTES];
+    assert_eq!((one.push(&bytes), two.push(&bytes)), (2 * INITIAL_BYTES, INITIAL_BYTES));
     assert!(one.is_full() && two.is_full());
     drop(one);
-    assert_eq!((two.push(&much), two.is_full()), (INITIAL_BYTES, true));
+    assert_eq!((two.push(&bytes), two.is_full()), (INITIAL_BYTES, true));
 }
--- a/crates/daemon/tests/unit/shutdown.rs
+++ b/crates/daemon/tests/unit/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a node while a client connects.
+//! A graceful shutdown while a client connects.
 use super::*;
 use crate::config::limits::LimitInputs;
 use crate::downstream::DownstreamContext;
@@ -9,19 +9,19 @@
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
-/// A client that connects in the very moment in which the last count of connections comes out as none.
+/// A client that connects just when connections are counted for the last time.
 #[tokio::test]
-async fn a_connection_that_comes_up_as_the_last_one_is_counted_is_served() {
+async fn a_connection_established_at_the_last_count_is_served() {
     use std::io::{Read, Write};
     let (_, codec) = Codec::of_one_type(100_000);
-    let longest = Duration::from_millis(100);
+    let max_deadline = Duration::from_millis(100);
     let limits = Rc::new(Limits::new(&LimitInputs {
         memory_mb: 64,
         max_sockets: 128,
-        max_deadline: longest,
+        max_deadline,
         ..LimitInputs::default()
     }));
-    let (events, mut told) = mpsc::channel(16);
+    let (events, mut received_events) = mpsc::channel(16);
     let lifecycle = Rc::new(Lifecycle::new());
     lifecycle.update(|facts| facts.is_listed = true);
     let clients = DownstreamServer::new(DownstreamContext {
@@ -36,16 +36,16 @@
     });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let mut staged = lifecycle.watch();
+    let mut state = lifecycle.watch();
     let ended = async {
         spawn_local(clients.clone().accept(listener, ListenerOrigin::Bound));
-        let comes = async {
-            staged.wait_for(|stage| *stage == LifecycleState::Closing).await.unwrap();
+        let client = async {
+            state.wait_for(|state| *state == LifecycleState::Closing).await.unwrap();
             let mut client = std::net::TcpStream::connect(addr).unwrap();
-            let work = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nContent-Length: 0\r\n\r\n";
-            client.write_all(work.as_bytes()).unwrap();
-            let Some(NodeEvent::RequestArrived(in_flight)) = told.recv().await else {
-                panic!("it is not taken")
+            let request = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nContent-Length: 0\r\n\r\n";
+            client.write_all(request.as_bytes()).unwrap();
+            let Some(NodeEvent::RequestArrived(in_flight)) = received_events.recv().await else {
+                panic!("the request is not accepted")
             };
             assert!(in_flight.answer(Answer::Completed("done".into())));
             client
@@ -57,9 +57,9 @@
             events: events.clone(),
             listener_origin: ListenerOrigin::Bound,
         };
-        let ends = shutdown.run();
-        let both = async { tokio::join!(comes, ends).0 };
-        timeout(Duration::from_secs(4), both).await.expect("it is taken and the node ends")
+        let ended = shutdown.run();
+        let both = async { tokio::join!(client, ended).0 };
+        timeout(Duration::from_secs(4), both).await.expect("the request is served and the node ends")
     };
     let mut client = LocalSet::new().run_until(ended).await;
     let mut got = String::new();
