--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -193,7 +193,7 @@
 /// An executor that is gone and listed again at another address gets requests only there, under another handle once
 /// it was released.
 #[tokio::test]
-async fn an_executor_listed_again_at_another_address_gets_requests_there() {
+async fn an_executor_that_returns_at_another_address_gets_requests_there() {
     let local = LocalSet::new();
     let all = async {
         let done: [Rc<std::cell::Cell<usize>>; 2] = Default::default();
@@ -223,7 +223,7 @@
 
 /// Events and actions for a released executor are dropped and counted.
 #[tokio::test]
-async fn events_for_a_released_executor_have_no_effect() {
+async fn events_for_a_released_executor_are_harmless() {
     let local = LocalSet::new();
     let all = async {
         let addr = start_executors(Rc::default()).await;
@@ -302,7 +302,7 @@
 
 /// Exclusions by the sibling process of names that are not listed register no executors.
 #[tokio::test]
-async fn an_exclusion_by_the_sibling_registers_no_executor() {
+async fn an_exclusion_from_the_sibling_applies_by_name() {
     let mut rig = TestDriver::new(48);
     for number in 0..5000 {
         let (executor, origin) = (format!("s-{number}"), CallOrigin::Sibling(number));
@@ -318,7 +318,7 @@
 /// The state of an old process is taken of executors that are listed, and of others only as long as what they used of
 /// a warm-up budget counts.
 #[tokio::test]
-async fn a_new_process_takes_the_state_of_listed_executors() {
+async fn a_new_process_takes_over_the_listed_executors() {
     let mut rig = TestDriver::new(48);
     let now = rig.driver.clock.now();
     let state = |id: &str| codec::ExecutorState {
@@ -340,7 +340,7 @@
 
 /// Requests that arrive before or after the event to shut down are answered at once.
 #[tokio::test]
-async fn requests_that_arrive_after_the_shutdown_are_answered_at_once() {
+async fn requests_after_the_shutdown_are_answered_at_once() {
     let mut driver = driver(64, 128);
     let clock = driver.clock;
     let budget = ByteBudget::new(100);
--- a/crates/daemon/tests/unit/shutdown.rs
+++ b/crates/daemon/tests/unit/shutdown.rs
@@ -11,7 +11,7 @@
 
 /// A client that connects just when connections are counted for the last time.
 #[tokio::test]
-async fn a_connection_established_at_the_last_count_is_served() {
+async fn a_connection_accepted_while_the_last_one_closes_is_served() {
     use std::io::{Read, Write};
     let (_, codec) = Codec::of_one_type(100_000);
     let max_deadline = Duration::from_millis(100);
