--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -24,6 +24,7 @@
 mod retention;
 mod ring_buffer;
 mod shutdown;
+mod takeover;
 mod tasks;
 mod upstream;
 
--- a/crates/daemon/src/hot_restart/takeover.rs
+++ b/crates/daemon/src/takeover.rs
@@ -1,12 +1,12 @@
 //! The two sides of a takeover: a new process receives the state of the old one, then both report changes to each
 //! other until the old one has ended. Stands above the two sides of the node; they know only the
 //! [`SiblingProcess`].
-use super::codec::{self, Bounds, Inherited, Message, PROTOCOL_VERSION, Usage};
-use super::link::{Link, LinkError, LinkReader, LinkWriter, WRITE_TIMEOUT};
-use super::sibling::SiblingProcess;
 use crate::config::limits::Limits;
 use crate::downstream::DownstreamServer;
 use crate::event::{CallOrigin, NodeEvent};
+use crate::hot_restart::codec::{self, Bounds, Inherited, Message, PROTOCOL_VERSION, Usage};
+use crate::hot_restart::link::{Link, LinkError, LinkReader, LinkWriter, WRITE_TIMEOUT};
+use crate::hot_restart::sibling::SiblingProcess;
 use crate::lifecycle::{DrainOrigin, DrainRequest, Lifecycle, LifecycleState, Shutdown};
 use crate::tasks::TaskGroup;
 use crate::upstream::ExecutorPool;
