--- a/crates/configuration/src/catalog.rs
+++ b/crates/configuration/src/catalog.rs
@@ -5,7 +5,7 @@
 use crate::names::{MACHINE_TYPES, Names, TENANTS, ZONES, missing_class_keys, missing_keys};
 use serde_json::{Map, Value};
 use troutknot::settings::{ClassSettings, TenantSettings, WeightSource};
-use troutknot::{MachineTypeId, Millis, Settings};
+use troutknot::{MachineTypeId, Millis, RequestClassId, Settings};
 
 /// So many request classes, each with its terms, are kept; also tenants, zones and types of machine.
 pub const MAX_NAMES: usize = 1024;
@@ -160,11 +160,17 @@
     /// All classes by id; each begins with the running times of the last one of the same name before it.
     fn all_classes(&self) -> Vec<ClassSettings> {
         let class = |(id, class): (usize, &NamedClass)| ClassSettings {
-            inherits_from: self.classes[..id].iter().rposition(|earlier| earlier.name == class.name),
+            inherits_from: self.last_class_named(&class.name, id),
             ..class.terms.clone()
         };
         self.classes.iter().enumerate().map(class).collect()
     }
+
+    /// The last of the first `count` classes with this name.
+    fn last_class_named(&self, name: &str, count: usize) -> Option<RequestClassId> {
+        let position = self.classes[..count].iter().rposition(|class| class.name == name);
+        position.map(|position| RequestClassId(position as u32))
+    }
 }
 
 /// Gives ids to the names that are new; the ids of all of them.
--- a/crates/configuration/tests/catalog.rs
+++ b/crates/configuration/tests/catalog.rs
@@ -1,6 +1,6 @@
 //! Ids that hold over new settings, and files of which nothing is taken.
 use serde_json::{Map, Value, json};
-use troutknot::Effect;
+use troutknot::{Effect, RequestClassId};
 use troutknot_configuration::{IdCatalog, MAX_NAMES};
 
 fn settings(types: &[(&str, &str, i64)], attempts: Value) -> Value {
@@ -34,7 +34,7 @@
     }
     let resolved = catalog.resolve(map(&settings(&[("b", "safe", 5000)], 2.into()))).unwrap();
     assert_eq!(resolved.settings.classes[0].max_attempts, Some(3.0), "old terms stay");
-    assert_eq!(resolved.settings.classes[6].inherits_from, Some(5));
+    assert_eq!(resolved.settings.classes[6].inherits_from, Some(RequestClassId(5)));
     assert_eq!(resolved.settings.classes[3].effect, Effect::AtMostOnce);
 }
 
--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -26,10 +26,11 @@
 impl Dispatcher {
     pub(super) fn on_attempt_started(&mut self, now: Millis, request_id: RequestId, attempt_id: AttemptId) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
-        let attempt = request.attempts.get_mut(attempt_id.0 as usize);
+        let class = &self.classes[request.class];
+        let attempt = request.attempt_mut(attempt_id);
         let Some(attempt) = attempt.filter(|attempt| attempt.started_at.is_none()) else { return };
         attempt.started_at = Some(now);
-        self.admission.record_start(&self.classes[request.class], now - attempt.sent_at);
+        self.admission.record_start(class, now - attempt.sent_at);
     }
 
     pub(super) fn on_attempt_ended(
@@ -40,7 +41,7 @@
         end: AttemptEnd,
     ) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
-        let attempt = request.attempts.get_mut(attempt_id.0 as usize);
+        let attempt = request.attempt_mut(attempt_id);
         let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight()) else { return };
         attempt.outcome = Some(end.outcome);
         let (attempt, class, slots) = (*attempt, request.class, request.slots);
--- a/src/dispatcher/reconcile.rs
+++ b/src/dispatcher/reconcile.rs
@@ -3,7 +3,7 @@
 use crate::action::Action;
 use crate::ids::{ExecutorId, RequestId};
 use crate::policy::retry::RetryPolicy;
-use crate::state::executor_table::ExecutorState;
+use crate::state::executor_state::ExecutorState;
 use crate::state::request::{Attempt, DesiredState, Request};
 use crate::time::Millis;
 
--- a/src/policy/start_check.rs
+++ b/src/policy/start_check.rs
@@ -1,6 +1,6 @@
 //! Start checks: when an attempt that has not started is probed for, and when it counts as lost.
 use crate::settings::Settings;
-use crate::state::executor_table::REPORT_LIFETIME;
+use crate::state::executor_state::REPORT_LIFETIME;
 use crate::state::probe_statistics::SHORTEST_QUEUE;
 use crate::state::request::Request;
 use crate::state::request_class::RequestClass;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,7 +3,7 @@
 //! Keys of the configuration that differ from the names here are given by `serde(rename)`; unknown keys are
 //! ignored. Durations are microseconds in the configuration and [`Millis`] here. Keys that the configuration
 //! omits have the value of [`Default`].
-use crate::ids::{MachineTypeId, ZoneId};
+use crate::ids::{MachineTypeId, RequestClassId, ZoneId};
 use crate::time::Millis;
 use serde::{Deserialize, Deserializer};
 
@@ -120,9 +120,9 @@
     /// The number of attempts that a request may have; [`LimitSettings::max_attempts`] by default.
     #[serde(skip)]
     pub max_attempts: Option<f64>,
-    /// The index of the earlier class of the same name, whose running times this one starts with.
+    /// The earlier class of the same name, whose running times this one starts with.
     #[serde(skip)]
-    pub inherits_from: Option<usize>,
+    pub inherits_from: Option<RequestClassId>,
 }
 
 /// The effect of running a request twice. An unknown word means the strictest one.
--- /dev/null
+++ b/src/state/executor_state.rs
@@ -0,0 +1,117 @@
+//! The state of one executor: its list entry, its reports, and what this node observed of it.
+use crate::endpoint::{Endpoint, EndpointState, LoadReport};
+use crate::ids::{RequestClassId, RequestId};
+use crate::time::Millis;
+use crate::warm_state::{DecayingScore, WarmUpDispatch};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Upper bound on the age of a report when it is received.
+const REPORT_DELAY: Millis = 40.0;
+/// Upper bound on the time for which an executor sends the same report.
+pub(crate) const REPORT_LIFETIME: Millis = 500.0;
+
+/// The state of one executor.
+pub(crate) struct ExecutorState {
+    pub endpoint: Endpoint,
+    /// Score of its faults and slow attempts.
+    pub failure_score: DecayingScore,
+    /// Decaying number of the outcomes in that score.
+    pub observations: DecayingScore,
+    /// Score by class of the requests that it rejected though its report showed free capacity.
+    pub rejections: BTreeMap<RequestClassId, DecayingScore>,
+    /// The largest number of slots that its reports have shown.
+    pub max_slots: f64,
+    pub report: LoadReport,
+    /// When this report was first received; an executor repeats a report until it makes a new one.
+    pub reported_at: Millis,
+    /// Slots taken by this node's recent dispatches (+) and freed by its ended attempts (-).
+    recent_changes: VecDeque<SlotChange>,
+    /// Slots of this node's attempts that are in flight.
+    pub slots_in_flight: f64,
+    /// Requests that await the probe that is due or in flight.
+    pub awaiting_probe: Vec<RequestId>,
+    pub is_probe_in_flight: bool,
+    /// Dispatches while it was in slow start.
+    pub warm_up_spent: Vec<WarmUpDispatch>,
+    /// When an attempt last used a connection to it.
+    pub last_used: Millis,
+}
+
+struct SlotChange {
+    at: Millis,
+    slots: f64,
+}
+
+impl ExecutorState {
+    pub fn new(endpoint: Endpoint) -> Self {
+        ExecutorState {
+            endpoint,
+            failure_score: DecayingScore::default(),
+            observations: DecayingScore::default(),
+            rejections: BTreeMap::new(),
+            max_slots: 0.0,
+            report: LoadReport::default(),
+            reported_at: 0.0,
+            recent_changes: VecDeque::new(),
+            slots_in_flight: 0.0,
+            awaiting_probe: Vec::new(),
+            is_probe_in_flight: false,
+            warm_up_spent: Vec::new(),
+            last_used: f64::NEG_INFINITY,
+        }
+    }
+
+    /// Applies its list entry. A restart clears its history. An executor that is gone retains its start: it
+    /// may be listed with it again, and its spent warm-up budget still counts then.
+    pub fn relist(&mut self, endpoint: Endpoint) {
+        if endpoint.state == EndpointState::Gone {
+            self.endpoint.state = EndpointState::Gone;
+            return;
+        }
+        if self.endpoint.started_at != endpoint.started_at {
+            // Dispatches of an earlier process are imported without the start that they belong to.
+            if self.endpoint.started_at.is_some() {
+                self.warm_up_spent.clear();
+            }
+            self.failure_score = DecayingScore::default();
+            self.rejections.clear();
+        }
+        self.endpoint = endpoint;
+    }
+
+    /// Records slots taken by a dispatch (+) or freed by an ended attempt (-), until reports show them.
+    pub fn record_change(&mut self, now: Millis, slots: f64) {
+        while self.recent_changes.front().is_some_and(|change| change.at < now - REPORT_LIFETIME) {
+            self.recent_changes.pop_front();
+        }
+        self.recent_changes.push_back(SlotChange { at: now, slots });
+        self.slots_in_flight = (self.slots_in_flight + slots).max(0.0);
+    }
+
+    /// Slots taken (+) or freed (-) by this node that the report may not show yet.
+    pub fn unreported_change(&self, now: Millis) -> f64 {
+        let since = (self.reported_at - REPORT_DELAY).max(now - REPORT_LIFETIME);
+        self.recent_changes.iter().filter(|change| change.at >= since).map(|change| change.slots).sum()
+    }
+
+    /// Stores a report, and the largest number of slots so far.
+    pub fn take_report(&mut self, now: Millis, report: LoadReport) {
+        let running = (report.in_flight.unwrap_or(0.0) - report.queue_length.unwrap_or(0.0)).max(0.0);
+        let shown_slots = report.free_slots.unwrap_or(0.0) + running;
+        self.max_slots = self.max_slots.max(shown_slots.round());
+        if self.report != report {
+            (self.report, self.reported_at) = (report, now);
+        }
+    }
+
+    /// Dispatches in slow start since this time.
+    pub fn warm_up_spent_since(&self, since: Millis) -> impl Iterator<Item = &WarmUpDispatch> {
+        self.warm_up_spent.iter().filter(move |spent| spent.at >= since)
+    }
+
+    /// Whether a probe is due or in flight, or a dispatch in slow start since this time counts.
+    pub fn is_in_use(&self, spent_since: Millis) -> bool {
+        let is_probed = self.is_probe_in_flight || !self.awaiting_probe.is_empty();
+        is_probed || self.warm_up_spent_since(spent_since).next().is_some()
+    }
+}
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -1,146 +1,29 @@
-//! The state of each executor, its lifetime, and when it is reclaimed.
+//! The states of all executors, their lifetime, and when it is reclaimed.
 //!
 //! State exists under the host's handle from the first listing of the executor until the list says that it is
 //! gone and nothing can need its state any more. A handle without state reads as an executor that is gone and
 //! has no history, so an outdated handle is harmless.
-use crate::endpoint::{Endpoint, EndpointState, ListUpdate, LoadReport};
-use crate::ids::{DeduplicationGroupId, ExecutorId, MachineTypeId, RequestClassId, RequestId, ZoneId};
-use crate::settings::{Settings, WeightSource};
+use crate::endpoint::{Endpoint, EndpointState, ListUpdate};
+use crate::ids::{DeduplicationGroupId, ExecutorId, MachineTypeId, ZoneId};
+use crate::settings::Settings;
+use crate::state::executor_state::ExecutorState;
+use crate::state::machine_types::MachineTypes;
 use crate::time::Millis;
-use crate::warm_state::{DecayingScore, ExecutorWarmState, WarmUpDispatch};
+use crate::warm_state::ExecutorWarmState;
 use slotmap::SecondaryMap;
-use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
+use std::collections::{BTreeSet, HashSet};
 
 /// Interval at which executors that are gone are checked for release.
 const RECLAIM_INTERVAL: Millis = 1000.0;
-/// Upper bound on the age of a report when it is received.
-const REPORT_DELAY: Millis = 40.0;
-/// Upper bound on the time for which an executor sends the same report.
-pub(crate) const REPORT_LIFETIME: Millis = 500.0;
 /// Mean running time before the first attempt has completed.
 const INITIAL_RUNNING_TIME: Millis = 500.0;
 
-/// The state of one executor.
-pub(crate) struct ExecutorState {
-    pub endpoint: Endpoint,
-    /// Score of its faults and slow attempts.
-    pub failure_score: DecayingScore,
-    /// Decaying number of the outcomes in that score.
-    pub observations: DecayingScore,
-    /// Score by class of the requests that it rejected though its report showed free capacity.
-    pub rejections: BTreeMap<RequestClassId, DecayingScore>,
-    /// The largest number of slots that its reports have shown.
-    pub max_slots: f64,
-    pub report: LoadReport,
-    /// When this report was first received; an executor repeats a report until it makes a new one.
-    pub reported_at: Millis,
-    /// Slots taken by this node's recent dispatches (+) and freed by its ended attempts (-).
-    recent_changes: VecDeque<SlotChange>,
-    /// Slots of this node's attempts that are in flight.
-    pub slots_in_flight: f64,
-    /// Requests that await the probe that is due or in flight.
-    pub awaiting_probe: Vec<RequestId>,
-    pub is_probe_in_flight: bool,
-    /// Dispatches while it was in slow start.
-    pub warm_up_spent: Vec<WarmUpDispatch>,
-    /// When an attempt last used a connection to it.
-    pub last_used: Millis,
-}
-
-struct SlotChange {
-    at: Millis,
-    slots: f64,
-}
-
-impl ExecutorState {
-    fn new(endpoint: Endpoint) -> Self {
-        ExecutorState {
-            endpoint,
-            failure_score: DecayingScore::default(),
-            observations: DecayingScore::default(),
-            rejections: BTreeMap::new(),
-            max_slots: 0.0,
-            report: LoadReport::default(),
-            reported_at: 0.0,
-            recent_changes: VecDeque::new(),
-            slots_in_flight: 0.0,
-            awaiting_probe: Vec::new(),
-            is_probe_in_flight: false,
-            warm_up_spent: Vec::new(),
-            last_used: f64::NEG_INFINITY,
-        }
-    }
-
-    /// Applies its list entry. A restart clears its history. An executor that is gone retains its start: it
-    /// may be listed with it again, and its spent warm-up budget still counts then.
-    fn relist(&mut self, endpoint: Endpoint) {
-        if endpoint.state == EndpointState::Gone {
-            self.endpoint.state = EndpointState::Gone;
-            return;
-        }
-        if self.endpoint.started_at != endpoint.started_at {
-            // Dispatches of an earlier process are imported without the start that they belong to.
-            if self.endpoint.started_at.is_some() {
-                self.warm_up_spent.clear();
-            }
-            self.failure_score = DecayingScore::default();
-            self.rejections.clear();
-        }
-        self.endpoint = endpoint;
-    }
-
-    /// Records slots taken by a dispatch (+) or freed by an ended attempt (-), until reports show them.
-    fn record_change(&mut self, now: Millis, slots: f64) {
-        while self.recent_changes.front().is_some_and(|change| change.at < now - REPORT_LIFETIME) {
-            self.recent_changes.pop_front();
-        }
-        self.recent_changes.push_back(SlotChange { at: now, slots });
-        self.slots_in_flight = (self.slots_in_flight + slots).max(0.0);
-    }
-
-    /// Slots taken (+) or freed (-) by this node that the report may not show yet.
-    pub fn unreported_change(&self, now: Millis) -> f64 {
-        let since = (self.reported_at - REPORT_DELAY).max(now - REPORT_LIFETIME);
-        self.recent_changes.iter().filter(|change| change.at >= since).map(|change| change.slots).sum()
-    }
-
-    /// Stores a report, and the largest number of slots so far.
-    pub fn take_report(&mut self, now: Millis, report: LoadReport) {
-        let running = (report.in_flight.unwrap_or(0.0) - report.queue_length.unwrap_or(0.0)).max(0.0);
-        let shown_slots = report.free_slots.unwrap_or(0.0) + running;
-        self.max_slots = self.max_slots.max(shown_slots.round());
-        if self.report != report {
-            (self.report, self.reported_at) = (report, now);
-        }
-    }
-
-    /// Dispatches in slow start since this time.
-    pub fn warm_up_spent_since(&self, since: Millis) -> impl Iterator<Item = &WarmUpDispatch> {
-        self.warm_up_spent.iter().filter(move |spent| spent.at >= since)
-    }
-
-    /// Whether a probe is due or in flight, or a dispatch in slow start since this time counts.
-    fn is_in_use(&self, spent_since: Millis) -> bool {
-        let is_probed = self.is_probe_in_flight || !self.awaiting_probe.is_empty();
-        is_probed || self.warm_up_spent_since(spent_since).next().is_some()
-    }
-}
-
-/// The weights of one type of machine, while there are executors of that type.
-#[derive(Default)]
-struct MachineTypeWeight {
-    largest: f64,
-    executors: usize,
-}
-
 /// All executors with state.
 pub(crate) struct ExecutorTable {
     states: SecondaryMap<ExecutorId, ExecutorState>,
     /// Stands in for an executor without state.
     absent: ExecutorState,
-    /// Whether weights fall with load, so that the largest one of a type of machine is its capacity.
-    weights_fall_with_load: bool,
-    machine_types: BTreeMap<MachineTypeId, MachineTypeWeight>,
+    machine_types: MachineTypes,
     /// The smallest number of slots that any executor's reports have shown, assumed for executors whose
     /// reports have shown none yet.
     pub least_slots: f64,
@@ -187,8 +70,7 @@
         ExecutorTable {
             states: SecondaryMap::new(),
             absent: ExecutorState::new(absent),
-            weights_fall_with_load: false,
-            machine_types: BTreeMap::new(),
+            machine_types: MachineTypes::default(),
             least_slots: 1.0,
             ready: Vec::new(),
             assigned: Vec::new(),
@@ -202,7 +84,7 @@
     }
 
     pub fn apply_settings(&mut self, settings: &Settings) {
-        self.weights_fall_with_load = settings.weight_source == WeightSource::Live;
+        self.machine_types.apply_settings(settings);
     }
 
     /// The number of executors with state, including those that are gone.
@@ -293,29 +175,8 @@
             EndpointState::Gone => self.gone.insert(executor),
             _ => self.gone.remove(&executor),
         };
-        self.count_machine_type(type_before, self.state(executor).endpoint);
-    }
-
-    /// Updates the largest weight of a type of machine, and the number of its executors.
-    fn count_machine_type(&mut self, type_before: Option<MachineTypeId>, endpoint: Endpoint) {
-        let machine_type = endpoint.machine_type;
-        if type_before != Some(machine_type) {
-            self.machine_types.entry(machine_type).or_default().executors += 1;
-            type_before.into_iter().for_each(|before| self.drop_machine_type(before));
-        }
-        if let Some(weight) = self.machine_types.get_mut(&machine_type)
-            && self.weights_fall_with_load
-            && endpoint.state == EndpointState::Ready
-        {
-            weight.largest = weight.largest.max(endpoint.weight);
-        }
-    }
-
-    fn drop_machine_type(&mut self, machine_type: MachineTypeId) {
-        let Some(weight) = self.machine_types.get_mut(&machine_type) else { return };
-        weight.executors = weight.executors.saturating_sub(1);
-        if weight.executors == 0 {
-            self.machine_types.remove(&machine_type);
+        if let Some(state) = self.states.get(executor) {
+            self.machine_types.update(type_before, &state.endpoint);
         }
     }
 
@@ -341,8 +202,7 @@
     /// slots then.
     pub fn capacity(&self, executor: ExecutorId) -> f64 {
         let machine_type = self.state(executor).endpoint.machine_type;
-        let largest = self.machine_types.get(&machine_type).map_or(0.0, |weight| weight.largest);
-        if largest > 0.0 { largest } else { self.slots_or_least(executor) }
+        self.machine_types.capacity(machine_type).unwrap_or_else(|| self.slots_or_least(executor))
     }
 
     /// The state for the next process of this node, with the dispatches in slow start since `spent_since`.
@@ -423,7 +283,7 @@
     fn release(&mut self, executor: ExecutorId) {
         self.gone.remove(&executor);
         if let Some(state) = self.states.remove(executor) {
-            self.drop_machine_type(state.endpoint.machine_type);
+            self.machine_types.remove(state.endpoint.machine_type);
         }
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,7 +1,9 @@
 //! State without rules: executors, requests, probe statistics, timers and token buckets.
 pub(crate) mod adaptive_share;
 pub(crate) mod discovery_backoff;
+pub(crate) mod executor_state;
 pub(crate) mod executor_table;
+mod machine_types;
 pub(crate) mod probe_statistics;
 pub(crate) mod request;
 pub(crate) mod request_class;
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,7 +1,7 @@
 //! Open requests with their attempts, and the desired state of each.
 use crate::endpoint::LoadReport;
 use crate::event::Outcome;
-use crate::ids::{ExecutorId, RequestClassId};
+use crate::ids::{AttemptId, ExecutorId, RequestClassId};
 use crate::time::Millis;
 
 /// One attempt of a request.
@@ -73,6 +73,10 @@
 }
 
 impl Request {
+    pub fn attempt_mut(&mut self, attempt_id: AttemptId) -> Option<&mut Attempt> {
+        self.attempts.get_mut(attempt_id.0 as usize)
+    }
+
     pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
--- a/src/state/request_class.rs
+++ b/src/state/request_class.rs
@@ -21,7 +21,7 @@
 impl RequestClass {
     fn new(terms: &ClassSettings, settings: &Settings, earlier: &[RequestClass]) -> Self {
         let latency_objective = terms.latency_objective.unwrap_or(0.0);
-        let inherited = terms.inherits_from.and_then(|number| earlier.get(number));
+        let inherited = terms.inherits_from.and_then(|class| earlier.get(class.0 as usize));
         let unobserved = ObservedMean { mean: latency_objective, observations: 0.0 };
         RequestClass {
             terms: terms.clone(),
