--- /dev/null
+++ b/crates/daemon/src/discovery/consul/mod.rs
@@ -0,0 +1,159 @@
+//! Watches services in Consul: a task for each service, which queries the agents in turn, and one task for the
+//! roster's timers. Changes of the roster are sent as updates of the endpoint list.
+mod entry;
+mod publish;
+mod query;
+mod service;
+
+use crate::config::consul::ConsulConfig;
+use crate::config::limits::Limits;
+use crate::discovery::EndpointUpdateSender;
+use crate::protocol::EndpointEntry;
+use entry::member_of;
+use query::{ServiceQueries, read_token};
+use service::ServiceWatch;
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{SystemTime, UNIX_EPOCH};
+use tokio::sync::{Notify, watch};
+use tokio::task::spawn_local;
+use troutknot_clock::Clock;
+use troutknot_consul::blocking::Watched;
+use troutknot_consul::health::Member;
+use troutknot_consul::roster::{Roster, WatchNumber};
+
+/// Stands for the cached list in the roster, until all services have answered.
+const CACHED_LIST: WatchNumber = WatchNumber(usize::MAX);
+
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
+/// Watches the services that the operator's file names.
+pub struct ConsulWatcher {
+    /// The limits of this node.
+    pub limits: Rc<Limits>,
+    /// The clock of the roster.
+    pub clock: Clock,
+    /// Receives the updates.
+    pub updates: EndpointUpdateSender,
+    /// Terms of the watches; none once the operator's file no longer has them.
+    pub config: watch::Receiver<Option<ConsulConfig>>,
+    /// The status that a health check of this node returns.
+    pub status: Rc<RefCell<String>>,
+}
+
+/// State that the tasks share.
+struct Shared {
+    limits: Rc<Limits>,
+    clock: Clock,
+    updates: EndpointUpdateSender,
+    roster: RefCell<Roster>,
+    status: Rc<RefCell<String>>,
+    /// Notified when the time of the roster's next timer may have changed.
+    timer_changed: Notify,
+    /// The watches, in the order of precedence.
+    watches: RefCell<Vec<ServiceWatch>>,
+    next_number: Cell<usize>,
+    has_cached_list: Cell<bool>,
+    random_state: Cell<u64>,
+}
+
+impl ConsulWatcher {
+    /// Watches until the node ends. The cached entries stay listed until all services have answered.
+    pub async fn run(mut self, cached: Vec<EndpointEntry>) {
+        let shared = Rc::new(Shared::new(&self, &cached));
+        drop(cached);
+        spawn_local(shared.clone().run_timers());
+        loop {
+            let config = self.config.borrow_and_update().clone();
+            shared.reconcile(config).await;
+            if self.config.changed().await.is_err() {
+                return;
+            }
+        }
+    }
+}
+
+impl Shared {
+    fn new(watcher: &ConsulWatcher, cached: &[EndpointEntry]) -> Self {
+        let config = watcher.config.borrow();
+        let max_executors = watcher.limits.executor_bounds.max_retained;
+        let terms = config.as_ref().map(|config| config.roster_terms(max_executors)).unwrap_or_default();
+        // The clock's times are Unix times already.
+        let mut roster = Roster::new(terms, 0.0);
+        let members: Vec<Rc<Member>> = cached.iter().filter_map(member_of).map(Rc::new).collect();
+        roster.answer(watcher.clock.now(), CACHED_LIST, &members);
+        // The driver has these already.
+        let _ = roster.changes(watcher.clock.now());
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Shared {
+            limits: watcher.limits.clone(),
+            clock: watcher.clock,
+            updates: watcher.updates.clone(),
+            roster: RefCell::new(roster),
+            status: watcher.status.clone(),
+            timer_changed: Notify::new(),
+            watches: RefCell::default(),
+            next_number: Cell::new(0),
+            has_cached_list: Cell::new(!cached.is_empty()),
+            random_state: Cell::new(since_epoch.as_nanos() as u64),
+        }
+    }
+
+    /// Starts and stops watches so that they are those of the configuration. The state of a service that is still
+    /// configured is retained.
+    async fn reconcile(self: &Rc<Self>, config: Option<ConsulConfig>) {
+        let mut previous = self.watches.take();
+        if let Some(config) = &config {
+            let max_executors = self.limits.executor_bounds.max_retained;
+            self.roster.borrow_mut().set_terms(config.roster_terms(max_executors));
+            let token = config.token_file.as_deref().and_then(read_token);
+            for watched in config.watches() {
+                let index = previous.iter().position(|watch| watch.watched == watched);
+                let previous = index.map(|index| previous.swap_remove(index));
+                let queries = ServiceQueries::new(config, watched.clone(), token.clone());
+                let watch = self.start_watch(watched, queries, previous);
+                self.watches.borrow_mut().push(watch);
+            }
+            let agents: Vec<String> = config.agents.iter().map(SocketAddr::to_string).collect();
+            tracing::info!(
+                agents = %agents.join(", "),
+                count = config.services.len(),
+                "watching consul services"
+            );
+        }
+        for watch in previous {
+            watch.task.abort();
+            tracing::info!(service = %watch.watched.service, "consul service no longer watched");
+            self.roster.borrow_mut().remove(watch.number);
+        }
+        self.publish().await;
+    }
+
+    fn start_watch(
+        self: &Rc<Self>,
+        watched: Watched,
+        queries: ServiceQueries,
+        previous: Option<ServiceWatch>,
+    ) -> ServiceWatch {
+        if let Some(previous) = &previous {
+            previous.task.abort();
+        }
+        let number = previous.as_ref().map_or_else(|| self.take_number(), |previous| previous.number);
+        let last_answer_at = previous.as_ref().and_then(|previous| previous.last_answer_at.get());
+        let is_failing = previous.is_some_and(|previous| previous.is_failing.get());
+        ServiceWatch {
+            watched,
+            number,
+            task: spawn_local(self.clone().run_queries(queries, number)),
+            last_answer_at: Cell::new(last_answer_at),
+            is_failing: Cell::new(is_failing),
+        }
+    }
+
+    fn take_number(&self) -> WatchNumber {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        WatchNumber(number)
+    }
+}
--- a/crates/daemon/src/downstream/durable_exchange.rs
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -1,12 +1,11 @@
 //! Handles a durable request: it is recorded in the ledger before it is dispatched, and a repeat of it joins it.
 use super::DownstreamServer;
-use super::admission::AdmissionError;
-use super::connection::{ClientSession, ExchangeEnd};
-use super::eviction::ConnectionState;
+use super::admission::{AdmissionError, ConnectionAdmission};
 use super::request::Submission;
 use super::response::millis;
-use crate::durable::{Durable, Found, JoinedRequest};
+use crate::durable::{Durable, LookupResult, PendingAnswer};
 use crate::event::NodeEvent;
+use crate::http1::Connection;
 use crate::in_flight::{Answer, ClientRequest};
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +17,7 @@
 
 /// Why a durable request gets no answer.
 #[derive(Debug, thiserror::Error)]
-enum DurableError {
+pub(super) enum DurableError {
     #[error("the idempotency key was used for another request")]
     KeyMismatch,
     #[error("a request with this id is open or on record")]
@@ -29,7 +28,7 @@
 
 impl DurableError {
     /// The status of the response; none if nobody is left to receive it.
-    fn status(&self) -> Option<u16> {
+    pub fn status(&self) -> Option<u16> {
         match self {
             DurableError::KeyMismatch => Some(422),
             DurableError::Duplicate => Some(409),
@@ -39,10 +38,10 @@
 }
 
 /// The answer to a durable request.
-struct DurableAnswer {
-    answer: Answer,
-    /// The job that this client is to be recorded as having the answer of.
-    acknowledges: Option<RequestId>,
+pub(super) struct DurableAnswer {
+    pub answer: Answer,
+    /// The job to record as acknowledged once its answer is written.
+    pub acknowledges: Option<RequestId>,
 }
 
 impl DurableAnswer {
@@ -54,7 +53,7 @@
 
 /// A job whose answer is waited for.
 struct PendingJob {
-    job: Rc<JoinedRequest>,
+    job: Rc<PendingAnswer>,
     acknowledges: Option<RequestId>,
     /// When the client gets its answer at the latest.
     last_answer_at: Instant,
@@ -67,45 +66,34 @@
     NotRecorded(DurableAnswer),
 }
 
-impl ClientSession {
-    /// Handles a request that is to be recorded.
-    pub(super) async fn handle_durable(&mut self, submission: Submission) -> ExchangeEnd {
-        self.entry.set_state(ConnectionState::Busy);
-        let requested_reuse = submission.reuse;
-        let DurableAnswer { answer, acknowledges } = match self.run_durable(submission).await {
-            Ok(answer) => answer,
-            Err(error) => {
-                return match error.status() {
-                    Some(status) => self.reject(status, &error).await,
-                    None => ExchangeEnd::Drop,
-                };
-            }
-        };
-        let reuse = self.reuse_after_answer(requested_reuse);
-        let delivery = self.send_answer(&answer, reuse).await;
-        if let Some(request_id) = acknowledges.filter(|_| delivery.is_written) {
-            self.server.ledger().iter().for_each(|ledger| ledger.acknowledged(request_id));
-        }
-        delivery.end
-    }
+/// A durable request up to its answer.
+pub(super) struct DurableExchange<'a> {
+    pub server: &'a DownstreamServer,
+    pub connection: &'a mut Connection,
+    pub admission: ConnectionAdmission,
+}
 
+impl DurableExchange<'_> {
     /// Records a request, or finds it in the ledger, and waits for its answer.
-    async fn run_durable(&mut self, submission: Submission) -> Result<DurableAnswer, DurableError> {
+    ///
+    /// # Errors
+    /// If the request contradicts what is on record, or if the client disconnects.
+    pub async fn run(&mut self, submission: Submission) -> Result<DurableAnswer, DurableError> {
         // During a hot restart the older process may still have the ledger open.
         let Some(ledger) = self.server.ledger() else { return Ok(DurableAnswer::retry_later()) };
-        let pending = match ledger.find(&submission.request) {
-            Found::OtherBody => return Err(DurableError::KeyMismatch),
-            Found::Twice => return Err(DurableError::Duplicate),
-            Found::Ended(request_id) => {
+        let pending = match ledger.look_up(&submission.request) {
+            LookupResult::KeyMismatch => return Err(DurableError::KeyMismatch),
+            LookupResult::DuplicateId => return Err(DurableError::Duplicate),
+            LookupResult::Answered(request_id) => {
                 // An answer that cannot be read leaves open whether the request ran.
-                let answer = ledger.recorded(request_id).await.unwrap_or(Answer::Failed);
+                let answer = ledger.recorded_answer(request_id).await.unwrap_or(Answer::Failed);
                 return Ok(DurableAnswer { answer, acknowledges: Some(request_id) });
             }
-            Found::Open(job) => {
+            LookupResult::Open(job) => {
                 let last_answer_at = Instant::now() + self.server.last_answer_wait(submission.time_left);
                 PendingJob { job, acknowledges: None, last_answer_at }
             }
-            Found::New => match self.start_job(&ledger, submission).await? {
+            LookupResult::New => match self.start_job(&ledger, submission).await? {
                 JobStart::Recorded(pending) => pending,
                 JobStart::NotRecorded(answer) => return Ok(answer),
             },
@@ -132,7 +120,7 @@
         };
         let (in_flight, last_answer_at) = (admitted.in_flight, admitted.last_answer_at);
         in_flight.is_durable.set(true);
-        let recorded = ledger.take(&in_flight, last_answer_at).await;
+        let recorded = ledger.accept(&in_flight, last_answer_at).await;
         // From here on the ledger detects duplicates of it.
         self.server.request_ids.close(&in_flight.request.id);
         let job = match recorded {
@@ -151,7 +139,7 @@
         let answer = tokio::select! {
             biased;
             answer = pending.job.answered() => answer,
-            () = self.connection.gone() => return Err(DurableError::Disconnected),
+            () = self.connection.closed_by_peer() => return Err(DurableError::Disconnected),
             () = sleep_until(pending.last_answer_at) => Answer::Failed,
         };
         Ok(DurableAnswer { answer, acknowledges: pending.acknowledges })
@@ -162,8 +150,8 @@
     /// Whether a request is recorded in the ledger: by its idempotency key, or by the effect of its class.
     pub(super) fn is_durable(&self, request: &ClientRequest) -> bool {
         let Some(config) = &self.durable_config else { return false };
-        let effect = self.codec.now().effect(request.class);
-        request.key.is_some() || effect.is_some_and(|effect| config.takes(effect))
+        let effect = self.codec.load().effect(request.class);
+        request.key.is_some() || effect.is_some_and(|effect| config.includes(effect))
     }
 
     /// The ledger, once this process has it open.
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -13,8 +13,8 @@
 pub use listener::ListenerOrigin;
 
 use crate::byte_budget::ByteBudget;
+use crate::config::durable::DurableConfig;
 use crate::config::limits::Limits;
-use crate::config::operator::DurableConfig;
 use crate::durable::Durable;
 use crate::event::NodeEvent;
 use crate::hot_restart::sibling::SiblingProcess;
@@ -118,7 +118,7 @@
 
     /// Records durable requests in this ledger from now on. New requests are numbered past those on record.
     pub fn set_ledger(&self, ledger: Rc<Durable>) {
-        self.request_ids.skip_to(ledger.next_wu());
+        self.request_ids.skip_to(ledger.next_request_number());
         self.ledger.replace(Some(ledger));
     }
 
--- a/crates/daemon/src/node/startup.rs
+++ b/crates/daemon/src/node/startup.rs
@@ -1,10 +1,10 @@
 //! The first phases of a start: the configuration is read and resolved, and the sockets are opened.
 use crate::config::limits::{LimitInputs, Limits};
-use crate::config::node::{NodeConfig, ResolvedNodeConfig, stated};
+use crate::config::node::{NodeConfig, ResolvedNodeConfig, limit_inputs};
 use crate::config::operator::{DiscoverySource, GossipConfig, OperatorFile};
 use crate::downstream::ListenerOrigin;
 use crate::error::NodeError;
-use crate::gossip::GossipSocket;
+use crate::gossip::{AddressUse, GossipSocket};
 use crate::protocol::{Codec, Current};
 use std::io;
 use std::net::SocketAddr;
@@ -67,13 +67,13 @@
     /// If either is not valid, or they do not fit together.
     pub fn resolve(node: NodeConfig, path: PathBuf) -> Result<Self, NodeError> {
         let mut catalog = IdCatalog::default();
-        let resolved = node.understood(&mut catalog);
-        let resolved = resolved.map_err(|error| NodeError::Configuration(error.into()))?;
+        let resolved = node.resolve(&mut catalog);
+        let resolved = resolved.map_err(|source| NodeError::NodeConfig { path: path.clone(), source })?;
         let ResolvedNodeConfig { seed, settings, codec } = resolved;
-        let operator_path = OperatorFile::named();
+        let operator_path = OperatorFile::path_from_environment();
         let operator = operator_path.as_deref().map(OperatorFile::read).transpose();
-        let operator = operator.map_err(|error| NodeError::Configuration(error.into()))?.unwrap_or_default();
-        operator.fits(&settings).map_err(|error| NodeError::Configuration(error.into()))?;
+        let operator = operator?.unwrap_or_default();
+        operator.check_settings(&settings)?;
         let codec = Current::new(codec);
         Ok(Configuration { node, path, operator, operator_path, catalog, seed, settings, codec })
     }
@@ -81,12 +81,12 @@
     /// The limits that follow from the configuration.
     pub fn limits(&self, listener_origin: ListenerOrigin) -> Limits {
         Limits::new(&LimitInputs {
-            memory_mb: self.node.limits.memory_mb,
-            max_sockets: self.node.limits.sockets,
-            has_consul: self.operator.lists.sources.contains(&DiscoverySource::Consul),
+            memory_mb: self.node.resources.memory_mb,
+            max_sockets: self.node.resources.max_sockets,
+            has_consul: self.operator.discovery.sources.contains(&DiscoverySource::Consul),
             has_ledger: self.operator.durable.is_some(),
             has_inherited_socket: listener_origin == ListenerOrigin::Inherited,
-            ..stated(&self.settings, &self.codec.now())
+            ..limit_inputs(&self.settings, &self.codec.load())
         })
     }
 }
@@ -99,12 +99,15 @@
     operator: &OperatorFile,
     listener_origin: ListenerOrigin,
 ) -> Result<Option<Rc<GossipSocket>>, NodeError> {
-    let is_shared = listener_origin == ListenerOrigin::Inherited;
+    let address_use = match listener_origin {
+        ListenerOrigin::Inherited => AddressUse::Shared,
+        ListenerOrigin::Bound => AddressUse::Exclusive,
+    };
     let open = |config: GossipConfig| {
-        let socket = GossipSocket::listen(config.listen, config.nodes, is_shared);
-        socket.map_err(|error| NodeError::Gossip(error.into()))
+        let socket = GossipSocket::listen(config.listen_address, config.peers, address_use);
+        socket.map_err(NodeError::Gossip)
     };
-    operator.peers.clone().map(open).transpose()
+    operator.gossip.clone().map(open).transpose()
 }
 
 /// The listening sockets of a node.
@@ -132,12 +135,12 @@
         let listen_error = |address| move |source| NodeError::Listen { address, source };
         let (clients, origin) = match inherited {
             Some(inherited) => (TcpListener::from_std(inherited), ListenerOrigin::Inherited),
-            None => (listen(config.listen, backlog), ListenerOrigin::Bound),
+            None => (listen(config.listen_address, backlog), ListenerOrigin::Bound),
         };
-        let clients = clients.map_err(listen_error(config.listen))?;
+        let clients = clients.map_err(listen_error(config.listen_address))?;
         let open_admin = |address| listen(address, backlog).map_err(listen_error(address));
-        let admin = config.management.map(open_admin).transpose()?;
-        let address = clients.local_addr().map_err(listen_error(config.listen))?;
+        let admin = config.admin_address.map(open_admin).transpose()?;
+        let address = clients.local_addr().map_err(listen_error(config.listen_address))?;
         Ok(Listeners { clients, address, origin, admin })
     }
 }
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -186,7 +186,7 @@
     let discovery = FailingDiscovery::start(failure, first, second);
     let node = start_patient_node(&discovery, settings);
     if failure == Refused {
-        (0..FAILED_CALLS).for_each(|_| _ = node.logged("watch of the list broke off"));
+        (0..FAILED_CALLS).for_each(|_| _ = node.logged("watch of the endpoint list lost"));
         discovery.reachable.send(()).unwrap();
     }
     let told_after = discovery.told_after.recv_timeout(2 * PATIENCE).expect("the list is asked for again");
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_change_is_known_in_time_after_any_failure_of_discovery() {
+fn a_change_is_applied_in_time_after_any_failure_of_discovery() {
     let executor = Executor::start();
     let (short, long) = (Duration::from_millis(500), Duration::from_secs(30));
     let fleets = [("automatic", short), ("automatic", long), ("subscribe", short)];
@@ -256,7 +256,7 @@
             let _ends = SetAtEnd(&over);
             all.spawn(|| hold_connections(node.addr, 2 * SOCKETS as usize, &over));
             if failure == Refused {
-                (0..FAILED_CALLS).for_each(|_| _ = node.logged("watch of the list broke off"));
+                (0..FAILED_CALLS).for_each(|_| _ = node.logged("watch of the endpoint list lost"));
                 discovery.reachable.send(()).unwrap();
             }
             let told_after =
