--- a/src/dispatcher/fleet.rs
+++ b/src/dispatcher/fleet.rs
@@ -97,14 +97,14 @@
     }
 
     /// Updates what follows from all executors together: those that are ready, those in slow start that are
-    /// assigned to this node, and the least slots.
+    /// assigned to this node, and the smallest number of slots.
     pub fn refresh(&mut self, now: Millis) {
         self.executors.collect_ready();
         let is_assigned = |&executor: &ExecutorId| {
             self.slow_start.is_assigned(&self.executors.state(executor).endpoint, now)
         };
         self.executors.assigned = self.executors.ready.iter().copied().filter(is_assigned).collect();
-        self.executors.update_least_slots();
+        self.executors.update_min_slots();
     }
 
     pub fn sampler(&self) -> Sampler<'_> {
@@ -140,7 +140,7 @@
             report,
             // Without its own recent dispatches, a node would send bursts to the same executor.
             free_slots: report.free_slots.map(|free_slots| free_slots - state.unreported_change(now)),
-            total_slots: self.executors.slots_or_least(executor),
+            total_slots: self.executors.slots_or_min(executor),
             is_cross_zone: self.is_cross_zone(executor),
         };
         QueueRank::new(&load, slots)
--- a/src/dispatcher/requests.rs
+++ b/src/dispatcher/requests.rs
@@ -28,7 +28,7 @@
             class,
             slots: slots.max(1.0),
             is_over_quota: quota_use == QuotaUse::OverQuota,
-            asked_at: now + time_left - self.classes[class].deadline.max(time_left),
+            first_sent_at: now + time_left - self.classes[class].deadline.max(time_left),
             deadline: now + time_left,
             timer_at: f64::INFINITY,
             ..Request::default()
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -30,7 +30,7 @@
 /// there are any, capacity is short, and a request over its tenant's quota is shed.
 pub(crate) fn decide(class: &RequestClass, request: &Request, queued: usize, now: Millis) -> QueueDecision {
     let max_wait = max_queueing_time(class);
-    let until = (request.asked_at + max_wait).min(request.deadline);
+    let until = (request.first_sent_at + max_wait).min(request.deadline);
     let is_retry_allowed = !RetryPolicy::is_exhausted(class, &request.attempts)
         && RetryPolicy::decide(class, &request.attempts, now).target != RetryTarget::Nowhere;
     let is_shed = request.is_over_quota && queued > 0;
@@ -44,7 +44,7 @@
 /// value that a request over its tenant's quota retains.
 pub(crate) fn priority(class: &RequestClass, request: &Request, over_quota_value: f64, now: Millis) -> f64 {
     let part = if request.is_over_quota { over_quota_value } else { 1.0 };
-    part * class.terms.value / request.slots * (now - request.asked_at)
+    part * class.terms.value / request.slots * (now - request.first_sent_at)
 }
 
 /// The queued request of the highest priority, the last one of several.
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -26,7 +26,7 @@
     machine_types: MachineTypes,
     /// The smallest number of slots that any executor's reports have shown, assumed for executors whose
     /// reports have shown none yet.
-    pub least_slots: f64,
+    pub min_slots: f64,
     /// Executors that accept new requests.
     pub ready: Vec<ExecutorId>,
     /// Ready executors in slow start of whose budget this node has more than an even share.
@@ -71,7 +71,7 @@
             states: SecondaryMap::new(),
             absent: ExecutorState::new(absent),
             machine_types: MachineTypes::default(),
-            least_slots: 1.0,
+            min_slots: 1.0,
             ready: Vec::new(),
             assigned: Vec::new(),
             mean_running_time: INITIAL_RUNNING_TIME,
@@ -186,23 +186,23 @@
         self.ready = ready.map(|(executor, _)| executor).collect();
     }
 
-    /// Slots of an executor by its reports, or the least slots if they have shown none yet.
-    pub fn slots_or_least(&self, executor: ExecutorId) -> f64 {
+    /// Slots of an executor by its reports, or the smallest number of any executor if they have shown none yet.
+    pub fn slots_or_min(&self, executor: ExecutorId) -> f64 {
         let shown = self.state(executor).max_slots;
-        if shown > 0.0 { shown } else { self.least_slots }
+        if shown > 0.0 { shown } else { self.min_slots }
     }
 
-    /// Updates the least slots of all executors.
-    pub fn update_least_slots(&mut self) {
+    /// Updates the smallest number of slots of any executor.
+    pub fn update_min_slots(&mut self) {
         let shown = self.iter().map(|state| state.max_slots).filter(|&slots| slots > 0.0);
-        self.least_slots = shown.min_by(f64::total_cmp).unwrap_or(1.0);
+        self.min_slots = shown.min_by(f64::total_cmp).unwrap_or(1.0);
     }
 
     /// Slots of an executor when it is warm: by its weight if weights fall with load, as reports show fewer
     /// slots then.
     pub fn capacity(&self, executor: ExecutorId) -> f64 {
         let machine_type = self.state(executor).endpoint.machine_type;
-        self.machine_types.capacity(machine_type).unwrap_or_else(|| self.slots_or_least(executor))
+        self.machine_types.capacity(machine_type).unwrap_or_else(|| self.slots_or_min(executor))
     }
 
     /// The state for the next process of this node, with the dispatches in slow start since `spent_since`.
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -58,7 +58,7 @@
     pub slots: f64,
     pub is_over_quota: bool,
     /// When the client sent the request first; before the arrival if it is a retry of the client's.
-    pub asked_at: Millis,
+    pub first_sent_at: Millis,
     pub deadline: Millis,
     pub desired: DesiredState,
     pub attempts: Vec<Attempt>,
--- a/tests/unit/admission.rs
+++ b/tests/unit/admission.rs
@@ -122,7 +122,7 @@
             assert_eq!(accepted(&mut quotas, pause, 0), expected, "{nodes} nodes, after {pause} ms");
         }
     }
-    assert_eq!(accepted(&mut quotas(1.0), 0.0, 1), 3, "the least burst");
+    assert_eq!(accepted(&mut quotas(1.0), 0.0, 1), 3, "the smallest burst");
     assert_eq!(accepted(&mut quotas(1.0), 0.0, 2), 1000, "a tenant without a quota");
 }
 
--- a/tests/unit/queueing.rs
+++ b/tests/unit/queueing.rs
@@ -75,7 +75,7 @@
 fn priority_is_the_value_per_slot_times_the_wait() {
     let mut class = class(Effect::Idempotent);
     class.terms.value = 6.0;
-    let request = Request { slots: 2.0, asked_at: 10.0, ..request() };
+    let request = Request { slots: 2.0, first_sent_at: 10.0, ..request() };
     assert_close(priority(&class, &request, 0.5, 30.0), 6.0 / 2.0 * 20.0);
     let over_quota = Request { is_over_quota: true, ..request };
     assert_close(priority(&class, &over_quota, 0.5, 30.0), 0.5 * 6.0 / 2.0 * 20.0);
--- a/tests/unit/sampling.rs
+++ b/tests/unit/sampling.rs
@@ -40,7 +40,7 @@
     assert_eq!(sizing.update(1000.0, 0.2, 0.0), Some(grown), "free probes: the largest size");
     assert_eq!(sizing.update(2000.0, 0.2, 0.0), None, "no change");
     let shrunk = LogEvent::SampleSizeChanged { from: 3, to: 2, busy_ratio: 0.99, probe_cost: 0.6 };
-    assert_eq!(sizing.update(3000.0, 0.99, 0.6), Some(shrunk), "no size is stable: the least one");
+    assert_eq!(sizing.update(3000.0, 0.99, 0.6), Some(shrunk), "no size is stable: the smallest one");
     assert_eq!(sizing.sample_size(), 2);
 }
 
