--- a/crates/daemon/src/discovery/consul/query.rs
+++ b/crates/daemon/src/discovery/consul/query.rs
@@ -34,7 +34,7 @@
     Connect(#[source] io::Error),
     /// The connection failed, or the response is malformed or too long.
     #[error("connection failed: {0}")]
-    Connection(ReceiveError),
+    Connection(#[source] ReceiveError),
     /// The head of the answer shows that it must not be used.
     #[error(transparent)]
     Refused(#[from] Refused),
--- a/crates/daemon/src/discovery/merge.rs
+++ b/crates/daemon/src/discovery/merge.rs
@@ -3,7 +3,7 @@
 //! An executor's entry comes from the source with the highest precedence that lists it. An executor is ready only
 //! while every source that knows it says so, because a source that reports a drain may be ahead of the others.
 use crate::protocol::EndpointEntry;
-use crate::protocol::endpoint_state::{DRAINING, GONE, READY};
+use crate::protocol::endpoint_state::{DRAINING, GONE};
 use compact_str::CompactString;
 use std::collections::{BTreeMap, HashSet};
 use troutknot::ListUpdate;
@@ -25,20 +25,20 @@
 
 impl MergedExecutor {
     fn merged(&self) -> Option<EndpointEntry> {
-        let listed = self.by_source.values().find(|entry| entry.state != GONE);
+        let listed = self.by_source.values().find(|entry| !entry.is_gone());
         let mut merged = listed.or(self.by_source.values().next())?.clone();
-        let not_ready = self.by_source.values().find(|entry| entry.state != READY);
-        if merged.state == READY
+        let not_ready = self.by_source.values().find(|entry| !entry.is_ready());
+        if merged.is_ready()
             && let Some(not_ready) = not_ready
         {
             // It is only draining if a source still lists it.
-            merged.state = if not_ready.state == GONE { DRAINING.into() } else { not_ready.state.clone() };
+            merged.state = if not_ready.is_gone() { DRAINING.into() } else { not_ready.state.clone() };
         }
         Some(merged)
     }
 
     fn is_gone(&self) -> bool {
-        self.by_source.values().all(|entry| entry.state == GONE)
+        self.by_source.values().all(EndpointEntry::is_gone)
     }
 }
 
--- a/crates/daemon/src/discovery/platform.rs
+++ b/crates/daemon/src/discovery/platform.rs
@@ -53,7 +53,7 @@
     Connect(#[source] io::Error),
     /// The source accepted the connection and closed it without a response.
     #[error("no response: {0}")]
-    NoResponse(ReceiveError),
+    NoResponse(#[source] ReceiveError),
     /// The source answered with another status than 200.
     #[error("status {0}")]
     Status(u16),
@@ -65,7 +65,7 @@
     Outdated,
     /// The connection failed.
     #[error("connection failed: {0}")]
-    Connection(ReceiveError),
+    Connection(#[source] ReceiveError),
     /// The source sent something else than lists.
     #[error(transparent)]
     Parse(#[from] ParseError),
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -2,7 +2,7 @@
 //!
 //! An executor that is excluded and listed as ready counts as draining. The module performs no I/O.
 use crate::protocol::EndpointEntry;
-use crate::protocol::endpoint_state::{DRAINING, GONE, READY};
+use crate::protocol::endpoint_state::{DRAINING, GONE};
 use slotmap::SecondaryMap;
 use std::collections::{BTreeSet, VecDeque};
 use troutknot::ExecutorId;
@@ -27,7 +27,7 @@
         let mut effective = entry.clone();
         if self.excluded.contains(entry.id.as_str()) {
             self.excluded_absent.retain(|name| *name != entry.id);
-            if effective.state == READY {
+            if effective.is_ready() {
                 effective.state = DRAINING.into();
             }
         }
--- a/crates/daemon/tests/unit/membership.rs
+++ b/crates/daemon/tests/unit/membership.rs
@@ -1,5 +1,6 @@
 //! Exclusions by operators and the entries that are effective with them.
 use super::*;
+use crate::protocol::endpoint_state::READY;
 use troutknot_membership::ExecutorRegistry;
 
 #[test]
@@ -13,7 +14,7 @@
     let excluded = membership.set_excluded(Some(a), "a", true).expect("it changes");
     assert_eq!(membership.update(a, excluded).state, DRAINING);
     assert!(membership.set_excluded(Some(a), "a", true).is_none(), "it is excluded already");
-    for (state, effective) in [("Gone", "Gone"), (READY, DRAINING), (DRAINING, DRAINING), (READY, DRAINING)] {
+    for (state, effective) in [(GONE, GONE), (READY, DRAINING), (DRAINING, DRAINING), (READY, DRAINING)] {
         assert_eq!(update(&mut membership, state), effective, "{state}");
     }
     membership.mark_gone(a);
