--- a/crates/consul/examples/health_answer_processing.rs
+++ b/crates/consul/examples/health_answer_processing.rs
@@ -1,8 +1,9 @@
-//! Prints what an answer costs with one changed entry, beside reading it whole, and what damping does to flaps.
+//! Prints the time that a response takes with one changed entry and if all are decoded, and the effect of flap
+//! damping.
 use std::rc::Rc;
 use std::time::Instant;
-use troutknot_consul::health::{Bounds, Health, Member, Reader, Start};
-use troutknot_consul::roster::{Roster, State, Terms, WatchNumber};
+use troutknot_consul::catalog::{Catalog, CatalogPolicy, Damping, InstanceState, WatchId};
+use troutknot_consul::health::{Health, HealthDecoder, Incarnation, ResponseBounds, ServiceInstance};
 
 fn body(entries: usize, failing: usize) -> Vec<u8> {
     let entry = |k: usize| {
@@ -22,61 +23,92 @@
     format!("[{}]", (0..entries).map(entry).collect::<Vec<_>>().join(",")).into_bytes()
 }
 
-fn main() {
-    println!("| entries | bytes an answer | one change, ms | read whole, ms | changes told |");
+/// Whether entries that are unchanged since the response before are decoded again.
+#[derive(Clone, Copy, PartialEq)]
+enum Decoding {
+    Incremental,
+    Complete,
+}
+
+/// Processes the responses in turn. Returns the median time of one in milliseconds, and the changes of the last.
+fn process(bodies: &[Vec<u8>], decoding: Decoding) -> (f64, usize) {
+    let mut decoder = HealthDecoder::default();
+    let mut catalog = Catalog::new(CatalogPolicy::default(), 0.0);
+    let (mut times, mut change_count) = (Vec::new(), 0);
+    for (number, body) in bodies.iter().enumerate() {
+        if decoding == Decoding::Complete {
+            decoder = HealthDecoder::default();
+        }
+        let now = number as f64 * 60_000.0;
+        let started = Instant::now();
+        let instances = decoder.decode(body, &ResponseBounds::default()).expect("a valid body");
+        catalog.apply_response(now, WatchId(0), &instances);
+        let (changes, _) = catalog.changes(now);
+        // The first response is decoded completely in either case.
+        if number > 0 {
+            times.push(started.elapsed().as_secs_f64() * 1000.0);
+            change_count = changes.len();
+        }
+    }
+    times.sort_by(f64::total_cmp);
+    (times[times.len() / 2], change_count)
+}
+
+fn print_response_times() {
+    println!("| entries | bytes per response | one entry changed, ms | all decoded, ms | changes |");
     println!("| --- | --- | --- | --- | --- |");
     for entries in [10, 500, 5000] {
-        let bodies: Vec<Vec<u8>> = (0..20).map(|k| body(entries, k % entries)).collect();
-        let (bounds, watch) = (Bounds::default(), WatchNumber(0));
-        let mut costs = [Vec::new(), Vec::new()];
-        let mut told = 0;
-        for (whole, costs) in costs.iter_mut().enumerate() {
-            let (mut reader, mut roster) = (Reader::default(), Roster::new(Terms::default(), 0.0));
-            for (k, body) in bodies.iter().enumerate() {
-                if whole == 1 {
-                    reader = Reader::default();
-                }
-                let start = Instant::now();
-                let members = reader.read(body, &bounds).expect("a good body");
-                roster.answer(k as f64 * 60_000.0, watch, &members);
-                let (changes, _) = roster.changes(k as f64 * 60_000.0);
-                if k > 0 {
-                    costs.push(start.elapsed().as_secs_f64() * 1000.0);
-                    told = changes.len();
-                }
-            }
-            costs.sort_by(f64::total_cmp);
-        }
-        let median = |costs: &[f64]| costs[costs.len() / 2];
+        let bodies: Vec<Vec<u8>> = (0..20).map(|number| body(entries, number % entries)).collect();
+        let (incremental_ms, _) = process(&bodies, Decoding::Incremental);
+        let (complete_ms, change_count) = process(&bodies, Decoding::Complete);
         let bytes = bodies[0].len();
-        println!("| {entries} | {bytes} | {:.3} | {:.3} | {told} |", median(&costs[0]), median(&costs[1]));
+        println!("| {entries} | {bytes} | {incremental_ms:.3} | {complete_ms:.3} | {change_count} |");
     }
-    println!(
-        "\n| damping | returns told of 200 executors that flap each second for a minute | of these cold |"
-    );
-    println!("| --- | --- | --- |");
-    let member = |k: usize, health| {
-        let weight = if health == Health::Passing { 1.0 } else { 0.0 };
-        let (addr, start) = ("127.0.0.1:80".parse().expect("an address"), Start::Told(5.0));
-        let id = format!("s{k:04}");
-        Rc::new(Member { id, addr, health, weight, zone: String::new(), kind: None, cell: None, start })
-    };
-    for damping in [true, false] {
-        let terms = Terms { damping: Terms::default().damping.filter(|_| damping), ..Terms::default() };
-        let mut roster = Roster::new(terms, 0.0);
-        let all: Vec<Rc<Member>> = (0..2000).map(|k| member(k, Health::Passing)).collect();
-        roster.answer(0.0, WatchNumber(0), &all);
-        roster.changes(0.0);
-        let (mut returns, mut cold) = (0, 0);
-        for half in 1..=120u32 {
-            let now = f64::from(half) * 500.0;
-            let failing = half % 2 == 1;
-            let of = |k: usize| if failing && k < 200 { member(k, Health::Critical) } else { all[k].clone() };
-            roster.answer(now, WatchNumber(0), &(0..2000).map(of).collect::<Vec<_>>());
-            let (changes, _) = roster.changes(now);
-            returns += changes.iter().filter(|c| c.state == State::Ready).count();
-            cold += changes.iter().filter(|c| c.started != Some(5.0)).count();
+}
+
+const STARTED_AT: f64 = 5.0;
+const EXECUTORS: usize = 2000;
+const FLAPPING_EXECUTORS: usize = 200;
+
+fn instance(number: usize, health: Health) -> Rc<ServiceInstance> {
+    Rc::new(ServiceInstance {
+        id: format!("s{number:04}"),
+        address: "127.0.0.1:80".parse().expect("an address"),
+        health,
+        weight: if health == Health::Passing { 1.0 } else { 0.0 },
+        zone: String::new(),
+        machine_type: None,
+        deduplication_group: None,
+        incarnation: Incarnation::StartedAt(STARTED_AT),
+    })
+}
+
+fn print_damping(name: &str, damping: Option<Damping>) {
+    let mut catalog = Catalog::new(CatalogPolicy { damping, ..CatalogPolicy::default() }, 0.0);
+    let healthy: Vec<_> = (0..EXECUTORS).map(|number| instance(number, Health::Passing)).collect();
+    catalog.apply_response(0.0, WatchId(0), &healthy);
+    catalog.changes(0.0);
+    let (mut recoveries, mut restarts) = (0, 0);
+    for half_second in 1..=120u32 {
+        let now = f64::from(half_second) * 500.0;
+        let mut instances = healthy.clone();
+        if half_second % 2 == 1 {
+            for (number, flapping) in instances.iter_mut().take(FLAPPING_EXECUTORS).enumerate() {
+                *flapping = instance(number, Health::Critical);
+            }
         }
-        println!("| {} | {returns} | {cold} |", if damping { "on" } else { "off" });
+        catalog.apply_response(now, WatchId(0), &instances);
+        let (changes, _) = catalog.changes(now);
+        recoveries += changes.iter().filter(|change| change.state == InstanceState::Ready).count();
+        restarts += changes.iter().filter(|change| change.started_at != Some(STARTED_AT)).count();
     }
+    println!("| {name} | {recoveries} | {restarts} |");
+}
+
+fn main() {
+    print_response_times();
+    println!("\n| damping | recoveries of 200 executors that flap each second for a minute | restarts |");
+    println!("| --- | --- | --- |");
+    print_damping("on", CatalogPolicy::default().damping);
+    print_damping("off", None);
 }
--- /dev/null
+++ b/crates/consul/src/catalog/mod.rs
@@ -0,0 +1,317 @@
+//! Merges the responses of all watches into one list of executors, and reports how it changes.
+//!
+//! - An executor is *unhealthy* if it is critical, in maintenance, of weight 0, or no longer listed. It is reported as
+//!   draining, or gone, at once.
+//! - The *removal limit* bounds the share of executors that may be removed within a window because responses no longer
+//!   list them. The others are retained as they were until the window allows their removal, or until they have been
+//!   missing for long enough.
+//! - *Flap damping* adds to an executor's penalty each time that it fails without a restart. The penalty decays
+//!   exponentially; while it is high, an executor that recovers stays suppressed.
+mod entry;
+mod policy;
+mod timers;
+
+pub use policy::{CatalogPolicy, Damping, RemovalLimit};
+
+use crate::Millis;
+use crate::health::{Incarnation, ServiceInstance};
+use entry::CatalogEntry;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::rc::Rc;
+use timers::TimerSet;
+
+/// Identifies a watch. If two watches list one executor, the one with the lower number takes precedence.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
+pub struct WatchId(pub usize);
+
+/// State of an executor for the endpoint list.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum InstanceState {
+    /// Takes requests.
+    Ready,
+    /// Takes no new requests.
+    Draining,
+    /// Is no longer listed.
+    Gone,
+}
+
+/// A change of one executor.
+#[derive(Clone, PartialEq, Debug)]
+pub struct InstanceChange {
+    /// The instance as it was last listed.
+    pub instance: Rc<ServiceInstance>,
+    /// Its state.
+    pub state: InstanceState,
+    /// When it started, in Unix time; none if that was long ago.
+    pub started_at: Option<Millis>,
+}
+
+/// An event of the catalog, to be logged.
+#[derive(Clone, PartialEq, Debug)]
+pub enum CatalogEvent {
+    /// More executors are missing than may be removed; the excess is retained.
+    RetentionBegan {
+        /// Executors that are missing and retained.
+        retained: usize,
+        /// Executors that are listed or retained.
+        listed: usize,
+    },
+    /// No missing executor is retained any more.
+    RetentionEnded,
+    /// An executor that recovered is suppressed by flap damping.
+    Suppressed {
+        /// The executor.
+        id: String,
+        /// Its penalty.
+        penalty: f64,
+        /// When the suppression ends.
+        until: Millis,
+    },
+    /// An executor is no longer suppressed.
+    Reused {
+        /// The executor.
+        id: String,
+    },
+    /// Listed executors exceed the bound.
+    Dropped {
+        /// Executors that were dropped.
+        count: usize,
+    },
+}
+
+/// All executors that the watches list.
+pub struct Catalog {
+    policy: CatalogPolicy,
+    /// Added to a time for Unix time.
+    unix_offset: Millis,
+    entries: BTreeMap<String, CatalogEntry>,
+    /// Watches with a response. What the first response lists started long ago.
+    answered: BTreeSet<WatchId>,
+    /// Executors that may have changed since the last call of [`Catalog::changes`].
+    dirty: BTreeSet<String>,
+    /// Times of the removals within the window.
+    removals: VecDeque<Millis>,
+    timers: TimerSet,
+    has_retained: bool,
+    dropped: usize,
+    events: Vec<CatalogEvent>,
+}
+
+impl Catalog {
+    /// An empty catalog. `unix_offset` is the Unix time in milliseconds at the caller's time 0.
+    pub fn new(policy: CatalogPolicy, unix_offset: Millis) -> Self {
+        Catalog {
+            policy,
+            unix_offset,
+            entries: BTreeMap::new(),
+            answered: BTreeSet::new(),
+            dirty: BTreeSet::new(),
+            removals: VecDeque::new(),
+            timers: TimerSet::default(),
+            has_retained: false,
+            dropped: 0,
+            events: Vec::new(),
+        }
+    }
+
+    /// Replaces the policy, also for executors that are suppressed or retained.
+    pub fn set_policy(&mut self, policy: CatalogPolicy) {
+        self.policy = policy;
+    }
+
+    /// Number of executors that are listed or retained.
+    pub fn listed(&self) -> usize {
+        self.entries.values().filter(|entry| entry.is_listed() || entry.is_retained).count()
+    }
+
+    /// Number of executors that are missing from the responses and retained.
+    pub fn retained(&self) -> usize {
+        self.entries.values().filter(|entry| entry.is_retained).count()
+    }
+
+    /// Whether a watch has a response.
+    pub fn has_answered(&self, watch: WatchId) -> bool {
+        self.answered.contains(&watch)
+    }
+
+    /// When a state changes next without a response.
+    pub fn next_timer(&self) -> Option<Millis> {
+        self.timers.next_at()
+    }
+
+    /// Applies a response of a watch, with all instances that it lists.
+    pub fn apply_response(&mut self, now: Millis, watch: WatchId, instances: &[Rc<ServiceInstance>]) {
+        let is_first = self.answered.insert(watch);
+        let listed: BTreeSet<&str> = instances.iter().map(|instance| instance.id.as_str()).collect();
+        self.forget_excess(&listed);
+        let mut dropped = 0;
+        for instance in instances {
+            if self.entries.contains_key(&instance.id) {
+                self.update_listing(watch, instance);
+            } else if self.entries.len() < self.policy.max_executors {
+                self.insert(now, watch, instance, is_first);
+            } else {
+                dropped += 1;
+            }
+        }
+        if dropped > 0 && dropped != self.dropped {
+            self.events.push(CatalogEvent::Dropped { count: dropped });
+        }
+        self.dropped = dropped;
+        self.unlist_missing(watch, &listed);
+    }
+
+    fn update_listing(&mut self, watch: WatchId, instance: &Rc<ServiceInstance>) {
+        let Some(entry) = self.entries.get_mut(&instance.id) else { return };
+        let is_unchanged = entry.listed_by.get(&watch).is_some_and(|listed| Rc::ptr_eq(listed, instance));
+        if !is_unchanged {
+            entry.listed_by.insert(watch, instance.clone());
+            self.dirty.insert(instance.id.clone());
+        }
+    }
+
+    fn insert(&mut self, now: Millis, watch: WatchId, instance: &Rc<ServiceInstance>, is_first: bool) {
+        let started_at = match instance.incarnation {
+            Incarnation::StartedAt(started_at) => Some(started_at),
+            // An executor that registers while it is watched has just started.
+            Incarnation::RegisteredAt(_) if !is_first => Some(self.unix_offset + now),
+            Incarnation::RegisteredAt(_) | Incarnation::Unknown => None,
+        };
+        let entry = CatalogEntry::new(now, watch, instance, started_at);
+        self.entries.insert(instance.id.clone(), entry);
+        self.dirty.insert(instance.id.clone());
+    }
+
+    fn unlist_missing(&mut self, watch: WatchId, listed: &BTreeSet<&str>) {
+        for (id, entry) in &mut self.entries {
+            if !listed.contains(id.as_str()) && entry.listed_by.remove(&watch).is_some() {
+                self.dirty.insert(id.clone());
+            }
+        }
+    }
+
+    /// Forgets as many removed executors as there are listed ones beyond the bound, the longest removed first.
+    fn forget_excess(&mut self, listed: &BTreeSet<&str>) {
+        let new = listed.iter().filter(|id| !self.entries.contains_key(**id)).count();
+        let excess = (self.entries.len() + new).saturating_sub(self.policy.max_executors);
+        if excess == 0 {
+            return;
+        }
+        let removed = self
+            .entries
+            .iter()
+            .filter(|(id, entry)| entry.is_gone() && !entry.is_listed() && !listed.contains(id.as_str()));
+        let mut removed: Vec<(Millis, String)> = removed
+            .map(|(id, entry)| (entry.missing_since.unwrap_or(f64::NEG_INFINITY), id.clone()))
+            .collect();
+        removed.sort_by(|(left, _), (right, _)| left.total_cmp(right));
+        for (_, id) in removed.into_iter().take(excess) {
+            self.forget(&id);
+        }
+    }
+
+    fn forget(&mut self, id: &str) {
+        if let Some(timer_at) = self.entries.remove(id).and_then(|entry| entry.timer_at) {
+            self.timers.cancel(timer_at, id);
+        }
+        self.dirty.remove(id);
+    }
+
+    /// Removes a watch that an operator no longer configures. Executors that it alone lists are removed regardless of
+    /// the removal limit.
+    pub fn remove_watch(&mut self, watch: WatchId) {
+        self.answered.remove(&watch);
+        for (id, entry) in &mut self.entries {
+            if entry.listed_by.remove(&watch).is_none() {
+                continue;
+            }
+            if !entry.is_listed() {
+                entry.missing_since = Some(f64::NEG_INFINITY);
+            }
+            self.dirty.insert(id.clone());
+        }
+    }
+
+    /// The changes since the last call, and the events to be logged.
+    pub fn changes(&mut self, now: Millis) -> (Vec<InstanceChange>, Vec<CatalogEvent>) {
+        while let Some(id) = self.timers.pop_expired(now) {
+            self.dirty.insert(id);
+        }
+        let dirty = std::mem::take(&mut self.dirty);
+        for id in &dirty {
+            if let Some(entry) = self.entries.get_mut(id) {
+                entry.refresh(now, self.unix_offset, self.policy.damping, &mut self.events);
+            }
+        }
+        self.apply_removal_limit(now, &dirty);
+        let changes = dirty.iter().filter_map(|id| self.report(now, id)).collect();
+        self.report_retention();
+        (changes, std::mem::take(&mut self.events))
+    }
+
+    /// Allows the removal of missing executors as far as the window permits, and retains the others.
+    fn apply_removal_limit(&mut self, now: Millis, dirty: &BTreeSet<String>) {
+        let RemovalLimit { max_share, window, max_missing_time } = self.policy.removal_limit;
+        while self.removals.front().is_some_and(|removed_at| *removed_at + window <= now) {
+            self.removals.pop_front();
+        }
+        let missing =
+            dirty.iter().filter(|id| self.entries.get(*id).is_some_and(CatalogEntry::is_removal_due));
+        let missing: Vec<&String> = missing.collect();
+        if missing.is_empty() {
+            return;
+        }
+        let max_removals = (max_share * self.listed_at_window_start() as f64).floor() as usize;
+        for id in missing {
+            let is_permitted = self.removals.len() < max_removals;
+            let permitted_at = self.removals.front().map_or(now + window, |removed_at| removed_at + window);
+            let Some(entry) = self.entries.get_mut(id) else { continue };
+            let overdue_at = entry.missing_since.unwrap_or(now) + max_missing_time;
+            if !is_permitted && now < overdue_at {
+                entry.retain_until(permitted_at.min(overdue_at));
+                continue;
+            }
+            entry.allow_removal();
+            if is_permitted {
+                self.removals.push_back(now);
+            }
+        }
+    }
+
+    fn listed_at_window_start(&self) -> usize {
+        let listed = self.entries.values().filter(|entry| !entry.is_gone() && entry.reported.is_some());
+        listed.count() + self.removals.len()
+    }
+
+    /// The change of one executor, if any; sets its timer, or forgets it.
+    fn report(&mut self, now: Millis, id: &str) -> Option<InstanceChange> {
+        let removed_retention = self.policy.removed_retention;
+        let entry = self.entries.get_mut(id)?;
+        let change = entry.take_change();
+        if entry.forgotten_at(removed_retention).is_some_and(|forgotten_at| now >= forgotten_at) {
+            self.forget(id);
+            return change;
+        }
+        let timer_at = entry.next_timer(removed_retention);
+        if let Some(previous) = std::mem::replace(&mut entry.timer_at, timer_at) {
+            self.timers.cancel(previous, id);
+        }
+        if let Some(timer_at) = timer_at {
+            self.timers.set(timer_at, id);
+        }
+        change
+    }
+
+    fn report_retention(&mut self) {
+        let retained = self.retained();
+        let has_retained = retained > 0;
+        if has_retained == std::mem::replace(&mut self.has_retained, has_retained) {
+            return;
+        }
+        let listed = self.listed();
+        self.events.push(match has_retained {
+            true => CatalogEvent::RetentionBegan { retained, listed },
+            false => CatalogEvent::RetentionEnded,
+        });
+    }
+}
--- /dev/null
+++ b/crates/consul/src/catalog/timers.rs
@@ -0,0 +1,39 @@
+//! Timers of the executors in a catalog.
+use crate::Millis;
+use std::collections::BTreeSet;
+
+/// Executors by the time at which their state may change on its own.
+#[derive(Default)]
+pub struct TimerSet {
+    /// Times as their bits, which sort like the times as none of them is negative.
+    timers: BTreeSet<(u64, String)>,
+}
+
+fn sort_key(at: Millis) -> u64 {
+    at.max(0.0).to_bits()
+}
+
+impl TimerSet {
+    /// Sets a timer of an executor.
+    pub fn set(&mut self, at: Millis, id: &str) {
+        self.timers.insert((sort_key(at), id.to_string()));
+    }
+
+    /// Removes the timer that was set for this time.
+    pub fn cancel(&mut self, at: Millis, id: &str) {
+        self.timers.remove(&(sort_key(at), id.to_string()));
+    }
+
+    /// The earliest time.
+    pub fn next_at(&self) -> Option<Millis> {
+        self.timers.first().map(|(bits, _)| f64::from_bits(*bits))
+    }
+
+    /// Removes the earliest timer if it has expired, and returns its executor.
+    pub fn pop_expired(&mut self, now: Millis) -> Option<String> {
+        if self.next_at()? > now {
+            return None;
+        }
+        self.timers.pop_first().map(|(_, id)| id)
+    }
+}
--- a/crates/consul/src/health.rs
+++ b/crates/consul/src/health.rs
@@ -1,4 +1,5 @@
-//! What the body of `/v1/health/service/:service` says.
+//! Responses of `/v1/health/service/:service`.
+use crate::Millis;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::collections::{HashMap, HashSet};
@@ -6,75 +7,120 @@
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 
-/// Bounds of one answer.
+/// Upper bound of a weight, as in Consul's DNS records.
+const MAX_WEIGHT: f64 = 65_535.0;
+
+/// The check that marks a node in maintenance.
+const NODE_MAINTENANCE: &str = "_node_maintenance";
+/// Prefix of the check that marks a service in maintenance.
+const SERVICE_MAINTENANCE: &str = "_service_maintenance";
+
+/// Bounds of one response.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Bounds {
-    /// Bytes of a body.
-    pub body: usize,
-    pub entries: usize,
-    /// Bytes of an id.
-    pub id: usize,
+pub struct ResponseBounds {
+    /// Bytes of the body.
+    pub max_body_bytes: usize,
+    /// Instances in the body.
+    pub max_entries: usize,
+    /// Bytes of an instance's id.
+    pub max_id_bytes: usize,
 }
 
-impl Default for Bounds {
+impl Default for ResponseBounds {
     fn default() -> Self {
-        Bounds { body: 12 * 1024 * 1024, entries: 10_000, id: 128 }
+        ResponseBounds { max_body_bytes: 12 * 1024 * 1024, max_entries: 10_000, max_id_bytes: 128 }
     }
 }
 
-/// Why a body says nothing that can be used.
-#[derive(Clone, PartialEq, Debug, thiserror::Error)]
-pub enum Unusable {
-    #[error("{0} bytes are more than the {1} that are read")]
-    TooLarge(usize, usize),
-    #[error("{0} entries are more than the {1} that are kept")]
-    TooMany(usize, usize),
+/// Why a body cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum HealthError {
+    /// The body exceeds its bound.
+    #[error("a body of {bytes} bytes, at most {max} are read")]
+    BodyTooLarge {
+        /// Bytes of the body.
+        bytes: usize,
+        /// The bound.
+        max: usize,
+    },
+    /// The body lists more instances than its bound.
+    #[error("{count} entries, at most {max} are read")]
+    TooManyEntries {
+        /// Instances in the body.
+        count: usize,
+        /// The bound.
+        max: usize,
+    },
+    /// The body is not JSON of this endpoint.
     #[error("no JSON of the health API: {0}")]
-    Json(String),
-    #[error("`{0}` has a check of unknown status `{1}`")]
-    Status(String, String),
-    #[error("`{0}` has no usable address: `{1}`")]
-    Address(String, String),
+    Json(#[from] serde_json::Error),
+    /// A check's status is none of the documented ones.
+    #[error("`{id}` has a check of unknown status `{status}`")]
+    UnknownCheckStatus {
+        /// The instance.
+        id: String,
+        /// The status.
+        status: String,
+    },
+    /// Neither the service nor its node has an IP address, or the port is 0.
+    #[error("`{id}` has no valid address: `{address}`")]
+    InvalidAddress {
+        /// The instance.
+        id: String,
+        /// The address and the port.
+        address: String,
+    },
+    /// Two instances have one id.
     #[error("`{0}` is listed twice")]
-    Twice(String),
+    DuplicateId(String),
+    /// An instance's id is empty or exceeds its bound.
     #[error("an id is empty or too long")]
-    Id,
+    InvalidId,
 }
 
-/// The worst of an instance's checks.
+/// The worst status of an instance's checks.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Health {
+    /// All checks pass.
     Passing,
+    /// A check warns.
     Warning,
+    /// A check is critical.
     Critical,
     /// An operator put the service or its node into maintenance.
     Maintenance,
 }
 
-/// What tells one start of an executor from another.
+/// Distinguishes one start of an executor from another.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Start {
-    /// Unix milliseconds, from the service's meta.
-    Told(f64),
+pub enum Incarnation {
+    /// When the executor started by its service's metadata, in Unix time.
+    StartedAt(Millis),
     /// The index at which the service was registered.
-    Registered(u64),
-    /// It is not known, as in a list from before.
+    RegisteredAt(u64),
+    /// Not known, as in a cached list.
     Unknown,
 }
 
 /// One instance of a service.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Member {
-    /// The same at every node: from the meta key `executor`, else service id, node and datacenter.
+pub struct ServiceInstance {
+    /// The same at every agent: the metadata key `executor`, or else service id, node and datacenter.
     pub id: String,
-    pub addr: SocketAddr,
+    /// Where the executor listens.
+    pub address: SocketAddr,
+    /// The worst status of its checks.
     pub health: Health,
-    /// By its health; 0 takes it out.
+    /// The weight for this health; an instance of weight 0 takes no requests.
     pub weight: f64,
+    /// The metadata key `zone`, or else the datacenter.
     pub zone: String,
-    pub kind: Option<String>,
-    pub cell: Option<u32>,
-    pub start: Start,
+    /// The metadata key `kind`.
+    pub machine_type: Option<String>,
+    /// The metadata key `cell`.
+    pub deduplication_group: Option<u32>,
+    /// Its current start.
+    pub incarnation: Incarnation,
 }
 
 #[derive(Deserialize)]
@@ -82,7 +128,7 @@
 struct Entry {
     node: Node,
     service: Service,
-    #[serde(default, deserialize_with = "or_none")]
+    #[serde(default, deserialize_with = "null_as_default")]
     checks: Vec<Check>,
 }
 
@@ -108,7 +154,7 @@
     port: u16,
     #[serde(default)]
     weights: Option<Weights>,
-    #[serde(default, deserialize_with = "or_none")]
+    #[serde(default, deserialize_with = "null_as_default")]
     meta: HashMap<String, String>,
     #[serde(default)]
     create_index: u64,
@@ -117,16 +163,12 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Weights {
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     passing: f64,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     warning: f64,
 }
 
-fn one() -> f64 {
-    1.0
-}
-
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Check {
@@ -135,107 +177,157 @@
     status: String,
 }
 
-/// Where the API writes null for an empty list or map.
-fn or_none<'de, D: serde::Deserializer<'de>, T: Deserialize<'de> + Default>(from: D) -> Result<T, D::Error> {
-    Option::<T>::deserialize(from).map(Option::unwrap_or_default)
+fn default_weight() -> f64 {
+    1.0
 }
 
-const NODE_MAINTENANCE: &str = "_node_maintenance";
-const SERVICE_MAINTENANCE: &str = "_service_maintenance";
+/// The API writes null for an empty list or map.
+fn null_as_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
+where
+    D: serde::Deserializer<'de>,
+    T: Deserialize<'de> + Default,
+{
+    Option::<T>::deserialize(deserializer).map(Option::unwrap_or_default)
+}
 
-fn health_of(checks: &[Check], id: &str) -> Result<Health, Unusable> {
-    let mut worst = Health::Passing;
-    for check in checks {
-        let maintenance = check.id == NODE_MAINTENANCE || check.id.starts_with(SERVICE_MAINTENANCE);
-        worst = worst.max(match check.status.as_str() {
-            "critical" if maintenance => Health::Maintenance,
-            "maintenance" => Health::Maintenance,
-            "passing" => Health::Passing,
-            "warning" => Health::Warning,
-            "critical" => Health::Critical,
-            other => return Err(Unusable::Status(id.into(), other.into())),
-        });
+impl Check {
+    fn is_maintenance(&self) -> bool {
+        self.id == NODE_MAINTENANCE || self.id.starts_with(SERVICE_MAINTENANCE)
+    }
+
+    /// None if the status is not a documented one.
+    fn health(&self) -> Option<Health> {
+        match self.status.as_str() {
+            "critical" if self.is_maintenance() => Some(Health::Maintenance),
+            "maintenance" => Some(Health::Maintenance),
+            "passing" => Some(Health::Passing),
+            "warning" => Some(Health::Warning),
+            "critical" => Some(Health::Critical),
+            _ => None,
+        }
     }
-    Ok(worst)
 }
 
 impl Entry {
-    fn member(self, bounds: &Bounds) -> Result<Member, Unusable> {
-        let Entry { node, service, checks } = self;
-        let id = match service.meta.get("executor") {
+    fn into_instance(self, bounds: &ResponseBounds) -> Result<ServiceInstance, HealthError> {
+        let id = self.instance_id();
+        if id.is_empty() || id.len() > bounds.max_id_bytes {
+            return Err(HealthError::InvalidId);
+        }
+        let health = self.worst_health(&id)?;
+        let address = self.address(&id)?;
+        let weight = self.weight(health);
+        let incarnation = self.incarnation();
+        let Entry { node, service: Service { mut meta, .. }, .. } = self;
+        Ok(ServiceInstance {
+            id,
+            address,
+            health,
+            weight,
+            zone: meta.remove("zone").unwrap_or(node.datacenter),
+            machine_type: meta.remove("kind"),
+            deduplication_group: meta.get("cell").and_then(|text| text.parse().ok()),
+            incarnation,
+        })
+    }
+
+    fn instance_id(&self) -> String {
+        let Entry { node, service, .. } = self;
+        match service.meta.get("executor") {
             Some(id) => id.clone(),
             None => format!("{}@{}.{}", service.id, node.node, node.datacenter),
-        };
-        if id.is_empty() || id.len() > bounds.id {
-            return Err(Unusable::Id);
         }
-        let health = health_of(&checks, &id)?;
-        // The service's own address, or else its node's.
-        let host = if service.address.is_empty() { &node.address } else { &service.address };
-        let ip = host.parse::<IpAddr>().ok().filter(|ip| !ip.is_unspecified() && service.port != 0);
-        let ip = ip.ok_or_else(|| Unusable::Address(id.clone(), format!("{host}:{}", service.port)))?;
-        let weights = service.weights.unwrap_or(Weights { passing: 1.0, warning: 1.0 });
+    }
+
+    fn worst_health(&self, id: &str) -> Result<Health, HealthError> {
+        let mut worst = Health::Passing;
+        for check in &self.checks {
+            let health = check.health().ok_or_else(|| HealthError::UnknownCheckStatus {
+                id: id.into(),
+                status: check.status.clone(),
+            })?;
+            worst = worst.max(health);
+        }
+        Ok(worst)
+    }
+
+    /// The address of the service, or else that of its node.
+    fn address(&self, id: &str) -> Result<SocketAddr, HealthError> {
+        let Service { address, port, .. } = &self.service;
+        let host = if address.is_empty() { &self.node.address } else { address };
+        let ip = host.parse::<IpAddr>().ok().filter(|ip| !ip.is_unspecified() && *port != 0);
+        let ip = ip.ok_or_else(|| HealthError::InvalidAddress {
+            id: id.into(),
+            address: format!("{host}:{port}"),
+        })?;
+        Ok(SocketAddr::new(ip, *port))
+    }
+
+    fn weight(&self, health: Health) -> f64 {
+        let weights = self.service.weights.as_ref();
         let weight = match health {
-            Health::Passing => weights.passing,
-            Health::Warning => weights.warning,
+            Health::Passing => weights.map_or(default_weight(), |weights| weights.passing),
+            Health::Warning => weights.map_or(default_weight(), |weights| weights.warning),
             Health::Critical | Health::Maintenance => 0.0,
         };
-        let told = service.meta.get("started").and_then(|text| text.parse::<f64>().ok());
-        let told = told.filter(|at| at.is_finite() && *at > 0.0);
-        Ok(Member {
-            addr: SocketAddr::new(ip, service.port),
-            health,
-            weight: weight.clamp(0.0, 65535.0),
-            zone: service.meta.get("zone").unwrap_or(&node.datacenter).clone(),
-            kind: service.meta.get("kind").cloned(),
-            cell: service.meta.get("cell").and_then(|text| text.parse().ok()),
-            start: told.map_or(Start::Registered(service.create_index), Start::Told),
-            id,
-        })
+        weight.clamp(0.0, MAX_WEIGHT)
+    }
+
+    fn incarnation(&self) -> Incarnation {
+        let started_at = self.service.meta.get("started").and_then(|text| text.parse::<f64>().ok());
+        match started_at.filter(|started_at| started_at.is_finite() && *started_at > 0.0) {
+            Some(started_at) => Incarnation::StartedAt(started_at),
+            None => Incarnation::RegisteredAt(self.service.create_index),
+        }
     }
 }
 
-/// Reads bodies of one watch; an entry that stands as it stood in the one before is not read again.
+/// Decodes the responses of one watch. Entries that are unchanged since the response before are not decoded again.
 #[derive(Default)]
-pub struct Reader {
+pub struct HealthDecoder {
     hasher: RandomState,
-    known: HashMap<u64, Rc<Member>>,
+    /// The instances of the last response, by the hash of their JSON.
+    decoded: HashMap<u64, Rc<ServiceInstance>>,
 }
 
-impl Reader {
-    /// All instances that a body lists; those that are the same as before are the same `Rc`.
+impl HealthDecoder {
+    /// Decodes all instances of a body; unchanged ones are the same `Rc` as before.
     ///
     /// # Errors
-    /// Why the body cannot be used, as a whole.
-    pub fn read(&mut self, body: &[u8], bounds: &Bounds) -> Result<Vec<Rc<Member>>, Unusable> {
-        if body.len() > bounds.body {
-            return Err(Unusable::TooLarge(body.len(), bounds.body));
+    /// If any part of the body cannot be used; the decoder is unchanged then.
+    pub fn decode(
+        &mut self,
+        body: &[u8],
+        bounds: &ResponseBounds,
+    ) -> Result<Vec<Rc<ServiceInstance>>, HealthError> {
+        if body.len() > bounds.max_body_bytes {
+            return Err(HealthError::BodyTooLarge { bytes: body.len(), max: bounds.max_body_bytes });
         }
-        let json = |e: serde_json::Error| Unusable::Json(e.to_string());
-        let raw: Vec<&RawValue> = serde_json::from_slice(body).map_err(json)?;
-        if raw.len() > bounds.entries {
-            return Err(Unusable::TooMany(raw.len(), bounds.entries));
+        let entries: Vec<&RawValue> = serde_json::from_slice(body)?;
+        if entries.len() > bounds.max_entries {
+            return Err(HealthError::TooManyEntries { count: entries.len(), max: bounds.max_entries });
         }
-        let (mut members, mut known) = (Vec::with_capacity(raw.len()), HashMap::with_capacity(raw.len()));
-        let mut ids: HashSet<&str> = HashSet::with_capacity(raw.len());
-        for raw in raw {
-            let hash = self.hasher.hash_one(raw.get());
-            let member = match self.known.get(&hash) {
-                Some(member) => member.clone(),
-                None => {
-                    let entry: Entry = serde_json::from_str(raw.get()).map_err(json)?;
-                    Rc::new(entry.member(bounds)?)
-                }
+        let mut instances = Vec::with_capacity(entries.len());
+        let mut decoded = HashMap::with_capacity(entries.len());
+        for entry in entries {
+            let hash = self.hasher.hash_one(entry.get());
+            let instance = match self.decoded.get(&hash) {
+                Some(instance) => instance.clone(),
+                None => Rc::new(serde_json::from_str::<Entry>(entry.get())?.into_instance(bounds)?),
             };
-            known.insert(hash, member.clone());
-            members.push(member);
+            decoded.insert(hash, instance.clone());
+            instances.push(instance);
         }
-        for member in &members {
-            if !ids.insert(&member.id) {
-                return Err(Unusable::Twice(member.id.clone()));
-            }
-        }
-        self.known = known;
-        Ok(members)
+        check_ids_are_unique(&instances)?;
+        self.decoded = decoded;
+        Ok(instances)
+    }
+}
+
+fn check_ids_are_unique(instances: &[Rc<ServiceInstance>]) -> Result<(), HealthError> {
+    let mut ids: HashSet<&str> = HashSet::with_capacity(instances.len());
+    match instances.iter().find(|instance| !ids.insert(&instance.id)) {
+        Some(duplicate) => Err(HealthError::DuplicateId(duplicate.id.clone())),
+        None => Ok(()),
     }
 }
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,11 +1,11 @@
-//! Consul as a source of the list of executors, without I/O and clock: what to ask ([`blocking`]), what an
-//! answer says ([`health`]), and what follows for the list ([`roster`]).
+//! Consul as a source of endpoints, without I/O and without a clock: the blocking queries to send ([`query`]), the
+//! instances that a response lists ([`health`]), and the changes of the endpoint list that follow ([`catalog`]).
 //!
-//! Written from the public documentation of the HTTP API (health endpoints, blocking queries, consistency
-//! modes). Times are in milliseconds on one clock that the caller chooses.
-pub mod blocking;
+//! Written from the public documentation of the HTTP API: health endpoints, blocking queries, consistency modes.
+//! Times are milliseconds on one clock that the caller chooses.
+pub mod catalog;
 pub mod health;
-pub mod roster;
+pub mod query;
 
-/// A point in time or a span, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
--- a/crates/daemon/src/config/consul.rs
+++ b/crates/daemon/src/config/consul.rs
@@ -5,14 +5,14 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use troutknot::Millis;
-use troutknot_consul::blocking::{Consistency, Pace, Watched};
-use troutknot_consul::roster::{Damping, Panic, Terms};
+use troutknot_consul::catalog::{CatalogPolicy, Damping, RemovalLimit};
+use troutknot_consul::query::{Consistency, QueryTiming, WatchedService};
 
 const MAX_AGENTS: usize = 16;
 const MAX_SERVICES: usize = 64;
 const ONE_DAY: Duration = Duration::from_secs(86_400);
 
-/// Terms of the watches of Consul.
+/// Configuration of the watches of Consul.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ConsulConfig {
@@ -98,11 +98,11 @@
 
 impl Default for PanicConfig {
     fn default() -> Self {
-        let Panic { share, span, believed_after } = Terms::default().panic;
+        let limit = CatalogPolicy::default().removal_limit;
         PanicConfig {
-            max_missing_share: share,
-            window: duration_of(span),
-            max_missing_time: duration_of(believed_after),
+            max_missing_share: limit.max_share,
+            window: duration_of(limit.window),
+            max_missing_time: duration_of(limit.max_missing_time),
         }
     }
 }
@@ -130,13 +130,13 @@
 
 impl Default for DampingConfig {
     fn default() -> Self {
-        let damping = Terms::default().damping.expect("damping is enabled by default");
+        let damping = CatalogPolicy::default().damping.expect("damping is enabled by default");
         DampingConfig {
             is_enabled: true,
             half_life: duration_of(damping.half_life),
-            suppress_threshold: damping.cutoff,
-            reuse_threshold: damping.reuse,
-            max_suppress_time: duration_of(damping.longest),
+            suppress_threshold: damping.suppress_threshold,
+            reuse_threshold: damping.reuse_threshold,
+            max_suppress_time: duration_of(damping.max_suppress_time),
         }
     }
 }
@@ -151,13 +151,13 @@
 
 impl ConsulConfig {
     /// The watches, in the order of precedence.
-    pub fn watches(&self) -> Vec<Watched> {
+    pub fn watches(&self) -> Vec<WatchedService> {
         let consistency = match self.consistency {
             ConsistencyMode::Default => Consistency::Default,
             ConsistencyMode::Stale => Consistency::Stale,
             ConsistencyMode::Consistent => Consistency::Consistent,
         };
-        let watch_of = |service: &ServiceConfig| Watched {
+        let watch_of = |service: &ServiceConfig| WatchedService {
             service: service.name.clone(),
             datacenter: service.datacenter.clone(),
             namespace: service.namespace.clone(),
@@ -168,33 +168,33 @@
     }
 
     /// Timing of the blocking queries.
-    pub fn query_timing(&self) -> Pace {
-        Pace {
+    pub fn query_timing(&self) -> QueryTiming {
+        QueryTiming {
             wait: millis_of(self.query_wait),
-            longest_retry: millis_of(self.max_backoff),
-            oldest_contact: millis_of(self.max_staleness),
-            ..Pace::default()
+            max_backoff: millis_of(self.max_backoff),
+            max_staleness: millis_of(self.max_staleness),
+            ..QueryTiming::default()
         }
     }
 
-    /// Terms of the roster, which holds at most `max_executors` executors.
-    pub fn roster_terms(&self, max_executors: usize) -> Terms {
+    /// Policy of the catalog, which holds at most `max_executors` executors.
+    pub fn catalog_policy(&self, max_executors: usize) -> CatalogPolicy {
         let damping = Damping {
             half_life: millis_of(self.damping.half_life),
-            cutoff: self.damping.suppress_threshold,
-            reuse: self.damping.reuse_threshold,
-            longest: millis_of(self.damping.max_suppress_time),
+            suppress_threshold: self.damping.suppress_threshold,
+            reuse_threshold: self.damping.reuse_threshold,
+            max_suppress_time: millis_of(self.damping.max_suppress_time),
         };
-        let panic = Panic {
-            share: self.panic.max_missing_share,
-            span: millis_of(self.panic.window),
-            believed_after: millis_of(self.panic.max_missing_time),
+        let removal_limit = RemovalLimit {
+            max_share: self.panic.max_missing_share,
+            window: millis_of(self.panic.window),
+            max_missing_time: millis_of(self.panic.max_missing_time),
         };
-        Terms {
+        CatalogPolicy {
             damping: self.damping.is_enabled.then_some(damping),
-            panic,
-            most: max_executors,
-            ..Terms::default()
+            removal_limit,
+            max_executors,
+            ..CatalogPolicy::default()
         }
     }
 
--- a/crates/daemon/src/config/limits/mod.rs
+++ b/crates/daemon/src/config/limits/mod.rs
@@ -172,7 +172,7 @@
         let available = budget.saturating_sub(self.bytes_without_executors(inputs)) / inputs.process_count();
         let registered_bytes = EXECUTOR_BYTES + RELEASED_BYTES / EXECUTORS_PER_RELEASED;
         let (max_retained, max_unretained_entries) = if inputs.has_consul {
-            // The roster of the Consul source drops executors over the bound by itself.
+            // The catalog of the Consul source drops executors over the bound by itself.
             (available / (registered_bytes + CONSUL_MEMBER_BYTES), 0)
         } else {
             let entry_bytes = UNRETAINED_ENTRY_BYTES / EXECUTORS_PER_UNRETAINED_ENTRY;
--- a/crates/daemon/src/discovery/consul/entry.rs
+++ b/crates/daemon/src/discovery/consul/entry.rs
@@ -1,42 +1,42 @@
-//! Conversion between the roster's members and entries of the endpoint list.
+//! Conversion between instances of Consul's catalog and entries of the endpoint list.
 use crate::protocol::EndpointEntry;
 use crate::protocol::endpoint_state::{DRAINING, GONE, READY};
 use compact_str::{CompactString, ToCompactString};
-use troutknot_consul::health::{Health, Member, Start};
-use troutknot_consul::roster::{Change, State};
+use troutknot_consul::catalog::{InstanceChange, InstanceState};
+use troutknot_consul::health::{Health, Incarnation, ServiceInstance};
 
 /// The entry of an executor that changed.
-pub fn entry_of(change: Change) -> EndpointEntry {
-    let member = &change.member;
+pub fn entry_of(change: InstanceChange) -> EndpointEntry {
+    let instance = &change.instance;
     let state = match change.state {
-        State::Ready => READY,
-        State::Draining => DRAINING,
-        State::Gone => GONE,
+        InstanceState::Ready => READY,
+        InstanceState::Draining => DRAINING,
+        InstanceState::Gone => GONE,
     };
     EndpointEntry {
-        id: member.id.as_str().into(),
-        address: member.addr.to_compact_string(),
-        zone: Some(member.zone.as_str().into()),
-        machine_type: member.kind.as_deref().map(CompactString::from),
-        deduplication_group: member.cell,
+        id: instance.id.as_str().into(),
+        address: instance.address.to_compact_string(),
+        zone: Some(instance.zone.as_str().into()),
+        machine_type: instance.machine_type.as_deref().map(CompactString::from),
+        deduplication_group: instance.deduplication_group,
         state: state.into(),
-        weight: Some(member.weight),
-        started_at: change.started,
+        weight: Some(instance.weight),
+        started_at: change.started_at,
     }
 }
 
-/// The member of a cached entry; none if the entry has no address.
-pub fn member_of(entry: &EndpointEntry) -> Option<Member> {
+/// The instance of a cached entry; none if the entry has no address.
+pub fn instance_of(entry: &EndpointEntry) -> Option<ServiceInstance> {
     let is_ready = entry.is_ready();
     let started_at = entry.started_at.filter(|at| *at > 0.0);
-    Some(Member {
+    Some(ServiceInstance {
         id: entry.id.to_string(),
-        addr: entry.address.parse().ok()?,
+        address: entry.address.parse().ok()?,
         health: if is_ready { Health::Passing } else { Health::Maintenance },
         weight: if is_ready { entry.weight.unwrap_or(1.0) } else { 0.0 },
         zone: entry.zone.as_deref().unwrap_or_default().to_string(),
-        kind: entry.machine_type.as_deref().map(str::to_string),
-        cell: entry.deduplication_group,
-        start: started_at.map_or(Start::Unknown, Start::Told),
+        machine_type: entry.machine_type.as_deref().map(str::to_string),
+        deduplication_group: entry.deduplication_group,
+        incarnation: started_at.map_or(Incarnation::Unknown, Incarnation::StartedAt),
     })
 }
--- a/crates/daemon/src/discovery/consul/mod.rs
+++ b/crates/daemon/src/discovery/consul/mod.rs
@@ -1,5 +1,5 @@
 //! Watches services in Consul: a task for each service, which queries the agents in turn, and one task for the
-//! roster's timers. Changes of the roster are sent as updates of the endpoint list.
+//! catalog's timers. Changes of the catalog are sent as updates of the endpoint list.
 mod entry;
 mod publish;
 mod query;
@@ -9,7 +9,7 @@
 use crate::config::limits::Limits;
 use crate::discovery::EndpointUpdateSender;
 use crate::protocol::EndpointEntry;
-use entry::member_of;
+use entry::instance_of;
 use query::{ServiceQueries, read_token};
 use service::ServiceWatch;
 use std::cell::{Cell, RefCell};
@@ -19,12 +19,12 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::spawn_local;
 use troutknot_clock::Clock;
-use troutknot_consul::blocking::Watched;
-use troutknot_consul::health::Member;
-use troutknot_consul::roster::{Roster, WatchNumber};
+use troutknot_consul::catalog::{Catalog, WatchId};
+use troutknot_consul::health::ServiceInstance;
+use troutknot_consul::query::WatchedService;
 
-/// Stands for the cached list in the roster, until all services have answered.
-const CACHED_LIST: WatchNumber = WatchNumber(usize::MAX);
+/// Stands for the cached list in the catalog, until all services have answered.
+const CACHED_LIST: WatchId = WatchId(usize::MAX);
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
@@ -32,11 +32,11 @@
 pub struct ConsulWatcher {
     /// The limits of this node.
     pub limits: Rc<Limits>,
-    /// The clock of the roster.
+    /// The clock of the catalog.
     pub clock: Clock,
     /// Receives the updates.
     pub updates: EndpointUpdateSender,
-    /// Terms of the watches; none once the operator's file no longer has them.
+    /// Configuration of the watches; none once the operator's file no longer has them.
     pub config: watch::Receiver<Option<ConsulConfig>>,
     /// The status that a health check of this node returns.
     pub status: Rc<RefCell<String>>,
@@ -47,9 +47,9 @@
     limits: Rc<Limits>,
     clock: Clock,
     updates: EndpointUpdateSender,
-    roster: RefCell<Roster>,
+    catalog: RefCell<Catalog>,
     status: Rc<RefCell<String>>,
-    /// Notified when the time of the roster's next timer may have changed.
+    /// Notified when the time of the catalog's next timer may have changed.
     timer_changed: Notify,
     /// The watches, in the order of precedence.
     watches: RefCell<Vec<ServiceWatch>>,
@@ -78,19 +78,20 @@
     fn new(watcher: &ConsulWatcher, cached: &[EndpointEntry]) -> Self {
         let config = watcher.config.borrow();
         let max_executors = watcher.limits.executor_bounds.max_retained;
-        let terms = config.as_ref().map(|config| config.roster_terms(max_executors)).unwrap_or_default();
+        let policy = config.as_ref().map(|config| config.catalog_policy(max_executors)).unwrap_or_default();
         // The clock's times are Unix times already.
-        let mut roster = Roster::new(terms, 0.0);
-        let members: Vec<Rc<Member>> = cached.iter().filter_map(member_of).map(Rc::new).collect();
-        roster.answer(watcher.clock.now(), CACHED_LIST, &members);
+        let mut catalog = Catalog::new(policy, 0.0);
+        let instances: Vec<Rc<ServiceInstance>> =
+            cached.iter().filter_map(instance_of).map(Rc::new).collect();
+        catalog.apply_response(watcher.clock.now(), CACHED_LIST, &instances);
         // The driver has these already.
-        let _ = roster.changes(watcher.clock.now());
+        let _ = catalog.changes(watcher.clock.now());
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Shared {
             limits: watcher.limits.clone(),
             clock: watcher.clock,
             updates: watcher.updates.clone(),
-            roster: RefCell::new(roster),
+            catalog: RefCell::new(catalog),
             status: watcher.status.clone(),
             timer_changed: Notify::new(),
             watches: RefCell::default(),
@@ -106,7 +107,7 @@
         let mut previous = self.watches.take();
         if let Some(config) = &config {
             let max_executors = self.limits.executor_bounds.max_retained;
-            self.roster.borrow_mut().set_terms(config.roster_terms(max_executors));
+            self.catalog.borrow_mut().set_policy(config.catalog_policy(max_executors));
             let token = config.token_file.as_deref().and_then(read_token);
             for watched in config.watches() {
                 let index = previous.iter().position(|watch| watch.watched == watched);
@@ -125,14 +126,14 @@
         for watch in previous {
             watch.task.abort();
             tracing::info!(service = %watch.watched.service, "consul service no longer watched");
-            self.roster.borrow_mut().remove(watch.number);
+            self.catalog.borrow_mut().remove_watch(watch.number);
         }
         self.publish().await;
     }
 
     fn start_watch(
         self: &Rc<Self>,
-        watched: Watched,
+        watched: WatchedService,
         queries: ServiceQueries,
         previous: Option<ServiceWatch>,
     ) -> ServiceWatch {
@@ -151,9 +152,9 @@
         }
     }
 
-    fn take_number(&self) -> WatchNumber {
+    fn take_number(&self) -> WatchId {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
-        WatchNumber(number)
+        WatchId(number)
     }
 }
--- a/crates/daemon/src/discovery/consul/publish.rs
+++ b/crates/daemon/src/discovery/consul/publish.rs
@@ -1,4 +1,4 @@
-//! Sends changes of the roster to the driver, reports its status, and runs its timers.
+//! Sends changes of the catalog to the driver, reports its status, and runs its timers.
 use super::entry::entry_of;
 use super::{MILLIS_PER_SECOND, Shared};
 use crate::discovery::EndpointUpdate;
@@ -7,16 +7,16 @@
 use std::time::Duration;
 use tokio::time::sleep;
 use troutknot::Millis;
-use troutknot_consul::roster::Notice;
+use troutknot_consul::catalog::CatalogEvent;
 
 /// How often the status is refreshed, and failing queries are logged, while nothing else happens.
 const STATUS_INTERVAL: Duration = Duration::from_secs(60);
 
 impl Shared {
-    /// Sends the roster's changes to the driver.
+    /// Sends the catalog's changes to the driver.
     pub(super) async fn publish(&self) {
-        let (changes, notices) = self.roster.borrow_mut().changes(self.clock.now());
-        notices.iter().for_each(|notice| self.log_notice(notice));
+        let (changes, events) = self.catalog.borrow_mut().changes(self.clock.now());
+        events.iter().for_each(|event| self.log_event(event));
         tracing::debug!(count = changes.len(), "consul changes sent");
         let has_answer = self.watches.borrow().iter().any(|watch| watch.last_answer_at.get().is_some());
         // An update without changes shows that the list is up to date.
@@ -28,20 +28,20 @@
         self.timer_changed.notify_one();
     }
 
-    fn log_notice(&self, notice: &Notice) {
-        match notice {
-            Notice::PanicBegins { kept: missing, listed: count } => {
+    fn log_event(&self, event: &CatalogEvent) {
+        match event {
+            CatalogEvent::RetentionBegan { retained: missing, listed: count } => {
                 tracing::warn!(missing, count, "too many executors missing in consul, they stay listed");
             }
-            Notice::PanicEnds => tracing::info!("no executor missing in consul stays listed"),
-            Notice::HeldOut { id: executor, penalty, until } => {
+            CatalogEvent::RetentionEnded => tracing::info!("no executor missing in consul stays listed"),
+            CatalogEvent::Suppressed { id: executor, penalty, until } => {
                 let duration_ms = (until - self.clock.now()).round();
                 tracing::info!(%executor, penalty, duration_ms, "executor suppressed by flap damping");
             }
-            Notice::LetIn { id: executor } => {
+            CatalogEvent::Reused { id: executor } => {
                 tracing::info!(%executor, "executor no longer suppressed by flap damping");
             }
-            Notice::LeftOut { count } => {
+            CatalogEvent::Dropped { count } => {
                 tracing::warn!(count, "too many executors in consul, some are not retained");
             }
         }
@@ -50,8 +50,8 @@
     /// Updates the status that a health check of this node returns.
     pub(super) fn refresh_status(&self) {
         let now = self.clock.now();
-        let (watches, roster) = (self.watches.borrow(), self.roster.borrow());
-        let (listed, missing) = (roster.listed(), roster.kept());
+        let (watches, catalog) = (self.watches.borrow(), self.catalog.borrow());
+        let (listed, missing) = (catalog.listed(), catalog.retained());
         let mut status = format!("list from consul: {listed} listed, {missing} kept though missing\n");
         for watch in watches.iter() {
             let state = if watch.is_failing.get() { "failing" } else { "followed" };
@@ -64,10 +64,10 @@
         *self.status.borrow_mut() = status;
     }
 
-    /// Waits for the roster's timers, and for changes of the time of the next one.
+    /// Waits for the catalog's timers, and for changes of the time of the next one.
     pub(super) async fn run_timers(self: Rc<Self>) {
         loop {
-            let due_at = self.roster.borrow().next_at();
+            let due_at = self.catalog.borrow().next_timer();
             let wait = due_at.map_or(STATUS_INTERVAL, |at| self.time_until(at));
             tokio::select! {
                 () = sleep(wait) => self.handle_timer(due_at).await,
--- a/crates/daemon/src/discovery/consul/query.rs
+++ b/crates/daemon/src/discovery/consul/query.rs
@@ -12,8 +12,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use troutknot::Millis;
-use troutknot_consul::blocking::{Blocking, Head, Refused, Watched};
-use troutknot_consul::health::{Bounds, Member, Reader, Unusable};
+use troutknot_consul::health::{HealthDecoder, HealthError, ResponseBounds, ServiceInstance};
+use troutknot_consul::query::{BlockingQuery, ResponseHeaders, ResponseRefused, WatchedService};
 
 /// Wait before the query to the next agent, unless all agents have failed.
 const FAILOVER_WAIT: Millis = 50.0;
@@ -37,10 +37,10 @@
     Connection(ReceiveError),
     /// The head of the answer shows that it must not be used.
     #[error(transparent)]
-    Refused(#[from] Refused),
+    Refused(#[from] ResponseRefused),
     /// The body is no list of healthy instances.
     #[error(transparent)]
-    Unusable(#[from] Unusable),
+    Unusable(#[from] HealthError),
 }
 
 /// The answer to a query.
@@ -48,7 +48,7 @@
     /// How long to wait before the next query.
     pub next_query_after: Millis,
     /// The instances of the service.
-    pub members: Vec<Rc<Member>>,
+    pub instances: Vec<Rc<ServiceInstance>>,
 }
 
 /// An ACL token.
@@ -57,8 +57,8 @@
 
 /// The queries of one service, to one agent until that fails.
 pub struct ServiceQueries {
-    blocking: Blocking,
-    reader: Reader,
+    query_state: BlockingQuery,
+    decoder: HealthDecoder,
     agents: Vec<SocketAddr>,
     agent_index: usize,
     token: Option<AclToken>,
@@ -66,10 +66,10 @@
 
 impl ServiceQueries {
     /// Queries that begin at the first agent.
-    pub fn new(config: &ConsulConfig, watched: Watched, token: Option<AclToken>) -> Self {
+    pub fn new(config: &ConsulConfig, watched: WatchedService, token: Option<AclToken>) -> Self {
         let agents = config.agents.clone();
-        let blocking = Blocking::new(watched, config.query_timing(), agents.len() as u32);
-        ServiceQueries { blocking, reader: Reader::default(), agents, agent_index: 0, token }
+        let query_state = BlockingQuery::new(watched, config.query_timing(), agents.len() as u32);
+        ServiceQueries { query_state, decoder: HealthDecoder::default(), agents, agent_index: 0, token }
     }
 
     /// The address of the agent that is queried next.
@@ -82,24 +82,24 @@
     /// # Errors
     /// If there is no answer in time, or it must not be used.
     pub async fn query(&mut self, limits: &Limits) -> Result<Answer, QueryError> {
-        let query_timeout = Duration::from_secs_f64(self.blocking.deadline() / 1000.0);
+        let query_timeout = Duration::from_secs_f64(self.query_state.timeout() / 1000.0);
         let exchanged = timeout(query_timeout, self.exchange(limits)).await;
         let (head, body) = exchanged.map_err(|_| QueryError::Timeout)??;
         let field = |name: &str| head.headers.single(name).ok().flatten();
-        let consul_head = Head {
+        let headers = ResponseHeaders {
             status: head.status,
             index: field("x-consul-index"),
             known_leader: field("x-consul-knownleader"),
             last_contact: field("x-consul-lastcontact"),
         };
-        self.blocking.check(&consul_head)?;
-        let bounds = Bounds {
-            body: limits.discovery.max_consul_answer_bytes,
-            entries: limits.executor_bounds.max_retained,
-            ..Bounds::default()
+        self.query_state.check_response(&headers)?;
+        let bounds = ResponseBounds {
+            max_body_bytes: limits.discovery.max_consul_answer_bytes,
+            max_entries: limits.executor_bounds.max_retained,
+            ..ResponseBounds::default()
         };
-        let members = self.reader.read(&body, &bounds)?;
-        Ok(Answer { next_query_after: self.blocking.answered(&consul_head), members })
+        let instances = self.decoder.decode(&body, &bounds)?;
+        Ok(Answer { next_query_after: self.query_state.record_response(&headers), instances })
     }
 
     async fn exchange(&self, limits: &Limits) -> Result<(ResponseHead, BytesMut), QueryError> {
@@ -119,7 +119,7 @@
     }
 
     fn request(&self, address: SocketAddr) -> String {
-        let target = self.blocking.target();
+        let target = self.query_state.target();
         let token = match &self.token {
             Some(AclToken(token)) => format!("X-Consul-Token: {token}\r\n"),
             None => String::new(),
@@ -131,9 +131,10 @@
     /// once all agents have failed; `jitter` is a random number from 0 to 1.
     pub fn fail_over(&mut self, jitter: f64) -> Millis {
         self.agent_index += 1;
-        self.blocking.moved();
-        let backoff = self.blocking.failed(jitter);
-        let have_all_failed = self.blocking.failures().is_multiple_of(self.agents.len() as u32);
+        self.query_state.reset_index();
+        let backoff = self.query_state.record_failure(jitter);
+        let have_all_failed =
+            self.query_state.consecutive_failures().is_multiple_of(self.agents.len() as u32);
         if have_all_failed { backoff } else { backoff.min(FAILOVER_WAIT) }
     }
 }
--- a/crates/daemon/src/discovery/consul/service.rs
+++ b/crates/daemon/src/discovery/consul/service.rs
@@ -8,16 +8,16 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 use troutknot::Millis;
-use troutknot_consul::blocking::Watched;
-use troutknot_consul::health::Member;
-use troutknot_consul::roster::WatchNumber;
+use troutknot_consul::catalog::WatchId;
+use troutknot_consul::health::ServiceInstance;
+use troutknot_consul::query::WatchedService;
 
 /// The watch of one service.
 pub(super) struct ServiceWatch {
     /// The service and the terms of its queries.
-    pub watched: Watched,
-    /// Identifies the watch in the roster.
-    pub number: WatchNumber,
+    pub watched: WatchedService,
+    /// Identifies the watch in the catalog.
+    pub number: WatchId,
     /// Runs the queries.
     pub task: JoinHandle<()>,
     /// The time of the last usable answer.
@@ -28,12 +28,12 @@
 
 impl Shared {
     /// Queries a service until the task is aborted.
-    pub(super) async fn run_queries(self: Rc<Self>, mut queries: ServiceQueries, number: WatchNumber) {
+    pub(super) async fn run_queries(self: Rc<Self>, mut queries: ServiceQueries, number: WatchId) {
         loop {
             let address = queries.agent();
             let wait = match queries.query(&self.limits).await {
                 Ok(answer) => {
-                    self.apply_answer(number, &answer.members).await;
+                    self.apply_answer(number, &answer.instances).await;
                     answer.next_query_after
                 }
                 Err(error) => {
@@ -56,31 +56,31 @@
         (state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    async fn apply_answer(&self, number: WatchNumber, members: &[Rc<Member>]) {
+    async fn apply_answer(&self, number: WatchId, instances: &[Rc<ServiceInstance>]) {
         let now = self.clock.now();
         for watch in self.watches.borrow().iter().filter(|watch| watch.number == number) {
             if watch.is_failing.replace(false) {
                 let service = &watch.watched.service;
                 let elapsed_ms = watch.last_answer_at.get().map(|at| (now - at).round());
-                tracing::info!(%service, elapsed_ms, count = members.len(), "consul query recovered");
+                tracing::info!(%service, elapsed_ms, count = instances.len(), "consul query recovered");
             }
             watch.last_answer_at.set(Some(now));
         }
-        self.roster.borrow_mut().answer(now, number, members);
+        self.catalog.borrow_mut().apply_response(now, number, instances);
         if self.have_all_answered() && self.has_cached_list.replace(false) {
-            self.roster.borrow_mut().answer(now, CACHED_LIST, &[]);
+            self.catalog.borrow_mut().apply_response(now, CACHED_LIST, &[]);
         }
         self.publish().await;
     }
 
     fn have_all_answered(&self) -> bool {
-        let roster = self.roster.borrow();
-        self.watches.borrow().iter().all(|watch| roster.has_answered(watch.number))
+        let catalog = self.catalog.borrow();
+        self.watches.borrow().iter().all(|watch| catalog.has_answered(watch.number))
     }
 
-    fn record_failure(&self, number: WatchNumber, address: SocketAddr, error: &QueryError) {
+    fn record_failure(&self, number: WatchId, address: SocketAddr, error: &QueryError) {
         let now = self.clock.now();
-        let count = self.roster.borrow().listed();
+        let count = self.catalog.borrow().listed();
         for watch in self.watches.borrow().iter().filter(|watch| watch.number == number) {
             let service = &watch.watched.service;
             if watch.is_failing.replace(true) {
--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -153,7 +153,7 @@
     let wrongs = [
         (Wrong::Silent, "no answer in time"),
         (Wrong::Status500, "status 500"),
-        (Wrong::NoLeader, "it has no leader"),
+        (Wrong::NoLeader, "the cluster has no leader"),
         (Wrong::HalfBody, "connection failed: "),
         (Wrong::Garbage, "no JSON of the health API"),
     ];
@@ -210,7 +210,7 @@
     wait_until_used(&node, "the first agent says so", &all, &[false, true]);
     // The first one fails, the second shows the cluster as it was.
     standins.script(0, Wrong::Status500);
-    node.logged("is behind one at");
+    node.logged("is behind index");
     assert_eq!(used(&node, 30, &all), [0, 30], "an older view brings nothing back");
     until("the third is asked", || {
         standins.with(|_, agents| agents[2].asked().iter().any(|a| a.ends_with("&stale")))
