--- a/crates/daemon/src/http1/head.rs
+++ b/crates/daemon/src/http1/head.rs
@@ -50,8 +50,11 @@
 /// The head of a request.
 #[derive(Debug)]
 pub struct RequestHead {
+    /// The method; case-sensitive.
     pub method: String,
+    /// The request target as it was sent.
     pub target: String,
+    /// The header fields.
     pub headers: Headers,
     /// Decodes the body that follows.
     pub body: BodyDecoder,
@@ -64,7 +67,9 @@
 /// The head of a response.
 #[derive(Debug)]
 pub struct ResponseHead {
+    /// The status code.
     pub status: u16,
+    /// The header fields.
     pub headers: Headers,
     /// Decodes the body that follows.
     pub body: BodyDecoder,
--- a/crates/daemon/src/protocol/attempt_events.rs
+++ b/crates/daemon/src/protocol/attempt_events.rs
@@ -10,23 +10,29 @@
 /// One event of an attempt.
 #[derive(Debug, PartialEq)]
 pub enum AttemptEvent {
+    /// The executor has started the request.
     Started,
     /// The completed share, from 0 to 1.
     Progress(f64),
+    /// The request completed with this result.
     Result(Bytes),
+    /// The attempt ended without a result.
     Ended(Outcome),
 }
 
 /// Why a line is not an event of the attempt.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
+    /// The line is not a JSON object of an event.
     #[error("invalid event: {0}")]
     Json(#[from] serde_json::Error),
     /// A late response to an earlier attempt on a reused connection; a line without an id may be one, too.
     #[error("the event names another request or none")]
     OtherRequest,
+    /// A request completed without a result.
     #[error("the event `done` has no result")]
     MissingResult,
+    /// A state that this version does not know.
     #[error("unknown state `{0}`")]
     UnknownState(String),
 }
@@ -97,7 +103,9 @@
 pub enum AttemptFate {
     /// It has not run, and the executor will refuse it.
     NeverRan,
+    /// It is running.
     Running,
+    /// It completed with this result.
     Completed(Bytes),
     /// It may have run.
     Unknown,
--- a/crates/daemon/src/protocol/dispatch.rs
+++ b/crates/daemon/src/protocol/dispatch.rs
@@ -18,6 +18,7 @@
 /// What an executor receives of a recorded attempt's lease.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LeaseFields {
+    /// Orders the attempts of one request.
     pub fence: Fence,
     /// How long the executor may send no event; none if the lease does not expire.
     pub duration: Option<Millis>,
--- a/crates/daemon/src/protocol/endpoint_list.rs
+++ b/crates/daemon/src/protocol/endpoint_list.rs
@@ -10,10 +10,12 @@
 /// A version of the endpoint list.
 #[derive(Deserialize, Clone, Debug)]
 pub struct EndpointList {
+    /// Grows with each change.
     pub version: u64,
     /// Whether this is a complete list rather than the changes since the version before.
     #[serde(default, rename = "full")]
     pub is_snapshot: bool,
+    /// The executors, or those of them that changed.
     #[serde(rename = "servers")]
     pub entries: Vec<EndpointEntry>,
     /// Entries that were dropped as the list exceeds a bound.
@@ -31,12 +33,17 @@
     /// Address and port; may be empty if the executor is gone.
     #[serde(default, rename = "addr")]
     pub address: CompactString,
+    /// Name of its zone.
     pub zone: Option<CompactString>,
+    /// Name of its type of machine.
     #[serde(rename = "kind")]
     pub machine_type: Option<CompactString>,
+    /// Executors of one group recognize repeated idempotency keys of each other.
     #[serde(rename = "cell")]
     pub deduplication_group: Option<u32>,
+    /// One of [`endpoint_state`]; other states count as draining.
     pub state: CompactString,
+    /// Share of the requests relative to other executors; 1 if missing.
     pub weight: Option<f64>,
     /// When the executor started, in milliseconds since the Unix epoch.
     #[serde(rename = "started_ms")]
--- a/crates/daemon/src/protocol/request.rs
+++ b/crates/daemon/src/protocol/request.rs
@@ -10,8 +10,9 @@
 const MAX_REQUEST_ID_BYTES: usize = 64;
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
-/// Upper bounds of numbers that a client states; both are exclusive.
+/// Exclusive upper bound of a request's timeout.
 const MAX_TIMEOUT_SECS: f64 = 1e6;
+/// Exclusive upper bound of the amount of a resource.
 const MAX_RESOURCE: f64 = 1e6;
 
 /// Tenant of a request that names none.
@@ -20,28 +21,40 @@
 /// Why a request of a client is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
+    /// A field that may occur once is repeated, or is not text.
     #[error("field `{0}` is repeated or not UTF-8")]
     InvalidField(&'static str),
+    /// The target is not an absolute path, or has other characters.
     #[error("the target must be an absolute path of printable ASCII")]
     InvalidTarget,
+    /// The first segment of the path is not a class.
     #[error("the path names no request class in force")]
     UnknownPath,
+    /// The field for the class contradicts the path.
     #[error("field `Request-Class` and the path name different classes")]
     ClassMismatch,
+    /// Any method but POST.
     #[error("requests are submitted by POST")]
     MethodNotAllowed,
+    /// The id is missing, too long or not printable.
     #[error("field `Request-Id` must have 1 to 64 printable ASCII characters")]
     InvalidRequestId,
+    /// The tenant is not one of the settings.
     #[error("field `Tenant` names no tenant in force")]
     UnknownTenant,
+    /// The timeout is not a number, or out of range.
     #[error("field `Request-Timeout` must be a decimal number of seconds above 0 and under 1000000")]
     InvalidTimeout,
+    /// The number of slots is not a number, or out of range.
     #[error("`slots` of `Request-Info` must be from 0 to under 1000000")]
     InvalidSlots,
+    /// The memory is not a number, or out of range.
     #[error("`memory` of `Request-Info` must be from 0 to under 1000000")]
     InvalidMemory,
+    /// The key's field is repeated, or is not text.
     #[error("the idempotency key is repeated or not UTF-8")]
     UnreadableIdempotencyKey,
+    /// The key is empty, too long or not printable.
     #[error("the idempotency key must have 1 to 255 printable ASCII characters")]
     InvalidIdempotencyKey,
 }
@@ -65,7 +78,7 @@
     pub timeout: Duration,
 }
 
-/// Resources that a request needs.
+/// Resources that a request needs, in the units of the load reports.
 struct Resources {
     slots: f64,
     memory: f64,
--- a/crates/daemon/src/protocol/response.rs
+++ b/crates/daemon/src/protocol/response.rs
@@ -8,8 +8,11 @@
 
 /// The parts of a response that follow from the request's outcome.
 pub struct ResponseParts {
+    /// The status code.
     pub status: u16,
+    /// Fields other than those of the framing.
     pub fields: Vec<Field>,
+    /// The result, or empty.
     pub body: Bytes,
 }
 
