--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -154,7 +154,7 @@
     let wrongs = [
         (Fault::Silent, "no answer in time"),
         (Fault::Status500, "status 500"),
-        (Fault::NoLeader, "it has no leader"),
+        (Fault::NoLeader, "the cluster has no leader"),
         (Fault::HalfBody, "connection failed: "),
         (Fault::Garbage, "no JSON of the health API"),
     ];
@@ -211,7 +211,7 @@
     wait_until_used(&node, "the first agent says so", &all, &[false, true]);
     // The first one fails, the second shows the cluster as it was.
     standins.script(0, Fault::Status500);
-    node.logged("is behind one at");
+    node.logged("is behind index");
     assert_eq!(used(&node, 30, &all), [0, 30], "an older view brings nothing back");
     until("the third is asked", || {
         standins.with(|_, agents| agents[2].take_requests().iter().any(|a| a.ends_with("&stale")))
