--- a/crates/daemon/src/http1/body.rs
+++ b/crates/daemon/src/http1/body.rs
@@ -1,6 +1,6 @@
 //! Framing of message bodies (RFC 9112, section 6.3).
 use super::error::MessageError;
-use super::head::Headers;
+use super::headers::Headers;
 use crate::ring_buffer::RingBuffer;
 use bytes::BytesMut;
 
--- a/crates/daemon/src/http1/mod.rs
+++ b/crates/daemon/src/http1/mod.rs
@@ -4,6 +4,7 @@
 mod connection;
 mod error;
 mod head;
+mod headers;
 mod write;
 
 pub use body::BodyDecoder;
--- a/crates/daemon/src/node/builder.rs
+++ b/crates/daemon/src/node/builder.rs
@@ -2,6 +2,7 @@
 use super::Node;
 use super::discovery::{self, CachedList, DiscoveryControls};
 use super::ledger::LedgerOpener;
+use super::shared::Shared;
 use super::startup::{Configuration, Listeners};
 use crate::admin::AdminServer;
 use crate::config::limits::Limits;
@@ -10,16 +11,14 @@
 use crate::downstream::{DownstreamContext, DownstreamServer, ListenerOrigin};
 use crate::driver::{Driver, DriverConfig};
 use crate::error::NodeError;
-use crate::event::{NodeEvent, WatchRequests};
+use crate::event::NodeEvent;
 use crate::gossip::GossipSocket;
 use crate::hot_restart::codec::{Bounds, Inherited};
 use crate::hot_restart::link::Link;
-use crate::hot_restart::sibling::SiblingProcess;
-use crate::lifecycle::{Drain, Lifecycle};
-use crate::protocol::{Codec, Current, EndpointList};
+use crate::lifecycle::Drain;
+use crate::protocol::EndpointList;
 use crate::retention::EndpointRetention;
 use crate::takeover::{self, Handover, Takeover};
-use crate::tasks::TaskGroup;
 use crate::upstream::ExecutorPool;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -30,7 +29,6 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use troutknot::{Dispatcher, ListUpdate};
-use troutknot_clock::Clock;
 
 /// The takeover from an old process, as far as it has come before the node is built.
 #[derive(Default)]
@@ -65,51 +63,6 @@
     }
 }
 
-/// Values that the parts of a node share.
-#[derive(Clone)]
-pub struct Shared {
-    /// Limits on memory, connections and times.
-    pub limits: Rc<Limits>,
-    /// Encodes and decodes messages according to the present settings.
-    pub codec: Rc<Current<Codec>>,
-    /// The clock of the dispatcher.
-    pub clock: Clock,
-    /// Reaches the driver.
-    pub events: mpsc::Sender<NodeEvent>,
-    /// The lifecycle of the node.
-    pub lifecycle: Rc<Lifecycle>,
-    /// The other process of this node, if one runs.
-    pub sibling: Rc<SiblingProcess>,
-    /// Requests of the driver to the watch of the endpoint list.
-    pub watch_requests: Rc<WatchRequests>,
-    /// State of the discovery sources, as the readiness response shows it.
-    pub discovery_status: Rc<RefCell<String>>,
-    /// Owns the tasks of the node.
-    pub tasks: TaskGroup,
-}
-
-impl Shared {
-    /// The shared values of a node that starts.
-    pub fn new(
-        limits: Rc<Limits>,
-        codec: Rc<Current<Codec>>,
-        clock: Clock,
-        events: mpsc::Sender<NodeEvent>,
-    ) -> Self {
-        Shared {
-            limits,
-            codec,
-            clock,
-            events,
-            lifecycle: Rc::new(Lifecycle::new()),
-            sibling: Rc::default(),
-            watch_requests: Rc::default(),
-            discovery_status: Rc::default(),
-            tasks: TaskGroup::default(),
-        }
-    }
-}
-
 /// A node whose parts are being connected.
 pub struct NodeBuilder {
     configuration: Configuration,
--- a/crates/daemon/src/node/discovery.rs
+++ b/crates/daemon/src/node/discovery.rs
@@ -1,5 +1,5 @@
 //! Starts the sources of the endpoint list that the operator's file names.
-use super::builder::Shared;
+use super::shared::Shared;
 use super::startup::Configuration;
 use crate::config::consul::ConsulConfig;
 use crate::config::operator::DiscoverySource;
--- a/crates/daemon/src/node/ledger.rs
+++ b/crates/daemon/src/node/ledger.rs
@@ -1,5 +1,5 @@
 //! Opens the ledger of durable requests, which only one process at a time can have open.
-use super::builder::Shared;
+use super::shared::Shared;
 use crate::config::durable::DurableConfig;
 use crate::downstream::DownstreamServer;
 use crate::durable::{Durable, DurableConnections, DurableError};
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -3,6 +3,7 @@
 pub mod check;
 mod discovery;
 mod ledger;
+mod shared;
 mod startup;
 
 use crate::config::node::NodeConfig;
@@ -11,7 +12,8 @@
 use crate::hot_restart::inherited_socket;
 use crate::lifecycle::Lifecycle;
 use crate::shutdown::GracefulShutdown;
-use builder::{HotRestart, NodeBuilder, Shared};
+use builder::{HotRestart, NodeBuilder};
+use shared::Shared;
 use startup::{Configuration, Listeners, Signals, open_gossip_socket};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
--- a/crates/scale/src/bounds.rs
+++ b/crates/scale/src/bounds.rs
@@ -1,6 +1,6 @@
 //! The bounds that a run is held to.
 use crate::file::ScaleFile;
-use crate::row::Measurement;
+use crate::measurement::Measurement;
 use serde::{Deserialize, Serialize};
 
 /// The most that is allowed of each measurement that has a bound, in the measurement's own unit. The first row of
--- a/crates/scale/src/campaign.rs
+++ b/crates/scale/src/campaign.rs
@@ -11,10 +11,11 @@
 
 use crate::bounds::Bounds;
 use crate::executor_counts::Report;
+use crate::executor_terms::ExecutorTerms;
 use crate::executor_worker::WorkerProgram;
 use crate::file::ScaleFile;
 use crate::fleet::Fleet;
-use crate::hollow_executors::{ExecutorTerms, HollowExecutors, Placement};
+use crate::hollow_executors::{HollowExecutors, Placement};
 use crate::node_process::{NodeProgram, Usage};
 use crate::real_node::{RealNode, Surroundings};
 use crate::row::{Breach, Figure, Measurement, NodeKind, Point, Row, Start};
--- a/crates/scale/src/executor_orders.rs
+++ b/crates/scale/src/executor_orders.rs
@@ -1,6 +1,6 @@
 //! What a shard of hollow executors is asked, and its answers. Between processes they are JSON lines.
 use crate::executor_counts::Report;
-use crate::hollow_executors::ExecutorTerms;
+use crate::executor_terms::ExecutorTerms;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::ops::Range;
--- a/crates/scale/src/executor_shard.rs
+++ b/crates/scale/src/executor_shard.rs
@@ -2,7 +2,7 @@
 use crate::departures::Departures;
 use crate::executor_counts::{Event, ExecutorBreach, ExecutorCounts, Sender};
 use crate::executor_orders::{Order, Ordered, Reply};
-use crate::hollow_executors::{AT_MOST_ONCE, ExecutorTerms, REAL_NODES_ADDRESS, result_of};
+use crate::executor_terms::{AT_MOST_ONCE, ExecutorTerms, REAL_NODES_ADDRESS, result_of};
 use crate::request_id::RequestId;
 use crate::wire::{self, Connection, Message};
 use rand::{RngExt, SeedableRng};
--- /dev/null
+++ b/crates/scale/src/measurement.rs
@@ -0,0 +1,154 @@
+//! What a run measures, and the units of it.
+use serde::{Deserialize, Serialize};
+use std::fmt;
+
+/// What is measured. Each has one unit, and [`crate::bounds::Bounds::of`] says whether it has a bound.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Measurement {
+    /// Rule 1: requests without exactly one answer before their deadline.
+    LateOrMissingAnswers,
+    /// Rule 2: requests that had an effect twice.
+    RepeatedEffects,
+    /// Rule 3: pushes to an executor past the grace after the node was told that it drains or is gone.
+    SentAfterGrace,
+    /// Rule 4: cold executors that were sent more than they can take.
+    PushedOver,
+    /// From a change of the list to the node's having been told, the 99th percentile.
+    Told,
+    /// From a node's start to its first answer on `/_health` with 200, nine in ten.
+    ReadyAgain,
+    /// Of one core.
+    CpuShare,
+    /// The most that was resident.
+    Memory,
+    /// That discovery sent to one node in a second.
+    ListBytes,
+    /// Open sockets of one node, at most.
+    OpenSockets,
+    /// Requests that clients sent; the rules were judged by these.
+    Requests,
+    Completed,
+    LatencyMedian,
+    LatencyP99,
+    /// Sent in a second by one node.
+    Probes,
+    Pushes,
+    /// List lines that one node was told in a second.
+    ListUpdates,
+    /// Hollow nodes that are driven in this way (see [`NodeKind`]).
+    Drivers,
+    /// Requests that were answered more than once.
+    DoubledAnswers,
+    /// Resident memory that each listed executor adds.
+    MemoryPerExecutor,
+    /// Processor time that a node needs for a whole list, for one changed entry, for a burst out and back.
+    CpuOfWholeList,
+    CpuOfChange,
+    CpuOfBurst,
+    /// Beside the idle node's, for each request.
+    CpuPerRequest,
+    ConnectionsPerRequest,
+    ProbesPerRequest,
+    /// That all real nodes together sent to executors in a second.
+    ExecutorBytes,
+    /// Of one change of the configuration: processor time, growth of the peak memory, and the time from the signal
+    /// to the first request that was taken by the new settings.
+    ConfigCpu,
+    ConfigMemory,
+    ConfigDelay,
+    /// Executors that a node reports it left out of its registry.
+    LeftOut,
+    /// Distinct executors that were sent something.
+    ReachedExecutors,
+}
+
+/// The unit of a value.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Unit {
+    Count,
+    Milliseconds,
+    /// A share of one core.
+    Cores,
+    Bytes,
+    BytesPerSecond,
+    PerSecond,
+}
+
+/// Writes the name that a value has in JSON.
+pub(crate) fn write_name(value: &impl Serialize, f: &mut fmt::Formatter) -> fmt::Result {
+    let json = serde_json::to_value(value).map_err(|_| fmt::Error)?;
+    f.pad(json.as_str().unwrap_or(""))
+}
+
+impl fmt::Display for Measurement {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write_name(self, f)
+    }
+}
+
+impl Measurement {
+    pub const ALL: [Measurement; 32] = [
+        Measurement::LateOrMissingAnswers,
+        Measurement::RepeatedEffects,
+        Measurement::SentAfterGrace,
+        Measurement::PushedOver,
+        Measurement::Told,
+        Measurement::ReadyAgain,
+        Measurement::CpuShare,
+        Measurement::Memory,
+        Measurement::ListBytes,
+        Measurement::OpenSockets,
+        Measurement::Requests,
+        Measurement::Completed,
+        Measurement::LatencyMedian,
+        Measurement::LatencyP99,
+        Measurement::Probes,
+        Measurement::Pushes,
+        Measurement::ListUpdates,
+        Measurement::Drivers,
+        Measurement::DoubledAnswers,
+        Measurement::MemoryPerExecutor,
+        Measurement::CpuOfWholeList,
+        Measurement::CpuOfChange,
+        Measurement::CpuOfBurst,
+        Measurement::CpuPerRequest,
+        Measurement::ConnectionsPerRequest,
+        Measurement::ProbesPerRequest,
+        Measurement::ExecutorBytes,
+        Measurement::ConfigCpu,
+        Measurement::ConfigMemory,
+        Measurement::ConfigDelay,
+        Measurement::LeftOut,
+        Measurement::ReachedExecutors,
+    ];
+
+    pub fn unit(self) -> Unit {
+        use Measurement::*;
+        match self {
+            LateOrMissingAnswers | RepeatedEffects | SentAfterGrace | PushedOver => Unit::Count,
+            OpenSockets | Requests | Completed | Drivers => Unit::Count,
+            DoubledAnswers | ConnectionsPerRequest | ProbesPerRequest => Unit::Count,
+            LeftOut | ReachedExecutors => Unit::Count,
+            Told | ReadyAgain | LatencyMedian | LatencyP99 => Unit::Milliseconds,
+            CpuOfWholeList | CpuOfChange | CpuOfBurst => Unit::Milliseconds,
+            CpuPerRequest | ConfigCpu | ConfigDelay => Unit::Milliseconds,
+            CpuShare => Unit::Cores,
+            Memory | MemoryPerExecutor | ConfigMemory => Unit::Bytes,
+            ListBytes | ExecutorBytes => Unit::BytesPerSecond,
+            Probes | Pushes | ListUpdates => Unit::PerSecond,
+        }
+    }
+
+    /// The rule whose breaches it counts.
+    pub fn rule(self) -> Option<u8> {
+        match self {
+            Measurement::LateOrMissingAnswers | Measurement::DoubledAnswers => Some(1),
+            Measurement::RepeatedEffects => Some(2),
+            Measurement::SentAfterGrace => Some(3),
+            Measurement::PushedOver => Some(4),
+            _ => None,
+        }
+    }
+}
--- a/crates/scale/src/node_config.rs
+++ b/crates/scale/src/node_config.rs
@@ -1,8 +1,8 @@
 //! What a real node is told at its start: its `ROUTER_CONFIG` file.
 use crate::catalog::{MACHINE_TYPE, zone_name};
 use crate::clients::tenant_name;
+use crate::executor_terms::{AT_MOST_ONCE, IDEMPOTENT};
 use crate::file::ScaleFile;
-use crate::hollow_executors::{AT_MOST_ONCE, IDEMPOTENT};
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/scale/tests/discovery.rs
+++ b/crates/scale/tests/discovery.rs
@@ -8,7 +8,8 @@
 use tokio::time::timeout;
 use troutknot_scale::catalog::{Catalog, Member, State};
 use troutknot_scale::discovery::{Agent, Discovery};
-use troutknot_scale::hollow_executors::{ExecutorTerms, HollowExecutors, Placement};
+use troutknot_scale::executor_terms::ExecutorTerms;
+use troutknot_scale::hollow_executors::{HollowExecutors, Placement};
 
 const LONG: Duration = Duration::from_secs(20);
 
--- a/crates/scale/tests/executor_worker.rs
+++ b/crates/scale/tests/executor_worker.rs
@@ -3,8 +3,8 @@
 use std::thread;
 use std::time::Duration;
 use troutknot_scale::executor_orders::{Order, Reply};
+use troutknot_scale::executor_terms::ExecutorTerms;
 use troutknot_scale::executor_worker::serve;
-use troutknot_scale::hollow_executors::ExecutorTerms;
 
 fn terms() -> ExecutorTerms {
     ExecutorTerms {
--- a/crates/scale/tests/hollow_executors.rs
+++ b/crates/scale/tests/hollow_executors.rs
@@ -5,9 +5,8 @@
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
 use troutknot_scale::executor_counts::{ExecutorBreach, Traffic};
-use troutknot_scale::hollow_executors::{
-    AT_MOST_ONCE, ExecutorTerms, HollowExecutors, IDEMPOTENT, Placement, result_of,
-};
+use troutknot_scale::executor_terms::{AT_MOST_ONCE, ExecutorTerms, IDEMPOTENT, result_of};
+use troutknot_scale::hollow_executors::{HollowExecutors, Placement};
 use troutknot_scale::request_id::RequestId;
 use troutknot_scale::wire::{Connection, Message};
 
