--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -32,8 +32,8 @@
 /// Maximum number of events that are handled before the actions that follow from them.
 const MAX_BATCH_EVENTS: usize = 64;
 
-/// How often the other tasks run before the driver goes on after a stall: once to read what has arrived, and once
-/// more for each hop until it reaches the driver.
+/// Times that the driver yields to the other tasks after a stall: once for them to read what has arrived, and once for
+/// each hop of it to the driver.
 const YIELDS_AFTER_STALL: usize = 4;
 
 /// The name that the log shows for an executor that was released.
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -70,7 +70,8 @@
         (self.durable.now() - self.recorded_at).max(0.0)
     }
 
-    /// Extends the lease after a sign of life; `has_started` if it says that the request is running.
+    /// Extends the lease after a message of the executor; `has_started` if the message says that the request is
+    /// running.
     pub fn record_heartbeat(&self, has_started: bool) {
         let (request_id, attempt_id, now) = (self.request_id, self.attempt_id, Instant::now());
         if has_started && !self.has_started.replace(true) {
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -1,8 +1,9 @@
-//! Durable requests: accepted, dispatched and answered on record, so that a node that was killed goes on with them
-//! after its restart. Runs only if the operator's file has a section `[durable]`.
+//! Durable requests: accepted, dispatched and answered on record, so that a node that was killed resumes them after
+//! its restart. Runs only if the operator's file has a section `[durable]`.
 //!
-//! [`Durable`] owns the ledger. `jobs` accepts requests and records their answers, `recovery` takes up those that
-//! were open at the last end, `lease` follows one attempt, and `waiters` are the clients that wait for an answer.
+//! [`Durable`] owns the ledger. `jobs` accepts requests and records their answers, `recovery` resumes those that
+//! were open when the last process ended, `lease` tracks one attempt, and `waiters` are the clients that wait for an
+//! answer.
 mod jobs;
 mod lease;
 mod payload;
@@ -91,7 +92,7 @@
     unrecovered: RefCell<Vec<RequestId>>,
     /// Number of requests that are still to be recovered.
     unrecovered_count: Cell<usize>,
-    /// Whether the log says that no requests are accepted.
+    /// Whether the last logged state is that no requests are accepted.
     is_logged_unavailable: Cell<bool>,
 }
 
@@ -132,7 +133,7 @@
         }))
     }
 
-    /// Unix time in milliseconds that never goes back, also not over a restart.
+    /// Unix time in milliseconds, monotonic also across restarts.
     fn now(&self) -> Millis {
         self.clock.now() + self.clock_offset
     }
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -9,7 +9,7 @@
 /// A snapshot of the endpoint list, or changes to it, as a discovery source reports it.
 #[derive(Debug)]
 pub struct EndpointUpdate {
-    /// Whether the entries are a complete list or changes, and where they come from.
+    /// Whether the entries are a complete list or changes, and their origin.
     pub kind: ListUpdate,
     /// The endpoints that are listed or that changed.
     pub entries: Vec<EndpointEntry>,
--- a/crates/daemon/src/hot_restart/codec.rs
+++ b/crates/daemon/src/hot_restart/codec.rs
@@ -170,7 +170,7 @@
     /// Number of outcomes that the failure score rests on, decaying.
     #[serde(rename = "judged")]
     pub observations: Score,
-    /// The most slots that it was seen to have.
+    /// The largest number of slots that it has reported.
     #[serde(rename = "slots")]
     pub max_slots: f64,
     /// Dispatches that used its warm-up budget.
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -11,7 +11,7 @@
 /// Starts the log on standard output, at the level that `TROUTKNOT_LOG` names. To be called once a process.
 ///
 /// Lines are written by a thread of their own. If nothing reads the output, lines are dropped and the node is not
-/// held up.
+/// blocked.
 pub fn log_to_stdout() -> LogGuard {
     let level = match std::env::var(LEVEL_VARIABLE).as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
--- a/crates/daemon/src/node/startup.rs
+++ b/crates/daemon/src/node/startup.rs
@@ -116,7 +116,7 @@
     pub clients: TcpListener,
     /// The address of `clients`.
     pub address: SocketAddr,
-    /// Where `clients` comes from.
+    /// The origin of `clients`.
     pub origin: ListenerOrigin,
     /// Accepts operators' calls, if the configuration names an address.
     pub admin: Option<TcpListener>,
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -26,7 +26,7 @@
     pub lifecycle: Rc<Lifecycle>,
     /// Reaches the driver.
     pub events: mpsc::Sender<NodeEvent>,
-    /// Where the listening socket comes from.
+    /// The origin of the listening socket.
     pub listener_origin: ListenerOrigin,
 }
 
--- a/crates/daemon/src/takeover.rs
+++ b/crates/daemon/src/takeover.rs
@@ -28,7 +28,7 @@
 /// Names the directory in which the processes of a node find each other's socket.
 const DIRECTORY_VARIABLE: &str = "TMPDIR";
 
-/// What a new process receives from the old one, and the connection that goes on.
+/// What a new process receives from the old one, and the connection, which stays open.
 pub struct Handover {
     /// The state of the old process.
     pub inherited: Inherited,
