--- a/crates/daemon/tests/unit/http1.rs
+++ b/crates/daemon/tests/unit/http1.rs
@@ -11,7 +11,7 @@
 #[test]
 fn bodies_come_in_any_pieces() {
     let chunked = BodyDecoder::ChunkSize;
-    for (body, text, most, expected) in [
+    for (body, text, max_bytes, expected) in [
         (BodyDecoder::Length(5), "helloGET", 5, Ok("hello")),
         (BodyDecoder::Length(6), "hello!", 5, Err(MessageError::BodyTooLarge)),
         (chunked, "5\r\nhello\r\n0\r\n\r\nGET", 5, Ok("hello")),
@@ -29,7 +29,7 @@
             while decoded == Ok(false) && !left.is_empty() {
                 let n = input.push(&left[..step.min(left.len())]);
                 left = &left[n..];
-                decoded = decoder.decode(&mut input, &mut out, most);
+                decoded = decoder.decode(&mut input, &mut out, max_bytes);
             }
             let complete = decoded.map(|is_complete| assert!(is_complete, "{text} by {step}"));
             assert_eq!(complete.map(|()| std::str::from_utf8(&out).unwrap()), expected, "{text} by {step}");
--- a/crates/daemon/tests/wire_format.rs
+++ b/crates/daemon/tests/wire_format.rs
@@ -190,34 +190,36 @@
 const STATUS_500: &str = "HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n";
 const NOT_STARTED: &str = "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 
+/// What an executor does, and what it has received.
+#[derive(Default)]
+struct ExecutorScript {
+    /// Replies to the next dispatched requests; after that every request completes.
+    replies: Mutex<VecDeque<Reply>>,
+    /// Bodies of the next responses to fence requests; after that no attempt has started.
+    fates: Mutex<VecDeque<&'static str>>,
+    /// Dispatched requests and fence requests.
+    requests: Mutex<Vec<Vec<u8>>>,
+    probes: Mutex<Vec<Vec<u8>>>,
+}
+
 /// An executor on raw sockets that records every byte of the requests to it.
 struct Executor {
     addr: SocketAddr,
-    replies: Arc<Mutex<VecDeque<Reply>>>,
-    fates: Arc<Mutex<VecDeque<&'static str>>>,
-    requests: Arc<Mutex<Vec<Vec<u8>>>>,
-    probes: Arc<Mutex<Vec<Vec<u8>>>>,
+    script: Arc<ExecutorScript>,
 }
 
 impl Executor {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let executor = Executor {
-            addr: listener.local_addr().unwrap(),
-            replies: Arc::default(),
-            fates: Arc::default(),
-            requests: Arc::default(),
-            probes: Arc::default(),
-        };
-        let (replies, fates) = (executor.replies.clone(), executor.fates.clone());
-        let (requests, probes) = (executor.requests.clone(), executor.probes.clone());
+        let addr = listener.local_addr().unwrap();
+        let script: Arc<ExecutorScript> = Arc::default();
+        let executor = Executor { addr, script: script.clone() };
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (replies, fates) = (replies.clone(), fates.clone());
-                let (requests, probes) = (requests.clone(), probes.clone());
+                let script = script.clone();
                 thread::spawn(move || {
                     let mut connection = BufReader::new(stream.unwrap());
-                    while serve_executor(&mut connection, &replies, &fates, &requests, &probes).is_some() {}
+                    while script.serve(&mut connection).is_some() {}
                 });
             }
         });
@@ -225,62 +227,71 @@
     }
 
     fn will(&self, replies: impl IntoIterator<Item = Reply>) {
-        self.replies.lock().unwrap().extend(replies);
+        self.script.replies.lock().unwrap().extend(replies);
     }
 
     fn wait_for(&self, count: usize) {
-        until("requests come", || self.requests.lock().unwrap().len() >= count);
+        until("requests come", || self.script.requests.lock().unwrap().len() >= count);
     }
 
     fn take_requests(&self) -> Vec<Vec<u8>> {
-        std::mem::take(&mut *self.requests.lock().unwrap())
+        std::mem::take(&mut *self.script.requests.lock().unwrap())
     }
 }
 
-/// Serves one request; none once the connection is over.
-fn serve_executor(
-    connection: &mut BufReader<TcpStream>,
-    replies: &Mutex<VecDeque<Reply>>,
-    fates: &Mutex<VecDeque<&'static str>>,
-    requests: &Mutex<Vec<Vec<u8>>>,
-    probes: &Mutex<Vec<Vec<u8>>>,
-) -> Option<()> {
-    let mut bytes = Vec::new();
-    let head = read_message(connection, &mut bytes)?;
-    let with_body =
-        |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes();
-    if head.starts_with("GET ") {
-        probes.lock().unwrap().push(bytes);
-        return connection.get_mut().write_all(&with_body("queue=0,x0=8")).ok();
-    }
-    if head.starts_with("POST /_fence ") {
-        let fate = fates.lock().unwrap().pop_front().unwrap_or("{\"state\":\"never\"}");
-        requests.lock().unwrap().push(bytes);
-        return connection.get_mut().write_all(&with_body(fate)).ok();
-    }
-    let id = head.lines().find_map(|line| line.strip_prefix("Request-Id: ")).unwrap_or("").to_string();
-    // The reply is chosen before the test can see the request, so that it may list the next one.
-    let reply = replies.lock().unwrap().pop_front();
-    requests.lock().unwrap().push(bytes);
-    let raw = match reply {
-        None => {
-            let lines = DONE_LINES.replace("{id}", &id);
-            let chunked = format!("{DONE}{:x}\r\n{lines}\r\n0\r\n\r\n", lines.len());
-            return connection.get_mut().write_all(chunked.as_bytes()).ok();
+impl ExecutorScript {
+    /// Serves one request; none once the connection is over.
+    fn serve(&self, connection: &mut BufReader<TcpStream>) -> Option<()> {
+        let mut bytes = Vec::new();
+        let head = read_message(connection, &mut bytes)?;
+        if head.starts_with("GET ") {
+            self.probes.lock().unwrap().push(bytes);
+            return connection.get_mut().write_all(&ok_with_body("queue=0,x0=8")).ok();
         }
-        Some(Reply::Close) => return None,
-        Some(Reply::Raw(raw)) => raw,
-        Some(Reply::Hold(release, raw)) => {
-            let _ = release.lock().unwrap().recv();
-            raw
+        if head.starts_with("POST /_fence ") {
+            let fate = self.fates.lock().unwrap().pop_front().unwrap_or("{\"state\":\"never\"}");
+            self.requests.lock().unwrap().push(bytes);
+            return connection.get_mut().write_all(&ok_with_body(fate)).ok();
         }
-        Some(Reply::Silent) => {
-            let _ = connection.read_to_end(&mut Vec::new());
-            return None;
+        let id = head.lines().find_map(|line| line.strip_prefix("Request-Id: ")).unwrap_or("");
+        // The reply is chosen before the test can see the request, so that it may list the next one.
+        let reply = self.replies.lock().unwrap().pop_front();
+        self.requests.lock().unwrap().push(bytes);
+        match reply {
+            None => write_completion(connection, id),
+            Some(reply) => reply.write(connection, id),
         }
-    };
-    connection.get_mut().write_all(raw.replace("{id}", &id).as_bytes()).ok()?;
-    (!raw.contains("Connection: close")).then_some(())
+    }
+}
+
+fn ok_with_body(body: &str) -> Vec<u8> {
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+}
+
+fn write_completion(connection: &mut BufReader<TcpStream>, id: &str) -> Option<()> {
+    let lines = DONE_LINES.replace("{id}", id);
+    let chunked = format!("{DONE}{:x}\r\n{lines}\r\n0\r\n\r\n", lines.len());
+    connection.get_mut().write_all(chunked.as_bytes()).ok()
+}
+
+impl Reply {
+    /// Carries the reply out; none if the connection is over then.
+    fn write(self, connection: &mut BufReader<TcpStream>, id: &str) -> Option<()> {
+        let raw = match self {
+            Reply::Close => return None,
+            Reply::Raw(raw) => raw,
+            Reply::Hold(release, raw) => {
+                let _ = release.lock().unwrap().recv();
+                raw
+            }
+            Reply::Silent => {
+                let _ = connection.read_to_end(&mut Vec::new());
+                return None;
+            }
+        };
+        connection.get_mut().write_all(raw.replace("{id}", id).as_bytes()).ok()?;
+        (!raw.contains("Connection: close")).then_some(())
+    }
 }
 
 /// Discovery on raw sockets: a watch gets the list at once and then empty lines, until the test breaks it off.
@@ -340,8 +351,8 @@
 impl Default for SiteConfig {
     fn default() -> Self {
         let mut settings = settings();
-        let customer = |name: &str| json!({"name": name, "quota_per_s": 1000.0});
-        settings["customers"] = json!([customer("choir"), customer("band")]);
+        let tenant = |name: &str| json!({"name": name, "quota_per_s": 1000.0});
+        settings["customers"] = json!([tenant("choir"), tenant("band")]);
         SiteConfig { settings, memory_mb: 64, sockets: 256, operator_file: String::new() }
     }
 }
@@ -494,7 +505,7 @@
     for (name, request) in bad_heads().into_iter().chain(bad_bodies()) {
         record.exchange(node, name, request);
     }
-    let seen = executor.requests.lock().unwrap().len();
+    let seen = executor.script.requests.lock().unwrap().len();
     let repeated = good("render");
     assert_eq!(status(&exchange(node.addr, &repeated)), "200");
     record.exchange(node, "repeated id", &repeated);
@@ -744,7 +755,7 @@
 /// Blanks what varies in a request that a node writes, after the rule at the top of this file.
 fn blank_request(bytes: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(bytes);
-    let (head, body) = text.split_once("\r\n\r\n").expect("a whole head");
+    let (head, body) = text.split_once("\r\n\r\n").expect("a complete head");
     let blank_line = |line: &str| match line.split_once(": ") {
         Some(("Host", value)) if value.starts_with("127.0.0.1:") => "Host: 127.0.0.1:PORT".to_string(),
         Some((name @ ("Request-Timeout" | "Work-Fence-Age"), value)) => {
@@ -758,8 +769,9 @@
 
 /// A `#` for all digits before the point, and one for each after it.
 fn blank_decimal(text: &str) -> String {
-    let (whole, decimals) = text.split_once('.').map_or((text, None), |(whole, rest)| (whole, Some(rest)));
-    assert!(whole.bytes().all(|b| b.is_ascii_digit()) && !whole.is_empty(), "{text}");
+    let (integer, decimals) =
+        text.split_once('.').map_or((text, None), |(integer, rest)| (integer, Some(rest)));
+    assert!(integer.bytes().all(|b| b.is_ascii_digit()) && !integer.is_empty(), "{text}");
     match decimals {
         Some(decimals) => format!("#.{}", decimals.replace(|c: char| c.is_ascii_digit(), "#")),
         None => "#".into(),
@@ -830,11 +842,11 @@
     assert_eq!(status(&exchange(node.addr, request("lost"))), "200");
     record_requests(record, "lost, never started", &executor.take_requests());
     executor.will([Reply::Close]);
-    executor.fates.lock().unwrap().push_back("{\"state\":\"done\",\"result\":\"late\"}");
+    executor.script.fates.lock().unwrap().push_back("{\"state\":\"done\",\"result\":\"late\"}");
     record.exchange(node, "connection lost, completed", request("done"));
     record_requests(record, "connection lost, completed", &executor.take_requests());
     executor.will([Reply::Raw(LOST)]);
-    executor.fates.lock().unwrap().push_back("{\"state\":\"lost\"}");
+    executor.script.fates.lock().unwrap().push_back("{\"state\":\"lost\"}");
     record.exchange(node, "lost", request("unknown"));
     record_requests(record, "lost", &executor.take_requests());
     let leased = Site::start(durable_config("fences = true\nlease = \"900ms\""));
@@ -854,10 +866,10 @@
         let Site { node, executor, .. } = &Site::start(config);
         until("probes come", || {
             assert_eq!(status(&exchange(node.addr, good("render"))), "200", "{name}");
-            executor.probes.lock().unwrap().len() >= 2
+            executor.script.probes.lock().unwrap().len() >= 2
         });
         let probes: BTreeSet<_> =
-            executor.probes.lock().unwrap().iter().map(|probe| blank_request(probe)).collect();
+            executor.script.probes.lock().unwrap().iter().map(|probe| blank_request(probe)).collect();
         let probes: Vec<_> = probes.into_iter().collect();
         record_requests(record, name, &probes);
     }
@@ -873,34 +885,39 @@
     record_requests(record, "watch", &requests);
 }
 
-fn consul_queries(record: &mut Record) {
-    let executor = Executor::start();
+/// An agent of Consul that lists one executor, and records the queries.
+fn start_consul_agent(executor: SocketAddr) -> (SocketAddr, Arc<Mutex<Vec<Vec<u8>>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let agent = listener.local_addr().unwrap();
     let requests: Arc<Mutex<Vec<Vec<u8>>>> = Arc::default();
     let seen = requests.clone();
-    let at = executor.addr;
+    let (host, port) = (executor.ip().to_string(), executor.port());
+    let body = json!([{"Node": {"Node": "m1", "Address": host, "Datacenter": "dc1"},
+        "Service": {"ID": "s-1", "Service": "box", "Address": host, "Port": port,
+            "Meta": {}, "Weights": {"Passing": 1, "Warning": 1}},
+        "Checks": [{"CheckID": "c", "Status": "passing", "ServiceID": "s-1"}]}])
+    .to_string();
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nX-Consul-Index: 7\r\nX-Consul-LastContact: 0\r\n\
+         X-Consul-KnownLeader: true\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     thread::spawn(move || {
         for stream in listener.incoming() {
             let mut connection = BufReader::new(stream.unwrap());
             let mut bytes = Vec::new();
-            if read_message(&mut connection, &mut bytes).is_none() {
-                continue;
+            if read_message(&mut connection, &mut bytes).is_some() {
+                seen.lock().unwrap().push(bytes);
+                let _ = connection.get_mut().write_all(answer.as_bytes());
             }
-            seen.lock().unwrap().push(bytes);
-            let body = json!([{"Node": {"Node": "m1", "Address": at.ip().to_string(), "Datacenter": "dc1"},
-                "Service": {"ID": "s-1", "Service": "box", "Address": at.ip().to_string(), "Port": at.port(),
-                    "Meta": {}, "Weights": {"Passing": 1, "Warning": 1}},
-                "Checks": [{"CheckID": "c", "Status": "passing", "ServiceID": "s-1"}]}])
-            .to_string();
-            let answer = format!(
-                "HTTP/1.1 200 OK\r\nX-Consul-Index: 7\r\nX-Consul-LastContact: 0\r\n\
-                 X-Consul-KnownLeader: true\r\nContent-Length: {}\r\n\r\n{body}",
-                body.len()
-            );
-            let _ = connection.get_mut().write_all(answer.as_bytes());
         }
     });
+    (agent, requests)
+}
+
+fn consul_queries(record: &mut Record) {
+    let executor = Executor::start();
+    let (agent, requests) = start_consul_agent(executor.addr);
     let token = common::config_file("secret\n");
     let operator_file = format!(
         "[lists]\nsources = [\"consul\"]\n[lists.consul]\nagents = [\"{agent}\"]\ntoken_file = \"{token}\"\n\
