--- a/crates/daemon/tests/wire_format.rs
+++ b/crates/daemon/tests/wire_format.rs
@@ -14,13 +14,13 @@
 #![allow(clippy::unwrap_used)]
 mod common;
 
-use common::{Node, PATIENCE, entry_at, list, settings, until};
+use common::{PATIENCE, entry_at, list, settings, until};
 use serde_json::{Value, json};
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::process::{Command, Stdio};
+use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU16, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex, mpsc};
 use std::thread;
@@ -332,7 +332,21 @@
     }
 }
 
-/// A node as a process between these two.
+/// A node as a process. Unlike that of the other tests it does not depend on the text of the log, so that the program
+/// of an earlier commit can write the fixture.
+struct Node {
+    process: Child,
+    addr: SocketAddr,
+}
+
+impl Drop for Node {
+    fn drop(&mut self) {
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+    }
+}
+
+/// A node between these two.
 struct Site {
     node: Node,
     executor: Executor,
@@ -363,7 +377,7 @@
         let executor = Executor::start();
         let entries = [entry_at("s-1", executor.addr, "Ready")];
         let discovery = Discovery::start(vec![list(7, true, &entries)]);
-        let admin = free_admin_address();
+        let admin = free_address();
         let node = start_node(discovery.addr, admin, config);
         Site { node, executor, discovery, admin }
     }
@@ -372,7 +386,7 @@
 /// An address that no other node has: a loopback host of this process, and a port that the system never chooses.
 ///
 /// It is not probed by a listener: a process that is being started at that moment would hold that open.
-fn free_admin_address() -> SocketAddr {
+fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(20_000);
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     let port = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -384,21 +398,17 @@
         "" => String::new(),
         text => common::config_file(text),
     };
-    let document = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
+    let addr = free_address();
+    let document = json!({"name": "n0", "listen": addr.to_string(), "discovery": discovery.to_string(),
         "management": admin.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": config.memory_mb, "sockets": config.sockets},
         "settings": config.settings, "known": null});
     let program = std::env::var_os("TROUTKNOT_WIRE_PROGRAM").filter(|_| is_recording());
-    let program = program.unwrap_or_else(|| env!("CARGO_BIN_EXE_troutknotd").into());
-    let node = Node::start_from(document, |path| {
-        let mut command = Command::new(program);
-        command
-            .env("ROUTER_CONFIG", path)
-            .env("TROUTKNOT_FILE", own)
-            .env("TROUTKNOT_LOG", "warn,troutknot=info");
-        command.stdout(Stdio::piped()).spawn().unwrap()
-    });
-    until("the node is ready", || status(&exchange(node.addr, common::HEALTH)) == "200");
+    let mut command = Command::new(program.unwrap_or_else(|| env!("CARGO_BIN_EXE_troutknotd").into()));
+    command.env("ROUTER_CONFIG", common::config_file(&document.to_string())).env("TROUTKNOT_FILE", own);
+    let node = Node { process: command.stdout(Stdio::null()).spawn().unwrap(), addr };
+    until("the node listens", || TcpStream::connect(addr).is_ok());
+    until("the node is ready", || status(&exchange(addr, common::HEALTH)) == "200");
     node
 }
 
@@ -927,7 +937,7 @@
     );
     let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let config = SiteConfig { operator_file, ..SiteConfig::default() };
-    let _node = start_node(nobody, free_admin_address(), config);
+    let _node = start_node(nobody, free_address(), config);
     until("queries come", || requests.lock().unwrap().len() >= 2);
     let requests: Vec<_> = requests.lock().unwrap()[..2].to_vec();
     record_requests(record, "query", &requests);
