--- a/crates/daemon/src/discovery/parser.rs
+++ b/crates/daemon/src/discovery/parser.rs
@@ -91,10 +91,10 @@
 #[derive(Deserialize)]
 struct Remainder<'a> {
     version: u64,
-    #[serde(default)]
-    full: bool,
-    #[serde(borrow)]
-    servers: Vec<&'a RawValue>,
+    #[serde(default, rename = "full")]
+    is_snapshot: bool,
+    #[serde(borrow, rename = "servers")]
+    items: Vec<&'a RawValue>,
 }
 
 impl EndpointListParser {
@@ -259,22 +259,22 @@
             return Err(ParseError::TooLong);
         }
         let remainder: Remainder = serde_json::from_slice(&text).map_err(ParseError::Object)?;
-        if let Some(item) = remainder.servers.iter().find(|item| item.get() != ENTRY_PLACEHOLDER) {
+        if let Some(item) = remainder.items.iter().find(|item| item.get() != ENTRY_PLACEHOLDER) {
             return Err(invalid_entry(item.get()));
         }
-        let count = remainder.servers.len();
+        let count = remainder.items.len();
         if count != self.entries.len() + self.dropped_entries {
             return Err(ParseError::MisplacedEntry);
         }
         self.drop_excess_entries();
-        if !remainder.full && self.dropped_entries > 0 {
+        if !remainder.is_snapshot && self.dropped_entries > 0 {
             return Err(ParseError::TooManyChanges { count, max: self.bounds.max_entries });
         }
         let entries = std::mem::take(&mut self.entries);
         self.previous_entry_count = entries.len();
         Ok(EndpointList {
             version: remainder.version,
-            is_snapshot: remainder.full,
+            is_snapshot: remainder.is_snapshot,
             entries,
             dropped_entries: self.dropped_entries,
         })
