--- a/crates/daemon/src/node/builder.rs
+++ b/crates/daemon/src/node/builder.rs
@@ -15,10 +15,10 @@
 use crate::hot_restart::codec::{Bounds, Inherited};
 use crate::hot_restart::link::Link;
 use crate::hot_restart::sibling::SiblingProcess;
-use crate::hot_restart::takeover::{self, Handover, Takeover};
 use crate::lifecycle::{Drain, Lifecycle};
 use crate::protocol::{Codec, Current, EndpointList};
 use crate::retention::EndpointRetention;
+use crate::takeover::{self, Handover, Takeover};
 use crate::tasks::TaskGroup;
 use crate::upstream::ExecutorPool;
 use std::cell::RefCell;
@@ -285,7 +285,7 @@
             downstream: self.downstream.clone(),
             executors: self.executors.clone(),
             tasks: self.shared.tasks.clone(),
-            bound: RefCell::default(),
+            early_listener: RefCell::default(),
         });
         self.shared.tasks.spawn(takeover.run(old_process));
     }
