--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -24,6 +24,7 @@
 }
 
 impl Dispatcher {
+    /// Records the start of an attempt, once.
     pub(super) fn on_attempt_started(&mut self, now: Millis, request_id: RequestId, attempt_id: AttemptId) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         let class = &self.classes[request.class];
@@ -33,6 +34,8 @@
         self.admission.record_start(class, now - attempt.sent_at);
     }
 
+    /// Applies the end of an attempt to its executor, its class and its request; the request is retried, given up
+    /// or closed.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Millis,
--- a/src/dispatcher/endpoints.rs
+++ b/src/dispatcher/endpoints.rs
@@ -8,6 +8,7 @@
 use crate::time::Millis;
 
 impl Dispatcher {
+    /// Applies an update of the endpoint list.
     pub(super) fn on_endpoints_updated(&mut self, now: Millis, update: ListUpdate, endpoints: &[Endpoint]) {
         self.fleet.executors.update(now, update, endpoints);
         if matches!(update, ListUpdate::Snapshot | ListUpdate::Delta) {
@@ -31,12 +32,14 @@
         }
     }
 
+    /// Schedules the next call for the endpoint list.
     pub(super) fn on_watch_lost(&mut self, now: Millis, is_rejected: bool) {
         let failure = if is_rejected { ListFailure::Rejected } else { ListFailure::Unanswered };
         let lost = self.discovery.record_failure(now, self.nodes, failure, &mut self.random);
         self.log.push(lost);
     }
 
+    /// Applies a message of a peer.
     pub(super) fn on_gossip(&mut self, now: Millis, message: GossipMessage) {
         match message {
             GossipMessage::IdleConnectionLost => self.block_idle_reuse(now, Observer::Peer),
--- a/src/dispatcher/fleet.rs
+++ b/src/dispatcher/fleet.rs
@@ -27,6 +27,7 @@
 }
 
 impl Fleet {
+    /// A fleet without executors and without slow start.
     pub fn new() -> Self {
         Fleet {
             executors: ExecutorTable::new(),
@@ -37,12 +38,14 @@
         }
     }
 
+    /// Applies settings. `longest_objective` is the longest latency objective of all request classes.
     pub fn apply_settings(&mut self, settings: &Settings, nodes: f64, longest_objective: Millis) {
         self.slow_start = SlowStart::new(settings, nodes, longest_objective);
         self.local_zone = settings.preferred_zone();
         self.executors.apply_settings(settings);
     }
 
+    /// Records that another process of this node runs or has stopped; its dispatches count for another window.
     pub fn sibling_changed(&mut self, now: Millis, is_running: bool) {
         self.sibling_until = if is_running { f64::INFINITY } else { self.slow_start.window_end(now) };
     }
@@ -107,6 +110,7 @@
         self.executors.update_min_slots();
     }
 
+    /// The executors to sample from.
     pub fn sampler(&self) -> Sampler<'_> {
         Sampler {
             ready: &self.executors.ready,
--- a/src/dispatcher/requests.rs
+++ b/src/dispatcher/requests.rs
@@ -4,7 +4,7 @@
 use crate::policy::admission::{self, Admission, QuotaUse};
 use crate::policy::queueing::{self, QueueDecision};
 use crate::policy::retry::{RetryPolicy, UnservedAnswer};
-use crate::state::request::{DesiredState, Request};
+use crate::state::request::{DesiredState, MIN_SLOTS, Request};
 use crate::time::Millis;
 
 /// A request that has arrived.
@@ -26,7 +26,7 @@
         let quota_use = self.quotas.record_request(now, tenant, is_retry);
         let request = Request {
             class,
-            slots: slots.max(1.0),
+            slots: slots.max(MIN_SLOTS),
             is_over_quota: quota_use == QuotaUse::OverQuota,
             first_sent_at: now + time_left - self.classes[class].deadline.max(time_left),
             deadline: now + time_left,
@@ -41,6 +41,7 @@
         }
     }
 
+    /// Continues a request whose timer fired: the next probe, the check of its start, or another sample.
     pub(super) fn on_request_timer(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         request.timer_at = f64::INFINITY;
--- a/src/dispatcher/settings.rs
+++ b/src/dispatcher/settings.rs
@@ -4,9 +4,6 @@
 use crate::settings::Settings;
 use crate::time::Millis;
 
-/// Lower bound on the longest latency objective.
-const MIN_LONGEST_OBJECTIVE: Millis = 1.0;
-
 impl Dispatcher {
     /// Applies new settings from now on. Request classes that exist retain their terms, so that a request
     /// retains those of its arrival; only further classes are added.
@@ -15,9 +12,7 @@
         self.nodes = settings.nodes.max(1.0);
         self.quotas.apply_settings(now, settings, self.nodes);
         self.over_quota_value = settings.over_quota_value;
-        let objectives = self.classes.iter().map(|class| class.latency_objective);
-        let longest_objective = objectives.fold(MIN_LONGEST_OBJECTIVE, f64::max);
-        self.fleet.apply_settings(settings, self.nodes, longest_objective);
+        self.fleet.apply_settings(settings, self.nodes, self.classes.longest_objective());
         self.retry_after_enabled = settings.limits.retry_after_enabled;
         self.connection_reuse.apply_settings(settings);
         self.gossip_enabled = settings.limits.gossip_enabled;
--- a/src/dispatcher/warm_state.rs
+++ b/src/dispatcher/warm_state.rs
@@ -17,6 +17,7 @@
         }
     }
 
+    /// Continues with the state of an earlier process of this node.
     pub(super) fn import_state(&mut self, state: WarmState) {
         self.fleet.executors.import(state.executors);
         let observed = self.classes.iter_mut().zip(state.class_running_times);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -52,6 +52,7 @@
         AdmissionControl { share, is_adaptive: false, starts_reported: false }
     }
 
+    /// Takes from the settings whether probes are allowed and whether starts are reported.
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.is_adaptive = !settings.limits.probes_enabled;
         self.starts_reported = settings.executors.reports_start;
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -29,6 +29,7 @@
 }
 
 impl ConnectionReuse {
+    /// Takes the idle timeout of the executors from the settings; 0 by default.
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.idle_timeout = settings.limits.idle_timeout.unwrap_or(0.0);
     }
--- a/src/policy/sampling.rs
+++ b/src/policy/sampling.rs
@@ -89,10 +89,12 @@
 }
 
 impl SampleSizing {
+    /// Starts with the smallest sample size.
     pub fn new(now: Millis) -> Self {
         SampleSizing { sample_size: MIN_SAMPLE_SIZE, updated_at: now }
     }
 
+    /// The sample size while capacity is available.
     pub fn sample_size(&self) -> u32 {
         self.sample_size
     }
--- a/src/policy/start_check.rs
+++ b/src/policy/start_check.rs
@@ -19,6 +19,7 @@
 }
 
 impl StartCheck {
+    /// Enabled if attempts may be hedged, executors probed, and starts are reported.
     pub fn new(settings: &Settings) -> Self {
         let limits = &settings.limits;
         match limits.hedging_enabled && settings.executors.reports_start && limits.probes_enabled {
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -92,6 +92,7 @@
         self.states.len()
     }
 
+    /// The state of an executor, if it has any.
     pub fn get(&self, executor: ExecutorId) -> Option<&ExecutorState> {
         self.states.get(executor)
     }
@@ -123,6 +124,7 @@
         has_state
     }
 
+    /// Whether an executor accepts new requests.
     pub fn is_ready(&self, executor: ExecutorId) -> bool {
         self.state(executor).endpoint.state == EndpointState::Ready
     }
--- a/src/state/probe_statistics.rs
+++ b/src/state/probe_statistics.rs
@@ -43,6 +43,7 @@
         }
     }
 
+    /// Adds a reply to the smoothed figures.
     pub fn observe(&mut self, reply: &ProbeReply) {
         smooth(self.latency.get_or_insert(reply.latency), reply.latency, LATENCY_WEIGHT);
         let is_busy = reply.report.queue_length.unwrap_or(0.0) >= SHORTEST_QUEUE;
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -51,6 +51,9 @@
     pub report: LoadReport,
 }
 
+/// The smallest number of slots that a request takes.
+pub(crate) const MIN_SLOTS: f64 = 1.0;
+
 /// A request that has no final answer yet.
 #[derive(Default)]
 pub(crate) struct Request {
--- a/src/state/request_class.rs
+++ b/src/state/request_class.rs
@@ -6,6 +6,9 @@
 use crate::warm_state::ObservedMean;
 use std::ops::{Index, IndexMut};
 
+/// Lower bound on the longest latency objective.
+const MIN_LONGEST_OBJECTIVE: Millis = 1.0;
+
 /// One request class.
 pub(crate) struct RequestClass {
     pub terms: ClassSettings,
@@ -69,6 +72,12 @@
         self.0.len()
     }
 
+    /// The longest latency objective, at least 1 ms.
+    pub fn longest_objective(&self) -> Millis {
+        let objectives = self.0.iter().map(|class| class.latency_objective);
+        objectives.fold(MIN_LONGEST_OBJECTIVE, f64::max)
+    }
+
     pub fn iter(&self) -> impl Iterator<Item = &RequestClass> {
         self.0.iter()
     }
