--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -7,6 +7,7 @@
 use crate::durable::Lease;
 use crate::http1::ResponseHead;
 use bytes::BytesMut;
+use std::time::Duration;
 use tokio::time::{Instant, sleep_until, timeout};
 use troutknot::{Effect, Outcome};
 
@@ -32,7 +33,7 @@
 }
 
 impl UnreadResponse {
-    /// Reads to the response's end and puts the connection back, unless that takes longer than the tail timeout.
+    /// Reads to the response's end and puts the connection back, unless that times out.
     pub async fn finish(mut self, pool: &ExecutorPool, executor: &Executor) {
         let mut discarded = BytesMut::new();
         let rest = self.connection.read_body(&mut self.head.body, &mut discarded, pool.limits.max_body_bytes);
@@ -91,7 +92,8 @@
         if lease.is_some() && !connection.is_quiet() {
             return AttemptEnd::without_response(Outcome::NotSent, lease);
         }
-        if !self.send(&mut connection, lease.as_ref(), now).await {
+        let time_left = self.order.attempt_deadline - now;
+        if !self.send(&mut connection, lease.as_ref(), time_left).await {
             // An executor does not run a request whose last byte it never receives.
             connection.reset_on_drop();
             return AttemptEnd::without_response(Outcome::NoConnection, lease);
@@ -136,29 +138,34 @@
         lease.map_or(Recording::Refused, Recording::Recorded)
     }
 
-    /// Whether the decision to send the request has been overtaken.
+    /// Whether the reasons for the dispatch no longer hold.
     fn is_outdated(&self, now: Instant) -> bool {
         let limits = &self.pool.limits;
-        // After a standstill of the process, events may be queued that rule this dispatch out.
-        let stood_still =
+        // After a stall of the process, events may be queued that rule this dispatch out.
+        let has_stalled =
             now - self.order.decided_at > limits.timeouts().connect_timeout + limits.stall_threshold;
         // The warm-up budget that was charged belongs to an earlier incarnation of the executor.
         let is_other_incarnation = self.executor.incarnation() != self.order.incarnation;
         self.order.in_flight.is_closed()
             || self.executor.gate.is_closed()
             || now >= self.order.send_deadline
-            || stood_still
+            || has_stalled
             || is_other_incarnation
     }
 
     /// Writes the request; false if its last byte was not written, for an error or because it may no longer be
     /// sent. An executor that reads slowly can delay that byte for as long as it likes.
-    async fn send(&self, connection: &mut PooledConnection, lease: Option<&Lease>, now: Instant) -> bool {
+    async fn send(
+        &self,
+        connection: &mut PooledConnection,
+        lease: Option<&Lease>,
+        time_left: Duration,
+    ) -> bool {
         let request = &self.order.in_flight.request;
         let head = self.pool.codec.load().dispatch_head(
             request,
             connection.address,
-            self.order.attempt_deadline - now,
+            time_left,
             lease.and_then(Lease::fields),
         );
         let parts: [&[u8]; 2] = [&head, &request.body];
@@ -186,6 +193,7 @@
         }
     }
 
+    /// Decides whether the connection may be used again.
     fn finish(
         &self,
         mut connection: PooledConnection,
--- a/crates/daemon/src/upstream/probe.rs
+++ b/crates/daemon/src/upstream/probe.rs
@@ -18,7 +18,7 @@
         pool.close_idle_connections(executor);
     }
     let latency = started_at.elapsed();
-    // After a standstill of the process the report is out of date.
+    // After a stall of the process the report is out of date.
     if latency > probe_timeout + pool.limits.stall_threshold {
         return None;
     }
