--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,7 +1,7 @@
 //! Open requests with their attempts, and the desired state of each.
 use crate::endpoint::LoadReport;
 use crate::event::Outcome;
-use crate::ids::{ExecutorId, RequestClassId};
+use crate::ids::{AttemptId, ExecutorId, RequestClassId};
 use crate::time::Millis;
 
 /// One attempt of a request.
@@ -58,7 +58,7 @@
     pub slots: f64,
     pub is_over_quota: bool,
     /// When the client sent the request first; before the arrival if it is a retry of the client's.
-    pub asked_at: Millis,
+    pub first_sent_at: Millis,
     pub deadline: Millis,
     pub desired: DesiredState,
     pub attempts: Vec<Attempt>,
@@ -73,6 +73,10 @@
 }
 
 impl Request {
+    pub fn attempt_mut(&mut self, attempt_id: AttemptId) -> Option<&mut Attempt> {
+        self.attempts.get_mut(attempt_id.0 as usize)
+    }
+
     pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
