--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -37,7 +37,7 @@
         admission: ConnectionAdmission,
     ) -> Self {
         let limits = &server.limits;
-        let connection = Connection::new(stream, limits.connection_buffer_bytes, &server.ring_bytes);
+        let connection = Connection::new(stream, limits.connection_buffer_bytes, &server.buffer_bytes);
         let first_request_due = Instant::now() + limits.downstream.io_timeout;
         ClientSession { server, connection, entry, admission, first_request_due }
     }
--- a/crates/daemon/src/downstream/eviction.rs
+++ b/crates/daemon/src/downstream/eviction.rs
@@ -134,3 +134,7 @@
         longest_waiting.inspect(|(_, entry)| entry.evict()).is_some()
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/eviction.rs"]
+mod tests;
--- a/crates/daemon/src/downstream/exchange.rs
+++ b/crates/daemon/src/downstream/exchange.rs
@@ -79,7 +79,7 @@
     /// Answers a health check, whose connection is not reused.
     async fn report_readiness(&mut self) -> ExchangeEnd {
         let is_ready = *self.server.lifecycle.borrow() == LifecycleState::Serving;
-        let mut text = self.server.status.borrow().clone();
+        let mut text = self.server.discovery_status.borrow().clone();
         if let Some(ledger) = self.server.ledger() {
             text += &ledger.status_text();
         }
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -31,12 +31,14 @@
 /// What the downstream side shares with the rest of the node.
 pub struct DownstreamContext {
     pub limits: Rc<Limits>,
+    /// Translates between the wire and the dispatcher's types.
     pub codec: Rc<Current<Codec>>,
     /// Where requests and disconnected clients are reported.
     pub events: mpsc::Sender<NodeEvent>,
+    /// Decides whether connections are accepted, reused and closed.
     pub lifecycle: watch::Receiver<LifecycleState>,
     /// The text of a health check's response, written by endpoint discovery.
-    pub status: Rc<RefCell<String>>,
+    pub discovery_status: Rc<RefCell<String>>,
     /// None if the node has no ledger.
     pub durable_config: Option<DurableConfig>,
     /// The node's other process during a hot restart.
@@ -51,7 +53,7 @@
     codec: Rc<Current<Codec>>,
     events: mpsc::Sender<NodeEvent>,
     lifecycle: watch::Receiver<LifecycleState>,
-    status: Rc<RefCell<String>>,
+    discovery_status: Rc<RefCell<String>>,
     durable_config: Option<DurableConfig>,
     /// None as long as an older process of the node has the ledger open.
     ledger: RefCell<Option<Rc<Durable>>>,
@@ -60,9 +62,9 @@
     /// Memory for the contents of open requests.
     pub request_bytes: Rc<ByteBudget>,
     /// Memory for the buffers of connections.
-    pub ring_bytes: Rc<ByteBudget>,
+    pub buffer_bytes: Rc<ByteBudget>,
     /// Memory for bodies that arrive in parts; each reserves the largest size.
-    pub slow_body_bytes: Rc<ByteBudget>,
+    pub partial_body_bytes: Rc<ByteBudget>,
     request_ids: RequestIds,
     connections: ClientConnections,
     /// Until then requests wait for the first endpoint list.
@@ -72,13 +74,21 @@
 impl DownstreamServer {
     /// A server without connections.
     pub fn new(context: DownstreamContext) -> Rc<Self> {
-        let DownstreamContext { limits, codec, events, lifecycle, status, durable_config, sibling, tasks } =
-            context;
+        let DownstreamContext {
+            limits,
+            codec,
+            events,
+            lifecycle,
+            discovery_status,
+            durable_config,
+            sibling,
+            tasks,
+        } = context;
         let max_slow_body_bytes = limits.downstream.max_partial_bodies * limits.max_body_bytes;
         Rc::new(DownstreamServer {
             request_bytes: ByteBudget::new(limits.downstream.max_reserved_bytes),
-            ring_bytes: ByteBudget::new(limits.downstream.buffer_bytes),
-            slow_body_bytes: ByteBudget::new(max_slow_body_bytes),
+            buffer_bytes: ByteBudget::new(limits.downstream.buffer_bytes),
+            partial_body_bytes: ByteBudget::new(max_slow_body_bytes),
             first_list_due: Instant::now() + limits.downstream.first_list_timeout,
             ledger: RefCell::default(),
             request_ids: RequestIds::new(),
@@ -87,7 +97,7 @@
             codec,
             events,
             lifecycle,
-            status,
+            discovery_status,
             durable_config,
             sibling,
             tasks,
--- a/crates/daemon/src/downstream/request.rs
+++ b/crates/daemon/src/downstream/request.rs
@@ -106,7 +106,7 @@
             return Ok(body);
         }
         let _reservation: Reservation =
-            self.slow_body_bytes.reserve(max_bytes).ok_or(ReadError::TooManyPartialBodies)?;
+            self.partial_body_bytes.reserve(max_bytes).ok_or(ReadError::TooManyPartialBodies)?;
         if head.expects_continue {
             connection.write(&[http1::CONTINUE]).await.map_err(|_| ReadError::Disconnected)?;
         }
--- a/crates/daemon/src/downstream/request_ids.rs
+++ b/crates/daemon/src/downstream/request_ids.rs
@@ -85,3 +85,7 @@
         !self.older.contains(&token) && self.newer.insert(token)
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/request_ids.rs"]
+mod tests;
--- a/crates/daemon/src/node/builder.rs
+++ b/crates/daemon/src/node/builder.rs
@@ -133,7 +133,7 @@
             codec: shared.codec.clone(),
             events: shared.events.clone(),
             lifecycle: shared.lifecycle.watch(),
-            status: shared.discovery_status.clone(),
+            discovery_status: shared.discovery_status.clone(),
             durable_config: configuration.operator.durable.clone(),
             sibling: shared.sibling.clone(),
             tasks: shared.tasks.clone(),
--- a/crates/daemon/src/takeover.rs
+++ b/crates/daemon/src/takeover.rs
@@ -251,16 +251,16 @@
             clients: self.downstream.connection_count(),
             executors: self.executors.connection_count(),
             bytes: self.downstream.request_bytes.used(),
-            rings: self.downstream.ring_bytes.used(),
-            slow_bodies: self.downstream.slow_body_bytes.used(),
+            rings: self.downstream.buffer_bytes.used(),
+            slow_bodies: self.downstream.partial_body_bytes.used(),
         }
     }
 
     /// Sets what the other process uses of the memory that both share.
     fn set_sibling_usage(&self, usage: Usage) {
         self.downstream.request_bytes.set_used_by_sibling(usage.bytes);
-        self.downstream.ring_bytes.set_used_by_sibling(usage.rings);
-        self.downstream.slow_body_bytes.set_used_by_sibling(usage.slow_bodies);
+        self.downstream.buffer_bytes.set_used_by_sibling(usage.rings);
+        self.downstream.partial_body_bytes.set_used_by_sibling(usage.slow_bodies);
     }
 
     async fn receive_all(&self, reader: &mut LinkReader, role: Role) -> LinkError {
--- a/crates/daemon/src/upstream/dispatch.rs
+++ b/crates/daemon/src/upstream/dispatch.rs
@@ -6,11 +6,15 @@
 
 /// An attempt that the driver wants carried out.
 pub struct DispatchOrder {
+    /// The request, and where its result goes.
     pub in_flight: Rc<InFlightRequest>,
+    /// Where the request is sent.
     pub executor: ExecutorId,
     /// The executor's name in the endpoint list; set if the attempt is recorded in the ledger.
     pub executor_name: Option<String>,
+    /// Counts the attempts of the request.
     pub attempt_id: AttemptId,
+    /// When the driver decided the dispatch.
     pub decided_at: Instant,
     /// The executor's incarnation that the dispatch was decided for, from
     /// [`ExecutorPool::incarnation`](super::ExecutorPool::incarnation).
@@ -19,5 +23,6 @@
     pub attempt_deadline: Instant,
     /// The last byte of the request is written before this instant, or never.
     pub send_deadline: Instant,
+    /// Cancels the attempt.
     pub cancel_signal: Rc<CancelSignal>,
 }
--- a/crates/daemon/src/upstream/pool.rs
+++ b/crates/daemon/src/upstream/pool.rs
@@ -54,6 +54,7 @@
 
 /// The executors that the driver registered, with pooled connections to each.
 pub struct ExecutorPool {
+    /// Bound connections and timeouts.
     pub limits: Rc<Limits>,
     pub(super) codec: Rc<Current<Codec>>,
     /// Where outcomes and load reports are sent.
@@ -64,7 +65,7 @@
     pub durable: OnceCell<Rc<Durable>>,
     executors: RefCell<SecondaryMap<ExecutorId, Rc<Executor>>>,
     open_connections: ConnectionCounter,
-    ring_bytes: Rc<ByteBudget>,
+    buffer_bytes: Rc<ByteBudget>,
 }
 
 impl ExecutorPool {
@@ -77,7 +78,9 @@
     ) -> Rc<Self> {
         Rc::new(ExecutorPool {
             // A connection has two rings.
-            ring_bytes: ByteBudget::new(limits.upstream.max_connections * 2 * limits.connection_buffer_bytes),
+            buffer_bytes: ByteBudget::new(
+                limits.upstream.max_connections * 2 * limits.connection_buffer_bytes,
+            ),
             limits,
             codec,
             events,
@@ -149,6 +152,7 @@
         self.executors.borrow().get(executor).cloned()
     }
 
+    /// A registered executor; it is registered if it is new.
     pub(super) fn executor_or_insert(&self, id: ExecutorId) -> Rc<Executor> {
         if let Some(executor) = self.executor(id) {
             return executor;
@@ -188,7 +192,7 @@
             .map_err(ConnectError::Failed)?;
         // Bytes in the send buffer cannot be withdrawn from an executor that reads slowly.
         let _ = socket2::SockRef::from(&stream).set_send_buffer_size(self.limits.connection_buffer_bytes);
-        let connection = Connection::new(stream, self.limits.connection_buffer_bytes, &self.ring_bytes);
+        let connection = Connection::new(stream, self.limits.connection_buffer_bytes, &self.buffer_bytes);
         Ok(PooledConnection::new(connection, address, incarnation, permit))
     }
 
--- a/crates/daemon/tests/unit/downstream.rs
+++ b/crates/daemon/tests/unit/downstream.rs
@@ -1,30 +1,37 @@
 //! The downstream side against clients on loopback sockets; the tests play the driver.
 use super::admission::ConnectionAdmission;
 use super::*;
+use crate::config::limits::LimitInputs;
+use crate::lifecycle::Lifecycle;
 use std::io::{Read, Write};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 
-/// The paused clock advances whenever nothing else is left to do, so that long waits take no time.
-#[tokio::test(start_paused = true)]
-async fn half_sent_requests_time_out_and_idle_connections_end() {
+/// A server without durable requests, and the events that its driver receives.
+fn new_server(lifecycle: &Lifecycle) -> (Rc<DownstreamServer>, mpsc::Receiver<NodeEvent>) {
     let (_, codec) = Codec::of_one_type(5_000_000);
-    let stated = crate::config::limits::LimitInputs { memory_mb: 64, max_sockets: 128, ..Default::default() };
-    let limits = Rc::new(Limits::new(&stated));
-    let (events, mut received) = mpsc::channel(16);
-    let lifecycle = crate::lifecycle::Lifecycle::new();
-    lifecycle.update(|facts| facts.is_listed = true);
+    let inputs = LimitInputs { memory_mb: 64, max_sockets: 128, ..LimitInputs::default() };
+    let (events, received) = mpsc::channel(16);
     let server = DownstreamServer::new(DownstreamContext {
-        limits,
+        limits: Rc::new(Limits::new(&inputs)),
         codec,
         events,
         lifecycle: lifecycle.watch(),
-        status: Rc::default(),
+        discovery_status: Rc::default(),
         durable_config: None,
         sibling: Rc::default(),
         tasks: TaskGroup::default(),
     });
+    (server, received)
+}
+
+/// The paused clock advances whenever nothing else is left to do, so that long waits take no time.
+#[tokio::test(start_paused = true)]
+async fn half_sent_requests_time_out_and_idle_connections_end() {
+    let lifecycle = Lifecycle::new();
+    lifecycle.update(|facts| facts.is_listed = true);
+    let (server, mut received) = new_server(&lifecycle);
     let complete = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nConnection: close\r\n\
                  Content-Length: 2\r\n\r\nab";
     let local = tokio::task::LocalSet::new();
@@ -66,21 +73,8 @@
 }
 
 async fn before_the_list(list_arrives: bool) {
-    let (_, codec) = Codec::of_one_type(5_000_000);
-    let stated = crate::config::limits::LimitInputs { memory_mb: 64, max_sockets: 128, ..Default::default() };
-    let limits = Rc::new(Limits::new(&stated));
-    let (events, mut received) = mpsc::channel(16);
-    let lifecycle = crate::lifecycle::Lifecycle::new();
-    let server = DownstreamServer::new(DownstreamContext {
-        limits,
-        codec,
-        events,
-        lifecycle: lifecycle.watch(),
-        status: Rc::default(),
-        durable_config: None,
-        sibling: Rc::default(),
-        tasks: TaskGroup::default(),
-    });
+    let lifecycle = Lifecycle::new();
+    let (server, mut received) = new_server(&lifecycle);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let send = |id: &str| {
         let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- /dev/null
+++ b/crates/daemon/tests/unit/request_ids.rs
@@ -0,0 +1,59 @@
+//! Duplicate detection by tokens, and the numbering of requests.
+use super::*;
+use crate::config::limits::LimitInputs;
+use std::time::Duration;
+use tokio::time::advance;
+
+/// Tokens between two checks of their number.
+const CHECK_INTERVAL: u64 = 127;
+const MAX_DEADLINE: Duration = Duration::from_secs(60);
+
+fn limits() -> Limits {
+    Limits::new(&LimitInputs {
+        memory_mb: 64,
+        max_sockets: 128,
+        max_deadline: MAX_DEADLINE,
+        ..LimitInputs::default()
+    })
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_token_is_a_duplicate_for_at_least_the_longest_deadline() {
+    let (ids, limits) = (RequestIds::new(), limits());
+    advance(MAX_DEADLINE - Duration::from_millis(1)).await;
+    assert!(ids.record_token(1, &limits));
+    assert!(!ids.record_token(1, &limits), "at once");
+    advance(MAX_DEADLINE).await;
+    assert!(!ids.record_token(1, &limits), "a deadline later, in the older generation");
+    assert_eq!(ids.recent_tokens(), [1]);
+    advance(MAX_DEADLINE).await;
+    assert!(ids.record_token(1, &limits), "two deadlines later it is forgotten");
+}
+
+#[tokio::test(start_paused = true)]
+async fn the_number_of_recent_tokens_is_bounded() {
+    let (ids, limits) = (RequestIds::new(), limits());
+    let max_tokens = limits.downstream.max_completed_ids as u64;
+    for token in 0..2 * max_tokens {
+        assert!(ids.record_token(token, &limits), "{token}");
+        if token % CHECK_INTERVAL == 0 {
+            assert!(ids.recent_tokens().len() as u64 <= max_tokens, "{token}");
+        }
+    }
+    assert!(!ids.record_token(2 * max_tokens - max_tokens / 2, &limits), "the latest half is retained");
+    assert!(ids.record_token(0, &limits), "the oldest is forgotten");
+}
+
+#[tokio::test]
+async fn request_numbers_only_increase() {
+    let ids = RequestIds::new();
+    assert_eq!(ids.next(), RequestId(0));
+    ids.open("a".into());
+    assert!(ids.is_open("a") && !ids.is_open("b"));
+    assert_eq!(ids.next(), RequestId(1));
+    ids.skip_to(1000);
+    ids.skip_to(10);
+    assert_eq!(ids.next(), RequestId(1000), "a lower number is ignored");
+    ids.close("a");
+    assert!(!ids.is_open("a"));
+}
--- a/crates/daemon/tests/unit/shutdown.rs
+++ b/crates/daemon/tests/unit/shutdown.rs
@@ -29,7 +29,7 @@
         codec,
         events: events.clone(),
         lifecycle: lifecycle.watch(),
-        status: Rc::default(),
+        discovery_status: Rc::default(),
         durable_config: None,
         sibling: Rc::default(),
         tasks: TaskGroup::default(),
