--- a/crates/daemon/src/downstream/eviction.rs
+++ b/crates/daemon/src/downstream/eviction.rs
@@ -17,7 +17,7 @@
     NewBusy,
     /// It waits for its next request since this instant.
     Idle { since: Instant },
-    /// It handles a request, not its first one, or is being evicted.
+    /// A request was admitted on it, and it handles that one or a later one, or is being evicted.
     Busy,
 }
 
--- a/crates/daemon/tests/unit/upstream.rs
+++ b/crates/daemon/tests/unit/upstream.rs
@@ -103,7 +103,7 @@
     /// The executor may not deduplicate it any more, though the attempt deadline is far off.
     SendDeadlinePassed,
     Cancelled,
-    ProcessStoodStill,
+    ProcessStalled,
     /// The list reports a restart after the dispatch was decided, before it is carried out.
     ExecutorRestarted,
     /// The same while the attempt connects.
@@ -111,6 +111,60 @@
 }
 use Overtaken::*;
 
+/// One attempt that an event overtakes.
+struct OvertakenAttempt {
+    by: Overtaken,
+    pool: Rc<ExecutorPool>,
+    in_flight: Rc<InFlightRequest>,
+    cancel_signal: Rc<CancelSignal>,
+    now: Instant,
+}
+
+impl OvertakenAttempt {
+    fn new(
+        by: Overtaken,
+        address: SocketAddr,
+        in_flight: Rc<InFlightRequest>,
+    ) -> (Self, mpsc::Receiver<NodeEvent>) {
+        let (pool, events) = new_pool();
+        pool.set_endpoint(executor(), endpoint(Some(address), None, true));
+        let (cancel_signal, now) = (Rc::default(), Instant::now());
+        (OvertakenAttempt { by, pool, in_flight, cancel_signal, now }, events)
+    }
+
+    /// The deadline that overtakes the attempt is near; the other one is not.
+    fn order(&self) -> DispatchOrder {
+        let at = |what| self.now + Duration::from_millis(if self.by == what { 800 } else { 60_000 });
+        let has_stalled = self.by == ProcessStalled;
+        let decided_at = if has_stalled { self.now - Duration::from_secs(6) } else { self.now };
+        let deadlines = [DeadlinePassed, SendDeadlinePassed].map(at);
+        dispatch_order(&self.pool, &self.in_flight, &self.cancel_signal, decided_at, deadlines)
+    }
+
+    /// Has the event happen, unless time or the test brings it.
+    fn overtake(&self) {
+        match self.by {
+            RequestOver => _ = self.in_flight.close(),
+            DrainWaitEnded => self.pool.start_draining(executor()),
+            Cancelled => self.cancel_signal.cancel(Outcome::Cancelled),
+            _ => {}
+        }
+    }
+
+    /// Asserts that the attempt has no outcome for this time.
+    async fn assert_pending(&self, events: &mut mpsc::Receiver<NodeEvent>, time: Duration) {
+        assert!(timeout(time, events.recv()).await.is_err(), "{:?}", self.by);
+    }
+}
+
+/// The outcome that an event reports.
+fn outcome_of(event: Option<NodeEvent>) -> Option<Outcome> {
+    match event {
+        Some(NodeEvent::Core(CoreEvent::AttemptEnded { outcome, .. })) => Some(outcome),
+        _ => None,
+    }
+}
+
 #[tokio::test]
 async fn an_attempt_that_is_overtaken_while_connecting_is_never_sent() {
     let local = LocalSet::new();
@@ -120,63 +174,54 @@
         (DeadlinePassed, Outcome::NoConnection),
         (SendDeadlinePassed, Outcome::NotSent),
         (Cancelled, Outcome::NotSent),
-        (ProcessStoodStill, Outcome::NotSent),
+        (ProcessStalled, Outcome::NotSent),
         (ExecutorRestarted, Outcome::NotSent),
         (ExecutorRestartedWhileConnecting, Outcome::NotSent),
     ] {
-        let hangs = !matches!(by, ProcessStoodStill | ExecutorRestarted);
-        let (listener, mut fillers) = listener(if hangs { AcceptQueue::Full } else { AcceptQueue::Free });
-        let (pool, mut events) = new_pool();
-        pool.set_endpoint(executor(), endpoint(Some(listener.local_addr().unwrap()), None, true));
-        let (in_flight, now) = (in_flight_request(), Instant::now());
-        let at = |what| now + Duration::from_millis(if by == what { 800 } else { 60_000 });
-        let decided_at = if by == ProcessStoodStill { now - Duration::from_secs(6) } else { now };
-        let cancel_signal = Rc::new(CancelSignal::default());
-        let order = dispatch_order(
-            &pool,
-            &in_flight,
-            &cancel_signal,
-            decided_at,
-            [DeadlinePassed, SendDeadlinePassed].map(at),
-        );
-        let overtake = async {
-            if hangs {
-                // The attempt hangs in its connect by now.
-                let early = timeout(Duration::from_millis(30), events.recv()).await;
-                assert!(early.is_err(), "{by:?}");
-            }
-            match by {
-                RequestOver => _ = in_flight.close(),
-                DrainWaitEnded => pool.start_draining(executor()),
-                Cancelled => cancel_signal.cancel(Outcome::Cancelled),
-                ExecutorRestartedWhileConnecting => {
-                    let at = Some(listener.local_addr().unwrap());
-                    pool.set_endpoint(executor(), endpoint(at, Some(2.0), true));
-                    // The accept queue has space again, so the connection is established.
-                    fillers.clear();
-                    drop(listener.accept().unwrap());
-                }
-                _ => {}
-            }
-            events.recv().await
-        };
-        if by == ExecutorRestarted {
-            pool.set_endpoint(executor(), endpoint(Some(listener.local_addr().unwrap()), Some(2.0), true));
+        let overtaken = overtake_while_connecting(by);
+        let event = local.run_until(timeout(Duration::from_secs(4), overtaken)).await.unwrap();
+        assert_eq!(outcome_of(event), Some(expected), "{by:?}");
+    }
+}
+
+/// The event that the driver receives; no byte is sent.
+async fn overtake_while_connecting(by: Overtaken) -> Option<NodeEvent> {
+    let hangs = !matches!(by, ProcessStalled | ExecutorRestarted);
+    let (listener, mut fillers) = listener(if hangs { AcceptQueue::Full } else { AcceptQueue::Free });
+    let address = listener.local_addr().unwrap();
+    let (attempt, mut events) = OvertakenAttempt::new(by, address, in_flight_request());
+    let restart = || attempt.pool.set_endpoint(executor(), endpoint(Some(address), Some(2.0), true));
+    let order = attempt.order();
+    let overtake = async {
+        if hangs {
+            // The attempt hangs in its connect by now.
+            attempt.assert_pending(&mut events, Duration::from_millis(30)).await;
         }
-        let both = async { tokio::join!(overtake, pool.clone().dispatch(order)).0 };
-        let event = local.run_until(timeout(Duration::from_secs(4), both)).await.unwrap();
-        assert!(
-            matches!(event, Some(NodeEvent::Core(CoreEvent::AttemptEnded { outcome, .. })) if outcome == expected),
-            "{by:?}"
-        );
-        if !hangs || by == ExecutorRestartedWhileConnecting {
-            let (stream, _) = listener.accept().unwrap();
-            let mut one = [std::mem::MaybeUninit::uninit()];
-            let stream = Socket::from(stream);
-            stream.set_nonblocking(true).unwrap();
-            assert!(!matches!(stream.recv(&mut one), Ok(n) if n > 0), "no byte is sent");
+        attempt.overtake();
+        if by == ExecutorRestartedWhileConnecting {
+            restart();
+            // The accept queue has space again, so the connection is established.
+            fillers.clear();
+            drop(listener.accept().unwrap());
         }
+        events.recv().await
+    };
+    if by == ExecutorRestarted {
+        restart();
     }
+    let event = tokio::join!(overtake, attempt.pool.clone().dispatch(order)).0;
+    if !hangs || by == ExecutorRestartedWhileConnecting {
+        assert_nothing_received(&listener);
+    }
+    event
+}
+
+/// Asserts that no byte arrived on the next connection.
+fn assert_nothing_received(listener: &std::net::TcpListener) {
+    let stream = Socket::from(listener.accept().unwrap().0);
+    stream.set_nonblocking(true).unwrap();
+    let mut one = [std::mem::MaybeUninit::uninit()];
+    assert!(!matches!(stream.recv(&mut one), Ok(n) if n > 0), "no byte is sent");
 }
 
 /// The executor accepts the connection and reads little or nothing. It never receives more of a request than it
@@ -189,50 +234,42 @@
     let each =
         [RequestOver, DrainWaitEnded, DeadlinePassed, SendDeadlinePassed, Cancelled].map(|by| (by, large));
     for (by, size) in each.into_iter().chain([(Cancelled, small)]) {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        // A small receive buffer, so that most of the body stays on the node's end.
-        socket.set_recv_buffer_size(4096).unwrap();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
-        socket.listen(8).unwrap();
-        let (pool, mut events) = new_pool();
-        let address = socket.local_addr().unwrap().as_socket();
-        pool.set_endpoint(executor(), endpoint(address, None, true));
-        let (in_flight, now) = (request_with_body(size), Instant::now());
-        let at = |what| now + Duration::from_millis(if by == what { 800 } else { 60_000 });
-        let cancel_signal = Rc::new(CancelSignal::default());
-        let order = dispatch_order(
-            &pool,
-            &in_flight,
-            &cancel_signal,
-            now,
-            [DeadlinePassed, SendDeadlinePassed].map(at),
-        );
-        let overtake = async {
-            // The request is being written by now: its first bytes arrive, and there is no outcome.
-            let early = timeout(Duration::from_millis(100), events.recv()).await;
-            assert!(early.is_err(), "{by:?}");
-            let (mut there, _) = std::net::TcpListener::from(socket.try_clone().unwrap()).accept().unwrap();
-            let mut first = [0; 100];
-            std::io::Read::read_exact(&mut there, &mut first).unwrap();
-            match by {
-                RequestOver => _ = in_flight.close(),
-                DrainWaitEnded => pool.start_draining(executor()),
-                Cancelled => cancel_signal.cancel(Outcome::Cancelled),
-                _ => {}
-            }
-            (events.recv().await, there)
-        };
-        let both = async { tokio::join!(overtake, pool.clone().dispatch(order)).0 };
-        let waited = local.run_until(timeout(Duration::from_secs(4), both)).await;
+        let overtaken = overtake_while_writing(by, size);
+        let waited = local.run_until(timeout(Duration::from_secs(4), overtaken)).await;
         let (event, mut there) = waited.unwrap_or_else(|_| panic!("{by:?}: still writing"));
-        let Some(NodeEvent::Core(CoreEvent::AttemptEnded { outcome, .. })) = event else { panic!("{by:?}") };
+        let outcome = outcome_of(event).unwrap_or_else(|| panic!("{by:?}"));
         assert_eq!(outcome.never_ran(), size == large, "{by:?}: {outcome:?}");
         let mut rest = Vec::new();
         let _ = std::io::Read::read_to_end(&mut there, &mut rest);
-        assert!(100 + rest.len() < size, "{by:?}: {} of {size} bytes arrived", 100 + rest.len());
+        let received = FIRST_BYTES + rest.len();
+        assert!(received < size, "{by:?}: {received} of {size} bytes arrived");
     }
 }
 
+/// Bytes that the executor reads before the attempt is overtaken.
+const FIRST_BYTES: usize = 100;
+
+/// The event that the driver receives, and the executor's end of the connection.
+async fn overtake_while_writing(by: Overtaken, size: usize) -> (Option<NodeEvent>, std::net::TcpStream) {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    // A small receive buffer, so that most of the body stays on the node's end.
+    socket.set_recv_buffer_size(4096).unwrap();
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket.listen(8).unwrap();
+    let address = socket.local_addr().unwrap().as_socket().unwrap();
+    let (attempt, mut events) = OvertakenAttempt::new(by, address, request_with_body(size));
+    let order = attempt.order();
+    let overtake = async {
+        // The request is being written by now: its first bytes arrive, and there is no outcome.
+        attempt.assert_pending(&mut events, Duration::from_millis(100)).await;
+        let (mut there, _) = std::net::TcpListener::from(socket.try_clone().unwrap()).accept().unwrap();
+        std::io::Read::read_exact(&mut there, &mut [0; FIRST_BYTES]).unwrap();
+        attempt.overtake();
+        (events.recv().await, there)
+    };
+    tokio::join!(overtake, attempt.pool.clone().dispatch(order)).0
+}
+
 #[tokio::test(start_paused = true)]
 async fn the_latest_drain_wait_counts() {
     let ms = Duration::from_millis;
@@ -306,38 +343,35 @@
         let (pool, mut events) = pool_for_effect(effect, Duration::ZERO);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         pool.set_endpoint(executor(), endpoint(listener.local_addr().ok(), None, true));
-        let (deadline, cancel_signal) = (Instant::now() + Duration::from_secs(60), Rc::default());
+        let deadline = Instant::now() + Duration::from_secs(60);
         let run = || {
-            pool.clone().dispatch(dispatch_order(
-                &pool,
-                &in_flight_request(),
-                &cancel_signal,
-                Instant::now(),
-                [deadline; 2],
-            ))
+            let (in_flight, signal) = (in_flight_request(), Rc::default());
+            let order = dispatch_order(&pool, &in_flight, &signal, Instant::now(), [deadline; 2]);
+            pool.clone().dispatch(order)
         };
-        let answers = async {
-            let (mut one, _) = listener.accept().await.unwrap();
-            assert!(one.read(&mut [0; 1000]).await.unwrap() > 0);
-            one.write_all(DONE).await.unwrap();
+        let responses = async {
+            let (mut first, _) = listener.accept().await.unwrap();
+            receive_request(&mut first).await;
+            first.write_all(DONE).await.unwrap();
             if effect == "safe" {
-                assert!(one.read(&mut [0; 1000]).await.unwrap() > 0);
-                one.write_all(NOT_STARTED).await.unwrap();
+                receive_request(&mut first).await;
+                first.write_all(NOT_STARTED).await.unwrap();
                 // The connection is closed, which cancels what may still run there.
-                return assert_eq!(one.read(&mut [0]).await.unwrap_or(0), 0);
+                return assert_eq!(first.read(&mut [0]).await.unwrap_or(0), 0);
             }
-            let (mut other, _) = listener.accept().await.unwrap();
-            assert!(other.read(&mut [0; 1000]).await.unwrap() > 0);
-            one.write_all(NOT_STARTED).await.unwrap();
-            other.write_all(DONE).await.unwrap();
+            let (mut second, _) = listener.accept().await.unwrap();
+            receive_request(&mut second).await;
+            first.write_all(NOT_STARTED).await.unwrap();
+            second.write_all(DONE).await.unwrap();
         };
-        let both = async { tokio::join!(answers, async { (run().await, run().await) }) };
+        let both = async { tokio::join!(responses, async { (run().await, run().await) }) };
         assert!(timeout(Duration::from_secs(4), both).await.is_ok(), "{effect}: both attempts end");
         for expected in [Outcome::Completed, expected] {
-            let Some(NodeEvent::Core(CoreEvent::AttemptEnded { outcome, .. })) = events.recv().await else {
-                panic!()
-            };
-            assert_eq!(outcome, expected, "{effect}");
+            assert_eq!(outcome_of(events.recv().await), Some(expected), "{effect}");
         }
     }
 }
+
+async fn receive_request(stream: &mut tokio::net::TcpStream) {
+    assert!(stream.read(&mut [0; 1000]).await.unwrap() > 0);
+}
