--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `troutknot`: the command line, and nothing else. Results go to standard output, all else to standard error.
+//! `troutknot`: the command line. Results go to standard output, everything else to standard error.
 mod check;
 mod emulate;
 mod experiment;
@@ -12,22 +12,23 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// How a command ended; the number is the exit status.
+/// How a command ended; the value is the exit status.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Ended {
+    /// The command did what was asked, and all rules and bounds held.
     Held = 0,
-    /// A rule broke, or a bar was missed.
+    /// A rule broke, or a bound was missed.
     Broke = 1,
     /// Wrong usage, or a file that cannot be used.
     Usage = 2,
-    /// The machine could not carry it.
+    /// The machine could not carry the run.
     Machine = 3,
 }
 
 impl Ended {
-    /// Says why on standard error, in plain lines.
-    pub fn because(self, why: impl std::fmt::Display) -> Self {
-        why.to_string().lines().for_each(|line| eprintln!("troutknot: {line}"));
+    /// Prints the reason on standard error, a line for each of its lines.
+    pub fn because(self, reason: impl std::fmt::Display) -> Self {
+        reason.to_string().lines().for_each(|line| eprintln!("troutknot: {line}"));
         self
     }
 }
@@ -36,7 +37,7 @@
 #[command(
     name = "troutknot",
     version,
-    about = "A dispatcher that pushes work units to executors, and the kit to rehearse it",
+    about = "A dispatcher that sends requests to executors, and the kit to rehearse it",
     after_help = "Example: troutknot rehearse scenarios/calm.toml --seed 7"
 )]
 struct Command {
@@ -46,10 +47,10 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Run one real node, told all by a JSON file
+    /// Run one node by its node file (JSON)
     #[command(after_help = "Example: troutknot node --config node.json")]
     Node {
-        /// The file that the node is told all by; where not given, ROUTER_CONFIG names it
+        /// The node file; if not given, ROUTER_CONFIG names it
         #[arg(long)]
         config: Option<PathBuf>,
     },
--- a/crates/cli/tests/rehearse.rs
+++ b/crates/cli/tests/rehearse.rs
@@ -1,4 +1,5 @@
 //! The command line with real nodes as processes: short days with the hard cases, and what cannot be played.
+#![allow(clippy::unwrap_used)]
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output};
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -1,4 +1,5 @@
 //! `troutknot scale`: bad input, rows that are read again, exit statuses, and the small run with real nodes.
+#![allow(clippy::unwrap_used)]
 #[path = "../../scale/tests/common/mod.rs"]
 mod common;
 
