--- a/crates/daemon/src/driver/endpoints.rs
+++ b/crates/daemon/src/driver/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::hot_restart::codec::Message;
 use crate::membership::Membership;
 use crate::protocol::EndpointEntry;
-use crate::retention::{EndpointRetention, RetainedEntries, RetentionChange};
+use crate::retention::{EndpointRetention, RetainedEntries, RetentionChange, RetentionStatistics};
 use crate::upstream::ExecutorEndpoint;
 use std::collections::BTreeSet;
 use troutknot::{Endpoint, EndpointState, Event as CoreEvent, ExecutorId, ListUpdate, Millis};
@@ -201,12 +201,20 @@
     pub(super) fn log_retention(&mut self) {
         let statistics = self.retention.statistics();
         let previous = self.retention_statistics.replace(statistics);
-        if statistics.unretained == previous.unretained {
+        let RetentionStatistics { listed, retained, unretained, bound } = statistics;
+        if unretained == previous.unretained {
             return;
         }
-        match statistics.unretained {
-            0 => tracing::info!(%statistics, "all listed executors are retained"),
-            _ => tracing::warn!(%statistics, "more executors are listed than fit into memory"),
+        if unretained == 0 {
+            tracing::info!(listed, retained, unretained, bound, "all listed executors are retained");
+        } else {
+            tracing::warn!(
+                listed,
+                retained,
+                unretained,
+                bound,
+                "more executors are listed than fit into memory"
+            );
         }
     }
 }
--- a/crates/daemon/tests/capacity.rs
+++ b/crates/daemon/tests/capacity.rs
@@ -104,7 +104,7 @@
     let called = Called::start(&discovery, 16, Value::Null);
     let bound = called.figures_of(10).bound;
     assert_eq!(called.figures(), Figures { listed: 10, kept: 10, left_out: 0, bound });
-    assert_eq!(called.lines("left out"), [""; 0], "nothing is said while all fit");
+    assert_eq!(called.lines("unretained="), [""; 0], "nothing is said while all fit");
 
     // A fifth over the bound, over and over: one line, for the figure is one.
     let over = bound + bound / 5;
@@ -116,9 +116,9 @@
     let figures = called.figures_of(over);
     assert_eq!(figures, Figures { listed: over, kept: bound, left_out: over - bound, bound });
     called.serves(50);
-    let said = called.lines("left out");
+    let said = called.lines("unretained=");
     assert_eq!(said.len(), 1, "{said:?}");
-    let expected = format!("{over} listed, {bound} kept, {} left out, bound {bound}", over - bound);
+    let expected = format!("listed={over} retained={bound} unretained={} bound={bound}", over - bound);
     assert!(said[0].contains(&expected), "{said:?}");
 
     // Others go, and only that is told: all that were left out are in.
@@ -127,9 +127,9 @@
     let figures = called.figures_of(over - gone);
     assert_eq!(figures, Figures { listed: over - gone, kept: over - gone, left_out: 0, bound });
     called.serves(50);
-    let said = called.lines("left out");
+    let said = called.lines("unretained=");
     assert_eq!(said.len(), 1, "{said:?}");
-    assert!(said[0].contains(" 0 left out"), "{said:?}");
+    assert!(said[0].contains(" unretained=0 "), "{said:?}");
 }
 
 /// Past what a node holds of those left out it asks for the whole list, once there is room that nobody fills.
@@ -218,7 +218,7 @@
         assert_eq!(called.figures_of(more).kept, more);
     }
     called.serves(100);
-    assert_eq!(called.lines("left out"), [""; 0]);
+    assert_eq!(called.lines("unretained="), [""; 0]);
     let peak = called.memory_kb("VmHWM");
     assert!(peak <= 128 * 1024 * 2 / 3, "{peak} KB at the peak");
     assert!(start.elapsed() < Duration::from_secs(15), "{:?}", start.elapsed());
