--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -15,15 +15,17 @@
     Answered,
 }
 
-/// All instances of a simulated day. They share nothing but the sheets.
+/// All instances of a simulated day. They share nothing but the sheets: entries of endpoint lists, by number.
 #[derive(Default)]
 pub struct Adapter {
     /// Simulated time of the open batch, in microseconds.
     batch_time: Option<u64>,
     instances: BTreeMap<u64, Instance>,
     sheets: BTreeMap<u8, Vec<decode::SheetEntry>>,
-    /// Instances with an event in this batch, in the order of their first.
+    /// Instances with an event in this batch, in the order of their first event. The reply has their actions in
+    /// this order.
     with_events: Vec<u64>,
+    /// Empty between batches; kept so that its memory is used again.
     actions: Vec<Action>,
 }
 
@@ -40,12 +42,22 @@
         };
         let now = millis(time);
         match &*operation {
-            "begin_batch" => return Err(LineError::NestedBatch),
+            "begin_batch" => Err(LineError::NestedBatch),
             "eof_batch" => {
                 decode::check_json(line)?;
                 self.end_batch(now, reply);
-                return Ok(BatchState::Answered);
+                Ok(BatchState::Answered)
             }
+            event => {
+                self.apply_event(now, event, line)?;
+                Ok(BatchState::Open)
+            }
+        }
+    }
+
+    /// Applies a line inside a batch.
+    fn apply_event(&mut self, now: Millis, operation: &str, line: &[u8]) -> Result<(), LineError> {
+        match operation {
             "create" => self.create(now, &decode::parse(line)?)?,
             "halt" => self.stop(&decode::parse(line)?),
             "sheet" => {
@@ -59,11 +71,7 @@
                 self.handle_event_with(result.instance, now, |instance| instance.probe_completed(&result));
             }
             "returned" => self.end_attempt(now, &decode::parse(line)?),
-            "begun" => {
-                let begun: decode::Begun = decode::parse(line)?;
-                let (request_id, attempt_id) = (begun.request_id, AttemptId(begun.attempt));
-                self.handle_event(begun.instance, now, Event::AttemptStarted { request_id, attempt_id });
-            }
+            "begun" => self.start_attempt(now, &decode::parse(line)?),
             "heartbeat" => self.apply_heartbeat(now, &decode::parse(line)?),
             "timer" => {
                 let instance = decode::parse::<decode::InstanceEvent>(line)?.instance;
@@ -77,7 +85,7 @@
             // Operations of a later protocol are skipped, but have to be JSON.
             _ => decode::check_json(line)?,
         }
-        Ok(BatchState::Open)
+        Ok(())
     }
 
     fn begin_batch(&mut self, operation: &str, line: &[u8]) -> Result<(), LineError> {
@@ -141,6 +149,11 @@
         self.handle_event(request.instance, now, event);
     }
 
+    fn start_attempt(&mut self, now: Millis, begun: &decode::Begun) {
+        let (request_id, attempt_id) = (begun.request_id, AttemptId(begun.attempt));
+        self.handle_event(begun.instance, now, Event::AttemptStarted { request_id, attempt_id });
+    }
+
     fn end_attempt(&mut self, now: Millis, returned: &decode::Returned) {
         let event = Event::AttemptEnded {
             request_id: returned.request_id,
@@ -168,7 +181,7 @@
         let Some(instance) = self.instances.get_mut(&inbox.instance) else { return };
         match instance.gossip_received(inbox) {
             Some(event) => self.handle_event(inbox.instance, now, event),
-            None if instance.logs_unreadable() => self.mark(inbox.instance),
+            None if instance.logs_unreadable() => self.add_to_reply(inbox.instance),
             None => {}
         }
     }
@@ -178,15 +191,16 @@
         self.handle_event_with(number, now, |_| event);
     }
 
+    /// The same for an event that is made from the state of the instance.
     fn handle_event_with(&mut self, number: u64, now: Millis, event: impl FnOnce(&Instance) -> Event) {
-        self.mark(number);
+        self.add_to_reply(number);
         let Some(instance) = self.instances.get_mut(&number) else { return };
         let event = event(instance);
         instance.handle_event(now, event);
     }
 
     /// Has the actions of an instance written at the end of the batch.
-    fn mark(&mut self, number: u64) {
+    fn add_to_reply(&mut self, number: u64) {
         let Some(instance) = self.instances.get_mut(&number) else { return };
         if !std::mem::replace(&mut instance.has_events, true) {
             self.with_events.push(number);
