--- a/crates/cli/src/emulate.rs
+++ b/crates/cli/src/emulate.rs
@@ -75,7 +75,7 @@
     }
 
     async fn emulate(&self, scenario: Scenario) -> Result<(), EmulateError> {
-        let plan = Plan::draw(&scenario, self.seed.unwrap_or(scenario.seed));
+        let plan = Plan::generate(&scenario, self.seed.unwrap_or(scenario.seed));
         let fleet = Fleet::start(&scenario, &plan, self.consul)?;
         tokio::select! {
             () = fleet.play(&plan) => {}
@@ -128,12 +128,12 @@
     /// Applies a step, if it concerns an executor or how it is listed.
     fn apply(&self, step: &Step) {
         match step {
-            Step::TroubleBegins { number, executor, trouble } => {
+            Step::FaultBegins { number, executor, fault } => {
                 let Some(host) = self.hosts.get(*executor) else { return };
-                host.trouble(*number as u64, trouble.clone());
-                eprintln!("{} {trouble:?}", host.name);
+                host.trouble(*number as u64, fault.clone());
+                eprintln!("{} {fault:?}", host.name);
             }
-            Step::TroubleEnds { number, executor } => {
+            Step::FaultEnds { number, executor } => {
                 let Some(host) = self.hosts.get(*executor) else { return };
                 host.trouble_over(*number as u64);
                 eprintln!("{} is over it", host.name);
@@ -147,7 +147,9 @@
             Step::ListFailing { executor } => {
                 self.set_status(*executor, Status::Critical, "is listed as failing")
             }
-            Step::ListWell { executor } => self.set_status(*executor, Status::Passing, "is listed as well"),
+            Step::ListPassing { executor } => {
+                self.set_status(*executor, Status::Passing, "is listed as well")
+            }
             _ => {}
         }
     }
@@ -177,17 +179,17 @@
     addresses: Addresses,
 ) -> Result<(Vec<Rc<Host>>, Vec<Member>), EmulateError> {
     let (mut hosts, mut members) = (Vec::new(), Vec::new());
-    for (number, planned) in plan.executors.iter().enumerate().filter(|(_, planned)| planned.at_start) {
+    for (number, planned) in plan.executors.iter().enumerate().filter(|(_, planned)| planned.is_initial) {
         let address = addresses.executor(number);
         let machine = planned.machine.clone();
-        let host = Host::start(shared, number as u32, machine, planned.seed, address, !planned.cold);
+        let host = Host::start(shared, number as u32, machine, planned.seed, address, !planned.slow_start);
         let host = host.map_err(|error| EmulateError::Listen { what: "an executor", address, error })?;
         members.push(Member {
             executor: number as u32,
             id: host.name.clone(),
             addr: host.addr,
             zone: "here".into(),
-            kind: planned.kind.clone(),
+            kind: planned.machine_type.clone(),
             cell: planned.group as u32,
             listed: Listed::Ready,
             weight: 1.0,
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -100,9 +100,9 @@
 
     async fn request(&self, number: usize, due: Instant) {
         let request = &self.plan.requests[number];
-        let kind = self.scenario.project_types[request.project_type].get_ref();
+        let kind = self.scenario.project_types[request.request_class].get_ref();
         let clients = &self.scenario.clients;
-        let leaves = request.leaves_after.map(|after| due + Duration::from_secs_f64(after / 1000.0));
+        let leaves = request.disconnects_after.map(|after| due + Duration::from_secs_f64(after / 1000.0));
         if self.scenario.is_keyed(kind) {
             return self.keyed_request(number, request, kind).await;
         }
@@ -184,7 +184,7 @@
         leaves: Option<Instant>,
         node: Option<usize>,
     ) -> Came {
-        let id = self.plan.id(number, attempt);
+        let id = self.plan.request_id(number, attempt);
         let no_way_in = || {
             self.record.note(Seen::NoWayIn { request: number });
             Came::NoWayIn
@@ -201,7 +201,7 @@
                 .header("request-class", &kind.name)
                 .header("request-timeout", format!("{:.3}", kind.hard_limit.as_secs_f64()))
                 .header("request-info", format!("slots={},memory={}", kind.slots, kind.memory));
-            let asked = match self.scenario.customers.get(request.customer) {
+            let asked = match self.scenario.customers.get(request.tenant) {
                 Some(customer) => asked.header("tenant", &customer.get_ref().name),
                 None => asked,
             };
@@ -211,7 +211,7 @@
                 None => asked,
             };
             // With a key it is the same each time.
-            let work = if node.is_some() { self.plan.id(number, 0) } else { id.clone() };
+            let work = if node.is_some() { self.plan.request_id(number, 0) } else { id.clone() };
             let Ok(asked) = asked.body(Full::new(Bytes::from(format!("work of {work}")))) else {
                 return no_way_in();
             };
@@ -252,7 +252,8 @@
             let status = head.status.as_u16();
             // With a key the result may be of any try before.
             let first = if keyed { 0 } else { attempt };
-            let fits = (first..=attempt).any(|k| body == result_of(&self.plan.id(number, k)).as_bytes());
+            let fits =
+                (first..=attempt).any(|k| body == result_of(&self.plan.request_id(number, k)).as_bytes());
             let told = head.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
             let told = told.filter(|s| (0.0..3600.0).contains(s)).map(Duration::from_secs_f64);
             let come_back = told.map(millis);
--- /dev/null
+++ b/crates/rehearsal/src/plan/disturbances.rs
@@ -0,0 +1,152 @@
+//! Crashes, deployments, discovery outages and operator actions, as steps of the day.
+use super::schedule::Schedule;
+use super::{PlannedExecutor, Step, startup_delay};
+use crate::scenario::{EventKind, EventSpec, millis};
+use rand::RngExt;
+use troutknot_emulator::Millis;
+
+/// How long a restarted node runs before it can be killed again, so that it opens its listener.
+const NODE_STARTUP_GRACE: Millis = 150.0;
+const DEFAULT_MEAN_KILL_INTERVAL: Millis = 1000.0;
+const DEFAULT_FLAP_INTERVAL: Millis = 1.0;
+
+impl Schedule<'_> {
+    /// Schedules the steps of one event of the scenario.
+    pub(super) fn add_event(&mut self, event: &EventSpec) {
+        let at = millis(event.at);
+        let end = at + event.lasts.map_or(0.0, millis);
+        let node = event.node.unwrap_or(0);
+        match event.what {
+            EventKind::KillNode => self.add_node_crash(node, at, event),
+            EventKind::KillNodes => self.add_random_node_crashes(at, end, event),
+            EventKind::RestartNode => self.add_node_restart(node, at, event),
+            EventKind::RereadNodes => self.add(at, Step::ReloadNodes),
+            EventKind::RestartDiscovery => self.add(at, Step::RestartDiscovery),
+            EventKind::SilenceDiscovery => {
+                self.add(at, Step::SilenceDiscovery { silent: true });
+                self.add(end, Step::SilenceDiscovery { silent: false });
+            }
+            EventKind::FlapExecutors => self.add_flapping(at, event),
+            EventKind::SuspendExecutors => self.add_suspension(at, end, event),
+            EventKind::DrainNode => {
+                self.add(at, Step::DrainNode { node, drained: true });
+                self.add(end, Step::DrainNode { node, drained: false });
+            }
+            EventKind::UpgradeNode => self.add(at, Step::HotRestartNode { node }),
+            EventKind::RetuneNodes => {
+                let max_attempts = event.attempts.unwrap_or(1);
+                self.add(at, Step::ReconfigureNodes { max_attempts, broken: event.broken.unwrap_or(false) });
+            }
+            EventKind::TroubleDiscovery => {
+                self.add(at, Step::DiscoveryFault { fault: event.how });
+                self.add(end, Step::DiscoveryFault { fault: None });
+            }
+            EventKind::KillExecutor => self.add_executor_crashes(at, event),
+            EventKind::Deploy => self.add_deployment(at, event),
+        }
+    }
+
+    fn add_node_crash(&mut self, node: usize, at: Millis, event: &EventSpec) {
+        self.add(at, Step::KillNode { node });
+        self.add(at + event.back.map_or(0.0, millis), Step::StartNode { node });
+    }
+
+    /// Kills nodes at exponentially distributed intervals, the longest-running one first.
+    fn add_random_node_crashes(&mut self, at: Millis, end: Millis, event: &EventSpec) {
+        let mean_interval = event.every.map_or(DEFAULT_MEAN_KILL_INTERVAL, millis);
+        let downtime = event.back.map_or(0.0, millis);
+        let mut up_at = vec![at; self.scenario.nodes.count];
+        let mut now = at + self.exponential(mean_interval);
+        while now < end {
+            let earliest = up_at.iter().enumerate().min_by(|left, right| left.1.total_cmp(right.1));
+            let node = earliest.map_or(0, |(node, _)| node);
+            now = now.max(up_at[node]);
+            self.add(now, Step::KillNode { node });
+            self.add(now + downtime, Step::StartNode { node });
+            up_at[node] = now + downtime + NODE_STARTUP_GRACE;
+            now += self.exponential(mean_interval);
+        }
+    }
+
+    fn exponential(&mut self, mean: Millis) -> Millis {
+        -mean * (1.0 - self.rng.random::<f64>()).ln()
+    }
+
+    fn add_node_restart(&mut self, node: usize, at: Millis, event: &EventSpec) {
+        let killed_at = at + millis(self.scenario.granted());
+        self.add(at, Step::TerminateNode { node });
+        self.add(killed_at, Step::KillNode { node });
+        self.add(killed_at + event.back.map_or(0.0, millis), Step::StartNode { node });
+    }
+
+    fn add_flapping(&mut self, at: Millis, event: &EventSpec) {
+        let interval = event.every.map_or(DEFAULT_FLAP_INTERVAL, millis);
+        let end = at + event.lasts.map_or(0.0, millis);
+        for executor in self.event_executors(event) {
+            // A random phase for each, so that they do not flap in step.
+            let mut now = at + self.rng.random::<f64>() * interval;
+            while now + interval <= end {
+                self.add(now, Step::ListFailing { executor });
+                self.add(now + interval / 2.0, Step::ListPassing { executor });
+                now += interval;
+            }
+        }
+    }
+
+    fn add_suspension(&mut self, at: Millis, end: Millis, event: &EventSpec) {
+        for executor in self.event_executors(event) {
+            self.add(at, Step::SuspendExecutor { executor, suspended: true });
+            self.add(end, Step::SuspendExecutor { executor, suspended: false });
+        }
+    }
+
+    fn add_executor_crashes(&mut self, at: Millis, event: &EventSpec) {
+        let noticed = at + millis(self.scenario.discovery.death_noticed);
+        let registered = event.back.map(|downtime| at + millis(downtime));
+        for executor in self.event_executors(event) {
+            self.add(at, Step::KillExecutor { executor });
+            if registered.is_none_or(|registered| noticed < registered) {
+                self.add(noticed, Step::ListRemoved { executor });
+            }
+            if let Some(registered) = registered {
+                self.add(registered, Step::ListRestarted { executor });
+                let accepts_at = registered + startup_delay(self.scenario);
+                self.add(accepts_at, Step::RestartExecutor { executor });
+            }
+        }
+    }
+
+    /// Replaces executors one after the other.
+    fn add_deployment(&mut self, at: Millis, event: &EventSpec) {
+        let rules = &self.scenario.rules;
+        let grace = millis(rules.drain_grace) + millis(rules.told_at_latest);
+        let interval = event.every.map_or(0.0, millis);
+        let candidates = self.initial_executors(event.group.as_deref());
+        let count = event.count.unwrap_or(candidates.len());
+        for (position, executor) in self.sample(candidates, count).into_iter().enumerate() {
+            let at = at + position as f64 * interval;
+            let replacement = self.add_replacement(executor);
+            self.add(at, Step::Join { executor: replacement });
+            self.add(at, Step::Drain { executor });
+            self.add(at + grace, Step::Leave { executor });
+        }
+    }
+
+    /// Adds an executor like the given one, with a seed of its own, and returns its number.
+    fn add_replacement(&mut self, executor: usize) -> usize {
+        let replacement = PlannedExecutor {
+            seed: self.rng.random(),
+            is_initial: false,
+            slow_start: true,
+            ..self.executors[executor].clone()
+        };
+        self.executors.push(replacement);
+        self.executors.len() - 1
+    }
+
+    /// Samples the executors that an event concerns; one if the event gives no count.
+    fn event_executors(&mut self, event: &EventSpec) -> Vec<usize> {
+        let candidates = self.initial_executors(event.group.as_deref());
+        self.sample(candidates, event.count.unwrap_or(1))
+    }
+}
--- /dev/null
+++ b/crates/rehearsal/src/plan/faults.rs
@@ -0,0 +1,68 @@
+//! Faults of executors, as steps of the day.
+use super::schedule::Schedule;
+use super::{Step, startup_delay};
+use crate::scenario::{Scenario, TroubleKind, TroubleSpec, millis};
+use troutknot_emulator::{Millis, Trouble};
+
+const DEFAULT_BURST: Millis = 1000.0;
+const DEFAULT_CORE_SHARE: f64 = 0.5;
+const DEFAULT_PARETO_EXPONENT: f64 = 1.5;
+
+impl Schedule<'_> {
+    /// Schedules a fault at a random share of the executors that it can strike.
+    pub(super) fn add_fault(&mut self, number: usize, spec: &TroubleSpec) {
+        let candidates = self.initial_executors(spec.group.as_deref());
+        let count = ((candidates.len() as f64 * spec.share).round() as usize).max(1);
+        let (from, to) = (millis(spec.from), millis(spec.to));
+        let fault = executor_fault(spec, self.scenario);
+        for executor in self.sample(candidates, count) {
+            if fault == (Trouble::Silence { cold: true }) {
+                self.add_listing_changes(executor, from, to);
+            }
+            self.add(from, Step::FaultBegins { number, executor, fault: fault.clone() });
+            self.add(to, Step::FaultEnds { number, executor });
+        }
+    }
+
+    /// Schedules what discovery lists of an executor that is cut off and then starts again.
+    fn add_listing_changes(&mut self, executor: usize, from: Millis, to: Millis) {
+        // An executor registers before it accepts connections.
+        let registered = (to - startup_delay(self.scenario)).max(from);
+        let noticed = from + millis(self.scenario.discovery.death_noticed);
+        if noticed < registered {
+            self.add(noticed, Step::ListRemoved { executor });
+        }
+        self.add(registered, Step::ListRestarted { executor });
+    }
+}
+
+fn executor_fault(spec: &TroubleSpec, scenario: &Scenario) -> Trouble {
+    let factor = spec.factor.unwrap_or(1.0);
+    let share = spec.of_work.unwrap_or(1.0);
+    match spec.kind {
+        TroubleKind::Slow => Trouble::Slow { factor },
+        TroubleKind::Pause => Trouble::Pause,
+        TroubleKind::Silence => Trouble::Silence { cold: spec.cold.unwrap_or(true) },
+        TroubleKind::Neighbour => Trouble::Neighbour {
+            part: spec.part.unwrap_or(DEFAULT_CORE_SHARE),
+            on: spec.on.map_or(DEFAULT_BURST, millis),
+            off: spec.off.map_or(DEFAULT_BURST, millis),
+        },
+        TroubleKind::Swallow => Trouble::Swallow { project_type: class_index(spec, scenario), share },
+        TroubleKind::Errors => Trouble::Errors { share },
+        TroubleKind::WrongReadings => Trouble::WrongReadings { factor },
+        TroubleKind::LateReadings => Trouble::LateReadings { by: spec.by.map_or(0.0, millis) },
+        TroubleKind::Resets => Trouble::Resets { share },
+        TroubleKind::HeavyTail => Trouble::HeavyTail {
+            project_type: class_index(spec, scenario),
+            share,
+            alpha: spec.alpha.unwrap_or(DEFAULT_PARETO_EXPONENT),
+        },
+    }
+}
+
+/// The index of the request class that a fault strikes.
+fn class_index(spec: &TroubleSpec, scenario: &Scenario) -> usize {
+    let is_named = |class: &str| spec.project_type.as_deref() == Some(class);
+    scenario.project_types.iter().position(|class| is_named(&class.get_ref().name)).unwrap_or(0)
+}
--- /dev/null
+++ b/crates/rehearsal/src/plan/mod.rs
@@ -0,0 +1,62 @@
+//! The plan of a day: every request, every executor and every step, generated ahead from a scenario and a seed. Equal
+//! seeds give equal plans, which [`Plan::hash`] shows.
+mod disturbances;
+mod executors;
+mod faults;
+mod fingerprint;
+mod random;
+mod request_id;
+mod requests;
+mod schedule;
+mod step;
+
+pub use executors::PlannedExecutor;
+pub use request_id::{format_request_id, parse_request_id};
+pub use requests::Request;
+pub use step::Step;
+
+use crate::scenario::{Scenario, millis};
+use random::{Stream, generator};
+use schedule::Schedule;
+use troutknot_emulator::Millis;
+
+/// Added to the longest notice delay so that every node has read the new endpoint list, in milliseconds.
+const LIST_READ_ALLOWANCE: Millis = 100.0;
+
+/// A day, generated from a scenario and a seed.
+#[derive(Clone, Debug)]
+pub struct Plan {
+    /// The seed that it was generated from.
+    pub seed: u64,
+    /// In the order of their arrival.
+    pub requests: Vec<Request>,
+    /// The initial executors, then the replacements that join during the day.
+    pub executors: Vec<PlannedExecutor>,
+    /// The steps with their time in milliseconds since the start of the day, in the order of time.
+    pub steps: Vec<(Millis, Step)>,
+    /// The length of the day in milliseconds.
+    pub length: Millis,
+}
+
+impl Plan {
+    /// Generates the day of a scenario.
+    pub fn generate(scenario: &Scenario, seed: u64) -> Self {
+        let initial = executors::initial(scenario, generator(seed, Stream::Executors));
+        let mut schedule = Schedule::new(scenario, initial, generator(seed, Stream::Steps));
+        for (number, spec) in scenario.troubles.iter().enumerate() {
+            schedule.add_fault(number, spec.get_ref());
+        }
+        for event in &scenario.events {
+            schedule.add_event(event.get_ref());
+        }
+        let (executors, steps) = schedule.finish();
+        let requests = requests::generate(scenario, generator(seed, Stream::Requests));
+        Plan { seed, requests, executors, steps, length: millis(scenario.length) }
+    }
+}
+
+/// How long before it accepts connections a restarted executor registers with discovery, in milliseconds. All nodes
+/// have read the new list by then.
+pub fn startup_delay(scenario: &Scenario) -> Millis {
+    millis(scenario.discovery.notice_most) + LIST_READ_ALLOWANCE
+}
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -160,13 +160,13 @@
                 machine: e.machine.clone(),
                 place: 0,
                 group: e.group as u32,
-                cold_at_first: e.cold,
+                cold_at_first: e.slow_start,
             })
             .collect(),
         requests: plan
             .requests
             .iter()
-            .map(|r| RequestFacts { project_type: r.project_type, at: r.at })
+            .map(|r| RequestFacts { project_type: r.request_class, at: r.at })
             .collect(),
         began,
     }
@@ -204,7 +204,7 @@
     folder: &Path,
     progress: Arc<Progress>,
 ) -> Result<Report, Failed> {
-    let plan = Arc::new(Plan::draw(scenario, seed));
+    let plan = Arc::new(Plan::generate(scenario, seed));
     check_machine(scenario, &plan)?;
     let record = Arc::new(Record::default());
     let cpu = own_cpu_ms();
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -3,7 +3,7 @@
 use crate::briefing::{self, PLACE};
 use crate::lists::{self, ConsulList, NodeList};
 use crate::nodes::{Ask, Launch, Running, Start, Used};
-use crate::plan::{Plan, Step, opens_after};
+use crate::plan::{Plan, Step, startup_delay};
 use crate::scenario::Scenario;
 use anyhow::{Context, Result, anyhow};
 use bytes::Bytes;
@@ -152,7 +152,7 @@
         let addresses = Addresses::fresh();
         let mut hosts = Vec::new();
         for number in 0..plan.executors.len() {
-            let at_start = plan.executors[number].at_start;
+            let at_start = plan.executors[number].is_initial;
             hosts.push(at_start.then(|| host(&shared, &plan, addresses, number)).transpose()?);
         }
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
@@ -174,7 +174,7 @@
         };
         let world = Rc::new(world);
         for number in 0..world.plan.executors.len() {
-            if world.plan.executors[number].at_start {
+            if world.plan.executors[number].is_initial {
                 world.listed.borrow_mut()[number] = Some(world.member(number, Listed::Ready));
             }
         }
@@ -281,13 +281,13 @@
     fn step(self: &Rc<Self>, step: &Step) {
         let host = |number: usize| self.hosts.borrow()[number].clone();
         match step {
-            Step::TroubleBegins { number, executor, trouble } => {
+            Step::FaultBegins { number, executor, fault } => {
                 self.record.note(Seen::TroubleBegan { number: *number });
                 if let Some(host) = host(*executor) {
-                    host.trouble(*number as u64, trouble.clone());
+                    host.trouble(*number as u64, fault.clone());
                 }
             }
-            Step::TroubleEnds { number, executor } => {
+            Step::FaultEnds { number, executor } => {
                 self.record.note(Seen::TroubleOver { number: *number });
                 if let Some(host) = host(*executor) {
                     host.trouble_over(*number as u64);
@@ -322,8 +322,8 @@
                     host.restart();
                 }
             }
-            Step::ListGone { executor } => self.list(*executor, Listed::Gone),
-            Step::ListBack { executor } => self.list(*executor, Listed::Ready),
+            Step::ListRemoved { executor } => self.list(*executor, Listed::Gone),
+            Step::ListRestarted { executor } => self.list(*executor, Listed::Ready),
             Step::KillNode { node } => {
                 let mut nodes = self.nodes.borrow_mut();
                 let node_number = *node as NodeNumber;
@@ -342,7 +342,7 @@
                     }
                 }
             }
-            Step::EndNode { node } => {
+            Step::TerminateNode { node } => {
                 self.record.note(Seen::NodeAsked { node: *node as NodeNumber });
                 if let Some(running) = &mut self.nodes.borrow_mut()[*node].running {
                     let _ = running.ask(Ask::End);
@@ -352,7 +352,7 @@
                 Ok(process) => self.nodes.borrow_mut()[*node].running = Some(process),
                 Err(why) => eprintln!("node n{node} does not start again: {why}"),
             },
-            Step::RereadNodes => {
+            Step::ReloadNodes => {
                 for number in 0..self.scenario.nodes.count {
                     let moved = self.nodes.borrow()[number].list.move_to(self.addresses.agent(number));
                     if moved.is_err() || self.write_config(number).is_err() {
@@ -364,17 +364,17 @@
                     }
                 }
             }
-            Step::LeaveOut { executor, out } => {
+            Step::SuspendExecutor { executor, suspended } => {
                 for node in 0..self.scenario.nodes.count {
-                    spawn_local(self.clone().leave_out(node, *executor, *out));
+                    spawn_local(self.clone().leave_out(node, *executor, *suspended));
                 }
             }
-            Step::DrainNode { node, drain } => _ = spawn_local(self.clone().drain(*node, *drain)),
-            Step::UpgradeNode { node } => _ = spawn_local(self.clone().upgrade(*node)),
-            Step::RetuneNodes { attempts, broken } => {
+            Step::DrainNode { node, drained } => _ = spawn_local(self.clone().drain(*node, *drained)),
+            Step::HotRestartNode { node } => _ = spawn_local(self.clone().upgrade(*node)),
+            Step::ReconfigureNodes { max_attempts, broken } => {
                 if !broken {
-                    self.record.note(Seen::Retuned { attempts: *attempts });
-                    self.attempts.set(*attempts);
+                    self.record.note(Seen::Retuned { attempts: *max_attempts });
+                    self.attempts.set(*max_attempts);
                 }
                 for number in 0..self.scenario.nodes.count {
                     if self.write_config(number).is_err() {
@@ -382,21 +382,21 @@
                     }
                     let mut nodes = self.nodes.borrow_mut();
                     let node = &mut nodes[number];
-                    let spoilt = if *broken { spoil(&node.config, *attempts) } else { Ok(()) };
+                    let spoilt = if *broken { spoil(&node.config, *max_attempts) } else { Ok(()) };
                     self.record.note(Seen::NodeReread { node: number as NodeNumber });
                     if let (Ok(()), Some(running)) = (spoilt, &mut node.running) {
                         let _ = running.ask(Ask::Reread);
                     }
                 }
             }
-            Step::SilenceDiscovery { on } => {
-                self.nodes.borrow().iter().for_each(|node| node.list.silent(*on));
+            Step::SilenceDiscovery { silent } => {
+                self.nodes.borrow().iter().for_each(|node| node.list.silent(*silent));
             }
             Step::RestartDiscovery => self.nodes.borrow().iter().for_each(|node| node.list.restart()),
             Step::ListFailing { executor } => self.list_as(*executor, Listed::Terminating, true),
-            Step::ListWell { executor } => self.list(*executor, Listed::Ready),
-            Step::TroubleDiscovery { how } => {
-                self.nodes.borrow().iter().for_each(|node| node.list.trouble(*how));
+            Step::ListPassing { executor } => self.list(*executor, Listed::Ready),
+            Step::DiscoveryFault { fault } => {
+                self.nodes.borrow().iter().for_each(|node| node.list.trouble(*fault));
             }
         }
     }
@@ -412,7 +412,7 @@
             id: host.name.clone(),
             addr: host.addr,
             zone: PLACE.into(),
-            kind: planned.kind.clone(),
+            kind: planned.machine_type.clone(),
             cell: planned.group as u32,
             listed,
             weight: 1.0,
@@ -422,7 +422,7 @@
 
     /// When it will be up again, where it is about to start anew: it announces itself before its door opens.
     fn announced(&self, number: usize) -> Option<f64> {
-        let opens = opens_after(&self.scenario);
+        let opens = startup_delay(&self.scenario);
         let hosts = self.hosts.borrow();
         let host = hosts[number].as_ref()?;
         (host.is_down() || host.is_cut_off()).then(|| self.record.now() + opens)
@@ -619,6 +619,6 @@
     let planned = &plan.executors[number];
     let at = addresses.executor(number);
     let machine = planned.machine.clone();
-    Host::start(shared, number as ExecutorNumber, machine, planned.seed, at, !planned.cold)
+    Host::start(shared, number as ExecutorNumber, machine, planned.seed, at, !planned.slow_start)
         .with_context(|| format!("no address for an executor on {at}"))
 }
--- a/crates/rehearsal/tests/compatibility.rs
+++ b/crates/rehearsal/tests/compatibility.rs
@@ -5,6 +5,6 @@
 #[test]
 fn an_earlier_scenario_is_the_same_day() {
     let scenario = Scenario::parse(include_str!("fixtures/scenario.toml"), "scenario").unwrap();
-    let plan = Plan::draw(&scenario, scenario.seed);
+    let plan = Plan::generate(&scenario, scenario.seed);
     assert_eq!(plan.hash(), "8fcb227690b0dacb");
 }
--- a/crates/rehearsal/tests/scenario.rs
+++ b/crates/rehearsal/tests/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenario files that cannot be used, and plans that must not differ.
 use std::time::Duration;
-use troutknot_rehearsal::plan::{Plan, Step, id, of_id};
+use troutknot_rehearsal::plan::{Plan, Step, format_request_id, parse_request_id};
 use troutknot_rehearsal::scenario::Scenario;
 
 const GOOD: &str = r#"name = "good"
@@ -105,7 +105,7 @@
 #[test]
 fn the_same_seed_gives_the_same_plan_and_another_one_another() {
     let scenario = Scenario::parse(GOOD, "f").unwrap();
-    let [a, b, c] = [1, 1, 2].map(|seed| Plan::draw(&scenario, seed));
+    let [a, b, c] = [1, 1, 2].map(|seed| Plan::generate(&scenario, seed));
     assert_eq!((a.hash(), &a.requests, &a.steps), (b.hash(), &b.requests, &b.steps));
     assert_ne!(a.hash(), c.hash());
     let expected = scenario.requests();
@@ -113,15 +113,20 @@
     assert_eq!(scenario.times(Duration::from_secs(3)), 2.0);
     let joins = a.steps.iter().filter(|(_, step)| matches!(step, Step::Join { .. })).count();
     assert_eq!((joins, a.executors.len()), (4, 8), "each has a successor");
-    let slowed = a.steps.iter().filter(|(_, step)| matches!(step, Step::TroubleBegins { .. })).count();
+    let slowed = a.steps.iter().filter(|(_, step)| matches!(step, Step::FaultBegins { .. })).count();
     assert_eq!(slowed, 2, "half of four");
 }
 
 #[test]
 fn ids_that_are_not_of_the_seed_mean_nothing() {
-    assert_eq!(of_id(7, &id(7, 123, 2)), Some((123, 2)));
-    for odd in [id(8, 123, 2), "feedfeedfeedfeed".into(), "0000".into(), "00000700000\u{e9}b02".into()] {
-        assert_eq!(of_id(7, &odd), None, "{odd}");
+    assert_eq!(parse_request_id(7, &format_request_id(7, 123, 2)), Some((123, 2)));
+    for odd in [
+        format_request_id(8, 123, 2),
+        "feedfeedfeedfeed".into(),
+        "0000".into(),
+        "00000700000\u{e9}b02".into(),
+    ] {
+        assert_eq!(parse_request_id(7, &odd), None, "{odd}");
     }
 }
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -90,7 +90,7 @@
     if scenario.is_operated() {
         return Err(Unable::Operated);
     }
-    let plan = Plan::draw(scenario, seed);
+    let plan = Plan::generate(scenario, seed);
     let mut world = World::new(scenario, &plan, make).map_err(Unable::Settings)?;
     world.play();
     let (seen, counts) = world.end();
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -46,7 +46,7 @@
     pub(super) fn request_cut(&mut self, request: u32, attempt: u32) {
         let id = self.id(request, attempt);
         self.note(Seen::Cut { id, reused: false });
-        let kind = self.types[self.plan.requests[request as usize].project_type];
+        let kind = self.types[self.plan.requests[request as usize].request_class];
         if kind.effect == Effect::Rerunnable {
             self.schedule_retry(request, attempt, None);
         }
@@ -76,7 +76,7 @@
     ) {
         let id = self.id(request, attempt);
         self.note(Seen::Answered { id, status, fits: status == 200, come_back });
-        let kind = self.types[self.plan.requests[request as usize].project_type];
+        let kind = self.types[self.plan.requests[request as usize].request_class];
         match status {
             200 => {}
             503 => self.schedule_retry(request, attempt, come_back),
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -4,7 +4,7 @@
 use troutknot::{DeduplicationGroupId, Endpoint, EndpointState, Event, ListUpdate, MachineTypeId, ZoneId};
 use troutknot_emulator::Millis;
 use troutknot_emulator::observed::{ExecutorNumber, Listed, NodeNumber, Seen};
-use troutknot_rehearsal::plan::opens_after;
+use troutknot_rehearsal::plan::startup_delay;
 use troutknot_rehearsal::scenario::millis;
 
 impl World<'_> {
@@ -12,7 +12,7 @@
     pub(super) fn started(&self, number: usize) -> Option<Millis> {
         let host = self.hosts[number].as_ref()?;
         let announced = host.is_down() || host.is_silent();
-        let at = if announced { self.now + opens_after(self.scenario) } else { host.started() };
+        let at = if announced { self.now + startup_delay(self.scenario) } else { host.started() };
         at.is_finite().then(|| at.floor())
     }
 
@@ -20,7 +20,7 @@
     fn listing(&self, node: usize, executor: usize, entry: u32) -> Endpoint {
         let (listed, started) = self.entries[entry as usize];
         let planned = &self.plan.executors[executor];
-        let kind = self.kinds.iter().position(|k| *k == planned.kind).map_or(u32::MAX, |k| k as u32);
+        let kind = self.kinds.iter().position(|k| *k == planned.machine_type).map_or(u32::MAX, |k| k as u32);
         Endpoint {
             executor: self.nodes[node].handles.of(executor),
             token: self.tokens[executor],
--- a/crates/simulation/src/world/executors.rs
+++ b/crates/simulation/src/world/executors.rs
@@ -11,7 +11,7 @@
     pub(super) fn start_executor(&mut self, number: usize) {
         let planned = &self.plan.executors[number];
         self.hosts[number] =
-            Some(Executor::new(planned.machine.clone(), planned.seed, self.now, !planned.cold));
+            Some(Executor::new(planned.machine.clone(), planned.seed, self.now, !planned.slow_start));
         self.note(Seen::ExecutorUp { executor: number as ExecutorNumber });
     }
 
@@ -79,11 +79,11 @@
     fn offer_allocation(&mut self, request: u32, attempt: u32, origin: Origin, out: InTransit) {
         let number = out.executor as usize;
         let asked = &self.plan.requests[request as usize];
-        let kind = self.types[asked.project_type];
+        let kind = self.types[asked.request_class];
         let offer = Offer {
             key: Key(out.key),
             request_id: u64::from(request),
-            project_type: asked.project_type,
+            project_type: asked.request_class,
             slots: kind.slots,
             memory: kind.memory,
             work: asked.work,
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -130,7 +130,7 @@
         };
         world.now = BEGAN - 700.0;
         for number in 0..count {
-            if plan.executors[number].at_start {
+            if plan.executors[number].is_initial {
                 world.start_executor(number);
                 world.entries.push((Listed::Ready, world.started(number)));
                 world.listed[number] = Some(world.entries.len() as u32 - 1);
@@ -174,6 +174,6 @@
 
     /// The id that a request carries at an attempt.
     fn id(&self, request: u32, attempt: u32) -> Box<str> {
-        self.plan.id(request as usize, attempt).into()
+        self.plan.request_id(request as usize, attempt).into()
     }
 }
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -132,18 +132,18 @@
     /// A request reaches a node.
     pub(super) fn request_arrives(&mut self, node: usize, request: u32, attempt: u32) {
         let asked = &self.plan.requests[request as usize];
-        let kind = self.types[asked.project_type];
+        let kind = self.types[asked.request_class];
         let limit = millis(kind.hard_limit);
         let left = limit - ANSWER_MARGIN.min(limit * 0.2);
         let request_id = RequestId(self.nodes[node].next_wu);
         self.nodes[node].next_wu += 1;
         let open = Open { request, attempt, limit: self.now + left, attempts: 0, out: None, waits: true };
         self.nodes[node].open.insert(request_id, open);
-        if let Some(after) = asked.leaves_after {
+        if let Some(after) = asked.disconnects_after {
             let (life, number) = (self.nodes[node].life, node as u32);
             self.queue.at(BEGAN + asked.at + after, WorldEvent::Leaves { node: number, life, request_id });
         }
-        let (project_type, customer) = (RequestClassId(asked.project_type as u32), asked.customer as u32);
+        let (project_type, customer) = (RequestClassId(asked.request_class as u32), asked.tenant as u32);
         let (customer, slots, memory) = (TenantId(customer), kind.slots, kind.memory);
         let again = attempt > 0;
         self.tell(
--- a/crates/simulation/src/world/steps.rs
+++ b/crates/simulation/src/world/steps.rs
@@ -10,16 +10,14 @@
     pub(super) fn step(&mut self, number: usize) {
         let plan = self.plan;
         match &plan.steps[number].1 {
-            Step::TroubleBegins { number, executor, trouble } => {
+            Step::FaultBegins { number, executor, fault } => {
                 self.note(Seen::TroubleBegan { number: *number });
-                self.change_executor(*executor, |host, now| {
-                    host.trouble(now, *number as u64, trouble.clone())
-                });
-                if *trouble == (Trouble::Silence { cold: true }) {
+                self.change_executor(*executor, |host, now| host.trouble(now, *number as u64, fault.clone()));
+                if *fault == (Trouble::Silence { cold: true }) {
                     self.waits_at[*executor].clear();
                 }
             }
-            Step::TroubleEnds { number, executor } => {
+            Step::FaultEnds { number, executor } => {
                 self.note(Seen::TroubleOver { number: *number });
                 let start =
                     |world: &Self| world.hosts[*executor].as_ref().map(|h| (h.started(), h.is_down()));
@@ -46,11 +44,13 @@
                 self.change_executor(*executor, |host, now| host.restart(now));
                 self.note(Seen::ExecutorUp { executor: *executor as ExecutorNumber });
             }
-            Step::ListGone { executor } => self.list(*executor, Listed::Gone),
-            Step::ListBack { executor } | Step::ListWell { executor } => self.list(*executor, Listed::Ready),
+            Step::ListRemoved { executor } => self.list(*executor, Listed::Gone),
+            Step::ListRestarted { executor } | Step::ListPassing { executor } => {
+                self.list(*executor, Listed::Ready)
+            }
             Step::ListFailing { executor } => self.list(*executor, Listed::Terminating),
             Step::KillNode { node } => self.kill_node(*node),
-            Step::EndNode { node } => {
+            Step::TerminateNode { node } => {
                 self.note(Seen::NodeAsked { node: *node as NodeNumber });
                 self.nodes[*node].leaving = true;
                 self.queue.at(
@@ -59,18 +59,18 @@
                 );
             }
             Step::StartNode { node } => self.start_node(*node),
-            Step::RereadNodes => {
+            Step::ReloadNodes => {
                 for node in 0..self.nodes.len() {
                     self.note(Seen::NodeReread { node: node as NodeNumber });
                 }
             }
-            Step::SilenceDiscovery { on } => self.silence(*on),
+            Step::SilenceDiscovery { silent } => self.silence(*silent),
             // Such days are not simulated: they need real nodes.
-            Step::LeaveOut { .. }
+            Step::SuspendExecutor { .. }
             | Step::DrainNode { .. }
-            | Step::UpgradeNode { .. }
-            | Step::RetuneNodes { .. } => {}
-            Step::TroubleDiscovery { how } => self.silence(how.is_some()),
+            | Step::HotRestartNode { .. }
+            | Step::ReconfigureNodes { .. } => {}
+            Step::DiscoveryFault { fault } => self.silence(fault.is_some()),
             Step::RestartDiscovery => {
                 for node in 0..self.nodes.len() {
                     if self.nodes[node].up {
