--- a/crates/cli/src/verdict.rs
+++ b/crates/cli/src/verdict.rs
@@ -1,6 +1,6 @@
 //! Reports and verdicts as text for a reader.
 use std::fmt::Write;
-use troutknot_rehearsal::referee::{Breach, Verdict};
+use troutknot_rehearsal::referee::{RuleViolation, Verdict};
 use troutknot_rehearsal::run::Report;
 
 /// Breaches of one rule that are printed; the report file has all.
@@ -45,7 +45,8 @@
     out.push('\n');
     for (index, rule) in RULES.iter().enumerate() {
         let number = index as u8 + 1;
-        let broken: Vec<&Breach> = verdict.breaches.iter().filter(|breach| breach.rule == number).collect();
+        let broken: Vec<&RuleViolation> =
+            verdict.violations.iter().filter(|violation| violation.rule == number).collect();
         out += &format_rule(number, rule, &broken, seed);
     }
     let requests = verdict.all.requests.max(1) as f64;
@@ -53,15 +54,15 @@
         out,
         "\n  service {:.3} (expected {expected_service:.3}), {:.2} client tries and {:.2} attempts a request",
         verdict.service,
-        verdict.all.tries as f64 / requests,
-        verdict.all.allocations as f64 / requests
+        verdict.all.client_attempts as f64 / requests,
+        verdict.all.attempts as f64 / requests
     );
     let _ = writeln!(
         out,
         "  longest dispatch after a drain notice {:.0} ms; largest use of a warm-up budget {:.0}%; overloaded {}",
-        verdict.longest_after_told_ms,
-        verdict.cold_budget_used * 100.0,
-        verdict.fell_over
+        verdict.longest_dispatch_after_drain_ms,
+        verdict.warm_up_budget_used * 100.0,
+        verdict.overload_failures
     );
     out
 }
@@ -71,7 +72,7 @@
         "\n  {:<14} {:>8} {:>9} {:>8} {:>8} {:>7} {:>5} {:>5} {:>8} {:>8}\n",
         "class", "requests", "completed", "in time", "rejected", "failed", "cut", "left", "p50 ms", "p99 ms"
     );
-    let by_class = verdict.by_type.iter().map(|(name, tally)| (name.as_str(), tally));
+    let by_class = verdict.by_class.iter().map(|(name, tally)| (name.as_str(), tally));
     for (name, tally) in by_class.chain([("all", &verdict.all)]) {
         let _ = writeln!(
             out,
@@ -79,10 +80,10 @@
             tally.requests,
             tally.completed,
             tally.in_time,
-            tally.deferred + tally.no_way_in,
-            tally.aborted,
-            tally.cut,
-            tally.left,
+            tally.rejected + tally.unreachable,
+            tally.failed,
+            tally.disconnected,
+            tally.abandoned,
             tally.p50_ms,
             tally.p99_ms
         );
@@ -90,11 +91,11 @@
     out
 }
 
-fn format_rule(number: u8, rule: &str, broken: &[&Breach], seed: u64) -> String {
+fn format_rule(number: u8, rule: &str, broken: &[&RuleViolation], seed: u64) -> String {
     let held = if broken.is_empty() { "held".to_string() } else { format!("BROKEN {} times", broken.len()) };
     let mut out = format!("  rule {number} {rule}: {held}\n");
-    for breach in broken.iter().take(MAX_PRINTED_BREACHES) {
-        let _ = writeln!(out, "    {}: {} (seed {seed})", breach.name, breach.what);
+    for violation in broken.iter().take(MAX_PRINTED_BREACHES) {
+        let _ = writeln!(out, "    {}: {} (seed {seed})", violation.kind, violation.description);
     }
     if broken.len() > MAX_PRINTED_BREACHES {
         let _ = writeln!(out, "    and {} more; --report holds all", broken.len() - MAX_PRINTED_BREACHES);
--- /dev/null
+++ b/crates/rehearsal/src/referee/events.rs
@@ -0,0 +1,233 @@
+//! Arranges the recorded events of a rehearsal into [`Observations`].
+use super::facts::Facts;
+use super::observations::{Answer, Attempt, ClientAttempt, Disconnect, HotRestart, Link, Observations};
+use super::timeline::Timeline;
+use super::violation::{RuleViolation, ViolationKind};
+use troutknot_emulator::observed::{AllocNumber, Listed, NodeNumber, Seen};
+use troutknot_emulator::{End, Millis};
+
+impl Observations {
+    /// Arranges the recorded events, which are in the order of time.
+    pub fn from_events(facts: &Facts, events: &[(Millis, Seen)]) -> Self {
+        let mut observations = Observations::default();
+        for (at, event) in events {
+            observations.record(facts, *at, event);
+        }
+        observations.readiness.values_mut().for_each(Timeline::sort);
+        observations
+    }
+
+    fn record(&mut self, facts: &Facts, at: Millis, event: &Seen) {
+        match event {
+            Seen::Sent { .. }
+            | Seen::Answered { .. }
+            | Seen::Left { .. }
+            | Seen::Cut { .. }
+            | Seen::NoWayIn { .. } => self.record_client_event(at, event),
+            Seen::Received { .. }
+            | Seen::Unknown { .. }
+            | Seen::NeverRan { .. }
+            | Seen::Errored { .. }
+            | Seen::Started { .. }
+            | Seen::Ended { .. }
+            | Seen::GivenUp { .. } => self.record_attempt_event(facts, at, event),
+            Seen::ExecutorUp { .. } | Seen::FellOver { .. } | Seen::AgentKnows { .. } | Seen::Told { .. } => {
+                self.record_executor_event(facts, at, event)
+            }
+            Seen::LeftOut { .. }
+            | Seen::Drained { .. }
+            | Seen::UpgradeBegan { .. }
+            | Seen::UpgradeOver { .. }
+            | Seen::Retuned { .. }
+            | Seen::CallFailed { .. }
+            | Seen::Health { .. } => self.record_operator_event(at, event),
+            Seen::NodeStarted { .. }
+            | Seen::NodeAsked { .. }
+            | Seen::NodeKilled { .. }
+            | Seen::NodeEnded { .. } => self.record_node_event(at, event),
+            Seen::ExecutorDown { .. }
+            | Seen::NodeReread { .. }
+            | Seen::TroubleBegan { .. }
+            | Seen::TroubleOver { .. } => {}
+        }
+    }
+
+    fn record_client_event(&mut self, at: Millis, event: &Seen) {
+        match event {
+            Seen::Sent { id, request, node, .. } => {
+                // A request is sent again if its connection turns out to be closed before the first write.
+                self.client_attempts
+                    .entry(id.clone())
+                    .or_insert_with(|| ClientAttempt::new(*request, *node, at))
+                    .node = *node;
+            }
+            Seen::Answered { id, status, fits, .. } => {
+                let answer = Answer { at, status: *status, is_valid: *fits };
+                self.update_client_attempt(id, |attempt| _ = attempt.answer.get_or_insert(answer));
+            }
+            Seen::Left { id } => {
+                self.update_client_attempt(id, |attempt| attempt.abandoned_at = Some(at));
+            }
+            Seen::Cut { id, reused } => {
+                let disconnect = Disconnect { at, was_reused: *reused };
+                self.update_client_attempt(id, |attempt| attempt.disconnect = Some(disconnect));
+            }
+            Seen::NoWayIn { .. } => self.connect_failures.push(at),
+            _ => {}
+        }
+    }
+
+    fn record_attempt_event(&mut self, facts: &Facts, at: Millis, event: &Seen) {
+        match event {
+            Seen::Received { executor, attempt_id, id, first_byte, slots, work } => {
+                self.update_client_attempt(id, |attempt| attempt.attempts.push(*attempt_id));
+                let attempt = Attempt {
+                    request_id: id.clone(),
+                    executor: *executor,
+                    first_byte_at: *first_byte,
+                    received_at: at,
+                    slots: *slots,
+                    work: *work,
+                    unexecuted_since: None,
+                    was_started: false,
+                    completed: false,
+                    ended_at: None,
+                };
+                self.attempts.insert(*attempt_id, attempt);
+            }
+            Seen::Unknown { executor, id } => {
+                let description =
+                    format!("{} got `{id}`, which no client sent", facts.executor_name(*executor));
+                self.add_violation(ViolationKind::UnknownRequestId, at, description);
+            }
+            Seen::NeverRan { attempt_id } => self.end_attempt(*attempt_id, at, End::Returned),
+            Seen::Errored { attempt_id } | Seen::GivenUp { attempt_id } => {
+                self.end_attempt(*attempt_id, at, End::Lost);
+            }
+            Seen::Started { attempt_id } => {
+                if let Some(attempt) = self.attempts.get_mut(attempt_id) {
+                    attempt.was_started = true;
+                }
+            }
+            Seen::Ended { attempt_id, end } => self.end_attempt(*attempt_id, at, *end),
+            _ => {}
+        }
+    }
+
+    fn record_executor_event(&mut self, facts: &Facts, at: Millis, event: &Seen) {
+        match event {
+            Seen::ExecutorUp { executor } => self.starts.entry(*executor).or_default().push(at),
+            Seen::FellOver { .. } => self.overload_failures += 1,
+            Seen::AgentKnows { node, executor, listed } if *listed != Listed::Ready => {
+                let link = Link { node: *node, executor: *executor };
+                let notified_at = at + facts.notification_timeout;
+                self.readiness.entry(link).or_default().push(notified_at, false);
+            }
+            Seen::Told { node, executor, listed } => {
+                let link = Link { node: *node, executor: *executor };
+                let readiness = self.readiness.entry(link).or_default();
+                let is_ready = *listed == Listed::Ready;
+                if is_ready {
+                    // The notice supersedes earlier changes that have not reached their timeout yet.
+                    readiness.truncate_after(at);
+                }
+                readiness.push(at, is_ready);
+            }
+            _ => {}
+        }
+    }
+
+    fn record_operator_event(&mut self, at: Millis, event: &Seen) {
+        match event {
+            Seen::LeftOut { node, executor, out } => {
+                let link = Link { node: *node, executor: *executor };
+                self.exclusions.entry(link).or_default().push(at, *out);
+            }
+            Seen::Drained { node, drained } => self.drained.entry(*node).or_default().push(at, *drained),
+            Seen::UpgradeBegan { node } => {
+                self.hot_restarts.push(HotRestart { node: *node, began_at: at, ended_at: f64::INFINITY });
+            }
+            Seen::UpgradeOver { node } => {
+                if let Some(last) = self.hot_restarts.iter_mut().rfind(|restart| restart.node == *node) {
+                    last.ended_at = at;
+                }
+            }
+            Seen::Retuned { attempts } => self.max_attempts.push(at, *attempts as usize),
+            Seen::CallFailed { node, status } => {
+                let description = format!("node n{node} answered a call {status:?}, or not in time");
+                self.add_violation(ViolationKind::CallFailed, at, description);
+            }
+            Seen::Health { node, status } => self.check_health(at, *node, *status),
+            _ => {}
+        }
+    }
+
+    fn record_node_event(&mut self, at: Millis, event: &Seen) {
+        match event {
+            Seen::NodeStarted { node } => self.reset_operator_state(at, *node),
+            Seen::NodeAsked { node } => _ = self.exit_requests.insert(*node),
+            Seen::NodeKilled { node } => self.record_kill(at, *node),
+            Seen::NodeEnded { node, well } => self.check_exit(at, *node, *well),
+            _ => {}
+        }
+    }
+
+    /// A node that is killed after it was asked to exit must have answered its requests, so that only a kill
+    /// without notice excuses missing responses.
+    fn record_kill(&mut self, at: Millis, node: NodeNumber) {
+        if !self.exit_requests.remove(&node) {
+            self.kills.entry(node).or_default().push(at);
+        }
+    }
+
+    fn check_exit(&mut self, at: Millis, node: NodeNumber, is_clean: bool) {
+        let was_asked = self.exit_requests.remove(&node);
+        if was_asked && is_clean {
+            return;
+        }
+        let manner = if is_clean { "unasked" } else { "badly" };
+        let description = format!("node n{node} ended by itself, {manner}");
+        self.add_violation(ViolationKind::NodeCrashed, at, description);
+    }
+
+    /// A process that replaces no running one starts without the operators' earlier calls.
+    fn reset_operator_state(&mut self, at: Millis, node: NodeNumber) {
+        for (link, exclusion) in &mut self.exclusions {
+            if link.node == node {
+                exclusion.push(at, false);
+            }
+        }
+        self.drained.entry(node).or_default().push(at, false);
+    }
+
+    fn check_health(&mut self, at: Millis, node: NodeNumber, status: Option<u16>) {
+        let is_drained =
+            self.drained.get(&node).is_some_and(|drained| drained.holds_since(true, at).is_some());
+        let is_healthy = status == Some(200);
+        if is_drained != is_healthy {
+            return;
+        }
+        let kind = if is_drained { ViolationKind::ReadyWhileDrained } else { ViolationKind::NotReadyAgain };
+        self.add_violation(kind, at, format!("the health of node n{node} answered {status:?}"));
+    }
+
+    fn add_violation(&mut self, kind: ViolationKind, at: Millis, description: String) {
+        self.violations.push(RuleViolation::new(kind, at, description));
+    }
+
+    fn update_client_attempt(&mut self, id: &str, update: impl FnOnce(&mut ClientAttempt)) {
+        if let Some(attempt) = self.client_attempts.get_mut(id) {
+            update(attempt);
+        }
+    }
+
+    fn end_attempt(&mut self, number: AllocNumber, at: Millis, end: End) {
+        let Some(attempt) = self.attempts.get_mut(&number) else { return };
+        attempt.ended_at.get_or_insert(at);
+        match end {
+            End::Done => attempt.completed = true,
+            End::Returned => attempt.unexecuted_since = Some(at),
+            End::Lost | End::Reset => {}
+        }
+    }
+}
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -2,7 +2,7 @@
 use crate::clients::Clients;
 use crate::nodes::{Launch, Used};
 use crate::plan::Plan;
-use crate::referee::{self, ExecutorFacts, Facts, RequestFacts, TypeFacts, Verdict};
+use crate::referee::{self, ClassFacts, ExecutorFacts, Facts, RequestFacts, Verdict};
 use crate::scenario::{Scenario, millis};
 use crate::world::World;
 use anyhow::{Context, Result, anyhow};
@@ -67,7 +67,7 @@
 impl Report {
     /// Whether no rule broke and the service expected was reached.
     pub fn holds(&self) -> bool {
-        self.verdict.breaches.is_empty() && self.verdict.service >= self.expected_service
+        self.verdict.violations.is_empty() && self.verdict.service >= self.expected_service
     }
 
     /// Whether the kit kept to its own plan.
@@ -135,40 +135,40 @@
     Facts {
         seed: plan.seed,
         drain_grace: millis(rules.drain_grace),
-        told_at_latest: millis(rules.told_at_latest),
-        most_allocations: rules.most_allocations as usize,
+        notification_timeout: millis(rules.told_at_latest),
+        max_attempts: rules.most_allocations as usize,
         slack: millis(rules.slack),
-        cold_share: rules.cold_share,
-        ramp: millis(rules.ramp),
-        fall_multiple: rules.fall_multiple,
-        fall_window: millis(rules.fall_window),
-        types: types
-            .map(|t| TypeFacts {
+        initial_capacity: rules.cold_share,
+        ramp_duration: millis(rules.ramp),
+        budget_multiple: rules.fall_multiple,
+        budget_window: millis(rules.fall_window),
+        classes: types
+            .map(|t| ClassFacts {
                 name: t.name.clone(),
                 effect: t.effect,
-                keyed: scenario.is_keyed(t),
-                scope: t.repeat_scope,
-                window: millis(t.window),
-                hard_limit: millis(t.hard_limit),
-                promised_turnaround: millis(t.promised_turnaround),
-                credit: t.credit,
+                has_idempotency_key: scenario.is_keyed(t),
+                deduplication_scope: t.repeat_scope,
+                deduplication_window: millis(t.window),
+                deadline: millis(t.hard_limit),
+                latency_objective: millis(t.promised_turnaround),
+                value: t.credit,
             })
             .collect(),
         executors: (plan.executors.iter().enumerate())
             .map(|(number, e)| ExecutorFacts {
                 name: format!("s-{number:05}"),
                 machine: e.machine.clone(),
-                place: 0,
-                group: e.group as u32,
-                cold_at_first: e.cold,
+                zone: 0,
+                deduplication_group: e.group as u32,
+                starts_cold: e.cold,
             })
             .collect(),
         requests: plan
             .requests
             .iter()
-            .map(|r| RequestFacts { project_type: r.project_type, at: r.at })
+            .map(|r| RequestFacts { class: r.project_type, due_at: r.at })
             .collect(),
-        began,
+        started_at: began,
     }
 }
 
--- a/crates/rehearsal/tests/mutants.rs
+++ b/crates/rehearsal/tests/mutants.rs
@@ -521,17 +521,19 @@
                 let _turn = TURNS[k % TURNS.len()].lock().unwrap_or_else(PoisonError::into_inner);
                 let report = day(wrong, by_hand);
                 let mut found: Vec<(u8, &str)> =
-                    report.verdict.breaches.iter().map(|b| (b.rule, b.name)).collect();
+                    report.verdict.violations.iter().map(|b| (b.rule, b.kind.name())).collect();
                 found.sort_unstable();
                 found.dedup();
                 // Without an answered call there is no next process, and nothing else is judged.
                 found.retain(|(_, name)| wrong != AnswersNoCall || *name == "call-failed");
-                assert_eq!(found, expected, "{wrong:?}: {:#?}", report.verdict.breaches.first());
-                assert_eq!(report.verdict.fell_over > 0, wrong == IgnoresWarmth, "{wrong:?}");
+                assert_eq!(found, expected, "{wrong:?}: {:#?}", report.verdict.violations.first());
+                assert_eq!(report.verdict.overload_failures > 0, wrong == IgnoresWarmth, "{wrong:?}");
                 assert!(report.verdict.all.requests > 100);
                 // Who sent what is said where a cold one was pushed over.
-                let pushed = report.verdict.breaches.iter().find(|b| b.rule == 4);
-                assert!(pushed.is_none_or(|b| b.what.contains("s-00003 stands") && b.what.contains("n0 ")));
+                let pushed = report.verdict.violations.iter().find(|b| b.rule == 4);
+                assert!(pushed.is_none_or(
+                    |b| b.description.contains("s-00003 stands") && b.description.contains("n0 ")
+                ));
             });
         }
     });
--- a/crates/rehearsal/tests/referee.rs
+++ b/crates/rehearsal/tests/referee.rs
@@ -1,7 +1,7 @@
 //! The referee on records made by hand: what it must see, and what it must not take for a breach.
 use troutknot_emulator::observed::{Listed, Seen};
 use troutknot_emulator::{End, Machine};
-use troutknot_rehearsal::referee::{ExecutorFacts, Facts, RequestFacts, TypeFacts, judge};
+use troutknot_rehearsal::referee::{ClassFacts, ExecutorFacts, Facts, RequestFacts, judge};
 use troutknot_rehearsal::scenario::{Effect, RepeatScope};
 
 const RENDER: usize = 0;
@@ -10,43 +10,43 @@
 /// Exclusive, and asked for with a key until it is answered.
 const KEYED: usize = 3;
 
-fn facts(project_type: usize, scope: RepeatScope) -> Facts {
-    let of = |name: &str, effect| TypeFacts {
+fn facts(class: usize, scope: RepeatScope) -> Facts {
+    let of = |name: &str, effect| ClassFacts {
         name: name.into(),
         effect,
-        keyed: name == "keyed",
-        scope,
-        window: 1000.0,
-        hard_limit: 2000.0,
-        promised_turnaround: 500.0,
-        credit: 1.0,
+        has_idempotency_key: name == "keyed",
+        deduplication_scope: scope,
+        deduplication_window: 1000.0,
+        deadline: 2000.0,
+        latency_objective: 500.0,
+        value: 1.0,
     };
-    let executor = |k: u32, cold_at_first| ExecutorFacts {
+    let executor = |k: u32, starts_cold| ExecutorFacts {
         name: format!("s-{k}"),
         machine: Machine { slots: 2.0, cores: 2.0, ..Machine::default() },
-        place: 0,
-        group: k,
-        cold_at_first,
+        zone: 0,
+        deduplication_group: k,
+        starts_cold,
     };
     Facts {
         seed: 0,
         drain_grace: 1000.0,
-        told_at_latest: 3000.0,
-        most_allocations: 3,
+        notification_timeout: 3000.0,
+        max_attempts: 3,
         slack: 50.0,
-        cold_share: 0.5,
-        ramp: 10_000.0,
-        fall_multiple: 2.0,
-        fall_window: 100.0,
-        types: vec![
+        initial_capacity: 0.5,
+        ramp_duration: 10_000.0,
+        budget_multiple: 2.0,
+        budget_window: 100.0,
+        classes: vec![
             of("render", Effect::Rerunnable),
             of("mail", Effect::Receipted),
             of("publish", Effect::Exclusive),
             of("keyed", Effect::Exclusive),
         ],
         executors: vec![executor(0, false), executor(1, false), executor(2, true)],
-        requests: vec![RequestFacts { project_type, at: 0.0 }],
-        began: 0.0,
+        requests: vec![RequestFacts { class, due_at: 0.0 }],
+        started_at: 0.0,
     }
 }
 
@@ -377,12 +377,12 @@
         ("a cold one within its budget", RENDER, All, cold(2), &[]),
         ("a cold one pushed over", RENDER, All, cold(3), &["pushed-over"]),
     ];
-    for (what, project_type, scope, seen, expected) in cases {
-        let verdict = judge(&facts(project_type, scope), &seen);
-        let mut found: Vec<&str> = verdict.breaches.iter().map(|b| b.name).collect();
+    for (what, class, scope, seen, expected) in cases {
+        let verdict = judge(&facts(class, scope), &seen);
+        let mut found: Vec<&str> = verdict.violations.iter().map(|violation| violation.kind.name()).collect();
         found.retain(|name| !(what.starts_with("a cold one") && *name == "two-out"));
         found.dedup();
-        assert_eq!(found, expected, "{what}: {:#?}", verdict.breaches);
+        assert_eq!(found, expected, "{what}: {:#?}", verdict.violations);
     }
 }
 
@@ -400,8 +400,49 @@
     };
     for (at, in_time, service) in [(400.0, 1, 1.0), (501.0, 0, 0.0)] {
         let verdict = judge(&facts(RENDER, RepeatScope::All), &seen(at));
-        assert_eq!((verdict.all.in_time, verdict.service, verdict.all.tries), (in_time, service, 2));
+        assert_eq!(
+            (verdict.all.in_time, verdict.service, verdict.all.client_attempts),
+            (in_time, service, 2)
+        );
     }
     let left = judge(&facts(RENDER, RepeatScope::All), &[(0.0, sent(0)), (1.0, Seen::Left { id: id(0) })]);
-    assert_eq!((left.all.left, left.service), (1, 1.0));
+    assert_eq!((left.all.abandoned, left.service), (1, 1.0));
+}
+
+#[test]
+fn a_violation_serializes_under_the_report_s_keys() {
+    let verdict = judge(&facts(RENDER, RepeatScope::All), &[(0.0, sent(0))]);
+    let expected = concat!(
+        r#"[{"rule":1,"name":"no-answer","at":2050.0,"#,
+        r#""what":"render a0: sent to n0 at 0.000 s, no answer by its hard limit"}]"#
+    );
+    assert_eq!(serde_json::to_string(&verdict.violations).unwrap(), expected);
+    let report = serde_json::to_value(&verdict).unwrap();
+    let keys_of =
+        |value: &serde_json::Value| -> Vec<String> { value.as_object().unwrap().keys().cloned().collect() };
+    let mut verdict_keys = keys_of(&report);
+    verdict_keys.sort_unstable();
+    assert_eq!(
+        verdict_keys,
+        ["all", "breaches", "by_type", "cold_budget_used", "fell_over", "longest_after_told_ms", "service"]
+    );
+    let mut tally_keys = keys_of(&report["all"]);
+    tally_keys.sort_unstable();
+    assert_eq!(
+        tally_keys,
+        [
+            "aborted",
+            "allocations",
+            "completed",
+            "cut",
+            "deferred",
+            "in_time",
+            "left",
+            "no_way_in",
+            "p50_ms",
+            "p99_ms",
+            "requests",
+            "tries"
+        ]
+    );
 }
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -366,16 +366,16 @@
             policy: run.policy_name.clone(),
             seed: run.seed,
             service: verdict.service,
-            breaches: verdict.breaches.len(),
+            breaches: verdict.violations.len(),
             completed: of(verdict.all.completed),
-            deferred: of(verdict.all.deferred),
-            aborted: of(verdict.all.aborted),
+            deferred: of(verdict.all.rejected),
+            aborted: of(verdict.all.failed),
             p50_ms: verdict.all.p50_ms,
             p99_ms: verdict.all.p99_ms,
             probes: of(probes as usize),
-            allocations: of(verdict.all.allocations),
-            cold_budget_used: verdict.cold_budget_used,
-            fell_over: verdict.fell_over,
+            allocations: of(verdict.all.attempts),
+            cold_budget_used: verdict.warm_up_budget_used,
+            fell_over: verdict.overload_failures,
         })
     }
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -53,7 +53,7 @@
 impl Report {
     /// Whether no rule broke and the service expected was reached.
     pub fn holds(&self) -> bool {
-        self.verdict.breaches.is_empty() && self.verdict.service >= self.expected_service
+        self.verdict.violations.is_empty() && self.verdict.service >= self.expected_service
     }
 }
 
--- a/crates/simulation/tests/simulate.rs
+++ b/crates/simulation/tests/simulate.rs
@@ -37,7 +37,7 @@
                 continue;
             }
             let report = simulate_by(&scenario, scenario.seed, policy.parse().unwrap()).unwrap();
-            let breaches = &report.verdict.breaches;
+            let breaches = &report.verdict.violations;
             assert!(breaches.is_empty(), "{name} by {policy}: {:#?}", &breaches[..breaches.len().min(3)]);
             assert!(policy != "adaptive" || report.holds(), "{name}: service {}", report.verdict.service);
         }
@@ -96,14 +96,21 @@
         if wrong == Wrong::PushesCold {
             // Cold executors that stand little.
             scenario.rules.fall_multiple = 0.4;
-            assert!(simulate(&scenario, scenario.seed).unwrap().verdict.breaches.is_empty(), "a sound node");
+            assert!(
+                simulate(&scenario, scenario.seed).unwrap().verdict.violations.is_empty(),
+                "a sound node"
+            );
         }
         let make = move |settings: &troutknot::Settings, seed, now| -> Box<dyn DecisionModule> {
             Box::new(Wronged { inner: Dispatcher::new(settings, seed, now), wrong })
         };
         let report = simulate_with(&scenario, scenario.seed, &make).unwrap();
-        let named = report.verdict.breaches.iter().any(|b| b.name == expected);
-        assert!(named, "{wrong:?}: {:?}", report.verdict.breaches.iter().map(|b| b.name).collect::<Vec<_>>());
+        let named = report.verdict.violations.iter().any(|b| b.kind.name() == expected);
+        assert!(
+            named,
+            "{wrong:?}: {:?}",
+            report.verdict.violations.iter().map(|b| b.kind.name()).collect::<Vec<_>>()
+        );
     }
 }
 
