--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -160,13 +160,13 @@
                 machine: e.machine.clone(),
                 zone: 0,
                 deduplication_group: e.group as u32,
-                starts_cold: e.cold,
+                starts_cold: e.slow_start,
             })
             .collect(),
         requests: plan
             .requests
             .iter()
-            .map(|r| RequestFacts { class: r.project_type, due_at: r.at })
+            .map(|r| RequestFacts { class: r.request_class, due_at: r.at })
             .collect(),
         started_at: began,
     }
@@ -204,7 +204,7 @@
     folder: &Path,
     progress: Arc<Progress>,
 ) -> Result<Report, Failed> {
-    let plan = Arc::new(Plan::draw(scenario, seed));
+    let plan = Arc::new(Plan::generate(scenario, seed));
     check_machine(scenario, &plan)?;
     let record = Arc::new(Record::default());
     let cpu = own_cpu_ms();
