--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -49,7 +49,7 @@
         attempt.outcome = Some(end.outcome);
         let (attempt, class, slots) = (*attempt, request.class, request.slots);
         let is_another_in_flight = request.is_in_flight();
-        self.fleet.executors.record_change(attempt.executor, now, -slots);
+        self.fleet.executors.record_slot_change(now, attempt.executor, -slots);
         self.fleet.outliers.record_outcome(now);
         self.judge_outcome(now, class, &attempt, end.outcome);
         let is_completed = end.outcome == Outcome::Completed;
@@ -66,7 +66,7 @@
             false => self.sample(now, request_id),
         }
         if is_completed {
-            self.dispatch_queued_to(now, attempt.executor);
+            self.probe_for_queue(now, attempt.executor);
         }
     }
 
@@ -109,19 +109,22 @@
         }
     }
 
-    /// The time of a dispatched request is over within which its attempt was to start.
+    /// The last attempt of a request has not been reported as started in time: without probes that counts
+    /// against the admitted share, otherwise its executor is probed to find out whether the attempt was lost.
     pub(super) fn on_start_overdue(&mut self, now: Millis, request_id: RequestId, executor: ExecutorId) {
         let Some(request) = self.requests.get(&request_id) else { return };
-        let has_started = request.attempts.last().is_none_or(|last| last.started_at.is_some());
+        if request.attempts.last().is_none_or(|last| last.started_at.is_some()) {
+            return;
+        }
         match self.probes.is_forbidden {
-            _ if has_started => {}
             true => self.admission.record_late_start(),
             false => self.probe(now, request_id, vec![executor]),
         }
     }
 
-    /// Checks an attempt that has not started, with its executor's report: a lost attempt is hedged.
-    pub(super) fn recheck_start(&mut self, now: Millis, request_id: RequestId) {
+    /// Ends a start check, with the executor's report if it sent one: a lost attempt is hedged, any other is
+    /// left to run.
+    pub(super) fn hedge_if_lost(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get(&request_id) else { return };
         let Some(&attempt) = request.attempts.last() else { return };
         if !start_check::is_lost(request) {
@@ -144,12 +147,14 @@
         executor: ExecutorId,
         sent_at: Millis,
     ) {
-        let is_expected = self.fleet.executors.expects(executor);
-        let Some(request) = self.requests.get_mut(&request_id).filter(|_| is_expected) else { return };
+        if self.fleet.executors.count_if_stale(executor) {
+            return;
+        }
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
         request.attempts.push(Attempt::new(executor, sent_at, f64::INFINITY));
         request.sampling_rounds = 0;
         let slots = request.slots;
-        self.fleet.executors.record_change(executor, now, slots);
+        self.fleet.executors.record_slot_change(now, executor, slots);
         self.await_attempts(request_id);
     }
 }
--- a/src/dispatcher/endpoints.rs
+++ b/src/dispatcher/endpoints.rs
@@ -26,7 +26,7 @@
                 && request.attempts.len() < attempts
                 && !self.fleet.executors.is_ready(executor)
             {
-                self.fleet.executors.record_change(executor, now, -request.slots);
+                self.fleet.executors.record_slot_change(now, executor, -request.slots);
                 self.sample(now, request_id);
             }
         }
--- a/src/dispatcher/fleet.rs
+++ b/src/dispatcher/fleet.rs
@@ -22,7 +22,8 @@
     pub outliers: OutlierDetection,
     /// This node's zone, if dispatches across zones are priced.
     local_zone: Option<ZoneId>,
-    /// Until when another process of this node may dispatch as well.
+    /// Until when the dispatches of another process of this node count against warm-up budgets: while it
+    /// runs, and for one window after it has stopped.
     sibling_until: Millis,
 }
 
@@ -190,9 +191,10 @@
     pub fn record_gossiped_rejection(&mut self, now: Millis, token: u32, class: RequestClassId) {
         let has_token = |state: &&ExecutorState| state.endpoint.token as u32 == token;
         let found = self.executors.iter().find(has_token);
+        // The default handle never has state, so that a message with an unknown token counts as stale.
         let executor = found.map_or(ExecutorId::default(), |state| state.endpoint.executor);
         let decay = self.score_decay(now);
-        if self.executors.expects(executor)
+        if !self.executors.count_if_stale(executor)
             && let Some(state) = self.executors.state_mut(executor)
         {
             let score = state.rejections.entry(class).or_default();
--- a/src/dispatcher/probes.rs
+++ b/src/dispatcher/probes.rs
@@ -108,7 +108,7 @@
         executor: ExecutorId,
         reply: Option<ProbeReply>,
     ) {
-        if !self.fleet.executors.expects(executor) {
+        if self.fleet.executors.count_if_stale(executor) {
             return;
         }
         match &reply {
@@ -163,9 +163,11 @@
     /// Dispatches to the best of the candidates that have replied, at random among equal ones.
     fn dispatch_to_shortest(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get(&request_id) else { return };
+        // The only candidate is the executor of an attempt in flight: it was probed as a start check, or no
+        // other executor is eligible.
         let last = request.attempts.last().filter(|_| request.is_in_flight());
         if last.is_some_and(|last| request.candidates == [last.executor]) {
-            return self.recheck_start(now, request_id);
+            return self.hedge_if_lost(now, request_id);
         }
         let shortest = self.shortest_queue(now, request);
         let chosen = match shortest.next_step(request.sampling_rounds, self.fleet_capacity()) {
@@ -205,7 +207,7 @@
             false => self.start_check.due_at(class, now),
         };
         self.fleet.spend_warm_up_budget(now, executor, warm_up_cost(class, request.slots));
-        self.fleet.executors.record_change(executor, now, request.slots);
+        self.fleet.executors.record_slot_change(now, executor, request.slots);
         self.set_desired(request_id, desired, timer_at);
     }
 }
--- a/src/dispatcher/requests.rs
+++ b/src/dispatcher/requests.rs
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Probes an executor that may have free capacity for the first request of the queue, if it is eligible.
-    pub(super) fn dispatch_queued_to(&mut self, now: Millis, executor: ExecutorId) {
+    /// Probes an executor that may have free capacity again, for the queued request of the highest priority.
+    pub(super) fn probe_for_queue(&mut self, now: Millis, executor: ExecutorId) {
         let priority = |request_id: RequestId| {
             let request = &self.requests[&request_id];
             queueing::priority(&self.classes[request.class], request, self.over_quota_value, now)
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -2,14 +2,14 @@
 use crate::endpoint::LoadReport;
 use crate::ids::ExecutorId;
 use crate::policy::sampling::FleetCapacity;
-use crate::state::probe_statistics::SHORTEST_QUEUE;
+use crate::state::probe_statistics::MIN_QUEUE_LENGTH;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
 /// Assumed free slots of an executor whose load cannot be probed.
 const UNKNOWN_SLOTS: f64 = 1e6;
-/// An executor at which this node has fewer slots in flight is idle as far as this node knows.
-const MIN_SLOTS_IN_FLIGHT: f64 = 0.5;
+/// With fewer slots in flight at an executor, this node keeps none of it busy: a request takes one at least.
+const MIN_BUSY_SLOTS: f64 = 0.5;
 /// Sampling rounds of a request after which it is queued, or dispatched without a reply.
 const MAX_SAMPLING_ROUNDS: u32 = 2;
 
@@ -49,13 +49,13 @@
     }
 
     fn has_queue(&self) -> bool {
-        self.queue_length >= SHORTEST_QUEUE
+        self.queue_length >= MIN_QUEUE_LENGTH
     }
 
     /// Whether a candidate is good enough to skip the probes of the others. It has no queue and is in the
     /// node's own zone; the others could at best tie, or be emptier, which is not worth a priced probe.
     pub fn is_sufficient(&self, slots_in_flight: f64, probe_price: f64) -> bool {
-        let is_idle = slots_in_flight < MIN_SLOTS_IN_FLIGHT;
+        let is_idle = slots_in_flight < MIN_BUSY_SLOTS;
         !self.has_queue() && !self.is_cross_zone && (is_idle || probe_price > 0.0)
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -5,8 +5,8 @@
 use crate::time::Millis;
 use crate::warm_state::WarmUpDispatch;
 
-/// Part of the budget that is spent; requests longer than the mean running time use the rest.
-const BUDGET_HEADROOM: f64 = 0.8;
+/// Part of the budget that this node plans to spend; requests longer than the mean running time use the rest.
+const USABLE_BUDGET: f64 = 0.8;
 /// Nodes that share one executor's budget, per request of the longest latency objective that fits it.
 const NODES_PER_REQUEST: f64 = 1.5;
 /// Upper bound on the nodes that share one executor's budget.
@@ -115,7 +115,7 @@
             SiblingProcess::Absent => 1.0,
         };
         let spent = warm_up.spent.iter().filter(|dispatch| dispatch.at >= since);
-        BUDGET_HEADROOM * budget * part * self.share(warm_up.endpoint.token)
+        USABLE_BUDGET * budget * part * self.share(warm_up.endpoint.token)
             - spent.map(|dispatch| dispatch.work).sum::<f64>()
     }
 
--- a/src/policy/start_check.rs
+++ b/src/policy/start_check.rs
@@ -1,7 +1,7 @@
 //! Start checks: when an attempt that has not started is probed for, and when it counts as lost.
 use crate::settings::Settings;
 use crate::state::executor_state::REPORT_LIFETIME;
-use crate::state::probe_statistics::SHORTEST_QUEUE;
+use crate::state::probe_statistics::MIN_QUEUE_LENGTH;
 use crate::state::request::Request;
 use crate::state::request_class::RequestClass;
 use crate::time::Millis;
@@ -46,7 +46,7 @@
     let shows_capacity = request.reports.iter().any(|candidate| {
         let queue_length = candidate.report.queue_length.unwrap_or(UNREPORTED_QUEUE_LENGTH);
         candidate.executor == attempt.executor
-            && queue_length < SHORTEST_QUEUE
+            && queue_length < MIN_QUEUE_LENGTH
             && candidate.report.free_slots.unwrap_or(0.0) >= request.slots
     });
     attempt.started_at.is_none() && shows_capacity
--- a/src/state/executor_state.rs
+++ b/src/state/executor_state.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records slots taken by a dispatch (+) or freed by an ended attempt (-), until reports show them.
-    pub fn record_change(&mut self, now: Millis, slots: f64) {
+    pub fn record_slot_change(&mut self, now: Millis, slots: f64) {
         while self.recent_changes.front().is_some_and(|change| change.at < now - REPORT_LIFETIME) {
             self.recent_changes.pop_front();
         }
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -112,16 +112,16 @@
     }
 
     /// Records slots taken by a dispatch (+) or freed by an ended attempt (-).
-    pub fn record_change(&mut self, executor: ExecutorId, now: Millis, slots: f64) {
+    pub fn record_slot_change(&mut self, now: Millis, executor: ExecutorId, slots: f64) {
         let Some(state) = self.state_mut(executor) else { return };
-        state.record_change(now, slots);
+        state.record_slot_change(now, slots);
     }
 
-    /// Whether the executor that an event names has state; if not, the event is counted as stale.
-    pub fn expects(&mut self, executor: ExecutorId) -> bool {
-        let has_state = self.states.contains_key(executor);
-        self.stale_events += u64::from(!has_state);
-        has_state
+    /// Whether the executor that an event names has no state; the event is counted as stale then.
+    pub fn count_if_stale(&mut self, executor: ExecutorId) -> bool {
+        let is_stale = !self.states.contains_key(executor);
+        self.stale_events += u64::from(is_stale);
+        is_stale
     }
 
     /// Whether an executor accepts new requests.
@@ -170,7 +170,7 @@
             }
         }
         // An outdated handle, whose slot belongs to another executor now, gets no state.
-        if !self.expects(executor) {
+        if self.count_if_stale(executor) {
             return;
         }
         match endpoint.state {
@@ -229,7 +229,7 @@
     /// Imports the state of an earlier process for executors that have state here.
     pub fn import(&mut self, executors: Vec<ExecutorWarmState>) {
         for imported in executors {
-            if self.expects(imported.executor)
+            if !self.count_if_stale(imported.executor)
                 && let Some(state) = self.state_mut(imported.executor)
             {
                 state.failure_score = imported.failure_score;
--- a/src/state/probe_statistics.rs
+++ b/src/state/probe_statistics.rs
@@ -11,8 +11,8 @@
 const PRIOR_REPLIES: f64 = 4.0;
 /// Weight of one probe in the smoothed latency.
 const LATENCY_WEIGHT: f64 = 0.05;
-/// The shortest reported queue length that counts as a queue.
-pub(crate) const SHORTEST_QUEUE: f64 = 0.5;
+/// Lower bound on a reported queue length that counts as a queue.
+pub(crate) const MIN_QUEUE_LENGTH: f64 = 0.5;
 /// A probe times out after this many smoothed latencies, plus the margin.
 const PROBE_TIMEOUT_LATENCIES: f64 = 8.0;
 const PROBE_TIMEOUT_MARGIN: Millis = 5.0;
@@ -46,7 +46,7 @@
     /// Adds a reply to the smoothed figures.
     pub fn observe(&mut self, reply: &ProbeReply) {
         smooth(self.latency.get_or_insert(reply.latency), reply.latency, LATENCY_WEIGHT);
-        let is_busy = reply.report.queue_length.unwrap_or(0.0) >= SHORTEST_QUEUE;
+        let is_busy = reply.report.queue_length.unwrap_or(0.0) >= MIN_QUEUE_LENGTH;
         // The first replies weigh more: a node with little traffic would retain the initial ratio for hours.
         self.replies += 1.0;
         let weight = REPLY_WEIGHT.max(1.0 / (self.replies + PRIOR_REPLIES));
