--- a/src/action.rs
+++ b/src/action.rs
@@ -18,7 +18,7 @@
         /// Its last byte is sent before this time, or never; a partial send is aborted then.
         send_deadline: Millis,
     },
-    /// Cancels an attempt.
+    /// Cancels an attempt. No rule orders this at present; hosts carry it out.
     Cancel {
         /// Its request.
         request_id: RequestId,
--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -152,6 +152,7 @@
         }
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         request.attempts.push(Attempt::new(executor, sent_at, f64::INFINITY));
+        // Its arrival was sampled for before the attempt was known; that round does not count.
         request.sampling_rounds = 0;
         let slots = request.slots;
         self.fleet.executors.record_slot_change(now, executor, slots);
--- a/src/dispatcher/probes.rs
+++ b/src/dispatcher/probes.rs
@@ -134,6 +134,8 @@
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         let position = request.candidates.iter().take(request.probed).position(|&probed| probed == executor);
         let Some(position) = position.filter(|_| request.desired == DesiredState::Probing) else { return };
+        // If a later candidate has been probed meanwhile, a late reply only adds its report unless it is
+        // sufficient: the later probe moves the request on.
         let is_last = position + 1 >= request.probed;
         request.reports.extend(report.map(|report| CandidateReport { executor, report }));
         let slots = request.slots;
--- a/src/dispatcher/requests.rs
+++ b/src/dispatcher/requests.rs
@@ -28,6 +28,8 @@
             class,
             slots: slots.max(MIN_SLOTS),
             is_over_quota: quota_use == QuotaUse::OverQuota,
+            // A client's retry has less than its class's deadline left: the rest is taken to have passed since
+            // the client sent it first.
             first_sent_at: now + time_left - self.classes[class].deadline.max(time_left),
             deadline: now + time_left,
             timer_at: f64::INFINITY,
@@ -49,6 +51,7 @@
             DesiredState::Probing => self.probe_next(now, request_id),
             DesiredState::Dispatched { executor, .. } => self.on_start_overdue(now, request_id, executor),
             DesiredState::Queued => {
+                // The next sample is the last round: without capacity, the request is queued again or given up.
                 request.sampling_rounds = 1;
                 self.sample(now, request_id)
             }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -56,7 +56,7 @@
     pub in_flight: Option<f64>,
     /// Free slots.
     pub free_slots: Option<f64>,
-    /// Free memory, in the unit of the requests' memory.
+    /// Free memory, in the unit of the requests' memory; no decision depends on it.
     pub free_memory: Option<f64>,
 }
 
--- a/src/event.rs
+++ b/src/event.rs
@@ -29,7 +29,7 @@
         tenant: TenantId,
         /// Slots that it needs at an executor, at least 1.
         slots: f64,
-        /// Memory that it needs.
+        /// Memory that it needs; no decision depends on it.
         memory: f64,
         /// How long the client waits for the answer.
         time_left: Millis,
@@ -82,7 +82,7 @@
         /// Its number within the request.
         attempt_id: AttemptId,
     },
-    /// An attempt made progress.
+    /// An attempt made progress; no decision depends on it.
     AttemptProgressed {
         /// Its request.
         request_id: RequestId,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -72,13 +72,14 @@
     /// objective. If starts are not reported, it bounds the time from dispatch to result.
     pub fn max_start_delay(&self, class: &RequestClass) -> Millis {
         if !self.starts_reported {
-            // Running time and wait cannot be separated.
+            // Only the end of the attempt is known, so that the bound has to cover its running time as well.
             return MAX_WAIT_SHARE * class.deadline;
         }
         class.mean_objective(class.service_time.mean)
     }
 
-    /// Records that an attempt started after this delay. A late start was recorded when its time was over.
+    /// Records that an attempt started after this delay. A late one changes nothing here: it was recorded by
+    /// [`AdmissionControl::record_late_start`] when its time was over.
     pub fn record_start(&mut self, class: &RequestClass, delay: Millis) {
         if self.is_adaptive && delay <= self.max_start_delay(class) {
             self.share.increase();
@@ -100,8 +101,8 @@
     }
 }
 
-/// Cost of a class's requests for their value, relative to the mean of all classes: a class above 1 is shed
-/// first.
+/// Cost of a class's requests for their value, relative to the mean of all classes: the higher, the more of
+/// the class is shed.
 pub(crate) fn relative_cost(classes: &RequestClasses, class: RequestClassId) -> f64 {
     let mean = classes.iter().map(cost_per_value).sum::<f64>() / classes.len() as f64;
     cost_per_value(&classes[class]) / mean
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -39,6 +39,8 @@
     /// How scores decay now, so that one outlasts the time until the next attempt at the same executor.
     pub fn score_decay(&self, now: Millis, ready_executors: usize) -> ScoreDecay {
         let outcomes = self.recent_outcomes.at(now, MIN_SCORE_DECAY);
+        // Decayed with this constant, the count is about the outcomes of one such span. With none, the interval
+        // is infinite, and the upper bound holds.
         let meeting_interval = MIN_SCORE_DECAY * ready_executors.max(1) as f64 / outcomes;
         let time_constant = (DECAY_MEETINGS * meeting_interval).clamp(MIN_SCORE_DECAY, MAX_SCORE_DECAY);
         ScoreDecay { time_constant }
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -6,7 +6,8 @@
 use crate::state::request_class::RequestClass;
 use crate::time::Millis;
 
-/// Part of its latency objective that a request of mean length can wait; short requests can wait less.
+/// Part of the latency objective of a request of mean length for which requests of its class are queued. The
+/// rest covers the attempt; a request shorter than the mean may have a shorter objective.
 pub(crate) const MAX_WAIT_SHARE: f64 = 0.25;
 /// Part of its longest wait after which a queued request samples executors again.
 const RECHECK_SHARE: f64 = 0.5;
--- a/src/policy/running_time.rs
+++ b/src/policy/running_time.rs
@@ -7,10 +7,11 @@
 /// Weight of one attempt in a smoothed mean: about the last thirty count.
 const RUNNING_TIME_WEIGHT: f64 = 0.03;
 
-/// Adds a completed attempt to the means, unless its executor was in slow start, and returns its response
-/// time as a multiple of its class's mean.
+/// Adds a completed attempt to the means, unless it is scaled, and returns its response time as a multiple of
+/// its class's mean.
 ///
-/// `scale` is at most 1: the response time of an executor in slow start is scaled down to that of a warm one.
+/// `scale` is below 1 for an executor in slow start where many nodes share the load: its response time is
+/// scaled down to that of a warm one, an estimate that would distort the means.
 pub(crate) fn observe(
     class: &mut RequestClass,
     mean_running_time: &mut Millis,
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Assumed free slots of an executor whose load cannot be probed.
+/// Assumed free slots of an executor whose load cannot be probed: more than any request needs.
 const UNKNOWN_SLOTS: f64 = 1e6;
 /// With fewer slots in flight at an executor, this node keeps none of it busy: a request takes one at least.
 const MIN_BUSY_SLOTS: f64 = 0.5;
@@ -29,7 +29,8 @@
 pub(crate) struct QueueRank {
     queue_length: f64,
     is_cross_zone: bool,
-    /// Negated free slots as a part of all slots: the lower, the more are free.
+    /// Negated free slots as a part of all slots: the lower, the more are free. Lowest, at minus infinity, if
+    /// the report does not show free slots.
     utilization: f64,
 }
 
@@ -53,7 +54,8 @@
     }
 
     /// Whether a candidate is good enough to skip the probes of the others. It has no queue and is in the
-    /// node's own zone; the others could at best tie, or be emptier, which is not worth a priced probe.
+    /// node's own zone: another could only have a lower utilization. That is worth a probe only if probes are
+    /// free and this node has requests in flight here.
     pub fn is_sufficient(&self, slots_in_flight: f64, probe_price: f64) -> bool {
         let is_idle = slots_in_flight < MIN_BUSY_SLOTS;
         !self.has_queue() && !self.is_cross_zone && (is_idle || probe_price > 0.0)
@@ -91,7 +93,7 @@
 pub(crate) enum NextStep {
     /// Dispatch to one of the shortest queues.
     Dispatch,
-    /// No candidate replied: sample one more executor and dispatch without its report.
+    /// No candidate replied, or none that did is still eligible: sample one more executor and dispatch without its report.
     DispatchUnprobed,
     /// Sample a second round.
     SampleAgain,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -7,7 +7,8 @@
 
 /// Part of the budget that this node plans to spend; requests longer than the mean running time use the rest.
 const USABLE_BUDGET: f64 = 0.8;
-/// Nodes that share one executor's budget, per request of the longest latency objective that fits it.
+/// Nodes that share one executor's budget, for each request as long as the longest latency objective that
+/// fits in the budget of one slot at its start.
 const NODES_PER_REQUEST: f64 = 1.5;
 /// Upper bound on the nodes that share one executor's budget.
 const MAX_ASSIGNED_NODES: f64 = 8.0;
@@ -60,7 +61,7 @@
         now - self.rules.budget_window
     }
 
-    /// When a budget no longer contains dispatches of a process that has just stopped.
+    /// Until when the dispatches of a process that stops now count against a budget.
     pub fn window_end(&self, now: Millis) -> Millis {
         now + self.rules.budget_window
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -276,10 +276,10 @@
     /// The number of attempts that a request may have; 1 by default.
     #[serde(rename = "max_allocations")]
     pub max_attempts: Option<f64>,
-    /// Whether executors may be probed.
+    /// Whether executors may be probed; they may by default.
     #[serde(rename = "probes")]
     pub probes_enabled: bool,
-    /// Whether attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled; the host decides, no rule of this module does.
     #[serde(rename = "cancel")]
     pub cancel_enabled: bool,
     /// Whether a second attempt may be in flight while the first has not started.
@@ -291,7 +291,7 @@
     /// Whether a rejection states when to retry.
     #[serde(rename = "retry_after")]
     pub retry_after_enabled: bool,
-    /// The longest such time; unbounded by default.
+    /// The longest such time; unbounded by default. The host applies it.
     #[serde(rename = "max_retry_after", deserialize_with = "optional_millis")]
     pub max_retry_after: Option<Millis>,
     /// How long a connection to an executor may take to be established.
--- a/src/state/executor_state.rs
+++ b/src/state/executor_state.rs
@@ -33,7 +33,8 @@
     pub is_probe_in_flight: bool,
     /// Dispatches while it was in slow start.
     pub warm_up_spent: Vec<WarmUpDispatch>,
-    /// When an attempt last used a connection to it.
+    /// When the last attempt there that may have run ended, which stands for the last use of its connections.
+    /// Rejections do not count, though they use a connection.
     pub last_used: Millis,
 }
 
@@ -94,7 +95,7 @@
         self.recent_changes.iter().filter(|change| change.at >= since).map(|change| change.slots).sum()
     }
 
-    /// Stores a report, and the largest number of slots so far.
+    /// Stores a report, and the largest number of slots so far, with one slot for each running request.
     pub fn take_report(&mut self, now: Millis, report: LoadReport) {
         let running = (report.in_flight.unwrap_or(0.0) - report.queue_length.unwrap_or(0.0)).max(0.0);
         let shown_slots = report.free_slots.unwrap_or(0.0) + running;
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -31,7 +31,7 @@
     pub ready: Vec<ExecutorId>,
     /// Ready executors in slow start of whose budget this node has more than an even share.
     pub assigned: Vec<ExecutorId>,
-    /// Smoothed running time of all requests.
+    /// Smoothed response time of all requests, from dispatch to result; the unit of a probe's cost.
     pub mean_running_time: Millis,
     /// Executors that are gone and still have state.
     gone: BTreeSet<ExecutorId>,
--- a/src/state/probe_statistics.rs
+++ b/src/state/probe_statistics.rs
@@ -6,8 +6,9 @@
 
 /// Weight of one reply in the busy ratio: about the last hundred count.
 const REPLY_WEIGHT: f64 = 0.01;
-/// The busy ratio before the first reply, and the number of replies for which it counts.
+/// The busy ratio assumed before the first reply.
 const PRIOR_BUSY_RATIO: f64 = 0.25;
+/// The number of replies as which that assumption counts.
 const PRIOR_REPLIES: f64 = 4.0;
 /// Weight of one probe in the smoothed latency.
 const LATENCY_WEIGHT: f64 = 0.05;
@@ -16,6 +17,7 @@
 /// A probe times out after this many smoothed latencies, plus the margin.
 const PROBE_TIMEOUT_LATENCIES: f64 = 8.0;
 const PROBE_TIMEOUT_MARGIN: Millis = 5.0;
+/// The latency assumed before the first reply.
 const INITIAL_PROBE_LATENCY: Millis = 15.0;
 /// Lower bound on the mean running time by which a probe's latency is divided.
 const MIN_RUNNING_TIME: Millis = 1.0;
@@ -57,6 +59,7 @@
     pub fn import(&mut self, busy_ratio: Option<f64>, latency: Option<Millis>) {
         self.latency = latency;
         self.busy_ratio = if self.is_forbidden { self.busy_ratio } else { busy_ratio };
+        // An imported ratio already rests on as many replies as count.
         self.replies = if self.busy_ratio.is_some() { 1.0 / REPLY_WEIGHT } else { 0.0 };
     }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -9,7 +9,8 @@
 pub(crate) struct Attempt {
     pub executor: ExecutorId,
     pub sent_at: Millis,
-    /// How long the connections to the executor had been idle.
+    /// How long the connections to the executor had been idle; infinite if that is unknown, as then no broken
+    /// idle connection explains how the attempt ended.
     pub idle_time: Millis,
     /// When it started, if the executor has reported that.
     pub started_at: Option<Millis>,
@@ -62,6 +63,7 @@
     pub is_over_quota: bool,
     /// When the client sent the request first; before the arrival if it is a retry of the client's.
     pub first_sent_at: Millis,
+    /// The time by which it must be answered.
     pub deadline: Millis,
     pub desired: DesiredState,
     pub attempts: Vec<Attempt>,
@@ -70,8 +72,10 @@
     /// How many of the candidates were probed.
     pub probed: usize,
     pub reports: Vec<CandidateReport>,
-    /// How often executors were sampled for it since its arrival or its last wait in the queue.
+    /// How often candidates were probed for it since its arrival, start checks included. A wait in the queue
+    /// sets it back to 1, so that one more sample is the last round.
     pub sampling_rounds: u32,
+    /// When its timer fires; infinite for never.
     pub timer_at: Millis,
 }
 
--- a/src/state/request_class.rs
+++ b/src/state/request_class.rs
@@ -12,7 +12,9 @@
 /// One request class.
 pub(crate) struct RequestClass {
     pub terms: ClassSettings,
+    /// The fixed part of the latency objective; [`ClassSettings::stretch`] adds a part by running time.
     pub latency_objective: Millis,
+    /// The span from the arrival of a request within which it must be answered.
     pub deadline: Millis,
     pub max_attempts: usize,
     /// Smoothed time from dispatch to result, initially the latency objective.
@@ -36,7 +38,8 @@
         }
     }
 
-    /// The latency objective of a request of mean length, given the mean running time.
+    /// The latency objective of a request of mean length, given the mean running time; never less than the
+    /// fixed part. The slack in `policy::outlier::sensitivity` has no such bound: the two are not the same.
     pub fn mean_objective(&self, mean: Millis) -> Millis {
         self.latency_objective + (self.terms.stretch - 1.0).max(0.0) * mean
     }
@@ -45,6 +48,7 @@
     pub fn is_same_deduplication_domain(&self, one: &Endpoint, other: &Endpoint) -> bool {
         match self.terms.deduplication_scope {
             DeduplicationScope::Zone => one.zone == other.zone,
+            // With the scope `All` a retry may go anywhere, and no domain is asked for.
             _ => one.deduplication_group == other.deduplication_group,
         }
     }
--- a/src/warm_state.rs
+++ b/src/warm_state.rs
@@ -9,7 +9,7 @@
     pub executors: Vec<ExecutorWarmState>,
     /// Response times by class.
     pub class_running_times: Vec<ObservedMean>,
-    /// Smoothed running time of all requests.
+    /// Smoothed response time of all requests.
     pub mean_running_time: Millis,
     /// Smoothed share of probe replies that showed a queue; `None` before the first.
     pub busy_probe_ratio: Option<f64>,
