--- a/src/dispatcher/requests.rs
+++ b/src/dispatcher/requests.rs
@@ -28,6 +28,8 @@
             class,
             slots: slots.max(MIN_SLOTS),
             is_over_quota: quota_use == QuotaUse::OverQuota,
+            // A client's retry has less than its class's deadline left: the rest is taken to have passed since
+            // the client sent it first.
             first_sent_at: now + time_left - self.classes[class].deadline.max(time_left),
             deadline: now + time_left,
             timer_at: f64::INFINITY,
@@ -49,6 +51,7 @@
             DesiredState::Probing => self.probe_next(now, request_id),
             DesiredState::Dispatched { executor, .. } => self.on_start_overdue(now, request_id, executor),
             DesiredState::Queued => {
+                // The next sample is the last round: without capacity, the request is queued again or given up.
                 request.sampling_rounds = 1;
                 self.sample(now, request_id)
             }
@@ -121,8 +124,8 @@
         }
     }
 
-    /// Probes an executor that may have free capacity for the first request of the queue, if it is eligible.
-    pub(super) fn dispatch_queued_to(&mut self, now: Millis, executor: ExecutorId) {
+    /// Probes an executor that may have free capacity again, for the queued request of the highest priority.
+    pub(super) fn probe_for_queue(&mut self, now: Millis, executor: ExecutorId) {
         let priority = |request_id: RequestId| {
             let request = &self.requests[&request_id];
             queueing::priority(&self.classes[request.class], request, self.over_quota_value, now)
