--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -70,7 +70,7 @@
 fn read(path: &Path) -> Result<LedgerContents, LedgerCommandError> {
     let reader = Reader::open(path)?;
     let mut read = LedgerContents { ledger: Ledger::new(MAX_ATTEMPTS), rows: 0, faults: Vec::new() };
-    let each = reader.each(|row| {
+    let each = reader.for_each_row(|row| {
         read.rows += 1;
         let restored = row.map_err(|error| error.to_string()).and_then(|row| {
             let (request_id, sequence) = (row.record.request_id().0, row.sequence);
--- a/crates/daemon/tests/durable.rs
+++ b/crates/daemon/tests/durable.rs
@@ -179,7 +179,7 @@
     die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
     {
         let store = Store::open(place.ledger.as_ref()).unwrap();
-        let rows = store.of(troutknot::RequestId(0)).unwrap();
+        let rows = store.rows_of(troutknot::RequestId(0)).unwrap();
         let (request_id, attempt_id, outcome) =
             (troutknot::RequestId(0), troutknot::AttemptId(0), troutknot::Outcome::Completed);
         let (at, number) = (rows.last().unwrap().at, rows.len() as u32);
@@ -277,7 +277,7 @@
 fn edit(path: &str, change: impl Fn(&mut Row)) {
     let store = Store::open(path.as_ref()).unwrap();
     let mut rows = Vec::new();
-    store.each(|row| rows.push(row.unwrap())).unwrap();
+    store.for_each_row(|row| rows.push(row.unwrap())).unwrap();
     rows.iter_mut().for_each(change);
     store.commit(&rows).unwrap();
 }
@@ -311,7 +311,7 @@
         die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
         if taken_only {
             // As if it had died before the allocation was on record.
-            let of = |store: &Store| store.of(troutknot::RequestId(0)).unwrap()[0].clone();
+            let of = |store: &Store| store.rows_of(troutknot::RequestId(0)).unwrap()[0].clone();
             let first = of(&Store::open(place.ledger.as_ref()).unwrap());
             std::fs::remove_file(&place.ledger).unwrap();
             Store::open(place.ledger.as_ref()).unwrap().commit(&[first]).unwrap();
@@ -358,7 +358,7 @@
         die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("render", "m0000000", "k", "b"));
         {
             let store = Store::open(place.ledger.as_ref()).unwrap();
-            let first = store.of(troutknot::RequestId(0)).unwrap()[0].clone();
+            let first = store.rows_of(troutknot::RequestId(0)).unwrap()[0].clone();
             let Record::Taken { effect, deadline: limit, digest, payload: work, .. } = first.record else {
                 panic!()
             };
--- a/crates/ledger/src/codec.rs
+++ b/crates/ledger/src/codec.rs
@@ -1,15 +1,17 @@
-//! How a row is written: one byte for the format, a CRC-32 of all that follows, the time, the record in postcard.
+//! Encoding of a row: one byte for the format, a CRC-32 of all that follows (4 bytes), the time (8 bytes), the record
+//! in postcard. The checksum and the time are little-endian.
 use crate::record::{Record, Row};
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
 use troutknot::{AttemptId, Effect, Millis, Outcome, RequestId};
 
-/// The format that is written; those up to it are read.
+/// The format that is written; formats 1 to this one are read.
 pub const FORMAT: u8 = 1;
+/// Byte positions of the checksum and the time in a row.
 const CHECKSUM: Range<usize> = 1..5;
 const TIME: Range<usize> = 5..13;
 
-/// How [`RequestId`] is written.
+/// Encoding of [`RequestId`].
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "RequestId")]
 pub struct RequestIdDef(
@@ -17,7 +19,7 @@
     pub u64,
 );
 
-/// How [`AttemptId`] is written.
+/// Encoding of [`AttemptId`].
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "AttemptId")]
 pub struct AttemptIdDef(
@@ -25,7 +27,7 @@
     pub u32,
 );
 
-/// How [`Effect`] is written: by its place here.
+/// Encoding of [`Effect`]: its index here, so the order must not change.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Effect")]
 #[expect(missing_docs, reason = "as in the type that it stands for")]
@@ -35,7 +37,7 @@
     AtMostOnce,
 }
 
-/// How [`Outcome`] is written: by its place here.
+/// Encoding of [`Outcome`]: its index here, so the order must not change.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Outcome")]
 #[expect(missing_docs, reason = "as in the type that it stands for")]
@@ -50,22 +52,22 @@
     NotSent,
 }
 
-/// Why bytes are no row.
+/// Why bytes cannot be decoded as a row.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum RowError {
-    /// There are too few of them.
+    /// There are fewer bytes than a row has.
     #[error("it is cut off after {0} bytes")]
     Short(usize),
-    /// A later release wrote them, or none.
+    /// The format byte is that of a later release, or damaged.
     #[error("format {0} is not known; 1 to {FORMAT} are")]
     Format(u8),
-    /// They changed since they were written.
+    /// The bytes have changed since they were written.
     #[error("its checksum does not fit")]
     Checksum,
-    /// They are no record.
+    /// The bytes after the time are not a record.
     #[error("its record is not understood: {0}")]
     Record(#[from] postcard::Error),
-    /// They stand under another request's number.
+    /// The record belongs to another request than its key.
     #[error("it is of another request")]
     OtherRequest,
 }
@@ -80,8 +82,10 @@
     bytes
 }
 
+/// Decodes a row; `sequence` comes from its key.
+///
 /// # Errors
-/// Why the bytes are no row.
+/// If the bytes are not a row that this release can read.
 pub fn decode(sequence: u32, bytes: &[u8]) -> Result<Row, RowError> {
     let (Some(format), true) = (bytes.first(), bytes.len() > TIME.end) else {
         return Err(RowError::Short(bytes.len()));
--- a/crates/ledger/src/committer.rs
+++ b/crates/ledger/src/committer.rs
@@ -1,5 +1,6 @@
-//! A thread that writes rows: all that wait are written with one sync. A disk that errs is opened again now and
-//! then; what was to be written stays in order until it is there, and whoever waits is told at once.
+//! A thread that writes rows: all rows that wait share one commit and its sync. After an error of the disk the ledger
+//! is reopened at intervals. Unwritten rows stay queued in order until they are on disk; their callers get the error
+//! at once.
 use crate::ledger::{Ledger, RecordError};
 use crate::record::Row;
 use crate::store::{Rows, Store, StoreError, WriteStatistics};
@@ -11,14 +12,14 @@
 use std::time::{Duration, Instant};
 use troutknot::RequestId;
 
-/// So many rows at most go into one sync.
+/// Upper bound on the rows of one commit.
 const MAX_BATCH: usize = 4096;
-/// What nobody waits for is written after so long at the latest.
+/// Upper bound on the delay of a row for which no caller waits.
 const MAX_DELAY: Duration = Duration::from_millis(100);
-/// How long a disk that erred is let alone.
+/// Pause between two attempts to reopen the ledger after an error of the disk.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Why a ledger cannot be opened, or what is in it not be used.
+/// Why a ledger cannot be opened, or its records cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The file cannot be used.
@@ -34,12 +35,12 @@
         /// Why it does not follow.
         error: RecordError,
     },
-    /// There is no thread for it.
+    /// The thread cannot be started.
     #[error("no thread: {0}")]
     Thread(std::io::Error),
 }
 
-/// The rows are not on disk, or not known to be.
+/// The commit failed: the rows may or may not be on disk. They stay queued.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("not written: {0}")]
 pub struct NotWritten(pub String);
@@ -50,7 +51,7 @@
     /// The file cannot be read, or a row is damaged.
     #[error("{0}")]
     Store(#[from] StoreError),
-    /// The disk erred and was not opened again yet.
+    /// The disk failed, and the ledger is not reopened yet.
     #[error("the disk errs")]
     NotOpen,
     /// The ledger's thread has ended.
@@ -58,16 +59,16 @@
     Ended,
 }
 
-/// Why no new work may be taken now.
+/// Why no new request may be accepted now.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum NotReady {
-    /// The disk errs, with this error last.
+    /// The last commit failed with this error.
     #[error("{0}")]
     Failing(String),
-    /// A sync takes longer than is allowed.
+    /// The commit in progress takes longer than is allowed.
     #[error("a sync takes {millis} ms already")]
     SlowSync {
-        /// How long it takes already.
+        /// Its duration so far.
         millis: u64,
     },
 }
@@ -82,20 +83,25 @@
     Read(RequestId, ReadCallback),
 }
 
-/// How the disk does, told without waiting for it.
+/// State of the disk, which other threads read without waiting for a commit.
 #[derive(Default)]
 pub struct DiskHealth {
     is_failing: AtomicBool,
-    /// Since when the thread is at a commit, in milliseconds since the start and 1; 0 for none.
+    /// When the commit in progress began, by [`busy_clock`]; 0 if there is none.
     busy_since: AtomicU64,
     last_error: Mutex<String>,
-    /// Commits that came about.
+    /// Successful commits.
     pub commits: AtomicU64,
     /// Rows that were written.
     pub rows: AtomicU64,
 }
 
-/// The ledger's thread, and the way to it. Dropping it writes what was handed over, and ends the thread.
+/// Milliseconds since the start plus 1, so that 0 can stand for no commit.
+fn busy_clock(started_at: Instant) -> u64 {
+    started_at.elapsed().as_millis() as u64 + 1
+}
+
+/// The handle of the ledger's thread. Dropping it writes all queued rows and ends the thread.
 pub struct Committer {
     commands: Option<Sender<Command>>,
     health: Arc<DiskHealth>,
@@ -104,23 +110,24 @@
     statistics: Arc<WriteStatistics>,
 }
 
-/// How a ledger is opened, again after its disk erred.
+/// Opens the ledger: at the start, and again after an error of the disk.
 pub type OpenStore = Box<dyn Fn() -> Result<Store, StoreError> + Send>;
 
 /// Which writes share a sync.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SyncMode {
-    /// All that wait.
+    /// All writes that wait share one.
     Shared,
-    /// None.
+    /// Each write has its own.
     Separate,
 }
 
 impl Committer {
-    /// Opens a ledger and reads what is in it.
+    /// Opens a ledger, reads its records and starts the thread.
     ///
     /// # Errors
-    /// Where it cannot be opened, or a row is damaged or does not follow; nothing is changed then.
+    /// If it cannot be opened, or if a row is damaged or does not follow from those before it. The rows stay as they
+    /// are then.
     pub fn start(
         open: OpenStore,
         sync_mode: SyncMode,
@@ -145,18 +152,18 @@
         Ok((Committer { commands: Some(commands), health, started_at, thread, statistics }, ledger))
     }
 
-    /// Hands rows over to be written after all that were handed over before; `done` is called on the ledger's
-    /// thread. Rows that could not be written stay to be written, whatever `done` is told.
+    /// Queues rows to be written after all rows that were queued before. `done` is called on the ledger's thread. Rows
+    /// whose commit failed stay queued, although `done` gets the error.
     pub fn write(&self, rows: Vec<Row>, done: impl FnOnce(Result<(), NotWritten>) + Send + 'static) {
         self.send(Command::Write(rows, Box::new(done)));
     }
 
-    /// Hands over a row for which nobody waits: it goes with the next commit, or after 100 ms.
+    /// Queues a row for which no caller waits: it is written with the next commit, at the latest after 100 ms.
     pub fn write_later(&self, row: Row) {
         self.send(Command::WriteLater(row));
     }
 
-    /// Reads the rows of one request, those that were handed over before among them.
+    /// Reads the rows of one request, including those that are queued.
     pub fn read(
         &self,
         request_id: RequestId,
@@ -172,10 +179,10 @@
         }
     }
 
-    /// Whether new work may be taken: the disk does not err, and its commit under way is not older than that.
+    /// Checks whether new requests may be accepted.
     ///
     /// # Errors
-    /// Why not.
+    /// If the last commit failed, or if the commit in progress has taken longer than `max_sync_time`.
     pub fn check_ready(&self, max_sync_time: Duration) -> Result<(), NotReady> {
         if self.health.is_failing.load(Ordering::Acquire) {
             let last_error = self.health.last_error.lock();
@@ -184,19 +191,19 @@
             ));
         }
         let busy_since = self.health.busy_since.load(Ordering::Acquire);
-        let millis = (self.started_at.elapsed().as_millis() as u64 + 1).saturating_sub(busy_since);
+        let millis = busy_clock(self.started_at).saturating_sub(busy_since);
         if busy_since > 0 && u128::from(millis) > max_sync_time.as_millis() {
             return Err(NotReady::SlowSync { millis });
         }
         Ok(())
     }
 
-    /// How the disk does.
+    /// State of the disk.
     pub fn health(&self) -> &DiskHealth {
         &self.health
     }
 
-    /// What was written since the first opening.
+    /// What was written and synced by the store that was opened at the start.
     pub fn statistics(&self) -> &WriteStatistics {
         &self.statistics
     }
@@ -211,11 +218,11 @@
     }
 }
 
-/// What is in a store, up to the first fault.
+/// Applies all rows of a store. Fails with the first fault.
 fn read_ledger(store: &Store, max_attempts: usize) -> Result<Ledger, StartError> {
     let mut ledger = Ledger::new(max_attempts);
     let mut first_fault = None;
-    store.each(|row| {
+    store.for_each_row(|row| {
         let restored = row.map_err(StartError::from).and_then(|row| {
             ledger.restore(&row).map_err(|error| StartError::Record {
                 request_id: row.record.request_id().0,
@@ -228,12 +235,12 @@
     first_fault.map_or(Ok(ledger), Err)
 }
 
-/// Rows that are to be written next, and who waits for them.
+/// The rows of the next commit, and the callers that wait for it.
 #[derive(Default)]
 struct Batch {
     rows: Vec<Row>,
     waiting: Vec<WriteCallback>,
-    /// When rows for which nobody waits are due.
+    /// When the commit is due at the latest, if a row has no waiting caller.
     due: Option<Instant>,
 }
 
@@ -241,11 +248,11 @@
     store: Option<Store>,
     open: OpenStore,
     sync_mode: SyncMode,
-    /// Rows that the disk did not take.
+    /// Rows of failed commits, in order, which go before those of the next batch.
     backlog: VecDeque<Row>,
     health: Arc<DiskHealth>,
     started_at: Instant,
-    /// When it was last opened, or tried to be.
+    /// When the store was last opened, failed, or was tried to be reopened.
     opened_at: Instant,
 }
 
@@ -271,7 +278,8 @@
         }
     }
 
-    /// Adds what else waits, where writes share a sync; a command that is something else comes next.
+    /// Adds the writes that wait to the batch, if they share a sync. Returns the command that ended this, which is to
+    /// be handled next.
     fn gather(&self, commands: &Receiver<Command>, batch: &mut Batch) -> Option<Command> {
         while self.sync_mode == SyncMode::Shared && batch.rows.len() < MAX_BATCH {
             match commands.try_recv().ok()? {
@@ -300,22 +308,21 @@
         batch.waiting.drain(..).for_each(|done| done(written.clone()));
     }
 
-    /// The rows of one request, with those that are to be written.
-    fn read(&self, request_id: RequestId, to_write: &[Row]) -> Result<Vec<Row>, ReadError> {
-        let mut rows = self.store.as_ref().ok_or(ReadError::NotOpen)?.of(request_id)?;
-        let unwritten = self.backlog.iter().chain(to_write);
+    /// The rows of one request: those on disk, then those that are not written yet.
+    fn read(&self, request_id: RequestId, batch: &[Row]) -> Result<Vec<Row>, ReadError> {
+        let mut rows = self.store.as_ref().ok_or(ReadError::NotOpen)?.rows_of(request_id)?;
+        let unwritten = self.backlog.iter().chain(batch);
         rows.extend(unwritten.filter(|row| row.record.request_id() == request_id).cloned());
         Ok(rows)
     }
 
-    /// Writes the rows after those that wait already.
+    /// Commits the backlog and then these rows. An empty batch still reopens a ledger whose disk failed.
     fn commit(&mut self, rows: &mut Vec<Row>) -> Result<(), NotWritten> {
         self.backlog.extend(rows.drain(..));
         if self.backlog.is_empty() && self.store.is_some() {
             return Ok(());
         }
-        let now = self.started_at.elapsed().as_millis() as u64 + 1;
-        self.health.busy_since.store(now, Ordering::Release);
+        self.health.busy_since.store(busy_clock(self.started_at), Ordering::Release);
         let written = self.write_backlog();
         self.health.busy_since.store(0, Ordering::Release);
         let written = written.map_err(|error| NotWritten(error.to_string()));
@@ -338,7 +345,7 @@
         }
         let Some(store) = &self.store else { return Ok(()) };
         if let Err(error) = store.commit(&self.backlog) {
-            // A database that erred takes nothing more before it is opened again.
+            // After an error redb refuses further writes until the database is reopened.
             self.store = None;
             self.opened_at = Instant::now();
             return Err(error);
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -1,17 +1,17 @@
-//! A durable request as its records leave it: its attempts, and whether it may have another.
+//! The state of one durable request: its attempts, and whether it may have another.
 use crate::record::{Digest, Fence};
 use troutknot::{Effect, Millis, Outcome};
 
 /// Why a request may not have another attempt now.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum DispatchError {
-    /// Its last attempt holds its lease.
+    /// The lease of an attempt has not expired.
     #[error("an attempt is in flight")]
     InFlight,
-    /// It may run only once, and perhaps has.
+    /// It is at most once, and an earlier attempt may have run.
     #[error("an earlier attempt may have run")]
     MayHaveRun,
-    /// It has had all its attempts.
+    /// It has had the maximum number of attempts.
     #[error("it was dispatched as often as it may be")]
     MaxAttempts,
 }
@@ -19,15 +19,15 @@
 /// What is known of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptStatus {
-    /// Its lease holds.
+    /// Its lease has not expired.
     InFlight,
-    /// Its lease ran out with no word: it may have run, may run, or may yet.
+    /// Its lease expired without an outcome: it may have run, may be running, or may still start.
     Unknown,
     /// It has not run and never will.
     NeverRan,
     /// It ended, and may have run.
     MayHaveRun,
-    /// It ran, and its result came back.
+    /// It ran, and its result was received.
     Completed,
 }
 
@@ -40,18 +40,18 @@
     pub executor: String,
     /// When it was recorded.
     pub recorded_at: Millis,
-    /// Until when it may be silent.
+    /// The end of its lease if no further heartbeat follows.
     pub lease_until: Millis,
-    /// Whether it was told to run.
+    /// Whether its executor reported that it started.
     pub has_started: bool,
-    /// How it ended, if it has.
+    /// Its outcome; none if it has not ended.
     pub outcome: Option<Outcome>,
-    /// Whether its executor refuses it for good.
+    /// Whether its executor has confirmed that it did not run and is refused from then on.
     pub is_fenced: bool,
 }
 
 impl Attempt {
-    /// What is known of it at this time.
+    /// Its status at this time.
     pub fn status(&self, now: Millis) -> AttemptStatus {
         match self.outcome {
             _ if self.is_fenced => AttemptStatus::NeverRan,
@@ -67,7 +67,7 @@
 /// One durable request.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Job {
-    /// What running it twice would do.
+    /// The effect of running it twice.
     pub effect: Effect,
     /// When it was recorded.
     pub taken_at: Millis,
@@ -75,17 +75,17 @@
     pub deadline: Millis,
     /// The id that its client gave.
     pub client_id: String,
-    /// Its idempotency key, where it has one.
+    /// Its idempotency key, if it has one.
     pub key: Option<String>,
-    /// What its client asked.
+    /// Its hash.
     pub digest: Digest,
     /// Its attempts in order.
     pub attempts: Vec<Attempt>,
     /// When its final answer was recorded.
     pub answered_at: Option<Millis>,
-    /// Whether the answer was written to a client as a whole.
+    /// Whether the last byte of the answer was written to a client.
     pub is_acknowledged: bool,
-    /// How many rows it has.
+    /// The number of its rows.
     pub row_count: u32,
 }
 
@@ -93,7 +93,7 @@
     /// The fence of its next attempt, if it may have one at this time.
     ///
     /// # Errors
-    /// Why it may not.
+    /// If it may not have another attempt now.
     pub fn next_fence(&self, now: Millis, max_attempts: usize) -> Result<Fence, DispatchError> {
         let mut may_have_run = false;
         for attempt in &self.attempts {
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! All durable requests as their records leave them.
+//! The state of all durable requests that follows from their records.
 use crate::job::{Attempt, DispatchError, Job};
 use crate::record::{Record, Row};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -7,52 +7,52 @@
 /// Why a record does not follow from those before it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum RecordError {
-    /// Nothing was recorded of the request.
+    /// The request is not on record.
     #[error("the request is not known")]
     UnknownRequest,
-    /// Nothing was recorded of the attempt.
+    /// The attempt is not on record.
     #[error("the attempt is not known")]
     UnknownAttempt,
-    /// Its number or its client's id is on record.
+    /// The request's number or its client's id is on record already.
     #[error("the request was taken before")]
     TakenTwice,
-    /// It has its final answer.
+    /// The request has its final answer.
     #[error("the request has its final answer")]
     Answered,
-    /// Its attempt has ended.
+    /// The attempt has ended, or has started and so cannot be fenced.
     #[error("the attempt has ended")]
     AttemptEnded,
-    /// It may have no further attempt.
+    /// The request may not have another attempt now.
     #[error("{0}")]
     NotDispatched(#[from] DispatchError),
-    /// The attempt's fence is not above the one before it.
+    /// The attempt's fence is not above that of the attempt before.
     #[error("the fence does not grow")]
     Fence,
-    /// It has no final answer.
+    /// The request has no final answer yet.
     #[error("the request is open")]
     Open,
-    /// Its idempotency key is on record.
+    /// The idempotency key is on record already.
     #[error("the key was taken before")]
     KeyTwice,
-    /// Rows before it are not there.
+    /// The row is not the next one of its request.
     #[error("records before it are missing")]
     Missing,
 }
 
-/// All requests on record. What they asked and were answered is not kept here, only on disk.
+/// All requests on record. Their contents and answers are on disk only.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Ledger {
     jobs: BTreeMap<RequestId, Job>,
     by_client_id: HashMap<String, RequestId>,
     by_key: HashMap<String, RequestId>,
-    /// Those that are answered, by the bits of the time.
+    /// Answered requests by the time of their answers, as [`time_bits`].
     answered: BTreeSet<(u64, RequestId)>,
     max_attempts: usize,
     latest_time: Millis,
     next_number: u64,
 }
 
-/// Times from 0 on order as their bits do.
+/// The bits of a time, which sort like the times as none of them is negative.
 fn time_bits(at: Millis) -> u64 {
     at.max(0.0).to_bits()
 }
@@ -71,16 +71,16 @@
         }
     }
 
-    /// What rows say, up to the first that does not follow, which is named by its place among them. Those of one
-    /// request stand in their order.
+    /// Applies rows up to the first that does not follow from those before it; its index is returned with the error.
+    /// The rows of one request must be in their order.
     pub fn recover<'a>(
         max_attempts: usize,
         rows: impl IntoIterator<Item = &'a Row>,
     ) -> (Self, Option<(usize, RecordError)>) {
         let mut ledger = Ledger::new(max_attempts);
-        for (place, row) in rows.into_iter().enumerate() {
+        for (index, row) in rows.into_iter().enumerate() {
             if let Err(error) = ledger.restore(row) {
-                return (ledger, Some((place, error)));
+                return (ledger, Some((index, error)));
             }
         }
         (ledger, None)
@@ -89,21 +89,21 @@
     /// Adds a row that was written by an earlier process.
     ///
     /// # Errors
-    /// As [`Ledger::apply`], and where rows before it are missing.
+    /// As [`Ledger::apply`], and if rows before it are missing.
     pub fn restore(&mut self, row: &Row) -> Result<(), RecordError> {
         if row.sequence != self.row_count(row.record.request_id()) {
             return Err(RecordError::Missing);
         }
-        // Whether the lease before it had run out is not asked again: it was when it was written.
+        // That earlier leases had expired was checked before the row was written.
         self.add(f64::INFINITY, row.at, &row.record)?;
         self.latest_time = self.latest_time.max(row.at);
         Ok(())
     }
 
-    /// Adds a record that is made now; the row is what is to be written.
+    /// Adds a record that is made now, and returns the row to be written.
     ///
     /// # Errors
-    /// Why it does not follow; nothing is changed then.
+    /// If it does not follow from the records before it; nothing is changed then.
     pub fn apply(&mut self, now: Millis, record: Record) -> Result<Row, RecordError> {
         let sequence = self.row_count(record.request_id());
         self.add(now, now, &record)?;
@@ -111,7 +111,7 @@
         Ok(Row { at: now, sequence, record })
     }
 
-    /// One request; none where it is not on record.
+    /// One request; none if it is not on record.
     pub fn job(&self, request_id: RequestId) -> Option<&Job> {
         self.jobs.get(&request_id)
     }
@@ -126,7 +126,7 @@
         self.by_key.get(key).copied()
     }
 
-    /// How many requests are on record, answered ones as well.
+    /// The number of requests on record, including answered ones.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
@@ -136,12 +136,12 @@
         self.jobs.is_empty()
     }
 
-    /// The latest time that any record names. Guards against a clock that jumped back: no time is earlier.
+    /// The time of the latest record. After the clock was set back, new records are not given an earlier time.
     pub fn latest_time(&self) -> Millis {
         self.latest_time
     }
 
-    /// A number that no request on record has.
+    /// A number above those of all requests that were ever on record here.
     pub fn next_number(&self) -> u64 {
         self.next_number
     }
@@ -156,7 +156,7 @@
         self.jobs().filter(|(_, job)| job.answered_at.is_none())
     }
 
-    /// Up to `limit` requests that were answered before then, the oldest answers first.
+    /// Up to `limit` requests that were answered before `then`, the oldest answers first.
     pub fn answered_before(&self, then: Millis, limit: usize) -> Vec<RequestId> {
         let until = (time_bits(then), RequestId(0));
         self.answered.range(..until).take(limit).map(|(_, request_id)| *request_id).collect()
@@ -166,6 +166,7 @@
         self.jobs.get(&request_id).map_or(0, |job| job.row_count)
     }
 
+    /// Adds a record that was made at `at`. Leases of earlier attempts must have expired at `now`.
     fn add(&mut self, now: Millis, at: Millis, record: &Record) -> Result<(), RecordError> {
         match record {
             Record::Taken { .. } => self.take(at, record)?,
@@ -270,7 +271,7 @@
         if job.answered_at.is_some() { Err(RecordError::Answered) } else { Ok(job) }
     }
 
-    /// An attempt without an end; its word counts also after the final answer.
+    /// An attempt that has not ended. Its records are accepted also after the final answer of its request.
     fn attempt_in_flight(
         &mut self,
         request_id: RequestId,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,12 +1,13 @@
-//! Durable requests with leases: what their records say, and the records on disk. Core without I/O and clock.
+//! Durable requests with leases: their state, which follows from records, and the records on disk. [`Ledger`] has no
+//! I/O and no clock.
 //!
-//! A [`Record`] is applied to the [`Ledger`] in the order in which it was written; any prefix of a ledger's records
-//! is a state that a crash may leave behind, and says what may still be done. [`store::Store`] keeps the rows in one
-//! file, [`committer::Committer`] is the thread that writes them. Times are Unix milliseconds, handed in.
+//! Each [`Record`] is applied to the [`Ledger`] in the order in which the records were written. A crash can leave any
+//! prefix of them on disk, so the state after each prefix must be a valid one.
+//! [`store::Store`] has the rows in one file, [`committer::Committer`] is the thread that writes them. Times are Unix
+//! milliseconds, given by the caller.
 //!
-//! A lease that has run out makes an attempt *unknown*, never free: work that may run only once gets another attempt
-//! only after every earlier one is known not to have run, by its outcome or by its executor's word that it refuses
-//! the fence.
+//! An attempt whose lease has expired is *unknown*: it may have run. An at-most-once request gets another attempt only
+//! after all earlier ones are known not to have run, by their outcomes or because their executors refuse the fence.
 pub mod codec;
 pub mod committer;
 mod job;
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,4 +1,4 @@
-//! Records: what is written of a durable request, one step of its life each.
+//! Records: each is one step of a durable request.
 use crate::codec;
 use serde::{Deserialize, Serialize};
 use troutknot::{AttemptId, Effect, Millis, Outcome, RequestId};
@@ -7,43 +7,43 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct Fence(pub u64);
 
-/// A fingerprint of what a client asked, by which a key with another body is recognized.
+/// A hash of a request, by which the use of its idempotency key for another request is detected.
 pub type Digest = [u8; 32];
 
-/// The final answer as it is kept.
+/// The final answer as it is recorded.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub enum Answer {
     /// The result.
     Completed(Vec<u8>),
-    /// Not served; after how many milliseconds the client may ask again, where that was said.
+    /// Not served; with the time after which the client may retry, if there is one.
     Rejected(Option<Millis>),
-    /// Failed, and perhaps run.
+    /// Failed, and may have run.
     Failed,
 }
 
-/// One thing that is on record. New kinds come last: their places are what is on disk.
+/// One record. New kinds are added at the end: on disk a kind is its index here.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub enum Record {
-    /// The request was taken.
+    /// The request was accepted.
     Taken {
         /// Its number in this ledger.
         #[serde(with = "codec::RequestIdDef")]
         request_id: RequestId,
-        /// What running it twice would do.
+        /// The effect of running it twice.
         #[serde(with = "codec::EffectDef")]
         effect: Effect,
         /// When it must have its final answer.
         deadline: Millis,
         /// The id that its client gave.
         client_id: String,
-        /// Its idempotency key, where it has one.
+        /// Its idempotency key, if it has one.
         key: Option<String>,
-        /// What its client asked.
+        /// Its hash.
         digest: Digest,
-        /// What is needed to send it, as the caller writes it.
+        /// The contents that are needed to send it, encoded by the caller.
         payload: Vec<u8>,
     },
-    /// An attempt is about to be sent: on record before its first byte is.
+    /// An attempt is to be sent; on disk before its first byte is sent.
     Dispatched {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
@@ -52,10 +52,10 @@
         fence: Fence,
         /// The name of the executor.
         executor: String,
-        /// Until when it may be silent.
+        /// The end of the lease if no heartbeat follows.
         lease_until: Millis,
     },
-    /// An attempt has begun to run.
+    /// An attempt has started to run.
     Started {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
@@ -64,7 +64,7 @@
         #[serde(with = "codec::AttemptIdDef")]
         attempt_id: AttemptId,
     },
-    /// A sign of life: the lease holds longer.
+    /// A heartbeat of the executor, which extends the lease.
     Heartbeat {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
@@ -72,7 +72,7 @@
         /// The attempt.
         #[serde(with = "codec::AttemptIdDef")]
         attempt_id: AttemptId,
-        /// Until when it may be silent now; an earlier time than before changes nothing.
+        /// The new end of the lease; one before the present end changes nothing.
         lease_until: Millis,
     },
     /// An attempt has ended.
@@ -83,11 +83,11 @@
         /// The attempt.
         #[serde(with = "codec::AttemptIdDef")]
         attempt_id: AttemptId,
-        /// How.
+        /// Its outcome.
         #[serde(with = "codec::OutcomeDef")]
         outcome: Outcome,
     },
-    /// The executor confirms that it has not run this fence, and never will.
+    /// The executor confirms that it has not run this attempt and will refuse it.
     Fenced {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
@@ -96,7 +96,7 @@
         #[serde(with = "codec::AttemptIdDef")]
         attempt_id: AttemptId,
     },
-    /// The client's final answer, on record before it is sent.
+    /// The final answer; on disk before it is sent to the client.
     Answered {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
@@ -104,13 +104,13 @@
         /// The answer.
         answer: Answer,
     },
-    /// The answer was written to a client as a whole.
+    /// The last byte of the answer was written to a client.
     Acknowledged {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
         request_id: RequestId,
     },
-    /// Nothing is kept of it any longer.
+    /// All rows of the request are deleted.
     Forgotten {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
@@ -119,7 +119,7 @@
 }
 
 impl Record {
-    /// The request that it is of.
+    /// The request that the record belongs to.
     pub fn request_id(&self) -> RequestId {
         match self {
             Record::Taken { request_id, .. }
@@ -135,13 +135,13 @@
     }
 }
 
-/// A record as it is written.
+/// A record with its place in the ledger.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Row {
-    /// When it was made.
+    /// When the record was made.
     pub at: Millis,
-    /// How many rows of its request came before it.
+    /// The number of rows of the same request before it.
     pub sequence: u32,
-    /// What it says.
+    /// The record.
     pub record: Record,
 }
--- a/crates/ledger/src/store.rs
+++ b/crates/ledger/src/store.rs
@@ -1,6 +1,6 @@
-//! Rows on disk: one redb database, in which a row stands under its request and its sequence among that one's rows.
-//! A commit is complete or absent after a crash, and a torn one is cut back to the one before it. Rows of a request
-//! that is forgotten are taken out, and their space is used again.
+//! Rows on disk: one redb database, in which the key of a row is its request and its sequence among the rows of that
+//! request. After a crash a commit is complete or absent; an incomplete one is rolled back. The rows of a request that
+//! is forgotten are deleted, and their space is used again.
 use crate::codec::{self, FORMAT, RowError};
 use crate::record::{Record, Row};
 use redb::backends::FileBackend;
@@ -13,21 +13,24 @@
 use std::ops::{Bound, RangeInclusive};
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use troutknot::RequestId;
 
+/// Encoded rows by request number and sequence.
 const ROWS: TableDefinition<(u64, u32), &[u8]> = TableDefinition::new("rows");
+/// Properties of the file, by name.
 const METADATA: TableDefinition<&str, u64> = TableDefinition::new("about");
 const FORMAT_KEY: &str = "format";
+/// Upper bound on the memory for cached pages.
 const CACHE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a ledger cannot be used, or a commit did not come about.
+/// Why a ledger cannot be used, or a commit failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// Another process writes it.
     #[error("another process has it open")]
     InUse,
-    /// A later release made it.
+    /// A later release created it, in a format that this one cannot read.
     #[error("it is of format {0}; up to {FORMAT} is understood")]
     Newer(u64),
     /// The file cannot be read or written.
@@ -40,10 +43,10 @@
         request_id: u64,
         /// The row's sequence.
         sequence: u32,
-        /// Why it is none.
+        /// The damage.
         error: RowError,
     },
-    /// The file is something else.
+    /// The file is not a ledger.
     #[error("it is no ledger")]
     NoLedger,
 }
@@ -70,7 +73,7 @@
     pub syncs: AtomicU64,
 }
 
-/// Counts what goes to a file.
+/// A storage backend whose writes and syncs are counted.
 #[derive(Debug)]
 struct Counted<B: StorageBackend> {
     inner: B,
@@ -140,25 +143,27 @@
 }
 
 impl Store {
-    /// Opens or makes a ledger; what a crash left half done is cut back. Readers may look at it meanwhile.
+    /// Opens or creates a ledger; a commit that a crash interrupted is rolled back. Other processes may read the ledger
+    /// while it is open.
     ///
     /// # Errors
-    /// Where another process writes it, it cannot be read or written, or a later version made it.
+    /// If another process writes it, if it cannot be read or written, or if a later release created it.
     pub fn open(path: &Path) -> Result<Self, StoreError> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
         let backend = FileBackend::new(file.map_err(disk_error)?).map_err(open_error)?;
         let store = Store::build(backend, ConcurrencyMode::SingleWriter)?;
-        // The name of a new file is not on disk before its directory is.
-        let directory = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-        File::open(directory).and_then(|d| d.sync_all()).map_err(disk_error)?;
+        // The name of a new file may be lost in a crash until its directory is synced.
+        let directory = path.parent().filter(|parent| !parent.as_os_str().is_empty());
+        let directory = File::open(directory.unwrap_or(Path::new(".")));
+        directory.and_then(|directory| directory.sync_all()).map_err(disk_error)?;
         Ok(store)
     }
 
-    /// The same on storage of the caller's own, which nobody else uses.
+    /// The same as [`Store::open`] on a backend of the caller, which nobody else may use.
     ///
     /// # Errors
     /// As [`Store::open`].
-    pub fn over(backend: impl StorageBackend) -> Result<Self, StoreError> {
+    pub fn with_backend(backend: impl StorageBackend) -> Result<Self, StoreError> {
         Store::build(backend, ConcurrencyMode::ExclusiveWriter)
     }
 
@@ -194,11 +199,11 @@
         &self.statistics
     }
 
-    /// Writes rows and syncs them, all or none. A row that is there already is written over, so that a commit
-    /// of which it is not known whether it came about may be made again.
+    /// Writes rows and syncs them, all or none. A row that exists is overwritten, so that a commit whose result is
+    /// unknown can be repeated.
     ///
     /// # Errors
-    /// Where the disk does not take them; they may be there all the same.
+    /// If the disk fails. The rows may be on disk nevertheless.
     pub fn commit<'a>(&self, rows: impl IntoIterator<Item = &'a Row>) -> Result<(), StoreError> {
         let txn = self.begin()?;
         {
@@ -206,7 +211,7 @@
             for row in rows {
                 let request_id = row.record.request_id();
                 if let Record::Forgotten { .. } = row.record {
-                    table.retain_in(range(request_id), |_, _| false).map_err(disk_error)?;
+                    table.retain_in(keys_of(request_id), |_, _| false).map_err(disk_error)?;
                 } else {
                     let bytes = codec::encode(row.at, &row.record);
                     table.insert((request_id.0, row.sequence), bytes.as_slice()).map_err(disk_error)?;
@@ -216,27 +221,29 @@
         txn.commit().map_err(disk_error)
     }
 
-    /// Gives room back to the file system; false where there was none to give.
+    /// Returns unused space to the file system. Returns false if there was none.
     ///
     /// # Errors
-    /// Where the disk does not take it.
+    /// If the disk fails.
     pub fn compact(&mut self) -> Result<bool, StoreError> {
         self.db.compact().map_err(disk_error)
     }
 
-    /// Checks every page; false where something had to be repaired.
+    /// Checks every page. Returns false if something had to be repaired.
     ///
     /// # Errors
-    /// Where it is damaged beyond that.
+    /// If the file is damaged beyond repair.
     pub fn check(&mut self) -> Result<bool, StoreError> {
         self.db.check_integrity().map_err(disk_error)
     }
 }
 
-fn range(request_id: RequestId) -> RangeInclusive<(u64, u32)> {
+/// The keys of all rows of a request.
+fn keys_of(request_id: RequestId) -> RangeInclusive<(u64, u32)> {
     (request_id.0, 0)..=(request_id.0, u32::MAX)
 }
 
+/// The format that a ledger was created in; none if the file has no ledger yet.
 fn format_of(txn: &ReadTransaction) -> Result<Option<u64>, StoreError> {
     let metadata = match txn.open_table(METADATA) {
         Ok(metadata) => metadata,
@@ -250,21 +257,22 @@
     }
 }
 
-/// What may be read of a ledger, whoever writes it.
+/// Read access to the rows of a ledger, in the process that writes it or in another one.
 pub trait Rows {
     #[doc(hidden)]
     fn begin_read(&self) -> Result<ReadTransaction, StoreError>;
 
-    /// All rows, those of one request together and in order; what is no row is told as an error and passed.
+    /// Calls `visit` for each row; the rows of one request follow each other in their order. A damaged row is passed as
+    /// an error, and the rows after it are still visited.
     ///
     /// # Errors
-    /// Where the file cannot be read on.
-    fn each(&self, mut each: impl FnMut(Result<Row, StoreError>)) -> Result<(), StoreError> {
+    /// If the file cannot be read further.
+    fn for_each_row(&self, mut visit: impl FnMut(Result<Row, StoreError>)) -> Result<(), StoreError> {
         let txn = self.begin_read()?;
         for found in txn.open_table(ROWS).map_err(disk_error)?.iter().map_err(disk_error)? {
             let (key, bytes) = found.map_err(disk_error)?;
             let (request_id, sequence) = key.value();
-            each(row(request_id, sequence, bytes.value()));
+            visit(decode_row(request_id, sequence, bytes.value()));
         }
         Ok(())
     }
@@ -272,28 +280,29 @@
     /// The rows of one request, in order.
     ///
     /// # Errors
-    /// Where one is damaged, or the file cannot be read.
-    fn of(&self, request_id: RequestId) -> Result<Vec<Row>, StoreError> {
+    /// If one is damaged, or if the file cannot be read.
+    fn rows_of(&self, request_id: RequestId) -> Result<Vec<Row>, StoreError> {
         let txn = self.begin_read()?;
         let table = txn.open_table(ROWS).map_err(disk_error)?;
         let mut rows = Vec::new();
-        for found in table.range(range(request_id)).map_err(disk_error)? {
+        for found in table.range(keys_of(request_id)).map_err(disk_error)? {
             let (key, bytes) = found.map_err(disk_error)?;
-            rows.push(row(request_id.0, key.value().1, bytes.value())?);
+            rows.push(decode_row(request_id.0, key.value().1, bytes.value())?);
         }
         Ok(rows)
     }
 
-    /// How many rows there are.
+    /// The number of rows.
     ///
     /// # Errors
-    /// Where the file cannot be read.
-    fn count(&self) -> Result<u64, StoreError> {
+    /// If the file cannot be read.
+    fn row_count(&self) -> Result<u64, StoreError> {
         self.begin_read()?.open_table(ROWS).map_err(disk_error)?.len().map_err(disk_error)
     }
 }
 
-fn row(request_id: u64, sequence: u32, bytes: &[u8]) -> Result<Row, StoreError> {
+/// Decodes a row and checks that it belongs to the request of its key.
+fn decode_row(request_id: u64, sequence: u32, bytes: &[u8]) -> Result<Row, StoreError> {
     let damaged = |error| StoreError::Row { request_id, sequence, error };
     let row = codec::decode(sequence, bytes).map_err(damaged)?;
     if row.record.request_id() != RequestId(request_id) {
@@ -308,11 +317,11 @@
     }
 }
 
-/// A ledger that is only read: beside the process that writes it, or after that one's death.
+/// A ledger that is only read, while another process writes it or after that process has ended.
 pub enum Reader {
-    /// As its writer has it.
+    /// The file itself, up to the last commit.
     Live(ReadOnlyDatabase),
-    /// A copy in memory, on which what a crash left half done is cut back.
+    /// A copy in memory, in which a commit that a crash interrupted is rolled back. The file stays unchanged.
     Copy(Box<Store>),
 }
 
@@ -320,7 +329,7 @@
     /// Opens a ledger without changing it.
     ///
     /// # Errors
-    /// Where it cannot be read, is none, or a later version made it.
+    /// If it cannot be read, if it is not a ledger, or if a later release created it.
     pub fn open(path: &Path) -> Result<Self, StoreError> {
         let live = Builder::new().set_concurrency_mode(ConcurrencyMode::SingleWriter).open_read_only(path);
         let reader = match live {
@@ -331,7 +340,7 @@
                 if bytes.is_empty() {
                     return Err(StoreError::NoLedger);
                 }
-                Reader::Copy(Box::new(Store::over(Memory(Mutex::new(bytes)))?))
+                Reader::Copy(Box::new(Store::with_backend(Memory(Mutex::new(bytes)))?))
             }
         };
         let format = format_of(&reader.begin_read()?)?;
@@ -348,30 +357,35 @@
     }
 }
 
-/// A file's bytes, changed in memory alone.
+/// The bytes of a file; changes stay in memory.
 #[derive(Debug)]
 struct Memory(Mutex<Vec<u8>>);
 
 impl Memory {
-    fn with<R>(&self, offset: u64, len: usize, use_it: impl FnOnce(&mut [u8]) -> R) -> io::Result<R> {
-        let mut bytes = self.0.lock().map_err(|_| io::Error::other("a reader has died"))?;
+    fn lock(&self) -> io::Result<MutexGuard<'_, Vec<u8>>> {
+        self.0.lock().map_err(|_| io::Error::other("a reader has died"))
+    }
+
+    /// Applies `access` to `len` bytes from `offset` on.
+    fn access<R>(&self, offset: u64, len: usize, access: impl FnOnce(&mut [u8]) -> R) -> io::Result<R> {
+        let mut bytes = self.lock()?;
         let start = usize::try_from(offset).map_err(io::Error::other)?;
         let part = start.checked_add(len).and_then(|end| bytes.get_mut(start..end));
-        part.map(use_it).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        part.map(access).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 }
 
 impl StorageBackend for Memory {
     fn len(&self) -> io::Result<u64> {
-        self.0.lock().map(|bytes| bytes.len() as u64).map_err(|_| io::Error::other("a reader has died"))
+        self.lock().map(|bytes| bytes.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        self.with(offset, out.len(), |part| out.copy_from_slice(part))
+        self.access(offset, out.len(), |part| out.copy_from_slice(part))
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        let mut bytes = self.0.lock().map_err(|_| io::Error::other("a reader has died"))?;
+        let mut bytes = self.lock()?;
         bytes.resize(usize::try_from(len).map_err(io::Error::other)?, 0);
         Ok(())
     }
@@ -381,6 +395,6 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.with(offset, data.len(), |part| part.copy_from_slice(data))
+        self.access(offset, data.len(), |part| part.copy_from_slice(data))
     }
 }
--- a/crates/ledger/tests/crashes.rs
+++ b/crates/ledger/tests/crashes.rs
@@ -15,7 +15,7 @@
 
 fn load(store: &impl Rows) -> Ledger {
     let mut rows = Vec::new();
-    store.each(|row| rows.push(row.unwrap())).unwrap();
+    store.for_each_row(|row| rows.push(row.unwrap())).unwrap();
     let (ledger, broken) = Ledger::recover(MOST, &rows);
     assert_eq!(broken, None, "what is on disk follows");
     ledger
@@ -39,7 +39,7 @@
     let mut states = vec![state(&ledger)];
     let batches = rows(&mut Ledger::new(MOST), 24);
     let mut written = 0;
-    if let Ok(store) = Store::over(disk.clone()) {
+    if let Ok(store) = Store::with_backend(disk.clone()) {
         let mut held: Vec<Row> = Vec::new();
         for batch in &batches {
             let came = if early {
@@ -63,7 +63,7 @@
     }
     for seed in 0..4 {
         let left = disk.crash(seed + 1000 * point.unwrap_or(0));
-        let store = match Store::over(left.clone()) {
+        let store = match Store::with_backend(left.clone()) {
             Ok(store) => store,
             Err(why) if written == 0 => {
                 // It died as it was made: nothing was promised.
@@ -112,7 +112,7 @@
 fn a_crash_in_a_compaction_leaves_what_was_there() {
     let filled = || {
         let disk = Disk::default();
-        let store = Store::over(disk.clone()).unwrap();
+        let store = Store::with_backend(disk.clone()).unwrap();
         for batch in rows(&mut Ledger::new(MOST), 60) {
             store.commit(&batch).unwrap();
         }
@@ -129,7 +129,7 @@
         let _ = store.compact();
         disk.fail_at(Some(0));
         for seed in 0..3 {
-            let again = Store::over(disk.crash(seed)).unwrap();
+            let again = Store::with_backend(disk.crash(seed)).unwrap();
             assert_eq!(state(&load(&again)), expected, "at point {point} of a compaction");
         }
     }
@@ -138,7 +138,7 @@
 #[test]
 fn what_is_forgotten_gives_its_room_back() {
     let disk = Disk::default();
-    let store = Store::over(disk.clone()).unwrap();
+    let store = Store::with_backend(disk.clone()).unwrap();
     let mut ledger = Ledger::new(MOST);
     let mut sizes = Vec::new();
     for request_id in 0..600 {
@@ -146,7 +146,7 @@
         store.commit(&batch).unwrap();
         sizes.push(disk.len());
     }
-    assert_eq!(store.count().unwrap(), 0);
+    assert_eq!(store.row_count().unwrap(), 0);
     assert_eq!(sizes[599], sizes[100], "the file stops growing");
 }
 
@@ -170,7 +170,7 @@
     let disk = Disk::default();
     let own = disk.clone();
     let (committer, mut ledger) =
-        Committer::start(Box::new(move || Store::over(own.clone())), SyncMode::Shared, MOST).unwrap();
+        Committer::start(Box::new(move || Store::with_backend(own.clone())), SyncMode::Shared, MOST).unwrap();
     let next = |ledger: &mut Ledger, record: Record| ledger.apply(1.0, record).unwrap();
     let records = life(1);
     write(&committer, vec![next(&mut ledger, records[0].clone())]).recv().unwrap().unwrap();
@@ -188,7 +188,7 @@
     committer.read(RequestId(1), move |rows| _ = tell.send(rows));
     assert_eq!(told.recv().unwrap().unwrap().len(), 4, "all is there, in order");
     drop(committer);
-    assert_eq!(state(&load(&Store::over(disk).unwrap())), state(&ledger));
+    assert_eq!(state(&load(&Store::with_backend(disk).unwrap())), state(&ledger));
 }
 
 #[test]
@@ -196,7 +196,7 @@
     let disk = Disk::default();
     let own = disk.clone();
     let (committer, mut ledger) =
-        Committer::start(Box::new(move || Store::over(own.clone())), SyncMode::Shared, MOST).unwrap();
+        Committer::start(Box::new(move || Store::with_backend(own.clone())), SyncMode::Shared, MOST).unwrap();
     disk.slow(Duration::from_millis(400));
     let told = write(&committer, vec![ledger.apply(1.0, taken(1)).unwrap()]);
     until("it is seen", || committer.check_ready(Duration::from_millis(50)).is_err());
@@ -212,7 +212,7 @@
         let disk = Disk::default();
         let own = disk.clone();
         let (committer, mut ledger) =
-            Committer::start(Box::new(move || Store::over(own.clone())), sync_mode, MOST).unwrap();
+            Committer::start(Box::new(move || Store::with_backend(own.clone())), sync_mode, MOST).unwrap();
         disk.slow(Duration::from_micros(100));
         let all: Vec<_> = (0..200)
             .map(|request_id| write(&committer, vec![ledger.apply(1.0, taken(request_id)).unwrap()]))
