--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -9,6 +9,7 @@
 use crate::http1::{self, Connection, ReceiveError, RequestHead};
 use crate::lifecycle::Lifecycle;
 use crate::retention::RetentionStatistics;
+use crate::tasks::TaskGroup;
 use handlers::{AdminHandlers, AdminResponse};
 use routes::{AdminCall, RouteError};
 use std::cell::{Cell, RefCell};
@@ -17,7 +18,6 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, mpsc};
-use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// Wait after a connection could not be accepted, for instance for lack of descriptors.
@@ -28,6 +28,7 @@
     handlers: AdminHandlers,
     limits: Rc<Limits>,
     buffers: Rc<ByteBudget>,
+    tasks: TaskGroup,
     /// Connections whose request is not complete, the oldest first.
     incomplete: RefCell<VecDeque<IncompleteRequest>>,
     open_connections: Cell<usize>,
@@ -42,13 +43,14 @@
 }
 
 impl AdminServer {
-    /// A server for this node, which reports `statistics`.
+    /// A server for this node, which reports `statistics`. Its connections are tasks of the group.
     pub fn new(
         limits: Rc<Limits>,
         events: mpsc::Sender<NodeEvent>,
         lifecycle: Rc<Lifecycle>,
         sibling: Rc<SiblingProcess>,
         statistics: Rc<Cell<RetentionStatistics>>,
+        tasks: TaskGroup,
     ) -> Rc<Self> {
         let buffers = ByteBudget::new(limits.admin.max_connections * 2 * limits.admin.buffer_bytes);
         let handlers = AdminHandlers { limits: limits.clone(), events, lifecycle, sibling, statistics };
@@ -56,6 +58,7 @@
             handlers,
             limits,
             buffers,
+            tasks,
             incomplete: RefCell::default(),
             open_connections: Cell::new(0),
             next_number: Cell::new(0),
@@ -88,7 +91,7 @@
         let close: Rc<Notify> = Rc::default();
         self.incomplete.borrow_mut().push_back(IncompleteRequest { connection_number, close: close.clone() });
         let server = self.clone();
-        spawn_local(async move {
+        self.tasks.spawn(async move {
             let buffer_bytes = server.limits.admin.buffer_bytes;
             let mut connection = Connection::new(stream, buffer_bytes, &server.buffers);
             server.serve(&mut connection, connection_number, &close).await;
--- a/crates/daemon/src/discovery/consul/mod.rs
+++ b/crates/daemon/src/discovery/consul/mod.rs
@@ -9,6 +9,7 @@
 use crate::config::limits::Limits;
 use crate::discovery::EndpointUpdateSender;
 use crate::protocol::EndpointEntry;
+use crate::tasks::TaskGroup;
 use entry::instance_of;
 use query::{ServiceQueries, read_token};
 use service::ServiceWatch;
@@ -17,7 +18,6 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::{Notify, watch};
-use tokio::task::spawn_local;
 use troutknot_clock::Clock;
 use troutknot_consul::catalog::{Catalog, WatchId};
 use troutknot_consul::health::ServiceInstance;
@@ -40,6 +40,8 @@
     pub config: watch::Receiver<Option<ConsulConfig>>,
     /// The status that a health check of this node returns.
     pub status: Rc<RefCell<String>>,
+    /// Owns the tasks of the watches.
+    pub tasks: TaskGroup,
 }
 
 /// State that the tasks share.
@@ -49,6 +51,7 @@
     updates: EndpointUpdateSender,
     catalog: RefCell<Catalog>,
     status: Rc<RefCell<String>>,
+    tasks: TaskGroup,
     /// Notified when the time of the catalog's next timer may have changed.
     timer_changed: Notify,
     /// The watches, in the order of precedence.
@@ -63,7 +66,7 @@
     pub async fn run(mut self, cached: Vec<EndpointEntry>) {
         let shared = Rc::new(Shared::new(&self, &cached));
         drop(cached);
-        spawn_local(shared.clone().run_timers());
+        self.tasks.spawn(shared.clone().run_timers());
         loop {
             let config = self.config.borrow_and_update().clone();
             shared.reconcile(config).await;
@@ -93,6 +96,7 @@
             updates: watcher.updates.clone(),
             catalog: RefCell::new(catalog),
             status: watcher.status.clone(),
+            tasks: watcher.tasks.clone(),
             timer_changed: Notify::new(),
             watches: RefCell::default(),
             next_number: Cell::new(0),
@@ -146,7 +150,7 @@
         ServiceWatch {
             watched,
             number,
-            task: spawn_local(self.clone().run_queries(queries, number)),
+            task: self.tasks.spawn(self.clone().run_queries(queries, number)),
             last_answer_at: Cell::new(last_answer_at),
             is_failing: Cell::new(is_failing),
         }
--- a/crates/daemon/src/discovery/consul/service.rs
+++ b/crates/daemon/src/discovery/consul/service.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::task::JoinHandle;
+use tokio::task::AbortHandle;
 use tokio::time::sleep;
 use troutknot::Millis;
 use troutknot_consul::catalog::WatchId;
@@ -18,8 +18,8 @@
     pub watched: WatchedService,
     /// Identifies the watch in the catalog.
     pub number: WatchId,
-    /// Runs the queries.
-    pub task: JoinHandle<()>,
+    /// Aborts the task that runs the queries.
+    pub task: AbortHandle,
     /// The time of the last usable answer.
     pub last_answer_at: Cell<Option<Millis>>,
     /// The last query failed.
--- a/crates/daemon/src/node/builder.rs
+++ b/crates/daemon/src/node/builder.rs
@@ -205,6 +205,7 @@
             self.shared.lifecycle.clone(),
             self.shared.sibling.clone(),
             driver.retention_statistics(),
+            self.shared.tasks.clone(),
         )
     }
 
--- a/crates/daemon/src/node/discovery.rs
+++ b/crates/daemon/src/node/discovery.rs
@@ -103,6 +103,7 @@
         updates: sender,
         config: controls.consul.subscribe(),
         status: shared.discovery_status.clone(),
+        tasks: shared.tasks.clone(),
     };
     shared.tasks.spawn(watcher.run(cached_entries));
 }
