--- a/crates/daemon/src/admin/handlers.rs
+++ b/crates/daemon/src/admin/handlers.rs
@@ -87,11 +87,13 @@
     }
 
     async fn set_excluded(&self, executor: &str, is_excluded: bool) -> AdminResponse {
-        let deadline = Instant::now() + self.limits.admin.call_timeout;
+        let list_deadline = Instant::now() + self.limits.admin.call_timeout;
+        // The call itself has time left even if the wait for the list took all of its own.
+        let deadline = list_deadline + self.limits.admin.call_timeout / 2;
         // Executors are unknown until a list is received.
         let mut lifecycle = self.lifecycle.watch();
         let listed = lifecycle.wait_for(|state| *state != LifecycleState::Starting);
-        let _ = timeout_at(deadline, listed).await;
+        let _ = timeout_at(list_deadline, listed).await;
         let (acknowledge, acknowledged) = oneshot::channel();
         let event = NodeEvent::SetExcluded {
             executor: executor.to_string(),
@@ -102,7 +104,7 @@
             self.events.send(event).await.ok()?;
             acknowledged.await.ok()
         };
-        match timeout_at(deadline + self.limits.admin.call_timeout / 2, applied).await {
+        match timeout_at(deadline, applied).await {
             Ok(Some(true)) => AdminResponse::done(),
             Ok(Some(false)) => AdminResponse::new(404, "no such executor was ever listed"),
             _ => AdminResponse::new(503, "the node is too busy"),
--- a/crates/daemon/src/admin/routes.rs
+++ b/crates/daemon/src/admin/routes.rs
@@ -2,6 +2,7 @@
 use crate::lifecycle::DrainRequest;
 use percent_encoding::percent_decode_str;
 
+/// The longest name of an executor that a call may have; the error of an invalid name states it.
 const MAX_EXECUTOR_NAME_BYTES: usize = 255;
 
 /// Stands in a route's path for the name of an executor.
@@ -14,7 +15,7 @@
     Readiness,
     /// Returns the numbers of executors that are listed and retained.
     Statistics,
-    /// Excludes an executor, or admits it again.
+    /// Excludes an executor, or includes it again.
     SetExcluded {
         /// The executor's name.
         executor: String,
--- a/crates/daemon/src/discovery/merge.rs
+++ b/crates/daemon/src/discovery/merge.rs
@@ -55,9 +55,9 @@
         kind: ListUpdate,
         entries: Vec<EndpointEntry>,
     ) -> Vec<EndpointEntry> {
-        let mut dirty: Vec<CompactString> = entries.iter().map(|entry| entry.id.clone()).collect();
+        let mut affected: Vec<CompactString> = entries.iter().map(|entry| entry.id.clone()).collect();
         if kind != ListUpdate::Delta {
-            dirty.extend(self.mark_missing_as_gone(precedence, &entries));
+            affected.extend(self.mark_missing_as_gone(precedence, &entries));
         }
         for entry in entries {
             let is_known = self.executors.contains_key(&entry.id);
@@ -66,7 +66,7 @@
                 executor.by_source.insert(precedence, entry);
             }
         }
-        dirty.iter().filter_map(|id| self.take_change(id)).collect()
+        affected.iter().filter_map(|id| self.take_change(id)).collect()
     }
 
     /// Marks the executors of a source that its snapshot does not list, and returns their ids.
--- a/crates/daemon/src/discovery/versions.rs
+++ b/crates/daemon/src/discovery/versions.rs
@@ -37,7 +37,7 @@
 
     /// Accepts a list, and returns how to apply it; none if it is not new.
     ///
-    /// An older snapshot at the begin of several watches in a row means that the source restarted and counts its
+    /// An older snapshot at the beginning of several watches in a row means that the source restarted and counts its
     /// versions from the beginning; it is accepted.
     pub fn accept(&mut self, list: &EndpointList, position: ListPosition) -> Option<ListUpdate> {
         let is_first_snapshot = position == ListPosition::First && list.is_snapshot;
--- a/crates/daemon/src/driver/endpoints.rs
+++ b/crates/daemon/src/driver/endpoints.rs
@@ -64,17 +64,17 @@
         change: impl FnOnce(&mut EndpointRetention, &RetainedNow) -> RetentionChange,
     ) -> Vec<EndpointEntry> {
         let retained = RetainedNow { registry: &self.registry, membership: &self.membership };
-        let selected = change(&mut self.retention, &retained);
-        if selected.repeated > 0 {
+        let change = change(&mut self.retention, &retained);
+        if change.repeated > 0 {
             tracing::warn!(
-                count = selected.repeated,
+                count = change.repeated,
                 "endpoint list with duplicate entries, the last of each counts"
             );
         }
-        if selected.needs_snapshot {
+        if change.needs_snapshot {
             self.watch_requests.snapshot.notify_one();
         }
-        selected.entries
+        change.entries
     }
 
     /// Allocates for the executors of a complete list and an eighth more at once; growing step by step would leave
@@ -123,10 +123,9 @@
         }
         let selected = self.select(|retention, retained| retention.apply_delta(Vec::new(), retained));
         let endpoints = self.register_all(selected);
-        let is_any = !endpoints.is_empty();
-        let update = ListUpdate::Operator;
-        self.dispatcher.handle_event(now, CoreEvent::EndpointsUpdated { update, endpoints });
-        is_any
+        let has_retained = !endpoints.is_empty();
+        self.update_outside_discovery(now, endpoints);
+        has_retained
     }
 
     /// Applies the list's entry of one executor, after what operators excluded, to all parts of the node.
@@ -178,6 +177,12 @@
         let changed = self.membership.set_excluded(executor, name, is_excluded);
         let Some((executor, entry)) = executor.zip(changed) else { return };
         let endpoints = vec![self.update_endpoint(executor, entry)];
+        self.update_outside_discovery(now, endpoints);
+    }
+
+    /// Informs the dispatcher of endpoints that changed without an update of the list, so that it does not take the
+    /// list as received by this.
+    fn update_outside_discovery(&mut self, now: Millis, endpoints: Vec<Endpoint>) {
         let update = ListUpdate::Operator;
         self.dispatcher.handle_event(now, CoreEvent::EndpointsUpdated { update, endpoints });
     }
--- a/crates/daemon/src/driver/events.rs
+++ b/crates/daemon/src/driver/events.rs
@@ -24,7 +24,7 @@
                 self.set_excluded(now, executor, is_excluded, origin);
             }
             NodeEvent::ExportState => self.export_state(now),
-            NodeEvent::SiblingChanged(is_running) => {
+            NodeEvent::SiblingChanged { is_running } => {
                 self.dispatcher.handle_event(now, CoreEvent::SiblingChanged { is_running });
             }
             NodeEvent::SettingsChanged(settings) => self.dispatcher.apply_settings(now, &settings),
--- a/crates/daemon/src/durable/jobs.rs
+++ b/crates/daemon/src/durable/jobs.rs
@@ -12,13 +12,13 @@
 /// How often answers that need not be retained any longer are looked for.
 const FORGET_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Maximum number of answers that are forgotten at once.
+/// Maximum number of answers that are forgotten before other tasks run.
 const MAX_FORGOTTEN: usize = 1000;
 
 /// Time between attempts to write an answer that the disk did not take.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Retry-After of a request that could not be recorded.
+/// Retry-After of a request that could not be recorded, in milliseconds.
 const UNRECORDED_RETRY_AFTER: Millis = 1000.0;
 
 /// What the ledger has of a request that a client makes.
--- a/crates/daemon/src/durable/recovery.rs
+++ b/crates/daemon/src/durable/recovery.rs
@@ -16,7 +16,8 @@
 /// Time between attempts to reserve memory for a request.
 const RESERVE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Upper bound on the remaining time of a recovered request.
+/// Upper bound on the remaining time of a recovered request, about 11 days. A damaged row could state a time that no
+/// [`Duration`] can hold.
 const MAX_TIME_LEFT: Millis = 1e9;
 
 /// Why an open request cannot be recovered.
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -78,7 +78,7 @@
     Core(CoreEvent),
     /// A discovery source has a list of endpoints, or changes to one.
     ListReceived(EndpointUpdate),
-    /// An operator excludes an executor, or includes it again.
+    /// An operator excludes an executor (admin call `suspend`), or includes it again (`resume`).
     SetExcluded {
         /// The executor's name.
         executor: String,
@@ -89,8 +89,11 @@
     },
     /// The state of this process is to be sent to the sibling.
     ExportState,
-    /// The sibling process was connected (true), or has gone.
-    SiblingChanged(bool),
+    /// The sibling process was connected, or has gone.
+    SiblingChanged {
+        /// Whether it runs.
+        is_running: bool,
+    },
     /// The settings were reloaded.
     SettingsChanged(Box<Settings>),
     /// The shutdown cancels the attempts in flight, and lets no further ones be sent.
--- a/crates/daemon/src/hot_restart/codec.rs
+++ b/crates/daemon/src/hot_restart/codec.rs
@@ -14,7 +14,7 @@
 /// The longest line, in bytes.
 pub const MAX_LINE_BYTES: usize = 256 * 1024;
 
-/// Maximum number of list items in one message.
+/// Maximum number of list items in one message, so that its line stays below [`MAX_LINE_BYTES`].
 const ITEMS_PER_MESSAGE: usize = 200;
 
 /// Why a message, or the state that several messages make up, cannot be used.
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -69,9 +69,9 @@
 /// What an operator asks for.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum DrainRequest {
-    /// Stop taking requests.
+    /// Stop taking requests: the admin call `drain`.
     Drain,
-    /// Take requests again.
+    /// Take requests again: the admin call `activate`. (The call `resume` concerns an executor.)
     Resume,
 }
 
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use troutknot::ExecutorId;
 
-/// Upper bound on excluded executors that are not listed. The oldest of them is admitted again beyond it.
+/// Upper bound on excluded executors that are not listed. The oldest of them is included again beyond it.
 pub const MAX_EXCLUDED_ABSENT: usize = 1024;
 
 /// Listed and excluded executors.
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Excludes an executor, or admits it again. One call reverts any number of earlier calls.
+    /// Excludes an executor, or includes it again. One call reverts any number of earlier calls.
     ///
     /// Returns the listed entry, to be applied again; none if nothing changes or the executor is not listed.
     pub fn set_excluded(
--- a/crates/daemon/src/node/builder.rs
+++ b/crates/daemon/src/node/builder.rs
@@ -30,6 +30,10 @@
 use tokio::task::spawn_local;
 use troutknot::{Dispatcher, ListUpdate};
 
+/// Request ids that a process may use for each millisecond since 1970 without meeting those of a later one. Ids that
+/// begin with the time are also far above the numbers of a ledger.
+const REQUEST_IDS_PER_MILLI: u64 = 1000;
+
 /// The takeover from an old process, as far as it has come before the node is built.
 #[derive(Default)]
 pub struct HotRestart {
@@ -147,7 +151,8 @@
                 Err(_) => {}
             }
         }
-        self.downstream.set_first_request_id(self.shared.clock.now().max(0.0) as u64 * 1000);
+        let unix_millis = self.shared.clock.now().max(0.0) as u64;
+        self.downstream.set_first_request_id(unix_millis * REQUEST_IDS_PER_MILLI);
         self.shared.tasks.spawn(opener.open_once_released());
         Ok(())
     }
--- a/crates/daemon/src/node/discovery.rs
+++ b/crates/daemon/src/node/discovery.rs
@@ -47,9 +47,9 @@
     };
     let merge = Rc::new(RefCell::new(EndpointMerge::new(shared.limits.executor_bounds.max_listed)));
     let is_merged = discovery.sources.len() > 1;
-    for (position, source) in discovery.sources.iter().enumerate() {
+    for (precedence, source) in discovery.sources.iter().enumerate() {
         let sender = match is_merged {
-            true => EndpointUpdateSender::merged(shared.events.clone(), position, &merge),
+            true => EndpointUpdateSender::merged(shared.events.clone(), precedence, &merge),
             false => EndpointUpdateSender::unmerged(shared.events.clone()),
         };
         match source {
@@ -57,7 +57,7 @@
                 if is_merged {
                     // The watch continues from the cached version, whose entries the driver already has.
                     let entries = cached.entries.clone();
-                    let _ = merge.borrow_mut().apply(position, ListUpdate::Snapshot, entries);
+                    let _ = merge.borrow_mut().apply(precedence, ListUpdate::Snapshot, entries);
                 }
                 start_platform(&configuration.node.name, shared, &controls, sender, cached.version);
             }
--- a/crates/daemon/src/takeover.rs
+++ b/crates/daemon/src/takeover.rs
@@ -19,12 +19,17 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// Bounds how long a new process waits for the complete state; it has six seconds to become ready.
+/// Bounds how long a new process waits for the complete state: the platform gives it 6 s to become ready, and the rest
+/// is for the endpoint list.
 const STATE_TIMEOUT: Duration = Duration::from_millis(4500);
 
 /// How often each process checks whether to report what it uses of the shared limits.
 const USAGE_INTERVAL: Duration = Duration::from_millis(40);
 
+/// Pause after a new process could not be connected, so that a fault that lasts does not take all of
+/// the thread.
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(40);
+
 /// Names the directory in which the processes of a node find each other's socket.
 const DIRECTORY_VARIABLE: &str = "TMPDIR";
 
@@ -148,14 +153,14 @@
                 Ok(link) => self.serve_new_process(link).await,
                 Err(error) => {
                     tracing::warn!(%error, "hot restart: connection refused");
-                    sleep(USAGE_INTERVAL).await;
+                    sleep(CONNECT_RETRY_INTERVAL).await;
                 }
             }
         }
         let _ = std::fs::remove_file(&self.path);
     }
 
-    /// Ends once the node is asked to end; never if the lifecycle is gone.
+    /// Returns once the node is asked to end.
     async fn shutdown_requested(&self) {
         let mut state = self.lifecycle.watch();
         let is_requested = |_: &LifecycleState| self.lifecycle.facts().shutdown != Shutdown::None;
@@ -194,7 +199,7 @@
     /// Exchanges messages until the connection ends. The old process begins with its complete state.
     async fn exchange(&self, link: Link, role: Role) {
         let queue = self.sibling.connect();
-        let _ = self.events.send(NodeEvent::SiblingChanged(true)).await;
+        let _ = self.events.send(NodeEvent::SiblingChanged { is_running: true }).await;
         if role == Role::Old {
             self.send_state().await;
         }
@@ -209,7 +214,7 @@
         self.sibling.disconnect();
         // The other process uses nothing any more, however it ended.
         self.set_sibling_usage(Usage::default());
-        let _ = self.events.send(NodeEvent::SiblingChanged(false)).await;
+        let _ = self.events.send(NodeEvent::SiblingChanged { is_running: false }).await;
     }
 
     async fn send_state(&self) {
