--- a/crates/daemon/src/config/consul.rs
+++ b/crates/daemon/src/config/consul.rs
@@ -1,10 +1,10 @@
 //! The section `[lists.consul]` of the operator's file: which services of Consul are watched, and how.
 use crate::config::validation::Validator;
+use crate::units::{to_duration, to_millis};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use troutknot::Millis;
 use troutknot_consul::catalog::{CatalogPolicy, Damping, RemovalLimit};
 use troutknot_consul::query::{Consistency, QueryTiming, WatchedService};
 
@@ -101,8 +101,8 @@
         let limit = CatalogPolicy::default().removal_limit;
         PanicConfig {
             max_missing_share: limit.max_share,
-            window: duration_of(limit.window),
-            max_missing_time: duration_of(limit.max_missing_time),
+            window: to_duration(limit.window),
+            max_missing_time: to_duration(limit.max_missing_time),
         }
     }
 }
@@ -133,22 +133,14 @@
         let damping = CatalogPolicy::default().damping.expect("damping is enabled by default");
         DampingConfig {
             is_enabled: true,
-            half_life: duration_of(damping.half_life),
+            half_life: to_duration(damping.half_life),
             suppress_threshold: damping.suppress_threshold,
             reuse_threshold: damping.reuse_threshold,
-            max_suppress_time: duration_of(damping.max_suppress_time),
+            max_suppress_time: to_duration(damping.max_suppress_time),
         }
     }
 }
 
-fn duration_of(millis: Millis) -> Duration {
-    Duration::from_secs_f64(millis / 1000.0)
-}
-
-fn millis_of(duration: Duration) -> Millis {
-    duration.as_secs_f64() * 1000.0
-}
-
 impl ConsulConfig {
     /// The watches, in the order of precedence.
     pub fn watches(&self) -> Vec<WatchedService> {
@@ -170,9 +162,9 @@
     /// Timing of the blocking queries.
     pub fn query_timing(&self) -> QueryTiming {
         QueryTiming {
-            wait: millis_of(self.query_wait),
-            max_backoff: millis_of(self.max_backoff),
-            max_staleness: millis_of(self.max_staleness),
+            wait: to_millis(self.query_wait),
+            max_backoff: to_millis(self.max_backoff),
+            max_staleness: to_millis(self.max_staleness),
             ..QueryTiming::default()
         }
     }
@@ -180,15 +172,15 @@
     /// Policy of the catalog, which holds at most `max_executors` executors.
     pub fn catalog_policy(&self, max_executors: usize) -> CatalogPolicy {
         let damping = Damping {
-            half_life: millis_of(self.damping.half_life),
+            half_life: to_millis(self.damping.half_life),
             suppress_threshold: self.damping.suppress_threshold,
             reuse_threshold: self.damping.reuse_threshold,
-            max_suppress_time: millis_of(self.damping.max_suppress_time),
+            max_suppress_time: to_millis(self.damping.max_suppress_time),
         };
         let removal_limit = RemovalLimit {
             max_share: self.panic.max_missing_share,
-            window: millis_of(self.panic.window),
-            max_missing_time: millis_of(self.panic.max_missing_time),
+            window: to_millis(self.panic.window),
+            max_missing_time: to_millis(self.panic.max_missing_time),
         };
         CatalogPolicy {
             damping: self.damping.is_enabled.then_some(damping),
--- a/crates/daemon/src/config/limits/mod.rs
+++ b/crates/daemon/src/config/limits/mod.rs
@@ -8,6 +8,7 @@
 use crate::ring_buffer::INITIAL_BYTES;
 use sides::ConnectionShares;
 use std::cell::Cell;
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
 const KIB: usize = 1024;
@@ -19,6 +20,9 @@
 /// Upper bound on the interval between two polls of the endpoint list; longer settings are reduced to it.
 pub const MAX_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
+/// The part of the memory that the ledger's index may take; `docs/durable.md` states it.
+const LEDGER_MEMORY_DIVISOR: usize = 14;
+
 /// Memory of one durable job in the ledger's index: its row, id, idempotency key and attempts.
 pub const JOB_BYTES: usize = 800;
 
@@ -38,6 +42,13 @@
 /// Descriptors reserved for the log, the runtime, discovery, probes and the admin API.
 const SPARE_DESCRIPTORS: u64 = 24;
 
+/// The memory in MiB that the limits are made for; less or more counts as the nearest of them.
+const MEMORY_MB_RANGE: RangeInclusive<u64> = 16..=1 << 20;
+
+/// The numbers of sockets that the limits are made for. The lowest leaves some after the spare descriptors of two
+/// processes.
+const SOCKETS_RANGE: RangeInclusive<u64> = 64..=1 << 20;
+
 /// The share of the configured memory that is given out; the rest covers the program and fragmentation.
 const BUDGETED_MEMORY_SHARE: f64 = 0.9;
 
@@ -75,12 +86,12 @@
 
 impl LimitInputs {
     fn memory_bytes(&self) -> usize {
-        self.memory_mb.clamp(16, 1 << 20) as usize * MIB
+        self.memory_mb.clamp(*MEMORY_MB_RANGE.start(), *MEMORY_MB_RANGE.end()) as usize * MIB
     }
 
     fn available_sockets(&self) -> usize {
         let spare = if self.has_inherited_socket { 2 * SPARE_DESCRIPTORS } else { SPARE_DESCRIPTORS };
-        (self.max_sockets.clamp(64, 1 << 20) - spare) as usize
+        (self.max_sockets.clamp(*SOCKETS_RANGE.start(), *SOCKETS_RANGE.end()) - spare) as usize
     }
 
     /// Memory by a divisor, and by a larger one if answers of Consul need memory as well.
@@ -143,7 +154,7 @@
             admin: AdminLimits::new(),
             connection_buffer_bytes: 16 * KIB,
             max_body_bytes,
-            max_durable_jobs: inputs.memory_bytes() / 14 / JOB_BYTES,
+            max_durable_jobs: inputs.memory_bytes() / LEDGER_MEMORY_DIVISOR / JOB_BYTES,
             listen_backlog: 1024,
             event_queue_capacity: 4096,
             max_discarded_bytes: 64 * KIB,
--- a/crates/daemon/src/config/node.rs
+++ b/crates/daemon/src/config/node.rs
@@ -2,6 +2,7 @@
 use crate::config::file::read_text;
 use crate::config::limits::{LimitInputs, MAX_POLL_INTERVAL};
 use crate::protocol::{Codec, EndpointList};
+use crate::units::{to_duration, to_millis};
 use serde::Deserialize;
 use std::io;
 use std::net::{AddrParseError, SocketAddr};
@@ -16,8 +17,6 @@
 /// Overrides the address of the admin API, so that two processes of one node can each have their own.
 const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_MANAGEMENT";
 
-const MILLIS_PER_SECOND: f64 = 1000.0;
-
 /// A setting that is a time is ignored if it is as long or longer.
 const MAX_SETTING_MILLIS: Millis = 1e9;
 
@@ -187,7 +186,7 @@
 
 /// Bounds the poll interval of the endpoint list, so that an update is applied in time after a failed poll.
 fn bound_poll_interval(settings: &mut Settings) {
-    let max_interval = MAX_POLL_INTERVAL.as_secs_f64() * MILLIS_PER_SECOND;
+    let max_interval = to_millis(MAX_POLL_INTERVAL);
     let interval = settings.rules.poll_interval.unwrap_or(max_interval);
     settings.rules.poll_interval = Some(interval.min(max_interval));
 }
@@ -206,7 +205,7 @@
 /// A setting as a duration; none if it is missing, negative or too large.
 fn duration_of(setting: Option<Millis>) -> Option<Duration> {
     let millis = setting.filter(|millis| (0.0..MAX_SETTING_MILLIS).contains(millis))?;
-    Some(Duration::from_secs_f64(millis / MILLIS_PER_SECOND))
+    Some(to_duration(millis))
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/discovery/consul/query.rs
+++ b/crates/daemon/src/discovery/consul/query.rs
@@ -3,12 +3,12 @@
 use crate::config::consul::ConsulConfig;
 use crate::config::limits::Limits;
 use crate::http1::{Connection, ReceiveError, ResponseHead};
+use crate::units::to_duration;
 use bytes::BytesMut;
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use troutknot::Millis;
@@ -82,7 +82,7 @@
     /// # Errors
     /// If there is no answer in time, or it must not be used.
     pub async fn query(&mut self, limits: &Limits) -> Result<Answer, QueryError> {
-        let query_timeout = Duration::from_secs_f64(self.query_state.timeout() / 1000.0);
+        let query_timeout = to_duration(self.query_state.timeout());
         let exchanged = timeout(query_timeout, self.exchange(limits)).await;
         let (head, body) = exchanged.map_err(|_| QueryError::Timeout)??;
         let field = |name: &str| head.headers.single(name).ok().flatten();
--- a/crates/daemon/src/discovery/consul/service.rs
+++ b/crates/daemon/src/discovery/consul/service.rs
@@ -1,10 +1,10 @@
 //! The task that watches one service, and the state of its watch.
 use super::query::{QueryError, ServiceQueries};
-use super::{CACHED_LIST, MILLIS_PER_SECOND, Shared};
+use super::{CACHED_LIST, Shared};
+use crate::units::to_duration;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 use troutknot::Millis;
@@ -41,7 +41,7 @@
                     queries.fail_over(self.random_jitter())
                 }
             };
-            sleep(Duration::from_secs_f64(wait / MILLIS_PER_SECOND)).await;
+            sleep(to_duration(wait)).await;
         }
     }
 
--- a/crates/daemon/src/driver/events.rs
+++ b/crates/daemon/src/driver/events.rs
@@ -1,7 +1,8 @@
 //! What the sides of the node report, translated for the dispatcher.
-use super::{Driver, OpenRequest, millis};
+use super::{Driver, OpenRequest};
 use crate::event::NodeEvent;
 use crate::in_flight::{Answer, InFlightRequest};
+use crate::units::to_millis;
 use std::rc::Rc;
 use tokio::time::Instant;
 use troutknot::{AttemptId, Event as CoreEvent, ExecutorId, Millis, Outcome, ProbeReply, RequestId};
@@ -48,7 +49,7 @@
             tenant: request.tenant,
             slots: request.slots,
             memory: request.memory,
-            time_left: millis(in_flight.deadline.saturating_duration_since(Instant::now())),
+            time_left: to_millis(in_flight.deadline.saturating_duration_since(Instant::now())),
             is_retry: request.is_retry,
         };
         self.requests.insert(in_flight.request_id, OpenRequest::new(in_flight));
@@ -96,7 +97,7 @@
             executor = %self.executor_name(dispatch.executor),
             attempt = attempt_id.0,
             ?outcome,
-            elapsed_ms = millis(dispatch.decided_at.elapsed()),
+            elapsed_ms = to_millis(dispatch.decided_at.elapsed()),
             request = request_id.0,
             class = request.in_flight.request.class.0,
             "attempt ended"
@@ -137,7 +138,7 @@
     /// The answer to a request that is open when the node ends. The client may retry only what was never sent.
     fn final_answer(&self, attempts: u32) -> Answer {
         match attempts {
-            0 => Answer::Rejected(Some(millis(self.executors.limits.downstream.rejected_retry_after))),
+            0 => Answer::Rejected(Some(to_millis(self.executors.limits.downstream.rejected_retry_after))),
             _ => Answer::Failed,
         }
     }
--- a/crates/daemon/src/durable/recovery.rs
+++ b/crates/daemon/src/durable/recovery.rs
@@ -5,6 +5,7 @@
 use crate::event::{NodeEvent, RecoveredAttempt};
 use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
 use crate::lifecycle::LifecycleState;
+use crate::units::to_duration;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -17,7 +18,7 @@
 const RESERVE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Upper bound on the remaining time of a recovered request, about 11 days. A damaged row could state a time that no
-/// [`Duration`] can hold.
+/// duration can hold.
 const MAX_TIME_LEFT: Millis = 1e9;
 
 /// Why an open request cannot be recovered.
@@ -132,7 +133,7 @@
 
     fn instant_of(&self, deadline: Millis) -> Instant {
         let time_left = (deadline - self.now()).clamp(0.0, MAX_TIME_LEFT);
-        Instant::now() + Duration::from_secs_f64(time_left / 1000.0)
+        Instant::now() + to_duration(time_left)
     }
 
     fn earlier_attempts(&self, request_id: RequestId) -> Result<Vec<RecoveredAttempt>, RecoveryError> {
