--- a/crates/daemon/src/discovery/consul/service.rs
+++ b/crates/daemon/src/discovery/consul/service.rs
@@ -1,11 +1,11 @@
 //! The task that watches one service, and the state of its watch.
 use super::query::{QueryError, ServiceQueries};
-use super::{CACHED_LIST, MILLIS_PER_SECOND, Shared};
+use super::{CACHED_LIST, Shared};
+use crate::units::to_duration;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
-use tokio::task::JoinHandle;
+use tokio::task::AbortHandle;
 use tokio::time::sleep;
 use troutknot::Millis;
 use troutknot_consul::catalog::WatchId;
@@ -18,8 +18,8 @@
     pub watched: WatchedService,
     /// Identifies the watch in the catalog.
     pub number: WatchId,
-    /// Runs the queries.
-    pub task: JoinHandle<()>,
+    /// Aborts the task that runs the queries.
+    pub task: AbortHandle,
     /// The time of the last usable answer.
     pub last_answer_at: Cell<Option<Millis>>,
     /// The last query failed.
@@ -41,7 +41,7 @@
                     queries.fail_over(self.random_jitter())
                 }
             };
-            sleep(Duration::from_secs_f64(wait / MILLIS_PER_SECOND)).await;
+            sleep(to_duration(wait)).await;
         }
     }
 
