--- a/crates/rehearsal/src/lists.rs
+++ b/crates/rehearsal/src/lists.rs
@@ -1,10 +1,10 @@
 //! What tells the nodes of a rehearsal their list: the platform's discovery, or Consul's stand-in.
 use crate::scenario::{How, Scenario, Source, Syncs};
-use anyhow::{Context, Result};
 use serde_json::Value;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::fmt::Write;
+use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::rc::Rc;
@@ -48,9 +48,8 @@
         node: NodeNumber,
         at: SocketAddr,
         record: &Arc<Record>,
-    ) -> Result<Rc<Self>> {
-        let agent = fake_consul::Agent::start(cluster, at, None)
-            .with_context(|| format!("no address for Consul on {at}"))?;
+    ) -> io::Result<Rc<Self>> {
+        let agent = fake_consul::Agent::start(cluster, at, None)?;
         let told: RefCell<HashMap<ExecutorNumber, Listed>> = RefCell::default();
         let own = record.clone();
         agent.on_answer(Box::new(move |instances| {
@@ -213,11 +212,3 @@
     instance.meta = meta.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
     instance
 }
-
-/// Writes the operator's file of a node.
-///
-/// # Errors
-/// Where it cannot be written.
-pub fn write_own(path: &Path, text: &str) -> Result<()> {
-    std::fs::write(path, text).with_context(|| format!("cannot write {}", path.display()))
-}
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -227,7 +227,7 @@
                 played.abort();
                 looks.abort();
                 let late = referee::quantile(&mut late.borrow_mut(), 0.99);
-                Ok((world.end(), world.late(), late))
+                Ok((world.end(), world.max_step_delay_ms(), late))
             })
         }
     };
--- /dev/null
+++ b/crates/rehearsal/src/world/mod.rs
@@ -0,0 +1,196 @@
+//! The world of a rehearsal on sockets: executors, discovery and the nodes' processes, changed step by step as
+//! the plan says. All of it runs on one thread.
+mod addresses;
+mod error;
+mod listing;
+mod node;
+mod operator;
+mod process;
+mod steps;
+
+pub use addresses::Addresses;
+pub use error::WorldError;
+
+use crate::lists;
+use crate::nodes::{Launch, Used};
+use crate::plan::Plan;
+use crate::scenario::Scenario;
+use node::Node;
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep, sleep_until};
+use troutknot_emulator::Millis;
+use troutknot_emulator::discovery::Member;
+use troutknot_emulator::executors::{Host, Shared};
+use troutknot_emulator::front::health;
+use troutknot_emulator::observed::{ExecutorNumber, Listed, Record};
+use troutknot_fake_consul::Cluster;
+
+/// How long all nodes together may take to become ready at the start.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Separates the random stream of notification delays from those of the plan.
+const RNG_SALT: u64 = 0x77_6f72_6c64;
+
+/// The executors, discovery agents and nodes of a rehearsal.
+pub struct World {
+    scenario: Arc<Scenario>,
+    plan: Arc<Plan>,
+    record: Arc<Record>,
+    shared: Rc<Shared>,
+    launch: Arc<dyn Launch>,
+    /// By their numbers in the plan; `None` before they join.
+    hosts: RefCell<Vec<Option<Rc<Host>>>>,
+    /// What discovery lists of each executor.
+    listed: RefCell<Vec<Option<Member>>>,
+    nodes: RefCell<Vec<Node>>,
+    rng: RefCell<ChaCha8Rng>,
+    addresses: Addresses,
+    /// Consul's servers, if the scenario's endpoint lists come from Consul.
+    cluster: RefCell<Option<Rc<Cluster>>>,
+    /// The Unix time of the record's start, in milliseconds.
+    unix_offset_ms: Millis,
+    max_step_delay_ms: Cell<Millis>,
+    /// The attempt limit in the nodes' settings.
+    max_attempts: Cell<u32>,
+}
+
+impl World {
+    /// Starts executors, agents and nodes, and waits until all nodes are ready.
+    ///
+    /// # Errors
+    /// An address cannot be listened on, a file cannot be written, or a node cannot be started or does not become
+    /// ready in time.
+    pub async fn start(
+        scenario: Arc<Scenario>,
+        plan: Arc<Plan>,
+        record: Arc<Record>,
+        launch: Arc<dyn Launch>,
+        folder: PathBuf,
+    ) -> Result<Rc<Self>, WorldError> {
+        let world = Rc::new(World::new(scenario, plan, record, launch));
+        world.start_initial_executors()?;
+        let members: Vec<Member> = world.listed.borrow().iter().flatten().cloned().collect();
+        *world.cluster.borrow_mut() = lists::cluster(&world.scenario, &members);
+        for number in 0..world.scenario.nodes.count {
+            world.add_node(number, &members, &folder)?;
+        }
+        world.wait_until_ready().await?;
+        spawn_local(world.clone().monitor_nodes());
+        Ok(world)
+    }
+
+    /// A world in which nothing runs yet.
+    fn new(scenario: Arc<Scenario>, plan: Arc<Plan>, record: Arc<Record>, launch: Arc<dyn Launch>) -> Self {
+        let (work_plan, work_scenario) = (plan.clone(), scenario.clone());
+        let work_of = Arc::new(move |id: &str| work_plan.work(&work_scenario, id));
+        let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        World {
+            addresses: Addresses::fresh(),
+            cluster: RefCell::default(),
+            unix_offset_ms: unix_now.as_secs_f64() * 1000.0 - record.now(),
+            hosts: RefCell::new(vec![None; plan.executors.len()]),
+            listed: RefCell::new(vec![None; plan.executors.len()]),
+            nodes: RefCell::default(),
+            rng: RefCell::new(ChaCha8Rng::seed_from_u64(plan.seed ^ RNG_SALT)),
+            max_step_delay_ms: Cell::new(0.0),
+            max_attempts: Cell::new(scenario.rules.most_allocations),
+            shared: Shared::new(record.clone(), work_of, true),
+            scenario,
+            plan,
+            record,
+            launch,
+        }
+    }
+
+    /// Starts all initial executors, then lists them.
+    fn start_initial_executors(&self) -> Result<(), WorldError> {
+        let planned = self.plan.executors.iter().enumerate();
+        let initial = planned.filter(|(_, executor)| executor.is_initial).map(|(number, _)| number);
+        let initial: Vec<usize> = initial.collect();
+        for &number in &initial {
+            let host = self.start_host(number)?;
+            self.hosts.borrow_mut()[number] = Some(host);
+        }
+        for &number in &initial {
+            let member = self.member(number, Listed::Ready);
+            self.listed.borrow_mut()[number] = Some(member);
+        }
+        Ok(())
+    }
+
+    fn start_host(&self, number: usize) -> Result<Rc<Host>, WorldError> {
+        let planned = &self.plan.executors[number];
+        let address = self.addresses.executor(number);
+        let machine = planned.machine.clone();
+        let is_warm = !planned.slow_start;
+        Host::start(&self.shared, number as ExecutorNumber, machine, planned.seed, address, is_warm)
+            .map_err(|source| WorldError::ExecutorAddress { address, source })
+    }
+
+    fn add_node(&self, number: usize, members: &[Member], folder: &Path) -> Result<(), WorldError> {
+        let node = self.create_node(number, members, folder)?;
+        self.nodes.borrow_mut().push(node);
+        let process = self.start_process(number)?;
+        self.nodes.borrow_mut()[number].process = Some(process);
+        Ok(())
+    }
+
+    /// The addresses on which the nodes accept clients.
+    pub fn node_addrs(&self) -> Vec<SocketAddr> {
+        self.nodes.borrow().iter().map(|node| node.address).collect()
+    }
+
+    async fn wait_until_ready(&self) -> Result<(), WorldError> {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        for (number, address) in self.node_addrs().into_iter().enumerate() {
+            while health(address).await != Some(200) {
+                if self.has_ended(number) || Instant::now() > deadline {
+                    return Err(self.not_ready(number));
+                }
+                sleep(POLL_INTERVAL).await;
+            }
+        }
+        Ok(())
+    }
+
+    fn has_ended(&self, number: usize) -> bool {
+        let mut nodes = self.nodes.borrow_mut();
+        nodes[number].process.as_mut().is_some_and(|process| process.ended().is_some())
+    }
+
+    fn not_ready(&self, number: usize) -> WorldError {
+        let log = std::fs::read_to_string(&self.nodes.borrow()[number].log).unwrap_or_default();
+        let last_line = log.lines().last().unwrap_or("it said nothing").to_string();
+        WorldError::NodeNotReady { node: number, last_line }
+    }
+
+    /// Applies the plan's steps at their times; the day starts at `began`.
+    pub async fn play(self: Rc<Self>, began: Instant) {
+        let plan = self.plan.clone();
+        for (at, step) in &plan.steps {
+            let due = began + Duration::from_secs_f64(at / 1000.0);
+            sleep_until(due).await;
+            let delay_ms = due.elapsed().as_secs_f64() * 1000.0;
+            self.max_step_delay_ms.set(self.max_step_delay_ms.get().max(delay_ms));
+            self.apply(step);
+        }
+    }
+
+    /// The largest delay of a step against the plan, in milliseconds.
+    pub fn max_step_delay_ms(&self) -> Millis {
+        self.max_step_delay_ms.get()
+    }
+
+    /// Kills all nodes and returns the resources that each has used.
+    pub fn end(&self) -> Vec<Used> {
+        self.nodes.borrow_mut().iter_mut().map(Node::end).collect()
+    }
+}
