--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -141,7 +141,9 @@
         let body = format!("{}\n", response.body);
         let fields: Vec<(&str, String)> =
             response.allowed_method.iter().map(|method| ("Allow", method.to_string())).collect();
-        let head = http1::response_head(response.status, body.len(), false, &fields);
+        // One call for each connection.
+        let keep_alive = false;
+        let head = http1::response_head(response.status, body.len(), keep_alive, &fields);
         let parts = [&head[..], body.as_bytes()];
         let written = timeout(self.limits.admin.call_timeout, connection.write(&parts)).await;
         if matches!(written, Ok(Ok(()))) {
--- a/crates/daemon/src/driver/recovery.rs
+++ b/crates/daemon/src/driver/recovery.rs
@@ -4,7 +4,8 @@
 use crate::durable::Lease;
 use crate::event::RecoveredAttempt;
 use crate::hot_restart::codec::{
-    ClassRunningTime, ExecutorState, Inherited, Message, RunningTimes, Score, SpentBudget, split_list,
+    ClassRunningTime, ExecutorState, Inherited, Message, RunningTimes, Score, SpentBudget, UNNUMBERED,
+    split_list,
 };
 use crate::in_flight::InFlightRequest;
 use crate::lifecycle::Drain;
@@ -78,7 +79,7 @@
         let excluded: Vec<String> = self.membership.excluded().iter().cloned().collect();
         self.send_all(split_list(&excluded, |executors| Message::Excluded { executors }));
         let drained = self.lifecycle.facts().drain != Drain::None;
-        self.sibling.send(Message::Drained { drained, number: 0 });
+        self.sibling.send(Message::Drained { drained, number: UNNUMBERED });
         let version = self.membership.version;
         let entries = self.membership.listed().chain(self.retention.unretained());
         let entries: Vec<EndpointEntry> = entries.cloned().collect();
--- a/crates/daemon/src/hot_restart/codec.rs
+++ b/crates/daemon/src/hot_restart/codec.rs
@@ -14,6 +14,9 @@
 /// The longest line, in bytes.
 pub const MAX_LINE_BYTES: usize = 256 * 1024;
 
+/// Stands for the number of a message that needs no acknowledgement; numbers begin at 1.
+pub const UNNUMBERED: u64 = 0;
+
 /// Maximum number of list items in one message, so that its line stays below [`MAX_LINE_BYTES`].
 const ITEMS_PER_MESSAGE: usize = 200;
 
@@ -70,7 +73,7 @@
     Drained {
         /// True after a drain, false after it was revoked.
         drained: bool,
-        /// The number to acknowledge; 0 within the state.
+        /// The number to acknowledge; [`UNNUMBERED`] within the state.
         number: u64,
     },
     /// A part of the endpoint list.
