--- a/src/dispatcher/probes.rs
+++ b/src/dispatcher/probes.rs
@@ -3,7 +3,7 @@
 use crate::endpoint::LoadReport;
 use crate::event::ProbeReply;
 use crate::ids::{ExecutorId, RequestId};
-use crate::policy::retry::{RetryPolicy, RetryTarget};
+use crate::policy::retry::RetryPolicy;
 use crate::policy::sampling::{FleetCapacity, avoided_executors};
 use crate::policy::selection::{self, NextStep, RankedCandidate, ShortestQueue};
 use crate::policy::slow_start::warm_up_cost;
@@ -11,13 +11,12 @@
 use crate::time::Millis;
 
 impl Dispatcher {
-    /// Samples ready executors with replacement, and probes each distinct one; gives the request up if it
-    /// may not be dispatched any more.
+    /// Samples ready executors with replacement, and probes each distinct one. Without any, the request is
+    /// queued; it is given up if it may not be dispatched any more.
     pub(super) fn sample(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get(&request_id) else { return };
         let class = &self.classes[request.class];
-        let is_over = now >= request.deadline || RetryPolicy::is_exhausted(class, &request.attempts);
-        if is_over || RetryPolicy::decide(class, &request.attempts, now).target == RetryTarget::Nowhere {
+        if now >= request.deadline || !RetryPolicy::allows_dispatch(class, &request.attempts, now) {
             return self.finish_unserved(now, request_id);
         }
         let avoided = avoided_executors(request);
@@ -178,6 +177,7 @@
             NextStep::Dispatch => selection::choose_any(&shortest.executors, &mut self.random),
             NextStep::DispatchUnprobed => {
                 let sampled = self.sample_one(now, request_id, &[]);
+                // A draw among one at most; without it all later random numbers would shift.
                 selection::choose_any(sampled.as_slice(), &mut self.random)
             }
         };
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -1,6 +1,6 @@
 //! Queueing at this node: how long a request waits for capacity, which is dispatched first, and when it is
 //! given up.
-use super::retry::{RetryPolicy, RetryTarget};
+use super::retry::RetryPolicy;
 use crate::ids::RequestId;
 use crate::state::request::Request;
 use crate::state::request_class::RequestClass;
@@ -32,8 +32,7 @@
 pub(crate) fn decide(class: &RequestClass, request: &Request, queued: usize, now: Millis) -> QueueDecision {
     let max_wait = max_queueing_time(class);
     let until = (request.first_sent_at + max_wait).min(request.deadline);
-    let is_retry_allowed = !RetryPolicy::is_exhausted(class, &request.attempts)
-        && RetryPolicy::decide(class, &request.attempts, now).target != RetryTarget::Nowhere;
+    let is_retry_allowed = RetryPolicy::allows_dispatch(class, &request.attempts, now);
     let is_shed = request.is_over_quota && queued > 0;
     if now >= until || !is_retry_allowed || is_shed {
         return QueueDecision::GiveUp;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -56,7 +56,7 @@
         let Some(first) = first_possible_run(attempts) else {
             return RetryPolicy { target: RetryTarget::Anywhere, unserved_answer: UnservedAnswer::Rejected };
         };
-        let is_everywhere = class.terms.deduplication_scope == DeduplicationScope::All;
+        let is_recognized_everywhere = class.terms.deduplication_scope == DeduplicationScope::All;
         match class.terms.effect {
             Effect::Idempotent => {
                 RetryPolicy { target: RetryTarget::Anywhere, unserved_answer: UnservedAnswer::Rejected }
@@ -65,19 +65,25 @@
                 RetryPolicy { target: RetryTarget::Nowhere, unserved_answer: UnservedAnswer::Failed }
             }
             Effect::Deduplicated => {
-                let is_over = now - first.sent_at > class.terms.deduplication_window * USABLE_WINDOW;
-                let target = match is_over {
+                let is_window_over = now - first.sent_at > class.terms.deduplication_window * USABLE_WINDOW;
+                let target = match is_window_over {
                     true => RetryTarget::Nowhere,
-                    false if is_everywhere => RetryTarget::Anywhere,
+                    false if is_recognized_everywhere => RetryTarget::Anywhere,
                     false => RetryTarget::SameDeduplicationDomain(first.executor),
                 };
                 let unserved_answer =
-                    if is_everywhere { UnservedAnswer::Rejected } else { UnservedAnswer::Failed };
+                    if is_recognized_everywhere { UnservedAnswer::Rejected } else { UnservedAnswer::Failed };
                 RetryPolicy { target, unserved_answer }
             }
         }
     }
 
+    /// Whether a request may be dispatched once more, to any executor at all.
+    pub fn allows_dispatch(class: &RequestClass, attempts: &[Attempt], now: Millis) -> bool {
+        !Self::is_exhausted(class, attempts)
+            && Self::decide(class, attempts, now).target != RetryTarget::Nowhere
+    }
+
     /// Whether a request has had all attempts that its class allows.
     pub fn is_exhausted(class: &RequestClass, attempts: &[Attempt]) -> bool {
         attempts.len() >= class.max_attempts
@@ -92,6 +98,7 @@
     }
 }
 
+/// The first attempt that may have run, or may yet run.
 fn first_possible_run(attempts: &[Attempt]) -> Option<&Attempt> {
     attempts.iter().find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -17,9 +17,11 @@
 /// Power of the warm-up progress that weights a sample in a large fleet.
 const LARGE_FLEET_WEIGHT_EXPONENT: f64 = 0.5;
 
-/// Whether another process of this node dispatches as well, as during a hot restart.
+/// Whether another process of this node shares its budgets, as during a hot restart. The daemon has a type of
+/// the same name, which is the connection to that process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum SiblingProcess {
+    /// It runs, or has stopped less than one window ago.
     Running,
     Absent,
 }
@@ -66,7 +68,8 @@
         now + self.rules.budget_window
     }
 
-    /// Whether there are more nodes than may share one budget, so that a node rarely meets an executor.
+    /// Whether there are more nodes than may share one budget, so that a node rarely meets an executor. The
+    /// fleet meant here is that of the nodes, whatever the number of executors.
     pub fn is_large_fleet(&self) -> bool {
         self.nodes > MAX_ASSIGNED_NODES
     }
--- a/src/state/discovery_backoff.rs
+++ b/src/state/discovery_backoff.rs
@@ -14,8 +14,8 @@
 /// Upper bound on the backoff of a list that is pushed, as a part of the drain grace: changes that the source
 /// reports when it is back must be known within that grace.
 const MAX_BACKOFF_OF_GRACE: f64 = 0.25;
-/// Lower bound on that upper bound.
-const MIN_MAX_BACKOFF: Millis = 100.0;
+/// Lower bound on that upper bound: a short grace must not make the node call without a pause.
+const MIN_LONGEST_PUSH_BACKOFF: Millis = 100.0;
 /// Half of the backoff after the first failure.
 const BASE_BACKOFF: Millis = 100.0;
 /// Failures beyond this number do not prolong the backoff.
@@ -88,22 +88,34 @@
         random: &mut ChaCha8Rng,
     ) -> LogEvent {
         self.failures = (self.failures + 1).min(MAX_FAILURES);
-        // Until the next call after a silent source is back, this node may dispatch to draining executors.
+        // While a source that pushes is silent, this node may dispatch to executors that are draining by now.
         let grace = self.push_grace.filter(|_| failure == ListFailure::Unanswered);
-        let longest = self.poll_interval * MAX_BACKOFF;
-        let longest =
-            grace.map_or(longest, |grace| (grace * MAX_BACKOFF_OF_GRACE).max(MIN_MAX_BACKOFF).min(longest));
-        let backoff = (BASE_BACKOFF * f64::powi(2.0, self.failures as i32)).min(longest);
-        // Without the spread, the calls of many nodes overload the source, and all of them time out.
-        let spacing = if grace.is_some() { 0.0 } else { CALL_SPACING };
-        let span = ((nodes - 1.0) * spacing).min(self.poll_interval * MAX_SPREAD);
-        // After a silence and one failed call, a spread on top would exceed the time within which a change
-        // must be known.
-        let is_first_silence = self.failures == 1 || failure == ListFailure::Unanswered;
-        let spread = if self.was_followed && is_first_silence { 0.0 } else { span };
+        let backoff = (BASE_BACKOFF * f64::powi(2.0, self.failures as i32)).min(self.longest_backoff(grace));
+        let spread = self.call_spread(nodes, failure, grace);
         self.was_followed &= self.failures == 1;
         let wait = backoff * random.random_range(0.5..1.0) + spread * random.random::<f64>();
         self.next_call_at = now + wait;
         LogEvent::EndpointListLost { failures: self.failures, next_call_in: wait }
     }
+
+    /// Upper bound on the backoff; `grace` is the drain grace if a source that pushes the list fell silent.
+    fn longest_backoff(&self, grace: Option<Millis>) -> Millis {
+        let longest = self.poll_interval * MAX_BACKOFF;
+        grace.map_or(longest, |grace| {
+            (grace * MAX_BACKOFF_OF_GRACE).max(MIN_LONGEST_PUSH_BACKOFF).min(longest)
+        })
+    }
+
+    /// The span over which the calls of all nodes are spread at random, on top of the backoff. Without it, the
+    /// calls of many nodes overload the source, and all of them time out.
+    fn call_spread(&self, nodes: f64, failure: ListFailure, grace: Option<Millis>) -> Millis {
+        // Right after the loss, and after one call without an answer, a spread on top would exceed the time
+        // within which a change must be known.
+        let is_urgent = self.failures == 1 || failure == ListFailure::Unanswered;
+        if self.was_followed && is_urgent {
+            return 0.0;
+        }
+        let spacing = if grace.is_some() { 0.0 } else { CALL_SPACING };
+        ((nodes - 1.0) * spacing).min(self.poll_interval * MAX_SPREAD)
+    }
 }
