--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -39,16 +39,20 @@
 /// The dispatcher of one node: see the [module](self) for how to drive it.
 pub struct Dispatcher {
     random: ChaCha8Rng,
+    /// The number of nodes that share the load, at least 1.
     nodes: f64,
     classes: RequestClasses,
     quotas: TenantQuotas,
+    /// Part of its value that a request over its tenant's quota retains, 0 to 1.
     over_quota_value: f64,
     retry_after_enabled: bool,
     fleet: Fleet,
     requests: HashMap<RequestId, Request>,
+    /// Requests that wait here for capacity, in the order in which they were queued.
     queue: Vec<RequestId>,
     /// Requests whose desired state may differ from their attempts.
     dirty: Vec<RequestId>,
+    /// Executors to probe at the next [`Dispatcher::poll_actions`], unless no request awaits it by then.
     due_probes: Vec<ExecutorId>,
     timers: TimerQueue,
     probes: ProbeStatistics,
--- a/src/event.rs
+++ b/src/event.rs
@@ -91,7 +91,7 @@
         /// The part of it that is done, 0 to 1.
         share: f64,
     },
-    /// The timer that [`crate::Action::SetTimer`] set last has fired.
+    /// A timer that [`crate::Action::SetTimer`] set has fired; one more than needed does no harm.
     TimerFired,
     /// The client has disconnected and needs no answer.
     RequestWithdrawn {
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -41,6 +41,7 @@
 /// It adapts only if probes are forbidden: otherwise queues are visible, and requests are shed by those.
 pub(crate) struct AdmissionControl {
     share: AdaptiveShare,
+    /// Whether the share follows the starts of attempts; without that it stays at its last value.
     is_adaptive: bool,
     starts_reported: bool,
 }
--- a/src/state/probe_statistics.rs
+++ b/src/state/probe_statistics.rs
@@ -28,6 +28,7 @@
     /// Smoothed share of replies that showed a queue; `None` before the first reply.
     pub busy_ratio: Option<f64>,
     replies: f64,
+    /// Smoothed time from a probe to its reply; `None` before the first reply.
     pub latency: Option<Millis>,
     /// The price of a probe, relative to the value of a request.
     pub price: f64,
