--- a/crates/daemon/src/downstream/admission.rs
+++ b/crates/daemon/src/downstream/admission.rs
@@ -58,7 +58,7 @@
         if admission == ConnectionAdmission::OverLimit {
             return Err(AdmissionError::NoCapacity);
         }
-        let request_id = self.request_ids.next();
+        let request_id = self.request_ids.next_id();
         let in_flight = InFlightRequest::new(request_id, request, deadline, &self.request_bytes)
             .ok_or(AdmissionError::NoCapacity)?;
         let token = troutknot_membership::token(&client_id);
--- a/crates/daemon/src/downstream/listener.rs
+++ b/crates/daemon/src/downstream/listener.rs
@@ -13,7 +13,7 @@
 /// Pause after a failed accept, which a lack of descriptors makes likely to fail again.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Searches for a connection to evict per minimum age of a new one.
+/// How often a connection to evict is searched for within the minimum age of a new one.
 const EVICTION_CHECKS_PER_MIN_AGE: u32 = 4;
 
 /// Where the listening socket comes from.
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -84,11 +84,11 @@
             sibling,
             tasks,
         } = context;
-        let max_slow_body_bytes = limits.downstream.max_partial_bodies * limits.max_body_bytes;
+        let max_partial_body_bytes = limits.downstream.max_partial_bodies * limits.max_body_bytes;
         Rc::new(DownstreamServer {
             request_bytes: ByteBudget::new(limits.downstream.max_reserved_bytes),
             buffer_bytes: ByteBudget::new(limits.downstream.buffer_bytes),
-            partial_body_bytes: ByteBudget::new(max_slow_body_bytes),
+            partial_body_bytes: ByteBudget::new(max_partial_body_bytes),
             first_list_due: Instant::now() + limits.downstream.first_list_timeout,
             ledger: RefCell::default(),
             request_ids: RequestIds::new(),
--- a/crates/daemon/src/downstream/request_ids.rs
+++ b/crates/daemon/src/downstream/request_ids.rs
@@ -36,11 +36,11 @@
     }
 
     /// The id that the next request gets once it is opened.
-    pub fn next(&self) -> RequestId {
+    pub fn next_id(&self) -> RequestId {
         RequestId(self.next.get())
     }
 
-    /// Opens a request under the [`next`](Self::next) id.
+    /// Opens a request under the id that [`next_id`](Self::next_id) gave.
     pub fn open(&self, client_id: String) {
         self.next.set(self.next.get() + 1);
         self.open.borrow_mut().insert(client_id);
@@ -77,8 +77,10 @@
 
     /// Returns false if the token is present.
     fn insert(&mut self, token: u64, limits: &Limits) -> bool {
+        // Each of the two generations may take half of the memory.
+        let max_tokens = limits.downstream.max_completed_ids / 2;
         let is_expired = self.rotated_at.elapsed() >= limits.timeouts().max_deadline;
-        if is_expired || self.newer.len() >= limits.downstream.max_completed_ids / 2 {
+        if is_expired || self.newer.len() >= max_tokens {
             self.older = std::mem::take(&mut self.newer);
             self.rotated_at = Instant::now();
         }
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -70,13 +70,18 @@
         (self.durable.now() - self.recorded_at).max(0.0)
     }
 
-    /// Extends the lease after a message of the executor; `has_started` if the message says that the request is
-    /// running.
-    pub fn record_heartbeat(&self, has_started: bool) {
-        let (request_id, attempt_id, now) = (self.request_id, self.attempt_id, Instant::now());
-        if has_started && !self.has_started.replace(true) {
+    /// Records that the request is running; only the first call counts.
+    pub fn record_started(&self) {
+        if !self.has_started.replace(true) {
+            let (request_id, attempt_id) = (self.request_id, self.attempt_id);
             self.durable.record_soon(Record::Started { request_id, attempt_id });
         }
+    }
+
+    /// Extends the lease after a message of the executor, and records that as a heartbeat unless a recent one is on
+    /// record.
+    pub fn extend(&self) {
+        let (request_id, attempt_id, now) = (self.request_id, self.attempt_id, Instant::now());
         let Some(lease_time) = self.durable.config.lease_duration else { return };
         self.expires_at.set(now + lease_time);
         let interval = lease_time / RECORDED_HEARTBEATS_PER_LEASE;
--- a/crates/daemon/src/protocol/request.rs
+++ b/crates/daemon/src/protocol/request.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 use troutknot::{RequestClassId, TenantId};
 
+/// The ledger and the duplicate check hold ids in memory, so their length is bounded.
 const MAX_REQUEST_ID_BYTES: usize = 64;
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -205,7 +205,7 @@
                 // A rejection does not name its request, so it may be a duplicate response to the previous
                 // attempt. It is accepted, but the connection is closed in case this request is running.
                 let names_request = head.status == 200 || !outcome.never_ran();
-                head.keep_alive &= names_request || connection.is_clear(&self.pool.limits);
+                head.keep_alive &= names_request || connection.is_past_duplicate_window(&self.pool.limits);
                 connection.last_response_at = Some(Instant::now());
                 AttemptEnd { outcome, lease, unread: Some(UnreadResponse { connection, head }) }
             }
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Completes when nobody waits for the request any more and its class allows to break it off.
+    /// Completes when nobody waits for the request any more, if attempts of its class may be cancelled then.
     async fn abandoned(&self) {
         let in_flight = &self.order.in_flight;
         if self.pool.codec.load().is_cancellable(in_flight.request.class) {
--- a/crates/daemon/src/upstream/attempt_status.rs
+++ b/crates/daemon/src/upstream/attempt_status.rs
@@ -68,7 +68,7 @@
         connection.write(&[&query]).await.ok()?;
         let mut head = connection.read_response_head().await.ok()?;
         let mut body = BytesMut::new();
-        connection.read_body(&mut head.body, &mut body, 2 * limits.max_body_bytes).await.ok()?;
+        connection.read_body(&mut head.body, &mut body, self.pool.max_response_bytes()).await.ok()?;
         let fate = protocol::parse_attempt_fate(&head, &body);
         if head.keep_alive {
             self.pool.put_back(self.executor, connection);
--- a/crates/daemon/src/upstream/connection.rs
+++ b/crates/daemon/src/upstream/connection.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether a duplicate response to the previous attempt would have arrived by now.
-    pub fn is_clear(&self, limits: &Limits) -> bool {
+    pub fn is_past_duplicate_window(&self, limits: &Limits) -> bool {
         self.last_response_at.is_none_or(|at| at.elapsed() >= limits.upstream.duplicate_response_window)
     }
 }
--- a/crates/daemon/src/upstream/executor.rs
+++ b/crates/daemon/src/upstream/executor.rs
@@ -30,8 +30,8 @@
 
 impl Executor {
     /// Takes over what the list says now. A new start or address begins a new incarnation. An executor that is
-    /// not ready is closed after `drain_wait`.
-    pub fn set_endpoint(&self, endpoint: ExecutorEndpoint, drain_wait: Duration) {
+    /// not ready is sent nothing more after `dispatch_grace`.
+    pub fn set_endpoint(&self, endpoint: ExecutorEndpoint, dispatch_grace: Duration) {
         let has_moved = endpoint.address.is_some() && endpoint.address != self.address.get();
         if has_moved || endpoint.started_at != self.started_at.get() {
             self.address.set(endpoint.address.or(self.address.get()));
@@ -42,7 +42,7 @@
         if endpoint.is_ready {
             self.gate.reopen();
         } else {
-            self.gate.close_after(drain_wait);
+            self.gate.close_after(dispatch_grace);
         }
     }
 
@@ -97,7 +97,9 @@
     pub fn take(&self, limits: &Limits, reuse: IdleReuse) -> Option<PooledConnection> {
         self.close_unusable(limits);
         let mut idle = self.0.borrow_mut();
-        let may_use = |idle: &IdleConnection| reuse == IdleReuse::Any || idle.connection.is_clear(limits);
+        let may_use = |idle: &IdleConnection| {
+            reuse == IdleReuse::Any || idle.connection.is_past_duplicate_window(limits)
+        };
         let position = idle.iter().rposition(may_use)?;
         Some(idle.remove(position).connection)
     }
--- a/crates/daemon/src/upstream/pool.rs
+++ b/crates/daemon/src/upstream/pool.rs
@@ -18,10 +18,11 @@
 use tokio::time::{sleep, timeout};
 use troutknot::{ExecutorId, Outcome};
 
-/// Lower bound on the interval between two searches for expired connections.
+/// Lower bound on the interval between two searches for expired connections, so that a short idle timeout does not
+/// keep the thread busy.
 const MIN_EXPIRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Searches for expired connections per idle timeout.
+/// How often expired connections are searched for within the idle timeout.
 const EXPIRY_CHECKS_PER_TIMEOUT: u32 = 8;
 
 /// One in this number of connections is reserved for load probes and attempt status queries.
@@ -92,7 +93,7 @@
     }
 
     /// Takes over what the endpoint list says of an executor, which is registered if it is new. An executor that
-    /// is not ready is sent nothing more after the drain wait.
+    /// is not ready is sent nothing more after the drained-dispatch grace.
     pub fn set_endpoint(&self, executor: ExecutorId, endpoint: ExecutorEndpoint) {
         self.executor_or_insert(executor)
             .set_endpoint(endpoint, self.limits.timeouts().drained_dispatch_grace);
@@ -103,7 +104,7 @@
         self.executors.borrow_mut().set_capacity(executors);
     }
 
-    /// Sends nothing more to an executor after the drain wait.
+    /// Sends nothing more to an executor after the drained-dispatch grace.
     pub fn start_draining(&self, executor: ExecutorId) {
         if let Some(executor) = self.executor(executor) {
             executor.gate.close_after(self.limits.timeouts().drained_dispatch_grace);
@@ -147,6 +148,12 @@
         limit - (limit / CONNECTIONS_PER_RESERVED).max(1)
     }
 
+    /// Upper bound on the bytes of a response with a result. JSON escapes can make it longer than the result, which is
+    /// bounded like a body.
+    pub(super) fn max_response_bytes(&self) -> usize {
+        2 * self.limits.max_body_bytes
+    }
+
     /// A registered executor.
     pub(super) fn executor(&self, executor: ExecutorId) -> Option<Rc<Executor>> {
         self.executors.borrow().get(executor).cloned()
--- a/crates/daemon/src/upstream/response.rs
+++ b/crates/daemon/src/upstream/response.rs
@@ -53,12 +53,11 @@
         connection: &mut PooledConnection,
     ) -> Result<(Outcome, ResponseHead), ResponseError> {
         let mut head = connection.read_response_head().await?;
-        self.extend_lease(false);
+        self.extend_lease();
         if let Some(outcome) = protocol::outcome_of_head(&head) {
             return Ok((outcome, head));
         }
-        // JSON escapes can make a result longer than the body that it encodes.
-        let max_bytes = 2 * self.pool.limits.max_body_bytes;
+        let max_bytes = self.pool.max_response_bytes();
         let mut buffer = BytesMut::new();
         loop {
             let is_complete = connection.read_body_line(&mut head.body, &mut buffer, max_bytes).await?;
@@ -78,7 +77,10 @@
         let in_flight = &self.order.in_flight;
         let event = protocol::parse_attempt_event(line, &in_flight.request.id)?;
         let is_running = matches!(event, AttemptEvent::Started | AttemptEvent::Progress(_));
-        self.extend_lease(is_running);
+        if let (Some(lease), true) = (self.lease, is_running) {
+            lease.record_started();
+        }
+        self.extend_lease();
         self.has_started |= is_running;
         let (request_id, attempt_id) = (in_flight.request_id, self.order.attempt_id);
         match event {
@@ -101,9 +103,9 @@
         }
     }
 
-    fn extend_lease(&self, is_running: bool) {
+    fn extend_lease(&self) {
         if let Some(lease) = self.lease {
-            lease.record_heartbeat(is_running);
+            lease.extend();
         }
     }
 
--- a/crates/daemon/tests/unit/request_ids.rs
+++ b/crates/daemon/tests/unit/request_ids.rs
@@ -47,13 +47,13 @@
 #[tokio::test]
 async fn request_numbers_only_increase() {
     let ids = RequestIds::new();
-    assert_eq!(ids.next(), RequestId(0));
+    assert_eq!(ids.next_id(), RequestId(0));
     ids.open("a".into());
     assert!(ids.is_open("a") && !ids.is_open("b"));
-    assert_eq!(ids.next(), RequestId(1));
+    assert_eq!(ids.next_id(), RequestId(1));
     ids.skip_to(1000);
     ids.skip_to(10);
-    assert_eq!(ids.next(), RequestId(1000), "a lower number is ignored");
+    assert_eq!(ids.next_id(), RequestId(1000), "a lower number is ignored");
     ids.close("a");
     assert!(!ids.is_open("a"));
 }
