--- a/crates/configuration/src/catalog.rs
+++ b/crates/configuration/src/catalog.rs
@@ -1,5 +1,5 @@
-//! Ids for the names of the settings that hold for a node's life, whatever files it reads: a request class with its
-//! terms, a tenant, a zone, a type of machine keeps its id, and no id serves another name.
+//! Ids for the names in the settings. An id is valid for the life of a node, whatever settings it reads later: each
+//! request class with its terms, tenant, zone and machine type keeps its id, and an id is never given to another name.
 use crate::document::parse_settings;
 use crate::error::{SettingsError, SettingsErrors};
 use crate::names::{MACHINE_TYPES, Names, TENANTS, ZONES, missing_class_keys, missing_keys};
@@ -7,11 +7,12 @@
 use troutknot::settings::{ClassSettings, TenantSettings, WeightSource};
 use troutknot::{MachineTypeId, Millis, RequestClassId, Settings};
 
-/// So many request classes, each with its terms, are kept; also tenants, zones and types of machine.
+/// Upper bound on the request classes, each with its terms, over the life of a node; also on its tenants, zones and
+/// machine types.
 pub const MAX_NAMES: usize = 1024;
-/// The least and the first too long deadline of a class.
+/// Deadlines that a class may have, in milliseconds.
 const DEADLINES: std::ops::Range<Millis> = 1.0..1e9;
-/// Second copies need as many attempts.
+/// Hedging needs at least this number of attempts: the first and its copy.
 const LEAST_HEDGED_ATTEMPTS: f64 = 2.0;
 
 #[derive(Clone)]
@@ -51,11 +52,10 @@
 }
 
 impl IdCatalog {
-    /// Takes settings as one, or nothing of them.
+    /// Resolves settings and puts all of them in force, or none.
     ///
     /// # Errors
-    /// Every fault, each with its key and what is allowed. Past the first time a key that the settings in force
-    /// have must not be missing.
+    /// All faults, each with its key and what is allowed. A key that the settings in force have must not be missing.
     pub fn resolve(&mut self, document: &Map<String, Value>) -> Result<ResolvedSettings, SettingsErrors> {
         let settings = parse_settings(document)?;
         let names = Names::read(document)?;
@@ -95,7 +95,7 @@
         distinct
     }
 
-    /// Gives ids to names that are new, and puts ids in the place of a file's own numbers.
+    /// Gives ids to names that are new, and replaces the indices that the settings use by ids.
     fn assign(&mut self, mut settings: Settings, names: Names) -> Result<ResolvedSettings, SettingsError> {
         let current_tenants = ids(&mut self.tenants, &names.tenants, TENANTS)?;
         let zones = ids(&mut self.zones, &names.zones, ZONES)?;
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Quotas by id. Where any tenant has one, all others have none left.
+    /// Quotas by id. If any tenant has a quota, those without one have a quota of 0.
     fn tenant_quotas(&self, stated: &[TenantSettings], ids: &[u32]) -> Vec<TenantSettings> {
         if stated.iter().all(|tenant| tenant.quota_per_s.is_none()) {
             return Vec::new();
@@ -129,7 +129,7 @@
         quotas
     }
 
-    /// The ids of a file's classes: that of a class of the same name with the same terms, else a new one.
+    /// The ids of the classes: that of a class of the same name with the same terms, or else a new one.
     fn class_ids(
         &mut self,
         settings: &Settings,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// All classes by id; each begins with the running times of the last one of the same name before it.
+    /// All classes by id. Each inherits the running times of the last one before it with the same name.
     fn all_classes(&self) -> Vec<ClassSettings> {
         let class = |(id, class): (usize, &NamedClass)| ClassSettings {
             inherits_from: self.last_class_named(&class.name, id),
@@ -173,7 +173,7 @@
     }
 }
 
-/// Gives ids to the names that are new; the ids of all of them.
+/// Gives ids to the names that are new, and returns the ids of all names.
 fn ids(known: &mut Vec<String>, names: &[String], key: &'static str) -> Result<Vec<u32>, SettingsError> {
     let mut ids = Vec::with_capacity(names.len());
     for name in names {
--- a/crates/consul/src/query.rs
+++ b/crates/consul/src/query.rs
@@ -8,7 +8,10 @@
 /// Time for a response, beyond the wait of its query.
 const RESPONSE_ALLOWANCE: Millis = 3000.0;
 
+/// Backoff after the first failed query, before jitter.
 const INITIAL_BACKOFF: Millis = 250.0;
+/// Upper bound on the doublings of the backoff, which is therefore 64 s at most, also where
+/// [`QueryTiming::max_backoff`] is longer.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
 /// Consul's consistency modes.
--- a/crates/fake-consul/src/agent.rs
+++ b/crates/fake-consul/src/agent.rs
@@ -20,6 +20,11 @@
 const MAX_REMEMBERED_REQUESTS: usize = 100_000;
 /// How long a half-sent body stays unfinished before its connection is cut.
 const HALF_BODY_DELAY: Duration = Duration::from_millis(20);
+/// How long the rest of a half-sent body is held back; longer than [`HALF_BODY_DELAY`].
+const HELD_BODY_TIME: Duration = Duration::from_secs(1);
+/// Consul adds up to this part of the wait to a blocking query; the fake one always adds all of it.
+const WAIT_JITTER_DIVISOR: u32 = 16;
+/// An answer with a high index and a body that is not valid JSON.
 const GARBAGE: &[u8] = b"HTTP/1.1 200 OK\r\nX-Consul-Index: 99999\r\nContent-Length: 9\r\n\r\n[{\"Node\":";
 
 /// What is wrong with an agent.
@@ -35,13 +40,13 @@
     Status500,
     /// Every answer is status 500 and says that no leader is known.
     NoLeader,
-    /// The right head, and an empty list.
+    /// Every answer has the right index and an empty list.
     Empty,
     /// The connection ends in the middle of the body.
     HalfBody,
     /// The catalogue as it was when the fault was set.
     StaleView,
-    /// Bytes that are no answer.
+    /// Every answer has a high index and a body that is not valid JSON.
     Garbage,
 }
 
@@ -142,7 +147,7 @@
         };
         let query = Query::parse(request.uri().query().unwrap_or(""));
         let wait = query.wait();
-        self.block(&key, query.index(), wait + wait / 16).await;
+        self.block(&key, query.index(), wait + wait / WAIT_JITTER_DIVISOR).await;
         let fault = *self.fault.borrow();
         match fault {
             Fault::Late(delay) => sleep(delay).await,
@@ -262,7 +267,7 @@
     let _ = send.send(body.into());
     // The body must not end before the connection does.
     spawn_local(async move {
-        sleep(Duration::from_secs(1)).await;
+        sleep(HELD_BODY_TIME).await;
         drop(send);
     });
     Response::new(lines)
--- a/crates/fake-consul/src/catalogue.rs
+++ b/crates/fake-consul/src/catalogue.rs
@@ -6,9 +6,10 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Index of a new cluster, and of a service that was never registered.
+/// Index of a service that was never registered, and of all services after a reset.
 const FIRST_INDEX: u64 = 1;
-const INITIAL_INDEX: u64 = 10;
+/// Index of a new cluster; above [`FIRST_INDEX`], so that each change gives a service a higher index than that.
+const NEW_CLUSTER_INDEX: u64 = 10;
 
 /// The status of an instance, as its checks give it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -140,7 +141,7 @@
     pub fn new(datacenter: &str) -> Rc<Self> {
         Rc::new(Cluster {
             catalogue: RefCell::default(),
-            index: watch::channel(INITIAL_INDEX).0,
+            index: watch::channel(NEW_CLUSTER_INDEX).0,
             datacenter: datacenter.into(),
         })
     }
@@ -204,7 +205,7 @@
         self.register_all(service, instances);
     }
 
-    /// Restarts the indices, as a cluster does that was restored.
+    /// Restarts the indices, as in a cluster that was restored from a snapshot.
     pub fn reset_index(&self) {
         for service in self.catalogue.borrow_mut().values_mut() {
             service.index = FIRST_INDEX;
