--- a/crates/daemon/src/downstream/durable_exchange.rs
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -2,11 +2,11 @@
 use super::DownstreamServer;
 use super::admission::{AdmissionError, ConnectionAdmission};
 use super::request::Submission;
-use super::response::millis;
 use crate::durable::{Durable, LookupResult, PendingAnswer};
 use crate::event::NodeEvent;
 use crate::http1::Connection;
 use crate::in_flight::{Answer, ClientRequest};
+use crate::units::millis;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
--- a/crates/daemon/src/downstream/response.rs
+++ b/crates/daemon/src/downstream/response.rs
@@ -2,11 +2,11 @@
 use crate::http1::{self, Connection, Field, RequestHead};
 use crate::in_flight::Answer;
 use crate::protocol::{Codec, ResponseParts};
+use crate::units::millis;
 use bytes::Bytes;
 use std::io;
 use std::time::Duration;
 use tokio::time::timeout;
-use troutknot::Millis;
 
 /// Whether a connection is used for another request after a response.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -87,8 +87,3 @@
             .map_err(SendError::Io)
     }
 }
-
-/// A duration in the core's unit.
-pub(super) fn millis(duration: Duration) -> Millis {
-    duration.as_secs_f64() * 1000.0
-}
--- a/crates/daemon/src/driver/events.rs
+++ b/crates/daemon/src/driver/events.rs
@@ -1,7 +1,8 @@
 //! What the sides of the node report, translated for the dispatcher.
-use super::{Driver, OpenRequest, millis};
+use super::{Driver, OpenRequest};
 use crate::event::NodeEvent;
 use crate::in_flight::{Answer, InFlightRequest};
+use crate::units::millis;
 use std::rc::Rc;
 use tokio::time::Instant;
 use troutknot::{AttemptId, Event as CoreEvent, ExecutorId, Millis, Outcome, ProbeReply, RequestId};
--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -18,11 +18,11 @@
 use crate::protocol::{Codec, Current};
 use crate::retention::{EndpointRetention, RetentionStatistics};
 use crate::tasks::TaskGroup;
+use crate::units::millis;
 use crate::upstream::ExecutorPool;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 use troutknot::{Action, Dispatcher, Event as CoreEvent, ExecutorId, Millis, RequestId};
@@ -39,11 +39,6 @@
 /// The name that the log shows for an executor that was released.
 const RELEASED_NAME: &str = "(released)";
 
-/// Milliseconds, as the dispatcher counts time.
-fn millis(duration: Duration) -> Millis {
-    duration.as_secs_f64() * 1000.0
-}
-
 /// A request that is open, or of which an attempt is still in flight.
 struct OpenRequest {
     in_flight: Rc<InFlightRequest>,
--- a/crates/daemon/src/durable/jobs.rs
+++ b/crates/daemon/src/durable/jobs.rs
@@ -3,6 +3,7 @@
 use super::{Durable, Lease, PendingAnswer};
 use crate::event::NodeEvent;
 use crate::in_flight::{Answer, ClientRequest, InFlightRequest};
+use crate::units::millis;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
@@ -87,7 +88,7 @@
         let record = Record::Taken {
             request_id: in_flight.request_id,
             effect: codec.effect(request.class).unwrap_or(Effect::AtMostOnce),
-            deadline: self.now() + time_left.as_secs_f64() * 1000.0,
+            deadline: self.now() + millis(time_left),
             client_id: request.id.clone(),
             key: request.key.clone(),
             digest: payload::digest(request),
@@ -167,7 +168,7 @@
         let (attempt_id, fence) = self.next_attempt(request_id, now)?;
         let until_deadline = deadline.saturating_duration_since(Instant::now());
         let lease_time = self.config.lease_duration.unwrap_or(until_deadline);
-        let lease_until = now + lease_time.as_secs_f64() * 1000.0;
+        let lease_until = now + millis(lease_time);
         let executor = executor.into();
         let row = self.apply(Record::Dispatched { request_id, fence, executor, lease_until })?;
         let mut unsent = UnsentAttempt(Some(Lease::new(self.clone(), request_id, attempt_id, fence, now)));
@@ -189,7 +190,7 @@
     pub async fn forget_answered(self: Rc<Self>) {
         loop {
             sleep(FORGET_INTERVAL).await;
-            let before = self.now() - self.config.retention.as_secs_f64() * 1000.0;
+            let before = self.now() - millis(self.config.retention);
             while self.forget_batch(before) == Batch::Full {
                 tokio::task::yield_now().await;
             }
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -1,6 +1,7 @@
 //! One recorded attempt: its heartbeats, by which its lease is extended, and its outcome.
 use super::Durable;
 use crate::protocol::LeaseFields;
+use crate::units::millis;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -56,7 +57,7 @@
     /// The fencing token and the lease, as they are sent to the executor; None if executors support neither.
     pub fn fields(&self) -> Option<LeaseFields> {
         let config = &self.durable.config;
-        let duration = config.lease_duration.map(|lease_time| lease_time.as_secs_f64() * 1000.0);
+        let duration = config.lease_duration.map(millis);
         (config.has_fencing || duration.is_some()).then_some(LeaseFields { fence: self.fence, duration })
     }
 
@@ -88,7 +89,7 @@
         let is_recent = |recorded_at: Instant| now - recorded_at < interval;
         if !self.heartbeat_recorded_at.get().is_some_and(is_recent) {
             self.heartbeat_recorded_at.set(Some(now));
-            let lease_until = self.durable.now() + lease_time.as_secs_f64() * 1000.0;
+            let lease_until = self.durable.now() + millis(lease_time);
             self.durable.record_soon(Record::Heartbeat { request_id, attempt_id, lease_until });
         }
     }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -26,6 +26,7 @@
 mod shutdown;
 mod takeover;
 mod tasks;
+mod units;
 mod upstream;
 
 pub use error::NodeError;
--- a/crates/daemon/src/upstream/probe.rs
+++ b/crates/daemon/src/upstream/probe.rs
@@ -1,6 +1,7 @@
 //! Load probes: asks an executor for its load report.
 use super::executor::{Executor, IdleReuse};
 use super::pool::ExecutorPool;
+use crate::units::millis;
 use bytes::BytesMut;
 use tokio::time::{Instant, timeout_at};
 use troutknot::{ExecutorId, LoadReport, ProbeReply};
@@ -23,7 +24,7 @@
         return None;
     }
     let report = report.ok().flatten()?;
-    Some(ProbeReply { latency: latency.as_secs_f64() * 1000.0, report })
+    Some(ProbeReply { latency: millis(latency), report })
 }
 
 async fn request_report(pool: &ExecutorPool, executor: &Executor) -> Option<LoadReport> {
