--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! The settings of a node out of the platform's configuration.
+//! Parses the settings of a node from the platform's configuration.
 use crate::error::SettingsError;
 use serde_json::{Map, Value};
 use serde_path_to_error::{Path, Segment};
@@ -27,12 +27,12 @@
     }
     let mut settings: Settings =
         serde_path_to_error::deserialize(&document).map_err(|error| wrong_type(&document, error.path()))?;
-    assign_class_figures(&mut settings);
+    assign_listed_class_values(&mut settings);
     Ok(settings)
 }
 
-/// What the configuration states for all classes in lists of their own, or for all alike.
-fn assign_class_figures(settings: &mut Settings) {
+/// Moves values that the configuration lists apart from the classes, by class index, into the classes.
+fn assign_listed_class_values(settings: &mut Settings) {
     let executors = &settings.executors;
     for (number, class) in settings.classes.iter_mut().enumerate() {
         let machine_type = executors.class_machine_types.get(number).copied().flatten();
@@ -54,6 +54,7 @@
     }
 }
 
+/// The error for a value at `path`, which is looked up in the document.
 fn wrong_type(document: &Value, path: &Path) -> SettingsError {
     let mut value = Some(document);
     let mut names = Vec::new();
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -8,20 +8,20 @@
     /// A value is of another type than its key's.
     #[error("setting `{key}`: {value} is of the wrong type")]
     WrongType {
-        /// The key, with a star for a place in a list.
+        /// The key, with a star for an index in a list.
         key: String,
-        /// What stands there.
+        /// The value.
         value: Value,
     },
-    /// An entry of a list of named things has no name.
+    /// An entry of a list whose entries need names has none.
     #[error("setting `{key}`: entry {entry} has no name")]
     Unnamed {
         /// The list.
         key: &'static str,
-        /// The entry, from 0.
+        /// The index of the entry, from 0.
         entry: usize,
     },
-    /// A name stands in a list more than once.
+    /// A name occurs in a list more than once.
     #[error("setting `{key}`: `{name}` stands there twice")]
     Repeated {
         /// The list.
@@ -32,13 +32,13 @@
     /// There is no request class.
     #[error("setting `project_types` names none; it is a list of at least one")]
     NoClasses,
-    /// There are more request classes than are kept.
+    /// There are more request classes than [`MAX_NAMES`](crate::MAX_NAMES).
     #[error("setting `project_types` names {count}, at most {MAX} are kept in mind", MAX = crate::MAX_NAMES)]
     TooManyClasses {
         /// How many it names.
         count: usize,
     },
-    /// There were more names over the node's life than are kept.
+    /// There were more names over the life of the node than [`MAX_NAMES`](crate::MAX_NAMES).
     #[error("setting `{key}`: {count} were named so far, at most {MAX} are kept in mind", MAX = crate::MAX_NAMES)]
     TooManyNames {
         /// The list.
@@ -46,7 +46,8 @@
         /// How many were named.
         count: usize,
     },
-    /// There were more request classes over the node's life, each with its terms, than are kept.
+    /// There were more request classes over the life of the node than [`MAX_NAMES`](crate::MAX_NAMES); one whose terms
+    /// change counts as a new one.
     #[error("with its terms this is project type {count}, {MAX} are kept in mind", MAX = crate::MAX_NAMES)]
     TooManyTerms {
         /// How many there were.
@@ -60,27 +61,27 @@
         /// The number that it names.
         machine_type: u32,
     },
-    /// A limit on attempts is no positive number.
+    /// The maximum number of attempts is not positive.
     #[error("setting `limits.max_allocations` is not a positive number")]
     MaxAttempts,
-    /// Second copies need a second attempt.
+    /// Hedging is enabled, but a request may not have a second attempt.
     #[error("setting `limits.second_copies`: true needs `limits.max_allocations` of 2 or more")]
     Hedging,
-    /// The source of weights is not known.
+    /// The source of weights is not one of those allowed.
     #[error("setting `weight_source`: `{word}`; silent, none, nominal, rough and live are allowed")]
     WeightSource {
-        /// What stands there.
+        /// The source that the settings name.
         word: String,
     },
-    /// The node's number is not among those of the nodes.
+    /// The number of this node is not below the number of nodes.
     #[error("setting `me`: {node} is not under `balancers`, which is {nodes}")]
     NodeNumber {
         /// The node's number.
         node: f64,
-        /// How many nodes there are.
+        /// The number of nodes.
         nodes: f64,
     },
-    /// A term of a class is no positive number.
+    /// A term of a class is not a positive number.
     #[error("project type `{class}`: `{term}` is not a positive number")]
     NotPositive {
         /// The class.
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of a node out of the platform's configuration: read, checked and with ids for their names. Without I/O.
+//! Settings of a node from the platform's configuration: parsed, checked, and with ids for their names. Without I/O.
 //!
-//! [`parse_settings`] reads one configuration. A host whose settings may be replaced while it runs resolves each
-//! of them by one [`IdCatalog`], so that an id keeps its name.
+//! [`parse_settings`] parses one configuration. A host whose settings may be replaced while it runs resolves all of
+//! them by one [`IdCatalog`], so that each id keeps its meaning.
 mod catalog;
 mod document;
 mod error;
--- a/crates/configuration/src/load_report.rs
+++ b/crates/configuration/src/load_report.rs
@@ -12,7 +12,7 @@
 }
 
 impl LoadField {
-    /// Both words that a field goes by: the simulator's wire and the sockets differ in some.
+    /// A field by its name. Some have two, one in the simulator's protocol and one on sockets.
     fn from_word(word: &str) -> Self {
         match word {
             "depth" | "queue" => LoadField::QueueLength,
--- a/crates/configuration/src/names.rs
+++ b/crates/configuration/src/names.rs
@@ -1,4 +1,4 @@
-//! The names that settings list, and the keys that they must go on having.
+//! The names that settings list, and the keys that later settings must still have.
 use crate::catalog::MAX_NAMES;
 use crate::error::SettingsError;
 use serde_json::{Map, Value};
@@ -57,7 +57,7 @@
     }
 }
 
-/// Keys that an object has before and not after, at any depth; lists may differ.
+/// Keys of `before`, at any depth, that `after` does not have. The contents of lists are not compared.
 pub(crate) fn missing_keys(before: &Value, after: &Map<String, Value>) -> Vec<SettingsError> {
     let mut missing = Vec::new();
     if let Some(before) = before.as_object() {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Keys that each class had before and one has not after.
+/// Keys that all classes of `before` have and a class of `after` does not.
 pub(crate) fn missing_class_keys(
     before: &Value,
     after: &Map<String, Value>,
