--- a/crates/daemon/src/downstream/durable_exchange.rs
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -2,11 +2,11 @@
 use super::DownstreamServer;
 use super::admission::{AdmissionError, ConnectionAdmission};
 use super::request::Submission;
-use super::response::millis;
 use crate::durable::{Durable, LookupResult, PendingAnswer};
 use crate::event::NodeEvent;
 use crate::http1::Connection;
 use crate::in_flight::{Answer, ClientRequest};
+use crate::units::to_millis;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
@@ -47,7 +47,7 @@
 impl DurableAnswer {
     /// Nothing can be recorded at present.
     fn retry_later() -> Self {
-        DurableAnswer { answer: Answer::Rejected(Some(millis(LEDGER_RETRY_AFTER))), acknowledges: None }
+        DurableAnswer { answer: Answer::Rejected(Some(to_millis(LEDGER_RETRY_AFTER))), acknowledges: None }
     }
 }
 
--- a/crates/daemon/src/downstream/exchange.rs
+++ b/crates/daemon/src/downstream/exchange.rs
@@ -4,11 +4,12 @@
 use super::durable_exchange::{DurableAnswer, DurableExchange};
 use super::eviction::{ConnectionEntry, ConnectionState};
 use super::request::{ParsedRequest, Submission};
-use super::response::{ConnectionReuse, Response, ResponseSize, SendError, millis};
+use super::response::{ConnectionReuse, Response, ResponseSize, SendError};
 use crate::event::NodeEvent;
 use crate::http1::Connection;
 use crate::in_flight::{Answer, InFlightRequest};
 use crate::lifecycle::LifecycleState;
+use crate::units::to_millis;
 use std::fmt::Display;
 use std::rc::Rc;
 use tokio::time::{sleep_until, timeout_at};
@@ -103,7 +104,7 @@
     async fn handle_submission(&mut self, submission: Submission) -> ExchangeEnd {
         if *self.server.lifecycle.borrow() == LifecycleState::Drained {
             let retry_after = self.server.limits.downstream.malformed_retry_after;
-            let answer = Answer::Rejected(Some(millis(retry_after)));
+            let answer = Answer::Rejected(Some(to_millis(retry_after)));
             let response = Response::answer(&self.server.codec.load(), &answer);
             let sent = self.send(&response, ConnectionReuse::Close).await;
             return ExchangeEnd::after(&sent, ConnectionReuse::Close, ResponseSize::Small);
@@ -122,7 +123,7 @@
             Err(error @ AdmissionError::Duplicate) => return self.reject(409, &error).await,
             Err(AdmissionError::NoCapacity) => {
                 let retry_after = self.server.limits.downstream.rejected_retry_after;
-                let answer = Answer::Rejected(Some(millis(retry_after)));
+                let answer = Answer::Rejected(Some(to_millis(retry_after)));
                 return self.send_answer(&answer, ConnectionReuse::Close).await.end;
             }
         };
--- a/crates/daemon/src/downstream/response.rs
+++ b/crates/daemon/src/downstream/response.rs
@@ -2,11 +2,11 @@
 use crate::http1::{self, Connection, Field, RequestHead};
 use crate::in_flight::Answer;
 use crate::protocol::{Codec, ResponseParts};
+use crate::units::to_millis;
 use bytes::Bytes;
 use std::io;
 use std::time::Duration;
 use tokio::time::timeout;
-use troutknot::Millis;
 
 /// Whether a connection is used for another request after a response.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -60,7 +60,11 @@
 
     /// The rejection of a request that cannot be handled, with a Retry-After if the settings allow it.
     pub fn rejection(codec: &Codec, status: u16, retry_after: Duration) -> Self {
-        Response { status, headers: codec.retry_after_field(Some(millis(retry_after))), body: Bytes::new() }
+        Response {
+            status,
+            headers: codec.retry_after_field(Some(to_millis(retry_after))),
+            body: Bytes::new(),
+        }
     }
 
     /// The length of the body in bytes.
@@ -87,8 +91,3 @@
             .map_err(SendError::Io)
     }
 }
-
-/// A duration in the core's unit.
-pub(super) fn millis(duration: Duration) -> Millis {
-    duration.as_secs_f64() * 1000.0
-}
