--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -5,7 +5,7 @@
 use common::*;
 use serde_json::{Value, json};
 use std::io::{BufReader, Read, Write};
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -59,12 +59,17 @@
     std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count()
 }
 
+/// Asks what the node turns down by itself, and reads its log up to that.
+fn catch_up(node: &Node) {
+    assert_eq!(node.ask("POST /sing HTTP/1.1\r\nHost: n\r\nRequest-Id: 1\r\n\r\n").0, 404);
+    node.logged("request not admitted status=404");
+}
+
 /// The client of this work unit leaves, and the node sees that in time: the order of its log says so.
 fn leave_and_be_seen(node: &Node, how: Leaves, client: BufReader<TcpStream>, id: &str) {
     how.leave(client);
     let seen = (0..QUESTIONS).any(|_| {
-        assert_eq!(node.ask("POST /sing HTTP/1.1\r\nHost: n\r\nRequest-Id: 1\r\n\r\n").0, 404);
-        node.logged("request not admitted status=404");
+        catch_up(node);
         node.before
             .lock()
             .unwrap()
@@ -89,16 +94,11 @@
     (id, client)
 }
 
-/// Settings by which work may be held for long, and a connection may take long.
+/// Settings by which work may be held for long, a quarter of its objective, and a connection may take long.
 fn patient() -> Value {
-    patient_for(20_000_000)
-}
-
-/// The same with an objective of so many microseconds: work is held for a quarter of it, and looked at halfway.
-fn patient_for(latency_objective: u64) -> Value {
     let mut settings = settings();
     for k in 0..2 {
-        settings["project_types"][k]["promised_turnaround"] = json!(latency_objective);
+        settings["project_types"][k]["promised_turnaround"] = json!(20_000_000);
     }
     settings["limits"]["connect_timeout"] = json!(10_000_000);
     settings
@@ -112,13 +112,32 @@
     });
 }
 
+/// A node and its only executor, which takes its time over its load. For a reply the node waits eight times as
+/// long as they took so far and 5 ms, and without one it dispatches: where they took no time, a load of the
+/// machine is enough for that.
+fn unhurried(discovery: &Discovery, executor: &Executor) -> (Node, BufReader<TcpStream>) {
+    *executor.load_takes.lock().unwrap() = Duration::from_millis(50);
+    let node = Node::start_with(discovery, (256, 64), patient(), "debug");
+    let mut usual = node.connect();
+    assert_eq!(ask(&mut usual, work("render", &new_id(), 30.0, "")).0, 200);
+    // The first reply may have come too late for its request.
+    node.logged("probe completed");
+    (node, usual)
+}
+
+/// Work that was drawn for the last time, as it holds it: the node has the reply, and asks for no other.
+fn is_held(node: &Node) -> bool {
+    catch_up(node);
+    let before = node.before.lock().unwrap();
+    let last = before.iter().rev().find(|line| line.contains("probe "));
+    last.is_some_and(|line| line.contains("probe completed") && line.contains("queue_length=Some(5.0)"))
+}
+
 #[test]
 fn a_queued_request_whose_client_left_is_never_dispatched() {
     serving_and_ending(|ending, ways| {
         let (executor, discovery) = one_executor();
-        let mut node = Node::start_with(&discovery, (256, 64), patient(), "debug");
-        let mut usual = node.connect();
-        assert_eq!(ask(&mut usual, work("render", &new_id(), 30.0, "")).0, 200);
+        let (mut node, mut usual) = unhurried(&discovery, &executor);
         if ending {
             node.terminate();
             node.logged("shutdown requested");
@@ -127,10 +146,8 @@
             // Work is held as long as every answer shows a queue.
             *executor.load.lock().unwrap() = "queue=5,x0=0".into();
             let (id, mut client) = (new_id(), node.connect());
-            let before = executor.probes.load(Ordering::Relaxed);
             client.get_mut().write_all(work(project_type, &id, 30.0, "").as_bytes()).unwrap();
-            // It is drawn twice, and then held.
-            until("it is held", || executor.probes.load(Ordering::Relaxed) >= before + 2);
+            until("it is held", || is_held(&node));
             leave_and_be_seen(&node, how, client, &id);
             // Each end of another one makes room, which the held one would get.
             *executor.load.lock().unwrap() = "queue=0,x0=8".into();
@@ -149,24 +166,19 @@
 /// The first attempt is turned away unstarted, and the request is held for a second one when its client leaves.
 #[test]
 fn a_request_whose_client_left_between_attempts_is_not_retried() {
-    // A node that ends gives up 3 s after the signal, and the second look has to come well before.
-    const OBJECTIVE: u64 = 12_000_000;
     serving_and_ending(|ending, ways| {
         let (executor, discovery) = one_executor();
-        let mut node = Node::start_with(&discovery, (256, 64), patient_for(OBJECTIVE), "debug");
-        let mut usual = node.connect();
-        assert_eq!(ask(&mut usual, work("render", &new_id(), 30.0, "")).0, 200);
+        let (mut node, mut usual) = unhurried(&discovery, &executor);
         if ending {
             node.terminate();
             node.logged("shutdown requested");
         }
         for (how, request_class) in ways {
             let (id, client) = out(&node, &executor, Act::WaitAndTurnAway, request_class);
-            // From now on every answer shows a queue, so that it is drawn twice and then held.
+            // From now on every answer shows a queue, so that it is drawn once more and then held.
             *executor.load.lock().unwrap() = "queue=5,x0=0".into();
-            let before = executor.probes.load(Ordering::Relaxed);
             executor.go_on.send(()).unwrap();
-            until("it is held", || executor.probes.load(Ordering::Relaxed) >= before + 2);
+            until("it is held", || is_held(&node));
             leave_and_be_seen(&node, how, client, &id);
             *executor.load.lock().unwrap() = "queue=0,x0=8".into();
             for _ in 0..5 {
@@ -258,6 +270,23 @@
     });
 }
 
+/// By the machine's own table: the bytes from one side of a connection that have not come to the other, and those
+/// that have come to it and are not read.
+fn queues(local: SocketAddr, remote: SocketAddr) -> Option<(u64, u64)> {
+    let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+    let ends = format!(":{:04X} 0100007F:{:04X} 01 ", local.port(), remote.port());
+    let (_, rest) = table.split_once(&ends)?;
+    let number = |at: usize| u64::from_str_radix(&rest[at..at + 8], 16).unwrap();
+    Some((number(0), number(9)))
+}
+
+/// Waits until the node has read all that this client sent.
+fn wait_until_read(node: &Node, client: &TcpStream) {
+    let addr = client.local_addr().unwrap();
+    until("all of it comes", || queues(addr, node.addr).is_some_and(|(sent, _)| sent == 0));
+    until("all of it is read", || queues(node.addr, addr).is_some_and(|(_, came)| came == 0));
+}
+
 #[test]
 fn a_client_that_pipelines_too_much_is_answered_and_its_connection_closes() {
     let (executor, discovery) = one_executor();
@@ -266,6 +295,8 @@
         let (_, mut client) = out(&node, &executor, Act::Wait, "publish");
         let next = work("render", &new_id(), 30.0, &"y".repeat(ahead));
         client.get_mut().write_all(next.as_bytes()).unwrap();
+        // Before that the node cannot know how much it is: it would give the answer and keep the connection.
+        wait_until_read(&node, client.get_ref());
         executor.go_on.send(()).unwrap();
         let (status, (head, body)) = answer(&mut client);
         assert_eq!((status, body.len()), (200, 3), "{ahead}");
--- a/crates/emulator/src/scripted.rs
+++ b/crates/emulator/src/scripted.rs
@@ -106,6 +106,8 @@
     pub went_on: Arc<AtomicUsize>,
     /// What it says of its load.
     pub load: Arc<Mutex<String>>,
+    /// How long it takes to say so.
+    pub load_takes: Arc<Mutex<Duration>>,
     /// How often it was asked for that.
     pub probes: Arc<AtomicUsize>,
     /// Cut off: connections come up and stay open, and nothing is ever said.
@@ -123,6 +125,7 @@
     wait: Arc<Turn<UnboundedReceiver<()>>>,
     went_on: Arc<AtomicUsize>,
     load: Arc<Mutex<String>>,
+    load_takes: Arc<Mutex<Duration>>,
     probes: Arc<AtomicUsize>,
     mute: Arc<AtomicBool>,
     fates: Arc<Mutex<VecDeque<serde_json::Value>>>,
@@ -139,11 +142,13 @@
             went_on: Arc::default(),
             probes: Arc::default(),
             load: Arc::new(Mutex::new("queue=0,x0=8".into())),
+            load_takes: Arc::default(),
             mute: Arc::default(),
             fates: Arc::default(),
             asked: Arc::default(),
         };
-        let (load, probes) = (script.load.clone(), script.probes.clone());
+        let (load, load_takes) = (script.load.clone(), script.load_takes.clone());
+        let probes = script.probes.clone();
         let went_on = script.went_on.clone();
         let (fates, asked) = (script.fates.clone(), script.asked.clone());
         let (acts, seen, mute) = (script.acts.clone(), script.seen.clone(), script.mute.clone());
@@ -153,7 +158,7 @@
                 async move { script.answer(request, line).await }
             }
         });
-        Executor { addr, acts, seen, go_on, went_on, load, probes, mute, fates, asked }
+        Executor { addr, acts, seen, go_on, went_on, load, load_takes, probes, mute, fates, asked }
     }
 
     /// Waits until so many allocations have come.
@@ -176,7 +181,11 @@
         }
         if request.method() == Method::GET {
             self.probes.fetch_add(1, Ordering::Relaxed);
-            return Response::new(Lines::whole(self.load.lock().unwrap().clone()));
+            let (load, takes) = (self.load.lock().unwrap().clone(), *self.load_takes.lock().unwrap());
+            if !takes.is_zero() {
+                sleep(takes).await;
+            }
+            return Response::new(Lines::whole(load));
         }
         let id =
             request.headers().get("request-id").and_then(|id| id.to_str().ok()).unwrap_or("").to_string();
