--- a/crates/scale/src/measurement.rs
+++ b/crates/scale/src/measurement.rs
@@ -36,7 +36,7 @@
     Pushes,
     /// List lines that one node was told in a second.
     ListUpdates,
-    /// Hollow nodes that are driven in this way (see [`NodeKind`]).
+    /// Hollow nodes that are driven in this way (see [`crate::row::NodeKind`]).
     Drivers,
     /// Requests that were answered more than once.
     DoubledAnswers,
