--- a/crates/daemon/src/admin/handlers.rs
+++ b/crates/daemon/src/admin/handlers.rs
@@ -60,7 +60,7 @@
     }
 
     fn readiness(&self) -> AdminResponse {
-        if self.lifecycle.facts().is_ready() {
+        if self.lifecycle.conditions().is_ready() {
             AdminResponse::new(200, "ready")
         } else {
             AdminResponse::new(503, "not ready")
@@ -72,14 +72,14 @@
     }
 
     async fn drain(&self, request: DrainRequest) -> AdminResponse {
-        if self.lifecycle.facts().shutdown != Shutdown::None {
+        if self.lifecycle.conditions().shutdown != Shutdown::None {
             return AdminResponse::new(503, "the node ends");
         }
         let settle_time = self.limits.admin.drain_settle_time;
         self.lifecycle.request_drain(request, DrainOrigin::Operator, settle_time);
         let is_drained = request == DrainRequest::Drain;
         let (acknowledge, acknowledged) = oneshot::channel();
-        self.sibling.mirror(|number| Message::Drained { drained: is_drained, number }, acknowledge);
+        self.sibling.replicate(|number| Message::Drained { drained: is_drained, number }, acknowledge);
         match timeout(self.limits.admin.call_timeout, acknowledged).await {
             Ok(Ok(_)) => AdminResponse::done(),
             _ => AdminResponse::new(503, "the other process of this node does not answer"),
--- a/crates/daemon/src/byte_budget.rs
+++ b/crates/daemon/src/byte_budget.rs
@@ -16,7 +16,7 @@
     }
 
     /// Whether this many more bytes fit.
-    pub fn fits(&self, bytes: usize) -> bool {
+    pub fn can_reserve(&self, bytes: usize) -> bool {
         self.used.get() + self.used_by_sibling.get() + bytes <= self.limit
     }
 
@@ -32,11 +32,11 @@
 
     /// Reserves bytes. Returns false, and reserves nothing, if they do not fit.
     pub fn try_reserve(&self, bytes: usize) -> bool {
-        let fits = self.fits(bytes);
-        if fits {
+        let is_reserved = self.can_reserve(bytes);
+        if is_reserved {
             self.used.set(self.used.get() + bytes);
         }
-        fits
+        is_reserved
     }
 
     /// Returns bytes that were reserved with [`try_reserve`](Self::try_reserve).
--- a/crates/daemon/src/config/operator.rs
+++ b/crates/daemon/src/config/operator.rs
@@ -2,7 +2,7 @@
 use crate::config::consul::ConsulConfig;
 use crate::config::durable::DurableConfig;
 use crate::config::file::read_text;
-use crate::config::validation::{ConfigFault, Validator};
+use crate::config::validation::{ValidationError, Validator};
 use serde::Deserialize;
 use std::io;
 use std::net::SocketAddr;
@@ -39,17 +39,17 @@
         source: toml::de::Error,
     },
     /// Values are not allowed. The message has a line for each fault.
-    #[error("{}", fault_lines(path, faults))]
+    #[error("{}", error_lines(path, errors))]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// All faults that were found.
-        faults: Vec<ConfigFault>,
+        /// All errors that were found.
+        errors: Vec<ValidationError>,
     },
 }
 
-fn fault_lines(path: &Path, faults: &[ConfigFault]) -> String {
-    let lines: Vec<String> = faults.iter().map(|fault| format!("`{}`: {fault}", path.display())).collect();
+fn error_lines(path: &Path, errors: &[ValidationError]) -> String {
+    let lines: Vec<String> = errors.iter().map(|error| format!("`{}`: {error}", path.display())).collect();
     lines.join("\n")
 }
 
@@ -139,11 +139,11 @@
             let line = source.span().map_or(0, |span| line_of(&text, span.start));
             OperatorFileError::Syntax { path: path.into(), line, source }
         })?;
-        let faults = file.faults();
-        if faults.is_empty() {
+        let errors = file.validation_errors();
+        if errors.is_empty() {
             return Ok(file);
         }
-        Err(OperatorFileError::Invalid { path: path.into(), faults })
+        Err(OperatorFileError::Invalid { path: path.into(), errors })
     }
 
     /// Checks that the platform's settings go with this file.
@@ -161,7 +161,7 @@
         }
     }
 
-    fn faults(&self) -> Vec<ConfigFault> {
+    fn validation_errors(&self) -> Vec<ValidationError> {
         let mut validator = Validator::default();
         self.discovery.validate(&mut validator);
         if let Some(gossip) = &self.gossip {
@@ -170,7 +170,7 @@
         if let Some(durable) = &self.durable {
             durable.validate(&mut validator);
         }
-        validator.into_faults()
+        validator.into_errors()
     }
 }
 
--- a/crates/daemon/src/config/validation.rs
+++ b/crates/daemon/src/config/validation.rs
@@ -1,11 +1,11 @@
-//! Checks of values in a configuration file, which collect all faults instead of stopping at the first one.
+//! Checks of values in a configuration file, which collect all errors instead of stopping at the first one.
 use humantime_serde::re::humantime::format_duration;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
 /// A value of a configuration file that is not allowed, with its key and what is allowed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum ConfigFault {
+pub enum ValidationError {
     /// A duration is out of its range.
     #[error("`{key}` must be {} to {}", format_duration(*allowed.start()), format_duration(*allowed.end()))]
     Duration {
@@ -42,17 +42,17 @@
     },
 }
 
-/// Collects the faults of one file.
+/// Collects the errors of one file.
 #[derive(Default)]
 pub struct Validator {
-    faults: Vec<ConfigFault>,
+    errors: Vec<ValidationError>,
 }
 
 impl Validator {
     /// Checks that a duration is within a range.
     pub fn check_duration(&mut self, key: &'static str, value: Duration, allowed: RangeInclusive<Duration>) {
         if !allowed.contains(&value) {
-            self.faults.push(ConfigFault::Duration { key, allowed });
+            self.errors.push(ValidationError::Duration { key, allowed });
         }
     }
 
@@ -65,26 +65,26 @@
         items: &'static str,
     ) {
         if !allowed.contains(&count) {
-            self.faults.push(ConfigFault::Count { key, allowed, items });
+            self.errors.push(ValidationError::Count { key, allowed, items });
         }
     }
 
     /// Checks that a number is within a range.
     pub fn check_number(&mut self, key: &'static str, value: f64, allowed: RangeInclusive<f64>) {
         if !allowed.contains(&value) {
-            self.faults.push(ConfigFault::Number { key, allowed });
+            self.errors.push(ValidationError::Number { key, allowed });
         }
     }
 
     /// Checks a rule of another kind, given whether the value follows it.
     pub fn check_rule(&mut self, key: &'static str, is_followed: bool, rule: &'static str) {
         if !is_followed {
-            self.faults.push(ConfigFault::Rule { key, rule });
+            self.errors.push(ValidationError::Rule { key, rule });
         }
     }
 
-    /// All faults, in the order of the checks.
-    pub fn into_faults(self) -> Vec<ConfigFault> {
-        self.faults
+    /// All errors, in the order of the checks.
+    pub fn into_errors(self) -> Vec<ValidationError> {
+        self.errors
     }
 }
--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -68,7 +68,7 @@
             biased;
             read = self.connection.read() => matches!(read, Ok(count) if count > 0),
             () = self.entry.evicted() => !self.connection.is_quiet(),
-            _ = lifecycle.wait_for(|state| state.closes_idle()), if has_served => !self.connection.is_quiet(),
+            _ = lifecycle.wait_for(|state| state.is_closing_idle()), if has_served => !self.connection.is_quiet(),
             () = sleep_until(idle_until) => false,
         };
         if has_input { Input::Available } else { Input::None }
@@ -82,7 +82,7 @@
             return now + limits.idle_timeout;
         }
         // While idle connections are being closed, a new one has less time to send its first request.
-        if self.server.lifecycle.borrow().closes_idle() {
+        if self.server.lifecycle.borrow().is_closing_idle() {
             return self.first_request_due.min(now + limits.min_new_connection_age);
         }
         self.first_request_due
--- a/crates/daemon/src/downstream/exchange.rs
+++ b/crates/daemon/src/downstream/exchange.rs
@@ -166,7 +166,7 @@
         let server = &self.server;
         let must_close = server.connection_count() > server.max_connections()
             || self.connection.has_discarded_input()
-            || server.lifecycle.borrow().closes_after_answer();
+            || server.lifecycle.borrow().is_closing_after_response();
         if must_close { ConnectionReuse::Close } else { requested }
     }
 
@@ -190,7 +190,7 @@
             () = sleep_until(admitted.last_answer_at) => Some(Answer::Failed),
         };
         in_flight.close();
-        let _ = self.server.events.send(NodeEvent::ClientLeft(in_flight.request_id)).await;
+        let _ = self.server.events.send(NodeEvent::ClientDisconnected(in_flight.request_id)).await;
         if answer.is_none() {
             let client_id = &in_flight.request.id;
             tracing::debug!(%client_id, request = in_flight.request_id.0, "client disconnected");
--- a/crates/daemon/src/driver/endpoints.rs
+++ b/crates/daemon/src/driver/endpoints.rs
@@ -11,12 +11,12 @@
 use troutknot_membership::ExecutorRegistry;
 
 /// The executors that are retained now, as [`EndpointRetention`] reads them.
-pub(super) struct RetainedNow<'a> {
+pub(super) struct RetainedExecutors<'a> {
     registry: &'a ExecutorRegistry,
     membership: &'a Membership,
 }
 
-impl RetainedEntries for RetainedNow<'_> {
+impl RetainedEntries for RetainedExecutors<'_> {
     fn entry(&self, name: &str) -> Option<&EndpointEntry> {
         self.membership.entry(self.registry.get(name)?)
     }
@@ -37,7 +37,7 @@
         let endpoints = self.register_all(selected);
         self.membership.version = version.or(self.membership.version);
         if kind != ListUpdate::Cached {
-            self.lifecycle.update(|facts| facts.is_listed = true);
+            self.lifecycle.update(|conditions| conditions.has_endpoint_list = true);
         }
         self.dispatcher.handle_event(now, CoreEvent::EndpointsUpdated { update: kind, endpoints });
         self.reclaim_for_waiting();
@@ -45,7 +45,7 @@
 
     /// Releases executors that are gone at once if selected entries wait because all handles are in use.
     pub(super) fn reclaim_for_waiting(&mut self) {
-        if self.retention.has_waiting() {
+        if self.retention.has_retainable_entry() {
             self.dispatcher.reclaim_now();
         }
     }
@@ -61,13 +61,13 @@
     /// Applies a change to the retention, and returns the entries to be registered.
     fn select(
         &mut self,
-        change: impl FnOnce(&mut EndpointRetention, &RetainedNow) -> RetentionChange,
+        change: impl FnOnce(&mut EndpointRetention, &RetainedExecutors) -> RetentionChange,
     ) -> Vec<EndpointEntry> {
-        let retained = RetainedNow { registry: &self.registry, membership: &self.membership };
+        let retained = RetainedExecutors { registry: &self.registry, membership: &self.membership };
         let change = change(&mut self.retention, &retained);
-        if change.repeated > 0 {
+        if change.duplicates > 0 {
             tracing::warn!(
-                count = change.repeated,
+                count = change.duplicates,
                 "endpoint list with duplicate entries, the last of each counts"
             );
         }
@@ -118,7 +118,7 @@
 
     /// Retains waiting executors if others were released since; returns whether there were any.
     pub(super) fn retain_waiting(&mut self, now: Millis) -> bool {
-        if !std::mem::take(&mut self.has_released) || !self.retention.has_waiting() {
+        if !std::mem::take(&mut self.has_released) || !self.retention.has_retainable_entry() {
             return false;
         }
         let selected = self.select(|retention, retained| retention.apply_delta(Vec::new(), retained));
@@ -158,7 +158,7 @@
         match origin {
             CallOrigin::Operator(done) if is_known => {
                 let message = |number| Message::SetExcluded { executor: name, is_excluded, number };
-                self.sibling.mirror(message, done);
+                self.sibling.replicate(message, done);
             }
             CallOrigin::Operator(done) => _ = done.send(false),
             CallOrigin::Sibling(number) => self.sibling.send(Message::Acknowledged { number }),
--- a/crates/daemon/src/driver/events.rs
+++ b/crates/daemon/src/driver/events.rs
@@ -15,11 +15,11 @@
             NodeEvent::RequestRecovered(in_flight, attempts) => {
                 self.handle_recovered_request(now, in_flight, attempts);
             }
-            NodeEvent::ClientLeft(request_id) => {
+            NodeEvent::ClientDisconnected(request_id) => {
                 self.requests.remove(&request_id);
                 self.dispatcher.handle_event(now, CoreEvent::RequestWithdrawn { request_id });
             }
-            NodeEvent::Core(event) => self.handle_core_event(now, event),
+            NodeEvent::Core(event) => self.handle_dispatcher_event(now, event),
             NodeEvent::ListReceived(update) => self.handle_endpoint_update(now, update),
             NodeEvent::SetExcluded { executor, is_excluded, origin } => {
                 self.set_excluded(now, executor, is_excluded, origin);
@@ -56,7 +56,7 @@
         self.dispatcher.handle_event(now, event);
     }
 
-    fn handle_core_event(&mut self, now: Millis, event: CoreEvent) {
+    fn handle_dispatcher_event(&mut self, now: Millis, event: CoreEvent) {
         match &event {
             CoreEvent::AttemptEnded { request_id, attempt_id, outcome, .. } => {
                 return self.handle_attempt_ended(now, *request_id, *attempt_id, *outcome);
--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -63,7 +63,7 @@
 }
 
 /// What a [`Driver`] is connected with.
-pub struct DriverConfig {
+pub struct DriverDependencies {
     /// Decides what is done.
     pub dispatcher: Dispatcher,
     /// The clock of the dispatcher.
@@ -121,7 +121,7 @@
 
 impl Driver {
     /// Creates a driver that knows no executors yet.
-    pub fn new(config: DriverConfig) -> Self {
+    pub fn new(config: DriverDependencies) -> Self {
         Driver {
             dispatcher: config.dispatcher,
             clock: config.clock,
--- a/crates/daemon/src/driver/recovery.rs
+++ b/crates/daemon/src/driver/recovery.rs
@@ -4,7 +4,7 @@
 use crate::durable::Lease;
 use crate::event::RecoveredAttempt;
 use crate::hot_restart::codec::{
-    ClassRunningTime, ExecutorState, Inherited, Message, RunningTimes, Score, SpentBudget, UNNUMBERED,
+    ClassRunningTime, ExecutorState, InheritedState, Message, RunningTimes, Score, SpentBudget, UNNUMBERED,
     split_list,
 };
 use crate::in_flight::InFlightRequest;
@@ -78,7 +78,7 @@
     pub(super) fn export_state(&mut self, now: Millis) {
         let excluded: Vec<String> = self.membership.excluded().iter().cloned().collect();
         self.send_all(split_list(&excluded, |executors| Message::Excluded { executors }));
-        let drained = self.lifecycle.facts().drain != Drain::None;
+        let drained = self.lifecycle.conditions().drain != Drain::None;
         self.sibling.send(Message::Drained { drained, number: UNNUMBERED });
         let version = self.membership.version;
         let entries = self.membership.listed().chain(self.retention.unretained());
@@ -121,7 +121,7 @@
     }
 
     /// Begins with the state of an old process, once its endpoint list has been applied.
-    pub fn import_state(&mut self, now: Millis, inherited: Inherited) {
+    pub fn import_state(&mut self, now: Millis, inherited: InheritedState) {
         let running_times = inherited.running_times.unwrap_or_default();
         let class_running_times = self.import_class_running_times(&running_times.classes);
         let executors = inherited.executors.into_iter();
--- a/crates/daemon/src/durable/jobs.rs
+++ b/crates/daemon/src/durable/jobs.rs
@@ -100,8 +100,8 @@
     /// Ends a request whose record was not written in time. A client that repeats it is rejected until that is on
     /// record; afterwards it is a new request.
     fn withdraw(&self, request_id: RequestId, pending: &PendingAnswer, answer: Answer) {
-        self.record_soon(Record::Answered { request_id, answer: payload::to_recorded(&answer) });
-        self.record_soon(Record::Forgotten { request_id });
+        self.record_in_background(Record::Answered { request_id, answer: payload::to_recorded(&answer) });
+        self.record_in_background(Record::Forgotten { request_id });
         self.pending_answers.publish(request_id, pending, answer);
     }
 
@@ -123,7 +123,7 @@
         }
         if let Answer::Rejected(_) = answer {
             // The request may run later: a client that repeats it with its key makes a new one.
-            self.record_soon(Record::Forgotten { request_id });
+            self.record_in_background(Record::Forgotten { request_id });
         }
         self.pending_answers.publish(request_id, &pending, answer);
     }
@@ -135,7 +135,7 @@
             answer = in_flight.answered() => answer,
             () = sleep_until(answer_by) => {
                 in_flight.close();
-                let _ = self.events.send(NodeEvent::ClientLeft(in_flight.request_id)).await;
+                let _ = self.events.send(NodeEvent::ClientDisconnected(in_flight.request_id)).await;
                 Answer::Failed
             }
         }
@@ -143,7 +143,7 @@
 
     /// Records that an answer was written to a client.
     pub fn record_acknowledged(&self, request_id: RequestId) {
-        self.record_soon(Record::Acknowledged { request_id });
+        self.record_in_background(Record::Acknowledged { request_id });
     }
 
     /// Reads the answer that is on record; None, logged, if it cannot be read.
@@ -203,7 +203,7 @@
         let is_full = answered.len() == MAX_FORGOTTEN;
         answered.retain(|request_id| !self.pending_answers.contains(*request_id));
         for request_id in &answered {
-            self.record_soon(Record::Forgotten { request_id: *request_id });
+            self.record_in_background(Record::Forgotten { request_id: *request_id });
         }
         // Without progress the rest has to wait as well.
         if is_full && !answered.is_empty() { Batch::Full } else { Batch::Last }
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -75,7 +75,7 @@
     pub fn record_started(&self) {
         if !self.has_started.replace(true) {
             let (request_id, attempt_id) = (self.request_id, self.attempt_id);
-            self.durable.record_soon(Record::Started { request_id, attempt_id });
+            self.durable.record_in_background(Record::Started { request_id, attempt_id });
         }
     }
 
@@ -90,7 +90,7 @@
         if !self.heartbeat_recorded_at.get().is_some_and(is_recent) {
             self.heartbeat_recorded_at.set(Some(now));
             let lease_until = self.durable.now() + to_millis(lease_time);
-            self.durable.record_soon(Record::Heartbeat { request_id, attempt_id, lease_until });
+            self.durable.record_in_background(Record::Heartbeat { request_id, attempt_id, lease_until });
         }
     }
 
@@ -109,7 +109,7 @@
     pub fn record_outcome(&self, outcome: Outcome) {
         if !self.has_ended.replace(true) {
             let (request_id, attempt_id) = (self.request_id, self.attempt_id);
-            self.durable.record_soon(Record::Ended { request_id, attempt_id, outcome });
+            self.durable.record_in_background(Record::Ended { request_id, attempt_id, outcome });
         }
     }
 
@@ -120,7 +120,7 @@
             return false;
         }
         let (request_id, attempt_id) = (self.request_id, self.attempt_id);
-        let is_fenced = self.durable.record_soon(Record::Fenced { request_id, attempt_id });
+        let is_fenced = self.durable.record_in_background(Record::Fenced { request_id, attempt_id });
         self.has_ended.set(is_fenced);
         is_fenced
     }
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -61,7 +61,7 @@
 }
 
 /// What [`Durable`] is connected with.
-pub struct DurableConnections {
+pub struct DurableDependencies {
     /// Bounds the number of requests on record, and timeouts.
     pub limits: Rc<Limits>,
     /// The clock of the node.
@@ -101,8 +101,8 @@
     ///
     /// # Errors
     /// If the ledger cannot be opened or read.
-    pub fn open(config: DurableConfig, connections: DurableConnections) -> Result<Rc<Self>, DurableError> {
-        let DurableConnections { limits, clock, codec, events, tasks } = connections;
+    pub fn open(config: DurableConfig, connections: DurableDependencies) -> Result<Rc<Self>, DurableError> {
+        let DurableDependencies { limits, clock, codec, events, tasks } = connections;
         let max_attempts = codec.load().max_attempts().clamp(*ATTEMPTS_RANGE.start(), *ATTEMPTS_RANGE.end());
         let started_at = Instant::now();
         let (committer, ledger) = start_committer(&config, max_attempts)?;
@@ -169,7 +169,7 @@
     }
 
     /// Records something for which nobody waits; false if it does not follow from the records before it.
-    fn record_soon(&self, record: Record) -> bool {
+    fn record_in_background(&self, record: Record) -> bool {
         let Some(row) = self.apply(record) else { return false };
         self.committer.write_later(row);
         true
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -73,7 +73,7 @@
     /// A request is open since an earlier process, with its attempts in order.
     RequestRecovered(Rc<InFlightRequest>, Vec<RecoveredAttempt>),
     /// The client of a request has left.
-    ClientLeft(RequestId),
+    ClientDisconnected(RequestId),
     /// An event for the dispatcher. The driver determines whether the end of an attempt closes its request.
     Core(CoreEvent),
     /// A discovery source has a list of endpoints, or changes to one.
--- a/crates/daemon/src/hot_restart/codec.rs
+++ b/crates/daemon/src/hot_restart/codec.rs
@@ -122,7 +122,8 @@
     #[serde(rename = "holds")]
     Usage(Usage),
     /// The old process was asked to end.
-    Leaving,
+    #[serde(rename = "leaving")]
+    ShutdownRequested,
     /// A message of a later release.
     #[serde(other)]
     Other,
@@ -283,7 +284,7 @@
 
 /// Limits of the state that a process receives.
 #[derive(Clone, Copy)]
-pub struct Bounds {
+pub struct StateBounds {
     /// Maximum number of executors in each list.
     pub executors: usize,
     /// Maximum number of request ids.
@@ -292,7 +293,7 @@
 
 /// The state that a new process receives from the old one.
 #[derive(Default, Debug, PartialEq)]
-pub struct Inherited {
+pub struct InheritedState {
     has_greeted: bool,
     /// Executors that operators excluded.
     pub excluded: BTreeSet<String>,
@@ -310,12 +311,12 @@
     pub running_times: Option<RunningTimes>,
 }
 
-impl Inherited {
+impl InheritedState {
     /// Applies the next message; returns true if it completes the state.
     ///
     /// # Errors
     /// If the message is not valid here; nothing of the state may then be used.
-    pub fn apply(&mut self, message: Message, name: &str, bounds: Bounds) -> Result<bool, CodecError> {
+    pub fn apply(&mut self, message: Message, name: &str, bounds: StateBounds) -> Result<bool, CodecError> {
         if !self.has_greeted {
             return self.greet(message, name).map(|()| false);
         }
@@ -359,7 +360,7 @@
         }
     }
 
-    fn check_bounds(&self, bounds: Bounds) -> Result<(), CodecError> {
+    fn check_bounds(&self, bounds: StateBounds) -> Result<(), CodecError> {
         let counts = [
             (self.excluded.len(), bounds.executors),
             (self.entries.len(), bounds.executors),
--- a/crates/daemon/src/hot_restart/sibling.rs
+++ b/crates/daemon/src/hot_restart/sibling.rs
@@ -44,7 +44,7 @@
     }
 
     /// Sends a numbered message, and reports to `done` once the sibling has acknowledged it or is gone.
-    pub fn mirror(&self, message: impl FnOnce(u64) -> Message, done: oneshot::Sender<bool>) {
+    pub fn replicate(&self, message: impl FnOnce(u64) -> Message, done: oneshot::Sender<bool>) {
         if self.outbox.borrow().is_none() {
             let _ = done.send(true);
             return;
@@ -55,7 +55,7 @@
         self.send(message(number));
     }
 
-    /// Completes the [`mirror`](Self::mirror) call of this number.
+    /// Completes the [`replicate`](Self::replicate) call of this number.
     pub fn acknowledge(&self, number: u64) {
         if let Some(done) = self.unacknowledged.borrow_mut().remove(&number) {
             let _ = done.send(true);
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a node. Its state is derived from a few facts; the parts that act on it watch it.
+//! The lifecycle of a node. Its state is derived from a few conditions; the parts that act on it watch it.
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -19,7 +19,7 @@
     /// An operator drained the node: idle connections close, and further requests are rejected.
     Drained,
     /// The node was asked to end: it serves as before but reports not to be ready.
-    Leaving,
+    ShutdownPending,
     /// The sibling process takes the clients: no connections are accepted, and each open one closes after its
     /// response. If the sibling dies before this process is asked to end, it serves again.
     HandingOver,
@@ -29,13 +29,13 @@
 
 impl LifecycleState {
     /// Whether a connection closes after its response.
-    pub fn closes_after_answer(self) -> bool {
+    pub fn is_closing_after_response(self) -> bool {
         use LifecycleState::{Closing, Drained, Draining, HandingOver};
         matches!(self, Draining | Drained | HandingOver | Closing)
     }
 
     /// Whether idle connections close.
-    pub fn closes_idle(self) -> bool {
+    pub fn is_closing_idle(self) -> bool {
         matches!(self, LifecycleState::Drained | LifecycleState::Closing)
     }
 }
@@ -47,7 +47,7 @@
     #[default]
     None,
     /// The drain has begun, and requests under way may still arrive.
-    Begun,
+    Started,
     /// Requests that were under way when the drain began have had time to arrive.
     Settled,
 }
@@ -84,33 +84,33 @@
     Sibling,
 }
 
-/// The facts from which the state is derived.
+/// The conditions from which the state is derived.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct LifecycleFacts {
+pub struct LifecycleConditions {
     /// An endpoint list was received, or is no longer waited for.
-    pub is_listed: bool,
+    pub has_endpoint_list: bool,
     /// The progress of a drain by an operator.
     pub drain: Drain,
     /// The drain was requested at another process of this node.
     pub is_drain_inherited: bool,
     /// The sibling process takes the clients as long as it runs.
-    pub has_yielded: bool,
+    pub has_ready_successor: bool,
     /// The progress of the shutdown.
     pub shutdown: Shutdown,
 }
 
-impl LifecycleFacts {
-    /// The state that follows from the facts.
+impl LifecycleConditions {
+    /// The state that follows from the conditions.
     pub fn state(&self) -> LifecycleState {
-        match (self.shutdown, self.drain, self.is_listed) {
+        match (self.shutdown, self.drain, self.has_endpoint_list) {
             (Shutdown::Closing, ..) => LifecycleState::Closing,
             (Shutdown::Requested | Shutdown::HandedOver, Drain::Settled, _) => LifecycleState::Closing,
             (Shutdown::HandedOver, ..) => LifecycleState::HandingOver,
-            (Shutdown::Requested, Drain::Begun, _) => LifecycleState::Draining,
-            (Shutdown::Requested, ..) => LifecycleState::Leaving,
-            (Shutdown::None, Drain::Begun, true) => LifecycleState::Draining,
+            (Shutdown::Requested, Drain::Started, _) => LifecycleState::Draining,
+            (Shutdown::Requested, ..) => LifecycleState::ShutdownPending,
+            (Shutdown::None, Drain::Started, true) => LifecycleState::Draining,
             (Shutdown::None, _, false) => LifecycleState::Starting,
-            (Shutdown::None, Drain::None, true) if self.has_yielded => LifecycleState::HandingOver,
+            (Shutdown::None, Drain::None, true) if self.has_ready_successor => LifecycleState::HandingOver,
             (Shutdown::None, Drain::Settled, true) => LifecycleState::Drained,
             (Shutdown::None, Drain::None, true) => LifecycleState::Serving,
         }
@@ -120,13 +120,13 @@
     /// started it waits for that.
     pub fn is_ready(&self) -> bool {
         let is_drained = self.drain != Drain::None && !self.is_drain_inherited;
-        self.is_listed && self.shutdown == Shutdown::None && !is_drained
+        self.has_endpoint_list && self.shutdown == Shutdown::None && !is_drained
     }
 }
 
-/// The lifecycle of one node: the facts, and the state for those that watch it.
+/// The lifecycle of one node: the conditions, and the state for those that watch it.
 pub struct Lifecycle {
-    facts: Cell<LifecycleFacts>,
+    conditions: Cell<LifecycleConditions>,
     /// Ends the first phase of a drain; replaced, and thereby aborted, with each change.
     settle_timer: RefCell<JoinSet<()>>,
     state: watch::Sender<LifecycleState>,
@@ -136,41 +136,42 @@
     /// The lifecycle of a node that starts.
     pub fn new() -> Self {
         Lifecycle {
-            facts: Cell::default(),
+            conditions: Cell::default(),
             settle_timer: RefCell::default(),
             state: watch::Sender::new(LifecycleState::Starting),
         }
     }
 
-    /// The present facts.
-    pub fn facts(&self) -> LifecycleFacts {
-        self.facts.get()
+    /// The present conditions.
+    pub fn conditions(&self) -> LifecycleConditions {
+        self.conditions.get()
     }
 
-    /// Changes the facts, and notifies the watchers if the state changes.
-    pub fn update(&self, change: impl FnOnce(&mut LifecycleFacts)) {
-        let mut facts = self.facts.get();
-        change(&mut facts);
-        self.facts.set(facts);
-        self.state.send_if_modified(|state| std::mem::replace(state, facts.state()) != facts.state());
+    /// Changes the conditions, and notifies the watchers if the state changes.
+    pub fn update(&self, change: impl FnOnce(&mut LifecycleConditions)) {
+        let mut conditions = self.conditions.get();
+        change(&mut conditions);
+        self.conditions.set(conditions);
+        self.state
+            .send_if_modified(|state| std::mem::replace(state, conditions.state()) != conditions.state());
     }
 
     /// Drains the node, or resumes; a repeated request changes nothing. The drain settles after `settle_time`.
     pub fn request_drain(self: &Rc<Self>, request: DrainRequest, origin: DrainOrigin, settle_time: Duration) {
-        let is_drained = self.facts().drain != Drain::None;
+        let is_drained = self.conditions().drain != Drain::None;
         if is_drained == (request == DrainRequest::Drain) {
             return;
         }
         let mut timer = JoinSet::new();
         match request {
-            DrainRequest::Resume => self.update(|facts| {
-                facts.drain = Drain::None;
-                facts.is_drain_inherited = false;
+            DrainRequest::Resume => self.update(|conditions| {
+                conditions.drain = Drain::None;
+                conditions.is_drain_inherited = false;
             }),
             DrainRequest::Drain => {
-                self.update(|facts| {
-                    facts.drain = Drain::Begun;
-                    facts.is_drain_inherited = origin == DrainOrigin::Sibling;
+                self.update(|conditions| {
+                    conditions.drain = Drain::Started;
+                    conditions.is_drain_inherited = origin == DrainOrigin::Sibling;
                 });
                 timer.spawn_local(settle_drain(Rc::downgrade(self), settle_time));
             }
@@ -187,7 +188,7 @@
 async fn settle_drain(lifecycle: Weak<Lifecycle>, settle_time: Duration) {
     sleep(settle_time).await;
     if let Some(lifecycle) = lifecycle.upgrade() {
-        lifecycle.update(|facts| facts.drain = Drain::Settled);
+        lifecycle.update(|conditions| conditions.drain = Drain::Settled);
     }
 }
 
--- a/crates/daemon/src/node/builder.rs
+++ b/crates/daemon/src/node/builder.rs
@@ -9,11 +9,11 @@
 use crate::config::reload::{ConfigReloader, NodeReload, OperatorReload};
 use crate::discovery::EndpointUpdate;
 use crate::downstream::{DownstreamContext, DownstreamServer, ListenerOrigin};
-use crate::driver::{Driver, DriverConfig};
+use crate::driver::{Driver, DriverDependencies};
 use crate::error::NodeError;
 use crate::event::NodeEvent;
 use crate::gossip::GossipSocket;
-use crate::hot_restart::codec::{Bounds, Inherited};
+use crate::hot_restart::codec::{InheritedState, StateBounds};
 use crate::hot_restart::link::Link;
 use crate::lifecycle::Drain;
 use crate::protocol::EndpointList;
@@ -52,7 +52,7 @@
         }
         let node = &mut configuration.node;
         let Some(path) = takeover::socket_path(&node.name) else { return HotRestart::default() };
-        let bounds = Bounds {
+        let bounds = StateBounds {
             executors: limits.executor_bounds.max_listed,
             ids: 2 * limits.downstream.max_completed_ids,
         };
@@ -161,7 +161,7 @@
         let Configuration { node, settings, seed, .. } = &self.configuration;
         let shared = &self.shared;
         let bounds = &shared.limits.executor_bounds;
-        Driver::new(DriverConfig {
+        Driver::new(DriverDependencies {
             dispatcher: Dispatcher::new(settings, *seed, shared.clock.now()),
             clock: shared.clock,
             codec: shared.codec.clone(),
@@ -178,7 +178,7 @@
 
     /// Begins with the cached endpoint list and with the state of the old process. Returns the cached list for the
     /// discovery sources.
-    fn restore(&mut self, driver: &mut Driver, mut inherited: Option<Inherited>) -> CachedList {
+    fn restore(&mut self, driver: &mut Driver, mut inherited: Option<InheritedState>) -> CachedList {
         let Some(known) = self.configuration.node.cached_list.take() else { return CachedList::default() };
         let cached = CachedList::of(&known, &self.configuration.operator.discovery.sources);
         if let Some(inherited) = &mut inherited {
@@ -192,12 +192,12 @@
         cached
     }
 
-    fn restore_state(&self, driver: &mut Driver, mut inherited: Inherited) {
+    fn restore_state(&self, driver: &mut Driver, mut inherited: InheritedState) {
         self.downstream.record_sibling_requests(&std::mem::take(&mut inherited.ids));
         if inherited.is_drained {
-            self.shared.lifecycle.update(|facts| {
-                facts.drain = Drain::Settled;
-                facts.is_drain_inherited = true;
+            self.shared.lifecycle.update(|conditions| {
+                conditions.drain = Drain::Settled;
+                conditions.is_drain_inherited = true;
             });
         }
         driver.import_state(self.shared.clock.now(), inherited);
--- a/crates/daemon/src/node/ledger.rs
+++ b/crates/daemon/src/node/ledger.rs
@@ -2,7 +2,7 @@
 use super::shared::Shared;
 use crate::config::durable::DurableConfig;
 use crate::downstream::DownstreamServer;
-use crate::durable::{Durable, DurableConnections, DurableError};
+use crate::durable::{Durable, DurableDependencies, DurableError};
 use crate::upstream::ExecutorPool;
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     pub fn open(&self) -> Result<(), DurableError> {
         let durable = Durable::open(
             self.config.clone(),
-            DurableConnections {
+            DurableDependencies {
                 limits: self.shared.limits.clone(),
                 clock: self.shared.clock,
                 codec: self.shared.codec.clone(),
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -97,7 +97,7 @@
                 ended = &mut self.driver => return Err(driver_stopped(ended)),
                 _ = terminate.recv() => return Ok(()),
                 _ = interrupt.recv() => return Ok(()),
-                () = &mut list_timeout, if !list_timeout.is_elapsed() => serve_by_cached_list(&self.shared.lifecycle),
+                () = &mut list_timeout, if !list_timeout.is_elapsed() => serve_from_cached_list(&self.shared.lifecycle),
             }
         }
     }
@@ -109,10 +109,10 @@
     }
 }
 
-fn serve_by_cached_list(lifecycle: &Lifecycle) {
-    if !lifecycle.facts().is_listed {
+fn serve_from_cached_list(lifecycle: &Lifecycle) {
+    if !lifecycle.conditions().has_endpoint_list {
         tracing::warn!("no endpoint list received yet, serving by the cached one");
-        lifecycle.update(|facts| facts.is_listed = true);
+        lifecycle.update(|conditions| conditions.has_endpoint_list = true);
     }
 }
 
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -36,7 +36,7 @@
     /// Entries to apply, in order. An executor that is no longer retained has an entry that says it is gone.
     pub entries: Vec<EndpointEntry>,
     /// The number of entries that a later one of the same update replaced.
-    pub repeated: usize,
+    pub duplicates: usize,
     /// Whether to request a snapshot, because there is capacity and no entry is cached.
     pub needs_snapshot: bool,
 }
@@ -70,14 +70,14 @@
 }
 
 /// Removes all but the last entry of each name, and returns how many were removed.
-fn remove_repeated(entries: &mut Vec<EndpointEntry>) -> usize {
+fn remove_duplicates(entries: &mut Vec<EndpointEntry>) -> usize {
     let mut indices: Vec<usize> = (0..entries.len()).collect();
     indices.sort_unstable_by(|&a, &b| entries[a].id.cmp(&entries[b].id).then(a.cmp(&b)));
-    let is_repeated = |pair: &&[usize]| entries[pair[0]].id == entries[pair[1]].id;
-    let repeated: HashSet<usize> = indices.windows(2).filter(is_repeated).map(|pair| pair[0]).collect();
+    let is_duplicate = |pair: &&[usize]| entries[pair[0]].id == entries[pair[1]].id;
+    let duplicates: HashSet<usize> = indices.windows(2).filter(is_duplicate).map(|pair| pair[0]).collect();
     let mut index = 0..;
-    entries.retain(|_| index.next().is_some_and(|index| !repeated.contains(&index)));
-    repeated.len()
+    entries.retain(|_| index.next().is_some_and(|index| !duplicates.contains(&index)));
+    duplicates.len()
 }
 
 impl EndpointRetention {
@@ -126,7 +126,7 @@
         mut entries: Vec<EndpointEntry>,
         dropped_entries: usize,
     ) -> RetentionChange {
-        let repeated = remove_repeated(&mut entries);
+        let duplicates = remove_duplicates(&mut entries);
         entries.retain(|entry| !entry.is_gone());
         self.unretained.clear();
         self.uncached = dropped_entries;
@@ -139,7 +139,7 @@
         }
         self.retained = entries.len();
         self.cache(losing);
-        RetentionChange { entries, repeated, needs_snapshot: false }
+        RetentionChange { entries, duplicates, needs_snapshot: false }
     }
 
     /// Applies changes of the list.
@@ -148,7 +148,7 @@
         mut entries: Vec<EndpointEntry>,
         current: &impl RetainedEntries,
     ) -> RetentionChange {
-        let repeated = remove_repeated(&mut entries);
+        let duplicates = remove_duplicates(&mut entries);
         let mut accepted = Vec::with_capacity(entries.len());
         let mut may_change_choice = false;
         for entry in entries {
@@ -171,10 +171,10 @@
                 }
             }
         }
-        if self.has_waiting() || (may_change_choice && !self.unretained.is_empty()) {
+        if self.has_retainable_entry() || (may_change_choice && !self.unretained.is_empty()) {
             accepted = self.choose_again(accepted, current);
         }
-        RetentionChange { entries: accepted, repeated, needs_snapshot: self.request_snapshot() }
+        RetentionChange { entries: accepted, duplicates, needs_snapshot: self.request_snapshot() }
     }
 
     /// Returns true once if executors that are not cached could be retained.
@@ -187,7 +187,7 @@
     }
 
     /// Whether a cached entry could be retained now.
-    pub fn has_waiting(&self) -> bool {
+    pub fn has_retainable_entry(&self) -> bool {
         self.retained < self.bound && !self.unretained.is_empty()
     }
 
--- a/crates/daemon/src/ring_buffer.rs
+++ b/crates/daemon/src/ring_buffer.rs
@@ -54,7 +54,8 @@
 
     /// Whether no byte can be added: the buffer has its maximum size, or the budget does not let it grow.
     pub fn is_full(&self) -> bool {
-        let may_not_grow = self.len == self.storage.len() && !self.budget.fits(self.next_reservation());
+        let may_not_grow =
+            self.len == self.storage.len() && !self.budget.can_reserve(self.next_reservation());
         self.len == self.max_bytes || may_not_grow
     }
 
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -36,7 +36,7 @@
         let requested_at = Instant::now();
         let timeouts = self.limits.timeouts();
         self.stop_accepting(timeouts.close_idle_after, requested_at).await;
-        self.lifecycle.update(|facts| facts.shutdown = Shutdown::Closing);
+        self.lifecycle.update(|conditions| conditions.shutdown = Shutdown::Closing);
         self.wait_until_idle(requested_at, timeouts.cancel_after).await;
         if self.downstream.connection_count() > 0 {
             let _ = self.events.send(NodeEvent::CancelInFlight).await;
@@ -55,13 +55,13 @@
     async fn stop_accepting(&self, linger: Duration, requested_at: Instant) {
         match self.listener_origin {
             ListenerOrigin::Inherited => {
-                self.lifecycle.update(|facts| facts.shutdown = Shutdown::HandedOver);
+                self.lifecycle.update(|conditions| conditions.shutdown = Shutdown::HandedOver);
                 self.wait_until_idle(requested_at, linger).await;
             }
             ListenerOrigin::Bound => {
-                self.lifecycle.update(|facts| facts.shutdown = Shutdown::Requested);
+                self.lifecycle.update(|conditions| conditions.shutdown = Shutdown::Requested);
                 let mut state = self.lifecycle.watch();
-                let _ = timeout(linger, state.wait_for(|state| state.closes_idle())).await;
+                let _ = timeout(linger, state.wait_for(|state| state.is_closing_idle())).await;
             }
         }
     }
--- a/crates/daemon/src/takeover.rs
+++ b/crates/daemon/src/takeover.rs
@@ -4,7 +4,7 @@
 use crate::config::limits::Limits;
 use crate::downstream::DownstreamServer;
 use crate::event::{CallOrigin, NodeEvent};
-use crate::hot_restart::codec::{self, Bounds, Inherited, Message, PROTOCOL_VERSION, Usage};
+use crate::hot_restart::codec::{self, InheritedState, Message, PROTOCOL_VERSION, StateBounds, Usage};
 use crate::hot_restart::link::{Link, LinkError, LinkReader, LinkWriter, WRITE_TIMEOUT};
 use crate::hot_restart::sibling::SiblingProcess;
 use crate::lifecycle::{DrainOrigin, DrainRequest, Lifecycle, LifecycleState, Shutdown};
@@ -36,7 +36,7 @@
 /// What a new process receives from the old one, and the connection, which stays open.
 pub struct Handover {
     /// The state of the old process.
-    pub inherited: Inherited,
+    pub inherited: InheritedState,
     /// The connection to the old process.
     pub link: Link,
 }
@@ -53,7 +53,7 @@
 
 /// Requests the state of the old process. None if none runs, or its state cannot be used, which is logged: the
 /// node then starts from its configuration.
-pub async fn request_state(path: &Path, node_name: &str, bounds: Bounds) -> Option<Handover> {
+pub async fn request_state(path: &Path, node_name: &str, bounds: StateBounds) -> Option<Handover> {
     let received = match UnixStream::connect(path).await {
         Ok(stream) => receive_in_time(stream, node_name, bounds).await,
         Err(error) if is_absent(&error) => {
@@ -80,15 +80,23 @@
     matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused)
 }
 
-async fn receive_in_time(stream: UnixStream, node_name: &str, bounds: Bounds) -> Result<Handover, LinkError> {
+async fn receive_in_time(
+    stream: UnixStream,
+    node_name: &str,
+    bounds: StateBounds,
+) -> Result<Handover, LinkError> {
     let received = timeout(STATE_TIMEOUT, receive_state(stream, node_name, bounds)).await;
     received.unwrap_or(Err(LinkError::TimedOut(STATE_TIMEOUT)))
 }
 
-async fn receive_state(stream: UnixStream, node_name: &str, bounds: Bounds) -> Result<Handover, LinkError> {
+async fn receive_state(
+    stream: UnixStream,
+    node_name: &str,
+    bounds: StateBounds,
+) -> Result<Handover, LinkError> {
     let mut link = Link::new(stream)?;
     link.writer.send(&Message::Hello { version: PROTOCOL_VERSION, name: node_name.to_string() }).await?;
-    let mut inherited = Inherited::default();
+    let mut inherited = InheritedState::default();
     while !inherited.apply(link.reader.receive().await?, node_name, bounds)? {}
     Ok(Handover { inherited, link })
 }
@@ -163,7 +171,7 @@
     /// Returns once the node is asked to end.
     async fn shutdown_requested(&self) {
         let mut state = self.lifecycle.watch();
-        let is_requested = |_: &LifecycleState| self.lifecycle.facts().shutdown != Shutdown::None;
+        let is_requested = |_: &LifecycleState| self.lifecycle.conditions().shutdown != Shutdown::None;
         let _ = state.wait_for(is_requested).await;
     }
 
@@ -190,8 +198,8 @@
         }
         tracing::info!("hot restart: sending the state to a new process");
         self.exchange(link, Role::Old).await;
-        self.lifecycle.update(|facts| facts.has_yielded = false);
-        if self.lifecycle.facts().shutdown == Shutdown::None {
+        self.lifecycle.update(|conditions| conditions.has_ready_successor = false);
+        if self.lifecycle.conditions().shutdown == Shutdown::None {
             tracing::warn!("hot restart: the new process has ended, this process continues");
         }
     }
@@ -233,7 +241,7 @@
             self.shutdown_requested().await;
             // From now on a further process requests the state of the new one.
             let _ = std::fs::remove_file(&self.path);
-            self.sibling.send(Message::Leaving);
+            self.sibling.send(Message::ShutdownRequested);
         }
         std::future::pending().await
     }
@@ -300,9 +308,9 @@
             }
             Message::Ready if role == Role::Old => {
                 tracing::info!("hot restart: the new process takes clients");
-                self.lifecycle.update(|facts| facts.has_yielded = true);
+                self.lifecycle.update(|conditions| conditions.has_ready_successor = true);
             }
-            Message::Leaving if role == Role::New => {
+            Message::ShutdownRequested if role == Role::New => {
                 tracing::info!("hot restart: the old process was asked to end");
                 self.early_listener.replace(self.bind().ok());
             }
--- a/crates/daemon/tests/unit/compatibility.rs
+++ b/crates/daemon/tests/unit/compatibility.rs
@@ -3,16 +3,16 @@
 use crate::config::consul::ConsistencyMode;
 use crate::config::durable::{DurableEffect, LedgerSync};
 use crate::config::operator::{DiscoveryConfig, DiscoverySource, OperatorFile};
-use crate::hot_restart::codec::{Bounds, Inherited, decode, encode};
+use crate::hot_restart::codec::{InheritedState, StateBounds, decode, encode};
 use std::path::Path;
 use std::time::Duration;
 
-const BOUNDS: Bounds = Bounds { executors: 10, ids: 10 };
+const BOUNDS: StateBounds = StateBounds { executors: 10, ids: 10 };
 
 #[test]
 fn each_line_between_two_processes_is_read_and_written_as_before() {
     let lines = include_str!("../fixtures/hot_restart.jsonl");
-    let mut inherited = Inherited::default();
+    let mut inherited = InheritedState::default();
     let mut last = 0;
     for (number, line) in lines.lines().enumerate() {
         let message = decode(line.as_bytes()).unwrap();
--- a/crates/daemon/tests/unit/downstream.rs
+++ b/crates/daemon/tests/unit/downstream.rs
@@ -30,7 +30,7 @@
 #[tokio::test(start_paused = true)]
 async fn half_sent_requests_time_out_and_idle_connections_end() {
     let lifecycle = Lifecycle::new();
-    lifecycle.update(|facts| facts.is_listed = true);
+    lifecycle.update(|conditions| conditions.has_endpoint_list = true);
     let (server, mut received) = new_server(&lifecycle);
     let complete = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nConnection: close\r\n\
                  Content-Length: 2\r\n\r\nab";
@@ -60,7 +60,7 @@
         assert_eq!(String::from_utf8(got).unwrap(), expected, "{sent}");
     }
     assert!(matches!(received.try_recv(), Ok(NodeEvent::RequestArrived(in_flight)) if in_flight.is_closed()));
-    assert!(matches!(received.try_recv(), Ok(NodeEvent::ClientLeft(_))));
+    assert!(matches!(received.try_recv(), Ok(NodeEvent::ClientDisconnected(_))));
 }
 
 /// Requests that arrive before the first endpoint list wait for it, for a bounded time. The driver never receives
@@ -96,7 +96,7 @@
             sleep(Duration::from_millis(10)).await;
         }
         if list_arrives {
-            lifecycle.update(|facts| facts.is_listed = true);
+            lifecycle.update(|conditions| conditions.has_endpoint_list = true);
         }
         let mut arrived = Vec::new();
         while let Ok(Some(event)) = timeout(Duration::from_millis(500), received.recv()).await {
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -3,7 +3,7 @@
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::{LimitInputs, Limits};
 use crate::event::{CallOrigin, EndpointUpdate};
-use crate::hot_restart::codec::{self, Inherited};
+use crate::hot_restart::codec::{self, InheritedState};
 use crate::in_flight::Answer;
 use crate::in_flight::ClientRequest;
 use crate::protocol::EndpointEntry;
@@ -30,7 +30,7 @@
     let executors = ExecutorPool::new(limits, codec.clone(), sender, sibling.clone());
     let clock = Clock::start();
     let dispatcher = Dispatcher::new(&settings, 1, clock.now());
-    Driver::new(DriverConfig {
+    Driver::new(DriverDependencies {
         dispatcher,
         clock,
         codec,
@@ -330,7 +330,7 @@
     };
     let addr = "127.0.0.1:1".parse().unwrap();
     rig.update_list(ListUpdate::Cached, vec![ready("a", addr), EndpointEntry::gone("b")]);
-    let mut inherited = Inherited::default();
+    let mut inherited = InheritedState::default();
     inherited.executors = ["a", "b", "c", "d"].map(state).into();
     rig.driver.import_state(now, inherited);
     assert_eq!((rig.registered(), rig.driver.dispatcher.stale_events()), (2, 0));
--- a/crates/daemon/tests/unit/hot_restart_codec.rs
+++ b/crates/daemon/tests/unit/hot_restart_codec.rs
@@ -1,10 +1,10 @@
 //! Messages between two processes of a node: which are accepted, and which are errors.
 use super::*;
 
-const BOUNDS: Bounds = Bounds { executors: 3, ids: 1000 };
+const BOUNDS: StateBounds = StateBounds { executors: 3, ids: 1000 };
 
-fn apply_all(lines: &[&str]) -> Result<Option<Inherited>, CodecError> {
-    let mut inherited = Inherited::default();
+fn apply_all(lines: &[&str]) -> Result<Option<InheritedState>, CodecError> {
+    let mut inherited = InheritedState::default();
     for line in lines {
         if inherited.apply(decode(line.as_bytes())?, "n0", BOUNDS)? {
             return Ok(Some(inherited));
@@ -72,7 +72,7 @@
 fn a_long_list_is_split_into_messages_and_received_completely() {
     let ids: Vec<u64> = (0..999).collect();
     let lines = split_list(&ids, |ids| Message::Ids { ids });
-    let mut inherited = Inherited::default();
+    let mut inherited = InheritedState::default();
     let hello = Message::Hello { version: PROTOCOL_VERSION, name: "n0".into() };
     for message in [hello].into_iter().chain(lines) {
         let line = encode(&message);
--- a/crates/daemon/tests/unit/operator_file.rs
+++ b/crates/daemon/tests/unit/operator_file.rs
@@ -26,7 +26,7 @@
         nodes = []
     "#;
     let file: OperatorFile = toml::from_str(text).unwrap();
-    let faults: Vec<String> = file.faults().iter().map(ConfigFault::to_string).collect();
+    let errors: Vec<String> = file.validation_errors().iter().map(ValidationError::to_string).collect();
     let expected = [
         "`lists.sources` names one source twice",
         "`lists.consul.agents` must name 1 to 16 addresses",
@@ -47,7 +47,7 @@
         "`durable.most` must be 1 to 1000000",
         "`durable.lease` must be 100ms to 1h",
     ];
-    assert_eq!(faults, expected);
+    assert_eq!(errors, expected);
 }
 
 #[test]
@@ -57,8 +57,8 @@
         ("sources = [\"consul\"]", "`lists.sources` names consul, and there is no [lists.consul]"),
     ] {
         let file: OperatorFile = toml::from_str(&format!("[lists]\n{text}\n")).unwrap();
-        let faults: Vec<String> = file.faults().iter().map(ConfigFault::to_string).collect();
-        assert_eq!(faults, [expected], "{text}");
+        let errors: Vec<String> = file.validation_errors().iter().map(ValidationError::to_string).collect();
+        assert_eq!(errors, [expected], "{text}");
     }
 }
 
@@ -67,5 +67,5 @@
     let file: OperatorFile = toml::from_str("").unwrap();
     assert_eq!(file, OperatorFile::default());
     assert_eq!(file.discovery.sources, [DiscoverySource::Platform]);
-    assert_eq!(file.faults(), []);
+    assert_eq!(file.validation_errors(), []);
 }
--- a/crates/daemon/tests/unit/retention.rs
+++ b/crates/daemon/tests/unit/retention.rs
@@ -135,7 +135,7 @@
             }
             let entries: Vec<EndpointEntry> = changed.into_values().collect();
             let change = if is_snapshot { node.snapshot(entries, 0) } else { node.delta(entries) };
-            assert!(!change.needs_snapshot && change.repeated == 0, "seed {seed} step {step}");
+            assert!(!change.needs_snapshot && change.duplicates == 0, "seed {seed} step {step}");
             let expected = preferred(&listed, BOUND);
             assert_eq!(node.names(), expected, "seed {seed} step {step}");
             assert!(node.store.0.iter().all(|(name, entry)| listed.get(name) == Some(entry)));
@@ -196,9 +196,9 @@
     let mut node = Node::new(2, 2);
     let list = vec![entry("a", "Ready"), entry("b", "Ready"), entry("a", "Terminating"), entry("a", "Ready")];
     let change = node.snapshot(list, 0);
-    assert_eq!((change.repeated, node.retention.statistics().retained), (2, 2));
+    assert_eq!((change.duplicates, node.retention.statistics().retained), (2, 2));
     let change = node.delta(vec![entry("a", "Gone"), entry("c", "Ready"), entry("a", "Terminating")]);
-    assert_eq!(change.repeated, 1);
+    assert_eq!(change.duplicates, 1);
     assert_eq!(node.names(), ["b", "c"], "a drains, and c is ready");
     assert_eq!(node.retention.statistics().listed, 3);
 }
@@ -239,8 +239,8 @@
         node.retention.statistics(),
         RetentionStatistics { listed: 2, retained: 0, unretained: 2, bound: 2 }
     );
-    assert!(node.retention.has_waiting() && node.retention.unretained_entry("a").is_some());
+    assert!(node.retention.has_retainable_entry() && node.retention.unretained_entry("a").is_some());
     node.delta(Vec::new());
-    assert!(!node.retention.has_waiting());
+    assert!(!node.retention.has_retainable_entry());
     assert_eq!(node.names(), ["a", "b"]);
 }
--- a/crates/daemon/tests/unit/shutdown.rs
+++ b/crates/daemon/tests/unit/shutdown.rs
@@ -23,7 +23,7 @@
     }));
     let (events, mut received_events) = mpsc::channel(16);
     let lifecycle = Rc::new(Lifecycle::new());
-    lifecycle.update(|facts| facts.is_listed = true);
+    lifecycle.update(|conditions| conditions.has_endpoint_list = true);
     let clients = DownstreamServer::new(DownstreamContext {
         limits: limits.clone(),
         codec,
