--- a/crates/daemon/src/driver/actions.rs
+++ b/crates/daemon/src/driver/actions.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher decides, handed to the side that carries it out.
+//! Executes the actions that the dispatcher returns.
 use super::{Driver, LastDispatch, decision_log};
 use crate::in_flight::{Answer, CancelSignal};
 use crate::upstream::DispatchOrder;
@@ -7,7 +7,7 @@
 use troutknot::{Action, AttemptId, ExecutorId, GossipMessage, Millis, Outcome, RequestId};
 
 impl Driver {
-    pub(super) fn perform(&mut self, action: Action) {
+    pub(super) fn execute_action(&mut self, action: Action) {
         match action {
             Action::Dispatch { request_id, executor, attempt_deadline, send_deadline } => {
                 self.dispatch(request_id, executor, attempt_deadline, send_deadline);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Starts an attempt, unless the request was closed meanwhile.
+    /// Starts an attempt, unless the request was closed after the dispatcher decided on it.
     fn dispatch(
         &mut self,
         request_id: RequestId,
@@ -45,7 +45,7 @@
         if self.is_cancelling {
             cancel_signal.cancel(Outcome::TimedOut);
         }
-        // Attempts of earlier processes have no signal of their own.
+        // Fills the indices of attempts that earlier processes made; these have no cancel signal.
         request.cancel_signals.resize_with(attempt_id.0 as usize, Rc::default);
         request.cancel_signals.push(cancel_signal.clone());
         let decided_at = Instant::now();
@@ -53,15 +53,15 @@
         let in_flight = request.in_flight.clone();
         let name = self.executor_name(executor);
         tracing::debug!(executor = %name, attempt = attempt_id.0, request = request_id.0, "attempt dispatched");
-        let latest = in_flight.deadline;
+        let deadline = in_flight.deadline;
         let order = DispatchOrder {
             executor,
             executor_name: in_flight.is_durable.get().then(|| name.to_string()),
             attempt_id,
             decided_at,
             incarnation: self.executors.incarnation(executor),
-            attempt_deadline: self.clock.instant_of(attempt_deadline).min(latest),
-            send_deadline: self.clock.instant_of(send_deadline).min(latest),
+            attempt_deadline: self.clock.instant_of(attempt_deadline).min(deadline),
+            send_deadline: self.clock.instant_of(send_deadline).min(deadline),
             cancel_signal,
             in_flight,
         };
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Gives a request its final answer.
+    /// Answers a request that the dispatcher rejected or failed, and removes it.
     fn finish(&mut self, request_id: RequestId, answer: Answer) {
         let Some(request) = self.requests.remove(&request_id) else { return };
         let class = request.in_flight.request.class.0;
@@ -90,7 +90,7 @@
         request.in_flight.answer(answer);
     }
 
-    /// The dispatcher may set several timers; the driver needs the earliest.
+    /// Schedules a wake-up of the dispatcher. Of several timers, the driver stores only the earliest.
     fn set_timer(&mut self, at: Millis) {
         let at = self.clock.instant_of(at);
         self.next_timer = Some(self.next_timer.map_or(at, |earliest| earliest.min(at)));
--- a/crates/daemon/src/driver/decision_log.rs
+++ b/crates/daemon/src/driver/decision_log.rs
@@ -1,7 +1,7 @@
-//! Wording of the decision module's log entries: a constant message, with the figures as fields.
+//! Writes the dispatcher's log events to the node's log, each as a constant message with its values as fields.
 use troutknot::LogEvent;
 
-/// Writes an entry of the decision module to the node's log.
+/// Logs an event of the dispatcher.
 pub(super) fn record(event: LogEvent) {
     match event {
         LogEvent::EndpointListLost { failures, next_call_in } => {
--- a/crates/daemon/src/driver/endpoints.rs
+++ b/crates/daemon/src/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! The executors: which are listed, which of them are retained, and which operators excluded.
+//! Applies updates of the endpoint list, the retention of executors and exclusions by operators.
 use super::Driver;
 use crate::event::{CallOrigin, EndpointUpdate};
 use crate::hot_restart::codec::Message;
@@ -10,7 +10,7 @@
 use troutknot::{Endpoint, EndpointState, Event as CoreEvent, ExecutorId, ListUpdate, Millis};
 use troutknot_membership::ExecutorRegistry;
 
-/// The executors that are retained now, as [`EndpointRetention`] reads them.
+/// The entries of the executors that are retained at present, for [`EndpointRetention`].
 pub(super) struct RetainedExecutors<'a> {
     registry: &'a ExecutorRegistry,
     membership: &'a Membership,
@@ -40,25 +40,26 @@
             self.lifecycle.update(|conditions| conditions.has_endpoint_list = true);
         }
         self.dispatcher.handle_event(now, CoreEvent::EndpointsUpdated { update: kind, endpoints });
-        self.reclaim_for_waiting();
+        self.reclaim_handles();
     }
 
-    /// Releases executors that are gone at once if selected entries wait because all handles are in use.
-    pub(super) fn reclaim_for_waiting(&mut self) {
+    /// Makes the dispatcher release executors that are gone without delay if retained entries are deferred because all
+    /// handles are in use.
+    pub(super) fn reclaim_handles(&mut self) {
         if self.retention.has_retainable_entry() {
             self.dispatcher.reclaim_now();
         }
     }
 
-    /// Selects among the entries of a complete list; executors that it does not name are gone.
+    /// Selects the entries of a snapshot to retain. Executors that the snapshot does not list are marked as gone.
     fn select_snapshot(&mut self, entries: Vec<EndpointEntry>, dropped_entries: usize) -> Vec<EndpointEntry> {
         let selected = self.select(|retention, _| retention.apply_snapshot(entries, dropped_entries));
-        self.shut_missing(&selected);
+        self.drain_missing(&selected);
         self.reserve(selected.len());
         selected
     }
 
-    /// Applies a change to the retention, and returns the entries to be registered.
+    /// Applies an update to the retention, and returns the entries to register.
     fn select(
         &mut self,
         change: impl FnOnce(&mut EndpointRetention, &RetainedExecutors) -> RetentionChange,
@@ -77,8 +78,8 @@
         change.entries
     }
 
-    /// Allocates for the executors of a complete list and an eighth more at once; growing step by step would leave
-    /// as much unused memory behind.
+    /// Allocates memory for the executors of a snapshot, and an eighth more, in one step: growing in several steps
+    /// would leave as much memory unused.
     fn reserve(&mut self, executors: usize) {
         if executors <= self.registry.capacity() {
             return;
@@ -89,8 +90,8 @@
         self.executors.reserve(executors);
     }
 
-    /// Sends nothing more to executors that a complete list does not name, or that lost their place by it.
-    fn shut_missing(&mut self, selected: &[EndpointEntry]) {
+    /// Stops dispatching to executors that a snapshot does not list or that are no longer retained.
+    fn drain_missing(&mut self, selected: &[EndpointEntry]) {
         let mut missing: BTreeSet<ExecutorId> = self.registry.handles().collect();
         for entry in selected {
             if let Some(executor) = self.registry.get(&entry.id) {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Registers selected entries; those for which no handle is free wait until executors are released.
+    /// Registers selected entries. Entries for which no handle is free are deferred until executors are released.
     fn register_all(&mut self, entries: Vec<EndpointEntry>) -> Vec<Endpoint> {
         let max_registered = self.executors.limits.executor_bounds.max_registered;
         let mut endpoints = Vec::with_capacity(entries.len());
@@ -116,8 +117,8 @@
         endpoints
     }
 
-    /// Retains waiting executors if others were released since; returns whether there were any.
-    pub(super) fn retain_waiting(&mut self, now: Millis) -> bool {
+    /// Retains cached entries after executors were released. Returns whether any entry was retained.
+    pub(super) fn retain_cached_entries(&mut self, now: Millis) -> bool {
         if !std::mem::take(&mut self.has_released) || !self.retention.has_retainable_entry() {
             return false;
         }
@@ -128,7 +129,8 @@
         has_retained
     }
 
-    /// Applies the list's entry of one executor, after what operators excluded, to all parts of the node.
+    /// Applies the entry of one executor, with exclusions taken into account, to the connection pool, and returns the
+    /// endpoint for the dispatcher.
     pub(super) fn update_endpoint(&mut self, executor: ExecutorId, entry: EndpointEntry) -> Endpoint {
         let entry = self.membership.update(executor, entry);
         let mut endpoint = self.codec.load().endpoint(&entry, executor);
@@ -149,14 +151,14 @@
         endpoint
     }
 
-    /// Excludes an executor or includes it again, here and in the sibling process.
+    /// Excludes an executor or includes it again, in this process and in the sibling process.
     pub(super) fn set_excluded(&mut self, now: Millis, name: String, is_excluded: bool, origin: CallOrigin) {
-        let is_known = self.is_known(&name);
-        if is_known || matches!(origin, CallOrigin::Sibling(_)) {
+        let is_present = self.is_listed_or_excluded(&name);
+        if is_present || matches!(origin, CallOrigin::Sibling(_)) {
             self.apply_exclusion(now, &name, is_excluded);
         }
         match origin {
-            CallOrigin::Operator(done) if is_known => {
+            CallOrigin::Operator(done) if is_present => {
                 let message = |number| Message::SetExcluded { executor: name, is_excluded, number };
                 self.sibling.replicate(message, done);
             }
@@ -165,8 +167,8 @@
         }
     }
 
-    /// Whether an executor is listed, retained or not, or excluded; one that is gone may be included again.
-    fn is_known(&self, name: &str) -> bool {
+    /// Whether an executor is registered, cached or excluded. An executor that is gone can still be included again.
+    fn is_listed_or_excluded(&self, name: &str) -> bool {
         self.registry.get(name).is_some()
             || self.retention.unretained_entry(name).is_some()
             || self.membership.excluded().contains(name)
@@ -180,8 +182,8 @@
         self.update_outside_discovery(now, endpoints);
     }
 
-    /// Informs the dispatcher of endpoints that changed without an update of the list, so that it does not take the
-    /// list as received by this.
+    /// Informs the dispatcher of endpoints that changed without an update of the list. The update is marked as an
+    /// operator's, so that the dispatcher does not count the list as received.
     fn update_outside_discovery(&mut self, now: Millis, endpoints: Vec<Endpoint>) {
         let update = ListUpdate::Operator;
         self.dispatcher.handle_event(now, CoreEvent::EndpointsUpdated { update, endpoints });
--- a/crates/daemon/src/driver/events.rs
+++ b/crates/daemon/src/driver/events.rs
@@ -1,4 +1,4 @@
-//! What the sides of the node report, translated for the dispatcher.
+//! Handles the events of the node and translates them into events of the dispatcher.
 use super::{Driver, OpenRequest};
 use crate::event::NodeEvent;
 use crate::in_flight::{Answer, InFlightRequest};
@@ -8,7 +8,7 @@
 use troutknot::{AttemptId, Event as CoreEvent, ExecutorId, Millis, Outcome, ProbeReply, RequestId};
 
 impl Driver {
-    /// Handles one event; the actions that follow from it are to be polled afterwards.
+    /// Handles one event. The caller polls the dispatcher's actions afterwards.
     pub fn handle_event(&mut self, now: Millis, event: NodeEvent) {
         match event {
             NodeEvent::RequestArrived(in_flight) => self.handle_request(now, in_flight),
@@ -67,12 +67,12 @@
         let is_endpoint_update = matches!(event, CoreEvent::EndpointsUpdated { .. });
         self.dispatcher.handle_event(now, event);
         if is_endpoint_update {
-            self.reclaim_for_waiting();
+            self.reclaim_handles();
         }
     }
 
-    /// Informs the dispatcher of an outcome, and whether the request is closed, which the executor side does not
-    /// know.
+    /// Informs the dispatcher of an attempt's outcome. The upstream task cannot tell whether the request is closed, so
+    /// that is determined here.
     fn handle_attempt_ended(
         &mut self,
         now: Millis,
@@ -119,14 +119,14 @@
         );
     }
 
-    /// Cancels the attempts in flight, and those that still begin.
+    /// Cancels the attempts in flight, and any that the dispatcher starts from now on.
     fn cancel_in_flight(&mut self) {
         self.is_cancelling = true;
         let signals = self.requests.values().flat_map(|request| &request.cancel_signals);
         signals.for_each(|signal| signal.cancel(Outcome::TimedOut));
     }
 
-    /// Answers all open requests, and those that still arrive.
+    /// Answers all open requests, and any that arrive from now on.
     fn shut_down(&mut self, now: Millis) {
         self.is_shut_down = true;
         for (request_id, request) in std::mem::take(&mut self.requests) {
@@ -135,7 +135,8 @@
         }
     }
 
-    /// The answer to a request that is open when the node ends. The client may retry only what was never sent.
+    /// The answer to a request that is open when the node shuts down: rejected if no attempt was made, so that the
+    /// client may retry it, otherwise failed.
     fn final_answer(&self, attempts: u32) -> Answer {
         match attempts {
             0 => Answer::Rejected(Some(to_millis(self.executors.limits.downstream.rejected_retry_after))),
--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -1,8 +1,8 @@
-//! The driver owns the dispatcher: it translates the events of the node into the dispatcher's events, and has the
-//! sides of the node carry out the dispatcher's actions.
+//! The driver owns the dispatcher: it translates events of the node into events of the dispatcher, and executes the
+//! dispatcher's actions through the downstream and upstream modules.
 //!
-//! `events` handles what the sides report, `actions` what the dispatcher decides, `endpoints` the list of
-//! executors, and `recovery` what earlier processes of this node leave behind.
+//! `events` handles events of the node, `actions` executes the dispatcher's actions, `endpoints` maintains the
+//! executors, and `recovery` imports and exports the state of other processes of this node.
 mod actions;
 mod decision_log;
 mod endpoints;
@@ -29,24 +29,24 @@
 use troutknot_clock::Clock;
 use troutknot_membership::ExecutorRegistry;
 
-/// Maximum number of events that are handled before the actions that follow from them.
+/// Maximum number of events that are handled before the resulting actions are executed.
 const MAX_BATCH_EVENTS: usize = 64;
 
-/// Times that the driver yields to the other tasks after a stall: once for them to read what has arrived, and once for
-/// each hop of it to the driver.
+/// Number of times that the driver yields to the other tasks after a stall: once so that they read the bytes that have
+/// arrived, and once for each queue between them and the driver.
 const YIELDS_AFTER_STALL: usize = 4;
 
-/// The name that the log shows for an executor that was released.
+/// Logged in place of the name of an executor that was released.
 const RELEASED_NAME: &str = "(released)";
 
 /// A request that is open, or of which an attempt is still in flight.
 struct OpenRequest {
     in_flight: Rc<InFlightRequest>,
-    /// Number of attempts so far, including those of earlier processes.
+    /// Number of attempts, including those of earlier processes.
     attempts: u32,
-    /// Cancels the attempt whose id is the index.
+    /// The cancel signals of the attempts, indexed by attempt id.
     cancel_signals: Vec<Rc<CancelSignal>>,
-    /// The last attempt of this process, for the log.
+    /// The last attempt that this process dispatched, for the log.
     last_dispatch: Option<LastDispatch>,
 }
 
@@ -62,21 +62,21 @@
     decided_at: Instant,
 }
 
-/// What a [`Driver`] is connected with.
+/// The parts of the node that a [`Driver`] uses.
 pub struct DriverDependencies {
-    /// Decides what is done.
+    /// Decides on dispatch, probes, rejections and retries.
     pub dispatcher: Dispatcher,
     /// The clock of the dispatcher.
     pub clock: Clock,
     /// Translates between names and ids.
     pub codec: Rc<Current<Codec>>,
-    /// Carries out attempts and probes.
+    /// Sends attempts and probes to executors.
     pub executors: Rc<ExecutorPool>,
-    /// Asks for the endpoint list to be watched.
+    /// Requests a watch of the endpoint list.
     pub watch_requests: Rc<WatchRequests>,
     /// The events to handle.
     pub events: mpsc::Receiver<NodeEvent>,
-    /// Receives that a list has arrived.
+    /// Updated when an endpoint list has arrived.
     pub lifecycle: Rc<Lifecycle>,
     /// The other process of this node, if one runs.
     pub sibling: Rc<SiblingProcess>,
@@ -84,11 +84,11 @@
     pub retention: EndpointRetention,
     /// Sends gossip, if the node has peers.
     pub gossip: Option<Rc<GossipSocket>>,
-    /// Owns the tasks of attempts and probes.
+    /// Runs the tasks of attempts and probes.
     pub tasks: TaskGroup,
 }
 
-/// Owns the dispatcher, and runs it.
+/// Owns the dispatcher and runs its event loop.
 pub struct Driver {
     dispatcher: Dispatcher,
     clock: Clock,
@@ -101,26 +101,26 @@
     retention: EndpointRetention,
     gossip: Option<Rc<GossipSocket>>,
     tasks: TaskGroup,
-    /// The handles of the executors, by name.
+    /// Maps the names of executors to handles.
     registry: ExecutorRegistry,
     membership: Membership,
-    /// As last logged, and as operators' calls report them.
+    /// The statistics that were last logged; also returned by the admin API.
     retention_statistics: Rc<Cell<RetentionStatistics>>,
-    /// Whether executors were released since unretained ones were last considered.
+    /// Whether executors were released after cached entries were last considered for retention.
     has_released: bool,
     requests: BTreeMap<RequestId, OpenRequest>,
-    /// When the dispatcher is to be called next.
+    /// When the dispatcher's next timer fires.
     next_timer: Option<Instant>,
-    /// Attempts are cancelled as soon as they begin.
+    /// New attempts are cancelled as soon as they start.
     is_cancelling: bool,
-    /// Requests are answered as soon as they arrive.
+    /// New requests are answered as soon as they arrive, without being dispatched.
     is_shut_down: bool,
-    /// The number of events for released executors at the last log line.
-    logged_stale_events: u64,
+    /// The number of events for released executors when it was last checked.
+    previous_stale_events: u64,
 }
 
 impl Driver {
-    /// Creates a driver that knows no executors yet.
+    /// Creates a driver without executors.
     pub fn new(config: DriverDependencies) -> Self {
         Driver {
             dispatcher: config.dispatcher,
@@ -142,36 +142,36 @@
             next_timer: None,
             is_cancelling: false,
             is_shut_down: false,
-            logged_stale_events: 0,
+            previous_stale_events: 0,
         }
     }
 
-    /// How many executors are listed and retained, kept up to date.
+    /// A shared cell with the numbers of listed and retained executors, which the driver updates.
     pub fn retention_statistics(&self) -> Rc<Cell<RetentionStatistics>> {
         self.retention_statistics.clone()
     }
 
-    /// Handles events until every sender of events is gone, which does not happen while the node runs.
+    /// Handles events until all senders are dropped, which does not happen while the node runs.
     pub async fn run(mut self) {
         let mut batch = Vec::new();
         let mut actions = Vec::new();
-        let mut last_turn_at = self.clock.now();
+        let mut last_batch_at = self.clock.now();
         while let Some(event) = self.next_event().await {
-            self.yield_after_stall(last_turn_at).await;
+            self.yield_after_stall(last_batch_at).await;
             batch.push(event);
             self.fill_batch(&mut batch);
             let now = self.clock.now();
-            last_turn_at = now;
+            last_batch_at = now;
             for event in batch.drain(..) {
                 self.handle_event(now, event);
             }
-            self.perform_actions(now, &mut actions);
+            self.execute_actions(now, &mut actions);
             self.log_retention();
             self.log_stale_events();
         }
     }
 
-    /// Waits for the next event or the dispatcher's timer.
+    /// Waits for the next event or timer of the dispatcher.
     async fn next_event(&mut self) -> Option<NodeEvent> {
         let timer = self.next_timer;
         tokio::select! {
@@ -184,17 +184,17 @@
         }
     }
 
-    /// Lets the other tasks read what has arrived while the process did not run, before anything is decided by
-    /// outdated information.
-    async fn yield_after_stall(&self, last_turn_at: Millis) {
-        if self.clock.now() - last_turn_at > to_millis(self.executors.limits.stall_threshold) {
+    /// After a stall of the process, lets the other tasks read the bytes that arrived meanwhile, so that the
+    /// dispatcher does not decide on outdated information.
+    async fn yield_after_stall(&self, last_batch_at: Millis) {
+        if self.clock.now() - last_batch_at > to_millis(self.executors.limits.stall_threshold) {
             for _ in 0..YIELDS_AFTER_STALL {
                 tokio::task::yield_now().await;
             }
         }
     }
 
-    /// Adds the events that are queued, and moves updates of the endpoint list to the front.
+    /// Adds queued events to the batch, and moves updates of the endpoint list to the front.
     fn fill_batch(&mut self, batch: &mut Vec<NodeEvent>) {
         while batch.len() < MAX_BATCH_EVENTS {
             let Ok(event) = self.events.try_recv() else { break };
@@ -203,31 +203,31 @@
         batch.sort_by_key(|event| !matches!(event, NodeEvent::ListReceived(..)));
     }
 
-    /// Carries out what the dispatcher decided. If that released executors, unretained ones take their place.
-    fn perform_actions(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    /// Executes the dispatcher's actions. If they release executors, cached entries are retained in their place.
+    fn execute_actions(&mut self, now: Millis, actions: &mut Vec<Action>) {
         loop {
             self.dispatcher.poll_actions(now, actions);
             for action in actions.drain(..) {
-                self.perform(action);
+                self.execute_action(action);
             }
-            if !self.retain_waiting(now) {
+            if !self.retain_cached_entries(now) {
                 return;
             }
         }
     }
 
-    /// An executor's name for the log.
+    /// The name of an executor for the log.
     fn executor_name(&self, executor: ExecutorId) -> &str {
         self.registry.name(executor).unwrap_or(RELEASED_NAME)
     }
 
-    /// Logs events for released executors each time their number has doubled.
+    /// Logs the number of events for released executors each time it passes a power of 2.
     fn log_stale_events(&mut self) {
         let count = self.dispatcher.stale_events();
-        if count.checked_ilog2() > self.logged_stale_events.checked_ilog2() {
+        if count.checked_ilog2() > self.previous_stale_events.checked_ilog2() {
             tracing::info!(count, "events for released executors dropped");
         }
-        self.logged_stale_events = count;
+        self.previous_stale_events = count;
     }
 }
 
--- a/crates/daemon/src/driver/recovery.rs
+++ b/crates/daemon/src/driver/recovery.rs
@@ -1,5 +1,5 @@
-//! What earlier processes of this node leave behind: open requests in the ledger, and the state that one process
-//! sends to the next at a hot restart.
+//! State of other processes of this node: open requests that are recovered from the ledger, and the state that an old
+//! process sends to a new one during a hot restart.
 use super::Driver;
 use crate::durable::Lease;
 use crate::event::RecoveredAttempt;
@@ -17,7 +17,7 @@
 };
 
 impl Driver {
-    /// Takes a request of an earlier process, with its attempts in order.
+    /// Resumes a request of an earlier process, with its attempts in order.
     pub(super) fn handle_recovered_request(
         &mut self,
         now: Millis,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Informs the dispatcher of an attempt of an earlier process. If its outcome is not known, a task asks the
-    /// executor for it.
+    /// Informs the dispatcher of an attempt of an earlier process. If the outcome was not recorded, a task requests it
+    /// from the executor.
     fn recover_attempt(
         &mut self,
         now: Millis,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The handle of an executor that an earlier process names; one that is not retained counts as gone.
+    /// Returns the handle of an executor by name. An executor that is not retained is registered as gone.
     fn register(&mut self, now: Millis, name: &str) -> ExecutorId {
         if let Some(executor) = self.registry.get(name) {
             return executor;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Begins with the state of an old process, once its endpoint list has been applied.
+    /// Imports the state of the old process. Its endpoint list must have been applied before.
     pub fn import_state(&mut self, now: Millis, inherited: InheritedState) {
         let running_times = inherited.running_times.unwrap_or_default();
         let class_running_times = self.import_class_running_times(&running_times.classes);
@@ -137,20 +137,20 @@
         self.dispatcher.handle_event(now, CoreEvent::WarmStateReceived(state));
     }
 
-    /// Running times by the ids that the classes have in this process; classes that are unknown here are dropped.
+    /// The running times, indexed by the class ids of this process. Classes that are not configured here are dropped.
     fn import_class_running_times(&self, times: &[ClassRunningTime]) -> Vec<ObservedMean> {
         let codec = self.codec.load();
         let count = codec.current_classes().map(|(_, class)| class.0 as usize + 1).max().unwrap_or(0);
         let mut class_running_times = vec![ObservedMean::default(); count];
         for (name, class) in codec.current_classes() {
-            if let Some(known) = times.iter().find(|known| known.class == name) {
-                class_running_times[class.0 as usize] = known.time;
+            if let Some(imported) = times.iter().find(|imported| imported.class == name) {
+                class_running_times[class.0 as usize] = imported.time;
             }
         }
         class_running_times
     }
 
-    /// The state of one executor; None if it is gone and has used nothing of its warm-up budget.
+    /// Imports the state of one executor. Returns `None` if it is gone and has not used its warm-up budget.
     fn import_executor(&mut self, now: Millis, state: ExecutorState) -> Option<ExecutorWarmState> {
         if self.registry.get(&state.id).is_none() && state.warm_up_spent.is_empty() {
             return None;
--- a/crates/daemon/src/durable/jobs.rs
+++ b/crates/daemon/src/durable/jobs.rs
@@ -1,4 +1,4 @@
-//! The life of a durable request in this process: found or accepted, dispatched, answered, and forgotten.
+//! Processing of durable requests: lookup, acceptance, recording of attempts and answers, and removal.
 use super::payload::{self, StoredRequest};
 use super::{Durable, Lease, PendingAnswer};
 use crate::event::NodeEvent;
@@ -10,39 +10,39 @@
 use troutknot::{AttemptId, Effect, Millis, Outcome, RequestId};
 use troutknot_ledger::{Fence, Record, Row};
 
-/// How often answers that need not be retained any longer are looked for.
+/// Interval between searches for answers whose retention time has passed.
 const FORGET_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Maximum number of answers that are forgotten before other tasks run.
+/// Maximum number of answers that are removed before other tasks run.
 const MAX_FORGOTTEN: usize = 1000;
 
-/// Time between attempts to write an answer that the disk did not take.
+/// Interval between attempts to write an answer after a write has failed.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Retry-After of a request that could not be recorded, in milliseconds.
 const UNRECORDED_RETRY_AFTER: Millis = 1000.0;
 
-/// What the ledger has of a request that a client makes.
+/// The result of looking up a client's request in the ledger.
 pub enum LookupResult {
-    /// Nothing: the request is new.
+    /// The request is not in the ledger.
     New,
-    /// The same request, not answered yet.
+    /// The same request is recorded and not answered yet.
     Open(Rc<PendingAnswer>),
-    /// The same request, with its answer.
+    /// The same request is recorded with its answer.
     Answered(RequestId),
-    /// Another request with the same idempotency key.
+    /// Another request is recorded with the same idempotency key.
     KeyMismatch,
-    /// A request with the same id and without a key by which it could be recognized as the same.
+    /// A request is recorded with the same id; without an idempotency key it cannot be identified as the same request.
     DuplicateId,
 }
 
 impl Durable {
-    /// Looks a request up by its idempotency key, or else by its id.
+    /// Looks up a request by its idempotency key or, without one, by its id.
     pub fn look_up(&self, request: &ClientRequest) -> LookupResult {
         let ledger = self.ledger.borrow();
         let Some(request_id) = request.key.as_ref().and_then(|key| ledger.find_by_key(key)) else {
-            let is_known = ledger.find_by_client_id(&request.id).is_some();
-            return if is_known { LookupResult::DuplicateId } else { LookupResult::New };
+            let is_duplicate = ledger.find_by_client_id(&request.id).is_some();
+            return if is_duplicate { LookupResult::DuplicateId } else { LookupResult::New };
         };
         let Some(job) = ledger.job(request_id) else { return LookupResult::New };
         if job.digest != payload::digest(request) {
@@ -51,16 +51,16 @@
         match self.pending_answers.get(request_id) {
             Some(pending) => LookupResult::Open(pending),
             None if job.answered_at.is_some() => LookupResult::Answered(request_id),
-            // Open since an earlier process, and not recovered yet.
-            None => LookupResult::Open(self.pending_answers.join(request_id)),
+            // The request is from an earlier process and not recovered yet.
+            None => LookupResult::Open(self.pending_answers.get_or_create(request_id)),
         }
     }
 
-    /// Accepts a request; it is on disk when this returns. `answer_by` is when its client is answered at the
-    /// latest.
+    /// Accepts a request, and returns once its record is on disk. `answer_by` is the latest time of the answer to the
+    /// client.
     ///
     /// # Errors
-    /// The answer to a request that could not be recorded in time; it was not and will not be sent.
+    /// The answer to a request that could not be recorded in time; such a request is never dispatched.
     pub async fn accept(
         self: &Rc<Self>,
         in_flight: &Rc<InFlightRequest>,
@@ -69,7 +69,7 @@
         let rejected = Answer::Rejected(Some(UNRECORDED_RETRY_AFTER));
         let Some(row) = self.apply_accepted(in_flight) else { return Err(rejected) };
         let request_id = in_flight.request_id;
-        let pending = self.pending_answers.join(request_id);
+        let pending = self.pending_answers.get_or_create(request_id);
         let written = timeout(self.config.slow_sync_threshold, self.write(vec![row])).await;
         if !matches!(written, Ok(Ok(()))) {
             tracing::debug!(request = request_id.0, "request rejected, its record is not on disk in time");
@@ -80,7 +80,7 @@
         Ok(pending)
     }
 
-    /// The record of a new request; None if it cannot be made.
+    /// Applies the first record of a request to the index. Returns `None` if that fails.
     fn apply_accepted(&self, in_flight: &InFlightRequest) -> Option<Row> {
         let request = &in_flight.request;
         let time_left = in_flight.deadline.saturating_duration_since(Instant::now());
@@ -97,15 +97,15 @@
         self.apply(record)
     }
 
-    /// Ends a request whose record was not written in time. A client that repeats it is rejected until that is on
-    /// record; afterwards it is a new request.
+    /// Closes a request whose record was not written in time. A retry by the client is rejected until this is
+    /// recorded, and is a new request afterwards.
     fn withdraw(&self, request_id: RequestId, pending: &PendingAnswer, answer: Answer) {
         self.record_in_background(Record::Answered { request_id, answer: payload::to_recorded(&answer) });
         self.record_in_background(Record::Forgotten { request_id });
         self.pending_answers.publish(request_id, pending, answer);
     }
 
-    /// Waits for the answer, also if no client does any more, records it, and gives it to those that wait.
+    /// Waits for the answer, records it and publishes it to waiting clients. Runs on if the client disconnects.
     pub(super) async fn record_answer(
         self: Rc<Self>,
         in_flight: Rc<InFlightRequest>,
@@ -118,17 +118,17 @@
         let mut written = self.write(row.into_iter().collect()).await;
         while written.is_err() {
             sleep(WRITE_RETRY_INTERVAL).await;
-            // The committer still has the row; this waits until it is on disk.
+            // The committer retains the row; an empty write waits until it is on disk.
             written = self.write(Vec::new()).await;
         }
         if let Answer::Rejected(_) = answer {
-            // The request may run later: a client that repeats it with its key makes a new one.
+            // Removed so that a retry with the same idempotency key is accepted as a new request.
             self.record_in_background(Record::Forgotten { request_id });
         }
         self.pending_answers.publish(request_id, &pending, answer);
     }
 
-    /// The answer, or a failure if there is none by `answer_by`.
+    /// Waits for the answer, and fails the request if there is none by `answer_by`.
     async fn final_answer(&self, in_flight: &InFlightRequest, answer_by: Instant) -> Answer {
         tokio::select! {
             biased;
@@ -141,12 +141,12 @@
         }
     }
 
-    /// Records that an answer was written to a client.
+    /// Records that an answer was sent to a client.
     pub fn record_acknowledged(&self, request_id: RequestId) {
         self.record_in_background(Record::Acknowledged { request_id });
     }
 
-    /// Reads the answer that is on record; None, logged, if it cannot be read.
+    /// Reads the recorded answer of a request. Logs the error and returns `None` if it cannot be read.
     pub async fn recorded_answer(&self, request_id: RequestId) -> Option<Answer> {
         let rows = self.read(request_id).await;
         let log = |error: &_| tracing::warn!(request = request_id.0, %error, "recorded answer not readable");
@@ -156,8 +156,8 @@
         })
     }
 
-    /// Records an attempt; it may be sent once this returns a lease. None if the request may not have another
-    /// attempt, or the record was not written; the attempt must not be sent then.
+    /// Records an attempt and returns its lease; the attempt must be sent only afterwards. Returns `None` if the
+    /// request may not have another attempt or the record was not written; the attempt must not be sent then.
     pub async fn record_attempt(
         self: &Rc<Self>,
         request_id: RequestId,
@@ -176,7 +176,8 @@
         unsent.0.take()
     }
 
-    /// Number and fence of the next attempt; None, logged, if the request may not have one.
+    /// The id and fence of the next attempt. Logs the reason and returns `None` if the request may not have another
+    /// one.
     fn next_attempt(&self, request_id: RequestId, now: Millis) -> Option<(AttemptId, Fence)> {
         let ledger = self.ledger.borrow();
         let job = ledger.job(request_id)?;
@@ -186,7 +187,7 @@
         Some((AttemptId(job.attempts.len() as u32), fence))
     }
 
-    /// Forgets answers that are older than the configured time, until the node ends.
+    /// Removes answers whose retention time has passed, until the task is aborted.
     pub async fn forget_answered(self: Rc<Self>) {
         loop {
             sleep(FORGET_INTERVAL).await;
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Forgets some of the requests that were answered before this time.
+    /// Removes a batch of requests that were answered before a time.
     fn forget_batch(&self, before: Millis) -> Batch {
         let mut answered = self.ledger.borrow().answered_before(before, MAX_FORGOTTEN);
         let is_full = answered.len() == MAX_FORGOTTEN;
@@ -205,19 +206,20 @@
         for request_id in &answered {
             self.record_in_background(Record::Forgotten { request_id: *request_id });
         }
-        // Without progress the rest has to wait as well.
+        // An empty batch is reported as the last one, so that the loop does not run without progress.
         if is_full && !answered.is_empty() { Batch::Full } else { Batch::Last }
     }
 }
 
-/// Whether more may follow a batch at once.
+/// Whether another batch may follow immediately.
 #[derive(PartialEq)]
 enum Batch {
     Full,
     Last,
 }
 
-/// An attempt whose record is being written. Dropped before that is done, it counts as not sent.
+/// An attempt whose record is being written. If it is dropped before the write completes, the attempt counts as not
+/// sent.
 struct UnsentAttempt(Option<Lease>);
 
 impl Drop for UnsentAttempt {
--- a/crates/daemon/src/durable/lease.rs
+++ b/crates/daemon/src/durable/lease.rs
@@ -1,4 +1,4 @@
-//! One recorded attempt: its heartbeats, by which its lease is extended, and its outcome.
+//! The lease of one recorded attempt: heartbeats extend it, and the outcome ends it.
 use super::Durable;
 use crate::protocol::LeaseFields;
 use crate::units::to_millis;
@@ -9,20 +9,20 @@
 use troutknot::{AttemptId, Millis, Outcome, RequestId};
 use troutknot_ledger::{Fence, Record};
 
-/// Lease time if the operator's file sets none: longer than any request takes.
+/// Lease time if the operator's file sets none; longer than any request takes.
 const UNLIMITED_LEASE: Duration = Duration::from_secs(86_400);
 
-/// A heartbeat is recorded if the last recorded one is older than the lease time divided by this. The lease on
-/// record may therefore end before the real one, never after it.
+/// A heartbeat is recorded if the last recorded one is older than the lease time divided by this number. The recorded
+/// lease may therefore expire before the actual one, but never after it.
 const RECORDED_HEARTBEATS_PER_LEASE: u32 = 3;
 
-/// The lease of an attempt that is on record. Without a heartbeat for the lease time, the executor may have lost
-/// the attempt.
+/// The lease of a recorded attempt. If no heartbeat arrives during the lease time, the executor may have lost the
+/// attempt.
 pub struct Lease {
     durable: Rc<Durable>,
     request_id: RequestId,
     attempt_id: AttemptId,
-    /// The fencing token, by which an executor refuses outdated attempts.
+    /// The fencing token, by which an executor rejects outdated attempts.
     pub fence: Fence,
     recorded_at: Millis,
     expires_at: Cell<Instant>,
@@ -32,7 +32,7 @@
 }
 
 impl Lease {
-    /// The lease of an attempt that was recorded at this time; it runs from now.
+    /// Creates the lease of an attempt that was recorded at `recorded_at`. The lease time starts now.
     pub fn new(
         durable: Rc<Durable>,
         request_id: RequestId,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The fencing token and the lease, as they are sent to the executor; None if executors support neither.
+    /// The fencing token and lease time to send to the executor, or `None` if executors support neither.
     pub fn fields(&self) -> Option<LeaseFields> {
         let config = &self.durable.config;
         let duration = config.lease_duration.map(to_millis);
@@ -66,12 +66,12 @@
         self.durable.config.has_fencing
     }
 
-    /// Time since the attempt was recorded.
+    /// Time since the attempt was recorded, in milliseconds.
     pub fn age(&self) -> Millis {
         (self.durable.now() - self.recorded_at).max(0.0)
     }
 
-    /// Records that the request is running; only the first call counts.
+    /// Records that the attempt is running. Later calls have no effect.
     pub fn record_started(&self) {
         if !self.has_started.replace(true) {
             let (request_id, attempt_id) = (self.request_id, self.attempt_id);
@@ -79,8 +79,7 @@
         }
     }
 
-    /// Extends the lease after a message of the executor, and records that as a heartbeat unless a recent one is on
-    /// record.
+    /// Extends the lease after a message from the executor, and records a heartbeat unless one was recorded recently.
     pub fn extend(&self) {
         let (request_id, attempt_id, now) = (self.request_id, self.attempt_id, Instant::now());
         let Some(lease_time) = self.durable.config.lease_duration else { return };
@@ -94,7 +93,7 @@
         }
     }
 
-    /// Returns once the lease has expired.
+    /// Waits until the lease has expired.
     pub async fn expired(&self) {
         loop {
             let expires_at = self.expires_at.get();
@@ -105,7 +104,7 @@
         }
     }
 
-    /// Records the outcome; only the first one counts.
+    /// Records the outcome. Later calls have no effect.
     pub fn record_outcome(&self, outcome: Outcome) {
         if !self.has_ended.replace(true) {
             let (request_id, attempt_id) = (self.request_id, self.attempt_id);
@@ -113,8 +112,8 @@
         }
     }
 
-    /// Records that the executor has not run the attempt and refuses it from now on. Returns false if the attempt
-    /// has ended, or is on record as running.
+    /// Records that the executor has not run the attempt and will reject it. Returns false if the attempt has ended
+    /// or is recorded as running.
     pub fn record_fenced(&self) -> bool {
         if self.has_ended.get() {
             return false;
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -1,25 +1,26 @@
-//! Durable requests: accepted, dispatched and answered on record, so that a node that was killed resumes them after
-//! its restart. Runs only if the operator's file has a section `[durable]`.
+//! Durable requests: their acceptance, attempts and answers are recorded in a ledger, so that a node that was killed
+//! resumes them after a restart. Enabled if the operator's file has a section `[durable]`.
 //!
-//! [`Durable`] owns the ledger. `jobs` accepts requests and records their answers, `recovery` resumes those that
-//! were open when the last process ended, `lease` tracks one attempt, and `waiters` are the clients that wait for an
-//! answer.
+//! [`Durable`] owns the ledger. `jobs` accepts requests and records their answers, `recovery` resumes requests that
+//! were open when the last process ended, `lease` tracks one attempt, and `pending_answers` notifies the clients that
+//! wait for an answer.
 mod jobs;
 mod lease;
 mod payload;
+mod pending_answers;
 mod recovery;
 mod status;
-mod waiters;
 
 pub use jobs::LookupResult;
 pub use lease::Lease;
-pub use waiters::PendingAnswer;
+pub use pending_answers::PendingAnswer;
 
 use crate::config::durable::{DurableConfig, LedgerSync};
 use crate::config::limits::Limits;
 use crate::event::NodeEvent;
 use crate::protocol::{Codec, Current};
 use crate::tasks::TaskGroup;
+use pending_answers::PendingAnswers;
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -31,9 +32,8 @@
 use troutknot_ledger::committer::{Committer, NotReady, NotWritten, ReadError, StartError, SyncMode};
 use troutknot_ledger::store::Store;
 use troutknot_ledger::{Ledger, Record, Row};
-use waiters::PendingAnswers;
 
-/// Bounds on the attempts of a durable request, which the settings may narrow.
+/// Bounds on the number of attempts of a durable request; the number within them comes from the settings.
 const ATTEMPTS_RANGE: std::ops::RangeInclusive<usize> = 1..=3;
 
 /// Why the ledger cannot be used.
@@ -44,42 +44,42 @@
     Open {
         /// The ledger's file.
         path: PathBuf,
-        /// What went wrong.
+        /// The cause.
         source: StartError,
     },
 }
 
-/// Why no durable requests are accepted now.
+/// Why durable requests are not accepted at present.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 enum Unavailable {
-    /// The disk fails or is slow.
+    /// Writes to the disk fail or are slow.
     #[error(transparent)]
     NotReady(#[from] NotReady),
-    /// As many requests are on record as the limits allow.
+    /// The number of recorded requests has reached its limit.
     #[error("the ledger is full")]
     Full,
 }
 
-/// What [`Durable`] is connected with.
+/// The parts of the node that [`Durable`] uses.
 pub struct DurableDependencies {
-    /// Bounds the number of requests on record, and timeouts.
+    /// Limits on the number of recorded requests and timeouts.
     pub limits: Rc<Limits>,
     /// The clock of the node.
     pub clock: Clock,
     /// Translates between names and ids.
     pub codec: Rc<Current<Codec>>,
-    /// Reaches the driver.
+    /// The driver's queue.
     pub events: mpsc::Sender<NodeEvent>,
-    /// Owns the tasks that wait for answers.
+    /// Runs the tasks that wait for answers.
     pub tasks: TaskGroup,
 }
 
-/// The ledger of this node, open in this process, and the requests that are waiting to be recorded.
+/// The open ledger of this node and the durable requests of this process.
 pub struct Durable {
     config: DurableConfig,
     limits: Rc<Limits>,
     clock: Clock,
-    /// Added to the clock's times if the clock was behind the last record at the start.
+    /// Added to the clock's times if the clock was behind the last record at the start, in milliseconds.
     clock_offset: Millis,
     codec: Rc<Current<Codec>>,
     events: mpsc::Sender<NodeEvent>,
@@ -88,11 +88,11 @@
     ledger: RefCell<Ledger>,
     pending_answers: PendingAnswers,
     max_attempts: usize,
-    /// Requests that were open at the start, by deadline, until they are recovered.
+    /// Requests that were open at the start and are not recovered yet, by deadline.
     unrecovered: RefCell<Vec<RequestId>>,
-    /// Number of requests that are still to be recovered.
+    /// Number of requests that are not recovered yet.
     unrecovered_count: Cell<usize>,
-    /// Whether the last logged state is that no requests are accepted.
+    /// Whether the last state that was logged is unavailable.
     is_logged_unavailable: Cell<bool>,
 }
 
@@ -101,8 +101,8 @@
     ///
     /// # Errors
     /// If the ledger cannot be opened or read.
-    pub fn open(config: DurableConfig, connections: DurableDependencies) -> Result<Rc<Self>, DurableError> {
-        let DurableDependencies { limits, clock, codec, events, tasks } = connections;
+    pub fn open(config: DurableConfig, dependencies: DurableDependencies) -> Result<Rc<Self>, DurableError> {
+        let DurableDependencies { limits, clock, codec, events, tasks } = dependencies;
         let max_attempts = codec.load().max_attempts().clamp(*ATTEMPTS_RANGE.start(), *ATTEMPTS_RANGE.end());
         let started_at = Instant::now();
         let (committer, ledger) = start_committer(&config, max_attempts)?;
@@ -133,17 +133,17 @@
         }))
     }
 
-    /// Unix time in milliseconds, monotonic also across restarts.
+    /// Unix time in milliseconds, monotonic across restarts.
     fn now(&self) -> Millis {
         self.clock.now() + self.clock_offset
     }
 
-    /// The first request number that the ledger has not used.
+    /// The next request number that is unused in the ledger.
     pub fn next_request_number(&self) -> u64 {
         self.ledger.borrow().next_number()
     }
 
-    /// Whether new requests are accepted; logs each change.
+    /// Whether new requests are accepted. Logs each change.
     pub fn is_ready(&self) -> bool {
         let availability = self.check_available();
         let is_unavailable = availability.is_err();
@@ -162,13 +162,13 @@
         if self.ledger.borrow().len() >= limit { Err(Unavailable::Full) } else { Ok(()) }
     }
 
-    /// Applies a record to the index; None, logged, if it does not follow from the records before it.
+    /// Applies a record to the index. Logs and returns `None` if the record is inconsistent with earlier ones.
     fn apply(&self, record: Record) -> Option<Row> {
         let row = self.ledger.borrow_mut().apply(self.now(), record);
         row.inspect_err(|error| tracing::debug!(%error, "ledger record refused")).ok()
     }
 
-    /// Records something for which nobody waits; false if it does not follow from the records before it.
+    /// Writes a record without waiting until it is on disk. Returns false if it is inconsistent with earlier records.
     fn record_in_background(&self, record: Record) -> bool {
         let Some(row) = self.apply(record) else { return false };
         self.committer.write_later(row);
@@ -179,10 +179,10 @@
     async fn write(&self, rows: Vec<Row>) -> Result<(), NotWritten> {
         let (done, written) = oneshot::channel();
         self.committer.write(rows, move |result| _ = done.send(result));
-        written.await.unwrap_or_else(|_| Err(NotWritten("the ledger has ended".into())))
+        written.await.unwrap_or_else(|_| Err(NotWritten("the ledger writer has stopped".into())))
     }
 
-    /// Reads all rows of a request.
+    /// Reads all rows of a request from the ledger.
     async fn read(&self, request_id: RequestId) -> Result<Vec<Row>, ReadError> {
         let (done, rows) = oneshot::channel();
         self.committer.read(request_id, move |result| _ = done.send(result));
@@ -201,9 +201,9 @@
     started.map_err(|source| DurableError::Open { path: config.path.clone(), source })
 }
 
-/// The requests without an answer, those with the earliest deadline first.
+/// The requests without an answer, ordered by deadline.
 fn open_requests(ledger: &Ledger) -> Vec<RequestId> {
-    // The bits of positive numbers are ordered as the numbers are.
+    // The bit patterns of positive floating-point numbers have the same order as the numbers.
     let by_deadline = |(request_id, job): (RequestId, &troutknot_ledger::Job)| {
         (job.deadline.max(0.0).to_bits(), request_id)
     };
--- a/crates/daemon/src/durable/payload.rs
+++ b/crates/daemon/src/durable/payload.rs
@@ -1,4 +1,4 @@
-//! The contents of a request as the ledger has them.
+//! Conversion of requests and answers to and from their form in the ledger.
 use crate::in_flight::{Answer, ClientRequest};
 use crate::protocol::Codec;
 use bytes::Bytes;
@@ -6,7 +6,7 @@
 use sha2::{Digest as _, Sha256};
 use troutknot_ledger::{Answer as RecordedAnswer, Digest};
 
-/// What is needed to send a request to an executor. The order of the fields is the format on disk.
+/// The contents of a request that are needed to dispatch it. The order of the fields determines the format on disk.
 #[derive(Serialize, Deserialize)]
 pub(super) struct StoredRequest {
     method: String,
@@ -19,13 +19,13 @@
     memory: f64,
 }
 
-/// The settings no longer have the class of a stored request.
+/// The class of a stored request is no longer configured.
 #[derive(Debug, thiserror::Error)]
 #[error("request class `{0}` is no longer configured")]
 pub(super) struct UnknownClass(String);
 
 impl StoredRequest {
-    /// Class and tenant are stored by name, since ids may change over a restart.
+    /// Copies a request. Class and tenant are stored by name, because their ids may change with a restart.
     pub(super) fn new(request: &ClientRequest, codec: &Codec) -> Self {
         let (class, tenant) = codec.class_and_tenant_names(request);
         StoredRequest {
@@ -40,10 +40,10 @@
         }
     }
 
-    /// The request as its client made it, with ids by the present settings.
+    /// Restores the request, with class and tenant ids of the current settings.
     ///
     /// # Errors
-    /// If the settings no longer have its class.
+    /// [`UnknownClass`] if the class is no longer configured.
     pub(super) fn to_request(
         &self,
         client_id: String,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Digest by which two requests with the same idempotency key are compared.
+/// Computes the digest by which requests with the same idempotency key are compared.
 pub(super) fn digest(request: &ClientRequest) -> Digest {
     let mut hash = Sha256::new();
     for part in [request.method.as_bytes(), request.target.as_bytes(), &request.body] {
@@ -78,7 +78,7 @@
     hash.finalize().into()
 }
 
-/// The answer as the ledger has it.
+/// Converts an answer to its form in the ledger.
 pub(super) fn to_recorded(answer: &Answer) -> RecordedAnswer {
     match answer {
         Answer::Completed(result) => RecordedAnswer::Completed(result.to_vec()),
@@ -87,7 +87,7 @@
     }
 }
 
-/// The answer that the ledger has.
+/// Converts an answer from its form in the ledger.
 pub(super) fn from_recorded(recorded: RecordedAnswer) -> Answer {
     match recorded {
         RecordedAnswer::Completed(result) => Answer::Completed(result.into()),
--- a/crates/daemon/src/durable/waiters.rs
+++ b/crates/daemon/src/durable/pending_answers.rs
@@ -1,4 +1,4 @@
-//! The clients that wait for the answers of durable requests.
+//! Answers of durable requests that are not recorded yet, shared with the clients that wait for them.
 use crate::in_flight::Answer;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 use troutknot::RequestId;
 
-/// A request whose answer is not on record yet. All clients that ask for it share one value.
+/// The answer of a request while it is not recorded yet. All clients that wait for it share one value.
 pub struct PendingAnswer {
     answer: watch::Sender<Option<Answer>>,
 }
@@ -16,7 +16,7 @@
         Rc::new(PendingAnswer { answer: watch::channel(None).0 })
     }
 
-    /// Waits for the answer, which is given once it is on record.
+    /// Waits for the answer, which is published once it is recorded.
     pub async fn answered(&self) -> Answer {
         let mut answer = self.answer.subscribe();
         let answer = answer.wait_for(Option::is_some).await;
@@ -24,27 +24,27 @@
     }
 }
 
-/// The requests whose answers are not on record yet.
+/// The requests whose answers are not recorded yet.
 #[derive(Default)]
 pub(super) struct PendingAnswers(RefCell<HashMap<RequestId, Rc<PendingAnswer>>>);
 
 impl PendingAnswers {
-    /// The value shared by those that wait for this request; begins one if there is none.
-    pub(super) fn join(&self, request_id: RequestId) -> Rc<PendingAnswer> {
+    /// The shared value of a request, created if there is none.
+    pub(super) fn get_or_create(&self, request_id: RequestId) -> Rc<PendingAnswer> {
         self.0.borrow_mut().entry(request_id).or_insert_with(PendingAnswer::new).clone()
     }
 
-    /// The value shared by those that wait for this request, if its answer is not on record yet.
+    /// The shared value of a request, or `None` if its answer is recorded.
     pub(super) fn get(&self, request_id: RequestId) -> Option<Rc<PendingAnswer>> {
         self.0.borrow().get(&request_id).cloned()
     }
 
-    /// Whether the request's answer is not on record yet.
+    /// Whether the answer of a request is not recorded yet.
     pub(super) fn contains(&self, request_id: RequestId) -> bool {
         self.0.borrow().contains_key(&request_id)
     }
 
-    /// Gives the answer, which is on record, to all that wait for it.
+    /// Sends a recorded answer to all clients that wait for it.
     pub(super) fn publish(&self, request_id: RequestId, pending: &PendingAnswer, answer: Answer) {
         pending.answer.send_replace(Some(answer));
         self.0.borrow_mut().remove(&request_id);
--- a/crates/daemon/src/durable/recovery.rs
+++ b/crates/daemon/src/durable/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of the requests that were open when an earlier process ended.
+//! Recovery of requests that were open when an earlier process ended.
 use super::Durable;
 use super::payload::{StoredRequest, UnknownClass};
 use crate::byte_budget::ByteBudget;
@@ -14,23 +14,23 @@
 use troutknot_ledger::committer::ReadError;
 use troutknot_ledger::{Answer as RecordedAnswer, Attempt, Record};
 
-/// Time between attempts to reserve memory for a request.
+/// Interval between attempts to reserve memory for a request.
 const RESERVE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Upper bound on the remaining time of a recovered request, about 11 days. A damaged row could state a time that no
-/// duration can hold.
+/// Maximum remaining time of a recovered request in milliseconds, about 11 days. A corrupt row could contain a time
+/// that a `Duration` cannot represent.
 const MAX_TIME_LEFT: Millis = 1e9;
 
 /// Why an open request cannot be recovered.
 #[derive(Debug, thiserror::Error)]
 enum RecoveryError {
-    #[error("records not readable: {0}")]
+    #[error("cannot read its records: {0}")]
     Read(#[from] ReadError),
-    #[error("first record is missing")]
+    #[error("its first record is missing")]
     MissingFirstRecord,
-    #[error("request is not in the index")]
+    #[error("the request is not in the ledger's index")]
     NotInIndex,
-    #[error("stored request is damaged: {0}")]
+    #[error("cannot decode the stored request: {0}")]
     Payload(#[from] postcard::Error),
     #[error(transparent)]
     UnknownClass(#[from] UnknownClass),
@@ -45,8 +45,8 @@
 }
 
 impl Durable {
-    /// Recovers the requests that were open at the start, once there is an endpoint list: hands each to the driver
-    /// with its earlier attempts. Requests for which there is no memory wait until there is.
+    /// Recovers the requests that were open at the start, once there is an endpoint list: sends each to the driver
+    /// with its earlier attempts. Waits for memory if the budget of requests is used up.
     pub async fn recover(
         self: Rc<Self>,
         mut state: watch::Receiver<LifecycleState>,
@@ -76,7 +76,7 @@
         if let Some(row) = self.apply(Record::Answered { request_id, answer: RecordedAnswer::Failed }) {
             let _ = self.write(vec![row]).await;
         }
-        let pending = self.pending_answers.join(request_id);
+        let pending = self.pending_answers.get_or_create(request_id);
         self.pending_answers.publish(request_id, &pending, Answer::Failed);
     }
 
@@ -89,11 +89,11 @@
         let in_flight = self.reserve(request_id, &accepted, reserved_bytes).await?;
         in_flight.is_durable.set(true);
         let attempts = self.earlier_attempts(request_id)?;
-        // The dispatcher answers a request that is past its deadline as well, a moment later.
+        // The dispatcher also answers requests that are past their deadline, a short time after recovery.
         let limits = &self.limits;
         let grace = limits.downstream.deadline_margin + limits.timeouts().connect_timeout;
         let answer_by = in_flight.deadline + grace;
-        let pending = self.pending_answers.join(request_id);
+        let pending = self.pending_answers.get_or_create(request_id);
         self.tasks.spawn(self.clone().record_answer(in_flight.clone(), pending, answer_by));
         let _ = self.events.send(NodeEvent::RequestRecovered(in_flight, attempts)).await;
         Ok(())
@@ -109,7 +109,7 @@
         Err(RecoveryError::MissingFirstRecord)
     }
 
-    /// Waits until there is memory for the request.
+    /// Opens the request, waiting until its memory can be reserved.
     async fn reserve(
         &self,
         request_id: RequestId,
@@ -146,7 +146,7 @@
 fn recovered_attempt(attempt: &Attempt) -> RecoveredAttempt {
     let outcome = match attempt.outcome {
         _ if attempt.is_fenced => Some(Outcome::NotSent),
-        // The result was not recorded; the executor may still have it.
+        // The result was not recorded, but the executor may still have it.
         Some(Outcome::Completed) => None,
         outcome => outcome,
     };
--- a/crates/daemon/src/durable/status.rs
+++ b/crates/daemon/src/durable/status.rs
@@ -1,4 +1,4 @@
-//! What operators and clients can read about durable requests. The texts are part of the node's interface.
+//! Status of durable requests for operators and clients. The texts are part of the node's external interface.
 use super::Durable;
 use serde_json::{Value, json};
 use std::fmt::Write;
@@ -21,7 +21,7 @@
 }
 
 impl Durable {
-    /// What is on record of the request with this client's id, as a line of JSON; None if nothing is.
+    /// Describes the recorded request with a client's id as a line of JSON. Returns `None` if there is none.
     pub fn describe_request(&self, client_id: &str) -> Option<String> {
         let ledger = self.ledger.borrow();
         let request_id = ledger.find_by_client_id(client_id)?;
@@ -39,7 +39,7 @@
         Some(format!("{job}\n"))
     }
 
-    /// State of the ledger, as the readiness response shows it.
+    /// Describes the state of the ledger for the readiness response.
     pub fn status_text(&self) -> String {
         let ledger = self.ledger.borrow();
         let state = match self.committer.check_ready(self.config.slow_sync_threshold) {
--- a/crates/daemon/src/in_flight.rs
+++ b/crates/daemon/src/in_flight.rs
@@ -1,5 +1,4 @@
-//! A request between its client and the executors. The client side and the executor side know each other by this
-//! alone.
+//! A request in flight, shared by the downstream and upstream modules, which have no other interface to each other.
 use crate::byte_budget::{ByteBudget, Reservation};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
@@ -8,29 +7,29 @@
 use tokio::time::Instant;
 use troutknot::{Millis, Outcome, RequestClassId, RequestId, TenantId};
 
-/// A request as its client made it.
+/// The contents of a request as received from its client.
 pub struct ClientRequest {
     /// The client's id, which is forwarded unchanged.
     pub id: String,
-    /// The idempotency key, if the client gave one and durable requests are enabled.
+    /// The idempotency key, if the client sent one and durable requests are enabled.
     pub key: Option<String>,
     /// The HTTP method.
     pub method: String,
     /// The HTTP target.
     pub target: String,
-    /// The header lines that are forwarded unchanged.
+    /// The header lines that are forwarded to executors unchanged.
     pub fields: Bytes,
     /// The body.
     pub body: Bytes,
-    /// The class, by the settings.
+    /// The request class that the settings assign.
     pub class: RequestClassId,
-    /// The tenant, by the settings.
+    /// The tenant that the settings assign.
     pub tenant: TenantId,
-    /// The slots of an executor that it takes.
+    /// Number of slots that it occupies at an executor.
     pub slots: f64,
-    /// The memory of an executor that it takes.
+    /// Memory that it occupies at an executor.
     pub memory: f64,
-    /// Whether the client has made it before.
+    /// Whether the client has sent it before.
     pub is_retry: bool,
 }
 
@@ -39,9 +38,9 @@
 pub enum Answer {
     /// The result of an executor.
     Completed(Bytes),
-    /// The request was not served and did not run; with the time after which the client may retry, if there is one.
+    /// The request was rejected and did not run; with the time after which the client may retry, if one is set.
     Rejected(Option<Millis>),
-    /// The request failed, and may have run.
+    /// The request failed and may have run.
     Failed,
 }
 
@@ -50,11 +49,11 @@
 pub struct InFlightRequest {
     /// The id of the request within the node.
     pub request_id: RequestId,
-    /// The request as its client made it.
+    /// The contents of the request.
     pub request: ClientRequest,
-    /// When it must have its final answer.
+    /// When the final answer is due.
     pub deadline: Instant,
-    /// Set if the request is in the ledger; each attempt is then recorded before it is sent.
+    /// Whether the request is recorded in the ledger; each attempt is then recorded before it is sent.
     pub is_durable: Cell<bool>,
     state: RefCell<State>,
     answered: Notify,
@@ -65,12 +64,12 @@
 enum State {
     Open,
     Answered(Answer),
-    /// The client has left or was answered by its own side.
+    /// The client disconnected, or the downstream module answered by itself.
     Closed,
 }
 
 impl InFlightRequest {
-    /// Opens a request; None if its bytes do not fit into the budget.
+    /// Opens a request. Returns `None` if its bytes exceed the budget.
     pub fn new(
         request_id: RequestId,
         request: ClientRequest,
@@ -90,7 +89,7 @@
         }))
     }
 
-    /// Gives the final answer. Returns false, without effect, if the request was closed before.
+    /// Sets the final answer. Returns false and has no effect if the request was closed before.
     pub fn answer(&self, answer: Answer) -> bool {
         let mut state = self.state.borrow_mut();
         let is_open = matches!(*state, State::Open);
@@ -102,20 +101,20 @@
         is_open
     }
 
-    /// Closes the request without an answer: the client has left, or its side answers by itself. Returns false if
-    /// it was closed before.
+    /// Closes the request without an answer, because the client disconnected or the downstream module answers by
+    /// itself. Returns false if the request was closed before.
     pub fn close(&self) -> bool {
         let before = std::mem::replace(&mut *self.state.borrow_mut(), State::Closed);
         self.closed.notify_waiters();
         matches!(before, State::Open)
     }
 
-    /// Whether the request has its answer, or was closed without one.
+    /// Whether the request has an answer or was closed without one.
     pub fn is_closed(&self) -> bool {
         !matches!(*self.state.borrow(), State::Open)
     }
 
-    /// Waits for the final answer. To be called by one task only.
+    /// Waits for the final answer. Only one task may call it.
     pub async fn answered(&self) -> Answer {
         loop {
             if let State::Answered(answer) = &*self.state.borrow() {
@@ -125,7 +124,7 @@
         }
     }
 
-    /// Returns once the request has its answer, or was closed without one.
+    /// Waits until the request has an answer or is closed without one.
     pub async fn closed(&self) {
         let closed = self.closed.notified();
         if !self.is_closed() {
@@ -134,7 +133,7 @@
     }
 }
 
-/// Cancels one attempt, with the outcome that it is to end with.
+/// Cancels one attempt and sets its outcome.
 #[derive(Default)]
 pub struct CancelSignal {
     outcome: Cell<Option<Outcome>>,
@@ -153,7 +152,7 @@
         self.outcome.get().is_some()
     }
 
-    /// Waits until the attempt is cancelled, and returns the outcome. Several tasks may wait.
+    /// Waits until the attempt is cancelled and returns its outcome. Several tasks may wait.
     pub async fn cancelled(&self) -> Outcome {
         loop {
             let changed = self.changed.notified();
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a node. Its state is derived from a few conditions; the parts that act on it watch it.
+//! The lifecycle of a node. Its state is derived from a set of conditions; other modules watch the state.
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -6,24 +6,24 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// The state of a node towards its clients.
+/// Whether and how a node serves its clients.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum LifecycleState {
     /// No endpoint list has been received yet.
     Starting,
-    /// The node takes clients.
+    /// The node accepts connections and requests.
     Serving,
-    /// An operator has just drained the node: requests are still taken, and each connection closes after its
+    /// An operator has started to drain the node: requests are still accepted, and each connection closes after its
     /// response.
     Draining,
     /// An operator drained the node: idle connections close, and further requests are rejected.
     Drained,
-    /// The node was asked to end: it serves as before but reports not to be ready.
+    /// A shutdown was requested: the node still serves requests but reports that it is not ready.
     ShutdownPending,
-    /// The sibling process takes the clients: no connections are accepted, and each open one closes after its
-    /// response. If the sibling dies before this process is asked to end, it serves again.
+    /// The sibling process serves the clients: this process accepts no connections, and closes each open one after its
+    /// response. If the sibling exits before a shutdown of this process is requested, this process serves again.
     HandingOver,
-    /// Idle connections close, and each other one after its response.
+    /// Idle connections close, and other connections close after their responses.
     Closing,
 }
 
@@ -46,61 +46,61 @@
     /// The node is not drained.
     #[default]
     None,
-    /// The drain has begun, and requests under way may still arrive.
+    /// The drain has started, and requests that clients have already sent may still arrive.
     Started,
-    /// Requests that were under way when the drain began have had time to arrive.
+    /// Requests that clients had sent before the drain have had time to arrive.
     Settled,
 }
 
 /// The progress of the node's shutdown.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
 pub enum Shutdown {
-    /// The node was not asked to end.
+    /// No shutdown was requested.
     #[default]
     None,
-    /// The node was asked to end.
+    /// A shutdown was requested.
     Requested,
-    /// The node was asked to end, and another process takes the connections of clients from now on.
+    /// A shutdown was requested, and another process accepts new connections from clients.
     HandedOver,
-    /// Connections close.
+    /// The node closes its connections.
     Closing,
 }
 
-/// What an operator asks for.
+/// A request of an operator to drain or activate the node.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum DrainRequest {
-    /// Stop taking requests: the admin call `drain`.
+    /// Stop accepting requests (admin call `drain`).
     Drain,
-    /// Take requests again: the admin call `activate`. (The call `resume` concerns an executor.)
+    /// Accept requests again (admin call `activate`; the call `resume` refers to an executor).
     Resume,
 }
 
 /// Where a drain was requested.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum DrainOrigin {
-    /// By an operator at this process.
+    /// By an operator, at this process.
     Operator,
-    /// At the sibling process.
+    /// At the sibling process, which reported it.
     Sibling,
 }
 
 /// The conditions from which the state is derived.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct LifecycleConditions {
-    /// An endpoint list was received, or is no longer waited for.
+    /// Whether an endpoint list was received, or the wait for one has timed out.
     pub has_endpoint_list: bool,
     /// The progress of a drain by an operator.
     pub drain: Drain,
-    /// The drain was requested at another process of this node.
+    /// Whether the drain was requested at another process of this node.
     pub is_drain_inherited: bool,
-    /// The sibling process takes the clients as long as it runs.
+    /// Whether a new process of this node runs and serves the clients.
     pub has_ready_successor: bool,
     /// The progress of the shutdown.
     pub shutdown: Shutdown,
 }
 
 impl LifecycleConditions {
-    /// The state that follows from the conditions.
+    /// Derives the state from the conditions.
     pub fn state(&self) -> LifecycleState {
         match (self.shutdown, self.drain, self.has_endpoint_list) {
             (Shutdown::Closing, ..) => LifecycleState::Closing,
@@ -116,24 +116,24 @@
         }
     }
 
-    /// Whether this process reports to be ready. A process that inherited a drain does, since the upgrade that
-    /// started it waits for that.
+    /// Whether this process reports that it is ready. A process that inherited a drain does, because the upgrade that
+    /// started it waits for readiness.
     pub fn is_ready(&self) -> bool {
         let is_drained = self.drain != Drain::None && !self.is_drain_inherited;
         self.has_endpoint_list && self.shutdown == Shutdown::None && !is_drained
     }
 }
 
-/// The lifecycle of one node: the conditions, and the state for those that watch it.
+/// The lifecycle of one node: its conditions and a watch channel with its state.
 pub struct Lifecycle {
     conditions: Cell<LifecycleConditions>,
-    /// Ends the first phase of a drain; replaced, and thereby aborted, with each change.
+    /// Marks a drain as settled after a delay; replaced, and thereby aborted, with each change.
     settle_timer: RefCell<JoinSet<()>>,
     state: watch::Sender<LifecycleState>,
 }
 
 impl Lifecycle {
-    /// The lifecycle of a node that starts.
+    /// Creates the lifecycle of a node that is starting.
     pub fn new() -> Self {
         Lifecycle {
             conditions: Cell::default(),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The present conditions.
+    /// The current conditions.
     pub fn conditions(&self) -> LifecycleConditions {
         self.conditions.get()
     }
@@ -156,7 +156,7 @@
             .send_if_modified(|state| std::mem::replace(state, conditions.state()) != conditions.state());
     }
 
-    /// Drains the node, or resumes; a repeated request changes nothing. The drain settles after `settle_time`.
+    /// Drains or activates the node; a repeated request has no effect. A drain settles after `settle_time`.
     pub fn request_drain(self: &Rc<Self>, request: DrainRequest, origin: DrainOrigin, settle_time: Duration) {
         let is_drained = self.conditions().drain != Drain::None;
         if is_drained == (request == DrainRequest::Drain) {
@@ -179,7 +179,7 @@
         self.settle_timer.replace(timer);
     }
 
-    /// Watches the state, beginning with the present one.
+    /// Subscribes to the state, beginning with the current one.
     pub fn watch(&self) -> watch::Receiver<LifecycleState> {
         self.state.subscribe()
     }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as it was last received, and the executors that operators excluded.
+//! The latest endpoint list and the executors that operators excluded.
 //!
 //! An executor that is excluded and listed as ready counts as draining. The module performs no I/O.
 use crate::protocol::EndpointEntry;
@@ -7,7 +7,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use troutknot::ExecutorId;
 
-/// Upper bound on excluded executors that are not listed. The oldest of them is included again beyond it.
+/// Maximum number of excluded executors that are not listed; above it the oldest exclusion is dropped.
 pub const MAX_EXCLUDED_ABSENT: usize = 1024;
 
 /// Listed and excluded executors.
@@ -17,12 +17,12 @@
     excluded: BTreeSet<String>,
     /// Excluded executors that are not listed, the oldest first.
     excluded_absent: VecDeque<String>,
-    /// The version of the list, if its source counts versions.
+    /// The version of the list, if its source reports versions.
     pub version: Option<u64>,
 }
 
 impl Membership {
-    /// Stores an entry of the list, and returns the entry that is effective with the exclusions.
+    /// Stores an entry of the list and returns it with the exclusions applied.
     pub fn update(&mut self, executor: ExecutorId, entry: EndpointEntry) -> EndpointEntry {
         let mut effective = entry.clone();
         if self.excluded.contains(entry.id.as_str()) {
@@ -35,19 +35,19 @@
         effective
     }
 
-    /// Reserves memory for this number of executors in total.
+    /// Reserves memory for `executors` in total.
     pub fn reserve(&mut self, executors: usize) {
         self.listed.set_capacity(executors);
     }
 
-    /// Marks an executor as gone that is missing in a snapshot.
+    /// Marks an executor as gone because a snapshot does not list it.
     pub fn mark_gone(&mut self, executor: ExecutorId) {
         if let Some(entry) = self.listed.get_mut(executor) {
             entry.state = GONE.into();
         }
     }
 
-    /// Removes the entry of an executor whose handle is released. An exclusion remains by name.
+    /// Removes the entry of an executor whose handle is released. An exclusion is retained by name.
     pub fn release(&mut self, executor: ExecutorId) {
         if let Some(entry) = self.listed.remove(executor)
             && self.excluded.contains(entry.id.as_str())
@@ -56,9 +56,10 @@
         }
     }
 
-    /// Excludes an executor, or includes it again. One call reverts any number of earlier calls.
+    /// Excludes an executor or includes it again. One call reverts any number of earlier calls.
     ///
-    /// Returns the listed entry, to be applied again; none if nothing changes or the executor is not listed.
+    /// Returns the listed entry, which the caller must apply again, or `None` if nothing changes or the executor is
+    /// not listed.
     pub fn set_excluded(
         &mut self,
         executor: Option<ExecutorId>,
@@ -76,7 +77,7 @@
         entry.filter(|_| is_changed)
     }
 
-    /// Adds exclusions of an earlier process, before a list is received.
+    /// Adds the exclusions of an earlier process. Must be called before the first list is applied.
     pub fn import_excluded(&mut self, names: BTreeSet<String>) {
         for name in names {
             if self.excluded.insert(name.clone()) {
@@ -85,28 +86,28 @@
         }
     }
 
-    /// Names of all excluded executors.
+    /// The names of all excluded executors.
     pub fn excluded(&self) -> &BTreeSet<String> {
         &self.excluded
     }
 
-    /// The entry of an executor as it is listed; none if it is gone.
+    /// The listed entry of an executor, or `None` if it is gone.
     pub fn entry(&self, executor: ExecutorId) -> Option<&EndpointEntry> {
         self.listed.get(executor).filter(|entry| !entry.is_gone())
     }
 
-    /// All entries as they are listed, without executors that are gone.
+    /// All listed entries, without those of executors that are gone.
     pub fn listed(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.listed.values().filter(|entry| !entry.is_gone())
     }
 
-    /// The number of entries, with executors that are gone and not released.
+    /// The number of entries, including those of executors that are gone and not yet released.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.listed.len()
     }
 
-    /// Bounded, because callers can name executors that never existed.
+    /// Adds an exclusion by name. The number is bounded, because callers can name executors that do not exist.
     fn add_excluded_absent(&mut self, name: String) {
         self.excluded_absent.push_back(name);
         if self.excluded_absent.len() > MAX_EXCLUDED_ABSENT
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -1,25 +1,26 @@
-//! Chooses which of the listed executors this node retains.
+//! Selects which of the listed executors this node retains.
 //!
-//! Up to the bound all executors are retained. Beyond it, [`Retention`] chooses anew with each update of the list. The
-//! entries that are not chosen are cached up to a bound of their own, so that one of them can be retained as soon as
-//! there is capacity. Beyond that bound the lowest-ranked entries are only counted, and a snapshot is requested once
-//! all cached entries are used up. The module performs no I/O.
+//! Up to a bound, all executors are retained. Above it, [`Retention`] selects executors again with each update of the
+//! list. Entries that are not selected are cached up to a second bound, so that they can be retained as soon as there
+//! is capacity. Above that bound the lowest-ranked entries are only counted, and a snapshot is requested once no
+//! cached entry is left. The module performs no I/O.
 use crate::protocol::EndpointEntry;
 use compact_str::CompactString;
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 use troutknot_membership::{Rank, Readiness, Retention};
 
-/// Numbers of executors. The text is an answer of the admin API.
+/// Numbers of executors. The `Display` text is a response of the admin API.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetentionStatistics {
-    /// All executors that are listed.
+    /// Number of listed executors.
     pub listed: usize,
-    /// Executors that are retained.
+    /// Number of retained executors.
     pub retained: usize,
-    /// Executors that are not retained. If not all of them are cached, their number is that of the last snapshot.
+    /// Number of executors that are not retained. If not all of them are cached, the count is that of the last
+    /// snapshot.
     pub unretained: usize,
-    /// Upper bound on the executors that are retained.
+    /// Maximum number of retained executors.
     pub bound: usize,
 }
 
@@ -30,26 +31,26 @@
     }
 }
 
-/// What an update of the list changes for the node.
+/// The result of an update of the list.
 #[derive(Debug, Default, PartialEq)]
 pub struct RetentionChange {
-    /// Entries to apply, in order. An executor that is no longer retained has an entry that says it is gone.
+    /// Entries to apply, in order. An executor that is no longer retained has an entry with the state gone.
     pub entries: Vec<EndpointEntry>,
-    /// The number of entries that a later one of the same update replaced.
+    /// Number of entries that a later entry of the same update replaced.
     pub duplicates: usize,
     /// Whether to request a snapshot, because there is capacity and no entry is cached.
     pub needs_snapshot: bool,
 }
 
-/// The executors that are retained now, with their last entries.
+/// Read access to the retained executors and their latest entries.
 pub trait RetainedEntries {
-    /// The entry of one executor; none if it is gone or not retained.
+    /// The entry of an executor, or `None` if it is gone or not retained.
     fn entry(&self, name: &str) -> Option<&EndpointEntry>;
-    /// All entries.
+    /// The entries of all retained executors.
     fn entries(&self) -> impl Iterator<Item = &EndpointEntry>;
 }
 
-/// Chooses the executors to retain.
+/// Selects the executors to retain.
 pub struct EndpointRetention {
     retention: Retention,
     bound: usize,
@@ -57,19 +58,19 @@
     retained: usize,
     /// Cached entries of executors that are not retained.
     unretained: HashMap<CompactString, EndpointEntry>,
-    /// The number of executors that are neither retained nor cached.
+    /// Number of executors that are neither retained nor cached.
     uncached: usize,
-    /// A snapshot was requested and has not arrived.
+    /// Whether a snapshot was requested and has not arrived.
     is_snapshot_requested: bool,
 }
 
-/// The rank of an executor in a node's order of preference.
+/// Ranks an executor in a node's order of preference.
 pub fn rank(retention: &Retention, entry: &EndpointEntry) -> Rank {
     let readiness = if entry.is_ready() { Readiness::Ready } else { Readiness::Draining };
     retention.rank(&entry.id, readiness)
 }
 
-/// Removes all but the last entry of each name, and returns how many were removed.
+/// Removes all but the last entry of each executor, and returns the number of removed entries.
 fn remove_duplicates(entries: &mut Vec<EndpointEntry>) -> usize {
     let mut indices: Vec<usize> = (0..entries.len()).collect();
     indices.sort_unstable_by(|&a, &b| entries[a].id.cmp(&entries[b].id).then(a.cmp(&b)));
@@ -81,7 +82,8 @@
 }
 
 impl EndpointRetention {
-    /// For the node of this name, which retains at most `bound` executors and caches `max_unretained` other entries.
+    /// Creates the retention of the node with this name, which retains at most `bound` executors and caches at most
+    /// `max_unretained` other entries.
     pub fn new(node: &str, bound: usize, max_unretained: usize) -> Self {
         EndpointRetention {
             retention: Retention::of_node(node),
@@ -94,7 +96,7 @@
         }
     }
 
-    /// The numbers of executors.
+    /// The current numbers of executors.
     pub fn statistics(&self) -> RetentionStatistics {
         let unretained = self.unretained.len() + self.uncached;
         RetentionStatistics {
@@ -119,7 +121,7 @@
         rank(&self.retention, entry)
     }
 
-    /// Applies a snapshot, of which the parser dropped a number of entries. An executor without an entry in the
+    /// Applies a snapshot from which the parser dropped `dropped_entries` entries. An executor without an entry in the
     /// result is gone or no longer retained.
     pub fn apply_snapshot(
         &mut self,
@@ -131,18 +133,18 @@
         self.unretained.clear();
         self.uncached = dropped_entries;
         self.is_snapshot_requested = false;
-        let mut losing = Vec::new();
+        let mut unselected = Vec::new();
         if entries.len() > self.bound {
             let ranks: Vec<Rank> = entries.iter().map(|entry| self.rank(entry)).collect();
-            let mut is_chosen = Retention::choose(&ranks, self.bound).into_iter();
-            losing.extend(entries.extract_if(.., |_| is_chosen.next() == Some(false)));
+            let mut is_selected = Retention::choose(&ranks, self.bound).into_iter();
+            unselected.extend(entries.extract_if(.., |_| is_selected.next() == Some(false)));
         }
         self.retained = entries.len();
-        self.cache(losing);
+        self.cache(unselected);
         RetentionChange { entries, duplicates, needs_snapshot: false }
     }
 
-    /// Applies changes of the list.
+    /// Applies a delta of the list.
     pub fn apply_delta(
         &mut self,
         mut entries: Vec<EndpointEntry>,
@@ -150,12 +152,12 @@
     ) -> RetentionChange {
         let duplicates = remove_duplicates(&mut entries);
         let mut accepted = Vec::with_capacity(entries.len());
-        let mut may_change_choice = false;
+        let mut has_selection_change = false;
         for entry in entries {
             match current.entry(&entry.id) {
                 Some(previous) => {
                     self.retained -= usize::from(entry.is_gone());
-                    may_change_choice |= previous.state != entry.state;
+                    has_selection_change |= previous.state != entry.state;
                     accepted.push(entry);
                 }
                 None if entry.is_gone() => {
@@ -167,17 +169,17 @@
                 }
                 None => {
                     self.unretained.insert(entry.id.clone(), entry);
-                    may_change_choice = true;
+                    has_selection_change = true;
                 }
             }
         }
-        if self.has_retainable_entry() || (may_change_choice && !self.unretained.is_empty()) {
-            accepted = self.choose_again(accepted, current);
+        if self.has_retainable_entry() || (has_selection_change && !self.unretained.is_empty()) {
+            accepted = self.reselect(accepted, current);
         }
         RetentionChange { entries: accepted, duplicates, needs_snapshot: self.request_snapshot() }
     }
 
-    /// Returns true once if executors that are not cached could be retained.
+    /// Returns true if a snapshot is needed to retain executors that are not cached, but only once until one arrives.
     fn request_snapshot(&mut self) -> bool {
         let is_needed = self.uncached > 0 && self.retained < self.bound && self.unretained.is_empty();
         if !is_needed {
@@ -186,19 +188,19 @@
         !std::mem::replace(&mut self.is_snapshot_requested, true)
     }
 
-    /// Whether a cached entry could be retained now.
+    /// Whether there is capacity to retain a cached entry.
     pub fn has_retainable_entry(&self) -> bool {
         self.retained < self.bound && !self.unretained.is_empty()
     }
 
-    /// Caches an entry that was chosen and for which there is no free handle, even beyond the bound of the cache.
+    /// Caches a selected entry for which no handle is free, even above the bound of the cache.
     pub fn defer(&mut self, entry: EndpointEntry) {
         self.retained -= 1;
         self.unretained.insert(entry.id.clone(), entry);
     }
 
-    /// Chooses among all retained executors, with the update applied, and all cached ones.
-    fn choose_again(
+    /// Selects again among all retained executors, with the update applied, and all cached ones.
+    fn reselect(
         &mut self,
         mut accepted: Vec<EndpointEntry>,
         current: &impl RetainedEntries,
@@ -209,33 +211,33 @@
             unchanged.chain(accepted.iter().filter(|entry| !entry.is_gone())).collect();
         let candidates = retained.iter().copied().chain(self.unretained.values());
         let ranks: Vec<Rank> = candidates.map(|entry| self.rank(entry)).collect();
-        let is_chosen = Retention::choose(&ranks, self.bound);
-        let (retained_chosen, unretained_chosen) = is_chosen.split_at(retained.len());
-        let losing = retained.iter().zip(retained_chosen).filter(|(_, is_chosen)| !**is_chosen);
-        let losing: Vec<EndpointEntry> = losing.map(|(entry, _)| (*entry).clone()).collect();
-        let winning = self.unretained.values().zip(unretained_chosen).filter(|(_, is_chosen)| **is_chosen);
-        let winning: Vec<CompactString> = winning.map(|(entry, _)| entry.id.clone()).collect();
-        self.retained = is_chosen.iter().filter(|&&is_chosen| is_chosen).count();
-        let losing_names: HashSet<&str> = losing.iter().map(|entry| entry.id.as_str()).collect();
-        accepted.retain(|entry| !losing_names.contains(entry.id.as_str()));
-        // An executor that was not retained before has no entry to take back.
-        let retained_before = losing.iter().filter(|entry| current.entry(&entry.id).is_some());
+        let is_selected = Retention::choose(&ranks, self.bound);
+        let (retained_selected, cached_selected) = is_selected.split_at(retained.len());
+        let evicted = retained.iter().zip(retained_selected).filter(|(_, is_selected)| !**is_selected);
+        let evicted: Vec<EndpointEntry> = evicted.map(|(entry, _)| (*entry).clone()).collect();
+        let promoted = self.unretained.values().zip(cached_selected).filter(|(_, is_selected)| **is_selected);
+        let promoted: Vec<CompactString> = promoted.map(|(entry, _)| entry.id.clone()).collect();
+        self.retained = is_selected.iter().filter(|&&is_selected| is_selected).count();
+        let evicted_names: HashSet<&str> = evicted.iter().map(|entry| entry.id.as_str()).collect();
+        accepted.retain(|entry| !evicted_names.contains(entry.id.as_str()));
+        // Only executors that were retained before the update are reported as gone.
+        let retained_before = evicted.iter().filter(|entry| current.entry(&entry.id).is_some());
         accepted.extend(retained_before.map(|entry| entry.clone().into_gone()));
-        accepted.extend(winning.iter().filter_map(|name| self.unretained.remove(name)));
-        self.cache(losing);
+        accepted.extend(promoted.iter().filter_map(|name| self.unretained.remove(name)));
+        self.cache(evicted);
         accepted
     }
 
-    /// Caches entries, and drops those with the lowest ranks beyond the bound.
+    /// Caches entries, and drops the lowest-ranked ones above the bound.
     fn cache(&mut self, entries: Vec<EndpointEntry>) {
         self.unretained.extend(entries.into_iter().map(|entry| (entry.id.clone(), entry)));
         if self.unretained.len() <= self.max_unretained {
             return;
         }
         let ranks: Vec<Rank> = self.unretained.values().map(|entry| self.rank(entry)).collect();
-        let mut is_chosen = Retention::choose(&ranks, self.max_unretained).into_iter();
+        let mut is_selected = Retention::choose(&ranks, self.max_unretained).into_iter();
         let before = self.unretained.len();
-        self.unretained.retain(|_, _| is_chosen.next() == Some(true));
+        self.unretained.retain(|_, _| is_selected.next() == Some(true));
         self.uncached += before - self.unretained.len();
     }
 }
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: serves what was taken and what still arrives, closes idle connections, and ends once no
-//! connection is left or the time is up.
+//! Graceful shutdown: serves open requests and those that still arrive, closes idle connections, and completes once no
+//! connection is open or the time limit is reached.
 use crate::config::limits::Limits;
 use crate::downstream::{DownstreamServer, ListenerOrigin};
 use crate::event::NodeEvent;
@@ -12,19 +12,19 @@
 /// How often open connections are counted.
 const COUNT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Consecutive counts without a connection after which the node is idle. A connection that was established just
-/// before a count is accepted before the next one.
+/// Number of consecutive counts without a connection after which the node is idle. Two are needed because a connection
+/// that was established just before a count is accepted only before the next one.
 const IDLE_COUNTS: u32 = 2;
 
-/// What a graceful shutdown acts on.
+/// The parts of the node that a graceful shutdown uses.
 pub struct GracefulShutdown {
-    /// Bound each phase.
+    /// The limits, which bound each phase.
     pub limits: Rc<Limits>,
-    /// Holds the connections of clients.
+    /// Serves the connections from clients.
     pub downstream: Rc<DownstreamServer>,
-    /// Announces each phase.
+    /// The lifecycle, updated with each phase.
     pub lifecycle: Rc<Lifecycle>,
-    /// Reaches the driver.
+    /// The driver's queue.
     pub events: mpsc::Sender<NodeEvent>,
     /// The origin of the listening socket.
     pub listener_origin: ListenerOrigin,
@@ -51,22 +51,23 @@
         tracing::info!(connections, "shutdown complete");
     }
 
-    /// Leaves new connections to another process, or serves them until clients have noticed the shutdown.
-    async fn stop_accepting(&self, linger: Duration, requested_at: Instant) {
+    /// Hands new connections over to another process, or accepts them until clients have had time to detect the
+    /// shutdown.
+    async fn stop_accepting(&self, max_wait: Duration, requested_at: Instant) {
         match self.listener_origin {
             ListenerOrigin::Inherited => {
                 self.lifecycle.update(|conditions| conditions.shutdown = Shutdown::HandedOver);
-                self.wait_until_idle(requested_at, linger).await;
+                self.wait_until_idle(requested_at, max_wait).await;
             }
             ListenerOrigin::Bound => {
                 self.lifecycle.update(|conditions| conditions.shutdown = Shutdown::Requested);
                 let mut state = self.lifecycle.watch();
-                let _ = timeout(linger, state.wait_for(|state| state.is_closing_idle())).await;
+                let _ = timeout(max_wait, state.wait_for(|state| state.is_closing_idle())).await;
             }
         }
     }
 
-    /// Waits until no connection is open, at the longest for `limit` after the shutdown was requested.
+    /// Waits until no connection is open, but no longer than `limit` after the shutdown was requested.
     async fn wait_until_idle(&self, requested_at: Instant, limit: Duration) {
         let mut idle_counts = 0;
         while idle_counts < IDLE_COUNTS && requested_at.elapsed() < limit {
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -64,7 +64,7 @@
         let (now, mut actions) = (self.driver.clock.now() + self.ahead, Vec::new());
         self.driver.handle_event(now, event);
         self.driver.dispatcher.poll_actions(now, &mut actions);
-        actions.into_iter().for_each(|action| self.driver.perform(action));
+        actions.into_iter().for_each(|action| self.driver.execute_action(action));
     }
 
     fn update_list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) {
@@ -263,7 +263,7 @@
             Action::CloseIdleConnections { executor: released },
             Action::ReleaseExecutor { executor: released },
         ] {
-            rig.driver.perform(action);
+            rig.driver.execute_action(action);
         }
         assert_eq!(rig.serve(&[in_flight]).await, 1, "another executor serves it");
         assert_eq!(rig.registered(), 2);
