--- a/crates/daemon/src/admin/handlers.rs
+++ b/crates/daemon/src/admin/handlers.rs
@@ -1,4 +1,4 @@
-//! The handlers of the admin API, one for each call.
+//! Handlers of the calls of the admin API.
 use crate::admin::routes::AdminCall;
 use crate::config::limits::Limits;
 use crate::event::{CallOrigin, NodeEvent};
@@ -17,7 +17,7 @@
     pub status: u16,
     /// The body, without the line end.
     pub body: Cow<'static, str>,
-    /// The method for the header `Allow`, if another one was used.
+    /// The value of the header `Allow`, if the request's method is not allowed.
     pub allowed_method: Option<&'static str>,
 }
 
@@ -32,9 +32,9 @@
     }
 }
 
-/// What the handlers need of the node.
+/// Handles the calls of the admin API.
 pub struct AdminHandlers {
-    /// The limits of this node.
+    /// The limits of the node.
     pub limits: Rc<Limits>,
     /// The driver's queue.
     pub events: mpsc::Sender<NodeEvent>,
@@ -42,12 +42,12 @@
     pub lifecycle: Rc<Lifecycle>,
     /// The other process of this node, during a hot restart.
     pub sibling: Rc<SiblingProcess>,
-    /// The numbers of executors.
+    /// The numbers of listed and retained executors.
     pub statistics: Rc<Cell<RetentionStatistics>>,
 }
 
 impl AdminHandlers {
-    /// Handles a call. The response is returned once the call's effect holds in both processes of the node.
+    /// Handles a call. Returns the response once the call has taken effect in both processes of the node.
     pub async fn handle(&self, call: &AdminCall) -> AdminResponse {
         match call {
             AdminCall::Readiness => self.readiness(),
@@ -88,9 +88,9 @@
 
     async fn set_excluded(&self, executor: &str, is_excluded: bool) -> AdminResponse {
         let list_deadline = Instant::now() + self.limits.admin.call_timeout;
-        // The call itself has time left even if the wait for the list took all of its own.
+        // Leaves time for the call itself even if the wait for the list uses all of its own timeout.
         let deadline = list_deadline + self.limits.admin.call_timeout / 2;
-        // Executors are unknown until a list is received.
+        // No executor can be found by name before a list is received.
         let mut lifecycle = self.lifecycle.watch();
         let listed = lifecycle.wait_for(|state| *state != LifecycleState::Starting);
         let _ = timeout_at(list_deadline, listed).await;
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The admin API, on a listener of its own if the node file names one. Each connection carries one call.
+//! The admin API. It has a separate listener, if the node file configures one, and serves one call per connection.
 mod handlers;
 mod routes;
 
@@ -20,7 +20,7 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Wait after a connection could not be accepted, for instance for lack of descriptors.
+/// Delay after a connection could not be accepted, for example because no file descriptor is free.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Serves the admin API.
@@ -29,21 +29,22 @@
     limits: Rc<Limits>,
     buffers: Rc<ByteBudget>,
     tasks: TaskGroup,
-    /// Connections whose request is not complete, the oldest first.
+    /// Connections whose request is incomplete, oldest first.
     incomplete: RefCell<VecDeque<IncompleteRequest>>,
     open_connections: Cell<usize>,
-    next_number: Cell<u64>,
+    next_connection_number: Cell<u64>,
 }
 
-/// A connection whose request is not complete.
+/// A connection whose request is incomplete.
 struct IncompleteRequest {
     connection_number: u64,
-    /// Closes the connection.
+    /// Notified to close the connection.
     close: Rc<Notify>,
 }
 
 impl AdminServer {
-    /// A server for this node, which reports `statistics`. Its connections are tasks of the group.
+    /// Creates the server of a node, whose numbers of executors are in `statistics`. Connections run as tasks of
+    /// `tasks`.
     pub fn new(
         limits: Rc<Limits>,
         events: mpsc::Sender<NodeEvent>,
@@ -61,11 +62,11 @@
             tasks,
             incomplete: RefCell::default(),
             open_connections: Cell::new(0),
-            next_number: Cell::new(0),
+            next_connection_number: Cell::new(0),
         })
     }
 
-    /// Accepts connections until the node ends.
+    /// Accepts connections until the task is aborted.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -78,15 +79,15 @@
         }
     }
 
-    /// Serves a connection. At the limit it replaces the oldest one whose request is incomplete, so that callers who
-    /// send nothing cannot block the API; if there is none, it is dropped.
+    /// Serves a connection. At the connection limit, it replaces the oldest connection whose request is incomplete, so
+    /// that callers who send nothing cannot block the API; if there is none, the new connection is dropped.
     fn serve_or_drop(self: &Rc<Self>, stream: TcpStream) {
         if self.open_connections.get() >= self.limits.admin.max_connections {
             let Some(oldest) = self.incomplete.borrow_mut().pop_front() else { return };
             oldest.close.notify_one();
         }
-        let connection_number = self.next_number.get();
-        self.next_number.set(connection_number + 1);
+        let connection_number = self.next_connection_number.get();
+        self.next_connection_number.set(connection_number + 1);
         self.open_connections.set(self.open_connections.get() + 1);
         let close: Rc<Notify> = Rc::default();
         self.incomplete.borrow_mut().push_back(IncompleteRequest { connection_number, close: close.clone() });
@@ -141,7 +142,7 @@
         let body = format!("{}\n", response.body);
         let fields: Vec<(&str, String)> =
             response.allowed_method.iter().map(|method| ("Allow", method.to_string())).collect();
-        // One call for each connection.
+        // Each connection serves one call.
         let keep_alive = false;
         let head = http1::response_head(response.status, body.len(), keep_alive, &fields);
         let parts = [&head[..], body.as_bytes()];
--- a/crates/daemon/src/admin/routes.rs
+++ b/crates/daemon/src/admin/routes.rs
@@ -2,10 +2,10 @@
 use crate::lifecycle::DrainRequest;
 use percent_encoding::percent_decode_str;
 
-/// The longest name of an executor that a call may have; the error of an invalid name states it.
+/// Maximum length of an executor's name in bytes; the error text of an invalid name contains it.
 const MAX_EXECUTOR_NAME_BYTES: usize = 255;
 
-/// Stands in a route's path for the name of an executor.
+/// The segment of a route's path that matches the name of an executor.
 const EXECUTOR_SEGMENT: &str = "{executor}";
 
 /// A call of the admin API.
@@ -13,7 +13,7 @@
 pub enum AdminCall {
     /// Returns whether the node is ready.
     Readiness,
-    /// Returns the numbers of executors that are listed and retained.
+    /// Returns the numbers of listed and retained executors.
     Statistics,
     /// Excludes an executor, or includes it again.
     SetExcluded {
@@ -22,7 +22,7 @@
         /// Whether the executor is excluded from now on.
         is_excluded: bool,
     },
-    /// Drains the node, or lets it accept requests again.
+    /// Drains the node or activates it again.
     Drain(DrainRequest),
 }
 
@@ -32,10 +32,10 @@
     /// No route has the path.
     #[error("there is no such call")]
     UnknownPath,
-    /// The route of the path has another method.
+    /// The path has a route, but with another method.
     #[error("the call is made by another method")]
     MethodNotAllowed {
-        /// The method of the route.
+        /// The method that is allowed.
         allowed: &'static str,
     },
     /// The name of the executor in the path is empty, too long or not UTF-8.
@@ -57,7 +57,7 @@
 struct Route {
     method: &'static str,
     path: &'static str,
-    /// Builds the call from the executor's name, which is empty if the path has none.
+    /// Creates the call from the executor's name, which is empty if the path has none.
     call: fn(String) -> AdminCall,
 }
 
@@ -78,7 +78,7 @@
     Route { method: "PUT", path: "/v1/node/activate", call: |_| AdminCall::Drain(DrainRequest::Resume) },
 ];
 
-/// Finds the call of a request by its method and target. A query in the target is ignored.
+/// Finds the call for a method and target. A query in the target is ignored.
 ///
 /// # Errors
 /// If no route matches. An invalid name of an executor is reported before a wrong method.
@@ -99,7 +99,7 @@
         && route.path.split('/').zip(path.split('/')).all(is_match)
 }
 
-/// The decoded name of the executor in a path that matches the route; empty if the route has none.
+/// Decodes the executor's name from a path that matches the route. Returns an empty name if the route has none.
 fn executor_name(route: &Route, path: &str) -> Result<String, RouteError> {
     let mut segments = route.path.split('/').zip(path.split('/'));
     let Some((_, segment)) = segments.find(|(expected, _)| *expected == EXECUTOR_SEGMENT) else {
--- a/crates/daemon/src/discovery/consul/entry.rs
+++ b/crates/daemon/src/discovery/consul/entry.rs
@@ -5,8 +5,8 @@
 use troutknot_consul::catalog::{InstanceChange, InstanceState};
 use troutknot_consul::health::{Health, Incarnation, ServiceInstance};
 
-/// The entry of an executor that changed.
-pub fn entry_of(change: InstanceChange) -> EndpointEntry {
+/// Converts a changed instance to an entry of the endpoint list.
+pub fn to_entry(change: InstanceChange) -> EndpointEntry {
     let instance = &change.instance;
     let state = match change.state {
         InstanceState::Ready => READY,
@@ -25,8 +25,8 @@
     }
 }
 
-/// The instance of a cached entry; none if the entry has no address.
-pub fn instance_of(entry: &EndpointEntry) -> Option<ServiceInstance> {
+/// Converts a cached entry to an instance. Returns `None` if its address is not valid.
+pub fn to_instance(entry: &EndpointEntry) -> Option<ServiceInstance> {
     let is_ready = entry.is_ready();
     let started_at = entry.started_at.filter(|at| *at > 0.0);
     Some(ServiceInstance {
--- a/crates/daemon/src/discovery/consul/mod.rs
+++ b/crates/daemon/src/discovery/consul/mod.rs
@@ -1,5 +1,5 @@
-//! Watches services in Consul: a task for each service, which queries the agents in turn, and one task for the
-//! catalog's timers. Changes of the catalog are sent as updates of the endpoint list.
+//! Watches services in Consul. One task for each service queries the agents in turn, and one task runs the timers of
+//! the catalog. Changes of the catalog are sent as updates of the endpoint list.
 mod entry;
 mod publish;
 mod query;
@@ -10,7 +10,7 @@
 use crate::discovery::EndpointUpdateSender;
 use crate::protocol::EndpointEntry;
 use crate::tasks::TaskGroup;
-use entry::instance_of;
+use entry::to_instance;
 use query::{ServiceQueries, read_token};
 use service::ServiceWatch;
 use std::cell::{Cell, RefCell};
@@ -23,29 +23,29 @@
 use troutknot_consul::health::ServiceInstance;
 use troutknot_consul::query::WatchedService;
 
-/// Stands for the cached list in the catalog, until all services have answered.
+/// Identifies the cached list in the catalog until all services have answered.
 const CACHED_LIST: WatchId = WatchId(usize::MAX);
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// Watches the services that the operator's file names.
+/// Watches the services that the operator's file configures.
 pub struct ConsulWatcher {
-    /// The limits of this node.
+    /// The limits of the node.
     pub limits: Rc<Limits>,
     /// The clock of the catalog.
     pub clock: Clock,
     /// Receives the updates.
     pub updates: EndpointUpdateSender,
-    /// Configuration of the watches; none once the operator's file no longer has them.
+    /// Configuration of the watches; `None` if a reloaded operator's file no longer has it.
     pub config: watch::Receiver<Option<ConsulConfig>>,
-    /// The status that a health check of this node returns.
+    /// The status text that a health check of the node returns.
     pub status: Rc<RefCell<String>>,
-    /// Owns the tasks of the watches.
+    /// Runs the tasks of the watches.
     pub tasks: TaskGroup,
 }
 
-/// State that the tasks share.
-struct Shared {
+/// State that the tasks of the watches share.
+struct WatcherState {
     limits: Rc<Limits>,
     clock: Clock,
     updates: EndpointUpdateSender,
@@ -62,9 +62,9 @@
 }
 
 impl ConsulWatcher {
-    /// Watches until the node ends. The cached entries stay listed until all services have answered.
+    /// Watches until the node shuts down. Cached entries stay listed until all services have answered.
     pub async fn run(mut self, cached: Vec<EndpointEntry>) {
-        let shared = Rc::new(Shared::new(&self, &cached));
+        let shared = Rc::new(WatcherState::new(&self, &cached));
         drop(cached);
         self.tasks.spawn(shared.clone().run_timers());
         loop {
@@ -77,20 +77,20 @@
     }
 }
 
-impl Shared {
+impl WatcherState {
     fn new(watcher: &ConsulWatcher, cached: &[EndpointEntry]) -> Self {
         let config = watcher.config.borrow();
         let max_executors = watcher.limits.executor_bounds.max_retained;
         let policy = config.as_ref().map(|config| config.catalog_policy(max_executors)).unwrap_or_default();
-        // The clock's times are Unix times already.
+        // The offset to Unix time is 0, because the clock already returns Unix times.
         let mut catalog = Catalog::new(policy, 0.0);
         let instances: Vec<Rc<ServiceInstance>> =
-            cached.iter().filter_map(instance_of).map(Rc::new).collect();
+            cached.iter().filter_map(to_instance).map(Rc::new).collect();
         catalog.apply_response(watcher.clock.now(), CACHED_LIST, &instances);
-        // The driver has these already.
+        // Discarded, because the driver already has the cached list.
         let _ = catalog.changes(watcher.clock.now());
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Shared {
+        WatcherState {
             limits: watcher.limits.clone(),
             clock: watcher.clock,
             updates: watcher.updates.clone(),
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Starts and stops watches so that they are those of the configuration. The state of a service that is still
-    /// configured is retained.
+    /// Starts and stops watches so that they match the configuration. The state of a service that is still configured
+    /// is retained.
     async fn reconcile(self: &Rc<Self>, config: Option<ConsulConfig>) {
         let mut previous = self.watches.take();
         if let Some(config) = &config {
@@ -144,7 +144,7 @@
         if let Some(previous) = &previous {
             previous.task.abort();
         }
-        let number = previous.as_ref().map_or_else(|| self.take_number(), |previous| previous.number);
+        let number = previous.as_ref().map_or_else(|| self.next_watch_id(), |previous| previous.number);
         let last_answer_at = previous.as_ref().and_then(|previous| previous.last_answer_at.get());
         let is_failing = previous.is_some_and(|previous| previous.is_failing.get());
         ServiceWatch {
@@ -156,7 +156,7 @@
         }
     }
 
-    fn take_number(&self) -> WatchId {
+    fn next_watch_id(&self) -> WatchId {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         WatchId(number)
--- a/crates/daemon/src/discovery/consul/publish.rs
+++ b/crates/daemon/src/discovery/consul/publish.rs
@@ -1,6 +1,6 @@
-//! Sends changes of the catalog to the driver, reports its status, and runs its timers.
-use super::entry::entry_of;
-use super::{MILLIS_PER_SECOND, Shared};
+//! Sends changes of the catalog to the driver, reports the status of the watches, and runs the catalog's timers.
+use super::entry::to_entry;
+use super::{MILLIS_PER_SECOND, WatcherState};
 use crate::discovery::EndpointUpdate;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -9,19 +9,19 @@
 use troutknot::Millis;
 use troutknot_consul::catalog::CatalogEvent;
 
-/// How often the status is refreshed, and failing queries are logged, while nothing else happens.
+/// Interval at which the status is refreshed and failing queries are logged if there is no other event.
 const STATUS_INTERVAL: Duration = Duration::from_secs(60);
 
-impl Shared {
-    /// Sends the catalog's changes to the driver.
+impl WatcherState {
+    /// Sends changes of the catalog to the driver.
     pub(super) async fn publish(&self) {
         let (changes, events) = self.catalog.borrow_mut().changes(self.clock.now());
         events.iter().for_each(|event| self.log_event(event));
         tracing::debug!(count = changes.len(), "consul changes sent");
         let has_answer = self.watches.borrow().iter().any(|watch| watch.last_answer_at.get().is_some());
-        // An update without changes shows that the list is up to date.
+        // An update without changes confirms that the list is up to date.
         if has_answer || !changes.is_empty() {
-            let entries = changes.into_iter().map(entry_of).collect();
+            let entries = changes.into_iter().map(to_entry).collect();
             self.updates.send(EndpointUpdate::delta(entries)).await;
         }
         self.refresh_status();
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Updates the status that a health check of this node returns.
+    /// Updates the status text that a health check of the node returns.
     pub(super) fn refresh_status(&self) {
         let now = self.clock.now();
         let (watches, catalog) = (self.watches.borrow(), self.catalog.borrow());
@@ -64,7 +64,7 @@
         *self.status.borrow_mut() = status;
     }
 
-    /// Waits for the catalog's timers, and for changes of the time of the next one.
+    /// Waits for timers of the catalog and handles them.
     pub(super) async fn run_timers(self: Rc<Self>) {
         loop {
             let due_at = self.catalog.borrow().next_timer();
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The time until a timer, at most the status interval.
+    /// The time until a timer, limited to the status interval.
     fn time_until(&self, at: Millis) -> Duration {
         let seconds = (at - self.clock.now()) / MILLIS_PER_SECOND;
         Duration::from_secs_f64(seconds.clamp(0.0, STATUS_INTERVAL.as_secs_f64()))
--- a/crates/daemon/src/discovery/consul/query.rs
+++ b/crates/daemon/src/discovery/consul/query.rs
@@ -15,12 +15,12 @@
 use troutknot_consul::health::{HealthDecoder, HealthError, ResponseBounds, ServiceInstance};
 use troutknot_consul::query::{BlockingQuery, ResponseHeaders, ResponseRefused, WatchedService};
 
-/// Wait before the query to the next agent, unless all agents have failed.
-const FAILOVER_WAIT: Millis = 50.0;
+/// Delay in milliseconds before the query to the next agent, unless all agents have failed.
+const FAILOVER_DELAY: Millis = 50.0;
 
 const MAX_TOKEN_BYTES: usize = 256;
 
-/// Why a query has no usable answer.
+/// Why a query returned no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
     /// The agent did not answer in time.
@@ -35,17 +35,17 @@
     /// The connection failed, or the response is malformed or too long.
     #[error("connection failed: {0}")]
     Connection(#[source] ReceiveError),
-    /// The head of the answer shows that it must not be used.
+    /// The headers of the response show that it must not be used.
     #[error(transparent)]
     Refused(#[from] ResponseRefused),
-    /// The body is no list of healthy instances.
+    /// The body is not a list of healthy instances.
     #[error(transparent)]
     Unusable(#[from] HealthError),
 }
 
 /// The answer to a query.
 pub struct Answer {
-    /// How long to wait before the next query.
+    /// Delay before the next query, in milliseconds.
     pub next_query_after: Millis,
     /// The instances of the service.
     pub instances: Vec<Rc<ServiceInstance>>,
@@ -55,7 +55,7 @@
 #[derive(Clone)]
 pub struct AclToken(String);
 
-/// The queries of one service, to one agent until that fails.
+/// The queries of one service. They go to one agent until it fails.
 pub struct ServiceQueries {
     query_state: BlockingQuery,
     decoder: HealthDecoder,
@@ -65,14 +65,14 @@
 }
 
 impl ServiceQueries {
-    /// Queries that begin at the first agent.
+    /// Creates the queries of a service, beginning with the first agent.
     pub fn new(config: &ConsulConfig, watched: WatchedService, token: Option<AclToken>) -> Self {
         let agents = config.agents.clone();
         let query_state = BlockingQuery::new(watched, config.query_timing(), agents.len() as u32);
         ServiceQueries { query_state, decoder: HealthDecoder::default(), agents, agent_index: 0, token }
     }
 
-    /// The address of the agent that is queried next.
+    /// The address of the agent of the next query.
     pub fn agent(&self) -> SocketAddr {
         self.agents[self.agent_index % self.agents.len()]
     }
@@ -80,7 +80,7 @@
     /// Sends one blocking query and waits for its answer.
     ///
     /// # Errors
-    /// If there is no answer in time, or it must not be used.
+    /// If no answer arrives in time, or it cannot be used.
     pub async fn query(&mut self, limits: &Limits) -> Result<Answer, QueryError> {
         let query_timeout = to_duration(self.query_state.timeout());
         let exchanged = timeout(query_timeout, self.exchange(limits)).await;
@@ -127,25 +127,26 @@
         format!("GET {target} HTTP/1.1\r\nHost: {address}\r\n{token}Connection: close\r\n\r\n")
     }
 
-    /// Moves on to the next agent after a failure, and returns how long to wait before its query. The backoff applies
-    /// once all agents have failed; `jitter` is a random number from 0 to 1.
+    /// Selects the next agent after a failure, and returns the delay before its query in milliseconds. The backoff
+    /// applies once all agents have failed; `jitter` is a random number from 0 to 1.
     pub fn fail_over(&mut self, jitter: f64) -> Millis {
         self.agent_index += 1;
         self.query_state.reset_index();
         let backoff = self.query_state.record_failure(jitter);
         let have_all_failed =
             self.query_state.consecutive_failures().is_multiple_of(self.agents.len() as u32);
-        if have_all_failed { backoff } else { backoff.min(FAILOVER_WAIT) }
+        if have_all_failed { backoff } else { backoff.min(FAILOVER_DELAY) }
     }
 }
 
-/// Reads the ACL token. A file that cannot be read or holds no token is logged, and queries go without one.
+/// Reads the ACL token. If the file cannot be read or contains no valid token, that is logged, and queries are sent
+/// without a token.
 pub fn read_token(path: &Path) -> Option<AclToken> {
-    let path_shown = path.display();
+    let display_path = path.display();
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) => {
-            tracing::warn!(path = %path_shown, %error, "consul token cannot be read");
+            tracing::warn!(path = %display_path, %error, "consul token cannot be read");
             return None;
         }
     };
@@ -153,7 +154,7 @@
     let is_valid =
         (1..=MAX_TOKEN_BYTES).contains(&token.len()) && token.bytes().all(|byte| byte.is_ascii_graphic());
     if !is_valid {
-        tracing::warn!(path = %path_shown, "consul token file holds no token, querying without one");
+        tracing::warn!(path = %display_path, "consul token file holds no token, querying without one");
     }
     is_valid.then(|| AclToken(token.to_string()))
 }
--- a/crates/daemon/src/discovery/consul/service.rs
+++ b/crates/daemon/src/discovery/consul/service.rs
@@ -1,6 +1,6 @@
 //! The task that watches one service, and the state of its watch.
 use super::query::{QueryError, ServiceQueries};
-use super::{CACHED_LIST, Shared};
+use super::{CACHED_LIST, WatcherState};
 use crate::units::to_duration;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 /// The watch of one service.
 pub(super) struct ServiceWatch {
-    /// The service and the terms of its queries.
+    /// The service and the parameters of its queries.
     pub watched: WatchedService,
     /// Identifies the watch in the catalog.
     pub number: WatchId,
@@ -22,11 +22,11 @@
     pub task: AbortHandle,
     /// The time of the last usable answer.
     pub last_answer_at: Cell<Option<Millis>>,
-    /// The last query failed.
+    /// Whether the last query failed.
     pub is_failing: Cell<bool>,
 }
 
-impl Shared {
+impl WatcherState {
     /// Queries a service until the task is aborted.
     pub(super) async fn run_queries(self: Rc<Self>, mut queries: ServiceQueries, number: WatchId) {
         loop {
--- a/crates/daemon/src/discovery/merge.rs
+++ b/crates/daemon/src/discovery/merge.rs
@@ -1,23 +1,24 @@
 //! Merges the endpoint lists of several sources.
 //!
 //! An executor's entry comes from the source with the highest precedence that lists it. An executor is ready only
-//! while every source that knows it says so, because a source that reports a drain may be ahead of the others.
+//! while every source that has an entry for it reports it as ready, because a source that reports a drain may be
+//! ahead of the others.
 use crate::protocol::EndpointEntry;
 use crate::protocol::endpoint_state::{DRAINING, GONE};
 use compact_str::CompactString;
 use std::collections::{BTreeMap, HashSet};
 use troutknot::ListUpdate;
 
-/// The entries of one executor.
+/// The entries of one executor in all sources.
 #[derive(Default)]
 struct MergedExecutor {
-    /// The last entry of each source, by the source's precedence.
+    /// The latest entry of each source, keyed by the source's precedence.
     by_source: BTreeMap<usize, EndpointEntry>,
-    /// The merged entry that was sent last.
+    /// The merged entry that was last returned to the caller.
     sent: Option<EndpointEntry>,
 }
 
-/// The merged list.
+/// The endpoint list merged from several sources.
 pub struct EndpointMerge {
     executors: BTreeMap<CompactString, MergedExecutor>,
     max_executors: usize,
@@ -31,7 +32,7 @@
         if merged.is_ready()
             && let Some(not_ready) = not_ready
         {
-            // It is only draining if a source still lists it.
+            // It is draining rather than gone, because another source still lists it.
             merged.state = if not_ready.is_gone() { DRAINING.into() } else { not_ready.state.clone() };
         }
         Some(merged)
@@ -43,12 +44,12 @@
 }
 
 impl EndpointMerge {
-    /// A merge that ignores further executors once it has `max_executors`.
+    /// Creates an empty merge that ignores new executors above `max_executors`.
     pub fn new(max_executors: usize) -> Self {
         EndpointMerge { executors: BTreeMap::new(), max_executors }
     }
 
-    /// Applies an update of one source and returns the merged entries that changed.
+    /// Applies an update of one source, and returns the merged entries that changed.
     pub fn apply(
         &mut self,
         precedence: usize,
@@ -60,8 +61,8 @@
             affected.extend(self.mark_missing_as_gone(precedence, &entries));
         }
         for entry in entries {
-            let is_known = self.executors.contains_key(&entry.id);
-            if is_known || self.executors.len() < self.max_executors {
+            let is_tracked = self.executors.contains_key(&entry.id);
+            if is_tracked || self.executors.len() < self.max_executors {
                 let executor = self.executors.entry(entry.id.clone()).or_default();
                 executor.by_source.insert(precedence, entry);
             }
@@ -69,7 +70,7 @@
         affected.iter().filter_map(|id| self.take_change(id)).collect()
     }
 
-    /// Marks the executors of a source that its snapshot does not list, and returns their ids.
+    /// Marks the executors of a source that its snapshot does not list as gone, and returns their ids.
     fn mark_missing_as_gone(&mut self, precedence: usize, snapshot: &[EndpointEntry]) -> Vec<CompactString> {
         let listed: HashSet<&str> = snapshot.iter().map(|entry| entry.id.as_str()).collect();
         let mut missing = Vec::new();
@@ -84,7 +85,7 @@
         missing
     }
 
-    /// The merged entry of an executor if it changed. Removes an executor that is gone from all sources.
+    /// Returns the merged entry of an executor if it changed, and removes the executor if it is gone from all sources.
     fn take_change(&mut self, id: &CompactString) -> Option<EndpointEntry> {
         let executor = self.executors.get_mut(id)?;
         let merged = executor.merged()?;
--- a/crates/daemon/src/discovery/mod.rs
+++ b/crates/daemon/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Sources of the endpoint list. Each source runs as a task and sends its updates to the driver.
+//! Discovery: the sources of the endpoint list. Each source runs as a task and sends its updates to the driver.
 pub mod consul;
 pub mod merge;
 pub mod parser;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// The driver's queue is closed, because the node is shutting down.
+/// The driver's queue is closed because the node is shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the node is shutting down")]
 pub struct ShuttingDown;
@@ -25,26 +25,26 @@
     merge: Option<MergeHandle>,
 }
 
-/// The precedence of one source in a merge of several.
+/// The merge of several sources, and the precedence of one source in it.
 #[derive(Clone)]
 struct MergeHandle {
     precedence: usize,
     merge: Rc<RefCell<EndpointMerge>>,
 }
 
-/// A reserved place in the driver's queue, for one update.
+/// A reserved slot in the driver's queue for one update.
 pub struct UpdatePermit<'a> {
     sender: &'a EndpointUpdateSender,
     permit: mpsc::Permit<'a, NodeEvent>,
 }
 
 impl EndpointUpdateSender {
-    /// For the only source.
+    /// Creates the sender of the only source.
     pub fn unmerged(events: mpsc::Sender<NodeEvent>) -> Self {
         EndpointUpdateSender { events, merge: None }
     }
 
-    /// For one of several sources, by its precedence, from 0 for the highest.
+    /// Creates the sender of one of several sources; a precedence of 0 is the highest.
     pub fn merged(
         events: mpsc::Sender<NodeEvent>,
         precedence: usize,
@@ -53,7 +53,7 @@
         EndpointUpdateSender { events, merge: Some(MergeHandle { precedence, merge: merge.clone() }) }
     }
 
-    /// Sends an event that is no update of the list.
+    /// Sends an event other than an update of the list.
     ///
     /// # Errors
     /// If the node is shutting down.
@@ -61,7 +61,7 @@
         self.events.send(event).await.map_err(|_| ShuttingDown)
     }
 
-    /// Waits for a place in the driver's queue.
+    /// Reserves a slot in the driver's queue, waiting until one is free.
     ///
     /// # Errors
     /// If the node is shutting down.
@@ -70,7 +70,7 @@
         Ok(UpdatePermit { sender: self, permit })
     }
 
-    /// Sends an update; it is dropped if the node is shutting down.
+    /// Sends an update, or drops it if the node is shutting down.
     pub async fn send(&self, update: EndpointUpdate) {
         if let Ok(permit) = self.reserve().await {
             permit.send(update);
@@ -85,7 +85,7 @@
 }
 
 impl UpdatePermit<'_> {
-    /// Merges and sends an update.
+    /// Merges an update with other sources, if there are any, and sends it.
     pub fn send(self, update: EndpointUpdate) {
         let update = self.sender.merge(update);
         self.permit.send(NodeEvent::ListReceived(update));
--- a/crates/daemon/src/discovery/parser.rs
+++ b/crates/daemon/src/discovery/parser.rs
@@ -10,45 +10,46 @@
 use serde_json::value::RawValue;
 use troutknot_membership::{Rank, Retention};
 
-/// Replaces an entry that was parsed in the text of its list.
+/// Replaces each parsed entry in the text of the list.
 const ENTRY_PLACEHOLDER: &str = "0";
 
-/// A list with more entries than this is expected to be as long as the list before.
+/// For a list with more entries than this, memory is reserved for as many entries as the previous list had.
 const MAX_SHORT_LIST_ENTRIES: usize = 64;
 
-/// Entries over the bound are dropped once they are this part of it, because dropping takes a pass over all entries.
+/// Entries above the bound are dropped once they exceed the bound divided by this number, because dropping takes a
+/// pass over all entries.
 const EXCESS_DIVISOR: usize = 4;
 
-/// Why bytes of a watch are not an endpoint list.
+/// Why the bytes of a watch are not a valid endpoint list.
 #[derive(Debug, thiserror::Error)]
 pub enum ParseError {
-    /// The list or the text to buffer is over its bound.
+    /// The list or the buffered text exceeds its maximum size.
     #[error("invalid endpoint list: it is too long")]
     TooLong,
     /// A keep-alive arrived inside a list.
     #[error("invalid endpoint list: it is truncated")]
     Truncated,
-    /// The text outside a list is not white space.
-    #[error("invalid endpoint list: it is no JSON object")]
+    /// The text between two lists is not white space.
+    #[error("invalid endpoint list: it is not a JSON object")]
     NotAnObject,
-    /// The object without its entries cannot be parsed.
+    /// The list object, apart from its entries, cannot be parsed.
     #[error("invalid endpoint list: {0}")]
     Object(#[source] serde_json::Error),
     /// An entry cannot be parsed.
     #[error("invalid endpoint list: {0} in an entry")]
     Entry(#[source] serde_json::Error),
-    /// An item of `servers` is no entry.
-    #[error("invalid endpoint list: an item of `servers` is no entry")]
+    /// An item of `servers` is not an object with the fields of an entry.
+    #[error("invalid endpoint list: an item of `servers` is not an entry")]
     NotAnEntry,
-    /// An object with the fields of the entries and the items of `servers` differ.
+    /// The number of parsed entries and the number of items of `servers` differ.
     #[error("invalid endpoint list: the entries and the items of `servers` differ")]
     MisplacedEntry,
-    /// A delta has more entries than the node can retain.
+    /// A delta has more entries than one list may have.
     #[error("invalid endpoint list: {count} changes at once, at most {max} are allowed")]
     TooManyChanges {
-        /// Entries of the delta.
+        /// Number of entries of the delta.
         count: usize,
-        /// The bound.
+        /// Maximum number of entries.
         max: usize,
     },
 }
@@ -56,34 +57,35 @@
 /// Bounds of the memory that a parser uses.
 #[derive(Clone, Copy, Debug)]
 pub struct ParseBounds {
-    /// Size of one list.
+    /// Maximum size of one list in bytes.
     pub max_list_bytes: usize,
-    /// Size of the text that is buffered.
+    /// Maximum size of the buffered text in bytes.
     pub max_buffered_bytes: usize,
-    /// Entries of one list. Of a snapshot with more, those that this node prefers to retain are returned.
+    /// Maximum number of entries of one list. Of a larger snapshot, the entries that this node ranks highest are
+    /// returned.
     pub max_entries: usize,
 }
 
-/// An incremental parser; see the module's documentation.
+/// An incremental parser of the endpoint lists of one watch.
 pub struct EndpointListParser {
     bounds: ParseBounds,
     retention: Retention,
     buffer: BytesMut,
-    /// The length of the buffer's prefix that was scanned.
+    /// Length of the scanned prefix of the buffer.
     scanned: usize,
     /// Nesting depth of objects at the scan position.
     depth: u32,
     is_in_string: bool,
     is_escaped: bool,
-    /// The current line has only white space so far.
+    /// Whether the current line contains only white space so far.
     is_blank_line: bool,
-    /// Bytes of the current list so far.
+    /// Number of bytes scanned of the current list.
     list_bytes: usize,
-    /// The text of the current list without its entries.
+    /// The text of the current list, with a placeholder in place of each entry.
     remainder: Vec<u8>,
     entries: Vec<EndpointEntry>,
     previous_entry_count: usize,
-    /// Entries of the current list that were dropped for the bound.
+    /// Number of entries of the current list that were dropped because of the bound.
     dropped_entries: usize,
 }
 
@@ -98,7 +100,7 @@
 }
 
 impl EndpointListParser {
-    /// A parser for the watches of a node, which prefers entries in the order of `retention`.
+    /// Creates a parser for one watch. If a snapshot has too many entries, `retention` ranks them.
     pub fn new(bounds: ParseBounds, retention: Retention) -> Self {
         EndpointListParser {
             bounds,
@@ -127,10 +129,10 @@
         self.buffer.unsplit(bytes);
     }
 
-    /// The next complete list; none until more bytes are pushed.
+    /// Returns the next complete list, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// If the bytes are no list, or a list is truncated or over its bounds. The parser must not be used afterwards.
+    /// If the bytes are not a list, or a list is truncated or exceeds a bound. The parser must not be used afterwards.
     pub fn next(&mut self) -> Result<Option<EndpointList>, ParseError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
@@ -148,7 +150,7 @@
         Ok(None)
     }
 
-    /// Scans the last byte of the scanned prefix. Returns true if it ends a list.
+    /// Processes the last byte of the scanned prefix. Returns true if it ends a list.
     fn scan(&mut self, byte: u8) -> Result<bool, ParseError> {
         if self.depth == 0 {
             self.scan_between_lists(byte)?;
@@ -158,7 +160,7 @@
             _ if self.is_escaped => self.is_escaped = false,
             b'\\' if self.is_in_string => self.is_escaped = true,
             b'"' => self.is_in_string = !self.is_in_string,
-            // The source sends keep-alives only between lists, so the rest of this one will never arrive.
+            // The source sends keep-alives only between lists, so the rest of this list will not arrive.
             b'\n' if self.is_blank_line => return Err(ParseError::Truncated),
             _ if self.is_in_string => {}
             b'{' => {
@@ -215,8 +217,8 @@
         self.discard_scanned();
     }
 
-    /// Parses the object that has just ended. The text of one that is no entry stays in the remainder, where it is
-    /// an error only as an item of `servers`.
+    /// Parses the object that has just ended. If it is not an entry, its text stays in the remainder, where it is an
+    /// error only as an item of `servers`.
     fn finish_entry(&mut self) -> Result<(), ParseError> {
         let text = self.buffer.split_to(self.scanned);
         self.scanned = 0;
@@ -238,7 +240,7 @@
 
     fn push_entry(&mut self, entry: EndpointEntry) {
         if self.entries.len() == MAX_SHORT_LIST_ENTRIES {
-            // Growth in steps would leave as much memory fragmented as the list occupies.
+            // Growing the vector in steps would leave as much memory fragmented as the list occupies.
             self.entries.reserve(self.previous_entry_count.saturating_sub(MAX_SHORT_LIST_ENTRIES));
         }
         self.entries.push(entry);
@@ -281,7 +283,7 @@
     }
 }
 
-/// Why an item of `servers` is no entry.
+/// Determines why an item of `servers` is not an entry.
 fn invalid_entry(text: &str) -> ParseError {
     match serde_json::from_str::<EndpointEntry>(text) {
         Err(error) => ParseError::Entry(error),
--- a/crates/daemon/src/discovery/platform.rs
+++ b/crates/daemon/src/discovery/platform.rs
@@ -1,4 +1,4 @@
-//! Watches the platform's discovery service: one watch at a time, opened when the dispatcher requests it.
+//! Watches the platform's discovery service. There is one watch at a time, opened when the dispatcher requests it.
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::Limits;
 use crate::discovery::parser::{EndpointListParser, ParseBounds, ParseError};
@@ -18,10 +18,10 @@
 use troutknot::{Event as CoreEvent, ListUpdate};
 use troutknot_membership::Retention;
 
-/// The part of the idle timeout in which a source whose first list is outdated may catch up.
+/// Fraction of the idle timeout within which a source whose first list is outdated must send a newer one.
 ///
-/// After a failover a source can lag by up to 4 s. The watches after which it counts as restarted have to take longer
-/// than that, because its list could re-add executors that drain.
+/// After a failover a source can lag by up to 4 s. The consecutive watches after which the source counts as restarted
+/// must take longer than that, because its outdated list could re-add executors that drain.
 const CATCH_UP_SHARE: f64 = 0.8;
 
 const STATUS_OK: u16 = 200;
@@ -30,15 +30,15 @@
 pub struct PlatformWatcher {
     /// The address of the service. A change reopens the watch at once.
     pub address: watch::Receiver<SocketAddr>,
-    /// The limits of this node.
+    /// The limits of the node.
     pub limits: Rc<Limits>,
     /// The codec in force.
     pub codec: Rc<Current<Codec>>,
     /// Receives the updates.
     pub updates: EndpointUpdateSender,
-    /// Requests for a watch, or for one that begins with a snapshot.
+    /// Requests to open a watch, or to open one that begins with a snapshot.
     pub requests: Rc<WatchRequests>,
-    /// The order in which this node prefers entries if a list has too many.
+    /// Ranks the entries if a list has too many.
     pub retention: Retention,
 }
 
@@ -46,7 +46,7 @@
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     /// The watch was not opened in time.
-    #[error("it was not opened in time")]
+    #[error("timed out while opening the watch")]
     OpenTimeout,
     /// The connection was not established.
     #[error("cannot connect: {0}")]
@@ -54,7 +54,7 @@
     /// The source accepted the connection and closed it without a response.
     #[error("no response: {0}")]
     NoResponse(#[source] ReceiveError),
-    /// The source answered with another status than 200.
+    /// The source responded with a status other than 200.
     #[error("status {0}")]
     Status(u16),
     /// Neither a list nor a keep-alive arrived in time.
@@ -66,10 +66,10 @@
     /// The connection failed.
     #[error("connection failed: {0}")]
     Connection(#[source] ReceiveError),
-    /// The source sent something else than lists.
+    /// The source sent something other than endpoint lists.
     #[error(transparent)]
     Parse(#[from] ParseError),
-    /// The source ended the watch.
+    /// The source closed the watch.
     #[error("closed by the source")]
     Closed,
     /// The node is shutting down.
@@ -78,25 +78,25 @@
 }
 
 impl WatchError {
-    /// Whether the source is reachable and rejected the watch.
+    /// Whether the source was reachable and rejected the watch.
     fn is_rejection(&self) -> bool {
         matches!(self, WatchError::NoResponse(_) | WatchError::Status(_))
     }
 }
 
-/// States of the watch loop.
+/// The state of the watch loop.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WatchState {
-    /// No watch is open, until the dispatcher requests one.
+    /// No watch is open; waits for a request of the dispatcher.
     Idle,
-    /// A watch is opened or open.
+    /// A watch is being opened or is open.
     Watching,
     /// The node is shutting down.
     Stopped,
 }
 
 impl PlatformWatcher {
-    /// Watches until the node ends, from the version of the cached list on.
+    /// Watches until the node shuts down, continuing from the version of the cached list.
     pub async fn run(self, cached_version: Option<u64>) {
         let mut versions = VersionFilter::new(cached_version);
         let mut address = self.address.clone();
@@ -150,8 +150,8 @@
         address: SocketAddr,
         versions: &mut VersionFilter,
     ) -> Result<Infallible, WatchError> {
-        // A single timeout, because the timeouts of its steps would add up to more than the time in which a source
-        // that became unresponsive has to be noticed.
+        // A single timeout for all steps, because separate timeouts would add up to more than the time within which an
+        // unresponsive source must be detected.
         let opening = self.open(address, versions.resume_version());
         let opened = timeout(self.limits.discovery.watch_open_timeout, opening).await;
         let (connection, head) = opened.map_err(|_| WatchError::OpenTimeout)??;
@@ -159,7 +159,7 @@
             return Err(WatchError::Status(head.status));
         }
         tracing::debug!(%address, "watch of the endpoint list open");
-        // An empty delta, because the first list may follow later.
+        // Reports the open watch by an empty delta, because the first list may arrive later.
         let opened = CoreEvent::EndpointsUpdated { update: ListUpdate::Delta, endpoints: Vec::new() };
         self.updates.send_event(NodeEvent::Core(opened)).await?;
         OpenWatch::new(self, connection, head.body).run(versions).await
@@ -191,15 +191,15 @@
     }
 }
 
-/// A watch that the source accepted.
+/// A watch that the source has accepted.
 struct OpenWatch<'a> {
     watcher: &'a PlatformWatcher,
     connection: Connection,
     body: BodyDecoder,
     parser: EndpointListParser,
-    /// When the watch counts as lost without a further update.
+    /// When the watch counts as lost if no update arrives before.
     idle_deadline: Instant,
-    /// When the watch is given up because the first list was outdated and no newer one followed.
+    /// When the watch is closed because the first list was outdated and no newer one has arrived.
     catch_up_deadline: Option<Instant>,
     position: ListPosition,
 }
@@ -226,8 +226,8 @@
             while let Some(list) = self.parser.next()? {
                 self.apply(list, versions).await?;
             }
-            // Only a list or a keep-alive between lists extends the deadline: a source that sends a list byte by
-            // byte has to be noticed as well.
+            // Only a complete list or a keep-alive between lists extends the deadline, so that a source that sends a
+            // list byte by byte is detected.
             if has_line_end && !self.parser.is_inside_list() {
                 self.extend_idle_deadline();
             }
@@ -253,7 +253,7 @@
 
     async fn apply(&mut self, list: EndpointList, versions: &mut VersionFilter) -> Result<(), WatchError> {
         self.extend_idle_deadline();
-        // Reserved before the version is accepted: if the watch is interrupted here, the next one has to continue
+        // Reserved before the version is accepted: if the watch is interrupted here, the next watch must continue
         // from a version that was applied.
         let permit = self.watcher.updates.reserve().await?;
         let accepted = versions.accept(&list, self.position);
@@ -271,7 +271,7 @@
                 if !list.entries.is_empty() {
                     tracing::info!(version = list.version, "endpoint list is not new, ignored");
                 }
-                // Sent as well, because it shows that the current list is up to date.
+                // Sent because it confirms that the current list is up to date.
                 EndpointUpdate::unchanged()
             }
         };
@@ -285,8 +285,8 @@
     }
 }
 
-/// The versions of a restarted source, or of a new address, may be lower for good. The watch is given up then, so that
-/// the next ones establish the restart.
+/// The time until which a source may catch up. The versions of a restarted source, or of a new address, may stay
+/// lower; the watch is then closed, so that the following watches detect the restart.
 fn catch_up_deadline(limits: &Limits) -> Instant {
     Instant::now() + limits.discovery.watch_idle_timeout.mul_f64(CATCH_UP_SHARE)
 }
--- a/crates/daemon/src/discovery/versions.rs
+++ b/crates/daemon/src/discovery/versions.rs
@@ -1,44 +1,44 @@
-//! Decides by its version whether an endpoint list is new.
+//! Filters endpoint lists by version.
 use crate::protocol::EndpointList;
 use troutknot::ListUpdate;
 
-/// Watches in a row that have to begin with an older snapshot until the source counts as restarted.
+/// Number of consecutive watches that must begin with an older snapshot before the source counts as restarted.
 const RESTARTED_AFTER: u32 = 3;
 
-/// The place of a list in its watch.
+/// The position of a list in its watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListPosition {
     /// The first list of the watch.
     First,
-    /// A list after the first one.
+    /// Any later list of the watch.
     Later,
 }
 
-/// Filters lists that are repeated or outdated, so that none of them re-adds an executor that drains.
+/// Rejects lists that are repeated or outdated, so that they do not re-add executors that drain.
 #[derive(Default)]
 pub struct VersionFilter {
-    /// The version of the last list that was accepted.
+    /// The version of the last accepted list.
     pub current: Option<u64>,
     outdated_watches: u32,
-    /// A snapshot is needed even if its version is the current one.
+    /// Whether a snapshot is needed even if its version is the current one.
     pub is_snapshot_needed: bool,
 }
 
 impl VersionFilter {
-    /// A filter that starts from the version of a cached list.
+    /// Creates a filter that starts from the version of a cached list.
     pub fn new(cached_version: Option<u64>) -> Self {
         VersionFilter { current: cached_version, ..VersionFilter::default() }
     }
 
-    /// The version to continue from in the next watch; none to request a snapshot.
+    /// The version from which the next watch continues, or `None` to request a snapshot.
     pub fn resume_version(&self) -> Option<u64> {
         self.current.filter(|_| !self.is_snapshot_needed)
     }
 
-    /// Accepts a list, and returns how to apply it; none if it is not new.
+    /// Accepts a list and returns how to apply it, or `None` if it is not new.
     ///
-    /// An older snapshot at the beginning of several watches in a row means that the source restarted and counts its
-    /// versions from the beginning; it is accepted.
+    /// An older snapshot at the beginning of several consecutive watches means that the source has restarted and its
+    /// versions start again; such a snapshot is accepted.
     pub fn accept(&mut self, list: &EndpointList, position: ListPosition) -> Option<ListUpdate> {
         let is_first_snapshot = position == ListPosition::First && list.is_snapshot;
         let is_newer = self.current.is_none_or(|current| list.version > current);
--- a/crates/daemon/src/hot_restart/codec.rs
+++ b/crates/daemon/src/hot_restart/codec.rs
@@ -1,38 +1,38 @@
-//! The messages between two processes of one node, one JSON object a line. Without I/O.
+//! Codec of the messages between two processes of one node: one JSON object per line. The module performs no I/O.
 //!
-//! The first message of each side is [`Message::Hello`] with the protocol version. Unknown messages are ignored,
-//! so a later release may add some within a version; an incompatible change needs another version. Names on the
-//! wire are those of the first release that spoke the protocol.
+//! The first message of each process is [`Message::Hello`] with the protocol version. Unknown messages are ignored, so
+//! a later release may add messages within a version; an incompatible change requires a new version. The names on the
+//! wire are those of the first release that implemented the protocol.
 use crate::protocol::EndpointEntry;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use troutknot::{DecayingScore, Millis, ObservedMean, WarmUpDispatch};
 
-/// The protocol version that this release speaks.
+/// The protocol version that this release implements.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// The longest line, in bytes.
+/// Maximum length of a line in bytes.
 pub const MAX_LINE_BYTES: usize = 256 * 1024;
 
-/// Stands for the number of a message that needs no acknowledgement; numbers begin at 1.
+/// The number of a message that needs no acknowledgement; other numbers begin at 1.
 pub const UNNUMBERED: u64 = 0;
 
 /// Maximum number of list items in one message, so that its line stays below [`MAX_LINE_BYTES`].
 const ITEMS_PER_MESSAGE: usize = 200;
 
-/// Why a message, or the state that several messages make up, cannot be used.
+/// Why a message, or the state that several messages transfer, cannot be used.
 #[derive(Clone, PartialEq, Debug, thiserror::Error)]
 pub enum CodecError {
     /// The line is not a message.
     #[error("malformed message of protocol version {PROTOCOL_VERSION}: {0}")]
     Malformed(String),
-    /// The other process speaks a later protocol version.
+    /// The other process uses a later protocol version.
     #[error("unsupported protocol version {0}, this release speaks {PROTOCOL_VERSION}")]
     UnsupportedVersion(u32),
     /// The other process belongs to another node.
-    #[error("process of another node, `{0}`")]
+    #[error("the process belongs to another node, `{0}`")]
     OtherNode(String),
-    /// The first message is not a hello.
+    /// The first message is not [`Message::Hello`].
     #[error("first message states no protocol version")]
     MissingHello,
     /// A number is negative or not finite.
@@ -44,18 +44,18 @@
     /// A list exceeds its limit.
     #[error("list of {count} items, at most {limit} are allowed")]
     TooManyItems {
-        /// Items received.
+        /// Number of items received.
         count: usize,
         /// Maximum number of items.
         limit: usize,
     },
 }
 
-/// One message.
+/// A message between two processes of one node.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(tag = "say", rename_all = "kebab-case")]
 pub enum Message {
-    /// The first message of each side.
+    /// The first message of each process.
     Hello {
         /// The protocol version of the sender.
         #[serde(rename = "form")]
@@ -69,18 +69,18 @@
         /// Their names.
         executors: Vec<String>,
     },
-    /// Whether operators drained the node. Answered by [`Message::Acknowledged`] unless it is part of the state.
+    /// Whether operators drained the node. Acknowledged by [`Message::Acknowledged`] unless it is part of the state.
     Drained {
-        /// True after a drain, false after it was revoked.
+        /// True after a drain, false after the node was activated again.
         drained: bool,
         /// The number to acknowledge; [`UNNUMBERED`] within the state.
         number: u64,
     },
     /// A part of the endpoint list.
     List {
-        /// The version of the list, if its source counts versions.
+        /// The version of the list, if its source reports versions.
         version: Option<u64>,
-        /// Endpoints of this part.
+        /// The entries of this part.
         entries: Vec<EndpointEntry>,
     },
     /// Tokens of the ids of recent requests.
@@ -90,7 +90,7 @@
     },
     /// Measurements of executors.
     Executors {
-        /// One item an executor.
+        /// One item per executor.
         executors: Vec<ExecutorState>,
     },
     /// Measurements of running times and probes.
@@ -99,37 +99,37 @@
     /// The state of the old process is complete.
     #[serde(rename = "told")]
     Complete,
-    /// The new process takes clients from now on.
+    /// The new process accepts connections from clients from now on.
     Ready,
     /// An operator excluded an executor, or included it again.
     #[serde(rename = "leave-out")]
     SetExcluded {
         /// The executor's name.
         executor: String,
-        /// True if it is excluded.
+        /// Whether the executor is excluded.
         #[serde(rename = "out")]
         is_excluded: bool,
         /// The number to acknowledge.
         number: u64,
     },
-    /// The message of this number has taken effect at the sender.
+    /// The message with this number has taken effect at the sender.
     #[serde(rename = "done")]
     Acknowledged {
         /// The number of the message.
         number: u64,
     },
-    /// What the sender uses of the limits that both processes share.
+    /// The sender's usage of the limits that both processes share.
     #[serde(rename = "holds")]
     Usage(Usage),
-    /// The old process was asked to end.
+    /// A shutdown of the old process was requested.
     #[serde(rename = "leaving")]
     ShutdownRequested,
-    /// A message of a later release.
+    /// An unknown message, sent by a later release.
     #[serde(other)]
     Other,
 }
 
-/// A score and the time it was set at; a pair on the wire.
+/// A decaying score and the time at which it was set; a pair on the wire.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Default)]
 #[serde(from = "(f64, Millis)", into = "(f64, Millis)")]
 pub struct Score(pub DecayingScore);
@@ -146,7 +146,7 @@
     }
 }
 
-/// A dispatch and the slot-milliseconds of the warm-up budget that it used; a pair on the wire.
+/// The time of a dispatch and the slot-milliseconds of the warm-up budget that it used; a pair on the wire.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq)]
 #[serde(from = "(Millis, f64)", into = "(Millis, f64)")]
 pub struct SpentBudget(pub WarmUpDispatch);
@@ -168,16 +168,16 @@
 pub struct ExecutorState {
     /// The executor's name.
     pub id: String,
-    /// Recent failures, decaying.
+    /// Decaying count of recent failures.
     #[serde(rename = "failed")]
     pub failure_score: Score,
-    /// Number of outcomes that the failure score rests on, decaying.
+    /// Decaying count of the outcomes on which the failure score is based.
     #[serde(rename = "judged")]
     pub observations: Score,
-    /// The largest number of slots that it has reported.
+    /// The largest number of slots that the executor has reported.
     #[serde(rename = "slots")]
     pub max_slots: f64,
-    /// Dispatches that used its warm-up budget.
+    /// Dispatches that used the executor's warm-up budget.
     #[serde(rename = "cold_spent")]
     pub warm_up_spent: Vec<SpentBudget>,
 }
@@ -220,16 +220,16 @@
     /// Running times by class.
     #[serde(rename = "types")]
     pub classes: Vec<ClassRunningTime>,
-    /// Mean running time of all classes.
+    /// Mean running time of all classes in milliseconds.
     #[serde(rename = "mean_run")]
     pub mean_running_time: Millis,
-    /// Share of probes that found a queue.
+    /// Fraction of probes that found the executor's queue not empty.
     #[serde(rename = "waiting_share")]
     pub busy_probe_ratio: Option<f64>,
-    /// Mean round trip of a probe.
+    /// Mean round-trip time of a probe in milliseconds.
     #[serde(rename = "lag")]
     pub probe_latency: Option<Millis>,
-    /// Number of executors that are probed for a request.
+    /// Number of executors that are probed per request.
     #[serde(rename = "draws")]
     pub sample_size: u32,
 }
@@ -242,24 +242,24 @@
     }
 }
 
-/// What a process uses of the limits that both processes share.
+/// The usage of limits that both processes of a node share.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Default)]
 pub struct Usage {
-    /// Connections from clients.
+    /// Number of connections from clients.
     pub clients: usize,
-    /// Connections to executors.
+    /// Number of connections to executors.
     pub executors: usize,
-    /// Bytes of requests.
+    /// Bytes reserved for requests.
     pub bytes: usize,
-    /// Bytes of clients' ring buffers beyond their first size; absent in an earlier release.
+    /// Bytes of the downstream ring buffers beyond their initial size; not sent by earlier releases.
     #[serde(default)]
     pub rings: usize,
-    /// Bytes reserved for request bodies that are being received; absent in an earlier release.
+    /// Bytes reserved for request bodies that are being received; not sent by earlier releases.
     #[serde(default)]
     pub slow_bodies: usize,
 }
 
-/// Splits a list into messages of limited size; an empty list makes one message.
+/// Splits a list into messages of limited size. An empty list results in one message.
 pub fn split_list<T: Clone>(items: &[T], message: impl Fn(Vec<T>) -> Message) -> Vec<Message> {
     if items.is_empty() {
         return vec![message(Vec::new())];
@@ -267,7 +267,7 @@
     items.chunks(ITEMS_PER_MESSAGE).map(|part| message(part.to_vec())).collect()
 }
 
-/// Decodes a line.
+/// Decodes a message from a line.
 ///
 /// # Errors
 /// [`CodecError::Malformed`] if the line is not a message.
@@ -282,7 +282,7 @@
     line
 }
 
-/// Limits of the state that a process receives.
+/// Limits on the state that a new process accepts.
 #[derive(Clone, Copy)]
 pub struct StateBounds {
     /// Maximum number of executors in each list.
@@ -294,7 +294,7 @@
 /// The state that a new process receives from the old one.
 #[derive(Default, Debug, PartialEq)]
 pub struct InheritedState {
-    has_greeted: bool,
+    has_received_hello: bool,
     /// Executors that operators excluded.
     pub excluded: BTreeSet<String>,
     /// Whether operators drained the node.
@@ -315,10 +315,10 @@
     /// Applies the next message; returns true if it completes the state.
     ///
     /// # Errors
-    /// If the message is not valid here; nothing of the state may then be used.
+    /// If the message is not valid at this point; the state must be discarded then.
     pub fn apply(&mut self, message: Message, name: &str, bounds: StateBounds) -> Result<bool, CodecError> {
-        if !self.has_greeted {
-            return self.greet(message, name).map(|()| false);
+        if !self.has_received_hello {
+            return self.check_hello(message, name).map(|()| false);
         }
         match message {
             Message::Excluded { executors } => self.excluded.extend(executors),
@@ -336,7 +336,7 @@
                 times.numbers().try_for_each(check_number)?;
                 self.running_times = Some(times);
             }
-            // A change while the state was being sent.
+            // An exclusion that changed while the state was being sent.
             Message::SetExcluded { executor, is_excluded: true, .. } => _ = self.excluded.insert(executor),
             Message::SetExcluded { executor, is_excluded: false, .. } => _ = self.excluded.remove(&executor),
             Message::Complete if self.running_times.is_none() => return Err(CodecError::MissingRunningTimes),
@@ -346,14 +346,14 @@
         self.check_bounds(bounds).map(|()| false)
     }
 
-    fn greet(&mut self, message: Message, name: &str) -> Result<(), CodecError> {
+    fn check_hello(&mut self, message: Message, name: &str) -> Result<(), CodecError> {
         match message {
             Message::Hello { version, .. } if version > PROTOCOL_VERSION => {
                 Err(CodecError::UnsupportedVersion(version))
             }
             Message::Hello { name: other, .. } if other != name => Err(CodecError::OtherNode(other)),
             Message::Hello { .. } => {
-                self.has_greeted = true;
+                self.has_received_hello = true;
                 Ok(())
             }
             _ => Err(CodecError::MissingHello),
--- a/crates/daemon/src/hot_restart/inherited_socket.rs
+++ b/crates/daemon/src/hot_restart/inherited_socket.rs
@@ -1,16 +1,16 @@
-//! The listening socket that the platform passes on, so that it stays open from one process to the next.
+//! The listening socket that a process inherits from the platform, so that it stays open during a hot restart.
 use socket2::{Domain, SockRef, Type};
 use std::io;
 use std::net::TcpListener;
 use std::os::fd::{BorrowedFd, FromRawFd, OwnedFd, RawFd};
 
-/// Environment variable with the number of the descriptor that was passed on.
+/// Environment variable with the number of the inherited file descriptor.
 pub const DESCRIPTOR_VARIABLE: &str = "ROUTER_PASSED_SOCKET";
 
-/// The lowest descriptor that can be passed on; those below are the standard streams.
+/// The lowest descriptor that can be inherited; those below are the standard streams.
 const FIRST_DESCRIPTOR: RawFd = 3;
 
-/// Why the descriptor cannot be used as the listening socket.
+/// Why the inherited descriptor cannot be used as the listening socket.
 #[derive(Debug, thiserror::Error)]
 #[error("{DESCRIPTOR_VARIABLE}: `{descriptor}` {reason}")]
 pub struct InheritedSocketError {
@@ -20,7 +20,7 @@
     reason: DescriptorError,
 }
 
-/// What is wrong with a descriptor.
+/// Why a descriptor is not a usable listening socket.
 #[derive(Debug, thiserror::Error)]
 enum DescriptorError {
     #[error("is not a descriptor, expected a number from {FIRST_DESCRIPTOR}")]
@@ -35,18 +35,18 @@
     NonBlocking(#[source] io::Error),
 }
 
-/// Takes ownership of the socket that `descriptor` numbers; None if it is absent or empty. Must be called before
-/// this process opens anything.
+/// Takes ownership of the socket with the number in `descriptor`. Returns `None` if that is absent or empty. Must be
+/// called before this process opens any file or socket.
 ///
 /// # Errors
 /// If the descriptor is not the number of a listening TCP socket.
-pub fn listener(descriptor: Option<&str>) -> Result<Option<TcpListener>, InheritedSocketError> {
+pub fn take_listener(descriptor: Option<&str>) -> Result<Option<TcpListener>, InheritedSocketError> {
     let Some(descriptor) = descriptor.filter(|descriptor| !descriptor.is_empty()) else { return Ok(None) };
-    let listener = adopt(descriptor);
+    let listener = take_ownership(descriptor);
     listener.map(Some).map_err(|reason| InheritedSocketError { descriptor: descriptor.to_string(), reason })
 }
 
-fn adopt(descriptor: &str) -> Result<TcpListener, DescriptorError> {
+fn take_ownership(descriptor: &str) -> Result<TcpListener, DescriptorError> {
     let number = descriptor.parse::<RawFd>().ok().filter(|&number| number >= FIRST_DESCRIPTOR);
     let number = number.ok_or(DescriptorError::NotADescriptor)?;
     // SAFETY: nothing has been opened yet, so nothing else in this process owns the descriptor, and `check` fails
--- a/crates/daemon/src/hot_restart/link.rs
+++ b/crates/daemon/src/hot_restart/link.rs
@@ -1,4 +1,4 @@
-//! The Unix socket between two processes of a node: one encoded message a line.
+//! The connection between two processes of a node over a Unix socket, with one encoded message per line.
 use super::codec::{self, CodecError, MAX_LINE_BYTES, Message};
 use std::io;
 use std::time::Duration;
@@ -7,22 +7,22 @@
 use tokio::net::unix::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 
-/// Bounds the write of one message; a process that does not read for longer is disconnected.
+/// Bounds the write of one message; a process that does not read for this long is disconnected.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why the connection to another process of the node failed.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The process at the other end runs as another user.
-    #[error("process of user {0} is not trusted")]
+    /// The other process runs as another user.
+    #[error("the process of user {0} is not trusted")]
     OtherUser(u32),
     /// The socket failed.
-    #[error("socket: {0}")]
+    #[error("socket error: {0}")]
     Socket(#[from] io::Error),
     /// The other process closed the connection.
     #[error("connection closed")]
     Closed,
-    /// A line exceeds the limit.
+    /// A line exceeds [`MAX_LINE_BYTES`].
     #[error("line longer than {MAX_LINE_BYTES} bytes")]
     LineTooLong,
     /// A message cannot be used.
@@ -51,7 +51,7 @@
     /// Wraps a connected socket.
     ///
     /// # Errors
-    /// [`LinkError::OtherUser`] unless the process at the other end runs as the same user.
+    /// [`LinkError::OtherUser`] unless the other process runs as the same user.
     pub fn new(stream: UnixStream) -> Result<Self, LinkError> {
         let peer = stream.peer_cred()?.uid();
         if peer != rustix::process::geteuid().as_raw() {
@@ -66,7 +66,7 @@
     /// Receives the next message.
     ///
     /// # Errors
-    /// If the connection failed or ended, or the line is too long or not a message.
+    /// If the connection failed or was closed, or the line is too long or not a message.
     pub async fn receive(&mut self) -> Result<Message, LinkError> {
         let mut line = Vec::new();
         let limit = MAX_LINE_BYTES as u64;
@@ -83,7 +83,7 @@
     /// Sends one message.
     ///
     /// # Errors
-    /// If the socket failed or did not take the message within [`WRITE_TIMEOUT`].
+    /// If the socket failed or the message was not written within [`WRITE_TIMEOUT`].
     pub async fn send(&mut self, message: &Message) -> io::Result<()> {
         let line = codec::encode(message);
         timeout(WRITE_TIMEOUT, self.0.write_all(&line)).await.map_err(|_| io::ErrorKind::TimedOut)?
--- a/crates/daemon/src/hot_restart/sibling.rs
+++ b/crates/daemon/src/hot_restart/sibling.rs
@@ -1,34 +1,34 @@
-//! The shared value by which the parts of a node reach the sibling process, if one runs.
+//! The handle through which the parts of a node send messages to the sibling process.
 use super::codec::{Message, Usage};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that may be queued for the sibling; a sibling that falls further behind is disconnected.
+/// Maximum number of messages that are queued for the sibling; when the queue is full, the sibling is disconnected.
 const QUEUE_CAPACITY: usize = 8192;
 
-/// The other process of this node, if one runs. Without one, messages are dropped and its usage is zero.
+/// The other process of this node. If none runs, messages are dropped and the usage is zero.
 #[derive(Default)]
 pub struct SiblingProcess {
     outbox: RefCell<Option<mpsc::Sender<Message>>>,
-    /// Callers that wait until the sibling acknowledges the message of this number.
+    /// Callers that wait until the sibling acknowledges a message, by the number of the message.
     unacknowledged: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
     last_number: Cell<u64>,
     usage: Cell<Usage>,
 }
 
 impl SiblingProcess {
-    /// What the sibling last reported to use of the limits that both processes share.
+    /// The sibling's last reported usage of the limits that both processes share.
     pub fn usage(&self) -> Usage {
         self.usage.get()
     }
 
-    /// Records what the sibling uses of the shared limits.
+    /// Stores the usage that the sibling reported.
     pub fn set_usage(&self, usage: Usage) {
         self.usage.set(usage);
     }
 
-    /// Queues a message for the sibling. If the queue is full the sibling is disconnected.
+    /// Queues a message for the sibling. If the queue is full, the sibling is disconnected.
     pub fn send(&self, message: Message) {
         let is_sent = self.outbox.borrow().as_ref().is_none_or(|outbox| outbox.try_send(message).is_ok());
         if !is_sent {
@@ -37,13 +37,12 @@
         }
     }
 
-    /// Announces a request that this process has admitted, by the token of its id, so that the sibling rejects
-    /// a duplicate.
+    /// Sends the token of the id of a request that this process has admitted, so that the sibling rejects duplicates.
     pub fn announce_request(&self, token: u64) {
         self.send(Message::Ids { ids: vec![token] });
     }
 
-    /// Sends a numbered message, and reports to `done` once the sibling has acknowledged it or is gone.
+    /// Sends a numbered message, and notifies `done` once the sibling has acknowledged it or has disconnected.
     pub fn replicate(&self, message: impl FnOnce(u64) -> Message, done: oneshot::Sender<bool>) {
         if self.outbox.borrow().is_none() {
             let _ = done.send(true);
@@ -55,21 +54,21 @@
         self.send(message(number));
     }
 
-    /// Completes the [`replicate`](Self::replicate) call of this number.
+    /// Completes the [`replicate`](Self::replicate) call with this number.
     pub fn acknowledge(&self, number: u64) {
         if let Some(done) = self.unacknowledged.borrow_mut().remove(&number) {
             let _ = done.send(true);
         }
     }
 
-    /// Begins to queue messages for a sibling, and returns the queue that is to be written to it.
+    /// Starts to queue messages for a sibling, and returns the receiving end of the queue.
     pub fn connect(&self) -> mpsc::Receiver<Message> {
         let (sender, queue) = mpsc::channel(QUEUE_CAPACITY);
         self.outbox.replace(Some(sender));
         queue
     }
 
-    /// Drops the connection: the sibling uses nothing any more, and nobody waits for it.
+    /// Drops the connection: resets the sibling's usage and completes all calls that wait for it.
     pub fn disconnect(&self) {
         self.outbox.replace(None);
         self.usage.set(Usage::default());
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -32,7 +32,7 @@
 pub fn start(path: &Path) -> Result<(), NodeError> {
     // Before anything is opened that could take the number of the descriptor.
     let descriptor = std::env::var(inherited_socket::DESCRIPTOR_VARIABLE).ok();
-    let inherited_listener = inherited_socket::listener(descriptor.as_deref())?;
+    let inherited_listener = inherited_socket::take_listener(descriptor.as_deref())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(NodeError::Runtime)?;
     // Before the configuration is read: a signal that arrives meanwhile is handled once the node runs.
--- a/crates/daemon/tests/unit/inherited_socket.rs
+++ b/crates/daemon/tests/unit/inherited_socket.rs
@@ -22,9 +22,9 @@
     }
     for descriptor in ["x", "-1", "2", "99999"] {
         assert!(
-            listener(Some(descriptor)).unwrap_err().to_string().starts_with("ROUTER_PASSED_SOCKET: "),
+            take_listener(Some(descriptor)).unwrap_err().to_string().starts_with("ROUTER_PASSED_SOCKET: "),
             "{descriptor}"
         );
     }
-    assert!(listener(None).unwrap().is_none() && listener(Some("")).unwrap().is_none());
+    assert!(take_listener(None).unwrap().is_none() && take_listener(Some("")).unwrap().is_none());
 }
