--- a/crates/daemon/src/config/consul.rs
+++ b/crates/daemon/src/config/consul.rs
@@ -1,4 +1,4 @@
-//! The section `[lists.consul]` of the operator's file: which services of Consul are watched, and how.
+//! The section `[lists.consul]` of the operator's file, which configures the watches of Consul services.
 use crate::config::validation::Validator;
 use crate::units::{to_duration, to_millis};
 use serde::Deserialize;
@@ -16,25 +16,25 @@
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ConsulConfig {
-    /// Agents to query; a query that fails goes to the next one.
+    /// Addresses of the agents; after a failed query the next agent is queried.
     pub agents: Vec<SocketAddr>,
-    /// File with the ACL token, read at start and on reload.
+    /// Path of the file with the ACL token, which is read at start and on reload.
     pub token_file: Option<PathBuf>,
-    /// The services to watch. If two list one executor, the first service's entry is used.
+    /// The services to watch. If several list an executor, the entry of the first one is used.
     pub services: Vec<ServiceConfig>,
     /// The consistency mode of the queries.
     #[serde(default)]
     pub consistency: ConsistencyMode,
-    /// How long an agent may block a query while nothing changes.
+    /// How long an agent blocks a query if nothing changes.
     #[serde(rename = "wait", default = "default_query_wait", with = "humantime_serde")]
     pub query_wait: Duration,
-    /// Upper bound on the backoff between queries that fail.
+    /// Maximum backoff between failing queries.
     #[serde(rename = "longest_retry", default = "default_max_backoff", with = "humantime_serde")]
     pub max_backoff: Duration,
-    /// Upper bound on the age of a stale answer.
+    /// Maximum age of a stale answer.
     #[serde(rename = "oldest_view", default = "default_max_staleness", with = "humantime_serde")]
     pub max_staleness: Duration,
-    /// How many executors may disappear at once.
+    /// Bounds on the executors that may disappear at once.
     #[serde(default)]
     pub panic: PanicConfig,
     /// Flap damping of executors.
@@ -58,12 +58,12 @@
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq, Default)]
 #[serde(rename_all = "kebab-case")]
 pub enum ConsistencyMode {
-    /// The leader answers without a confirmation of its leadership.
+    /// The leader answers without confirming its leadership.
     #[default]
     Default,
     /// Any server answers.
     Stale,
-    /// The leader confirms its leadership first.
+    /// The leader confirms its leadership before it answers.
     Consistent,
 }
 
@@ -71,9 +71,9 @@
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfig {
-    /// The service's name in the catalogue.
+    /// The service's name in the catalog.
     pub name: String,
-    /// The datacenter; none for the agent's own.
+    /// The datacenter; the agent's own if absent.
     pub datacenter: Option<String>,
     /// The namespace, for Consul Enterprise.
     pub namespace: Option<String>,
@@ -85,13 +85,13 @@
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct PanicConfig {
-    /// The share, from 0 to 1, of executors that may disappear within the window.
+    /// The fraction of executors, from 0 to 1, that may disappear within the window.
     #[serde(rename = "share")]
     pub max_missing_share: f64,
     /// The window.
     #[serde(rename = "span", with = "humantime_serde")]
     pub window: Duration,
-    /// An executor that has been missing for this long is removed in any case.
+    /// An executor that has been missing for this long is removed regardless of the bound.
     #[serde(rename = "believed_after", with = "humantime_serde")]
     pub max_missing_time: Duration,
 }
@@ -117,13 +117,13 @@
     /// Half-life of the penalty, which grows by 1 with each failure.
     #[serde(with = "humantime_serde")]
     pub half_life: Duration,
-    /// An executor with a higher penalty is suppressed.
+    /// An executor is suppressed when its penalty exceeds this value.
     #[serde(rename = "cutoff")]
     pub suppress_threshold: f64,
-    /// A suppressed executor is listed again once its penalty is lower.
+    /// A suppressed executor is listed again once its penalty is below this value.
     #[serde(rename = "reuse")]
     pub reuse_threshold: f64,
-    /// Upper bound on the time for which an executor is suppressed.
+    /// Maximum time for which an executor is suppressed.
     #[serde(rename = "longest", with = "humantime_serde")]
     pub max_suppress_time: Duration,
 }
@@ -142,7 +142,7 @@
 }
 
 impl ConsulConfig {
-    /// The watches, in the order of precedence.
+    /// The watches, in order of precedence.
     pub fn watches(&self) -> Vec<WatchedService> {
         let consistency = match self.consistency {
             ConsistencyMode::Default => Consistency::Default,
@@ -159,7 +159,7 @@
         self.services.iter().map(watch_of).collect()
     }
 
-    /// Timing of the blocking queries.
+    /// The timing of the blocking queries.
     pub fn query_timing(&self) -> QueryTiming {
         QueryTiming {
             wait: to_millis(self.query_wait),
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Policy of the catalog, which holds at most `max_executors` executors.
+    /// The policy of the catalog, which holds at most `max_executors` executors.
     pub fn catalog_policy(&self, max_executors: usize) -> CatalogPolicy {
         let damping = Damping {
             half_life: to_millis(self.damping.half_life),
--- a/crates/daemon/src/config/durable.rs
+++ b/crates/daemon/src/config/durable.rs
@@ -1,4 +1,4 @@
-//! The section `[durable]` of the operator's file: jobs that survive a restart of the node.
+//! The section `[durable]` of the operator's file, which configures jobs that survive a restart of the node.
 use crate::config::validation::Validator;
 use serde::Deserialize;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 /// When the ledger is synced to disk.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum LedgerSync {
-    /// One sync for all records that wait for it.
+    /// One sync covers all pending records.
     #[default]
     #[serde(rename = "together")]
     Batched,
@@ -19,16 +19,16 @@
     PerRecord,
 }
 
-/// An effect of a request class, in the terms of the operator's file.
+/// An effect of a request class, under its name in the operator's file.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DurableEffect {
-    /// A repeat has no further effect.
+    /// Repeated execution has no further effect.
     #[serde(rename = "rerunnable")]
     Idempotent,
-    /// Executors discard a repeat by its id.
+    /// Executors discard repeated requests by their ids.
     #[serde(rename = "receipted")]
     Deduplicated,
-    /// A repeat would take effect twice.
+    /// Repeated execution would take effect twice.
     #[serde(rename = "exclusive")]
     AtMostOnce,
 }
@@ -43,11 +43,11 @@
     }
 }
 
-/// Terms of durable jobs. A reload does not change them.
+/// Configuration of durable jobs. A reload does not change it.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DurableConfig {
-    /// The ledger's file.
+    /// Path of the ledger file.
     pub path: PathBuf,
     /// Requests of a class with one of these effects become durable jobs even without an idempotency key.
     #[serde(default = "default_effects")]
@@ -64,10 +64,10 @@
     /// New durable jobs are rejected while a sync takes longer than this.
     #[serde(rename = "slow_after", default = "default_slow_sync_threshold", with = "humantime_serde")]
     pub slow_sync_threshold: Duration,
-    /// Upper bound on jobs on record, open and completed; the memory may allow fewer.
+    /// Maximum number of recorded jobs, open and completed; the memory limit may allow fewer.
     #[serde(rename = "most", default = "default_max_jobs")]
     pub max_jobs: usize,
-    /// An attempt without a sign of life for this long counts as lost. None if executors report no progress.
+    /// An attempt without a heartbeat for this long counts as lost; `None` if executors report no progress.
     #[serde(rename = "lease", default, with = "humantime_serde")]
     pub lease_duration: Option<Duration>,
     /// Whether executors reject attempts with an outdated fencing token.
@@ -119,7 +119,7 @@
     }
 }
 
-/// Whether a text is a `token` of RFC 9110, within the length that a key's header may have.
+/// Whether a name is a `token` of RFC 9110 and not longer than the maximum.
 fn is_header_name(name: &str) -> bool {
     let is_token = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
     (1..=MAX_KEY_HEADER_BYTES).contains(&name.len()) && name.bytes().all(is_token)
--- a/crates/daemon/src/config/limits/sides.rs
+++ b/crates/daemon/src/config/limits/components.rs
@@ -1,103 +1,105 @@
-//! Limits of each side of the node, and how the sockets are divided among them.
+//! Limits of each component of the node, and the division of sockets among them.
 use super::{LimitInputs, MIB};
 use crate::ring_buffer::INITIAL_BYTES;
 use std::time::Duration;
 
-/// The part of the spare descriptors that connections to the admin API may use.
+/// Maximum number of connections to the admin API; they use a part of the reserved descriptors.
 const MAX_ADMIN_CONNECTIONS: usize = 12;
 
-/// Upper bound on the size of an endpoint list with any memory.
+/// Maximum size in bytes of an endpoint list, for any memory size.
 const MAX_LIST_BYTES: usize = 64 * MIB;
 
-/// Upper bound on the size of an answer of Consul with any memory.
+/// Maximum size in bytes of an answer of Consul, for any memory size.
 const MAX_CONSUL_ANSWER_BYTES: usize = 12 * MIB;
 
 /// Limits of the connections from clients.
 #[derive(Debug)]
 pub struct DownstreamLimits {
-    /// Connections that are served.
+    /// Maximum number of connections that are served.
     pub max_connections: usize,
-    /// Connections accepted beyond `max_connections`, only to be rejected with a Retry-After.
+    /// Maximum number of connections accepted above `max_connections` in order to reject them with a Retry-After.
     pub max_rejected_connections: usize,
-    /// Memory of all read and write buffers beyond their initial size.
+    /// Memory in bytes of all read and write buffers beyond their initial size.
     pub buffer_bytes: usize,
-    /// Bodies that may arrive in parts at the same time.
+    /// Maximum number of partially received bodies at the same time.
     pub max_partial_bodies: usize,
-    /// Memory reserved for the contents of all open requests.
+    /// Maximum memory in bytes reserved for the contents of all open requests.
     pub max_reserved_bytes: usize,
-    /// Ids of completed requests that are stored for deduplication; at least half of them at any time.
+    /// Maximum number of ids of completed requests that are stored for deduplication; once that is reached, at least
+    /// half of them are stored at any time.
     pub max_completed_ids: usize,
-    /// Bounds the reading of a request, from connect for the first one, and the writing of an answer.
+    /// Bounds the time to read a request (from connect for the first one) and the time to write an answer.
     pub io_timeout: Duration,
-    /// How long a connection may be idle after an answer.
+    /// Maximum idle time of a connection after an answer.
     pub idle_timeout: Duration,
     /// Age below which a new connection is not evicted.
     pub min_new_connection_age: Duration,
-    /// Time after its last answer in which a connection is not evicted.
+    /// Time after its last answer during which a connection is not evicted.
     pub min_idle_before_eviction: Duration,
     /// Retry-After of requests that are rejected for lack of capacity.
     pub rejected_retry_after: Duration,
     /// Retry-After of requests that cannot be parsed.
     pub malformed_retry_after: Duration,
-    /// Time before the client's own timeout at which a request's deadline is set.
+    /// Time by which a request's deadline precedes the client's timeout.
     pub deadline_margin: Duration,
-    /// Time before the client's own timeout at which the last answer is sent.
+    /// Time before the client's timeout at which the last answer is sent.
     pub last_answer_margin: Duration,
-    /// How long after start requests wait for the first endpoint list.
+    /// Time after the start during which requests wait for the first endpoint list.
     pub first_list_timeout: Duration,
 }
 
 /// Limits of the connections to executors.
 #[derive(Debug)]
 pub struct UpstreamLimits {
-    /// Connections to executors; a sixteenth of them is reserved for probes.
+    /// Maximum number of connections to executors; a sixteenth of them is reserved for probes.
     pub max_connections: usize,
-    /// How long after a response a second one to the same attempt may arrive.
+    /// Time after a response within which a second response to the same attempt may arrive.
     pub duplicate_response_window: Duration,
 }
 
 /// Limits of the sources of the endpoint list.
 #[derive(Debug)]
 pub struct DiscoveryLimits {
-    /// Size of one snapshot or delta of the endpoint list.
+    /// Maximum size in bytes of one snapshot or delta of the endpoint list.
     pub max_list_bytes: usize,
-    /// The part of a list that is buffered as text; entries are parsed as they arrive.
+    /// Maximum size in bytes of the part of a list that is buffered as text; entries are parsed as they arrive.
     pub max_buffered_text_bytes: usize,
-    /// Size of one answer of Consul.
+    /// Maximum size in bytes of one answer of Consul.
     pub max_consul_answer_bytes: usize,
-    /// A watch without an update for this long has failed.
+    /// A watch without an update for this long counts as failed.
     pub watch_idle_timeout: Duration,
-    /// Bounds the opening of a watch, from connect to the head of the response.
+    /// Bounds the time to open a watch, from connect to the head of the response.
     pub watch_open_timeout: Duration,
 }
 
 /// Bounds on the number of executors.
 #[derive(Debug, Default)]
 pub struct ExecutorBounds {
-    /// Executors that this node dispatches to.
+    /// Maximum number of executors that this node dispatches to.
     pub max_retained: usize,
-    /// `max_retained`, and those that are gone or lost their place and are not released yet.
+    /// Maximum number of registered executors: `max_retained` and those that are gone or no longer retained and not
+    /// released yet.
     pub max_registered: usize,
-    /// Entries that are cached of executors that are not retained.
+    /// Maximum number of cached entries of executors that are not retained.
     pub max_unretained_entries: usize,
-    /// Entries of one list.
+    /// Maximum number of entries of one list.
     pub max_listed: usize,
 }
 
 /// Limits of the admin API.
 #[derive(Debug)]
 pub struct AdminLimits {
-    /// Connections that are open at the same time.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Size of one read or write buffer.
+    /// Size of one read or write buffer in bytes.
     pub buffer_bytes: usize,
-    /// Bounds a call until its effect holds; callers wait a second.
+    /// Bounds the time until a call has taken effect; callers wait 1 s.
     pub call_timeout: Duration,
     /// Time from a drain call until idle connections are closed and new requests are rejected.
     pub drain_settle_time: Duration,
 }
 
-/// How the sockets of a node are divided among the sides.
+/// The number of connections that each component may open.
 pub(super) struct ConnectionShares {
     downstream: usize,
     rejected: usize,
@@ -117,7 +119,7 @@
 impl DownstreamLimits {
     pub(super) fn new(inputs: &LimitInputs, shares: &ConnectionShares, max_body_bytes: usize) -> Self {
         let memory = inputs.memory_bytes();
-        // Two processes share the memory, but for the executors, which both of them know.
+        // Two processes share the memory, except for that of executors, which each of them stores.
         let partial_body_bytes = match (inputs.has_inherited_socket, inputs.has_consul || inputs.has_ledger) {
             (false, _) => memory / 20,
             (true, false) => memory / 22,
--- a/crates/daemon/src/config/limits/mod.rs
+++ b/crates/daemon/src/config/limits/mod.rs
@@ -1,12 +1,12 @@
 //! Limits of one node: memory, connections and timeouts, computed once at start from [`LimitInputs`].
-mod sides;
+mod components;
 mod timeouts;
 
-pub use sides::{AdminLimits, DiscoveryLimits, DownstreamLimits, ExecutorBounds, UpstreamLimits};
+pub use components::{AdminLimits, DiscoveryLimits, DownstreamLimits, ExecutorBounds, UpstreamLimits};
 pub use timeouts::Timeouts;
 
 use crate::ring_buffer::INITIAL_BYTES;
-use sides::ConnectionShares;
+use components::ConnectionShares;
 use std::cell::Cell;
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -14,71 +14,71 @@
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
 
-/// Log lines that may wait to be written; further lines are dropped.
+/// Maximum number of log lines that wait to be written; further lines are dropped.
 pub const LOG_QUEUE_LINES: usize = 1024;
 
-/// Upper bound on the interval between two polls of the endpoint list; longer settings are reduced to it.
+/// Maximum interval between two polls of the endpoint list; a longer setting is reduced to it.
 pub const MAX_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The part of the memory that the ledger's index may take; `docs/durable.md` states it.
+/// The ledger's index may use the memory divided by this number; `docs/durable.md` states it.
 const LEDGER_MEMORY_DIVISOR: usize = 14;
 
-/// Memory of one durable job in the ledger's index: its row, id, idempotency key and attempts.
+/// Memory in bytes of one durable job in the ledger's index: its row, id, idempotency key and attempts.
 pub const JOB_BYTES: usize = 800;
 
-/// Memory of one retained executor, with a name and an address of up to 24 bytes each, while a new snapshot of the
-/// list is parsed. `examples/fleet_memory.rs` prints it.
+/// Memory in bytes of one retained executor, with a name and an address of up to 24 bytes each, while a new snapshot
+/// of the list is parsed. `examples/fleet_memory.rs` prints it.
 pub const EXECUTOR_BYTES: usize = 1_200;
 
-/// Memory of an executor that is gone or lost its place, until its handle is released.
+/// Memory in bytes of an executor that is gone or no longer retained, until its handle is released.
 pub const RELEASED_BYTES: usize = 960;
 
-/// Memory of the list entry of an executor that is not retained.
+/// Memory in bytes of the list entry of an executor that is not retained.
 pub const UNRETAINED_ENTRY_BYTES: usize = 600;
 
-/// Memory that the Consul source needs for each executor, without the text of the answer.
+/// Memory in bytes that the Consul source needs per executor, without the text of the answer.
 pub const CONSUL_MEMBER_BYTES: usize = 960;
 
-/// Descriptors reserved for the log, the runtime, discovery, probes and the admin API.
+/// Number of file descriptors reserved for the log, the runtime, discovery, probes and the admin API.
 const SPARE_DESCRIPTORS: u64 = 24;
 
-/// The memory in MiB that the limits are made for; less or more counts as the nearest of them.
+/// The range of memory sizes in MiB that the limits support; a value outside is clamped to it.
 const MEMORY_MB_RANGE: RangeInclusive<u64> = 16..=1 << 20;
 
-/// The numbers of sockets that the limits are made for. The lowest leaves some after the spare descriptors of two
-/// processes.
+/// The range of socket counts that the limits support; a value outside is clamped to it. The lowest leaves some
+/// sockets after the reserved descriptors of two processes.
 const SOCKETS_RANGE: RangeInclusive<u64> = 64..=1 << 20;
 
-/// The share of the configured memory that is given out; the rest covers the program and fragmentation.
+/// The fraction of the configured memory that the limits assign; the rest covers the program and fragmentation.
 const BUDGETED_MEMORY_SHARE: f64 = 0.9;
 
-/// Retained executors for each additional handle of an executor that is not released yet.
+/// Number of retained executors per additional handle for an executor that is not released yet.
 const EXECUTORS_PER_RELEASED: usize = 16;
 
-/// Retained executors for each cached entry of one that is not retained.
+/// Number of retained executors per cached entry of an executor that is not retained.
 const EXECUTORS_PER_UNRETAINED_ENTRY: usize = 4;
 
-/// Memory of the id of a completed request.
+/// Memory in bytes of the id of a completed request.
 const COMPLETED_ID_BYTES: usize = 24;
 
-/// What the deployment configures and the limits follow from.
+/// The configuration values from which the limits are derived.
 #[derive(Clone, Default)]
 pub struct LimitInputs {
-    /// Memory of the process in MiB.
+    /// Memory that the process may use, in MiB.
     pub memory_mb: u64,
-    /// Sockets that may be open at the same time.
+    /// Maximum number of open sockets.
     pub max_sockets: u64,
     /// Bounds the establishment of a connection.
     pub connect_timeout: Option<Duration>,
     /// How long an executor keeps an idle connection open.
     pub executor_idle_timeout: Option<Duration>,
-    /// How long an executor that drains still accepts requests.
+    /// How long a draining executor still accepts requests.
     pub drain_grace: Option<Duration>,
     /// The longest deadline of any request class.
     pub max_deadline: Duration,
-    /// Whether Consul is a source of the endpoint list. Its answers need more memory.
+    /// Whether Consul is a source of the endpoint list; its answers need more memory.
     pub has_consul: bool,
-    /// Whether the listening socket was inherited, so that two processes share the limits for a while.
+    /// Whether the listening socket was inherited, so that two processes share the limits during a hot restart.
     pub has_inherited_socket: bool,
     /// Whether the node has a ledger of durable jobs.
     pub has_ledger: bool,
@@ -94,7 +94,7 @@
         (self.max_sockets.clamp(*SOCKETS_RANGE.start(), *SOCKETS_RANGE.end()) - spare) as usize
     }
 
-    /// Memory by a divisor, and by a larger one if answers of Consul need memory as well.
+    /// The memory divided by a divisor; by a larger one if answers of Consul need memory as well.
     fn memory_fraction(&self, divisor: usize, divisor_with_consul: usize) -> usize {
         self.memory_bytes() / if self.has_consul { divisor_with_consul } else { divisor }
     }
@@ -104,44 +104,44 @@
     }
 }
 
-/// Limits of one node.
+/// The limits of a node.
 #[derive(Debug)]
 pub struct Limits {
     timeouts: Cell<Timeouts>,
-    /// The side of the clients.
+    /// Limits of connections from clients.
     pub downstream: DownstreamLimits,
-    /// The side of the executors.
+    /// Limits of connections to executors.
     pub upstream: UpstreamLimits,
-    /// The sources of the endpoint list.
+    /// Limits of the sources of the endpoint list.
     pub discovery: DiscoveryLimits,
-    /// Numbers of executors.
+    /// Bounds on the number of executors.
     pub executor_bounds: ExecutorBounds,
-    /// The admin API.
+    /// Limits of the admin API.
     pub admin: AdminLimits,
-    /// Size of one read or write buffer; the head of a message has to fit into one.
+    /// Size of one read or write buffer in bytes; the head of a message must fit into one.
     pub connection_buffer_bytes: usize,
-    /// Size of the body of one request.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: usize,
-    /// Durable jobs on record.
+    /// Maximum number of recorded durable jobs.
     pub max_durable_jobs: usize,
-    /// Connections that wait to be accepted.
+    /// Maximum number of connections that wait to be accepted.
     pub listen_backlog: u32,
-    /// Events that wait for the driver.
+    /// Maximum number of events that wait for the driver.
     pub event_queue_capacity: usize,
     /// Bytes that are read and discarded after a request that was not read to its end.
     pub max_discarded_bytes: usize,
-    /// Bounds the reading of the rest of a message so that its connection can be closed cleanly or reused.
+    /// Bounds the time to read the rest of a message, so that its connection can be closed cleanly or reused.
     pub rest_of_message_timeout: Duration,
-    /// A node that did not run for longer than this treats what it knows as outdated.
+    /// A node that did not run for longer than this treats its information as outdated.
     pub stall_threshold: Duration,
-    /// Time after start from which a node serves by the cached endpoint list.
+    /// Time after the start at which a node begins to serve with the cached endpoint list.
     pub cached_list_after: Duration,
-    /// Bounds the writing of the last answers at the end of a shutdown.
+    /// Bounds the time to write the last answers at the end of a shutdown.
     pub last_write_timeout: Duration,
 }
 
 impl Limits {
-    /// Derives all limits from what the deployment configures.
+    /// Derives all limits from the configuration.
     pub fn new(inputs: &LimitInputs) -> Self {
         let max_body_bytes = 64 * KIB;
         let shares = ConnectionShares::new(inputs, max_body_bytes);
@@ -167,23 +167,23 @@
         limits
     }
 
-    /// The timeouts in force.
+    /// The current timeouts.
     pub fn timeouts(&self) -> Timeouts {
         self.timeouts.get()
     }
 
-    /// Applies the timeouts of reloaded settings; sizes and counts stay as they were at start.
+    /// Applies the timeouts of reloaded settings; sizes and counts stay as they were at the start.
     pub fn update_timeouts(&self, inputs: &LimitInputs) {
         self.timeouts.set(Timeouts::new(inputs));
     }
 
-    /// Gives executors the memory that nothing else may use.
+    /// Assigns the memory that no other limit uses to executors.
     fn bound_executors(&self, inputs: &LimitInputs) -> ExecutorBounds {
         let budget = (inputs.memory_bytes() as f64 * BUDGETED_MEMORY_SHARE) as usize;
         let available = budget.saturating_sub(self.bytes_without_executors(inputs)) / inputs.process_count();
         let registered_bytes = EXECUTOR_BYTES + RELEASED_BYTES / EXECUTORS_PER_RELEASED;
         let (max_retained, max_unretained_entries) = if inputs.has_consul {
-            // The catalog of the Consul source drops executors over the bound by itself.
+            // The catalog of the Consul source drops executors above the bound by itself.
             (available / (registered_bytes + CONSUL_MEMBER_BYTES), 0)
         } else {
             let entry_bytes = UNRETAINED_ENTRY_BYTES / EXECUTORS_PER_UNRETAINED_ENTRY;
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Upper bound on the memory of everything but executors.
+    /// The maximum memory in bytes of all parts of the node other than executors.
     fn bytes_without_executors(&self, inputs: &LimitInputs) -> usize {
         let (downstream, upstream, admin) = (&self.downstream, &self.upstream, &self.admin);
         let partial_bodies = 2 * downstream.max_partial_bodies * self.max_body_bytes;
@@ -210,7 +210,7 @@
         } else {
             self.discovery.max_buffered_text_bytes
         };
-        // Each of two processes has these of its own; only one of them has the ledger open.
+        // Each of two processes needs these separately; only one of them has the ledger open.
         let bytes_per_process = downstream.max_completed_ids * COMPLETED_ID_BYTES
             + admin.max_connections * admin.buffer_bytes * 2
             + downstream.max_rejected_connections * 2 * INITIAL_BYTES
--- a/crates/daemon/src/config/node.rs
+++ b/crates/daemon/src/config/node.rs
@@ -1,4 +1,4 @@
-//! The platform's node file (JSON): the node's addresses, resources and settings, and the endpoint list it starts with.
+//! The platform's node file (JSON): the node's addresses, resources, settings and initial endpoint list.
 use crate::config::file::read_text;
 use crate::config::limits::{LimitInputs, MAX_POLL_INTERVAL};
 use crate::protocol::{Codec, EndpointList};
@@ -11,16 +11,17 @@
 use troutknot::{Millis, Settings};
 use troutknot_configuration::{IdCatalog, SettingsErrors};
 
-/// Only this much of the file is read.
+/// Maximum number of bytes read from the file.
 const MAX_FILE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Overrides the address of the admin API, so that two processes of one node can each have their own.
+/// Environment variable that overrides the address of the admin API, so that two processes of one node can have
+/// different addresses.
 const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_MANAGEMENT";
 
-/// A setting that is a time is ignored if it is as long or longer.
+/// A setting that is a duration is ignored if it has this many milliseconds or more.
 const MAX_SETTING_MILLIS: Millis = 1e9;
 
-/// The platform's settings as they stand in the node file.
+/// The platform's settings in the form of the node file.
 pub type RawSettings = serde_json::Map<String, serde_json::Value>;
 
 /// Why a node file cannot be used.
@@ -34,7 +35,7 @@
         /// The cause.
         source: io::Error,
     },
-    /// The file is no JSON, or a key is missing or of the wrong type.
+    /// The file is not JSON, or a key is missing or has the wrong type.
     #[error("`{}`: {source}", path.display())]
     Syntax {
         /// The file.
@@ -42,7 +43,7 @@
         /// The cause.
         source: serde_json::Error,
     },
-    /// The environment variable that overrides the admin address is no socket address.
+    /// The environment variable that overrides the admin address is not a socket address.
     #[error("{ADMIN_ADDRESS_VARIABLE}: `{value}`: {source}")]
     AdminAddress {
         /// The variable's value.
@@ -58,10 +59,10 @@
     /// The seed cannot be parsed.
     #[error("`seed` must be a hexadecimal number of at most 64 bits, not `{seed}`")]
     Seed {
-        /// The seed as it stands in the file.
+        /// The seed in the file.
         seed: String,
     },
-    /// Settings are missing or not allowed.
+    /// Settings are missing or have values that are not allowed.
     #[error(transparent)]
     Settings(#[from] SettingsErrors),
 }
@@ -71,40 +72,40 @@
 pub struct NodeConfig {
     /// The node's name, unique among the nodes.
     pub name: String,
-    /// Where clients connect.
+    /// The address for connections from clients.
     #[serde(rename = "listen")]
     pub listen_address: SocketAddr,
-    /// The platform's discovery service.
+    /// The address of the platform's discovery service.
     #[serde(rename = "discovery")]
     pub discovery_address: SocketAddr,
-    /// Where the admin API listens; none without one.
+    /// The address of the admin API, which is disabled if this is absent.
     #[serde(rename = "management", default)]
     pub admin_address: Option<SocketAddr>,
-    /// Seed of the random source, in hexadecimal.
+    /// Seed of the random number generator, in hexadecimal.
     pub seed: String,
     /// Memory and sockets of the process.
     #[serde(rename = "limits")]
     pub resources: Resources,
-    /// The endpoint list to start with.
+    /// The initial endpoint list.
     #[serde(rename = "known")]
     pub cached_list: Option<EndpointList>,
     /// The platform's settings.
     pub settings: RawSettings,
 }
 
-/// Memory and sockets that the process may use.
+/// Resources that the process may use.
 #[derive(Deserialize, PartialEq)]
 pub struct Resources {
     /// Memory in MiB.
     pub memory_mb: u64,
-    /// Sockets that may be open at the same time.
+    /// Maximum number of open sockets.
     #[serde(rename = "sockets")]
     pub max_sockets: u64,
 }
 
-/// The values of a node file in the types that the parts of a node use.
+/// The values of a node file, converted to the types that the node uses.
 pub struct ResolvedNodeConfig {
-    /// Seed of the random source.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// The settings of the dispatcher.
     pub settings: Settings,
@@ -116,7 +117,7 @@
     /// Reads a node file. The environment may override the address of the admin API.
     ///
     /// # Errors
-    /// If the file cannot be read or parsed, or the override is no socket address.
+    /// If the file cannot be read or parsed, or the override is not a socket address.
     pub fn read(path: &Path) -> Result<Self, NodeFileError> {
         let text = read_text(path, MAX_FILE_BYTES)
             .map_err(|source| NodeFileError::Read { path: path.into(), source })?;
@@ -128,15 +129,15 @@
         Ok(config)
     }
 
-    /// The seed of the random source.
+    /// Parses the seed of the random number generator.
     ///
     /// # Errors
-    /// If it is no hexadecimal number of 64 bits.
+    /// If it is not a hexadecimal number of at most 64 bits.
     pub fn parse_seed(&self) -> Result<u64, NodeConfigError> {
         u64::from_str_radix(&self.seed, 16).map_err(|_| NodeConfigError::Seed { seed: self.seed.clone() })
     }
 
-    /// Converts the values, with ids of the catalog for the names in the settings.
+    /// Converts the values; names in the settings get their ids from the catalog.
     ///
     /// # Errors
     /// If the seed or the settings are not allowed.
@@ -146,8 +147,8 @@
         Ok(ResolvedNodeConfig { seed, settings, codec })
     }
 
-    /// The keys whose values differ in a newer file and take effect only after a restart.
-    pub fn changes_after_restart(&self, newer: &NodeConfig) -> Vec<&'static str> {
+    /// Returns the keys whose values differ in a newer file and take effect only after a restart.
+    pub fn restart_required_keys(&self, newer: &NodeConfig) -> Vec<&'static str> {
         let changes = [
             ("name", self.name != newer.name),
             ("listen", self.listen_address != newer.listen_address),
@@ -170,10 +171,10 @@
     }
 }
 
-/// Converts settings for the dispatcher and the codec, with ids of the catalog for their names.
+/// Converts settings for the dispatcher and the codec; names get their ids from the catalog.
 ///
 /// # Errors
-/// If settings are missing or not allowed; the catalog is unchanged then.
+/// If settings are missing or have values that are not allowed; the catalog is unchanged then.
 pub fn resolve_settings(
     raw_settings: &RawSettings,
     catalog: &mut IdCatalog,
@@ -184,14 +185,14 @@
     Ok((settings, Codec::new(raw_settings, resolved)))
 }
 
-/// Bounds the poll interval of the endpoint list, so that an update is applied in time after a failed poll.
+/// Limits the poll interval of the endpoint list, so that an update is applied in time after a failed poll.
 fn bound_poll_interval(settings: &mut Settings) {
     let max_interval = to_millis(MAX_POLL_INTERVAL);
     let interval = settings.rules.poll_interval.unwrap_or(max_interval);
     settings.rules.poll_interval = Some(interval.min(max_interval));
 }
 
-/// The inputs of the limits that stand in the settings; the others have their defaults.
+/// Returns the limit inputs that come from the settings; the others have their defaults.
 pub fn limit_inputs(settings: &Settings, codec: &Codec) -> LimitInputs {
     LimitInputs {
         connect_timeout: duration_of(settings.limits.connect_timeout),
@@ -202,7 +203,7 @@
     }
 }
 
-/// A setting as a duration; none if it is missing, negative or too large.
+/// Converts a setting to a duration. Returns `None` if it is missing, negative or too large.
 fn duration_of(setting: Option<Millis>) -> Option<Duration> {
     let millis = setting.filter(|millis| (0.0..MAX_SETTING_MILLIS).contains(millis))?;
     Some(to_duration(millis))
--- a/crates/daemon/src/config/operator.rs
+++ b/crates/daemon/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file (TOML), which the environment variable `TROUTKNOT_FILE` names. It is optional.
+//! The operator's file (TOML), an optional file whose path is in the environment variable `TROUTKNOT_FILE`.
 use crate::config::consul::ConsulConfig;
 use crate::config::durable::DurableConfig;
 use crate::config::file::read_text;
@@ -9,10 +9,10 @@
 use std::path::{Path, PathBuf};
 use troutknot::Settings;
 
-/// Names the operator's file.
+/// Environment variable with the path of the operator's file.
 const PATH_VARIABLE: &str = "TROUTKNOT_FILE";
 
-/// Only this much of the file is read.
+/// Maximum number of bytes read from the file.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
 const MAX_GOSSIP_PEERS: usize = 1000;
@@ -28,22 +28,22 @@
         /// The cause.
         source: io::Error,
     },
-    /// The file is no TOML, or has a key or a type that is not allowed.
+    /// The file is not TOML, or has an unknown key or a value of the wrong type.
     #[error("`{}` line {line}: {}", path.display(), source.message().trim().replace('\n', "; "))]
     Syntax {
         /// The file.
         path: PathBuf,
-        /// The line of the fault, from 1; 0 if it is not known.
+        /// The line of the error, counted from 1; 0 if it cannot be determined.
         line: usize,
         /// The cause.
         source: toml::de::Error,
     },
-    /// Values are not allowed. The message has a line for each fault.
+    /// Values are not allowed. The message has a line for each error.
     #[error("{}", error_lines(path, errors))]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// All errors that were found.
+        /// All errors in the file.
         errors: Vec<ValidationError>,
     },
 }
@@ -53,16 +53,16 @@
     lines.join("\n")
 }
 
-/// A setting of the platform that does not go with the operator's file.
+/// A conflict between the platform's settings and the operator's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsConflict {
-    /// Gossip is enabled, and the file names no peers.
+    /// Gossip is enabled in the settings, but the file has no section `[peers]`.
     #[error("setting `limits.peers`: true needs [peers] in the operator's own file")]
     NoPeers,
-    /// The file names peers, and gossip is not enabled.
+    /// The file has a section `[peers]`, but gossip is not enabled in the settings.
     #[error("[peers] of the operator's own file: `limits.peers` is not true")]
     GossipDisabled,
-    /// Hedged requests are enabled together with durable jobs.
+    /// Both hedged requests and durable jobs are enabled.
     #[error(
         "setting `limits.second_copies`: true cannot go with [durable] of the operator's own file, which allows \
          one attempt at a time"
@@ -70,28 +70,28 @@
     HedgedDurableJobs,
 }
 
-/// The operator's file. A section or key that is missing has its default.
+/// The operator's file. Missing sections and keys have their defaults.
 #[derive(Deserialize, Clone, Debug, PartialEq, Default)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorFile {
     /// Sources of the endpoint list.
     #[serde(rename = "lists")]
     pub discovery: DiscoveryConfig,
-    /// Durable jobs; none without the section.
+    /// Durable jobs, which are disabled if the section is absent.
     pub durable: Option<DurableConfig>,
-    /// Gossip between nodes; none without the section.
+    /// Gossip between nodes, which is disabled if the section is absent.
     #[serde(rename = "peers")]
     pub gossip: Option<GossipConfig>,
 }
 
-/// Addresses for gossip between nodes. A reload does not change them.
+/// Configuration of gossip between nodes. A reload does not change it.
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct GossipConfig {
-    /// Where this node receives datagrams.
+    /// The address at which this node receives datagrams.
     #[serde(rename = "listen")]
     pub listen_address: SocketAddr,
-    /// Where the other nodes receive them; may include this node.
+    /// The addresses at which the nodes receive datagrams; they may include this node's.
     #[serde(rename = "nodes")]
     pub peers: Vec<SocketAddr>,
 }
@@ -100,7 +100,7 @@
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiscoverySource {
-    /// The platform's discovery service, whose address the node file names.
+    /// The platform's discovery service, whose address is in the node file.
     Platform,
     /// Consul's health API.
     Consul,
@@ -110,9 +110,9 @@
 #[derive(Deserialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct DiscoveryConfig {
-    /// The sources, in the order of precedence. A reload does not change them.
+    /// The sources, in order of precedence. A reload does not change them.
     pub sources: Vec<DiscoverySource>,
-    /// Terms of the Consul source.
+    /// Configuration of the Consul source.
     pub consul: Option<ConsulConfig>,
 }
 
@@ -123,20 +123,20 @@
 }
 
 impl OperatorFile {
-    /// The path that `TROUTKNOT_FILE` names; none if it is unset or empty.
+    /// The path in `TROUTKNOT_FILE`, or `None` if that is unset or empty.
     pub fn path_from_environment() -> Option<PathBuf> {
         std::env::var_os(PATH_VARIABLE).filter(|path| !path.is_empty()).map(PathBuf::from)
     }
 
-    /// Reads a file and checks all of it.
+    /// Reads a file and checks all its values.
     ///
     /// # Errors
-    /// If the file cannot be read or parsed, or with all values that are not allowed.
+    /// If the file cannot be read or parsed. If values are not allowed, the error lists all of them.
     pub fn read(path: &Path) -> Result<Self, OperatorFileError> {
         let text = read_text(path, MAX_FILE_BYTES)
             .map_err(|source| OperatorFileError::Read { path: path.into(), source })?;
         let file: OperatorFile = toml::from_str(&text).map_err(|source| {
-            let line = source.span().map_or(0, |span| line_of(&text, span.start));
+            let line = source.span().map_or(0, |span| line_number(&text, span.start));
             OperatorFileError::Syntax { path: path.into(), line, source }
         })?;
         let errors = file.validation_errors();
@@ -146,10 +146,10 @@
         Err(OperatorFileError::Invalid { path: path.into(), errors })
     }
 
-    /// Checks that the platform's settings go with this file.
+    /// Checks that the platform's settings are compatible with this file.
     ///
     /// # Errors
-    /// With the first conflict.
+    /// The first conflict that is found.
     pub fn check_settings(&self, settings: &Settings) -> Result<(), SettingsConflict> {
         match (settings.limits.gossip_enabled, &self.gossip) {
             (true, None) => Err(SettingsConflict::NoPeers),
@@ -174,8 +174,8 @@
     }
 }
 
-/// The line of an offset into a text, from 1.
-fn line_of(text: &str, offset: usize) -> usize {
+/// The line of a byte offset in a text, counted from 1.
+fn line_number(text: &str, offset: usize) -> usize {
     text[..offset.min(text.len())].matches('\n').count() + 1
 }
 
@@ -195,9 +195,9 @@
         const KEY: &str = "lists.sources";
         let sources = &self.sources;
         validator.check_rule(KEY, !sources.is_empty(), "is empty; \"platform\" and \"consul\" are allowed");
-        let has_repeated =
+        let has_duplicate =
             sources.iter().enumerate().any(|(index, source)| sources[..index].contains(source));
-        validator.check_rule(KEY, !has_repeated, "names one source twice");
+        validator.check_rule(KEY, !has_duplicate, "names one source twice");
         let has_consul = sources.contains(&DiscoverySource::Consul);
         validator.check_rule(
             KEY,
--- a/crates/daemon/src/config/reload.rs
+++ b/crates/daemon/src/config/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the configuration files at SIGHUP. A file with a fault is rejected and changes nothing.
+//! Reload of the configuration files at SIGHUP. An invalid file is rejected and has no effect.
 use crate::config::consul::ConsulConfig;
 use crate::config::limits::Limits;
 use crate::config::node::{
@@ -23,39 +23,39 @@
     /// A value is not allowed.
     #[error("`{}`: {source}", path.display())]
     Values { path: PathBuf, source: NodeConfigError },
-    /// A setting does not go with the operator's file.
+    /// A setting conflicts with the operator's file.
     #[error("`{}`: {source}", path.display())]
     Conflict { path: PathBuf, source: SettingsConflict },
-    /// The driver has stopped, so that the node is about to end.
+    /// The driver has stopped, because the node is shutting down.
     #[error("the node is shutting down")]
     ShuttingDown,
 }
 
-/// The node file and where its changes go.
+/// Reloads the node file and applies its changes.
 pub struct NodeReload {
     /// The file.
     pub path: PathBuf,
-    /// What it contained last; addresses and resources stay as they were at start.
+    /// The last accepted contents; addresses and resources stay as they were at the start.
     pub config: NodeConfig,
-    /// The address of the discovery service.
+    /// Publishes the address of the discovery service.
     pub discovery_address: watch::Sender<SocketAddr>,
-    /// The ids of the names in all settings so far.
+    /// The ids of the names in all settings since the start.
     pub catalog: IdCatalog,
-    /// The limits, whose timeouts follow the settings.
+    /// The limits, whose timeouts are derived from the settings.
     pub limits: Rc<Limits>,
-    /// The codec in force.
+    /// The current codec.
     pub codec: Rc<Current<Codec>>,
     /// The driver's queue.
     pub events: mpsc::Sender<NodeEvent>,
 }
 
-/// The operator's file and where its changes go.
+/// Reloads the operator's file and applies its changes.
 pub struct OperatorReload {
-    /// The file; none if the node runs without one.
+    /// The path of the file, or `None` if the node runs without one.
     pub path: Option<PathBuf>,
-    /// What it contained last.
+    /// The last accepted contents.
     pub file: OperatorFile,
-    /// The terms of the Consul source.
+    /// Publishes the configuration of the Consul source.
     pub consul: watch::Sender<Option<ConsulConfig>>,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl ConfigReloader {
-    /// Reloads at each signal until the node ends.
+    /// Reloads at each signal until the node shuts down.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             self.operator.reload();
@@ -92,13 +92,13 @@
     }
 
     fn apply(&mut self, mut newer: OperatorFile) {
-        // These take effect only at start.
+        // These sections take effect only at the start.
         newer.gossip = self.file.gossip.clone();
         newer.durable = self.file.durable.clone();
         if newer.discovery.sources != self.file.discovery.sources {
             tracing::info!(key = "lists.sources", "changed value takes effect only after a restart");
         }
-        // An unchanged section is sent as well, because the token file may have changed.
+        // An unchanged section is sent too, because the token file may have changed.
         self.consul.send_replace(newer.discovery.consul.clone());
         self.file = newer;
     }
@@ -112,7 +112,7 @@
         let address = newer.discovery_address;
         let address_changed = self.discovery_address.send_replace(address) != address;
         let settings_changed = newer.settings != self.config.settings;
-        let restart_required = self.config.changes_after_restart(&newer).join(", ");
+        let restart_required = self.config.restart_required_keys(&newer).join(", ");
         tracing::info!(
             %address,
             address_changed,
@@ -134,12 +134,12 @@
             .map_err(|source| ReloadError::Conflict { path: self.path.clone(), source })
     }
 
-    /// Applies new settings to all parts of the node, or nothing of them.
+    /// Applies new settings to all parts of the node. If one is not valid, none is applied.
     async fn apply_settings(&mut self, raw_settings: &RawSettings) -> Result<(), ReloadError> {
         let resolved = resolve_settings(raw_settings, &mut self.catalog);
         let (settings, codec) = resolved.map_err(|error| self.values_error(error.into()))?;
         self.limits.update_timeouts(&limit_inputs(&settings, &codec));
-        // The dispatcher has to know a new request class before the codec accepts its first request.
+        // The dispatcher must have a new request class before the codec accepts the first request of that class.
         let event = NodeEvent::SettingsChanged(Box::new(settings));
         self.events.send(event).await.map_err(|_| ReloadError::ShuttingDown)?;
         self.codec.store(codec);
--- a/crates/daemon/src/config/validation.rs
+++ b/crates/daemon/src/config/validation.rs
@@ -1,15 +1,15 @@
-//! Checks of values in a configuration file, which collect all errors instead of stopping at the first one.
+//! Validation of values in a configuration file. All errors are collected instead of only the first one.
 use humantime_serde::re::humantime::format_duration;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// A value of a configuration file that is not allowed, with its key and what is allowed.
+/// A value of a configuration file that is not allowed. The message contains the key and the allowed values.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValidationError {
     /// A duration is out of its range.
     #[error("`{key}` must be {} to {}", format_duration(*allowed.start()), format_duration(*allowed.end()))]
     Duration {
-        /// The key, with the sections it stands in.
+        /// The key, including its sections.
         key: &'static str,
         /// The allowed range.
         allowed: RangeInclusive<Duration>,
@@ -17,27 +17,27 @@
     /// A list is too short or too long.
     #[error("`{key}` must name {} to {} {items}", allowed.start(), allowed.end())]
     Count {
-        /// The key, with the sections it stands in.
+        /// The key, including its sections.
         key: &'static str,
         /// The allowed number of items.
         allowed: RangeInclusive<usize>,
-        /// What the list consists of.
+        /// What the items of the list are, in the plural.
         items: &'static str,
     },
     /// A number is out of its range.
     #[error("`{key}` must be {} to {}", allowed.start(), allowed.end())]
     Number {
-        /// The key, with the sections it stands in.
+        /// The key, including its sections.
         key: &'static str,
         /// The allowed range.
         allowed: RangeInclusive<f64>,
     },
-    /// A value breaks another rule.
+    /// A value violates another rule.
     #[error("`{key}` {rule}")]
     Rule {
-        /// The key, with the sections it stands in.
+        /// The key, including its sections.
         key: &'static str,
-        /// What is wrong and what is allowed.
+        /// The violated rule, as the rest of a sentence that begins with the key.
         rule: &'static str,
     },
 }
@@ -76,14 +76,14 @@
         }
     }
 
-    /// Checks a rule of another kind, given whether the value follows it.
-    pub fn check_rule(&mut self, key: &'static str, is_followed: bool, rule: &'static str) {
-        if !is_followed {
+    /// Checks any other rule, given whether the value satisfies it.
+    pub fn check_rule(&mut self, key: &'static str, is_satisfied: bool, rule: &'static str) {
+        if !is_satisfied {
             self.errors.push(ValidationError::Rule { key, rule });
         }
     }
 
-    /// All errors, in the order of the checks.
+    /// Returns all errors, in the order of the checks.
     pub fn into_errors(self) -> Vec<ValidationError> {
         self.errors
     }
--- a/crates/daemon/tests/unit/node_file.rs
+++ b/crates/daemon/tests/unit/node_file.rs
@@ -23,7 +23,7 @@
         ("discovery", json!("127.0.0.1:9"), &[]),
         ("settings", json!({"me": 1}), &[]),
     ] {
-        assert_eq!(old.changes_after_restart(&config(&[(key, value)])), expected, "{key}");
+        assert_eq!(old.restart_required_keys(&config(&[(key, value)])), expected, "{key}");
     }
 }
 
