--- a/crates/daemon/examples/fleet_memory.rs
+++ b/crates/daemon/examples/fleet_memory.rs
@@ -1,7 +1,7 @@
-//! Measures what a fleet of executors costs a real `troutknotd` in memory.
+//! Measures the memory that a real `troutknotd` uses per executor.
 //!
-//! Starts one process for each fleet size and source of the endpoint list, and reads its resident memory from
-//! `/proc`. Prints the memory after the start, its peak, and the bytes per executor by least squares.
+//! Starts one process for each number of executors and source of the endpoint list, and reads its resident memory from
+//! `/proc`. Prints the memory after the start, its peak, and the bytes per executor from a least-squares fit.
 //!
 //!     cargo run --profile kit -p troutknotd --example fleet_memory -- target/kit/troutknotd [MEMORY_MB [FLEET]...]
 use std::io::{BufRead, BufReader, Read, Write};
@@ -16,18 +16,18 @@
 const FLEETS: [usize; 5] = [100, 1_000, 5_000, 10_000, 19_000];
 const DEFAULT_MEMORY_MB: u64 = 512;
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for the node to parse the list and to free what it needed for that.
+/// Time for the node to parse the list and to free the memory that parsing needed.
 const SETTLE_TIME: Duration = Duration::from_millis(2500);
 
-/// Where a node has its endpoint list from.
+/// The sources from which a node receives its endpoint list.
 #[derive(Clone, Copy, PartialEq)]
 enum ListSource {
     Configuration,
     Watch,
     Both,
-    /// As `Both`, and further snapshots over the watch.
+    /// Like `Both`, with further snapshots over the watch.
     Repeated,
-    /// A Consul agent, in one service.
+    /// A Consul agent with one service.
     Consul,
 }
 
@@ -39,9 +39,9 @@
     (ListSource::Consul, "consul"),
 ];
 
-/// Snapshots that a watch sends in all.
+/// Total number of snapshots that a watch sends.
 const REPETITIONS: u64 = 6;
-/// Pause after each snapshot.
+/// Delay after each snapshot.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 struct Memory {
@@ -70,7 +70,7 @@
     format!("{{\"version\":{version},\"full\":{full},\"servers\":[{}]}}", entries.join(","))
 }
 
-/// Serves watches: the lists, then a heartbeat every second.
+/// Serves watches: sends the lists, then a keep-alive every second.
 fn serve_discovery(listener: TcpListener, lists: Vec<String>) {
     for stream in listener.incoming().flatten() {
         let lists = lists.clone();
@@ -92,7 +92,7 @@
     }
 }
 
-/// Starts a Consul agent with this fleet on its own thread.
+/// Starts a Consul agent with this number of executors on a separate thread.
 fn start_consul(executors: usize) -> SocketAddr {
     let (sender, address) = mpsc::channel();
     thread::spawn(move || {
@@ -112,7 +112,7 @@
     address.recv().expect("the agent starts")
 }
 
-/// The operator's file, which names the agent.
+/// Creates the contents of the operator's file, with the address of the agent.
 fn operator_file(agent: SocketAddr) -> String {
     format!(
         "[lists]\nsources = [\"consul\"]\n[lists.consul]\nagents = [\"{agent}\"]\nwait = \"300ms\"\n\
@@ -120,11 +120,11 @@
     )
 }
 
-fn configuration(discovery: SocketAddr, memory_mb: u64, known: &str) -> String {
+fn configuration(discovery: SocketAddr, memory_mb: u64, cached_list: &str) -> String {
     format!(
         "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"{discovery}\",\
          \"seed\":\"8c1f30d27a5be964\",\"limits\":{{\"memory_mb\":{memory_mb},\"sockets\":1024}},\
-         \"known\":{known},\"settings\":{{\"balancers\":1,\"me\":0,\"zone\":0,\
+         \"known\":{cached_list},\"settings\":{{\"balancers\":1,\"me\":0,\"zone\":0,\
          \"failure_domains\":[\"z0\",\"z1\",\"z2\"],\"kinds\":[\"m0\",\"m1\",\"m2\",\"m3\"],\
          \"project_types\":[{{\"name\":\"render\",\"effect\":\"safe\",\"hard_limit\":3000000,\
          \"promised_turnaround\":500000,\"credit\":1.0}}]}}}}"
@@ -138,9 +138,11 @@
     sent.is_ok() && stream.read_to_string(&mut answer).is_ok() && answer.starts_with("HTTP/1.1 200")
 }
 
-/// The address at which a node listens, from its log. Warnings in the rest of the log are printed.
-fn address_of(process: &mut Child) -> SocketAddr {
-    let mut lines = BufReader::new(process.stdout.take().expect("it is piped")).lines().map_while(Result::ok);
+/// Reads the address at which a node listens from its log. Prints warnings in the rest of the log.
+fn read_address(process: &mut Child) -> SocketAddr {
+    let mut lines = BufReader::new(process.stdout.take().expect("standard output is piped"))
+        .lines()
+        .map_while(Result::ok);
     let line = lines.find(|line| line.contains("node listening")).expect("the node starts");
     thread::spawn(move || {
         lines
@@ -156,14 +158,14 @@
 }
 
 fn status_kb(process: u32, field: &str) -> f64 {
-    let status = std::fs::read_to_string(format!("/proc/{process}/status")).expect("it runs");
+    let status = std::fs::read_to_string(format!("/proc/{process}/status")).expect("the process runs");
     let line = status.lines().find(|line| line.starts_with(field)).expect("the field is there");
-    line.split_whitespace().nth(1).and_then(|figure| figure.parse().ok()).expect("a figure")
+    line.split_whitespace().nth(1).and_then(|value| value.parse().ok()).expect("the field has a number")
 }
 
 fn measure(program: &str, memory_mb: u64, source: ListSource, executors: usize) -> Memory {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let discovery = listener.local_addr().expect("it is bound");
+    let discovery = listener.local_addr().expect("the listener is bound");
     let snapshot = list(8, true, executors);
     let lists = match source {
         ListSource::Configuration => vec![list(9, false, 0)],
@@ -171,27 +173,29 @@
         ListSource::Repeated => (8..8 + REPETITIONS).map(|version| list(version, true, executors)).collect(),
     };
     thread::spawn(move || serve_discovery(listener, lists));
-    let known =
+    let cached_list =
         if matches!(source, ListSource::Watch | ListSource::Consul) { "null".to_string() } else { snapshot };
     let path = std::env::temp_dir().join(format!("fleet-memory-{}.json", std::process::id()));
-    std::fs::write(&path, configuration(discovery, memory_mb, &known)).expect("it is written");
+    std::fs::write(&path, configuration(discovery, memory_mb, &cached_list))
+        .expect("the node file is written");
     let operator_path = std::env::temp_dir().join(format!("fleet-memory-{}.toml", std::process::id()));
     let mut command = Command::new(program);
     if source == ListSource::Consul {
-        std::fs::write(&operator_path, operator_file(start_consul(executors))).expect("it is written");
+        std::fs::write(&operator_path, operator_file(start_consul(executors)))
+            .expect("the operator's file is written");
         command.env("TROUTKNOT_FILE", &operator_path);
     }
     let mut process =
         command.env("ROUTER_CONFIG", &path).stdout(Stdio::piped()).spawn().expect("the program runs");
-    let (node, deadline) = (address_of(&mut process), Instant::now() + START_TIMEOUT);
+    let (node, deadline) = (read_address(&mut process), Instant::now() + START_TIMEOUT);
     while !is_healthy(node) && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(20));
     }
     thread::sleep(SETTLE_TIME);
     let memory =
         Memory { settled_kb: status_kb(process.id(), "VmRSS"), peak_kb: status_kb(process.id(), "VmHWM") };
-    process.kill().expect("it runs");
-    process.wait().expect("it ends");
+    process.kill().expect("the process runs");
+    process.wait().expect("the process exits");
     for file in [path, operator_path] {
         // Only the Consul source has an operator's file.
         let _ = std::fs::remove_file(file);
@@ -199,7 +203,7 @@
     memory
 }
 
-/// The slope of the straight line through the points that fits best.
+/// The slope of the least-squares line through the points.
 fn slope(points: &[(f64, f64)]) -> f64 {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
--- a/crates/daemon/src/byte_budget.rs
+++ b/crates/daemon/src/byte_budget.rs
@@ -1,8 +1,8 @@
-//! A limit on memory that many connections or requests share. Without I/O.
+//! A memory limit shared by many connections or requests. The module performs no I/O.
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts reserved bytes against a limit, which holds for this process and its sibling together.
+/// Counts reserved bytes against a limit that applies to this process and its sibling together.
 pub struct ByteBudget {
     used: Cell<usize>,
     used_by_sibling: Cell<usize>,
@@ -15,22 +15,22 @@
         Rc::new(ByteBudget { used: Cell::new(0), used_by_sibling: Cell::new(0), limit })
     }
 
-    /// Whether this many more bytes fit.
+    /// Whether `bytes` more can be reserved.
     pub fn can_reserve(&self, bytes: usize) -> bool {
         self.used.get() + self.used_by_sibling.get() + bytes <= self.limit
     }
 
-    /// The bytes that this process has reserved.
+    /// Number of bytes that this process has reserved.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// Sets the bytes that the sibling process has reserved.
+    /// Sets the number of bytes that the sibling process has reserved.
     pub fn set_used_by_sibling(&self, bytes: usize) {
         self.used_by_sibling.set(bytes);
     }
 
-    /// Reserves bytes. Returns false, and reserves nothing, if they do not fit.
+    /// Reserves bytes. Returns false and reserves nothing if the limit would be exceeded.
     pub fn try_reserve(&self, bytes: usize) -> bool {
         let is_reserved = self.can_reserve(bytes);
         if is_reserved {
@@ -39,18 +39,18 @@
         is_reserved
     }
 
-    /// Returns bytes that were reserved with [`try_reserve`](Self::try_reserve).
+    /// Releases bytes that were reserved with [`try_reserve`](Self::try_reserve).
     pub fn release(&self, bytes: usize) {
         self.used.set(self.used.get() - bytes);
     }
 
-    /// Reserves bytes until the returned value is dropped; None if they do not fit.
+    /// Reserves bytes until the returned value is dropped. Returns `None` if the limit would be exceeded.
     pub fn reserve(self: &Rc<Self>, bytes: usize) -> Option<Reservation> {
         self.try_reserve(bytes).then(|| Reservation { budget: self.clone(), bytes })
     }
 }
 
-/// Reserved bytes of a budget, released when this is dropped.
+/// A reservation of bytes, released when it is dropped.
 pub struct Reservation {
     budget: Rc<ByteBudget>,
     bytes: usize,
--- a/crates/daemon/src/discovery/merge.rs
+++ b/crates/daemon/src/discovery/merge.rs
@@ -53,11 +53,11 @@
     pub fn apply(
         &mut self,
         precedence: usize,
-        kind: ListUpdate,
+        update_type: ListUpdate,
         entries: Vec<EndpointEntry>,
     ) -> Vec<EndpointEntry> {
         let mut affected: Vec<CompactString> = entries.iter().map(|entry| entry.id.clone()).collect();
-        if kind != ListUpdate::Delta {
+        if update_type != ListUpdate::Delta {
             affected.extend(self.mark_missing_as_gone(precedence, &entries));
         }
         for entry in entries {
--- a/crates/daemon/src/discovery/mod.rs
+++ b/crates/daemon/src/discovery/mod.rs
@@ -79,7 +79,7 @@
 
     fn merge(&self, update: EndpointUpdate) -> EndpointUpdate {
         let Some(MergeHandle { precedence, merge }) = &self.merge else { return update };
-        let changes = merge.borrow_mut().apply(*precedence, update.kind, update.entries);
+        let changes = merge.borrow_mut().apply(*precedence, update.update_type, update.entries);
         EndpointUpdate::delta(changes)
     }
 }
--- a/crates/daemon/src/discovery/platform.rs
+++ b/crates/daemon/src/discovery/platform.rs
@@ -260,9 +260,9 @@
         let is_first_snapshot = self.position == ListPosition::First && list.is_snapshot;
         self.position = ListPosition::Later;
         let mut update = match accepted {
-            Some(kind) => {
+            Some(update_type) => {
                 self.catch_up_deadline = None;
-                EndpointUpdate::from_list(kind, list)
+                EndpointUpdate::from_list(update_type, list)
             }
             None => {
                 if is_first_snapshot {
--- a/crates/daemon/src/driver/endpoints.rs
+++ b/crates/daemon/src/driver/endpoints.rs
@@ -29,17 +29,17 @@
 impl Driver {
     /// Applies an update of the endpoint list.
     pub(super) fn handle_endpoint_update(&mut self, now: Millis, update: EndpointUpdate) {
-        let EndpointUpdate { kind, entries, version, dropped_entries } = update;
-        let selected = match kind {
+        let EndpointUpdate { update_type, entries, version, dropped_entries } = update;
+        let selected = match update_type {
             ListUpdate::Delta => self.select(|retention, retained| retention.apply_delta(entries, retained)),
             _ => self.select_snapshot(entries, dropped_entries),
         };
         let endpoints = self.register_all(selected);
         self.membership.version = version.or(self.membership.version);
-        if kind != ListUpdate::Cached {
+        if update_type != ListUpdate::Cached {
             self.lifecycle.update(|conditions| conditions.has_endpoint_list = true);
         }
-        self.dispatcher.handle_event(now, CoreEvent::EndpointsUpdated { update: kind, endpoints });
+        self.dispatcher.handle_event(now, CoreEvent::EndpointsUpdated { update: update_type, endpoints });
         self.reclaim_handles();
     }
 
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a node cannot start, or stopped.
+//! Errors of starting and running a node.
 use crate::config::node::{NodeConfigError, NodeFileError};
 use crate::config::operator::{OperatorFileError, SettingsConflict};
 use crate::durable::DurableError;
@@ -8,22 +8,22 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The environment variable that names the node's configuration file.
+/// Environment variable with the path of the node file.
 pub(crate) const CONFIGURATION_VARIABLE: &str = "ROUTER_CONFIG";
 
-/// Why a node cannot start, why a file cannot be used, or why a node stopped.
+/// Why a node cannot start, a configuration file cannot be used, or a running node stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The environment names no configuration file.
+    /// The environment variable with the path of the node file is not set.
     #[error("{CONFIGURATION_VARIABLE} is not set")]
     ConfigurationPathMissing,
-    /// The listening socket that was passed on cannot be used.
+    /// The inherited listening socket cannot be used.
     #[error(transparent)]
     InheritedSocket(#[from] InheritedSocketError),
     /// The asynchronous runtime cannot be created.
     #[error("cannot create the runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// Signals cannot be received.
+    /// The handlers of signals cannot be registered.
     #[error("cannot receive signals: {0}")]
     Signals(#[source] io::Error),
     /// The node file cannot be read or parsed.
@@ -34,24 +34,24 @@
     NodeConfig {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The cause.
         source: NodeConfigError,
     },
     /// The operator's file cannot be used.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// The settings of the node file do not go with the operator's file.
+    /// The settings of the node file conflict with the operator's file.
     #[error(transparent)]
     SettingsConflict(#[from] SettingsConflict),
-    /// The address cannot be listened at.
+    /// The node cannot listen on an address.
     #[error("cannot listen at {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The address of other nodes' messages cannot be listened at.
+    /// The gossip socket cannot be opened.
     #[error(transparent)]
     Gossip(#[from] GossipListenError),
     /// The address of the admin API cannot be determined.
@@ -60,7 +60,7 @@
     /// The ledger cannot be opened.
     #[error(transparent)]
     Durable(#[from] DurableError),
-    /// The driver ended while the node was running, which is a fault of the program.
+    /// The driver stopped while the node was running, which is an internal error.
     #[error("the driver stopped unexpectedly")]
     DriverStopped(#[source] Option<tokio::task::JoinError>),
 }
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -1,4 +1,4 @@
-//! The messages that the parts of a node exchange with its driver. Plain data: nothing here acts.
+//! Data types of the messages between the driver and the other parts of a node.
 use crate::in_flight::InFlightRequest;
 use crate::protocol::{EndpointEntry, EndpointList};
 use std::rc::Rc;
@@ -6,98 +6,98 @@
 use troutknot::{Event as CoreEvent, ListUpdate, Millis, Outcome, RequestId, Settings};
 use troutknot_ledger::Fence;
 
-/// A snapshot of the endpoint list, or changes to it, as a discovery source reports it.
+/// A snapshot or a delta of the endpoint list from a discovery source.
 #[derive(Debug)]
 pub struct EndpointUpdate {
-    /// Whether the entries are a complete list or changes, and their origin.
-    pub kind: ListUpdate,
-    /// The endpoints that are listed or that changed.
+    /// Whether the entries are a snapshot or a delta, and their origin.
+    pub update_type: ListUpdate,
+    /// The listed or changed endpoints.
     pub entries: Vec<EndpointEntry>,
-    /// The version of the list, if its source counts versions.
+    /// The version of the list, if its source reports versions.
     pub version: Option<u64>,
-    /// Number of entries that the reader dropped because the list exceeded its size limit.
+    /// Number of entries that the parser dropped because the list exceeded its maximum number of entries.
     pub dropped_entries: usize,
 }
 
 impl EndpointUpdate {
-    /// Wraps a list that was read from its source.
-    pub fn from_list(kind: ListUpdate, list: EndpointList) -> Self {
+    /// Creates an update from a parsed list.
+    pub fn from_list(update_type: ListUpdate, list: EndpointList) -> Self {
         let EndpointList { version, entries, dropped_entries, .. } = list;
-        EndpointUpdate { kind, entries, version: Some(version), dropped_entries }
+        EndpointUpdate { update_type, entries, version: Some(version), dropped_entries }
     }
 
-    /// Wraps changed entries from a source that counts no versions.
+    /// Creates a delta from a source that does not report versions.
     pub fn delta(entries: Vec<EndpointEntry>) -> Self {
-        EndpointUpdate { kind: ListUpdate::Delta, entries, version: None, dropped_entries: 0 }
+        EndpointUpdate { update_type: ListUpdate::Delta, entries, version: None, dropped_entries: 0 }
     }
 
-    /// A confirmation that the list has not changed.
+    /// Creates an empty delta, which confirms that the list has not changed.
     pub fn unchanged() -> Self {
         EndpointUpdate::delta(Vec::new())
     }
 }
 
-/// Requests from the driver to the endpoint list's watch.
+/// Requests from the driver to the watch of the endpoint list.
 #[derive(Default)]
 pub struct WatchRequests {
-    /// Continue the watch from the last version.
+    /// Requests a watch that continues from the last version.
     pub resume: Notify,
-    /// Reopen the watch, beginning with a snapshot.
+    /// Requests a new watch that begins with a snapshot.
     pub snapshot: Notify,
 }
 
-/// An attempt of an earlier process of this node, as the ledger has it.
+/// An attempt of an earlier process of this node, recovered from the ledger.
 pub struct RecoveredAttempt {
     /// The name of its executor.
     pub executor: String,
-    /// When it was recorded, which is just before it was sent.
+    /// Time at which it was recorded, which is just before it was sent.
     pub sent_at: Millis,
-    /// How it ended; None if that is not known.
+    /// Its outcome, or `None` if none was recorded.
     pub outcome: Option<Outcome>,
     /// The fencing token that was recorded with it.
     pub fence: Fence,
 }
 
-/// Where an operator called.
+/// The process at which an operator made a call of the admin API.
 pub enum CallOrigin {
-    /// At this process. The caller waits to learn whether the executor is known, once the call has taken effect.
+    /// This process. Once the call has taken effect, the sender reports whether the executor was found.
     Operator(oneshot::Sender<bool>),
-    /// At the sibling process, which waits until its message of this number is acknowledged.
+    /// The sibling process, which waits until its message with this number is acknowledged.
     Sibling(u64),
 }
 
-/// What the parts of the node report to the driver.
+/// An event that a part of the node reports to the driver.
 pub enum NodeEvent {
-    /// A client made a request.
+    /// A request from a client was admitted.
     RequestArrived(Rc<InFlightRequest>),
-    /// A request is open since an earlier process, with its attempts in order.
+    /// A request of an earlier process is still open; with its attempts in order.
     RequestRecovered(Rc<InFlightRequest>, Vec<RecoveredAttempt>),
-    /// The client of a request has left.
+    /// The client of a request has disconnected, or the request was closed without an answer of the dispatcher.
     ClientDisconnected(RequestId),
-    /// An event for the dispatcher. The driver determines whether the end of an attempt closes its request.
+    /// An event for the dispatcher. For the end of an attempt, the driver determines whether the request is closed.
     Core(CoreEvent),
-    /// A discovery source has a list of endpoints, or changes to one.
+    /// A discovery source has a snapshot or a delta of the endpoint list.
     ListReceived(EndpointUpdate),
     /// An operator excludes an executor (admin call `suspend`), or includes it again (`resume`).
     SetExcluded {
         /// The executor's name.
         executor: String,
-        /// True to exclude it.
+        /// Whether the executor is excluded.
         is_excluded: bool,
-        /// Where the operator called.
+        /// The process at which the operator made the call.
         origin: CallOrigin,
     },
-    /// The state of this process is to be sent to the sibling.
+    /// Requests that the state of this process is sent to the sibling.
     ExportState,
-    /// The sibling process was connected, or has gone.
+    /// The sibling process has connected or disconnected.
     SiblingChanged {
-        /// Whether it runs.
+        /// Whether the sibling process is connected.
         is_running: bool,
     },
     /// The settings were reloaded.
     SettingsChanged(Box<Settings>),
-    /// The shutdown cancels the attempts in flight, and lets no further ones be sent.
+    /// During a shutdown: cancels the attempts in flight, and all later ones.
     CancelInFlight,
-    /// The shutdown answers all open requests.
+    /// At the end of a shutdown: answers all open requests.
     ShutDown,
 }
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -1,7 +1,7 @@
-//! Gossip between nodes: datagrams between the addresses that the operator's file names.
+//! Gossip between nodes: datagrams between the addresses in the operator's file.
 //!
-//! Datagrams may be lost, delayed, duplicated or forged, so nothing depends on one. A datagram that cannot be decoded
-//! or has an unknown sender is dropped and counted.
+//! Datagrams may be lost, delayed, duplicated or forged, so no part of the node depends on a single one. A datagram
+//! that cannot be decoded or has an unknown sender is dropped and counted.
 use crate::event::NodeEvent;
 use crate::protocol::{Codec, Current};
 use socket2::{Domain, Socket, Type};
@@ -15,7 +15,7 @@
 use troutknot::{Event as CoreEvent, GossipMessage};
 use troutknot_gossip::{ClassNames, MAX_MESSAGE_BYTES, decode, encode};
 
-/// The shortest time between two log lines about dropped datagrams.
+/// Minimum interval between two log lines about dropped datagrams.
 const DROP_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The socket for gossip cannot be opened.
@@ -27,23 +27,23 @@
     source: io::Error,
 }
 
-/// Whether another process of this node may have the same address.
+/// Whether another process of this node may bind the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressUse {
-    /// This process alone has the address.
+    /// Only this process binds the address.
     Exclusive,
-    /// During a hot restart both processes have it; each datagram is received by one of them.
+    /// During a hot restart both processes bind the address; each datagram is received by one of them.
     Shared,
 }
 
-/// A socket for datagrams from and to the other nodes.
+/// The UDP socket for gossip with other nodes.
 pub struct GossipSocket {
     socket: UdpSocket,
     peers: Vec<SocketAddr>,
 }
 
 impl GossipSocket {
-    /// Opens a socket at an address. The address itself is left out of the peers.
+    /// Opens the socket at an address. The address itself is removed from the peers.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -65,20 +65,20 @@
         }
     }
 
-    /// Receives messages of the peers until the node ends, and sends them to the driver.
+    /// Receives messages of the peers and sends them to the driver, until the task is aborted.
     pub async fn receive(self: Rc<Self>, codec: Rc<Current<Codec>>, events: mpsc::Sender<NodeEvent>) {
-        // A datagram of one byte more than a message may have is recognized as too long.
+        // One byte longer than the longest message, so that a datagram that is too long is detected.
         let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
         let mut drops = DropCounter::new();
         loop {
             let Ok((length, sender)) = self.socket.recv_from(&mut bytes).await else {
-                // The network reports an error of an earlier send this way; the socket is still usable.
+                // The operating system reports errors of earlier sends here; the socket is still usable.
                 tokio::task::yield_now().await;
                 continue;
             };
             let is_peer = self.peers.contains(&sender);
             match decode(&bytes[..length], codec.load().class_names()).filter(|_| is_peer) {
-                // Dropped if the driver's queue is full, so that a flood of datagrams cannot block the node.
+                // Dropped if the driver's queue is full, so that many datagrams cannot block the node.
                 Some(message) => {
                     let _ = events.try_send(NodeEvent::Core(CoreEvent::GossipReceived(message)));
                 }
@@ -96,7 +96,7 @@
     UdpSocket::from_std(socket.into())
 }
 
-/// Counts dropped datagrams and logs the count now and then.
+/// Counts dropped datagrams and logs the count at most once per [`DROP_LOG_INTERVAL`].
 struct DropCounter {
     count: u64,
     logged_at: Instant,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,9 @@
-//! One node: the dispatcher on sockets.
+//! A node: the dispatcher with network I/O.
 //!
-//! [`start`] runs a node until it is asked to end; `troutknotd` and `troutknot node` are thin programs around it.
-//! The `driver` owns the dispatcher, which decides; `downstream` is the side of the clients, `upstream` that of
-//! the executors, and `discovery` follows the endpoint list. They exchange the messages of `event`.
+//! [`start`] runs a node until a shutdown is requested; the programs `troutknotd` and `troutknot node` call it. The
+//! `driver` owns the dispatcher, which makes the decisions; `downstream` serves connections from clients, `upstream`
+//! maintains connections to executors, and `discovery` watches the endpoint list. They exchange the messages of
+//! `event`.
 mod admin;
 mod byte_budget;
 mod config;
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,17 +1,16 @@
-//! The log on standard output.
+//! Logging to standard output.
 use crate::config::limits::LOG_QUEUE_LINES;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 
-/// Names the environment variable that sets the log level: `debug`, otherwise `info`.
+/// Environment variable with the log level: `debug`; any other value means `info`.
 const LEVEL_VARIABLE: &str = "TROUTKNOT_LOG";
 
-/// Flushes the log when dropped; must live as long as the process.
+/// Flushes the log when dropped. Must be held until the process exits.
 pub struct LogGuard(#[allow(dead_code, reason = "acts when it is dropped")] WorkerGuard);
 
-/// Starts the log on standard output, at the level that `TROUTKNOT_LOG` names. To be called once a process.
+/// Starts logging to standard output at the level in `TROUTKNOT_LOG`. Must be called once per process.
 ///
-/// Lines are written by a thread of their own. If nothing reads the output, lines are dropped and the node is not
-/// blocked.
+/// A separate thread writes the lines. If the output is not read, lines are dropped, so that the node is not blocked.
 pub fn log_to_stdout() -> LogGuard {
     let level = match std::env::var(LEVEL_VARIABLE).as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `troutknotd`: runs one node with the configuration that `ROUTER_CONFIG` names.
+//! `troutknotd`: runs a node with the configuration file whose path is in `ROUTER_CONFIG`.
 use std::process::ExitCode;
 use troutknot_daemon::{log_to_stdout, path_from_environment, start};
 
--- a/crates/daemon/src/node/builder.rs
+++ b/crates/daemon/src/node/builder.rs
@@ -1,4 +1,4 @@
-//! Connects the parts of a node and starts their tasks.
+//! Creates the parts of a node and starts their tasks.
 use super::Node;
 use super::discovery::{self, CachedList, DiscoveryControls};
 use super::ledger::LedgerOpener;
@@ -30,22 +30,22 @@
 use tokio::task::spawn_local;
 use troutknot::{Dispatcher, ListUpdate};
 
-/// Request ids that a process may use for each millisecond since 1970 without meeting those of a later one. Ids that
-/// begin with the time are also far above the numbers of a ledger.
+/// Number of request ids that a process may use per millisecond without a collision with those of a later process. The
+/// first id is this number times the Unix time in milliseconds, which is also far above the numbers of a ledger.
 const REQUEST_IDS_PER_MILLI: u64 = 1000;
 
-/// The takeover from an old process, as far as it has come before the node is built.
+/// The result of the first phase of a hot restart, which runs before the node is built.
 #[derive(Default)]
 pub struct HotRestart {
-    /// Path of the socket on which the processes of this node find each other; None if there is no hot restart.
+    /// Path of the Unix socket that connects the processes of this node, or `None` if hot restart is disabled.
     socket_path: Option<PathBuf>,
-    /// What the old process sent, if one runs.
+    /// The state and connection of the old process, if one runs.
     handover: Option<Handover>,
 }
 
 impl HotRestart {
     /// Requests the state of the old process if the listening socket was inherited. The endpoint list of the old
-    /// process replaces that of the configuration, which is older.
+    /// process replaces the older one of the configuration.
     pub async fn begin(configuration: &mut Configuration, limits: &Limits, origin: ListenerOrigin) -> Self {
         if origin == ListenerOrigin::Bound {
             return HotRestart::default();
@@ -67,7 +67,7 @@
     }
 }
 
-/// A node whose parts are being connected.
+/// Builds a node from its configuration.
 pub struct NodeBuilder {
     configuration: Configuration,
     shared: Shared,
@@ -77,7 +77,7 @@
 }
 
 impl NodeBuilder {
-    /// Creates the two sides of the node.
+    /// Creates the downstream server and the executor pool.
     pub fn new(configuration: Configuration, shared: Shared, gossip: Option<Rc<GossipSocket>>) -> Self {
         let executors = ExecutorPool::new(
             shared.limits.clone(),
@@ -98,10 +98,10 @@
         NodeBuilder { configuration, shared, gossip, executors, downstream }
     }
 
-    /// Connects the parts and starts their tasks.
+    /// Creates the other parts and starts all tasks.
     ///
     /// # Errors
-    /// If the ledger cannot be opened, or the address of the admin API is not known.
+    /// If the ledger cannot be opened, or the address of the admin API cannot be determined.
     pub fn build(
         mut self,
         received_events: mpsc::Receiver<NodeEvent>,
@@ -110,7 +110,7 @@
         reload: Signal,
     ) -> Result<Node, NodeError> {
         let (inherited, old_process) =
-            hot_restart.handover.map(|state| (state.inherited, state.link)).unzip();
+            hot_restart.handover.map(|handover| (handover.inherited, handover.link)).unzip();
         self.open_ledger(listeners.origin, old_process.is_some())?;
         let mut driver = self.build_driver(received_events);
         if let Some(gossip) = self.gossip.take() {
@@ -134,8 +134,8 @@
         Ok(Node { shared, downstream, driver, listener_origin: listeners.origin })
     }
 
-    /// Opens the ledger, if the operator's file names one. If another process may still have it open, a task waits
-    /// for it, and this process numbers its requests outside the ledger's range.
+    /// Opens the ledger, if the operator's file configures one. If another process may still have it open, a task
+    /// waits until it is released, and this process uses request ids outside the ledger's range.
     fn open_ledger(&self, origin: ListenerOrigin, has_old_process: bool) -> Result<(), NodeError> {
         let Some(config) = self.configuration.operator.durable.clone() else { return Ok(()) };
         let opener = LedgerOpener {
@@ -176,15 +176,15 @@
         })
     }
 
-    /// Begins with the cached endpoint list and with the state of the old process. Returns the cached list for the
-    /// discovery sources.
+    /// Applies the cached endpoint list and the state of the old process to the driver. Returns the cached list for
+    /// the discovery sources.
     fn restore(&mut self, driver: &mut Driver, mut inherited: Option<InheritedState>) -> CachedList {
-        let Some(known) = self.configuration.node.cached_list.take() else { return CachedList::default() };
-        let cached = CachedList::of(&known, &self.configuration.operator.discovery.sources);
+        let Some(list) = self.configuration.node.cached_list.take() else { return CachedList::default() };
+        let cached = CachedList::from_list(&list, &self.configuration.operator.discovery.sources);
         if let Some(inherited) = &mut inherited {
             driver.exclude(std::mem::take(&mut inherited.excluded));
         }
-        let update = EndpointUpdate::from_list(ListUpdate::Cached, known);
+        let update = EndpointUpdate::from_list(ListUpdate::Cached, list);
         driver.handle_event(self.shared.clock.now(), NodeEvent::ListReceived(update));
         if let Some(inherited) = inherited {
             self.restore_state(driver, inherited);
--- a/crates/daemon/src/node/check.rs
+++ b/crates/daemon/src/node/check.rs
@@ -1,30 +1,30 @@
-//! Finds and checks configuration files without starting a node.
+//! Checks configuration files without starting a node.
 use crate::config::node::NodeConfig;
 use crate::config::operator::OperatorFile;
 use crate::error::{CONFIGURATION_VARIABLE, NodeError};
 use std::path::{Path, PathBuf};
 use troutknot_configuration::IdCatalog;
 
-/// Checks whether a node could start with this configuration.
+/// Checks whether a node can start with a node file.
 ///
 /// # Errors
-/// What is wrong with the file, with its path.
+/// The error in the file, with the file's path.
 pub fn check(path: &Path) -> Result<(), NodeError> {
     let config = NodeConfig::read(path)?;
     let resolved = config.resolve(&mut IdCatalog::default());
     resolved.map(|_| ()).map_err(|error| NodeError::NodeConfig { path: path.into(), source: error })
 }
 
-/// Checks whether a node could use this operator's file.
+/// Checks whether a node can use an operator's file.
 ///
 /// # Errors
-/// Every fault in the file, each on a line of its own.
+/// All errors in the file, one per line.
 pub fn check_operator_file(path: &Path) -> Result<(), NodeError> {
     OperatorFile::read(path)?;
     Ok(())
 }
 
-/// The path of the configuration file that `ROUTER_CONFIG` names.
+/// Returns the path of the node file, from the environment variable `ROUTER_CONFIG`.
 ///
 /// # Errors
 /// [`NodeError::ConfigurationPathMissing`] if it is not set.
--- a/crates/daemon/src/node/discovery.rs
+++ b/crates/daemon/src/node/discovery.rs
@@ -1,4 +1,4 @@
-//! Starts the sources of the endpoint list that the operator's file names.
+//! Starts the discovery sources that the operator's file configures.
 use super::shared::Shared;
 use super::startup::Configuration;
 use crate::config::consul::ConsulConfig;
@@ -13,28 +13,28 @@
 use troutknot::ListUpdate;
 use troutknot_membership::Retention;
 
-/// The endpoint list that the node starts with.
+/// The part of the initial endpoint list that the sources use.
 #[derive(Default)]
 pub struct CachedList {
     version: Option<u64>,
-    /// Empty if the platform is the only source: its watch continues from the version alone.
+    /// Empty if the platform is the only source, because its watch needs only the version to continue.
     entries: Vec<EndpointEntry>,
 }
 
 impl CachedList {
-    /// What the sources need to know of the list that the node starts with.
-    pub fn of(known: &EndpointList, sources: &[DiscoverySource]) -> Self {
+    /// Extracts the part of the initial list that the sources use.
+    pub fn from_list(list: &EndpointList, sources: &[DiscoverySource]) -> Self {
         let is_platform_only = sources == [DiscoverySource::Platform];
-        let entries = if is_platform_only { Vec::new() } else { known.entries.clone() };
-        CachedList { version: Some(known.version), entries }
+        let entries = if is_platform_only { Vec::new() } else { list.entries.clone() };
+        CachedList { version: Some(list.version), entries }
     }
 }
 
-/// Changes the sources while the node runs, when its configuration is reloaded.
+/// Channels that publish reloaded configuration to the sources.
 pub struct DiscoveryControls {
     /// The address of the platform's discovery service.
     pub platform: watch::Sender<SocketAddr>,
-    /// The operator's configuration of Consul, if the file still names it.
+    /// The configuration of the Consul source, or `None` if the reloaded file no longer has it.
     pub consul: watch::Sender<Option<ConsulConfig>>,
 }
 
@@ -62,7 +62,7 @@
                 start_platform(&configuration.node.name, shared, &controls, sender, cached.version);
             }
             DiscoverySource::Consul => {
-                // With several sources, the platform's one retains the cached entries.
+                // With several sources, the cached entries are attributed to the platform's source.
                 let entries = if is_merged { Vec::new() } else { cached.entries.clone() };
                 start_consul(shared, &controls, sender, entries);
             }
@@ -86,7 +86,7 @@
         requests: shared.watch_requests.clone(),
         retention: Retention::of_node(node_name),
     };
-    // The watch begins at once, without a request of the dispatcher.
+    // The first watch opens without a request of the dispatcher.
     shared.watch_requests.resume.notify_one();
     shared.tasks.spawn(watcher.run(version));
 }
--- a/crates/daemon/src/node/ledger.rs
+++ b/crates/daemon/src/node/ledger.rs
@@ -1,4 +1,4 @@
-//! Opens the ledger of durable requests, which only one process at a time can have open.
+//! Opens the ledger of durable requests, which only one process can have open at a time.
 use super::shared::Shared;
 use crate::config::durable::DurableConfig;
 use crate::downstream::DownstreamServer;
@@ -11,20 +11,20 @@
 /// Interval between attempts to open a ledger that another process has open.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Opens the ledger and connects it with the parts that use it.
+/// Opens the ledger and connects it to the parts of the node that use it.
 pub struct LedgerOpener {
     /// The operator's configuration of durable requests.
     pub config: DurableConfig,
     /// The values that the parts of the node share.
     pub shared: Shared,
-    /// Takes durable requests once the ledger is open.
+    /// Accepts durable requests once the ledger is open.
     pub downstream: Rc<DownstreamServer>,
     /// Records attempts once the ledger is open.
     pub executors: Rc<ExecutorPool>,
 }
 
 impl LedgerOpener {
-    /// Opens the ledger. From then on durable requests are taken, and those that were open are recovered.
+    /// Opens the ledger. From then on durable requests are accepted, and requests that were open are recovered.
     ///
     /// # Errors
     /// If the ledger cannot be opened, for instance because another process has it open.
@@ -47,7 +47,7 @@
         Ok(())
     }
 
-    /// Opens the ledger once the old process has released it; until then durable requests are rejected.
+    /// Opens the ledger once the old process has released it. Until then durable requests are rejected.
     pub async fn open_once_released(self) {
         tracing::info!("durable requests rejected until the old process releases the ledger");
         let mut last_error = String::new();
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! Builds a node from its configuration, and runs it until it is asked to end.
+//! Builds a node from its configuration and runs it until a shutdown is requested.
 mod builder;
 pub mod check;
 mod discovery;
@@ -23,19 +23,20 @@
 use tokio::time::sleep;
 use troutknot_clock::Clock;
 
-/// Runs one node on this thread until SIGTERM or SIGINT, and shuts it down gracefully.
+/// Runs a node on this thread until SIGTERM or SIGINT, and then shuts it down gracefully.
 ///
-/// `path` names the node's configuration, a JSON file, which is reloaded at SIGHUP.
+/// `path` is the path of the node file, a JSON file that is reloaded at SIGHUP.
 ///
 /// # Errors
-/// Why the node cannot start, or that it stopped by a fault of its own.
+/// If the node cannot start, or stopped because of an internal error.
 pub fn start(path: &Path) -> Result<(), NodeError> {
-    // Before anything is opened that could take the number of the descriptor.
+    // Must precede everything that opens a descriptor, which could get the number of the inherited one.
     let descriptor = std::env::var(inherited_socket::DESCRIPTOR_VARIABLE).ok();
     let inherited_listener = inherited_socket::take_listener(descriptor.as_deref())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(NodeError::Runtime)?;
-    // Before the configuration is read: a signal that arrives meanwhile is handled once the node runs.
+    // Must precede the reading of the configuration, so that a signal that arrives during it is handled once the node
+    // runs.
     let signals = runtime.block_on(async { Signals::listen() })?;
     let config = NodeConfig::read(path)?;
     LocalSet::new().block_on(&runtime, run(config, path.to_owned(), inherited_listener, signals))
@@ -61,7 +62,7 @@
     node.run(signals.terminate, signals.interrupt).await
 }
 
-/// A node that runs.
+/// A running node.
 struct Node {
     shared: Shared,
     downstream: Rc<DownstreamServer>,
@@ -70,7 +71,7 @@
 }
 
 impl Node {
-    /// Serves until a signal asks the node to end, then shuts down.
+    /// Serves until a signal requests a shutdown, then shuts down.
     async fn run(mut self, mut terminate: Signal, mut interrupt: Signal) -> Result<(), NodeError> {
         self.serve(&mut terminate, &mut interrupt).await?;
         tracing::info!(connections = self.downstream.connection_count(), "shutdown requested");
@@ -82,7 +83,7 @@
             listener_origin: self.listener_origin,
         };
         tokio::select! {
-            ended = &mut self.driver => return Err(driver_stopped(ended)),
+            result = &mut self.driver => return Err(driver_stopped(result)),
             () = shutdown.run() => {}
         }
         self.stop_tasks().await;
@@ -94,7 +95,7 @@
         tokio::pin!(list_timeout);
         loop {
             tokio::select! {
-                ended = &mut self.driver => return Err(driver_stopped(ended)),
+                result = &mut self.driver => return Err(driver_stopped(result)),
                 _ = terminate.recv() => return Ok(()),
                 _ = interrupt.recv() => return Ok(()),
                 () = &mut list_timeout, if !list_timeout.is_elapsed() => serve_from_cached_list(&self.shared.lifecycle),
@@ -116,6 +117,6 @@
     }
 }
 
-fn driver_stopped(ended: Result<(), JoinError>) -> NodeError {
-    NodeError::DriverStopped(ended.err())
+fn driver_stopped(result: Result<(), JoinError>) -> NodeError {
+    NodeError::DriverStopped(result.err())
 }
--- a/crates/daemon/src/node/shared.rs
+++ b/crates/daemon/src/node/shared.rs
@@ -13,28 +13,28 @@
 /// Values that the parts of a node share.
 #[derive(Clone)]
 pub struct Shared {
-    /// Limits on memory, connections and times.
+    /// Limits on memory, connections and durations.
     pub limits: Rc<Limits>,
-    /// Encodes and decodes messages according to the present settings.
+    /// Encodes and decodes messages according to the current settings.
     pub codec: Rc<Current<Codec>>,
     /// The clock of the dispatcher.
     pub clock: Clock,
-    /// Reaches the driver.
+    /// The driver's queue.
     pub events: mpsc::Sender<NodeEvent>,
     /// The lifecycle of the node.
     pub lifecycle: Rc<Lifecycle>,
     /// The other process of this node, if one runs.
     pub sibling: Rc<SiblingProcess>,
-    /// Requests of the driver to the watch of the endpoint list.
+    /// Requests from the driver to the watch of the endpoint list.
     pub watch_requests: Rc<WatchRequests>,
-    /// State of the discovery sources, as the readiness response shows it.
+    /// Status text of the discovery sources for the readiness response.
     pub discovery_status: Rc<RefCell<String>>,
-    /// Owns the tasks of the node.
+    /// Runs the tasks of the node.
     pub tasks: TaskGroup,
 }
 
 impl Shared {
-    /// The shared values of a node that starts.
+    /// Creates the shared values of a node that is starting.
     pub fn new(
         limits: Rc<Limits>,
         codec: Rc<Current<Codec>>,
--- a/crates/daemon/src/node/startup.rs
+++ b/crates/daemon/src/node/startup.rs
@@ -1,4 +1,4 @@
-//! The first phases of a start: the configuration is read and resolved, and the sockets are opened.
+//! The first phases of startup: resolving the configuration and opening the sockets.
 use crate::config::limits::{LimitInputs, Limits};
 use crate::config::node::{NodeConfig, ResolvedNodeConfig, limit_inputs};
 use crate::config::operator::{DiscoverySource, GossipConfig, OperatorFile};
@@ -15,56 +15,56 @@
 use troutknot::Settings;
 use troutknot_configuration::IdCatalog;
 
-/// The signals that a node acts on.
+/// The signals that a node handles.
 pub struct Signals {
-    /// SIGTERM: end gracefully.
+    /// SIGTERM: shut down gracefully.
     pub terminate: Signal,
-    /// SIGINT: end gracefully.
+    /// SIGINT: shut down gracefully.
     pub interrupt: Signal,
     /// SIGHUP: reload the configuration.
     pub reload: Signal,
 }
 
 impl Signals {
-    /// Receives the signals from now on. Must be called within the runtime.
+    /// Registers handlers of the signals. Must be called within the runtime.
     ///
     /// # Errors
-    /// [`NodeError::Signals`] if the system refuses.
+    /// [`NodeError::Signals`] if a handler cannot be registered.
     pub fn listen() -> Result<Self, NodeError> {
-        let receive = |kind| signal(kind).map_err(NodeError::Signals);
+        let register = |signal_kind| signal(signal_kind).map_err(NodeError::Signals);
         Ok(Signals {
-            terminate: receive(SignalKind::terminate())?,
-            interrupt: receive(SignalKind::interrupt())?,
-            reload: receive(SignalKind::hangup())?,
+            terminate: register(SignalKind::terminate())?,
+            interrupt: register(SignalKind::interrupt())?,
+            reload: register(SignalKind::hangup())?,
         })
     }
 }
 
-/// The configuration of a node, read and resolved.
+/// The resolved configuration of a node.
 pub struct Configuration {
     /// The node's configuration file.
     pub node: NodeConfig,
     /// Its path.
     pub path: PathBuf,
-    /// The operator's file, or its defaults.
+    /// The operator's file, or the defaults if there is none.
     pub operator: OperatorFile,
-    /// The path of the operator's file, if the environment names one.
+    /// The path of the operator's file, if the environment sets one.
     pub operator_path: Option<PathBuf>,
-    /// The ids that names in the settings have, which stay the same when the settings are reloaded.
+    /// The ids of names in the settings, which stay the same when the settings are reloaded.
     pub catalog: IdCatalog,
-    /// The seed of the dispatcher's random numbers.
+    /// The seed of the dispatcher's random number generator.
     pub seed: u64,
     /// The dispatcher's settings.
     pub settings: Settings,
-    /// Encodes and decodes messages according to the present settings.
+    /// Encodes and decodes messages according to the current settings.
     pub codec: Rc<Current<Codec>>,
 }
 
 impl Configuration {
-    /// Resolves the node's configuration, and reads the operator's file.
+    /// Resolves the node file and reads the operator's file.
     ///
     /// # Errors
-    /// If either is not valid, or they do not fit together.
+    /// If a file is not valid, or the two files conflict.
     pub fn resolve(node: NodeConfig, path: PathBuf) -> Result<Self, NodeError> {
         let mut catalog = IdCatalog::default();
         let resolved = node.resolve(&mut catalog);
@@ -78,7 +78,7 @@
         Ok(Configuration { node, path, operator, operator_path, catalog, seed, settings, codec })
     }
 
-    /// The limits that follow from the configuration.
+    /// Derives the limits from the configuration.
     pub fn limits(&self, listener_origin: ListenerOrigin) -> Limits {
         Limits::new(&LimitInputs {
             memory_mb: self.node.resources.memory_mb,
@@ -91,10 +91,10 @@
     }
 }
 
-/// Opens the socket for messages of other nodes, if the operator's file names any.
+/// Opens the gossip socket, if the operator's file configures gossip.
 ///
 /// # Errors
-/// [`NodeError::Gossip`] if the address cannot be listened at.
+/// [`NodeError::Gossip`] if the address cannot be bound.
 pub fn open_gossip_socket(
     operator: &OperatorFile,
     listener_origin: ListenerOrigin,
@@ -112,21 +112,21 @@
 
 /// The listening sockets of a node.
 pub struct Listeners {
-    /// Accepts clients.
+    /// Accepts connections from clients.
     pub clients: TcpListener,
     /// The address of `clients`.
     pub address: SocketAddr,
     /// The origin of `clients`.
     pub origin: ListenerOrigin,
-    /// Accepts operators' calls, if the configuration names an address.
+    /// Accepts connections to the admin API, if the configuration has an address for it.
     pub admin: Option<TcpListener>,
 }
 
 impl Listeners {
-    /// Opens the listening sockets; the one for clients is `inherited` if there is one.
+    /// Opens the listening sockets. If `inherited` is a socket, it is used for clients.
     ///
     /// # Errors
-    /// [`NodeError::Listen`] if an address cannot be listened at.
+    /// [`NodeError::Listen`] if the node cannot listen on an address.
     pub fn open(
         config: &NodeConfig,
         inherited: Option<std::net::TcpListener>,
@@ -145,10 +145,10 @@
     }
 }
 
-/// Listens at an address, also if connections of an earlier process at it are not yet closed.
+/// Listens on an address, even if connections of an earlier process at that address are not closed yet.
 ///
 /// # Errors
-/// The system's error.
+/// The error of the operating system.
 pub fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
--- a/crates/daemon/src/ring_buffer.rs
+++ b/crates/daemon/src/ring_buffer.rs
@@ -1,4 +1,4 @@
-//! The buffer between a socket and the parser, one for each direction of a connection.
+//! The buffer between a socket and the parser; each direction of a connection has one.
 use crate::byte_budget::ByteBudget;
 use std::io::{self, IoSlice, IoSliceMut};
 use std::rc::Rc;
@@ -6,13 +6,13 @@
 /// Initial size in bytes, which does not count against the shared budget.
 pub const INITIAL_BYTES: usize = 2048;
 
-/// A FIFO of bytes with a maximum size. It doubles as bytes pile up; an empty one can release its memory.
+/// A FIFO of bytes with a maximum size. Its capacity doubles when it is full; an empty buffer can release its memory.
 pub struct RingBuffer {
     storage: Vec<u8>,
     start: usize,
     len: usize,
     max_bytes: usize,
-    /// Memory beyond the initial size, shared by many buffers.
+    /// The budget of memory beyond the initial size, shared by many buffers.
     budget: Rc<ByteBudget>,
 }
 
@@ -23,12 +23,12 @@
 }
 
 impl RingBuffer {
-    /// Creates an empty buffer, which has no memory yet.
+    /// Creates an empty buffer without allocating memory.
     pub fn new(max_bytes: usize, budget: &Rc<ByteBudget>) -> Self {
         RingBuffer { storage: Vec::new(), start: 0, len: 0, max_bytes, budget: budget.clone() }
     }
 
-    /// Memory that counts against the budget.
+    /// Number of allocated bytes that count against the budget.
     fn budgeted_bytes(&self) -> usize {
         self.storage.len().saturating_sub(INITIAL_BYTES)
     }
@@ -37,7 +37,7 @@
         (2 * self.storage.len()).clamp(INITIAL_BYTES.min(self.max_bytes), self.max_bytes)
     }
 
-    /// Memory that the next size takes from the budget.
+    /// Number of bytes to reserve from the budget before growing.
     fn next_reservation(&self) -> usize {
         self.next_size().saturating_sub(INITIAL_BYTES) - self.budgeted_bytes()
     }
@@ -52,14 +52,13 @@
         self.len == 0
     }
 
-    /// Whether no byte can be added: the buffer has its maximum size, or the budget does not let it grow.
+    /// Whether no byte can be added, because the buffer has its maximum size or the budget does not allow it to grow.
     pub fn is_full(&self) -> bool {
-        let may_not_grow =
-            self.len == self.storage.len() && !self.budget.can_reserve(self.next_reservation());
-        self.len == self.max_bytes || may_not_grow
+        let cannot_grow = self.len == self.storage.len() && !self.budget.can_reserve(self.next_reservation());
+        self.len == self.max_bytes || cannot_grow
     }
 
-    /// Releases the memory of an empty buffer. To be called when the connection becomes idle.
+    /// Releases the memory of an empty buffer. Called when the connection becomes idle.
     pub fn release(&mut self) {
         if self.len == 0 {
             self.budget.release(self.budgeted_bytes());
@@ -80,7 +79,7 @@
     /// Removes bytes from the front.
     ///
     /// # Panics
-    /// If the buffer has fewer bytes.
+    /// If the buffer contains fewer bytes.
     pub fn consume(&mut self, count: usize) {
         assert!(count <= self.len, "{count} bytes consumed of {}", self.len);
         self.len -= count;
@@ -90,7 +89,8 @@
     /// Appends as many of the bytes as fit, and returns their number.
     pub fn push(&mut self, bytes: &[u8]) -> usize {
         let mut pushed = 0;
-        // Each round fills the present size and then grows, so that a small message never takes the maximum.
+        // Each iteration fills the current capacity and then grows, so that a small message never allocates the
+        // maximum.
         while pushed < bytes.len() && !self.is_full() {
             let added = self.read_from(|parts| Ok(copy_into(parts, &bytes[pushed..])));
             match added {
@@ -101,10 +101,10 @@
         pushed
     }
 
-    /// Lets `read` fill the free space, and adds as many bytes as it returns to have written.
+    /// Passes the free space to `read`, and appends as many bytes as it returns.
     ///
     /// # Errors
-    /// Those of `read`, and [`io::ErrorKind::OutOfMemory`] if the budget does not let the buffer grow.
+    /// The error of `read`, or [`io::ErrorKind::OutOfMemory`] if the budget does not allow the buffer to grow.
     pub fn read_from(
         &mut self,
         read: impl FnOnce(&mut [IoSliceMut]) -> io::Result<usize>,
@@ -136,10 +136,10 @@
         Ok(())
     }
 
-    /// Lets `write` take bytes from the front, and removes as many as it returns to have taken.
+    /// Passes the contents to `write`, and removes as many bytes from the front as it returns.
     ///
     /// # Errors
-    /// Those of `write`.
+    /// The error of `write`.
     pub fn write_to(&mut self, write: impl FnOnce(&[IoSlice]) -> io::Result<usize>) -> io::Result<usize> {
         let (size, end) = (self.storage.len(), self.start + self.len);
         let taken = if end <= size {
--- a/crates/daemon/src/takeover.rs
+++ b/crates/daemon/src/takeover.rs
@@ -1,6 +1,6 @@
-//! The two sides of a takeover: a new process receives the state of the old one, then both report changes to each
-//! other until the old one has ended. Stands above the two sides of the node; they know only the
-//! [`SiblingProcess`].
+//! The exchange between the old and the new process during a hot restart: the new process receives the state of the
+//! old one, then both report changes to each other until the old one has exited. This module depends on the
+//! downstream and upstream modules; these depend only on the [`SiblingProcess`].
 use crate::config::limits::Limits;
 use crate::downstream::DownstreamServer;
 use crate::event::{CallOrigin, NodeEvent};
@@ -19,21 +19,20 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// Bounds how long a new process waits for the complete state: the platform gives it 6 s to become ready, and the rest
-/// is for the endpoint list.
+/// Bounds the time for which a new process waits for the complete state. The platform allows 6 s until the process is
+/// ready; the rest is left for the endpoint list.
 const STATE_TIMEOUT: Duration = Duration::from_millis(4500);
 
-/// How often each process checks whether to report what it uses of the shared limits.
+/// Interval at which each process checks whether its usage of the shared limits has changed.
 const USAGE_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Pause after a new process could not be connected, so that a fault that lasts does not take all of
-/// the thread.
+/// Delay after a connection of a new process was refused, so that a persistent error does not occupy the thread.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Names the directory in which the processes of a node find each other's socket.
+/// Environment variable with the directory of the Unix socket between the processes of a node.
 const DIRECTORY_VARIABLE: &str = "TMPDIR";
 
-/// What a new process receives from the old one, and the connection, which stays open.
+/// The state that a new process received from the old one, and the connection, which stays open.
 pub struct Handover {
     /// The state of the old process.
     pub inherited: InheritedState,
@@ -41,7 +40,7 @@
     pub link: Link,
 }
 
-/// Path of the Unix socket of the node of this name; None if the environment names no directory.
+/// The path of the Unix socket of the node with this name, or `None` if the environment has no directory for it.
 pub fn socket_path(node_name: &str) -> Option<PathBuf> {
     let directory = std::env::var_os(DIRECTORY_VARIABLE).filter(|directory| !directory.is_empty());
     if directory.is_none() {
@@ -51,12 +50,12 @@
     Some(Path::new(&directory?).join(format!("troutknot-{token:016x}.sock")))
 }
 
-/// Requests the state of the old process. None if none runs, or its state cannot be used, which is logged: the
-/// node then starts from its configuration.
+/// Requests the state of the old process. Logs the reason and returns `None` if no process runs or its state cannot be
+/// used; the node then starts from its configuration.
 pub async fn request_state(path: &Path, node_name: &str, bounds: StateBounds) -> Option<Handover> {
     let received = match UnixStream::connect(path).await {
-        Ok(stream) => receive_in_time(stream, node_name, bounds).await,
-        Err(error) if is_absent(&error) => {
+        Ok(stream) => receive_state_in_time(stream, node_name, bounds).await,
+        Err(error) if is_not_listening(&error) => {
             tracing::info!("hot restart: no other process of this node runs");
             return None;
         }
@@ -76,11 +75,11 @@
     Some(handover)
 }
 
-fn is_absent(error: &io::Error) -> bool {
+fn is_not_listening(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused)
 }
 
-async fn receive_in_time(
+async fn receive_state_in_time(
     stream: UnixStream,
     node_name: &str,
     bounds: StateBounds,
@@ -101,42 +100,42 @@
     Ok(Handover { inherited, link })
 }
 
-/// Which of the two processes this one is, with regard to the other.
+/// The role of this process in a hot restart.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Role {
-    /// The process that was there first and is to end.
+    /// The process that was running and will exit.
     Old,
     /// The process that takes over.
     New,
 }
 
-/// Connects this process with the other ones of its node: first the one before it, then the one after it.
+/// Connects this process to other processes of its node: first to its predecessor, then to its successors.
 pub struct Takeover {
-    /// The node's name, by which its processes recognize each other.
+    /// The node's name, which identifies processes of the same node.
     pub name: String,
     /// Path of the Unix socket on which a new process requests the state.
     pub path: PathBuf,
-    /// The shared value by which the rest of the node reaches the other process.
+    /// The handle through which the rest of the node sends messages to the other process.
     pub sibling: Rc<SiblingProcess>,
-    /// The node's limits.
+    /// The limits of the node.
     pub limits: Rc<Limits>,
-    /// Reaches the driver.
+    /// The driver's queue.
     pub events: mpsc::Sender<NodeEvent>,
     /// The node's lifecycle.
     pub lifecycle: Rc<Lifecycle>,
-    /// The client side.
+    /// The server of connections from clients.
     pub downstream: Rc<DownstreamServer>,
-    /// The executor side.
+    /// The pool of connections to executors.
     pub executors: Rc<ExecutorPool>,
-    /// Owns the tasks that are started here.
+    /// Runs the tasks that are started here.
     pub tasks: TaskGroup,
-    /// The socket for the next process, bound early if the old process announced that it ends.
+    /// The socket for the next process, if it was bound when the old process announced its shutdown.
     pub early_listener: RefCell<Option<UnixListener>>,
 }
 
 impl Takeover {
-    /// Runs until the node shuts down: exchanges changes with the old process, if there is one, then waits for
-    /// new processes.
+    /// Exchanges messages with the old process, if there is one, and then accepts new processes until a shutdown is
+    /// requested.
     pub async fn run(self: Rc<Self>, old_process: Option<Link>) {
         if let Some(link) = old_process {
             self.tasks.spawn(self.clone().announce_ready());
@@ -168,7 +167,7 @@
         let _ = std::fs::remove_file(&self.path);
     }
 
-    /// Returns once the node is asked to end.
+    /// Waits until a shutdown of the node is requested.
     async fn shutdown_requested(&self) {
         let mut state = self.lifecycle.watch();
         let is_requested = |_: &LifecycleState| self.lifecycle.conditions().shutdown != Shutdown::None;
@@ -176,12 +175,12 @@
     }
 
     fn bind(&self) -> io::Result<UnixListener> {
-        // A file that is there belongs to a process that is dead, or that has announced its end.
+        // An existing file belongs to a process that has exited or has announced its shutdown.
         let _ = std::fs::remove_file(&self.path);
         UnixListener::bind(&self.path)
     }
 
-    /// Informs the old process once this one takes clients.
+    /// Informs the old process once this one accepts clients.
     async fn announce_ready(self: Rc<Self>) {
         let mut state = self.lifecycle.watch();
         if state.wait_for(|state| *state != LifecycleState::Starting).await.is_ok() {
@@ -189,7 +188,7 @@
         }
     }
 
-    /// Sends a new process the state of this one, then exchanges changes until it ends.
+    /// Sends the state of this process to a new one, then exchanges messages until the connection ends.
     async fn serve_new_process(&self, mut link: Link) {
         let hello = timeout(WRITE_TIMEOUT, link.reader.receive()).await;
         match hello {
@@ -204,7 +203,7 @@
         }
     }
 
-    /// Exchanges messages until the connection ends. The old process begins with its complete state.
+    /// Exchanges messages until the connection ends. The old process sends its complete state first.
     async fn exchange(&self, link: Link, role: Role) {
         let queue = self.sibling.connect();
         let _ = self.events.send(NodeEvent::SiblingChanged { is_running: true }).await;
@@ -214,13 +213,13 @@
         let Link { mut reader, writer } = link;
         let error = tokio::select! {
             error = write_queue(queue, writer) => error,
-            error = self.receive_all(&mut reader, role) => error,
+            error = self.receive_messages(&mut reader, role) => error,
             never = self.report_usage() => never,
-            never = self.announce_end(role) => never,
+            never = self.announce_shutdown(role) => never,
         };
         tracing::debug!(%error, "hot restart: the other process is gone");
         self.sibling.disconnect();
-        // The other process uses nothing any more, however it ended.
+        // The other process has exited or disconnected, so it no longer uses the shared limits.
         self.set_sibling_usage(Usage::default());
         let _ = self.events.send(NodeEvent::SiblingChanged { is_running: false }).await;
     }
@@ -231,22 +230,22 @@
         for message in codec::split_list(&ids, |ids| Message::Ids { ids }) {
             self.sibling.send(message);
         }
-        // The driver sends the rest, in order with its changes.
+        // The driver sends the rest, so that it is in order with later changes.
         let _ = self.events.send(NodeEvent::ExportState).await;
     }
 
-    /// Informs the new process when this one is asked to end, and makes way for it at the socket's path.
-    async fn announce_end(&self, role: Role) -> LinkError {
+    /// Informs the new process when a shutdown of this one is requested, and frees the socket's path for it.
+    async fn announce_shutdown(&self, role: Role) -> LinkError {
         if role == Role::Old {
             self.shutdown_requested().await;
-            // From now on a further process requests the state of the new one.
+            // Another process that starts from now on requests the state of the new process.
             let _ = std::fs::remove_file(&self.path);
             self.sibling.send(Message::ShutdownRequested);
         }
         std::future::pending().await
     }
 
-    /// Reports what this process uses of the shared limits whenever it has changed.
+    /// Reports this process's usage of the shared limits whenever it has changed.
     async fn report_usage(&self) -> LinkError {
         let mut reported = Usage::default();
         loop {
@@ -269,14 +268,14 @@
         }
     }
 
-    /// Sets what the other process uses of the memory that both share.
+    /// Applies the other process's usage to the budgets of shared memory.
     fn set_sibling_usage(&self, usage: Usage) {
         self.downstream.request_bytes.set_used_by_sibling(usage.bytes);
         self.downstream.buffer_bytes.set_used_by_sibling(usage.rings);
         self.downstream.partial_body_bytes.set_used_by_sibling(usage.slow_bodies);
     }
 
-    async fn receive_all(&self, reader: &mut LinkReader, role: Role) -> LinkError {
+    async fn receive_messages(&self, reader: &mut LinkReader, role: Role) -> LinkError {
         loop {
             match reader.receive().await {
                 Ok(message) => self.handle_message(message, role).await,
--- a/crates/daemon/src/tasks.rs
+++ b/crates/daemon/src/tasks.rs
@@ -1,7 +1,7 @@
-//! Ownership of the tasks of a node, which end with it: a group aborts and joins them.
+//! Ownership of the tasks of a node: a task group aborts and joins them when the node shuts down.
 //!
-//! Two owners keep a task of their own: the node its driver, whose end ends the node, and the lifecycle the timer of
-//! a drain.
+//! Two tasks are owned separately: the driver by the node, which stops when the driver does, and the timer of a drain
+//! by the lifecycle.
 use std::cell::RefCell;
 use std::future::Future;
 use std::rc::Rc;
@@ -12,15 +12,15 @@
 pub struct TaskGroup(Rc<RefCell<JoinSet<()>>>);
 
 impl TaskGroup {
-    /// Starts a task of this group, and frees those that have ended. The handle can abort the task before the group
-    /// ends; dropping it has no effect.
+    /// Starts a task of this group, and frees tasks that have completed. The handle can abort the task before the
+    /// group is shut down; dropping the handle has no effect.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) -> AbortHandle {
         let mut tasks = self.0.borrow_mut();
         while tasks.try_join_next().is_some() {}
         tasks.spawn_local(task)
     }
 
-    /// Aborts all tasks, and returns once each has ended.
+    /// Aborts all tasks and waits until they have ended.
     pub async fn shutdown(&self) {
         let mut tasks = self.0.take();
         tasks.shutdown().await;
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -67,9 +67,9 @@
         actions.into_iter().for_each(|action| self.driver.execute_action(action));
     }
 
-    fn update_list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) {
+    fn update_list(&mut self, update_type: ListUpdate, entries: Vec<EndpointEntry>) {
         self.handle(NodeEvent::ListReceived(EndpointUpdate {
-            kind,
+            update_type,
             entries,
             version: None,
             dropped_entries: 0,
--- a/crates/daemon/tests/unit/platform.rs
+++ b/crates/daemon/tests/unit/platform.rs
@@ -107,7 +107,7 @@
         let (elapsed, mut snapshots) = (start.elapsed().as_secs_f64(), 0);
         while let Ok(event) = received.try_recv() {
             snapshots += usize::from(
-                matches!(event, NodeEvent::ListReceived(list) if list.kind == ListUpdate::Snapshot),
+                matches!(event, NodeEvent::ListReceived(list) if list.update_type == ListUpdate::Snapshot),
             );
         }
         assert_eq!((snapshots, error.is_none()), (lists, source == Indented), "{source:?}: {error:?}");
