--- a/crates/daemon/src/discovery/consul/mod.rs
+++ b/crates/daemon/src/discovery/consul/mod.rs
@@ -56,7 +56,7 @@
     timer_changed: Notify,
     /// The watches, in the order of precedence.
     watches: RefCell<Vec<ServiceWatch>>,
-    next_number: Cell<usize>,
+    next_watch_number: Cell<usize>,
     has_cached_list: Cell<bool>,
     random_state: Cell<u64>,
 }
@@ -99,7 +99,7 @@
             tasks: watcher.tasks.clone(),
             timer_changed: Notify::new(),
             watches: RefCell::default(),
-            next_number: Cell::new(0),
+            next_watch_number: Cell::new(0),
             has_cached_list: Cell::new(!cached.is_empty()),
             random_state: Cell::new(since_epoch.as_nanos() as u64),
         }
@@ -130,7 +130,7 @@
         for watch in previous {
             watch.task.abort();
             tracing::info!(service = %watch.watched.service, "consul service no longer watched");
-            self.catalog.borrow_mut().remove_watch(watch.number);
+            self.catalog.borrow_mut().remove_watch(watch.watch_id);
         }
         self.publish().await;
     }
@@ -144,21 +144,21 @@
         if let Some(previous) = &previous {
             previous.task.abort();
         }
-        let number = previous.as_ref().map_or_else(|| self.next_watch_id(), |previous| previous.number);
+        let watch_id = previous.as_ref().map_or_else(|| self.next_watch_id(), |previous| previous.watch_id);
         let last_answer_at = previous.as_ref().and_then(|previous| previous.last_answer_at.get());
         let is_failing = previous.is_some_and(|previous| previous.is_failing.get());
         ServiceWatch {
             watched,
-            number,
-            task: self.tasks.spawn(self.clone().run_queries(queries, number)),
+            watch_id,
+            task: self.tasks.spawn(self.clone().run_queries(queries, watch_id)),
             last_answer_at: Cell::new(last_answer_at),
             is_failing: Cell::new(is_failing),
         }
     }
 
     fn next_watch_id(&self) -> WatchId {
-        let number = self.next_number.get();
-        self.next_number.set(number + 1);
+        let number = self.next_watch_number.get();
+        self.next_watch_number.set(number + 1);
         WatchId(number)
     }
 }
--- a/crates/daemon/src/discovery/consul/query.rs
+++ b/crates/daemon/src/discovery/consul/query.rs
@@ -133,9 +133,9 @@
         self.agent_index += 1;
         self.query_state.reset_index();
         let backoff = self.query_state.record_failure(jitter);
-        let have_all_failed =
+        let has_failed_at_all_agents =
             self.query_state.consecutive_failures().is_multiple_of(self.agents.len() as u32);
-        if have_all_failed { backoff } else { backoff.min(FAILOVER_DELAY) }
+        if has_failed_at_all_agents { backoff } else { backoff.min(FAILOVER_DELAY) }
     }
 }
 
--- a/crates/daemon/src/discovery/consul/service.rs
+++ b/crates/daemon/src/discovery/consul/service.rs
@@ -17,7 +17,7 @@
     /// The service and the parameters of its queries.
     pub watched: WatchedService,
     /// Identifies the watch in the catalog.
-    pub number: WatchId,
+    pub watch_id: WatchId,
     /// Aborts the task that runs the queries.
     pub task: AbortHandle,
     /// The time of the last usable answer.
@@ -28,16 +28,16 @@
 
 impl WatcherState {
     /// Queries a service until the task is aborted.
-    pub(super) async fn run_queries(self: Rc<Self>, mut queries: ServiceQueries, number: WatchId) {
+    pub(super) async fn run_queries(self: Rc<Self>, mut queries: ServiceQueries, watch_id: WatchId) {
         loop {
             let address = queries.agent();
             let wait = match queries.query(&self.limits).await {
                 Ok(answer) => {
-                    self.apply_answer(number, &answer.instances).await;
+                    self.apply_answer(watch_id, &answer.instances).await;
                     answer.next_query_after
                 }
                 Err(error) => {
-                    self.record_failure(number, address, &error);
+                    self.record_failure(watch_id, address, &error);
                     queries.fail_over(self.random_jitter())
                 }
             };
@@ -56,9 +56,9 @@
         (state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    async fn apply_answer(&self, number: WatchId, instances: &[Rc<ServiceInstance>]) {
+    async fn apply_answer(&self, watch_id: WatchId, instances: &[Rc<ServiceInstance>]) {
         let now = self.clock.now();
-        for watch in self.watches.borrow().iter().filter(|watch| watch.number == number) {
+        for watch in self.watches.borrow().iter().filter(|watch| watch.watch_id == watch_id) {
             if watch.is_failing.replace(false) {
                 let service = &watch.watched.service;
                 let elapsed_ms = watch.last_answer_at.get().map(|at| (now - at).round());
@@ -66,22 +66,22 @@
             }
             watch.last_answer_at.set(Some(now));
         }
-        self.catalog.borrow_mut().apply_response(now, number, instances);
-        if self.have_all_answered() && self.has_cached_list.replace(false) {
+        self.catalog.borrow_mut().apply_response(now, watch_id, instances);
+        if self.has_all_answers() && self.has_cached_list.replace(false) {
             self.catalog.borrow_mut().apply_response(now, CACHED_LIST, &[]);
         }
         self.publish().await;
     }
 
-    fn have_all_answered(&self) -> bool {
+    fn has_all_answers(&self) -> bool {
         let catalog = self.catalog.borrow();
-        self.watches.borrow().iter().all(|watch| catalog.has_answered(watch.number))
+        self.watches.borrow().iter().all(|watch| catalog.has_answered(watch.watch_id))
     }
 
-    fn record_failure(&self, number: WatchId, address: SocketAddr, error: &QueryError) {
+    fn record_failure(&self, watch_id: WatchId, address: SocketAddr, error: &QueryError) {
         let now = self.clock.now();
         let count = self.catalog.borrow().listed();
-        for watch in self.watches.borrow().iter().filter(|watch| watch.number == number) {
+        for watch in self.watches.borrow().iter().filter(|watch| watch.watch_id == watch_id) {
             let service = &watch.watched.service;
             if watch.is_failing.replace(true) {
                 tracing::debug!(%service, %address, %error, "consul query failed again");
--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -121,19 +121,19 @@
 
 impl Driver {
     /// Creates a driver without executors.
-    pub fn new(config: DriverDependencies) -> Self {
+    pub fn new(dependencies: DriverDependencies) -> Self {
         Driver {
-            dispatcher: config.dispatcher,
-            clock: config.clock,
-            codec: config.codec,
-            executors: config.executors,
-            watch_requests: config.watch_requests,
-            events: config.events,
-            lifecycle: config.lifecycle,
-            sibling: config.sibling,
-            retention: config.retention,
-            gossip: config.gossip,
-            tasks: config.tasks,
+            dispatcher: dependencies.dispatcher,
+            clock: dependencies.clock,
+            codec: dependencies.codec,
+            executors: dependencies.executors,
+            watch_requests: dependencies.watch_requests,
+            events: dependencies.events,
+            lifecycle: dependencies.lifecycle,
+            sibling: dependencies.sibling,
+            retention: dependencies.retention,
+            gossip: dependencies.gossip,
+            tasks: dependencies.tasks,
             registry: ExecutorRegistry::default(),
             membership: Membership::default(),
             retention_statistics: Rc::default(),
--- a/crates/daemon/src/hot_restart/codec.rs
+++ b/crates/daemon/src/hot_restart/codec.rs
@@ -299,7 +299,7 @@
     pub excluded: BTreeSet<String>,
     /// Whether operators drained the node.
     pub is_drained: bool,
-    /// The version of the endpoint list, if its source counts versions.
+    /// The version of the endpoint list, if its source reports versions.
     pub version: Option<u64>,
     /// The endpoint list.
     pub entries: Vec<EndpointEntry>,
--- a/crates/daemon/src/node/builder.rs
+++ b/crates/daemon/src/node/builder.rs
@@ -244,7 +244,7 @@
             downstream: self.downstream.clone(),
             executors: self.executors.clone(),
             tasks: self.shared.tasks.clone(),
-            early_listener: RefCell::default(),
+            successor_listener: RefCell::default(),
         });
         self.shared.tasks.spawn(takeover.run(old_process));
     }
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -98,7 +98,9 @@
                 result = &mut self.driver => return Err(driver_stopped(result)),
                 _ = terminate.recv() => return Ok(()),
                 _ = interrupt.recv() => return Ok(()),
-                () = &mut list_timeout, if !list_timeout.is_elapsed() => serve_from_cached_list(&self.shared.lifecycle),
+                () = &mut list_timeout, if !list_timeout.is_elapsed() => {
+                    serve_from_cached_list(&self.shared.lifecycle);
+                }
             }
         }
     }
--- a/crates/daemon/src/takeover.rs
+++ b/crates/daemon/src/takeover.rs
@@ -130,7 +130,7 @@
     /// Runs the tasks that are started here.
     pub tasks: TaskGroup,
     /// The socket for the next process, if it was bound when the old process announced its shutdown.
-    pub early_listener: RefCell<Option<UnixListener>>,
+    pub successor_listener: RefCell<Option<UnixListener>>,
 }
 
 impl Takeover {
@@ -141,8 +141,8 @@
             self.tasks.spawn(self.clone().announce_ready());
             self.exchange(link, Role::New).await;
         }
-        let early_listener = self.early_listener.take();
-        match early_listener.map_or_else(|| self.bind(), Ok) {
+        let successor_listener = self.successor_listener.take();
+        match successor_listener.map_or_else(|| self.bind(), Ok) {
             Ok(listener) => self.accept_new_processes(listener).await,
             Err(error) => tracing::warn!(%error, "hot restart disabled, the socket cannot be bound"),
         }
@@ -311,7 +311,7 @@
             }
             Message::ShutdownRequested if role == Role::New => {
                 tracing::info!("hot restart: the old process was asked to end");
-                self.early_listener.replace(self.bind().ok());
+                self.successor_listener.replace(self.bind().ok());
             }
             _ => {}
         }
