--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a node. Its state is derived from a few facts; the parts that act on it watch it.
+//! The lifecycle of a node. Its state is derived from a set of conditions; other modules watch the state.
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -6,36 +6,36 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// The state of a node towards its clients.
+/// Whether and how a node serves its clients.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum LifecycleState {
     /// No endpoint list has been received yet.
     Starting,
-    /// The node takes clients.
+    /// The node accepts connections and requests.
     Serving,
-    /// An operator has just drained the node: requests are still taken, and each connection closes after its
+    /// An operator has started to drain the node: requests are still accepted, and each connection closes after its
     /// response.
     Draining,
     /// An operator drained the node: idle connections close, and further requests are rejected.
     Drained,
-    /// The node was asked to end: it serves as before but reports not to be ready.
-    Leaving,
-    /// The sibling process takes the clients: no connections are accepted, and each open one closes after its
-    /// response. If the sibling dies before this process is asked to end, it serves again.
+    /// A shutdown was requested: the node still serves requests but reports that it is not ready.
+    ShutdownPending,
+    /// The sibling process serves the clients: this process accepts no connections, and closes each open one after its
+    /// response. If the sibling exits before a shutdown of this process is requested, this process serves again.
     HandingOver,
-    /// Idle connections close, and each other one after its response.
+    /// Idle connections close, and other connections close after their responses.
     Closing,
 }
 
 impl LifecycleState {
     /// Whether a connection closes after its response.
-    pub fn closes_after_answer(self) -> bool {
+    pub fn is_closing_after_response(self) -> bool {
         use LifecycleState::{Closing, Drained, Draining, HandingOver};
         matches!(self, Draining | Drained | HandingOver | Closing)
     }
 
     /// Whether idle connections close.
-    pub fn closes_idle(self) -> bool {
+    pub fn is_closing_idle(self) -> bool {
         matches!(self, LifecycleState::Drained | LifecycleState::Closing)
     }
 }
@@ -46,131 +46,132 @@
     /// The node is not drained.
     #[default]
     None,
-    /// The drain has begun, and requests under way may still arrive.
-    Begun,
-    /// Requests that were under way when the drain began have had time to arrive.
+    /// The drain has started, and requests that clients have already sent may still arrive.
+    Started,
+    /// Requests that clients had sent before the drain have had time to arrive.
     Settled,
 }
 
 /// The progress of the node's shutdown.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
 pub enum Shutdown {
-    /// The node was not asked to end.
+    /// No shutdown was requested.
     #[default]
     None,
-    /// The node was asked to end.
+    /// A shutdown was requested.
     Requested,
-    /// The node was asked to end, and another process takes the connections of clients from now on.
+    /// A shutdown was requested, and another process accepts new connections from clients.
     HandedOver,
-    /// Connections close.
+    /// The node closes its connections.
     Closing,
 }
 
-/// What an operator asks for.
+/// A request of an operator to drain or activate the node.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum DrainRequest {
-    /// Stop taking requests: the admin call `drain`.
+    /// Stop accepting requests (admin call `drain`).
     Drain,
-    /// Take requests again: the admin call `activate`. (The call `resume` concerns an executor.)
+    /// Accept requests again (admin call `activate`; the call `resume` refers to an executor).
     Resume,
 }
 
 /// Where a drain was requested.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum DrainOrigin {
-    /// By an operator at this process.
+    /// By an operator, at this process.
     Operator,
-    /// At the sibling process.
+    /// At the sibling process, which reported it.
     Sibling,
 }
 
-/// The facts from which the state is derived.
+/// The conditions from which the state is derived.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct LifecycleFacts {
-    /// An endpoint list was received, or is no longer waited for.
-    pub is_listed: bool,
+pub struct LifecycleConditions {
+    /// Whether an endpoint list was received, or the wait for one has timed out.
+    pub has_endpoint_list: bool,
     /// The progress of a drain by an operator.
     pub drain: Drain,
-    /// The drain was requested at another process of this node.
+    /// Whether the drain was requested at another process of this node.
     pub is_drain_inherited: bool,
-    /// The sibling process takes the clients as long as it runs.
-    pub has_yielded: bool,
+    /// Whether a new process of this node runs and serves the clients.
+    pub has_ready_successor: bool,
     /// The progress of the shutdown.
     pub shutdown: Shutdown,
 }
 
-impl LifecycleFacts {
-    /// The state that follows from the facts.
+impl LifecycleConditions {
+    /// Derives the state from the conditions.
     pub fn state(&self) -> LifecycleState {
-        match (self.shutdown, self.drain, self.is_listed) {
+        match (self.shutdown, self.drain, self.has_endpoint_list) {
             (Shutdown::Closing, ..) => LifecycleState::Closing,
             (Shutdown::Requested | Shutdown::HandedOver, Drain::Settled, _) => LifecycleState::Closing,
             (Shutdown::HandedOver, ..) => LifecycleState::HandingOver,
-            (Shutdown::Requested, Drain::Begun, _) => LifecycleState::Draining,
-            (Shutdown::Requested, ..) => LifecycleState::Leaving,
-            (Shutdown::None, Drain::Begun, true) => LifecycleState::Draining,
+            (Shutdown::Requested, Drain::Started, _) => LifecycleState::Draining,
+            (Shutdown::Requested, ..) => LifecycleState::ShutdownPending,
+            (Shutdown::None, Drain::Started, true) => LifecycleState::Draining,
             (Shutdown::None, _, false) => LifecycleState::Starting,
-            (Shutdown::None, Drain::None, true) if self.has_yielded => LifecycleState::HandingOver,
+            (Shutdown::None, Drain::None, true) if self.has_ready_successor => LifecycleState::HandingOver,
             (Shutdown::None, Drain::Settled, true) => LifecycleState::Drained,
             (Shutdown::None, Drain::None, true) => LifecycleState::Serving,
         }
     }
 
-    /// Whether this process reports to be ready. A process that inherited a drain does, since the upgrade that
-    /// started it waits for that.
+    /// Whether this process reports that it is ready. A process that inherited a drain does, because the upgrade that
+    /// started it waits for readiness.
     pub fn is_ready(&self) -> bool {
         let is_drained = self.drain != Drain::None && !self.is_drain_inherited;
-        self.is_listed && self.shutdown == Shutdown::None && !is_drained
+        self.has_endpoint_list && self.shutdown == Shutdown::None && !is_drained
     }
 }
 
-/// The lifecycle of one node: the facts, and the state for those that watch it.
+/// The lifecycle of one node: its conditions and a watch channel with its state.
 pub struct Lifecycle {
-    facts: Cell<LifecycleFacts>,
-    /// Ends the first phase of a drain; replaced, and thereby aborted, with each change.
+    conditions: Cell<LifecycleConditions>,
+    /// Marks a drain as settled after a delay; replaced, and thereby aborted, with each change.
     settle_timer: RefCell<JoinSet<()>>,
     state: watch::Sender<LifecycleState>,
 }
 
 impl Lifecycle {
-    /// The lifecycle of a node that starts.
+    /// Creates the lifecycle of a node that is starting.
     pub fn new() -> Self {
         Lifecycle {
-            facts: Cell::default(),
+            conditions: Cell::default(),
             settle_timer: RefCell::default(),
             state: watch::Sender::new(LifecycleState::Starting),
         }
     }
 
-    /// The present facts.
-    pub fn facts(&self) -> LifecycleFacts {
-        self.facts.get()
+    /// The current conditions.
+    pub fn conditions(&self) -> LifecycleConditions {
+        self.conditions.get()
     }
 
-    /// Changes the facts, and notifies the watchers if the state changes.
-    pub fn update(&self, change: impl FnOnce(&mut LifecycleFacts)) {
-        let mut facts = self.facts.get();
-        change(&mut facts);
-        self.facts.set(facts);
-        self.state.send_if_modified(|state| std::mem::replace(state, facts.state()) != facts.state());
+    /// Changes the conditions, and notifies the watchers if the state changes.
+    pub fn update(&self, change: impl FnOnce(&mut LifecycleConditions)) {
+        let mut conditions = self.conditions.get();
+        change(&mut conditions);
+        self.conditions.set(conditions);
+        self.state
+            .send_if_modified(|state| std::mem::replace(state, conditions.state()) != conditions.state());
     }
 
-    /// Drains the node, or resumes; a repeated request changes nothing. The drain settles after `settle_time`.
+    /// Drains or activates the node; a repeated request has no effect. A drain settles after `settle_time`.
     pub fn request_drain(self: &Rc<Self>, request: DrainRequest, origin: DrainOrigin, settle_time: Duration) {
-        let is_drained = self.facts().drain != Drain::None;
+        let is_drained = self.conditions().drain != Drain::None;
         if is_drained == (request == DrainRequest::Drain) {
             return;
         }
         let mut timer = JoinSet::new();
         match request {
-            DrainRequest::Resume => self.update(|facts| {
-                facts.drain = Drain::None;
-                facts.is_drain_inherited = false;
+            DrainRequest::Resume => self.update(|conditions| {
+                conditions.drain = Drain::None;
+                conditions.is_drain_inherited = false;
             }),
             DrainRequest::Drain => {
-                self.update(|facts| {
-                    facts.drain = Drain::Begun;
-                    facts.is_drain_inherited = origin == DrainOrigin::Sibling;
+                self.update(|conditions| {
+                    conditions.drain = Drain::Started;
+                    conditions.is_drain_inherited = origin == DrainOrigin::Sibling;
                 });
                 timer.spawn_local(settle_drain(Rc::downgrade(self), settle_time));
             }
@@ -178,7 +179,7 @@
         self.settle_timer.replace(timer);
     }
 
-    /// Watches the state, beginning with the present one.
+    /// Subscribes to the state, beginning with the current one.
     pub fn watch(&self) -> watch::Receiver<LifecycleState> {
         self.state.subscribe()
     }
@@ -187,7 +188,7 @@
 async fn settle_drain(lifecycle: Weak<Lifecycle>, settle_time: Duration) {
     sleep(settle_time).await;
     if let Some(lifecycle) = lifecycle.upgrade() {
-        lifecycle.update(|facts| facts.drain = Drain::Settled);
+        lifecycle.update(|conditions| conditions.drain = Drain::Settled);
     }
 }
 
