--- a/crates/cli/src/emulate.rs
+++ b/crates/cli/src/emulate.rs
@@ -10,8 +10,8 @@
 use thiserror::Error;
 use tokio::task::LocalSet;
 use troutknot_emulator::discovery::{self, Member};
-use troutknot_emulator::executors::{Host, Shared, Work};
-use troutknot_emulator::observed::{Listed, Record};
+use troutknot_emulator::executors::{FleetContext, Host, RequestSpec};
+use troutknot_emulator::observations::{ListedState, ObservationLog};
 use troutknot_fake_consul::{Agent, Cluster, Instance, Status};
 use troutknot_rehearsal::plan::{Plan, Step};
 use troutknot_rehearsal::scenario::{Scenario, millis};
@@ -91,7 +91,7 @@
 struct Fleet {
     hosts: Vec<Rc<Host>>,
     cluster: Rc<Cluster>,
-    record: Arc<Record>,
+    record: Arc<ObservationLog>,
     // Both serve for as long as they are held.
     _consul_agents: Vec<Rc<Agent>>,
     _discovery: Rc<discovery::Agent>,
@@ -99,8 +99,8 @@
 
 impl Fleet {
     fn start(scenario: &Scenario, plan: &Plan, consul_agents: usize) -> Result<Self, EmulateError> {
-        let record = Arc::new(Record::default());
-        let shared = Shared::new(record.clone(), Arc::new(work_of(scenario)), true);
+        let record = Arc::new(ObservationLog::default());
+        let shared = FleetContext::new(record.clone(), Arc::new(work_of(scenario)), true);
         let addresses = Addresses::fresh();
         let (hosts, members) = start_executors(plan, &shared, addresses)?;
         let cluster = Cluster::new("dc1");
@@ -130,12 +130,12 @@
         match step {
             Step::FaultBegins { number, executor, fault } => {
                 let Some(host) = self.hosts.get(*executor) else { return };
-                host.trouble(*number as u64, fault.clone());
-                eprintln!("{} {fault:?}", host.name);
+                host.begin_fault(*number as u64, fault.clone());
+                eprintln!("{} {fault}", host.name);
             }
             Step::FaultEnds { number, executor } => {
                 let Some(host) = self.hosts.get(*executor) else { return };
-                host.trouble_over(*number as u64);
+                host.end_fault(*number as u64);
                 eprintln!("{} is over it", host.name);
             }
             Step::KillExecutor { executor } => {
@@ -162,20 +162,20 @@
 }
 
 /// The work of any request id: the mean of the first class, unless a header of the request states another.
-fn work_of(scenario: &Scenario) -> impl Fn(&str) -> Option<Work> + use<> {
+fn work_of(scenario: &Scenario) -> impl Fn(&str) -> Option<RequestSpec> + use<> {
     let classes: Vec<_> = scenario.project_types.iter().map(|class| class.get_ref().clone()).collect();
     move |id| {
         let hash = |hash: u64, byte: u8| hash.wrapping_mul(31).wrapping_add(byte.into());
         let request_id = id.bytes().fold(0, hash);
         let class = classes.first()?;
         let (slots, memory, work) = (class.slots, class.memory, millis(class.work));
-        Some(Work { request_id, project_type: 0, slots, memory, work, priority: class.credit })
+        Some(RequestSpec { request_id, request_class: 0, slots, memory, work, priority: class.credit })
     }
 }
 
 fn start_executors(
     plan: &Plan,
-    shared: &Rc<Shared>,
+    shared: &Rc<FleetContext>,
     addresses: Addresses,
 ) -> Result<(Vec<Rc<Host>>, Vec<Member>), EmulateError> {
     let (mut hosts, mut members) = (Vec::new(), Vec::new());
@@ -189,11 +189,11 @@
             id: host.name.clone(),
             addr: host.addr,
             zone: "here".into(),
-            kind: planned.machine_type.clone(),
-            cell: planned.group as u32,
-            listed: Listed::Ready,
+            machine_type: planned.machine_type.clone(),
+            deduplication_group: planned.group as u32,
+            state: ListedState::Ready,
             weight: 1.0,
-            started_ms: 0.0,
+            started_at: 0.0,
         });
         println!("{} http://{}", host.name, host.addr);
         hosts.push(host);
@@ -217,7 +217,7 @@
     Ok(agents)
 }
 
-async fn clear_periodically(record: &Record) {
+async fn clear_periodically(record: &ObservationLog) {
     loop {
         tokio::time::sleep(CLEAR_INTERVAL).await;
         record.take();
--- a/crates/daemon/tests/capacity.rs
+++ b/crates/daemon/tests/capacity.rs
@@ -7,7 +7,7 @@
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-use troutknot_emulator::scripted::{Act, Discovery, Executor};
+use troutknot_emulator::scripted::{Action, Discovery, Executor};
 
 const CALL: &str = "GET /v1/executors HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n";
 
@@ -151,7 +151,7 @@
     let called = Called { node, management };
     let figures = called.figures_of(over - left);
     assert_eq!(figures, Figures { listed: over - left, kept: over - left, left_out: 0, bound });
-    assert!(discovery.asked.recv_timeout(PATIENCE).unwrap().contains("index=7"));
+    assert!(discovery.requests.recv_timeout(PATIENCE).unwrap().contains("index=7"));
     // The list swells over its bound by changes alone, and most of the first ones go: what is held is used up.
     let changes = |version: u64, numbers: std::ops::Range<usize>, state: &str| {
         discovery.lines.send(list(version, false, &fleet(numbers, &executor, state))).unwrap();
@@ -161,7 +161,10 @@
     changes(11, over + step..over + 2 * step, "Ready");
     until("there are more than are held", || called.figures().left_out > bound / 4);
     changes(12, left..over, "Gone");
-    assert!(discovery.asked.recv_timeout(PATIENCE).unwrap().ends_with("?stream=1 HTTP/1.1"), "with no index");
+    assert!(
+        discovery.requests.recv_timeout(PATIENCE).unwrap().ends_with("?stream=1 HTTP/1.1"),
+        "with no index"
+    );
     called.serves(20);
 }
 
@@ -232,10 +235,10 @@
     let discovery = Discovery::start(list(1, true, &first));
     let called = Called::start(&discovery, 16, Value::Null);
     let bound = called.figures_of(1).bound;
-    slow.acts.lock().unwrap().push_back(Act::Wait);
+    slow.actions.lock().unwrap().push_back(Action::Wait);
     let mut client = called.node.connect();
     client.get_mut().write_all(work("publish", &new_id(), 10.0, "").as_bytes()).unwrap();
-    slow.wait_for(1);
+    slow.wait_for_attempts(1);
     let mut over = fleet(0..bound + 10, &others, "Ready");
     over.push(entry("slow", &slow, "Terminating"));
     discovery.lines.send(list(2, true, &over)).unwrap();
@@ -249,8 +252,8 @@
         called.call(&call).0
     };
     assert_eq!((suspend("slow"), suspend("never-listed")), (200, 404));
-    slow.go_on.send(()).unwrap();
+    slow.resume.send(()).unwrap();
     assert_eq!(answer(&mut client).0, 200, "its work is seen through");
     called.serves(20);
-    assert_eq!(slow.seen.lock().unwrap().len(), 1, "and it got nothing new");
+    assert_eq!(slow.requests.lock().unwrap().len(), 1, "and it got nothing new");
 }
--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
-use troutknot_emulator::scripted::{Act, Discovery, Executor};
+use troutknot_emulator::scripted::{Action, Discovery, Executor};
 use troutknot_fake_consul::{Agent, Cluster, Fault, Instance, Status};
 
 /// The stand-ins on a thread of their own.
@@ -100,7 +100,7 @@
     for _ in 0..times {
         assert_eq!(node.ask(work("render", &new_id(), 3.0, "")).0, 200);
     }
-    executors.iter().map(|e| std::mem::take(&mut *e.seen.lock().unwrap()).len()).collect()
+    executors.iter().map(|e| std::mem::take(&mut *e.requests.lock().unwrap()).len()).collect()
 }
 
 fn wait_until_used(node: &Node, what: &str, executors: &[&Executor], expected: &[bool]) {
@@ -117,7 +117,7 @@
     let mut node = follow(&own_file(None, &standins.agents, ""));
     wait_until_used(&node, "all are used", &all, &[true, true, true]);
     // Work that is out goes on.
-    one.acts.lock().unwrap().push_back(Act::Wait);
+    one.actions.lock().unwrap().push_back(Action::Wait);
     let mut taken = node.connect();
     taken.get_mut().write_all(work("publish", &new_id(), 30.0, "").as_bytes()).unwrap();
     until("it goes to the one that waits", || {
@@ -129,11 +129,11 @@
             assert_eq!(answer(&mut taken).0, 200);
             taken.get_mut().write_all(work("publish", &new_id(), 30.0, "").as_bytes()).unwrap();
         }
-        !one.seen.lock().unwrap().is_empty()
+        !one.requests.lock().unwrap().is_empty()
     });
     standins.set("s0", Status::Critical);
     wait_until_used(&node, "the failing one is left out", &all, &[false, true, true]);
-    one.go_on.send(()).unwrap();
+    one.resume.send(()).unwrap();
     assert_eq!(answer(&mut taken).0, 200, "what was out is answered");
     standins.set("s1", Status::Maintenance);
     wait_until_used(&node, "so is the maintained one", &all, &[false, false, true]);
--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant};
-use troutknot_emulator::scripted::{Act, Crowded, Discovery, Executor, Slow};
+use troutknot_emulator::scripted::{Action, Discovery, Executor, FullBacklogExecutor, SlowReadingExecutor};
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -80,17 +80,17 @@
 }
 
 fn sent(executor: &Executor, id: &str) -> usize {
-    let seen = executor.seen.lock().unwrap();
+    let seen = executor.requests.lock().unwrap();
     seen.iter().filter(|(head, _)| field(head, "request-id") == Some(id)).count()
 }
 
 /// Hands work in that has come to the executor by then, which does what it is told to.
-fn out(node: &Node, executor: &Executor, act: Act, project_type: &str) -> (String, BufReader<TcpStream>) {
+fn out(node: &Node, executor: &Executor, act: Action, project_type: &str) -> (String, BufReader<TcpStream>) {
     let (id, mut client) = (new_id(), node.connect());
-    let before = executor.seen.lock().unwrap().len();
-    executor.acts.lock().unwrap().push_back(act);
+    let before = executor.requests.lock().unwrap().len();
+    executor.actions.lock().unwrap().push_back(act);
     client.get_mut().write_all(work(project_type, &id, 30.0, "").as_bytes()).unwrap();
-    executor.wait_for(before + 1);
+    executor.wait_for_attempts(before + 1);
     (id, client)
 }
 
@@ -116,7 +116,7 @@
 /// long as they took so far and 5 ms, and without one it dispatches: where they took no time, a load of the
 /// machine is enough for that.
 fn unhurried(discovery: &Discovery, executor: &Executor) -> (Node, BufReader<TcpStream>) {
-    *executor.load_takes.lock().unwrap() = Duration::from_millis(50);
+    *executor.load_report_delay.lock().unwrap() = Duration::from_millis(50);
     let node = Node::start_with(discovery, (256, 64), patient(), "debug");
     let mut usual = node.connect();
     assert_eq!(ask(&mut usual, work("render", &new_id(), 30.0, "")).0, 200);
@@ -144,13 +144,13 @@
         }
         for (how, project_type) in ways {
             // Work is held as long as every answer shows a queue.
-            *executor.load.lock().unwrap() = "queue=5,x0=0".into();
+            *executor.load_report.lock().unwrap() = "queue=5,x0=0".into();
             let (id, mut client) = (new_id(), node.connect());
             client.get_mut().write_all(work(project_type, &id, 30.0, "").as_bytes()).unwrap();
             until("it is held", || is_held(&node));
             leave_and_be_seen(&node, how, client, &id);
             // Each end of another one makes room, which the held one would get.
-            *executor.load.lock().unwrap() = "queue=0,x0=8".into();
+            *executor.load_report.lock().unwrap() = "queue=0,x0=8".into();
             for _ in 0..5 {
                 assert_eq!(ask(&mut usual, work("render", &new_id(), 30.0, "")).0, 200);
             }
@@ -174,13 +174,13 @@
             node.logged("shutdown requested");
         }
         for (how, request_class) in ways {
-            let (id, client) = out(&node, &executor, Act::WaitAndTurnAway, request_class);
+            let (id, client) = out(&node, &executor, Action::WaitAndReject, request_class);
             // From now on every answer shows a queue, so that it is drawn once more and then held.
-            *executor.load.lock().unwrap() = "queue=5,x0=0".into();
-            executor.go_on.send(()).unwrap();
+            *executor.load_report.lock().unwrap() = "queue=5,x0=0".into();
+            executor.resume.send(()).unwrap();
             until("it is held", || is_held(&node));
             leave_and_be_seen(&node, how, client, &id);
-            *executor.load.lock().unwrap() = "queue=0,x0=8".into();
+            *executor.load_report.lock().unwrap() = "queue=0,x0=8".into();
             for _ in 0..5 {
                 assert_eq!(ask(&mut usual, work("render", &new_id(), 30.0, "")).0, 200);
             }
@@ -202,13 +202,13 @@
         settings["limits"]["cancel"] = json!(cancel);
         let node = Node::start_with(&discovery, (256, 64), settings.clone(), "debug");
         for how in WAYS {
-            let (id, client) = out(&node, &executor, Act::WaitAndLose, project_type);
-            let went_on = executor.went_on.load(Ordering::Relaxed);
+            let (id, client) = out(&node, &executor, Action::WaitAndLose, project_type);
+            let went_on = executor.resumed.load(Ordering::Relaxed);
             leave_and_be_seen(&node, how, client, &id);
             // Whatever the node does of it, it has done before it answers this.
             node.ask(HEALTH);
-            executor.go_on.send(()).unwrap();
-            until("the executor answers", || executor.went_on.load(Ordering::Relaxed) > went_on);
+            executor.resume.send(()).unwrap();
+            until("the executor answers", || executor.resumed.load(Ordering::Relaxed) > went_on);
             for _ in 0..5 {
                 assert_eq!(node.ask(work(project_type, &new_id(), 30.0, "")).0, 200);
             }
@@ -220,7 +220,7 @@
 #[test]
 fn an_attempt_whose_client_left_while_connecting_is_never_sent() {
     let play = |ending: bool, how: Leaves, project_type: &str| {
-        let crowded = Crowded::start();
+        let crowded = FullBacklogExecutor::start();
         let discovery = Discovery::start(list(7, true, &[entry_at("s-1", crowded.addr, "Ready")]));
         let node = Node::start_with(&discovery, (256, 64), patient(), "debug");
         let (id, mut client) = (new_id(), node.connect());
@@ -231,8 +231,8 @@
             node.logged("shutdown requested");
         }
         leave_and_be_seen(&node, how, client, &id);
-        crowded.go_on.send(()).unwrap();
-        let came = crowded.came.join().unwrap();
+        crowded.resume.send(()).unwrap();
+        let came = crowded.received.join().unwrap();
         let came = String::from_utf8_lossy(&came);
         assert!(came.is_empty(), "{project_type} {how:?} ending {ending}: {came}");
     };
@@ -248,7 +248,7 @@
 fn an_attempt_whose_client_left_while_being_written_never_arrives_complete() {
     const SIZE: usize = 64 * 1024;
     serving_and_ending(|ending, ways| {
-        let slow = Slow::start();
+        let slow = SlowReadingExecutor::start();
         let discovery = Discovery::start(list(7, true, &[entry_at("s-1", slow.addr, "Ready")]));
         let mut node = Node::start_with(&discovery, (256, 64), patient(), "debug");
         if ending {
@@ -259,10 +259,10 @@
             let (id, mut client) = (new_id(), node.connect());
             let request = work(project_type, &id, 30.0, &"~".repeat(SIZE));
             client.get_mut().write_all(request.as_bytes()).unwrap();
-            slow.began.recv_timeout(PATIENCE).unwrap();
+            slow.heads.recv_timeout(PATIENCE).unwrap();
             leave_and_be_seen(&node, how, client, &id);
-            slow.go_on.send(()).unwrap();
-            let came = slow.rest.recv_timeout(PATIENCE).unwrap();
+            slow.resume.send(()).unwrap();
+            let came = slow.remaining_bytes.recv_timeout(PATIENCE).unwrap();
             assert!(came < SIZE, "{project_type} {how:?} ending {ending}: all of it came");
         }
         node.terminate();
@@ -292,12 +292,12 @@
     let (executor, discovery) = one_executor();
     let node = Node::start(&discovery);
     for (ahead, kept) in [(10, true), (200_000, false)] {
-        let (_, mut client) = out(&node, &executor, Act::Wait, "publish");
+        let (_, mut client) = out(&node, &executor, Action::Wait, "publish");
         let next = work("render", &new_id(), 30.0, &"y".repeat(ahead));
         client.get_mut().write_all(next.as_bytes()).unwrap();
         // Before that the node cannot know how much it is: it would give the answer and keep the connection.
         wait_until_read(&node, client.get_ref());
-        executor.go_on.send(()).unwrap();
+        executor.resume.send(()).unwrap();
         let (status, (head, body)) = answer(&mut client);
         assert_eq!((status, body.len()), (200, 3), "{ahead}");
         assert_eq!(field(&head, "connection").is_none(), kept, "{ahead}: {head}");
@@ -314,7 +314,7 @@
 fn malformed_requests_during_shutdown_are_answered_or_closed_in_time() {
     let (executor, discovery) = one_executor();
     let mut node = Node::start(&discovery);
-    let (_, mut taken) = out(&node, &executor, Act::Wait, "publish");
+    let (_, mut taken) = out(&node, &executor, Action::Wait, "publish");
     node.terminate();
     node.logged("shutdown requested");
     let good = work("render", "1", 3.0, "ab");
@@ -341,7 +341,7 @@
             });
         }
     });
-    executor.go_on.send(()).unwrap();
+    executor.resume.send(()).unwrap();
     assert_eq!(answer(&mut taken).0, 200);
     assert!(node.process.wait().unwrap().success());
 }
@@ -422,12 +422,12 @@
         [&["HUP", "TERM"][..], &["TERM", "HUP"], &["TERM", "TERM", "INT"], &["TERM", "HUP", "TERM"]]
     {
         let mut node = Node::start(&discovery);
-        let (_, mut taken) = out(&node, &executor, Act::Wait, "publish");
+        let (_, mut taken) = out(&node, &executor, Action::Wait, "publish");
         for name in signals {
             node.signal(name);
         }
         node.logged("shutdown requested");
-        executor.go_on.send(()).unwrap();
+        executor.resume.send(()).unwrap();
         assert_eq!(answer(&mut taken).0, 200, "{signals:?}");
         assert!(node.process.wait().unwrap().success(), "{signals:?}");
     }
@@ -452,22 +452,22 @@
             kind("viola", "safe", 9_000_000, 1.5)]});
     let node = Node::start_with(&discovery, (200, 48), given, "info");
     for (kind, customer, acts, status, sent) in [
-        ("zither", "choir", &[Act::Done][..], 200, 1),
-        ("zither", "band", &[Act::Lost], 502, 1),
-        ("zither", "band", &[Act::TurnedAway, Act::TurnedAway], 503, 2),
-        ("zither", "choir", &[Act::Silent], 502, 1),
-        ("oboe", "choir", &[Act::Lost, Act::Done], 200, 2),
-        ("viola", "band", &[Act::Lost, Act::Status500], 503, 2),
-        ("viola", "choir", &[Act::Done], 200, 1),
+        ("zither", "choir", &[Action::Done][..], 200, 1),
+        ("zither", "band", &[Action::Lost], 502, 1),
+        ("zither", "band", &[Action::Rejected, Action::Rejected], 503, 2),
+        ("zither", "choir", &[Action::Silent], 502, 1),
+        ("oboe", "choir", &[Action::Lost, Action::Done], 200, 2),
+        ("viola", "band", &[Action::Lost, Action::Status500], 503, 2),
+        ("viola", "choir", &[Action::Done], 200, 1),
         ("viola", "orchestra", &[], 400, 0),
         ("render", "choir", &[], 404, 0),
     ] {
-        executor.acts.lock().unwrap().extend(acts);
-        let (before, asked) = (executor.seen.lock().unwrap().len(), Instant::now());
+        executor.actions.lock().unwrap().extend(acts);
+        let (before, asked) = (executor.requests.lock().unwrap().len(), Instant::now());
         let request = work(kind, &new_id(), 30.0, "");
         let (got, (head, _)) =
             node.ask(request.replace("X-Other", &format!("Tenant: {customer}\r\nX-Other")));
-        let seen = executor.seen.lock().unwrap().len() - before;
+        let seen = executor.requests.lock().unwrap().len() - before;
         assert_eq!((got, seen), (status, sent), "{kind} {customer} {acts:?}");
         assert!(asked.elapsed() < Duration::from_secs(2), "{kind} {acts:?}: within its own limit");
         assert!(status == 400 || field(&head, "retry-after").is_none(), "{kind}: no time to come back");
@@ -485,7 +485,7 @@
         client.set_recv_buffer_size(4096).unwrap();
         client.connect(&node.addr.into()).unwrap();
         let mut client = BufReader::new(TcpStream::from(client));
-        executor.acts.lock().unwrap().push_back(Act::Large(size));
+        executor.actions.lock().unwrap().push_back(Action::Large(size));
         let request = work("render", &new_id(), 30.0, "").replace("X-Other", "Connection: close\r\nX-Other");
         client.get_mut().write_all(request.as_bytes()).unwrap();
         client.get_ref().peek(&mut [0]).unwrap();
--- a/crates/daemon/tests/durable.rs
+++ b/crates/daemon/tests/durable.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::io::Write;
 use std::sync::atomic::{AtomicU32, Ordering};
-use troutknot_emulator::scripted::{Act, Discovery, Executor};
+use troutknot_emulator::scripted::{Action, Discovery, Executor};
 use troutknot_ledger::store::{Rows, Store};
 use troutknot_ledger::{Record, Row};
 
@@ -42,17 +42,17 @@
 }
 
 /// Sends a work unit, and kills the node once it is out.
-fn die_with_one_out(discovery: &Discovery, place: &Place, executor: &Executor, act: Act, request: &str) {
+fn die_with_one_out(discovery: &Discovery, place: &Place, executor: &Executor, act: Action, request: &str) {
     let node = start(discovery, place);
-    executor.acts.lock().unwrap().push_back(act);
+    executor.actions.lock().unwrap().push_back(act);
     let mut client = node.connect();
     client.get_mut().write_all(request.as_bytes()).unwrap();
-    executor.wait_for(1);
+    executor.wait_for_attempts(1);
     die(node);
 }
 
 fn fence_of(executor: &Executor, number: usize) -> Option<String> {
-    field(&executor.seen.lock().unwrap()[number].0, "work-fence").map(String::from)
+    field(&executor.requests.lock().unwrap()[number].0, "work-fence").map(String::from)
 }
 
 #[test]
@@ -75,26 +75,26 @@
         assert_eq!(status, expected, "{name}");
         assert!(status != 200 || body == b"rrr", "{name}");
     }
-    assert_eq!(executor.seen.lock().unwrap().len(), 1, "it ran once");
+    assert_eq!(executor.requests.lock().unwrap().len(), 1, "it ran once");
     // The other kind of answer is on record too, and all of it after a crash.
-    executor.acts.lock().unwrap().push_back(Act::Status500);
+    executor.actions.lock().unwrap().push_back(Action::Status500);
     assert_eq!(node.ask(keyed("publish", "b1", "k2", "body")).0, 502);
     die(node);
     let node = start(&discovery, &place);
     assert_eq!(node.ask(keyed("publish", "a7", "k1", "body")).1.1, b"rrr");
     assert_eq!(node.ask(keyed("publish", "b2", "k2", "body")).0, 502);
-    assert_eq!(executor.seen.lock().unwrap().len(), 2);
+    assert_eq!(executor.requests.lock().unwrap().len(), 2);
     // Two that come at once are one.
-    executor.acts.lock().unwrap().push_back(Act::Wait);
+    executor.actions.lock().unwrap().push_back(Action::Wait);
     let (mut one, mut two) = (node.connect(), node.connect());
     one.get_mut().write_all(keyed("publish", "c1", "k3", "x").as_bytes()).unwrap();
-    executor.wait_for(3);
+    executor.wait_for_attempts(3);
     two.get_mut().write_all(keyed("publish", "c2", "k3", "x").as_bytes()).unwrap();
     // The first one leaves; that ends nothing.
     drop(one);
-    executor.go_on.send(()).unwrap();
+    executor.resume.send(()).unwrap();
     assert_eq!(answer(&mut two).0, 200);
-    assert_eq!(executor.seen.lock().unwrap().len(), 3);
+    assert_eq!(executor.requests.lock().unwrap().len(), 3);
 }
 
 #[test]
@@ -107,13 +107,13 @@
         (status, serde_json::from_slice::<Value>(&body).unwrap_or_default())
     };
     assert_eq!(tell("a1").0, 404);
-    executor.acts.lock().unwrap().push_back(Act::Wait);
+    executor.actions.lock().unwrap().push_back(Action::Wait);
     let mut client = node.connect();
     client.get_mut().write_all(work("publish", "a1", 20.0, "").as_bytes()).unwrap();
-    executor.wait_for(1);
+    executor.wait_for_attempts(1);
     let (_, told) = tell("a1");
     assert_eq!((&told["state"], &told["allocations"][0]["fence"]), (&json!("allocated"), &json!(1)));
-    executor.go_on.send(()).unwrap();
+    executor.resume.send(()).unwrap();
     assert_eq!(answer(&mut client).0, 200);
     assert_eq!(tell("a1").1["state"], "answered");
     assert_eq!(node.ask("POST /_work/a1 HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n").0, 405);
@@ -152,20 +152,20 @@
     for (name, fates, status, result, sent) in cases {
         let (executor, discovery) = one_executor();
         let place = place(FENCES);
-        die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
-        *executor.fates.lock().unwrap() = fates.into();
+        die_with_one_out(&discovery, &place, &executor, Action::Silent, &keyed("publish", "a1", "k", "b"));
+        *executor.fence_answers.lock().unwrap() = fates.into();
         let node = start(&discovery, &place);
         let (got, (_, body)) = node.ask(keyed("publish", "a2", "k", "b"));
         assert_eq!((got, body.as_slice()), (status, result.as_bytes()), "{name}");
-        assert_eq!(executor.seen.lock().unwrap().len(), sent, "{name}");
-        let asked = executor.asked.lock().unwrap()[0].0.clone();
+        assert_eq!(executor.requests.lock().unwrap().len(), sent, "{name}");
+        let asked = executor.fence_queries.lock().unwrap()[0].0.clone();
         assert_eq!(
             (field(&asked, "work-fence"), field(&asked, "request-id")),
             (Some("1"), Some("a1")),
             "{name}"
         );
         if sent == 2 {
-            let (head, body) = executor.seen.lock().unwrap()[1].clone();
+            let (head, body) = executor.requests.lock().unwrap()[1].clone();
             assert_eq!((field(&head, "work-fence"), body.as_slice()), (Some("2"), &b"b"[..]), "{name}");
             assert!(head.starts_with("POST /publish/a?b=c "), "{name}: {head}");
         }
@@ -176,7 +176,7 @@
 fn a_recorded_end_without_an_answer_is_queried() {
     let (executor, discovery) = one_executor();
     let place = place(FENCES);
-    die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
+    die_with_one_out(&discovery, &place, &executor, Action::Silent, &keyed("publish", "a1", "k", "b"));
     {
         let store = Store::open(place.ledger.as_ref()).unwrap();
         let rows = store.rows_of(troutknot::RequestId(0)).unwrap();
@@ -191,10 +191,10 @@
             }])
             .unwrap();
     }
-    *executor.fates.lock().unwrap() = vec![json!({"state": "done", "result": "late"})].into();
+    *executor.fence_answers.lock().unwrap() = vec![json!({"state": "done", "result": "late"})].into();
     let node = start(&discovery, &place);
     assert_eq!(node.ask(keyed("publish", "a2", "k", "b")).1.1, b"late");
-    assert_eq!(executor.seen.lock().unwrap().len(), 1);
+    assert_eq!(executor.requests.lock().unwrap().len(), 1);
 }
 
 #[test]
@@ -202,10 +202,10 @@
     for (kind, status, sent) in [("publish", 502, 1), ("render", 200, 2)] {
         let (executor, discovery) = one_executor();
         let place = place("");
-        die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed(kind, "a1", "k", "b"));
+        die_with_one_out(&discovery, &place, &executor, Action::Silent, &keyed(kind, "a1", "k", "b"));
         let node = start(&discovery, &place);
         assert_eq!(node.ask(keyed(kind, "a2", "k", "b")).0, status, "{kind}");
-        assert_eq!(executor.seen.lock().unwrap().len(), sent, "{kind}");
+        assert_eq!(executor.requests.lock().unwrap().len(), sent, "{kind}");
         assert_eq!(fence_of(&executor, 0), None, "{kind}");
     }
 }
@@ -215,19 +215,19 @@
     let (executor, discovery) = one_executor();
     let place = place("");
     let request = keyed("render", "a1", "k", "b");
-    die_with_one_out(&discovery, &place, &executor, Act::Silent, &request);
+    die_with_one_out(&discovery, &place, &executor, Action::Silent, &request);
     for sent in 2..=3 {
-        executor.acts.lock().unwrap().push_back(Act::Silent);
+        executor.actions.lock().unwrap().push_back(Action::Silent);
         let node = start(&discovery, &place);
-        executor.wait_for(sent);
+        executor.wait_for_attempts(sent);
         die(node);
     }
     let node = start(&discovery, &place);
     let known = || node.ask("GET /_work/a1 HTTP/1.1\r\nHost: n\r\n\r\n").0;
     until("it is deferred after three, and forgotten with that", || known() == 404);
-    assert_eq!(executor.seen.lock().unwrap().len(), 3);
+    assert_eq!(executor.requests.lock().unwrap().len(), 3);
     assert_eq!(node.ask(&request).0, 200, "whoever comes back with its key asks anew");
-    assert_eq!(executor.seen.lock().unwrap().len(), 4);
+    assert_eq!(executor.requests.lock().unwrap().len(), 4);
 }
 
 #[test]
@@ -236,16 +236,16 @@
     let place = place("fences = true\nlease = \"200ms\"");
     let node = start(&discovery, &place);
     // It says nothing for longer than its lease, and is still running when it is asked.
-    executor.acts.lock().unwrap().push_back(Act::Silent);
-    *executor.fates.lock().unwrap() =
+    executor.actions.lock().unwrap().push_back(Action::Silent);
+    *executor.fence_answers.lock().unwrap() =
         vec![json!({"state": "running"}), json!({"state": "done", "result": "woke up"})].into();
     let (status, (_, body)) = node.ask(work("publish", "a1", 20.0, ""));
     assert_eq!((status, body.as_slice()), (200, &b"woke up"[..]));
-    assert_eq!(executor.seen.lock().unwrap().len(), 1);
-    assert!(field(&executor.seen.lock().unwrap()[0].0, "work-lease") == Some("200"));
+    assert_eq!(executor.requests.lock().unwrap().len(), 1);
+    assert!(field(&executor.requests.lock().unwrap()[0].0, "work-lease") == Some("200"));
     // A cut connection, and its executor says that it never ran: it goes out again, under the next number.
-    executor.fates.lock().unwrap().clear();
-    executor.acts.lock().unwrap().push_back(Act::Break);
+    executor.fence_answers.lock().unwrap().clear();
+    executor.actions.lock().unwrap().push_back(Action::CloseConnection);
     assert_eq!(node.ask(work("publish", "a2", 20.0, "")).0, 200);
     assert_eq!(fence_of(&executor, 2).as_deref(), Some("2"));
 }
@@ -287,7 +287,7 @@
     const HOUR: f64 = 3_600_000.0;
     let (executor, discovery) = one_executor();
     let place = place(FENCES);
-    die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
+    die_with_one_out(&discovery, &place, &executor, Action::Silent, &keyed("publish", "a1", "k", "b"));
     edit(&place.ledger, |row| {
         row.at += HOUR;
         if let Record::Taken { deadline: limit, .. } = &mut row.record {
@@ -295,12 +295,12 @@
             *limit = row.at + 1000.0;
         }
     });
-    *executor.fates.lock().unwrap() = vec![json!({"state": "running"})].into();
+    *executor.fence_answers.lock().unwrap() = vec![json!({"state": "running"})].into();
     let began = std::time::Instant::now();
     let node = start(&discovery, &place);
     assert_eq!(node.ask(keyed("publish", "a2", "k", "b")).0, 502);
     assert!(began.elapsed() < PATIENCE / 2, "not an hour later");
-    assert_eq!(executor.seen.lock().unwrap().len(), 1);
+    assert_eq!(executor.requests.lock().unwrap().len(), 1);
 }
 
 #[test]
@@ -308,7 +308,7 @@
     for (taken_only, status, sent) in [(true, 200, 2), (false, 502, 1)] {
         let (executor, discovery) = one_executor();
         let place = place("");
-        die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
+        die_with_one_out(&discovery, &place, &executor, Action::Silent, &keyed("publish", "a1", "k", "b"));
         if taken_only {
             // As if it had died before the allocation was on record.
             let of = |store: &Store| store.rows_of(troutknot::RequestId(0)).unwrap()[0].clone();
@@ -323,11 +323,11 @@
         });
         let node = start(&discovery, &place);
         until("it is over", || String::from_utf8(node.ask(HEALTH).1.1).unwrap().contains(" 0 open"));
-        assert_eq!(executor.seen.lock().unwrap().len(), 1, "nothing is sent past the limit");
+        assert_eq!(executor.requests.lock().unwrap().len(), 1, "nothing is sent past the limit");
         // What was deferred is asked anew with its key; what may have run stays aborted.
         // Whoever comes before that is told hears 503 as well.
         until("its key says so", || node.ask(keyed("publish", &new_id(), "k", "b")).0 == status);
-        assert_eq!(executor.seen.lock().unwrap().len(), sent);
+        assert_eq!(executor.requests.lock().unwrap().len(), sent);
     }
 }
 
@@ -336,14 +336,14 @@
     let (executor, discovery) = one_executor();
     let place = place("kept = \"100ms\"\nmost = 1");
     let node = start(&discovery, &place);
-    executor.acts.lock().unwrap().push_back(Act::Wait);
+    executor.actions.lock().unwrap().push_back(Action::Wait);
     let mut client = node.connect();
     client.get_mut().write_all(keyed("publish", "a1", "k", "b").as_bytes()).unwrap();
-    executor.wait_for(1);
+    executor.wait_for_attempts(1);
     let (status, (head, _)) = node.ask(work("publish", "a2", 20.0, ""));
     assert_eq!((status, field(&head, "retry-after")), (503, Some("1.000")), "it is full");
     assert_eq!(node.ask(work("render", "a3", 20.0, "")).0, 200, "all else is served");
-    executor.go_on.send(()).unwrap();
+    executor.resume.send(()).unwrap();
     assert_eq!(answer(&mut client).0, 200);
     until("there is room again", || node.ask(work("publish", &new_id(), 20.0, "")).0 == 200);
     until("the key is free", || node.ask(keyed("publish", &new_id(), "k", "other")).0 == 200);
@@ -355,7 +355,13 @@
     for count in [1_000u64, 50_000] {
         let (executor, discovery) = one_executor();
         let place = place("most = 200000");
-        die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("render", "m0000000", "k", "b"));
+        die_with_one_out(
+            &discovery,
+            &place,
+            &executor,
+            Action::Silent,
+            &keyed("render", "m0000000", "k", "b"),
+        );
         {
             let store = Store::open(place.ledger.as_ref()).unwrap();
             let first = store.rows_of(troutknot::RequestId(0)).unwrap()[0].clone();
@@ -398,7 +404,7 @@
         println!(
             "{line}, all answered after {:?}; {memory}; sent {}",
             began.elapsed(),
-            executor.seen.lock().unwrap().len()
+            executor.requests.lock().unwrap().len()
         );
     }
 }
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -10,25 +10,25 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant};
-use troutknot_emulator::scripted::{Act, Discovery, Executor};
+use troutknot_emulator::scripted::{Action, Discovery, Executor};
 
 #[test]
 fn answers_follow_from_outcomes_and_effects() {
-    use Act::*;
+    use Action::*;
     let (executor, discovery) = one_executor();
     let node = Node::start(&discovery);
     let mut connection = node.connect();
     // Project type, what the executor does, the wait, status, allocations.
-    let cases: &[(&str, &[Act], f64, u16, usize)] = &[
+    let cases: &[(&str, &[Action], f64, u16, usize)] = &[
         ("render", &[Done], 3.0, 200, 1),
         ("render", &[Large(60_000)], 3.0, 200, 1),
-        ("render", &[Lost, Break, Done], 3.0, 200, 3),
+        ("render", &[Lost, CloseConnection, Done], 3.0, 200, 3),
         ("render", &[Status500, Garbage, Done], 3.0, 200, 3),
-        ("render", &[TurnedAway, TurnedAway, TurnedAway], 3.0, 503, 3),
+        ("render", &[Rejected, Rejected, Rejected], 3.0, 503, 3),
         ("render", &[Silent], 0.3, 503, 1),
         ("publish", &[Done], 3.0, 200, 1),
-        ("publish", &[TurnedAway, Returned, Done], 3.0, 200, 3),
-        ("publish", &[Break], 3.0, 502, 1),
+        ("publish", &[Rejected, Returned, Done], 3.0, 200, 3),
+        ("publish", &[CloseConnection], 3.0, 502, 1),
         ("publish", &[Lost], 3.0, 502, 1),
         ("publish", &[Status500], 3.0, 502, 1),
         ("publish", &[Garbage], 3.0, 502, 1),
@@ -44,12 +44,12 @@
         ("publish", &[Silent], 0.3, 502, 1),
     ];
     for (k, (project_type, acts, wait, status, allocations)) in cases.iter().enumerate() {
-        executor.acts.lock().unwrap().extend(acts.iter());
+        executor.actions.lock().unwrap().extend(acts.iter());
         let body = format!("{k}").repeat(20_000);
         let (start, id) = (Instant::now(), format!("{k:016x}"));
         let (got, (_, result)) = ask(&mut connection, work(project_type, &id, *wait, &body));
         assert!(start.elapsed().as_secs_f64() < *wait, "{acts:?}: answered before its hard limit");
-        let seen = std::mem::take(&mut *executor.seen.lock().unwrap());
+        let seen = std::mem::take(&mut *executor.requests.lock().unwrap());
         assert_eq!((got, seen.len()), (*status, *allocations), "{project_type} {acts:?}");
         let expected = acts.iter().map(|act| if let Large(size) = act { *size } else { 3 }).next_back();
         assert_eq!(result.len(), if got == 200 { expected.unwrap() } else { 0 }, "{acts:?}");
@@ -112,16 +112,16 @@
     let mut pair = node.connect();
     pair.get_mut().write_all((good.clone() + &good.replace("Id: 1", "Id: 2")).as_bytes()).unwrap();
     assert_eq!((answer(&mut pair).0, answer(&mut pair).0), (200, 200), "one after the other");
-    executor.acts.lock().unwrap().push_back(Act::Wait);
+    executor.actions.lock().unwrap().push_back(Action::Wait);
     let mut first = node.connect();
-    let before = executor.seen.lock().unwrap().len();
+    let before = executor.requests.lock().unwrap().len();
     first.get_mut().write_all(work("publish", "9", 3.0, "").as_bytes()).unwrap();
-    executor.wait_for(before + 1);
+    executor.wait_for_attempts(before + 1);
     assert_eq!(node.ask(work("publish", "9", 3.0, "")).0, 409, "an id that is open is not run twice");
-    executor.go_on.send(()).unwrap();
+    executor.resume.send(()).unwrap();
     assert_eq!(answer(&mut first).0, 200);
     assert_eq!(node.ask(work("publish", "9", 3.0, "")).0, 409, "nor one that was taken before");
-    assert_eq!(executor.seen.lock().unwrap().len(), before + 1);
+    assert_eq!(executor.requests.lock().unwrap().len(), before + 1);
 }
 
 #[test]
@@ -189,14 +189,14 @@
     let both = list(7, true, &[entry("s-1", &one, "Ready"), entry("s-2", &two, "Ready")]);
     let discovery = Discovery::start(both.clone());
     let node = Node::start(&discovery);
-    assert!(discovery.asked.recv_timeout(PATIENCE).unwrap().ends_with("?stream=1 HTTP/1.1"));
+    assert!(discovery.requests.recv_timeout(PATIENCE).unwrap().ends_with("?stream=1 HTTP/1.1"));
     let mut id = 0;
     let mut used = |times: usize| {
         for _ in 0..times {
             id += 1;
             assert_eq!(node.ask(work("render", &id.to_string(), 3.0, "")).0, 200);
         }
-        let seen = |executor: &Executor| std::mem::take(&mut *executor.seen.lock().unwrap()).len();
+        let seen = |executor: &Executor| std::mem::take(&mut *executor.requests.lock().unwrap()).len();
         (seen(&one), seen(&two))
     };
     discovery.lines.send(list(8, false, &[entry("s-1", &one, "Terminating")])).unwrap();
@@ -207,7 +207,7 @@
     for broken in ["", "{\"version\": what"] {
         discovery.lines.send(broken.into()).unwrap();
         node.logged("watch of the endpoint list lost");
-        assert!(discovery.asked.recv_timeout(PATIENCE).unwrap().ends_with("&index=8 HTTP/1.1"));
+        assert!(discovery.requests.recv_timeout(PATIENCE).unwrap().ends_with("&index=8 HTTP/1.1"));
         assert_eq!(used(5), (0, 5), "the list stays in use meanwhile");
     }
     discovery.lines.send(list(9, true, &[entry("s-1", &one, "Ready")])).unwrap();
@@ -221,11 +221,11 @@
     let first = Discovery::start(list(7, true, &[entry("s-1", &old, "Ready")]));
     let second = Discovery::start(list(8, false, &[entry("s-2", &new, "Ready")]));
     let mut node = Node::start(&first);
-    first.asked.recv_timeout(PATIENCE).unwrap();
-    old.acts.lock().unwrap().push_back(Act::Wait);
+    first.requests.recv_timeout(PATIENCE).unwrap();
+    old.actions.lock().unwrap().push_back(Action::Wait);
     let mut taken = node.connect();
     taken.get_mut().write_all(work("publish", "1", 30.0, "").as_bytes()).unwrap();
-    old.wait_for(1);
+    old.wait_for_attempts(1);
     for bad in ["", "{\"name\": 5}", &node.config.to_string().replace("render", "").replace("30000000", "0")]
     {
         node.reread(bad);
@@ -239,12 +239,12 @@
         node.reread(&config.to_string());
     }
     assert!(node.logged("address_changed=true").ends_with(" restart_required=limits"));
-    let asked = second.asked.recv_timeout(Duration::from_secs(4)).expect("it is asked at once");
+    let asked = second.requests.recv_timeout(Duration::from_secs(4)).expect("it is asked at once");
     assert!(asked.ends_with("&index=7 HTTP/1.1"), "the list is kept: {asked}");
     second.lines.send(list(9, false, &[entry("s-1", &old, "Terminating")])).unwrap();
     until("the new list is used", || {
         assert_eq!(node.ask(work("render", &new_id(), 3.0, "")).0, 200);
-        !new.seen.lock().unwrap().is_empty()
+        !new.requests.lock().unwrap().is_empty()
     });
     let newest = Executor::start();
     let third = Discovery::start(list(3, true, &[entry("s-3", &newest, "Ready")]));
@@ -252,12 +252,12 @@
     node.reread(&config.to_string());
     until("a list that counts its versions anew is used", || {
         assert_eq!(node.ask(work("render", &new_id(), 3.0, "")).0, 200);
-        !newest.seen.lock().unwrap().is_empty()
+        !newest.requests.lock().unwrap().is_empty()
     });
     node.terminate();
     node.logged("shutdown requested");
     node.signal("HUP");
-    old.go_on.send(()).unwrap();
+    old.resume.send(()).unwrap();
     assert_eq!(answer(&mut taken).0, 200, "work that was taken goes on");
     assert!(node.process.wait().unwrap().success());
 }
@@ -271,10 +271,10 @@
     let discovery = Discovery::start(list(7, true, &[entry("s-1", &one, "Ready")]));
     let node = Node::start(&discovery);
     assert_eq!(node.ask(work("publish", "1", 3.0, "")).0, 200);
-    one.mute.store(true, Ordering::Relaxed);
+    one.is_silent.store(true, Ordering::Relaxed);
     // A silent machine may have run what it was sent over the connection that it had.
     assert_eq!(node.ask(work("publish", "2", 0.5, "")).0, 502);
-    one.mute.store(false, Ordering::Relaxed);
+    one.is_silent.store(false, Ordering::Relaxed);
     until("it is back", || node.ask(work("publish", &new_id(), 3.0, "")).0 == 200);
     discovery.lines.send(list(8, true, &[dead.clone()])).unwrap();
     // Nothing ever ran, so even exclusive work is deferred, and in time.
@@ -288,20 +288,20 @@
     let (executor, discovery) = one_executor();
     let mut node = Node::start(&discovery);
     // The first act loses the work unit once the client has left: it would be sent again for one that waits.
-    executor.acts.lock().unwrap().extend([Act::WaitAndLose]);
+    executor.actions.lock().unwrap().extend([Action::WaitAndLose]);
     let mut leaves = node.connect();
     leaves.get_mut().write_all(work("render", "1", 30.0, "").as_bytes()).unwrap();
-    executor.wait_for(1);
+    executor.wait_for_attempts(1);
     let descriptors = || std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count();
     let with_it = descriptors();
     drop(leaves);
     until("the node sees that the client left", || descriptors() < with_it);
-    let before = executor.seen.lock().unwrap().len();
-    executor.go_on.send(()).unwrap();
+    let before = executor.requests.lock().unwrap().len();
+    executor.resume.send(()).unwrap();
     assert_eq!(node.ask(work("render", "2", 30.0, "")).0, 200);
     node.terminate();
     assert!(node.process.wait().unwrap().success());
-    assert_eq!(executor.seen.lock().unwrap().len(), before + 1);
+    assert_eq!(executor.requests.lock().unwrap().len(), before + 1);
 }
 
 /// Every attempt tells its executor at most what the client has left.
@@ -310,22 +310,22 @@
     const SLACK: f64 = 0.15;
     let (executor, discovery) = one_executor();
     let node = Node::start(&discovery);
-    executor.acts.lock().unwrap().extend([Act::WaitAndTurnAway, Act::WaitAndTurnAway]);
+    executor.actions.lock().unwrap().extend([Action::WaitAndReject, Action::WaitAndReject]);
     let wait = 20.0;
     let sent = Instant::now();
     let mut client = node.connect();
     client.get_mut().write_all(work("render", &new_id(), wait, "").as_bytes()).unwrap();
     let mut least_spent = 0.0;
     for attempt in 1..=3 {
-        executor.wait_for(attempt);
-        let (head, _) = executor.seen.lock().unwrap()[attempt - 1].clone();
+        executor.wait_for_attempts(attempt);
+        let (head, _) = executor.requests.lock().unwrap()[attempt - 1].clone();
         let told: f64 = field(&head, "request-timeout").unwrap().parse().unwrap();
         assert!(told <= wait - least_spent + SLACK, "attempt {attempt}: {told} s, {least_spent} s are spent");
         if attempt < 3 {
             let next = sent.elapsed() + Duration::from_millis(300);
             until("time passes", || sent.elapsed() >= next);
             least_spent = sent.elapsed().as_secs_f64();
-            executor.go_on.send(()).unwrap();
+            executor.resume.send(()).unwrap();
         }
     }
     assert_eq!(answer(&mut client).0, 200);
@@ -343,14 +343,14 @@
     node.ask(work("render", &new_id(), 3.0, ""));
     until("the client has gone", || descriptors() == before + 1);
     for (k, (project_type, kept)) in [("render", 0), ("publish", 1)].into_iter().enumerate() {
-        executor.acts.lock().unwrap().push_back(Act::Wait);
+        executor.actions.lock().unwrap().push_back(Action::Wait);
         let mut leaves = node.connect();
         leaves.get_mut().write_all(work(project_type, &new_id(), 30.0, "").as_bytes()).unwrap();
-        executor.wait_for(k + 2);
+        executor.wait_for_attempts(k + 2);
         let with_both = descriptors();
         drop(leaves);
         until("only what may not run again is waited for", || descriptors() == with_both - 2 + kept);
-        executor.go_on.send(()).unwrap();
+        executor.resume.send(()).unwrap();
     }
     assert_eq!(node.ask(work("render", &new_id(), 30.0, "")).0, 200);
 }
@@ -359,10 +359,10 @@
 fn a_graceful_shutdown_answers_open_and_late_requests() {
     let (executor, discovery) = one_executor();
     let mut node = Node::start(&discovery);
-    executor.acts.lock().unwrap().push_back(Act::Wait);
+    executor.actions.lock().unwrap().push_back(Action::Wait);
     let mut taken = node.connect();
     taken.get_mut().write_all(work("publish", "1", 30.0, "").as_bytes()).unwrap();
-    executor.wait_for(1);
+    executor.wait_for_attempts(1);
     let mut idle = node.connect();
     node.terminate();
     node.logged("shutdown requested");
@@ -376,7 +376,7 @@
             "on one that it had, all along"
         );
     }
-    executor.go_on.send(()).unwrap();
+    executor.resume.send(()).unwrap();
     assert_eq!(answer(&mut taken).0, 200, "what was taken before");
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "idle connections are closed");
     assert!(node.process.wait().unwrap().success());
@@ -392,13 +392,13 @@
             given["project_types"][k]["hard_limit"] = json!(hard_limit);
         }
         let mut node = Node::start_with(&discovery, (256, 64), given, "info");
-        executor.acts.lock().unwrap().extend([Act::Silent, Act::Silent]);
+        executor.actions.lock().unwrap().extend([Action::Silent, Action::Silent]);
         let mut connections = ["render", "publish"].map(|project_type| {
             let mut connection = node.connect();
             connection.get_mut().write_all(work(project_type, project_type, 60.0, "").as_bytes()).unwrap();
             connection
         });
-        executor.wait_for(2);
+        executor.wait_for_attempts(2);
         let asked = Instant::now();
         node.terminate();
         let statuses = connections.each_mut().map(|connection| answer(connection).0);
@@ -414,7 +414,7 @@
     for (sockets, memory_mb, count, size) in [(64, 64, 60, 0), (300, 16, 150, 60_000)] {
         let (executor, discovery) = one_executor();
         let node = Node::start_with(&discovery, (sockets, memory_mb), settings(), "info");
-        executor.acts.lock().unwrap().extend(vec![Act::Wait; count]);
+        executor.actions.lock().unwrap().extend(vec![Action::Wait; count]);
         let connect_and_send = |k: usize| {
             let connection = node.connect();
             let request = work("publish", &k.to_string(), 20.0, &"x".repeat(size));
@@ -423,11 +423,11 @@
             connection
         };
         let mut connections: Vec<_> = (0..count).map(connect_and_send).collect();
-        executor.wait_for(8);
+        executor.wait_for_attempts(8);
         let of_process = |what: &str| format!("/proc/{}/{what}", node.process.id());
         let open = std::fs::read_dir(of_process("fd")).unwrap().count();
         assert!(open <= sockets as usize, "{open} descriptors of {sockets}");
-        (0..count).for_each(|_| executor.go_on.send(()).unwrap());
+        (0..count).for_each(|_| executor.resume.send(()).unwrap());
         let mut counts = BTreeMap::new();
         for connection in &mut connections {
             *counts.entry(answer(connection).0).or_insert(0) += 1;
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, mpsc};
 use std::time::{Duration, Instant};
-use troutknot_emulator::scripted::{Act, Crowded, Discovery, Executor};
+use troutknot_emulator::scripted::{Action, Discovery, Executor, FullBacklogExecutor};
 
 struct Operated {
     node: Node,
@@ -67,7 +67,7 @@
     for _ in 0..count {
         assert_eq!(ask(&mut connection, work("render", &new_id(), 3.0, "")).0, 200);
     }
-    let seen = |k: &usize| !std::mem::take(&mut *executors[*k].seen.lock().unwrap()).is_empty();
+    let seen = |k: &usize| !std::mem::take(&mut *executors[*k].requests.lock().unwrap()).is_empty();
     (0..2).filter(seen).collect()
 }
 
@@ -160,7 +160,7 @@
 
 #[test]
 fn an_exclusion_reaches_an_attempt_that_is_connecting() {
-    let (executor, crowded) = (Executor::start(), Crowded::start());
+    let (executor, crowded) = (Executor::start(), FullBacklogExecutor::start());
     let named = |name: &str, addr: SocketAddr| {
         let addr = addr.to_string();
         json!({"id": name, "addr": addr, "zone": "z", "kind": "k", "cell": 0, "state": "Ready"})
@@ -183,9 +183,9 @@
     // It was never sent, so it goes elsewhere once the grace nears its end.
     operated.node.logged("outcome=NotSent");
     assert_eq!(answer(&mut client).0, 200);
-    assert_eq!(executor.seen.lock().unwrap().len(), 1);
-    crowded.go_on.send(()).unwrap();
-    let came = crowded.came.join().unwrap();
+    assert_eq!(executor.requests.lock().unwrap().len(), 1);
+    crowded.resume.send(()).unwrap();
+    let came = crowded.received.join().unwrap();
     assert!(came.is_empty(), "it is out: {}", String::from_utf8_lossy(&came));
 }
 
@@ -269,29 +269,29 @@
         node.reread(&config.to_string());
         node.logged(logged)
     };
-    let post = |name: &str, acts: &[Act]| {
-        executor.acts.lock().unwrap().extend(acts.iter());
+    let post = |name: &str, acts: &[Action]| {
+        executor.actions.lock().unwrap().extend(acts.iter());
         let status = node.ask(work(name, &new_id(), 3.0, "")).0;
-        executor.acts.lock().unwrap().clear();
+        executor.actions.lock().unwrap().clear();
         status
     };
-    let loses = [Act::Lost, Act::Lost, Act::Done];
+    let loses = [Action::Lost, Action::Lost, Action::Done];
     assert_eq!((post("render", &loses), post("publish", &loses)), (200, 502));
     // Out under the terms of its arrival while render gets stricter, publish vanishes and attempts get fewer.
-    executor.acts.lock().unwrap().extend([Act::WaitAndLose, Act::Lost, Act::Done]);
+    executor.actions.lock().unwrap().extend([Action::WaitAndLose, Action::Lost, Action::Done]);
     let mut under_way = node.connect();
-    executor.seen.lock().unwrap().clear();
+    executor.requests.lock().unwrap().clear();
     under_way.get_mut().write_all(work("render", &new_id(), 9.0, "").as_bytes()).unwrap();
-    executor.wait_for(1);
+    executor.wait_for_attempts(1);
     config["settings"] = types(&[("render", "unsafe", 20), ("thumb", "safe", 2)], 2);
     retune(&config, "settings_changed=true");
-    executor.go_on.send(()).unwrap();
+    executor.resume.send(()).unwrap();
     assert_eq!(answer(&mut under_way).0, 200, "it is sent three times, as when it came");
     for (name, acts, status) in [
         ("render", &loses[..], 502),
         ("publish", &[][..], 404),
         ("thumb", &loses[1..], 200),
-        ("thumb", &[Act::TurnedAway, Act::TurnedAway, Act::Done], 503),
+        ("thumb", &[Action::Rejected, Action::Rejected, Action::Done], 503),
     ] {
         assert_eq!(post(name, acts), status, "{name} {acts:?}");
     }
@@ -376,7 +376,7 @@
 /// Which executors get work over connections of their own.
 fn used_by(platform: &Platform, executors: &[Executor; 2]) -> BTreeSet<usize> {
     (0..30).for_each(|_| assert_eq!(platform.post(&new_id()), 200));
-    let seen = |k: &usize| !std::mem::take(&mut *executors[*k].seen.lock().unwrap()).is_empty();
+    let seen = |k: &usize| !std::mem::take(&mut *executors[*k].requests.lock().unwrap()).is_empty();
     (0..2).filter(seen).collect()
 }
 
@@ -389,12 +389,12 @@
     let mut kept = platform.connect();
     assert_eq!(ask(&mut kept, work("render", &new_id(), 3.0, "")).0, 200);
     // Out there when the old process is asked to end.
-    executors.iter().for_each(|e| e.acts.lock().unwrap().push_back(Act::Silent));
+    executors.iter().for_each(|e| e.actions.lock().unwrap().push_back(Action::Silent));
     let mut under_way = platform.connect();
     under_way.get_mut().write_all(work("render", &new_id(), 0.6, "").as_bytes()).unwrap();
-    let taken = || executors.iter().any(|e| e.acts.lock().unwrap().is_empty());
+    let taken = || executors.iter().any(|e| e.actions.lock().unwrap().is_empty());
     until("it is out there", taken);
-    executors.iter().for_each(|e| e.acts.lock().unwrap().clear());
+    executors.iter().for_each(|e| e.actions.lock().unwrap().clear());
     let new = platform.start(&discovery);
     old.node.terminate();
     old.node.logged("shutdown requested");
@@ -524,10 +524,10 @@
         work("publish", &new_id(), 9.0, "b").replacen("X-Other: kept", &format!("Idempotency-Key: {key}"), 1)
     };
     let old = platform.start_by(&discovery, &own);
-    executor.acts.lock().unwrap().push_back(Act::Wait);
+    executor.actions.lock().unwrap().push_back(Action::Wait);
     let mut under_way = platform.connect();
     under_way.get_mut().write_all(keyed("k1").as_bytes()).unwrap();
-    executor.wait_for(1);
+    executor.wait_for_attempts(1);
     let new = platform.start_by(&discovery, &own);
     old.node.logged("hot restart: the new process takes clients");
     assert_eq!(ask(&mut platform.connect(), keyed("k1")).0, 503, "it is open in the process before");
@@ -535,13 +535,13 @@
     assert_eq!(platform.post(&new_id()), 200, "other work is served");
     old.node.terminate();
     old.node.logged("shutdown requested");
-    executor.go_on.send(()).unwrap();
+    executor.resume.send(()).unwrap();
     assert_eq!(answer(&mut under_way).0, 200);
     drop(under_way);
     assert!(old.node.logged("shutdown complete").ends_with("connections=0"));
     until("the new process has the ledger", || ask(&mut platform.connect(), keyed("k1")).0 == 200);
     assert_eq!(ask(&mut platform.connect(), keyed("k2")).0, 200);
-    assert_eq!(executor.seen.lock().unwrap().len(), 3, "each ran once");
+    assert_eq!(executor.requests.lock().unwrap().len(), 3, "each ran once");
     drop(new);
     [own, ledger].iter().for_each(|file| std::fs::remove_file(file).unwrap());
 }
@@ -665,9 +665,9 @@
     let (mut idle, mut drips, mut open) =
         (operated.node.connect(), operated.node.connect(), operated.node.connect());
     assert_eq!(ask(&mut idle, work("render", &new_id(), 3.0, "")).0, 200);
-    executor.acts.lock().unwrap().push_back(Act::Wait);
+    executor.actions.lock().unwrap().push_back(Action::Wait);
     open.get_mut().write_all(work("publish", &new_id(), 20.0, "").as_bytes()).unwrap();
-    executor.wait_for(2);
+    executor.wait_for_attempts(2);
     let request = work("render", &new_id(), 3.0, "abc");
     let (first, rest) = request.split_at(request.len() - 1);
     assert_eq!(operated.call("PUT", "/v1/node/drain"), 200);
@@ -675,7 +675,7 @@
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "what is idle closes once the drain has settled");
     let (status, (head, _)) = ask(&mut drips, rest);
     assert_eq!((status, field(&head, "connection")), (503, Some("close")), "it came too late: {head}");
-    executor.go_on.send(()).unwrap();
+    executor.resume.send(()).unwrap();
     let (status, (head, _)) = answer(&mut open);
     assert_eq!((status, field(&head, "connection")), (200, Some("close")), "what was taken is seen through");
     assert_eq!(operated.call("PUT", "/v1/node/activate"), 200);
--- a/crates/daemon/tests/shape.rs
+++ b/crates/daemon/tests/shape.rs
@@ -5,7 +5,7 @@
 use common::*;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, UdpSocket};
-use troutknot_emulator::scripted::Act;
+use troutknot_emulator::scripted::Action;
 
 fn with(changes: &[(&str, &str, Value)]) -> Value {
     let mut settings = settings();
@@ -78,7 +78,7 @@
 
     let (node, other, at) = start();
     assert_eq!(node.ask(work("publish", &new_id(), 3.0, "")).0, 200);
-    executor.acts.lock().unwrap().push_back(Act::Break);
+    executor.actions.lock().unwrap().push_back(Action::CloseConnection);
     assert_eq!(node.ask(work("publish", &new_id(), 3.0, "")).0, 502, "it may have run");
     let mut bytes = [0; 300];
     let (length, from) = other.recv_from(&mut bytes).expect("the node tells in time");
--- a/crates/emulator/examples/theory.rs
+++ b/crates/emulator/examples/theory.rs
@@ -13,8 +13,8 @@
     let rows = waits.into_iter().map(|(cores, load)| {
         thread::spawn(move || {
             let machine = machine(cores as f64, 0.0);
-            let fleet = Fleet { executors: 1, machine, load, draws: 1, arrivals: 8_000_000, seed: 7 };
-            let (theory, model) = (mmc_wait(cores, load), fleet.play().wait);
+            let fleet = Fleet { executors: 1, machine, load, samples: 1, arrivals: 8_000_000, seed: 7 };
+            let (theory, model) = (mmc_wait(cores, load), fleet.simulate().wait);
             let off = (model / theory - 1.0) * 100.0;
             println!("| M/M/{cores} | {load:.2} | {theory:.4} | {model:.4} | {off:+.1}% |");
         })
@@ -30,8 +30,9 @@
                 let formula = esm_response(d, load, c)?;
                 let machine = machine(1.0, c);
                 let draws = d as usize;
-                let fleet = Fleet { executors: 500, machine, load, draws, arrivals: 3_000_000, seed: 7 };
-                let model = fleet.play().response;
+                let fleet =
+                    Fleet { executors: 500, machine, load, samples: draws, arrivals: 3_000_000, seed: 7 };
+                let model = fleet.simulate().response;
                 let off = (model / formula - 1.0) * 100.0;
                 Some(format!("| {load:.2} | {d} | {c} | {formula:.3} | {model:.3} | {off:+.1}% |"))
             }));
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -3,8 +3,8 @@
 //! `GET /catalog/members` gives the whole list, with `?stream=1&index=N` a watch. A change reaches each agent
 //! after a delay of its own.
 use crate::machine::Millis;
-use crate::observed::{ExecutorNumber, Listed, NodeNumber, Record, Seen};
-use crate::wire::{self, Cut, Gate, Line, Lines};
+use crate::observations::{ExecutorNumber, ListedState, NodeNumber, Observation, ObservationLog};
+use crate::wire::{self, Abort, ConnectionHandle, Gate, StreamedBody};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use serde_json::{Value, json};
@@ -30,23 +30,23 @@
     pub id: String,
     pub addr: SocketAddr,
     pub zone: String,
-    pub kind: String,
-    pub cell: u32,
-    pub listed: Listed,
+    pub machine_type: String,
+    pub deduplication_group: u32,
+    pub state: ListedState,
     pub weight: f64,
     /// Unix time in milliseconds; 0 for long ago.
-    pub started_ms: f64,
+    pub started_at: f64,
 }
 
 impl Member {
     fn as_json(&self) -> Value {
-        let state = match self.listed {
-            Listed::Ready => "Ready",
-            Listed::Terminating => "Terminating",
-            Listed::Gone => "Gone",
+        let state = match self.state {
+            ListedState::Ready => "Ready",
+            ListedState::Terminating => "Terminating",
+            ListedState::Gone => "Gone",
         };
-        json!({"id": self.id, "addr": self.addr.to_string(), "zone": self.zone, "kind": self.kind,
-            "cell": self.cell, "state": state, "weight": self.weight, "started_ms": self.started_ms})
+        json!({"id": self.id, "addr": self.addr.to_string(), "zone": self.zone, "kind": self.machine_type,
+            "cell": self.deduplication_group, "state": state, "weight": self.weight, "started_ms": self.started_at})
     }
 }
 
@@ -68,27 +68,27 @@
     }
 
     /// A line with the whole list, or with what changed after a version.
-    fn line(&self, after: Option<u64>) -> (String, Vec<(ExecutorNumber, Listed)>) {
+    fn line(&self, after: Option<u64>) -> (String, Vec<(ExecutorNumber, ListedState)>) {
         let news = |(version, member): &&(u64, Member)| match after {
             Some(after) => *version > after,
-            None => member.listed != Listed::Gone,
+            None => member.state != ListedState::Gone,
         };
         let news: Vec<&Member> = self.members.iter().filter(news).map(|(_, m)| m).collect();
         let servers: Vec<Value> = news.iter().map(|m| m.as_json()).collect();
         let line = json!({"version": self.version, "full": after.is_none(), "servers": servers});
-        (format!("{line}\n"), news.iter().map(|m| (m.executor, m.listed)).collect())
+        (format!("{line}\n"), news.iter().map(|m| (m.executor, m.state)).collect())
     }
 }
 
 /// The agent of one node.
 pub struct Agent {
     node: NodeNumber,
-    record: Arc<Record>,
+    record: Arc<ObservationLog>,
     view: RefCell<View>,
     version: watch::Sender<u64>,
     gate: Rc<Gate>,
     addr: Cell<SocketAddr>,
-    lines: RefCell<Vec<Weak<Line>>>,
+    lines: RefCell<Vec<Weak<ConnectionHandle>>>,
     /// Ends the listener in use when it is replaced.
     listening: RefCell<watch::Sender<bool>>,
 }
@@ -99,7 +99,7 @@
     /// # Errors
     /// Where the address cannot be listened at.
     pub fn start(
-        record: &Arc<Record>,
+        record: &Arc<ObservationLog>,
         node: NodeNumber,
         at: SocketAddr,
         members: Vec<Member>,
@@ -127,37 +127,37 @@
     }
 
     /// The whole list as it is now, in discovery's form: what a node last had.
-    pub fn known(&self) -> Value {
+    pub fn snapshot(&self) -> Value {
         let (line, _) = self.view.borrow().line(None);
         serde_json::from_str(&line).unwrap_or_default()
     }
 
     /// A change, `after` from now on.
-    pub fn change(self: &Rc<Self>, member: Member, after: Duration) {
+    pub fn schedule_change(self: &Rc<Self>, member: Member, after: Duration) {
         let agent = self.clone();
         spawn_local(async move {
             sleep(after).await;
-            while agent.gate.is_shut() {
+            while agent.gate.is_closed() {
                 // What cannot be told is not known here either.
                 sleep(Duration::from_millis(20)).await;
             }
-            let (executor, listed) = (member.executor, member.listed);
+            let (executor, listed) = (member.executor, member.state);
             agent.view.borrow_mut().put(member);
-            agent.record.note(Seen::AgentKnows { node: agent.node, executor, listed });
+            agent.record.record(Observation::AgentUpdated { node: agent.node, executor, state: listed });
             let version = agent.view.borrow().version;
             agent.version.send_replace(version);
         });
     }
 
     /// Says nothing while it is silent; open connections stay open.
-    pub fn silent(&self, silent: bool) {
-        self.gate.set(silent);
+    pub fn set_silent(&self, silent: bool) {
+        self.gate.set_closed(silent);
     }
 
     /// Ends all watches; they may be opened again at once.
-    pub fn restart(&self) {
+    pub fn reset_watches(&self) {
         let lines = std::mem::take(&mut *self.lines.borrow_mut());
-        lines.iter().filter_map(Weak::upgrade).for_each(|line| line.cut(Cut::Reset));
+        lines.iter().filter_map(Weak::upgrade).for_each(|line| line.abort(Abort::Reset));
     }
 
     /// Moves to another address; the old one takes no new connection, and ends the open ones later.
@@ -172,7 +172,7 @@
         let old = std::mem::take(&mut *self.lines.borrow_mut());
         spawn_local(async move {
             sleep(LEFT_OPEN).await;
-            old.iter().filter_map(Weak::upgrade).for_each(|line| line.cut(Cut::Reset));
+            old.iter().filter_map(Weak::upgrade).for_each(|line| line.abort(Abort::Reset));
         });
         spawn_local(self.clone().accept(listener, listens));
         Ok(self.addr())
@@ -187,7 +187,7 @@
                     Err(_) => continue,
                 },
             };
-            let line = Rc::new(Line::default());
+            let line = Rc::new(ConnectionHandle::default());
             {
                 let mut lines = self.lines.borrow_mut();
                 lines.retain(|line| line.strong_count() > 0);
@@ -201,9 +201,9 @@
         }
     }
 
-    fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<Lines> {
+    fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<StreamedBody> {
         if request.uri().path() != "/catalog/members" {
-            let mut answer = Response::new(Lines::whole(""));
+            let mut answer = Response::new(StreamedBody::full(""));
             *answer.status_mut() = hyper::StatusCode::NOT_FOUND;
             return answer;
         }
@@ -217,10 +217,10 @@
         if asked("stream").as_deref() != Some("1") {
             let (line, told) = self.view.borrow().line(None);
             self.told(&told);
-            return Response::new(Lines::whole(line));
+            return Response::new(StreamedBody::full(line));
         }
         let index = asked("index").and_then(|index| index.parse::<u64>().ok());
-        let (send, lines) = Lines::new(None);
+        let (send, lines) = StreamedBody::new(None);
         let mut version = self.version.subscribe();
         // An index of another count of versions gets the whole list.
         let mut after = index.filter(|index| *index <= self.view.borrow().version);
@@ -251,16 +251,16 @@
         Response::new(lines)
     }
 
-    fn told(&self, told: &[(ExecutorNumber, Listed)]) {
+    fn told(&self, told: &[(ExecutorNumber, ListedState)]) {
         for &(executor, listed) in told {
-            self.record.note(Seen::Told { node: self.node, executor, listed });
+            self.record.record(Observation::NodeNotified { node: self.node, executor, state: listed });
         }
     }
 }
 
 /// How long a change takes to an agent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Notice {
-    pub least: Millis,
-    pub most: Millis,
+pub struct NoticeDelay {
+    pub min: Millis,
+    pub max: Millis,
 }
--- a/crates/emulator/src/executors.rs
+++ b/crates/emulator/src/executors.rs
@@ -1,8 +1,8 @@
 //! Executors on sockets round the model: one task a connection, one that lets time pass for each executor.
-use crate::machine::{Machine, Millis, Trouble};
-use crate::model::{End, Executor, Key, Load, Offer, Output, Verdict};
-use crate::observed::{AllocNumber, ExecutorNumber, Record, Seen};
-use crate::wire::{self, Cut, Gate, Line, LineSender, Lines, Plug};
+use crate::machine::{Fault, Machine, Millis};
+use crate::model::{Admission, Attempt, AttemptKey, AttemptOutcome, Executor, Load, Output};
+use crate::observations::{AttemptNumber, ExecutorNumber, Observation, ObservationLog};
+use crate::wire::{self, Abort, BodySender, ConnectionHandle, Gate, ListenerBlock, StreamedBody};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
@@ -23,9 +23,9 @@
 
 /// What the executors know of a work unit by its id.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Work {
+pub struct RequestSpec {
     pub request_id: u64,
-    pub project_type: usize,
+    pub request_class: usize,
     pub slots: f64,
     pub memory: f64,
     pub work: Millis,
@@ -33,25 +33,29 @@
 }
 
 /// Finds what an id stands for; none where no client sent it.
-pub type WorkOf = Arc<dyn Fn(&str) -> Option<Work> + Send + Sync>;
+pub type RequestLookup = Arc<dyn Fn(&str) -> Option<RequestSpec> + Send + Sync>;
 
 /// The result that an executor makes of a work unit, so that a client can tell that it is the right one.
-pub fn result_of(id: &str) -> String {
+pub fn format_result(id: &str) -> String {
     format!("result of {id}")
 }
 
 /// What all executors of a fleet share.
-pub struct Shared {
-    pub record: Arc<Record>,
-    pub work_of: WorkOf,
+pub struct FleetContext {
+    pub observations: Arc<ObservationLog>,
+    pub find_request: RequestLookup,
     /// Whether starts and progress are told.
-    pub tells: bool,
-    next_alloc: Cell<AllocNumber>,
+    pub reports_state: bool,
+    next_attempt: Cell<AttemptNumber>,
 }
 
-impl Shared {
-    pub fn new(record: Arc<Record>, work_of: WorkOf, tells: bool) -> Rc<Self> {
-        Rc::new(Shared { record, work_of, tells, next_alloc: Cell::new(0) })
+impl FleetContext {
+    pub fn new(
+        observations: Arc<ObservationLog>,
+        find_request: RequestLookup,
+        reports_state: bool,
+    ) -> Rc<Self> {
+        Rc::new(FleetContext { observations, find_request, reports_state, next_attempt: Cell::new(0) })
     }
 }
 
@@ -77,7 +81,7 @@
 
 #[derive(Clone, PartialEq)]
 enum Fate {
-    Waiting(Key),
+    Waiting(AttemptKey),
     Running,
     Done(String),
     Lost,
@@ -86,8 +90,8 @@
 /// An allocation that was taken and not answered yet.
 struct Out {
     id: String,
-    send: LineSender,
-    line: Rc<Line>,
+    send: BodySender,
+    line: Rc<ConnectionHandle>,
 }
 
 /// One executor on its address.
@@ -96,15 +100,15 @@
     pub name: String,
     pub addr: SocketAddr,
     model: RefCell<Executor>,
-    shared: Rc<Shared>,
+    shared: Rc<FleetContext>,
     gate: Rc<Gate>,
     door: watch::Sender<Door>,
     changed: Notify,
-    out: RefCell<HashMap<Key, Out>>,
+    out: RefCell<HashMap<AttemptKey, Out>>,
     fenced: RefCell<HashMap<String, Fenced>>,
     /// Ids of fenced allocations that have not ended.
-    fenced_out: RefCell<HashMap<Key, String>>,
-    lines: RefCell<Vec<Weak<Line>>>,
+    fenced_out: RefCell<HashMap<AttemptKey, String>>,
+    lines: RefCell<Vec<Weak<ConnectionHandle>>>,
 }
 
 impl Host {
@@ -113,7 +117,7 @@
     /// # Errors
     /// Where the address cannot be listened at.
     pub fn start(
-        shared: &Rc<Shared>,
+        shared: &Rc<FleetContext>,
         number: ExecutorNumber,
         machine: Machine,
         seed: u64,
@@ -121,7 +125,7 @@
         warm: bool,
     ) -> io::Result<Rc<Self>> {
         let listener = wire::listen(at)?;
-        let model = Executor::new(machine, seed, shared.record.now(), warm);
+        let model = Executor::new(machine, seed, shared.observations.now(), warm);
         let host = Rc::new(Host {
             number,
             name: format!("s-{number:05}"),
@@ -136,23 +140,23 @@
             fenced_out: RefCell::default(),
             lines: RefCell::default(),
         });
-        host.note(Seen::ExecutorUp { executor: number });
+        host.note(Observation::ExecutorUp { executor: number });
         spawn_local(host.clone().accept(listener));
         spawn_local(host.clone().let_time_pass());
         Ok(host)
     }
 
-    fn note(&self, seen: Seen) {
-        self.shared.record.note(seen);
+    fn note(&self, seen: Observation) {
+        self.shared.observations.record(seen);
     }
 
     fn now(&self) -> Millis {
-        self.shared.record.now()
+        self.shared.observations.now()
     }
 
     /// When it last started, since the record's start; minus infinity for long ago.
-    pub fn started(&self) -> Millis {
-        self.model.borrow().started()
+    pub fn started_at(&self) -> Millis {
+        self.model.borrow().started_at()
     }
 
     pub fn is_down(&self) -> bool {
@@ -160,27 +164,27 @@
     }
 
     /// Whether its connections say nothing.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_silent(&self) -> bool {
         self.model.borrow().is_silent()
     }
 
     /// Allocations that run and wait.
-    pub fn load(&self) -> (usize, usize) {
+    pub fn attempt_counts(&self) -> (usize, usize) {
         let model = self.model.borrow();
-        (model.running(), model.waiting())
+        (model.running_count(), model.waiting_count())
     }
 
-    pub fn trouble(&self, number: u64, trouble: Trouble) {
-        self.model.borrow_mut().trouble(self.now(), number, trouble);
+    pub fn begin_fault(&self, number: u64, trouble: Fault) {
+        self.model.borrow_mut().begin_fault(self.now(), number, trouble);
         self.after_a_change();
     }
 
-    pub fn trouble_over(&self, number: u64) {
-        let (before, down) = (self.started(), self.is_down());
-        self.model.borrow_mut().trouble_over(self.now(), number);
-        if self.started() != before && !down {
+    pub fn end_fault(&self, number: u64) {
+        let (before, down) = (self.started_at(), self.is_down());
+        self.model.borrow_mut().end_fault(self.now(), number);
+        if self.started_at() != before && !down {
             self.reset_all();
-            self.note(Seen::ExecutorUp { executor: self.number });
+            self.note(Observation::ExecutorUp { executor: self.number });
         }
         self.after_a_change();
     }
@@ -193,7 +197,7 @@
     /// The process dies: its connections are reset, new ones refused.
     pub fn kill(&self) {
         self.model.borrow_mut().kill(self.now());
-        self.note(Seen::ExecutorDown { executor: self.number });
+        self.note(Observation::ExecutorDown { executor: self.number });
         self.after_a_change();
         self.reset_all();
     }
@@ -202,7 +206,7 @@
     pub fn restart(&self) {
         self.model.borrow_mut().restart(self.now());
         self.reset_all();
-        self.note(Seen::ExecutorUp { executor: self.number });
+        self.note(Observation::ExecutorUp { executor: self.number });
         self.after_a_change();
     }
 
@@ -211,7 +215,7 @@
         self.fenced.borrow_mut().clear();
         self.fenced_out.borrow_mut().clear();
         let lines = std::mem::take(&mut *self.lines.borrow_mut());
-        lines.iter().filter_map(Weak::upgrade).for_each(|line| line.cut(Cut::Reset));
+        lines.iter().filter_map(Weak::upgrade).for_each(|line| line.abort(Abort::Reset));
     }
 
     fn after_a_change(&self) {
@@ -220,7 +224,7 @@
             let model = self.model.borrow();
             (model.is_down(), model.is_silent(), model.is_paused())
         };
-        self.gate.set(silent || paused);
+        self.gate.set_closed(silent || paused);
         let door = match (down, silent, paused) {
             (true, ..) => Door::Down,
             (_, true, _) => Door::Silent,
@@ -234,10 +238,10 @@
     /// Writes what the model says to whoever waits for it.
     fn hand_out(&self) {
         loop {
-            let taken = self.model.borrow_mut().take(self.now());
+            let taken = self.model.borrow_mut().pop_output(self.now());
             let Some((at, output)) = taken else { return };
-            let note = |seen| self.shared.record.note_at(at, seen);
-            let say = |key: &Key, what: &dyn Fn(&str) -> serde_json::Value| {
+            let note = |seen| self.shared.observations.record_at(at, seen);
+            let say = |key: &AttemptKey, what: &dyn Fn(&str) -> serde_json::Value| {
                 if let Some(out) = self.out.borrow().get(key) {
                     let _ = out.send.send(format!("{}\n", what(&out.id)).into());
                 }
@@ -245,49 +249,49 @@
             match output {
                 Output::Started { key } => {
                     self.fate(&key, |_| Fate::Running);
-                    note(Seen::Started { attempt_id: key.0 });
-                    if self.shared.tells {
+                    note(Observation::Started { attempt_id: key.0 });
+                    if self.shared.reports_state {
                         say(&key, &|id| json!({"id": id, "from": self.name, "state": "started"}));
                     }
                 }
                 Output::Progress { key, share } => {
                     say(&key, &|id| json!({"id": id, "from": self.name, "state": "running", "share": share}));
                 }
-                Output::Ended { key, end } => {
-                    note(Seen::Ended { attempt_id: key.0, end });
+                Output::Ended { key, outcome: end } => {
+                    note(Observation::Ended { attempt_id: key.0, outcome: end });
                     self.fate(&key, |id| match end {
-                        End::Done => Fate::Done(result_of(id)),
+                        AttemptOutcome::Done => Fate::Done(format_result(id)),
                         _ => Fate::Lost,
                     });
                     self.fenced_out.borrow_mut().remove(&key);
                     let end = |id: &str| match end {
-                        End::Done => {
-                            json!({"id": id, "from": self.name, "state": "done", "result": result_of(id)})
+                        AttemptOutcome::Done => {
+                            json!({"id": id, "from": self.name, "state": "done", "result": format_result(id)})
                         }
-                        End::Returned => json!({"id": id, "from": self.name, "state": "returned"}),
-                        End::Lost => json!({"id": id, "from": self.name, "state": "lost"}),
-                        End::Reset => json!(null),
+                        AttemptOutcome::Returned => json!({"id": id, "from": self.name, "state": "returned"}),
+                        AttemptOutcome::Lost => json!({"id": id, "from": self.name, "state": "lost"}),
+                        AttemptOutcome::Reset => json!(null),
                     };
-                    let reset = matches!(output, Output::Ended { end: End::Reset, .. });
+                    let reset = matches!(output, Output::Ended { outcome: AttemptOutcome::Reset, .. });
                     if !reset {
                         say(&key, &end);
                     }
                     if let Some(out) = self.out.borrow_mut().remove(&key)
                         && reset
                     {
-                        out.line.cut(Cut::Reset);
+                        out.line.abort(Abort::Reset);
                     }
                 }
-                Output::FellOver { sent, stood } => {
-                    note(Seen::FellOver { executor: self.number, sent, stood });
-                    note(Seen::ExecutorDown { executor: self.number });
+                Output::Overloaded { sent, limit: stood } => {
+                    note(Observation::Overloaded { executor: self.number, sent, limit: stood });
+                    note(Observation::ExecutorDown { executor: self.number });
                 }
             }
         }
     }
 
     /// Keeps what became of a fenced allocation.
-    fn fate(&self, key: &Key, fate: impl Fn(&str) -> Fate) {
+    fn fate(&self, key: &AttemptKey, fate: impl Fn(&str) -> Fate) {
         if let Some(id) = self.fenced_out.borrow().get(key)
             && let Some(Fenced { taken: Some((_, was)), .. }) = self.fenced.borrow_mut().get_mut(id)
         {
@@ -308,7 +312,7 @@
             of.taken = None;
             self.fenced_out.borrow_mut().remove(&key);
             drop(known);
-            self.note(Seen::NeverRan { attempt_id: key.0 });
+            self.note(Observation::NotStarted { attempt_id: key.0 });
             self.out.borrow_mut().remove(&key);
             self.model.borrow_mut().cancel(self.now(), key);
             self.changed.notify_one();
@@ -316,7 +320,7 @@
         }
         match &of.taken {
             // Another life of this executor may have had it.
-            None if self.now() - self.started() < age => json!({"state": "unknown"}),
+            None if self.now() - self.started_at() < age => json!({"state": "unknown"}),
             None => json!({"state": "never"}),
             Some((number, _)) if *number > fence => json!({"state": "lost"}),
             Some((_, Fate::Waiting(_) | Fate::Running)) => json!({"state": "running"}),
@@ -327,9 +331,9 @@
 
     async fn let_time_pass(self: Rc<Self>) {
         loop {
-            let next = self.model.borrow().next_at();
-            let at =
-                self.shared.record.start() + Duration::from_secs_f64(next.unwrap_or(0.0).max(0.0) / 1000.0);
+            let next = self.model.borrow().next_event_at();
+            let at = self.shared.observations.started_at()
+                + Duration::from_secs_f64(next.unwrap_or(0.0).max(0.0) / 1000.0);
             tokio::select! {
                 () = sleep_until(Instant::from_std(at)), if next.is_some() => self.hand_out(),
                 () = self.changed.notified() => {}
@@ -356,10 +360,10 @@
             }
             match (now, &listener) {
                 (Door::Silent, Some(listener)) => {
-                    let plug = Plug::put(listener).await;
+                    let plug = ListenerBlock::install(listener).await;
                     let _ = door.changed().await;
                     if let Ok(plug) = plug {
-                        let _ = plug.pull(listener);
+                        let _ = plug.remove(listener);
                     }
                 }
                 (Door::Open, Some(listener)) => tokio::select! {
@@ -384,7 +388,7 @@
             return;
         }
         self.changed.notify_one();
-        let line = Rc::new(Line::default());
+        let line = Rc::new(ConnectionHandle::default());
         {
             let mut lines = self.lines.borrow_mut();
             lines.retain(|line| line.strong_count() > 0);
@@ -401,10 +405,10 @@
             tokio::select! {
                 () = &mut serving => break,
                 // Guards against an end that hyper does not see behind the gate.
-                () = line.ended(), if !ended => {
+                () = line.peer_closed(), if !ended => {
                     ended = true;
-                    let of_it = |out: &(&Key, &Out)| Rc::ptr_eq(&out.1.line, &line);
-                    let keys: Vec<Key> = self.out.borrow().iter().filter(of_it).map(|(key, _)| *key).collect();
+                    let of_it = |out: &(&AttemptKey, &Out)| Rc::ptr_eq(&out.1.line, &line);
+                    let keys: Vec<AttemptKey> = self.out.borrow().iter().filter(of_it).map(|(key, _)| *key).collect();
                     for key in keys {
                         self.out.borrow_mut().remove(&key);
                         self.given_up(key);
@@ -424,9 +428,13 @@
         format!("inflight={running},queue={waiting},util={util:.3},x0={free_slots:.3}{memory}")
     }
 
-    async fn answer(self: Rc<Self>, request: Request<Incoming>, line: Rc<Line>) -> Response<Lines> {
+    async fn answer(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+        line: Rc<ConnectionHandle>,
+    ) -> Response<StreamedBody> {
         let status = |status: u16, body: String| {
-            let mut answer = Response::new(Lines::whole(body));
+            let mut answer = Response::new(StreamedBody::full(body));
             *answer.status_mut() = hyper::StatusCode::from_u16(status).expect("a status of ours");
             answer
         };
@@ -436,9 +444,9 @@
                 _ => status(404, String::new()),
             };
         }
-        let first_byte = line
-            .first_byte()
-            .map_or(self.now(), |at| (at.into_std() - self.shared.record.start()).as_secs_f64() * 1000.0);
+        let first_byte = line.first_byte_at().map_or(self.now(), |at| {
+            (at.into_std() - self.shared.observations.started_at()).as_secs_f64() * 1000.0
+        });
         let Some(id) = request.headers().get("request-id").and_then(|id| id.to_str().ok()).map(String::from)
         else {
             return status(404, String::new());
@@ -456,8 +464,8 @@
         if Limited::new(request.into_body(), MOST_BODY).collect().await.is_err() {
             return status(413, String::new());
         }
-        let Some(work) = (self.shared.work_of)(&id) else {
-            self.note(Seen::Unknown { executor: self.number, id: id.into() });
+        let Some(work) = (self.shared.find_request)(&id) else {
+            self.note(Observation::UnknownRequest { executor: self.number, id: id.into() });
             return status(400, String::new());
         };
         let turned_away = || {
@@ -465,19 +473,19 @@
             answer.headers_mut().insert("not-started", hyper::header::HeaderValue::from_static("1"));
             answer
         };
-        let attempt_id = self.shared.next_alloc.get();
-        self.shared.next_alloc.set(attempt_id + 1);
-        let key = Key(attempt_id);
-        let offer = Offer {
+        let attempt_id = self.shared.next_attempt.get();
+        self.shared.next_attempt.set(attempt_id + 1);
+        let key = AttemptKey(attempt_id);
+        let offer = Attempt {
             key,
             request_id: work.request_id,
-            project_type: work.project_type,
+            request_class: work.request_class,
             slots: work.slots,
             memory: work.memory,
             work: named.filter(|w| w.is_finite() && *w >= 0.0).unwrap_or(work.work),
             priority: work.priority,
         };
-        self.note(Seen::Received {
+        self.note(Observation::Received {
             executor: self.number,
             attempt_id,
             id: id.clone().into(),
@@ -490,38 +498,38 @@
             let of = known.entry(id.clone()).or_default();
             if fence <= of.highest {
                 drop(known);
-                self.note(Seen::NeverRan { attempt_id });
+                self.note(Observation::NotStarted { attempt_id });
                 return turned_away();
             }
             of.highest = fence;
             of.taken = Some((fence, Fate::Waiting(key)));
             self.fenced_out.borrow_mut().insert(key, id.clone());
         }
-        let verdict = self.model.borrow_mut().offer(self.now(), offer);
-        if verdict != Verdict::Taken && fence.is_some() {
-            let never = verdict == Verdict::TurnedAway;
+        let verdict = self.model.borrow_mut().dispatch(self.now(), offer);
+        if verdict != Admission::Accepted && fence.is_some() {
+            let never = verdict == Admission::Rejected;
             self.fenced_out.borrow_mut().remove(&key);
             if let Some(of) = self.fenced.borrow_mut().get_mut(&id) {
                 of.taken = of.taken.take().filter(|_| !never).map(|(fence, _)| (fence, Fate::Lost));
             }
         }
         match verdict {
-            Verdict::Taken => {}
-            Verdict::TurnedAway => {
-                self.note(Seen::NeverRan { attempt_id });
+            Admission::Accepted => {}
+            Admission::Rejected => {
+                self.note(Observation::NotStarted { attempt_id });
                 self.after_a_change();
                 return turned_away();
             }
-            Verdict::Error => {
-                self.note(Seen::Errored { attempt_id });
+            Admission::Error => {
+                self.note(Observation::ErrorAnswered { attempt_id });
                 return status(500, String::new());
             }
-            Verdict::Down => {
+            Admission::Down => {
                 // It fell over under this very allocation, or died as it came.
-                self.note(Seen::Ended { attempt_id, end: End::Reset });
+                self.note(Observation::Ended { attempt_id, outcome: AttemptOutcome::Reset });
                 self.after_a_change();
                 self.reset_all();
-                line.cut(Cut::Reset);
+                line.abort(Abort::Reset);
                 return std::future::pending().await;
             }
         }
@@ -533,15 +541,15 @@
                 host.given_up(own);
             }
         };
-        let (send, lines) = Lines::new(Some(Box::new(dropped)));
+        let (send, lines) = StreamedBody::new(Some(Box::new(dropped)));
         self.out.borrow_mut().insert(key, Out { id, send, line: line.clone() });
         self.after_a_change();
         Response::new(lines)
     }
 
     /// Whoever sent it has ended the connection.
-    fn given_up(&self, key: Key) {
-        self.note(Seen::GivenUp { attempt_id: key.0 });
+    fn given_up(&self, key: AttemptKey) {
+        self.note(Observation::Cancelled { attempt_id: key.0 });
         if self.fenced_out.borrow().contains_key(&key) {
             // Whoever sent it will ask what became of it.
             return;
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -38,12 +38,12 @@
         Rc::new(Front { nodes: RefCell::new(nodes), next: Cell::new(0), notices_after })
     }
 
-    pub fn notices_after(&self) -> Duration {
+    pub fn detection_delay(&self) -> Duration {
         self.notices_after
     }
 
     /// How many nodes are taken in.
-    pub fn taken_in(&self) -> usize {
+    pub fn healthy_count(&self) -> usize {
         self.nodes.borrow().iter().filter(|node| node.taken_in.get()).count()
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// The node, by its number, that gets the next connection; none where none is taken in.
-    pub fn deal(&self) -> Option<(usize, SocketAddr)> {
+    pub fn next_node(&self) -> Option<(usize, SocketAddr)> {
         let nodes = self.nodes.borrow();
         let from = self.next.get();
         let turn = (0..nodes.len()).map(|k| (from + k) % nodes.len());
@@ -66,7 +66,7 @@
 async fn watch(node: Rc<Node>, notices_after: Duration) {
     let mut failing: Option<Instant> = None;
     loop {
-        match timeout(CHECK_WAIT, health(node.addr)).await {
+        match timeout(CHECK_WAIT, check_health(node.addr)).await {
             Ok(Some(200)) => {
                 node.taken_in.set(true);
                 failing = None;
@@ -86,7 +86,7 @@
 }
 
 /// The status that a node's health answers; none where it does not.
-pub async fn health(addr: SocketAddr) -> Option<u16> {
+pub async fn check_health(addr: SocketAddr) -> Option<u16> {
     let stream = TcpStream::connect(addr).await.ok()?;
     let (mut send, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
     let connection = spawn_local(connection);
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -6,10 +6,10 @@
 pub mod front;
 pub mod machine;
 pub mod model;
-pub mod observed;
+pub mod observations;
 pub mod scripted;
 pub mod theory;
 pub mod wire;
 
 pub use machine::*;
-pub use model::{End, Executor, Key, Load, Offer, Output, Verdict};
+pub use model::{Admission, Attempt, AttemptKey, AttemptOutcome, Executor, Load, Output};
--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -1,12 +1,12 @@
 //! One emulated executor, without I/O, clock or threads: time and events in, outputs out.
 //!
-//! Every call that takes `now` first plays what has happened since the last one. [`Executor::next_at`] says
-//! when something will happen by itself, and [`Executor::take`] hands out what did, in order of time. The
+//! Every call that takes `now` first plays what has happened since the last one. [`Executor::next_event_at`] says
+//! when something will happen by itself, and [`Executor::pop_output`] hands out what did, in order of time. The
 //! same seed and the same calls give the same outputs.
 //!
 //! Running work progresses at one rate for each slot, so an allocation ends when the common progress reaches
 //! where it began plus its work; only a change of that rate costs anything.
-use crate::machine::{CancelPower, Machine, Millis, QueueOrder, Ramp, Trouble};
+use crate::machine::{CancelScope, Fault, Machine, Millis, QueueOrder, Ramp};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Pareto, StandardNormal};
@@ -20,15 +20,15 @@
 
 /// An allocation as this executor knows it; never used for two.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
-pub struct Key(pub u64);
+pub struct AttemptKey(pub u64);
 
 /// What an executor is asked to run.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Offer {
-    pub key: Key,
+pub struct Attempt {
+    pub key: AttemptKey,
     /// Stands for the work unit at every executor alike.
     pub request_id: u64,
-    pub project_type: usize,
+    pub request_class: usize,
     pub slots: f64,
     pub memory: f64,
     pub work: Millis,
@@ -37,10 +37,10 @@
 
 /// What comes of an offer at once.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Verdict {
-    Taken,
-    /// No room: it never ran.
-    TurnedAway,
+pub enum Admission {
+    Accepted,
+    /// The queue is full; it was not executed.
+    Rejected,
     Error,
     /// The machine is down.
     Down,
@@ -48,7 +48,7 @@
 
 /// How an allocation that was taken ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum End {
+pub enum AttemptOutcome {
     Done,
     /// Handed back unstarted.
     Returned,
@@ -61,20 +61,20 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Output {
     Started {
-        key: Key,
+        key: AttemptKey,
     },
     Progress {
-        key: Key,
+        key: AttemptKey,
         share: f64,
     },
     Ended {
-        key: Key,
-        end: End,
+        key: AttemptKey,
+        outcome: AttemptOutcome,
     },
     /// It was sent more while cold than it stands, and is down.
-    FellOver {
+    Overloaded {
         sent: Millis,
-        stood: Millis,
+        limit: Millis,
     },
 }
 
@@ -88,7 +88,7 @@
 }
 
 struct Running {
-    offer: Offer,
+    offer: Attempt,
     /// The common progress at which it ends, by result or by a reset.
     ends_at: f64,
     resets: bool,
@@ -113,7 +113,7 @@
     life: Life,
     started: Millis,
     draining: bool,
-    troubles: Vec<(u64, Millis, Trouble)>,
+    troubles: Vec<(u64, Millis, Fault)>,
     /// Work that each slot in use has had done since ever, and what a millisecond adds to it.
     progress: f64,
     rate: f64,
@@ -122,7 +122,7 @@
     overhead_rate: f64,
     work_done: f64,
     running: Vec<Running>,
-    waiting: VecDeque<Offer>,
+    waiting: VecDeque<Attempt>,
     used_slots: f64,
     used_memory: f64,
     connections: usize,
@@ -180,7 +180,7 @@
     }
 
     /// When it last started; minus infinity for long ago.
-    pub fn started(&self) -> Millis {
+    pub fn started_at(&self) -> Millis {
         self.started
     }
 
@@ -190,47 +190,47 @@
 
     /// Whether open connections say nothing and new ones never come up.
     pub fn is_silent(&self) -> bool {
-        self.troubles.iter().any(|(_, _, t)| matches!(t, Trouble::Silence { .. }))
+        self.troubles.iter().any(|(_, _, t)| matches!(t, Fault::Silence { .. }))
     }
 
     /// Whether nothing happens and nothing is said, though connections come up.
     pub fn is_paused(&self) -> bool {
-        self.troubles.iter().any(|(_, _, t)| *t == Trouble::Pause)
+        self.troubles.iter().any(|(_, _, t)| *t == Fault::Pause)
     }
 
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
     /// The share of its cores that it may use, from cold to 1.
-    pub fn warmth(&self) -> f64 {
-        let Some(cold) = self.machine.cold else { return 1.0 };
+    pub fn capacity_share(&self) -> f64 {
+        let Some(cold) = self.machine.slow_start else { return 1.0 };
         let way = match cold.ramp {
             Ramp::Time(span) => (self.now - self.started) / span,
             Ramp::Work(work) => self.work_done / work,
         };
-        if way >= 1.0 { 1.0 } else { cold.share + (1.0 - cold.share) * way.max(0.0) }
+        if way >= 1.0 { 1.0 } else { cold.initial_capacity + (1.0 - cold.initial_capacity) * way.max(0.0) }
     }
 
     /// Work that it does in a millisecond when all slots are busy and nothing is wrong.
     pub fn capacity(&self) -> f64 {
-        self.machine.cores.min(self.machine.slots) * self.machine.speed * self.warmth()
+        self.machine.cores.min(self.machine.slots) * self.machine.speed * self.capacity_share()
     }
 
     /// An allocation comes.
-    pub fn offer(&mut self, now: Millis, mut offer: Offer) -> Verdict {
+    pub fn dispatch(&mut self, now: Millis, mut offer: Attempt) -> Admission {
         self.play(now);
         if self.is_down() {
-            return Verdict::Down;
+            return Admission::Down;
         }
         if let Some((sent, stood)) = self.pushed_over(&offer) {
-            self.outputs.push_back((self.now, Output::FellOver { sent, stood }));
-            self.go_down(End::Lost);
-            return Verdict::Down;
+            self.outputs.push_back((self.now, Output::Overloaded { sent, limit: stood }));
+            self.go_down(AttemptOutcome::Lost);
+            return Admission::Down;
         }
         let mut chance = ChaCha8Rng::seed_from_u64(mixed(self.seed, offer.key.0));
         // The same work unit is as heavy everywhere.
@@ -238,11 +238,15 @@
         let mut swallowed = false;
         for (_, _, trouble) in &self.troubles {
             match *trouble {
-                Trouble::Errors { share } if chance.random::<f64>() < share => return Verdict::Error,
-                Trouble::Swallow { project_type, share } if project_type == offer.project_type => {
+                Fault::Errors { share } if chance.random::<f64>() < share => return Admission::Error,
+                Fault::NeverStart { request_class: project_type, share }
+                    if project_type == offer.request_class =>
+                {
                     swallowed |= chance.random::<f64>() < share;
                 }
-                Trouble::HeavyTail { project_type, share, alpha } if project_type == offer.project_type => {
+                Fault::HeavyTail { request_class: project_type, share, alpha }
+                    if project_type == offer.request_class =>
+                {
                     if weight.random::<f64>() < share
                         && let Ok(pareto) = Pareto::new(1.0, alpha)
                     {
@@ -253,25 +257,25 @@
             }
         }
         if swallowed {
-            return Verdict::Taken;
+            return Admission::Accepted;
         }
         let too_large = offer.slots > self.machine.slots || offer.memory > self.machine.memory;
         if too_large || (!self.fits(&offer) || !self.waiting.is_empty()) && self.is_full() {
-            return Verdict::TurnedAway;
+            return Admission::Rejected;
         }
         self.waiting.push_back(offer);
         self.start_what_fits();
         self.reckon();
-        Verdict::Taken
+        Admission::Accepted
     }
 
     /// Whoever asked for it has given it up.
-    pub fn cancel(&mut self, now: Millis, key: Key) {
+    pub fn cancel(&mut self, now: Millis, key: AttemptKey) {
         self.play(now);
-        if self.machine.cancels != CancelPower::Nothing {
+        if self.machine.cancel_scope != CancelScope::None {
             self.waiting.retain(|offer| offer.key != key);
         }
-        if self.machine.cancels == CancelPower::Running
+        if self.machine.cancel_scope == CancelScope::Running
             && let Some(at) = self.running.iter().position(|r| r.offer.key == key)
         {
             self.stop(at);
@@ -283,7 +287,7 @@
     /// A new connection; false where it holds no more.
     pub fn connect(&mut self, now: Millis) -> bool {
         self.play(now);
-        if self.is_down() || self.connections >= self.machine.connections {
+        if self.is_down() || self.connections >= self.machine.max_connections {
             return false;
         }
         self.connections += 1;
@@ -303,24 +307,24 @@
         self.play(now);
         self.overhead += self.machine.probe_work;
         self.reckon();
-        let readings = self.machine.readings;
+        let readings = self.machine.load_reports;
         let (mut late, mut factor) = (0.0, 1.0);
         for (_, _, trouble) in &self.troubles {
             match *trouble {
-                Trouble::LateReadings { by } => late += by,
-                Trouble::WrongReadings { factor: f } => factor *= f,
+                Fault::LateLoadReports { delay: by } => late += by,
+                Fault::WrongLoadReports { factor: f } => factor *= f,
                 _ => {}
             }
         }
         let mut seen = self.now - late - readings.delay;
         let mut chance = None;
-        if readings.refresh > 0.0 {
+        if readings.interval > 0.0 {
             // Each executor's readings come at their own beat; each has its own jitter and noise.
-            let beat = (mixed(self.seed, 1) % 1000) as f64 / 1000.0 * readings.refresh;
-            let number = ((seen - beat) / readings.refresh).floor();
+            let beat = (mixed(self.seed, 1) % 1000) as f64 / 1000.0 * readings.interval;
+            let number = ((seen - beat) / readings.interval).floor();
             let mut own = ChaCha8Rng::seed_from_u64(mixed(self.seed, number as i64 as u64));
-            let jittered = (seen - beat - own.random::<f64>() * readings.jitter) / readings.refresh;
-            seen = beat + jittered.floor() * readings.refresh;
+            let jittered = (seen - beat - own.random::<f64>() * readings.jitter) / readings.interval;
+            seen = beat + jittered.floor() * readings.interval;
             chance = Some(own);
         }
         let at = self.history.partition_point(|(from, _)| *from <= seen);
@@ -346,9 +350,12 @@
     pub fn drain(&mut self, now: Millis) {
         self.play(now);
         self.draining = true;
-        if self.machine.drain_returns {
+        if self.machine.returns_queue_on_drain {
             for offer in std::mem::take(&mut self.waiting) {
-                self.outputs.push_back((self.now, Output::Ended { key: offer.key, end: End::Returned }));
+                self.outputs.push_back((
+                    self.now,
+                    Output::Ended { key: offer.key, outcome: AttemptOutcome::Returned },
+                ));
             }
         }
         self.reckon();
@@ -361,28 +368,32 @@
     /// The process dies; it stays down until [`Executor::restart`].
     pub fn kill(&mut self, now: Millis) {
         self.play(now);
-        self.go_down(End::Reset);
+        self.go_down(AttemptOutcome::Reset);
     }
 
     /// It starts anew, cold and empty.
     pub fn restart(&mut self, now: Millis) {
         self.play(now);
-        self.go_down(End::Reset);
+        self.go_down(AttemptOutcome::Reset);
         (self.life, self.started, self.draining, self.work_done) = (Life::Up, now, false, 0.0);
         self.cold_spent.clear();
         self.reckon();
     }
 
     /// A trouble begins; the number names it until its end.
-    pub fn trouble(&mut self, now: Millis, number: u64, trouble: Trouble) {
+    pub fn begin_fault(&mut self, now: Millis, number: u64, trouble: Fault) {
         self.play(now);
-        if trouble == (Trouble::Silence { cold: true }) {
+        if trouble == (Fault::Silence { restarts: true }) {
             // The machine is gone; whoever waits for it hears nothing before it is back.
             self.running.iter().for_each(|r| {
-                self.outputs.push_back((f64::INFINITY, Output::Ended { key: r.offer.key, end: End::Reset }))
+                self.outputs.push_back((
+                    f64::INFINITY,
+                    Output::Ended { key: r.offer.key, outcome: AttemptOutcome::Reset },
+                ))
             });
             self.waiting.iter().for_each(|o| {
-                self.outputs.push_back((f64::INFINITY, Output::Ended { key: o.key, end: End::Reset }))
+                self.outputs
+                    .push_back((f64::INFINITY, Output::Ended { key: o.key, outcome: AttemptOutcome::Reset }))
             });
             self.running.clear();
             self.waiting.clear();
@@ -392,11 +403,11 @@
         self.reckon();
     }
 
-    pub fn trouble_over(&mut self, now: Millis, number: u64) {
+    pub fn end_fault(&mut self, now: Millis, number: u64) {
         self.play(now);
         let Some(at) = self.troubles.iter().position(|(n, ..)| *n == number) else { return };
         let (_, _, trouble) = self.troubles.remove(at);
-        if trouble == (Trouble::Silence { cold: true }) {
+        if trouble == (Fault::Silence { restarts: true }) {
             for (at, _) in self.outputs.iter_mut().filter(|(at, _)| at.is_infinite()) {
                 *at = now;
             }
@@ -409,22 +420,22 @@
     }
 
     /// When something happens by itself next.
-    pub fn next_at(&self) -> Option<Millis> {
+    pub fn next_event_at(&self) -> Option<Millis> {
         let waits = self.outputs.iter().map(|(at, _)| *at).find(|at| at.is_finite());
         waits.or_else(|| self.next_change())
     }
 
     /// Hands out what happened until `now`, with its time.
-    pub fn take(&mut self, now: Millis) -> Option<(Millis, Output)> {
+    pub fn pop_output(&mut self, now: Millis) -> Option<(Millis, Output)> {
         self.play(now);
         let at = self.outputs.iter().position(|(at, _)| *at <= now)?;
         self.outputs.remove(at)
     }
 
     /// Whether more within the window has come than a cold one stands; counts what comes now.
-    fn pushed_over(&mut self, offer: &Offer) -> Option<(Millis, Millis)> {
-        let fall = self.machine.cold?.fall?;
-        if self.warmth() >= 1.0 {
+    fn pushed_over(&mut self, offer: &Attempt) -> Option<(Millis, Millis)> {
+        let fall = self.machine.slow_start?.overload_limit?;
+        if self.capacity_share() >= 1.0 {
             self.cold_spent.clear();
             return None;
         }
@@ -438,18 +449,18 @@
     }
 
     fn is_full(&self) -> bool {
-        self.waiting.len() >= self.machine.waiting_room
+        self.waiting.len() >= self.machine.queue_capacity
     }
 
-    fn fits(&self, offer: &Offer) -> bool {
+    fn fits(&self, offer: &Attempt) -> bool {
         self.used_slots + offer.slots <= self.machine.slots + CLOSE
             && self.used_memory + offer.memory <= self.machine.memory
     }
 
-    fn go_down(&mut self, end: End) {
+    fn go_down(&mut self, end: AttemptOutcome) {
         let now = self.now;
         for key in self.running.drain(..).map(|r| r.offer.key).chain(self.waiting.drain(..).map(|o| o.key)) {
-            self.outputs.push_back((now, Output::Ended { key, end }));
+            self.outputs.push_back((now, Output::Ended { key, outcome: end }));
         }
         (self.used_slots, self.used_memory, self.overhead) = (0.0, 0.0, 0.0);
         self.connections = 0;
@@ -465,7 +476,7 @@
         if self.running.is_empty() {
             (self.used_slots, self.used_memory) = (0.0, 0.0);
         }
-        if let Some(every) = self.machine.checkpoint_every {
+        if let Some(every) = self.machine.checkpoint_interval {
             let done = ended.before + self.progress - ended.began_at;
             if self.checkpoints.len() >= MOST_CHECKPOINTS {
                 self.checkpoints.clear();
@@ -480,7 +491,7 @@
             return;
         }
         loop {
-            let next = match self.machine.order {
+            let next = match self.machine.queue_order {
                 QueueOrder::InOrder => self.waiting.front().map(|_| 0),
                 QueueOrder::Backfill => self.waiting.iter().position(|offer| self.fits(offer)),
                 QueueOrder::Priority => {
@@ -496,13 +507,13 @@
         }
     }
 
-    fn start(&mut self, offer: Offer) {
+    fn start(&mut self, offer: Attempt) {
         let before = self.checkpoints.remove(&offer.request_id).unwrap_or(0.0).min(offer.work);
         let mut left = offer.work - before;
         let mut chance = ChaCha8Rng::seed_from_u64(mixed(self.seed ^ 0x7265_7365, offer.key.0));
         let mut resets = false;
         for (_, _, trouble) in &self.troubles {
-            if let Trouble::Resets { share } = *trouble
+            if let Fault::Resets { share } = *trouble
                 && chance.random::<f64>() < share
             {
                 (left, resets) = (left * chance.random::<f64>(), true);
@@ -516,7 +527,7 @@
             resets,
             before,
             began_at: self.progress,
-            tells_at: self.machine.progress_every.map_or(f64::INFINITY, |every| self.now + every),
+            tells_at: self.machine.progress_interval.map_or(f64::INFINITY, |every| self.now + every),
             offer,
         });
     }
@@ -525,7 +536,7 @@
     fn neighbours(&self) -> (f64, Option<Millis>) {
         let (mut left, mut changes) = (1.0, None::<Millis>);
         for (_, since, trouble) in &self.troubles {
-            if let Trouble::Neighbour { part, on, off } = *trouble {
+            if let Fault::CpuContention { share: part, on, off } = *trouble {
                 let into = (self.now - since).rem_euclid(on + off);
                 let (taken, next) = if into + CLOSE < on { (part, on) } else { (0.0, on + off) };
                 left *= 1.0 - taken;
@@ -540,15 +551,15 @@
     fn reckon(&mut self) {
         let mut speed = self.machine.speed;
         for (_, _, trouble) in &self.troubles {
-            if let Trouble::Slow { factor } = *trouble {
+            if let Fault::Slow { factor } = *trouble {
                 speed /= factor;
             }
         }
-        let gone = self.troubles.iter().any(|(_, _, t)| *t == Trouble::Silence { cold: true });
+        let gone = self.troubles.iter().any(|(_, _, t)| *t == Fault::Silence { restarts: true });
         if self.is_down() || self.is_paused() || gone {
             speed = 0.0;
         }
-        let cores = self.machine.cores * self.warmth() * (1.0 - self.neighbours().0);
+        let cores = self.machine.cores * self.capacity_share() * (1.0 - self.neighbours().0);
         let for_overhead = if self.overhead > 0.0 { cores.min(1.0) } else { 0.0 };
         self.overhead_rate = for_overhead * speed;
         let for_work = cores - for_overhead;
@@ -567,10 +578,10 @@
             return;
         }
         self.history.push_back((self.now, load));
-        let readings = self.machine.readings;
-        let mut span = readings.delay + readings.jitter + 2.0 * readings.refresh;
+        let readings = self.machine.load_reports;
+        let mut span = readings.delay + readings.jitter + 2.0 * readings.interval;
         for (_, _, trouble) in &self.troubles {
-            if let Trouble::LateReadings { by } = *trouble {
+            if let Fault::LateLoadReports { delay: by } = *trouble {
                 span += by;
             }
         }
@@ -589,7 +600,7 @@
             next = next.min(self.now + self.overhead / self.overhead_rate);
         }
         let busy = self.rate > 0.0 || self.overhead_rate > 0.0;
-        if busy && self.warmth() < 1.0 {
+        if busy && self.capacity_share() < 1.0 {
             next = next.min(self.now + RAMP_STEP);
         }
         if (busy || !self.running.is_empty())
@@ -617,14 +628,14 @@
                     if !ended.resets {
                         self.checkpoints.remove(&request_id);
                     }
-                    let end = if ended.resets { End::Reset } else { End::Done };
-                    self.outputs.push_back((self.now, Output::Ended { key, end }));
+                    let end = if ended.resets { AttemptOutcome::Reset } else { AttemptOutcome::Done };
+                    self.outputs.push_back((self.now, Output::Ended { key, outcome: end }));
                 } else {
                     let running = &mut self.running[at];
                     if running.tells_at <= self.now + CLOSE {
                         let done = running.before + self.progress - running.began_at;
                         let share = (done / running.offer.work.max(CLOSE)).min(1.0);
-                        running.tells_at = self.now + self.machine.progress_every.unwrap_or(f64::INFINITY);
+                        running.tells_at = self.now + self.machine.progress_interval.unwrap_or(f64::INFINITY);
                         let key = running.offer.key;
                         self.outputs.push_back((self.now, Output::Progress { key, share }));
                     }
@@ -636,7 +647,7 @@
         }
         if now > self.now {
             self.step(now);
-            if self.warmth() < 1.0 {
+            if self.capacity_share() < 1.0 {
                 self.reckon();
             }
         }
--- a/crates/emulator/src/scripted.rs
+++ b/crates/emulator/src/scripted.rs
@@ -1,5 +1,5 @@
 //! Peers that do just what a test tells them, each on a thread and a free loopback port of its own.
-use crate::wire::{self, Cut, Line, Lines};
+use crate::wire::{self, Abort, ConnectionHandle, StreamedBody};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -22,16 +22,16 @@
 
 /// What an executor does with one allocation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     Done,
     /// A result of so many bytes.
     Large(usize),
     Status500,
     /// 503, and it says that it has not started.
-    TurnedAway,
+    Rejected,
     Returned,
     Lost,
-    Break,
+    CloseConnection,
     Silent,
     Garbage,
     OtherId,
@@ -44,7 +44,7 @@
     /// Done, lost or turned away unstarted, once the test says so.
     Wait,
     WaitAndLose,
-    WaitAndTurnAway,
+    WaitAndReject,
 }
 
 /// A message as it came: its head, a line each, and its body.
@@ -53,8 +53,8 @@
 /// Serves each connection of a new listener, on a thread of its own that ends with the process.
 fn serve_on_a_thread<F, R>(answer: impl FnOnce() -> F + Send + 'static) -> SocketAddr
 where
-    F: Fn(Request<Incoming>, Rc<Line>) -> R + 'static,
-    R: Future<Output = Response<Lines>> + 'static,
+    F: Fn(Request<Incoming>, Rc<ConnectionHandle>) -> R + 'static,
+    R: Future<Output = Response<StreamedBody>> + 'static,
 {
     let (told, addr) = mpsc::channel();
     thread::spawn(move || {
@@ -65,7 +65,7 @@
             let answer = Rc::new(answer());
             loop {
                 let Ok((stream, _)) = listener.accept().await else { continue };
-                let (line, answer) = (Rc::new(Line::default()), answer.clone());
+                let (line, answer) = (Rc::new(ConnectionHandle::default()), answer.clone());
                 let own = line.clone();
                 spawn_local(wire::serve(stream, Rc::default(), line, move |r| answer(r, own.clone())));
             }
@@ -83,44 +83,44 @@
     Some((head, body.collect().await.ok()?.to_bytes().to_vec()))
 }
 
-fn status(status: u16) -> Response<Lines> {
-    let mut answer = Response::new(Lines::whole(""));
+fn status(status: u16) -> Response<StreamedBody> {
+    let mut answer = Response::new(StreamedBody::full(""));
     *answer.status_mut() = StatusCode::from_u16(status).expect("a status of ours");
     answer
 }
 
 /// 503, and it has not started.
-fn turned_away() -> Response<Lines> {
+fn turned_away() -> Response<StreamedBody> {
     let mut answer = status(503);
     answer.headers_mut().insert("not-started", hyper::header::HeaderValue::from_static("1"));
     answer
 }
 
-/// An executor: it always has room, and does one act after the other, then [`Act::Done`].
+/// An executor: it always has room, and does one act after the other, then [`Action::Done`].
 pub struct Executor {
     pub addr: SocketAddr,
-    pub acts: Arc<Mutex<VecDeque<Act>>>,
-    pub seen: Arc<Mutex<Vec<Message>>>,
+    pub actions: Arc<Mutex<VecDeque<Action>>>,
+    pub requests: Arc<Mutex<Vec<Message>>>,
     /// Lets one that waits go on; how many have, over connections that were still open.
-    pub go_on: UnboundedSender<()>,
-    pub went_on: Arc<AtomicUsize>,
+    pub resume: UnboundedSender<()>,
+    pub resumed: Arc<AtomicUsize>,
     /// What it says of its load.
-    pub load: Arc<Mutex<String>>,
+    pub load_report: Arc<Mutex<String>>,
     /// How long it takes to say so.
-    pub load_takes: Arc<Mutex<Duration>>,
+    pub load_report_delay: Arc<Mutex<Duration>>,
     /// How often it was asked for that.
-    pub probes: Arc<AtomicUsize>,
+    pub probe_count: Arc<AtomicUsize>,
     /// Cut off: connections come up and stay open, and nothing is ever said.
-    pub mute: Arc<AtomicBool>,
+    pub is_silent: Arc<AtomicBool>,
     /// What it answers when it is asked for an allocation, the last one for ever; "never" where there is none.
-    pub fates: Arc<Mutex<VecDeque<serde_json::Value>>>,
+    pub fence_answers: Arc<Mutex<VecDeque<serde_json::Value>>>,
     /// The questions that came.
-    pub asked: Arc<Mutex<Vec<Message>>>,
+    pub fence_queries: Arc<Mutex<Vec<Message>>>,
 }
 
 #[derive(Clone)]
 struct Script {
-    acts: Arc<Mutex<VecDeque<Act>>>,
+    acts: Arc<Mutex<VecDeque<Action>>>,
     seen: Arc<Mutex<Vec<Message>>>,
     wait: Arc<Turn<UnboundedReceiver<()>>>,
     went_on: Arc<AtomicUsize>,
@@ -158,16 +158,28 @@
                 async move { script.answer(request, line).await }
             }
         });
-        Executor { addr, acts, seen, go_on, went_on, load, load_takes, probes, mute, fates, asked }
+        Executor {
+            addr,
+            actions: acts,
+            requests: seen,
+            resume: go_on,
+            resumed: went_on,
+            load_report: load,
+            load_report_delay: load_takes,
+            probe_count: probes,
+            is_silent: mute,
+            fence_answers: fates,
+            fence_queries: asked,
+        }
     }
 
     /// Waits until so many allocations have come.
     ///
     /// # Panics
     /// Where they do not come in time.
-    pub fn wait_for(&self, count: usize) {
+    pub fn wait_for_attempts(&self, count: usize) {
         let end = Instant::now() + PATIENCE;
-        while self.seen.lock().unwrap().len() < count {
+        while self.requests.lock().unwrap().len() < count {
             assert!(Instant::now() < end, "allocations come in time");
             thread::yield_now();
         }
@@ -175,7 +187,7 @@
 }
 
 impl Script {
-    async fn answer(self, request: Request<Incoming>, line: Rc<Line>) -> Response<Lines> {
+    async fn answer(self, request: Request<Incoming>, line: Rc<ConnectionHandle>) -> Response<StreamedBody> {
         if self.mute.load(Ordering::Relaxed) {
             return pending().await;
         }
@@ -185,7 +197,7 @@
             if !takes.is_zero() {
                 sleep(takes).await;
             }
-            return Response::new(Lines::whole(load));
+            return Response::new(StreamedBody::full(load));
         }
         let id =
             request.headers().get("request-id").and_then(|id| id.to_str().ok()).unwrap_or("").to_string();
@@ -195,13 +207,13 @@
             self.asked.lock().unwrap().push(message);
             let mut fates = self.fates.lock().unwrap();
             let next = if fates.len() > 1 { fates.pop_front() } else { fates.front().cloned() };
-            return Response::new(Lines::whole(next.unwrap_or(json!({"state": "never"})).to_string()));
+            return Response::new(StreamedBody::full(next.unwrap_or(json!({"state": "never"})).to_string()));
         }
         // The act is chosen before the test can see the allocation, so that it may list the next one.
-        let act = self.acts.lock().unwrap().pop_front().unwrap_or(Act::Done);
+        let act = self.acts.lock().unwrap().pop_front().unwrap_or(Action::Done);
         self.seen.lock().unwrap().push(message);
         let say = |lines: &[serde_json::Value]| {
-            let (send, body) = Lines::new(None);
+            let (send, body) = StreamedBody::new(None);
             for said in lines {
                 let _ = send.send(format!("{said}\n").into());
             }
@@ -211,26 +223,28 @@
         let lost = json!({"id": id, "state": "lost"});
         let done = |id: &str, size: usize| json!({"id": id, "state": "done", "result": "r".repeat(size)});
         match act {
-            Act::Done => say(&[started, json!({"id": id, "state": "running", "share": 0.4}), done(&id, 3)]),
-            Act::Large(size) => say(&[done(&id, size)]),
-            Act::Status500 => status(500),
-            Act::TurnedAway => turned_away(),
-            Act::Returned => say(&[json!({"id": id, "state": "returned"})]),
-            Act::Lost => say(&[started, lost]),
-            Act::Break => {
-                line.cut(Cut::Say(b""));
+            Action::Done => {
+                say(&[started, json!({"id": id, "state": "running", "share": 0.4}), done(&id, 3)])
+            }
+            Action::Large(size) => say(&[done(&id, size)]),
+            Action::Status500 => status(500),
+            Action::Rejected => turned_away(),
+            Action::Returned => say(&[json!({"id": id, "state": "returned"})]),
+            Action::Lost => say(&[started, lost]),
+            Action::CloseConnection => {
+                line.abort(Abort::Write(b""));
                 pending().await
             }
             // Until the node gives up and closes.
-            Act::Silent => pending().await,
-            Act::Garbage => {
-                line.cut(Cut::Say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"));
+            Action::Silent => pending().await,
+            Action::Garbage => {
+                line.abort(Abort::Write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"));
                 pending().await
             }
-            Act::NoId => say(&[json!({"state": "done", "result": "rrr"})]),
-            Act::StartedAndReturned => say(&[started, json!({"id": id, "state": "returned"})]),
-            Act::Endless => {
-                let (send, body) = Lines::new(None);
+            Action::NoId => say(&[json!({"state": "done", "result": "rrr"})]),
+            Action::StartedAndReturned => say(&[started, json!({"id": id, "state": "returned"})]),
+            Action::Endless => {
+                let (send, body) = StreamedBody::new(None);
                 spawn_local(async move {
                     let mut said = done(&id, 3);
                     while send.send(format!("{said}\n").into()).is_ok() {
@@ -240,13 +254,13 @@
                 });
                 Response::new(body)
             }
-            Act::OtherId => say(&[done("0000000000000000", 3)]),
-            Act::Wait | Act::WaitAndLose | Act::WaitAndTurnAway => {
+            Action::OtherId => say(&[done("0000000000000000", 3)]),
+            Action::Wait | Action::WaitAndLose | Action::WaitAndReject => {
                 self.wait.lock().await.recv().await;
                 self.went_on.fetch_add(1, Ordering::Relaxed);
                 match act {
-                    Act::Wait => say(&[done(&id, 3)]),
-                    Act::WaitAndLose => say(&[lost]),
+                    Action::Wait => say(&[done(&id, 3)]),
+                    Action::WaitAndLose => say(&[lost]),
                     _ => turned_away(),
                 }
             }
@@ -259,7 +273,7 @@
     pub addr: SocketAddr,
     pub lines: UnboundedSender<String>,
     /// The first line of each request that came.
-    pub asked: mpsc::Receiver<String>,
+    pub requests: mpsc::Receiver<String>,
 }
 
 impl Discovery {
@@ -268,9 +282,9 @@
         let (ask, asked) = mpsc::channel();
         let to_send = Arc::new(Turn::new(to_send));
         let addr = serve_on_a_thread(move || {
-            move |request: Request<Incoming>, line: Rc<Line>| {
+            move |request: Request<Incoming>, line: Rc<ConnectionHandle>| {
                 let _ = ask.send(format!("{} {} HTTP/1.1", request.method(), request.uri()));
-                let (send, body) = Lines::new(None);
+                let (send, body) = StreamedBody::new(None);
                 let _ = send.send(format!("{first}\n").into());
                 let to_send = to_send.clone();
                 spawn_local(async move {
@@ -282,7 +296,7 @@
                                 () = sleep(Duration::from_millis(500)) => "\n".into(),
                             };
                             if text.is_empty() {
-                                return line.cut(Cut::Say(b""));
+                                return line.abort(Abort::Write(b""));
                             }
                             if send.send(format!("{text}\n").into()).is_err() {
                                 return;
@@ -297,7 +311,7 @@
                 async move { Response::new(body) }
             }
         });
-        Discovery { addr, lines, asked }
+        Discovery { addr, lines, requests: asked }
     }
 }
 
@@ -327,14 +341,14 @@
 
 /// An executor with room for so few connections that the one for an allocation comes up only when the test says
 /// so: it answers the first probe, and takes no further connection until then.
-pub struct Crowded {
+pub struct FullBacklogExecutor {
     pub addr: SocketAddr,
-    pub go_on: mpsc::Sender<()>,
+    pub resume: mpsc::Sender<()>,
     /// What came over connections after that.
-    pub came: thread::JoinHandle<Vec<u8>>,
+    pub received: thread::JoinHandle<Vec<u8>>,
 }
 
-impl Crowded {
+impl FullBacklogExecutor {
     pub fn start() -> Self {
         let (listener, addr) = raw_listener(0, None);
         let (go_on, wait) = mpsc::channel();
@@ -362,21 +376,21 @@
             }
             bytes
         });
-        Crowded { addr, go_on, came }
+        FullBacklogExecutor { addr, resume: go_on, received: came }
     }
 }
 
 /// An executor that reads the head of an allocation and no more before the test says so.
-pub struct Slow {
+pub struct SlowReadingExecutor {
     pub addr: SocketAddr,
     /// One for each allocation whose head has come.
-    pub began: mpsc::Receiver<()>,
-    pub go_on: mpsc::Sender<()>,
+    pub heads: mpsc::Receiver<()>,
+    pub resume: mpsc::Sender<()>,
     /// How many bytes came after that, up to the connection's end.
-    pub rest: mpsc::Receiver<usize>,
+    pub remaining_bytes: mpsc::Receiver<usize>,
 }
 
-impl Slow {
+impl SlowReadingExecutor {
     pub fn start() -> Self {
         let (listener, addr) = raw_listener(16, Some(4096));
         let ((begin, began), (go_on, wait), (count, rest)) =
@@ -398,6 +412,6 @@
                 }
             }
         });
-        Slow { addr, began, go_on, rest }
+        SlowReadingExecutor { addr, heads: began, resume: go_on, remaining_bytes: rest }
     }
 }
--- a/crates/emulator/src/theory.rs
+++ b/crates/emulator/src/theory.rs
@@ -2,7 +2,7 @@
 //!
 //! Arrivals are Poisson, work is exponential with mean 1; results are in units of that mean.
 use crate::machine::{Machine, Millis};
-use crate::model::{End, Executor, Key, Offer, Output};
+use crate::model::{Attempt, AttemptKey, AttemptOutcome, Executor, Output};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
@@ -55,7 +55,7 @@
     /// Of the whole fleet's cores.
     pub load: f64,
     /// Executors drawn with replacement for each arrival; the emptiest one gets it, ties at random.
-    pub draws: usize,
+    pub samples: usize,
     pub arrivals: usize,
     pub seed: u64,
 }
@@ -122,7 +122,7 @@
 
 impl Fleet {
     /// Plays it to the last arrival's end.
-    pub fn play(&self) -> Means {
+    pub fn simulate(&self) -> Means {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let mut fleet: Vec<Executor> = (0..self.executors)
             .map(|k| Executor::new(self.machine.clone(), self.seed ^ ((k as u64) << 20), 0.0, true))
@@ -130,7 +130,7 @@
         let cores = self.machine.cores * self.executors as f64;
         // What comes next at each executor; entries that no longer hold are passed over.
         let mut next = Agenda { heap: BinaryHeap::new(), due: vec![f64::INFINITY; self.executors] };
-        let mut came: HashMap<Key, (usize, Millis)> = HashMap::new();
+        let mut came: HashMap<AttemptKey, (usize, Millis)> = HashMap::new();
         let (mut now, mut arrived, mut ended) = (0.0, 0, 0);
         let mut arrival = Some(0.0);
         let (mut waits, mut responses, mut counted) = (0.0, 0.0, 0u64);
@@ -141,12 +141,12 @@
                 Some(at) => {
                     now = at;
                     let drawn: Vec<usize> =
-                        (0..self.draws).map(|_| rng.random_range(0..self.executors)).collect();
+                        (0..self.samples).map(|_| rng.random_range(0..self.executors)).collect();
                     let queues: Vec<f64> = drawn
                         .iter()
                         .map(|&k| {
                             let load = fleet[k].probe(now);
-                            next.set(k, fleet[k].next_at());
+                            next.set(k, fleet[k].next_event_at());
                             load.waiting + load.running
                         })
                         .collect();
@@ -156,18 +156,18 @@
                     best.sort_unstable();
                     best.dedup();
                     let chosen = best[rng.random_range(0..best.len())];
-                    let (key, work): (Key, f64) = (Key(arrived as u64), Exp1.sample(&mut rng));
+                    let (key, work): (AttemptKey, f64) = (AttemptKey(arrived as u64), Exp1.sample(&mut rng));
                     came.insert(key, (arrived, now));
-                    let offer = Offer {
+                    let offer = Attempt {
                         key,
                         request_id: key.0,
-                        project_type: 0,
+                        request_class: 0,
                         slots: 1.0,
                         memory: 0.0,
                         work,
                         priority: 0.0,
                     };
-                    fleet[chosen].offer(now, offer);
+                    fleet[chosen].dispatch(now, offer);
                     arrived += 1;
                     let gap: f64 = Exp1.sample(&mut rng);
                     arrival = (arrived < self.arrivals).then(|| now + gap / (self.load * cores));
@@ -179,7 +179,7 @@
                     k
                 }
             };
-            while let Some((at, output)) = fleet[executor].take(now) {
+            while let Some((at, output)) = fleet[executor].pop_output(now) {
                 match output {
                     Output::Started { key } => {
                         let (number, since) = came[&key];
@@ -187,7 +187,7 @@
                             waits += at - since;
                         }
                     }
-                    Output::Ended { key, end: End::Done } => {
+                    Output::Ended { key, outcome: AttemptOutcome::Done } => {
                         let Some((number, since)) = came.remove(&key) else { continue };
                         ended += 1;
                         if number >= skipped {
@@ -197,7 +197,7 @@
                     _ => {}
                 }
             }
-            next.set(executor, fleet[executor].next_at());
+            next.set(executor, fleet[executor].next_event_at());
         }
         Means { wait: waits / counted as f64, response: responses / counted as f64 }
     }
--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/wire.rs
@@ -29,14 +29,14 @@
 }
 
 impl Gate {
-    pub fn set(&self, shut: bool) {
+    pub fn set_closed(&self, shut: bool) {
         self.shut.set(shut);
         if !shut {
             self.waiting.take().into_iter().for_each(Waker::wake);
         }
     }
 
-    pub fn is_shut(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.shut.get()
     }
 
@@ -50,17 +50,17 @@
 
 /// How a connection is ended from this side.
 #[derive(Clone, Debug)]
-pub enum Cut {
+pub enum Abort {
     /// By RST.
     Reset,
     /// After these bytes, outside of HTTP.
-    Say(&'static [u8]),
+    Write(&'static [u8]),
 }
 
 /// What is known of one connection, shared with whoever serves it.
 #[derive(Default)]
-pub struct Line {
-    cut: RefCell<Option<Cut>>,
+pub struct ConnectionHandle {
+    cut: RefCell<Option<Abort>>,
     cut_told: Notify,
     /// When the first byte since the last answer came.
     first_byte: Cell<Option<Instant>>,
@@ -69,28 +69,28 @@
     has_ended: Cell<bool>,
 }
 
-impl Line {
-    pub fn cut(&self, how: Cut) {
+impl ConnectionHandle {
+    pub fn abort(&self, how: Abort) {
         *self.cut.borrow_mut() = Some(how);
         self.cut_told.notify_one();
     }
 
     /// The same by RST, after a while.
-    pub fn cut_after(self: &Rc<Self>, wait: std::time::Duration) {
+    pub fn reset_after(self: &Rc<Self>, wait: std::time::Duration) {
         let line = self.clone();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(wait).await;
-            line.cut(Cut::Reset);
+            line.abort(Abort::Reset);
         });
     }
 
     /// When the request that is being served began to come.
-    pub fn first_byte(&self) -> Option<Instant> {
+    pub fn first_byte_at(&self) -> Option<Instant> {
         self.first_byte.get()
     }
 
     /// Waits until the peer has ended its side.
-    pub async fn ended(&self) {
+    pub async fn peer_closed(&self) {
         if !self.has_ended.get() {
             self.ended.notified().await;
         }
@@ -100,7 +100,7 @@
 struct Gated {
     stream: TcpStream,
     gate: Rc<Gate>,
-    line: Rc<Line>,
+    line: Rc<ConnectionHandle>,
     held: VecDeque<u8>,
 }
 
@@ -125,7 +125,7 @@
 impl AsyncRead for Gated {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        while this.gate.is_shut() {
+        while this.gate.is_closed() {
             // Seen by the kernel all the same, so that an end of the peer's side is noticed when it comes.
             this.gate.wait(cx);
             if this.held.len() >= MOST_HELD || this.line.has_ended.get() {
@@ -150,7 +150,7 @@
 
 impl AsyncWrite for Gated {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if self.gate.is_shut() {
+        if self.gate.is_closed() {
             self.gate.wait(cx);
             return Poll::Pending;
         }
@@ -168,23 +168,23 @@
 }
 
 /// A body that is written as it becomes known.
-pub struct Lines {
+pub struct StreamedBody {
     lines: mpsc::UnboundedReceiver<Bytes>,
     /// Told when the body is dropped, whole or not.
     dropped: Option<Box<dyn FnOnce()>>,
 }
 
-pub type LineSender = mpsc::UnboundedSender<Bytes>;
+pub type BodySender = mpsc::UnboundedSender<Bytes>;
 
-impl Lines {
-    pub fn new(dropped: Option<Box<dyn FnOnce()>>) -> (LineSender, Self) {
+impl StreamedBody {
+    pub fn new(dropped: Option<Box<dyn FnOnce()>>) -> (BodySender, Self) {
         let (send, lines) = mpsc::unbounded_channel();
-        (send, Lines { lines, dropped })
+        (send, StreamedBody { lines, dropped })
     }
 
     /// A body that is known as a whole.
-    pub fn whole(body: impl Into<Bytes>) -> Self {
-        let (send, lines) = Lines::new(None);
+    pub fn full(body: impl Into<Bytes>) -> Self {
+        let (send, lines) = StreamedBody::new(None);
         let body = body.into();
         if !body.is_empty() {
             let _ = send.send(body);
@@ -193,7 +193,7 @@
     }
 }
 
-impl Body for Lines {
+impl Body for StreamedBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -205,7 +205,7 @@
     }
 }
 
-impl Drop for Lines {
+impl Drop for StreamedBody {
     fn drop(&mut self) {
         if let Some(dropped) = self.dropped.take() {
             dropped();
@@ -214,10 +214,10 @@
 }
 
 /// Serves one connection until it ends or is cut.
-pub async fn serve<F, R>(stream: TcpStream, gate: Rc<Gate>, line: Rc<Line>, answer: F)
+pub async fn serve<F, R>(stream: TcpStream, gate: Rc<Gate>, line: Rc<ConnectionHandle>, answer: F)
 where
     F: Fn(Request<Incoming>) -> R,
-    R: Future<Output = Response<Lines>>,
+    R: Future<Output = Response<StreamedBody>>,
 {
     let _ = stream.set_nodelay(true);
     let gated = Gated { stream, gate, line: line.clone(), held: VecDeque::new() };
@@ -235,7 +235,7 @@
     }
     let mut stream = connection.into_parts().io.into_inner().stream;
     match line.cut.take() {
-        Some(Cut::Say(bytes)) => _ = stream.write_all(bytes).await,
+        Some(Abort::Write(bytes)) => _ = stream.write_all(bytes).await,
         _ => _ = socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO)),
     }
 }
@@ -253,12 +253,12 @@
 
 /// Makes new connections to a listener never come up, until it is dropped: the queue of those that wait to be
 /// accepted is cut to nothing and filled, so that the kernel passes over what asks to connect.
-pub struct Plug {
+pub struct ListenerBlock {
     _fill: Vec<TcpStream>,
 }
 
-impl Plug {
-    pub async fn put(listener: &TcpListener) -> io::Result<Self> {
+impl ListenerBlock {
+    pub async fn install(listener: &TcpListener) -> io::Result<Self> {
         let addr = listener.local_addr()?;
         socket2::SockRef::from(listener).listen(0)?;
         let mut fill = Vec::new();
@@ -270,11 +270,11 @@
                 _ => break,
             }
         }
-        Ok(Plug { _fill: fill })
+        Ok(ListenerBlock { _fill: fill })
     }
 
     /// Lets connections come up again.
-    pub fn pull(self, listener: &TcpListener) -> io::Result<()> {
+    pub fn remove(self, listener: &TcpListener) -> io::Result<()> {
         socket2::SockRef::from(listener).listen(1024)
     }
 }
--- a/crates/emulator/tests/model.rs
+++ b/crates/emulator/tests/model.rs
@@ -1,20 +1,28 @@
 //! The model stepped by hand: each case is named for what goes wrong on a real executor.
 use troutknot_emulator::*;
 
-fn offer(key: u64, slots: f64, work: f64) -> Offer {
-    Offer { key: Key(key), request_id: key, project_type: 0, slots, memory: 0.0, work, priority: key as f64 }
+fn offer(key: u64, slots: f64, work: f64) -> Attempt {
+    Attempt {
+        key: AttemptKey(key),
+        request_id: key,
+        request_class: 0,
+        slots,
+        memory: 0.0,
+        work,
+        priority: key as f64,
+    }
 }
 
 /// What happened until a time, in short: what, to whom, when (whole milliseconds).
 fn seen(executor: &mut Executor, until: f64) -> String {
     let mut words = Vec::new();
-    while let Some((at, output)) = executor.take(until) {
+    while let Some((at, output)) = executor.pop_output(until) {
         let at = at.round();
         words.push(match output {
             Output::Started { key } => format!("start {} {at}", key.0),
             Output::Progress { key, share } => format!("share {} {share:.2} {at}", key.0),
-            Output::Ended { key, end } => format!("{end:?} {} {at}", key.0),
-            Output::FellOver { .. } => format!("fell {at}"),
+            Output::Ended { key, outcome: end } => format!("{end:?} {} {at}", key.0),
+            Output::Overloaded { .. } => format!("fell {at}"),
         });
     }
     words.join(", ")
@@ -26,7 +34,7 @@
 
 #[test]
 fn work_that_does_not_fit_waits_in_the_order_that_the_queue_keeps() {
-    let of = |order| Machine { order, ..machine(2.0, 2.0) };
+    let of = |order| Machine { queue_order: order, ..machine(2.0, 2.0) };
     for (order, expected) in [
         (QueueOrder::InOrder, "start 0 0, Done 0 100, start 1 100, Done 1 200, start 2 200, Done 2 300"),
         (QueueOrder::Backfill, "start 0 0, start 2 0, Done 0 100, Done 2 100, start 1 100, Done 1 200"),
@@ -34,7 +42,7 @@
     ] {
         let mut executor = Executor::new(of(order), 1, 0.0, true);
         for (key, slots) in [(0, 1.0), (1, 2.0), (2, 1.0)] {
-            assert_eq!(executor.offer(0.0, offer(key, slots, 100.0)), Verdict::Taken);
+            assert_eq!(executor.dispatch(0.0, offer(key, slots, 100.0)), Admission::Accepted);
         }
         assert_eq!(seen(&mut executor, 1000.0), expected, "{order:?}");
     }
@@ -42,71 +50,76 @@
 
 #[test]
 fn rooms_that_are_full_and_work_that_never_fits_are_turned_away_unstarted() {
-    let mut executor = Executor::new(Machine { waiting_room: 1, ..machine(1.0, 1.0) }, 1, 0.0, true);
-    let mut verdict = |key, slots| executor.offer(0.0, offer(key, slots, 10.0));
-    use Verdict::*;
+    let mut executor = Executor::new(Machine { queue_capacity: 1, ..machine(1.0, 1.0) }, 1, 0.0, true);
+    let mut verdict = |key, slots| executor.dispatch(0.0, offer(key, slots, 10.0));
+    use Admission::*;
     assert_eq!(
         [verdict(0, 1.0), verdict(1, 1.0), verdict(2, 1.0), verdict(3, 2.0)],
-        [Taken, Taken, TurnedAway, TurnedAway]
+        [Accepted, Accepted, Rejected, Rejected]
     );
 }
 
 #[test]
 fn more_slots_than_cores_share_the_cores() {
     let mut executor = Executor::new(machine(4.0, 2.0), 1, 0.0, true);
-    (0..4).for_each(|key| _ = executor.offer(0.0, offer(key, 1.0, 100.0)));
+    (0..4).for_each(|key| _ = executor.dispatch(0.0, offer(key, 1.0, 100.0)));
     seen(&mut executor, 199.0);
-    assert_eq!(executor.running(), 4);
+    assert_eq!(executor.running_count(), 4);
     seen(&mut executor, 201.0);
-    assert_eq!(executor.running(), 0);
+    assert_eq!(executor.running_count(), 0);
 }
 
 #[test]
 fn a_cold_executor_pushed_over_goes_down_and_stays_down() {
-    let fall = Some(Fall { multiple: 2.0, window: 100.0 });
-    let cold = Some(Cold { share: 0.25, ramp: Ramp::Time(1000.0), fall });
+    let fall = Some(OverloadLimit { multiple: 2.0, window: 100.0 });
+    let cold = Some(SlowStart { initial_capacity: 0.25, ramp: Ramp::Time(1000.0), overload_limit: fall });
     for (warm, works, expected) in [
         // A quarter of four cores does 100 in the window; it stands 200.
         (false, vec![100.0, 90.0], false),
         (false, vec![100.0, 110.0], true),
         (true, vec![100.0, 110.0, 5000.0], false),
     ] {
-        let mut executor = Executor::new(Machine { cold, ..machine(4.0, 4.0) }, 1, 0.0, warm);
+        let mut executor = Executor::new(Machine { slow_start: cold, ..machine(4.0, 4.0) }, 1, 0.0, warm);
         for (key, work) in works.iter().enumerate() {
-            executor.offer(0.0, offer(key as u64, 1.0, *work));
+            executor.dispatch(0.0, offer(key as u64, 1.0, *work));
         }
         let said = seen(&mut executor, 0.0);
         assert_eq!((executor.is_down(), said.contains("fell")), (expected, expected), "{works:?}");
         assert_eq!(said.contains("Lost 0"), expected);
-        executor.take(1e6);
+        executor.pop_output(1e6);
         assert_eq!(executor.is_down(), expected, "it stays down");
         executor.restart(1e6);
-        assert_eq!(executor.offer(1e6, offer(9, 1.0, 10.0)), Verdict::Taken);
+        assert_eq!(executor.dispatch(1e6, offer(9, 1.0, 10.0)), Admission::Accepted);
     }
 }
 
 #[test]
 fn cold_starts_warm_up_by_time_or_by_work() {
     for (ramp, expected) in [(Ramp::Time(400.0), 0.625), (Ramp::Work(100.0), 0.4375)] {
-        let cold = Some(Cold { share: 0.25, ramp, fall: None });
-        let mut executor = Executor::new(Machine { cold, ..machine(1.0, 1.0) }, 1, 0.0, false);
-        assert_eq!(executor.warmth(), 0.25);
-        executor.offer(0.0, offer(0, 1.0, if ramp == Ramp::Time(400.0) { 1e4 } else { 25.0 }));
+        let cold = Some(SlowStart { initial_capacity: 0.25, ramp, overload_limit: None });
+        let mut executor = Executor::new(Machine { slow_start: cold, ..machine(1.0, 1.0) }, 1, 0.0, false);
+        assert_eq!(executor.capacity_share(), 0.25);
+        executor.dispatch(0.0, offer(0, 1.0, if ramp == Ramp::Time(400.0) { 1e4 } else { 25.0 }));
         seen(&mut executor, 200.0);
-        assert!((executor.warmth() - expected).abs() < 0.01, "{ramp:?}: {}", executor.warmth());
+        assert!(
+            (executor.capacity_share() - expected).abs() < 0.01,
+            "{ramp:?}: {}",
+            executor.capacity_share()
+        );
     }
 }
 
 #[test]
 fn what_a_client_gives_up_goes_on_unless_cancels_stop_it() {
     for (cancels, expected) in [
-        (CancelPower::Nothing, "start 0 0, Done 0 100, start 1 100, Done 1 200"),
-        (CancelPower::Waiting, "start 0 0, Done 0 100"),
-        (CancelPower::Running, "start 0 0, start 1 50"),
+        (CancelScope::None, "start 0 0, Done 0 100, start 1 100, Done 1 200"),
+        (CancelScope::Waiting, "start 0 0, Done 0 100"),
+        (CancelScope::Running, "start 0 0, start 1 50"),
     ] {
-        let mut executor = Executor::new(Machine { cancels, ..machine(1.0, 1.0) }, 1, 0.0, true);
-        (0..2).for_each(|key| _ = executor.offer(0.0, offer(key, 1.0, 100.0)));
-        (0..2).for_each(|key| executor.cancel(50.0, Key(key)));
+        let mut executor =
+            Executor::new(Machine { cancel_scope: cancels, ..machine(1.0, 1.0) }, 1, 0.0, true);
+        (0..2).for_each(|key| _ = executor.dispatch(0.0, offer(key, 1.0, 100.0)));
+        (0..2).for_each(|key| executor.cancel(50.0, AttemptKey(key)));
         assert_eq!(seen(&mut executor, 1000.0), expected, "{cancels:?}");
     }
 }
@@ -114,15 +127,15 @@
 #[test]
 fn stopped_work_goes_on_from_its_last_checkpoint() {
     let of = Machine {
-        cancels: CancelPower::Running,
-        checkpoint_every: Some(40.0),
-        progress_every: Some(50.0),
+        cancel_scope: CancelScope::Running,
+        checkpoint_interval: Some(40.0),
+        progress_interval: Some(50.0),
         ..machine(1.0, 1.0)
     };
     let mut executor = Executor::new(of, 1, 0.0, true);
-    executor.offer(0.0, offer(0, 1.0, 100.0));
-    executor.cancel(70.0, Key(0));
-    executor.offer(70.0, Offer { key: Key(1), ..offer(0, 1.0, 100.0) });
+    executor.dispatch(0.0, offer(0, 1.0, 100.0));
+    executor.cancel(70.0, AttemptKey(0));
+    executor.dispatch(70.0, Attempt { key: AttemptKey(1), ..offer(0, 1.0, 100.0) });
     assert_eq!(
         seen(&mut executor, 1000.0),
         "start 0 0, share 0 0.50 50, start 1 70, share 1 0.90 120, Done 1 130"
@@ -135,8 +148,13 @@
         (true, "start 0 0, Returned 1 50, Done 0 100"),
         (false, "start 0 0, Done 0 100, start 1 100, Done 1 200"),
     ] {
-        let mut executor = Executor::new(Machine { drain_returns, ..machine(1.0, 1.0) }, 1, 0.0, true);
-        (0..2).for_each(|key| _ = executor.offer(0.0, offer(key, 1.0, 100.0)));
+        let mut executor = Executor::new(
+            Machine { returns_queue_on_drain: drain_returns, ..machine(1.0, 1.0) },
+            1,
+            0.0,
+            true,
+        );
+        (0..2).for_each(|key| _ = executor.dispatch(0.0, offer(key, 1.0, 100.0)));
         executor.drain(50.0);
         assert_eq!(seen(&mut executor, 1000.0), expected);
     }
@@ -144,10 +162,10 @@
 
 #[test]
 fn troubles_alone_and_overlapping_change_when_work_ends() {
-    use Trouble::*;
-    let neighbour = Neighbour { part: 0.5, on: 100.0, off: 100.0 };
+    use Fault::*;
+    let contention = CpuContention { share: 0.5, on: 100.0, off: 100.0 };
     // Troubles with their begin and end, work of 100 that comes at 0, what is seen of it.
-    type Case = (Vec<(Trouble, f64, f64)>, &'static str);
+    type Case = (Vec<(Fault, f64, f64)>, &'static str);
     let cases: Vec<Case> = vec![
         (vec![], "start 0 0, Done 0 100"),
         (vec![(Slow { factor: 3.0 }, 0.0, 60.0)], "start 0 0, Done 0 140"),
@@ -157,11 +175,11 @@
         ),
         (vec![(Pause, 50.0, 250.0)], "start 0 0, Done 0 300"),
         (vec![(Pause, 0.0, 250.0)], "start 0 250, Done 0 350"),
-        (vec![(neighbour, 0.0, 1000.0)], "start 0 0, Done 0 150"),
-        (vec![(Silence { cold: true }, 50.0, 250.0)], "start 0 0, Reset 0 250"),
-        (vec![(Silence { cold: false }, 50.0, 250.0)], "start 0 0, Done 0 100"),
-        (vec![(Swallow { project_type: 0, share: 1.0 }, 0.0, 1000.0)], ""),
-        (vec![(Swallow { project_type: 1, share: 1.0 }, 0.0, 1000.0)], "start 0 0, Done 0 100"),
+        (vec![(contention, 0.0, 1000.0)], "start 0 0, Done 0 150"),
+        (vec![(Silence { restarts: true }, 50.0, 250.0)], "start 0 0, Reset 0 250"),
+        (vec![(Silence { restarts: false }, 50.0, 250.0)], "start 0 0, Done 0 100"),
+        (vec![(NeverStart { request_class: 0, share: 1.0 }, 0.0, 1000.0)], ""),
+        (vec![(NeverStart { request_class: 1, share: 1.0 }, 0.0, 1000.0)], "start 0 0, Done 0 100"),
         (vec![(Errors { share: 1.0 }, 0.0, 1000.0)], "Error"),
     ];
     for (troubles, expected) in cases {
@@ -175,15 +193,15 @@
         let apply = |executor: &mut Executor, (at, number, begins): (f64, usize, bool)| {
             let trouble = troubles[number].0.clone();
             if begins {
-                executor.trouble(at, number as u64, trouble)
+                executor.begin_fault(at, number as u64, trouble)
             } else {
-                executor.trouble_over(at, number as u64)
+                executor.end_fault(at, number as u64)
             }
         };
         now.into_iter().for_each(|step| apply(&mut executor, step));
-        let verdict = executor.offer(0.0, offer(0, 1.0, 100.0));
+        let verdict = executor.dispatch(0.0, offer(0, 1.0, 100.0));
         later.into_iter().for_each(|step| apply(&mut executor, step));
-        let said = if verdict == Verdict::Error { "Error".into() } else { seen(&mut executor, 5000.0) };
+        let said = if verdict == Admission::Error { "Error".into() } else { seen(&mut executor, 5000.0) };
         assert_eq!(said, expected, "{troubles:?}");
     }
 }
@@ -191,15 +209,15 @@
 #[test]
 fn resets_break_work_under_way_and_heavy_tails_are_the_same_everywhere() {
     let mut executor = Executor::new(machine(1.0, 1.0), 1, 0.0, true);
-    executor.trouble(0.0, 0, Trouble::Resets { share: 1.0 });
-    executor.offer(0.0, offer(0, 1.0, 100.0));
+    executor.begin_fault(0.0, 0, Fault::Resets { share: 1.0 });
+    executor.dispatch(0.0, offer(0, 1.0, 100.0));
     let said = seen(&mut executor, 99.0);
     assert!(said.starts_with("start 0 0, Reset 0 "), "{said}");
-    let tail = Trouble::HeavyTail { project_type: 0, share: 1.0, alpha: 1.5 };
+    let tail = Fault::HeavyTail { request_class: 0, share: 1.0, alpha: 1.5 };
     let ends = [1, 2].map(|seed| {
         let mut executor = Executor::new(machine(1.0, 1.0), seed, 0.0, true);
-        executor.trouble(0.0, 0, tail.clone());
-        executor.offer(0.0, offer(5, 1.0, 100.0));
+        executor.begin_fault(0.0, 0, tail.clone());
+        executor.dispatch(0.0, offer(5, 1.0, 100.0));
         seen(&mut executor, 1e9)
     });
     assert_eq!(ends[0], ends[1]);
@@ -208,25 +226,25 @@
 
 #[test]
 fn readings_are_as_old_noisy_late_or_wrong_as_stated() {
-    let readings = Readings { refresh: 100.0, delay: 20.0, jitter: 10.0, noise: 0.0 };
-    let mut executor = Executor::new(Machine { readings, ..machine(4.0, 4.0) }, 1, 0.0, true);
-    executor.offer(1000.0, offer(0, 1.0, 1e6));
+    let readings = LoadReportTiming { interval: 100.0, delay: 20.0, jitter: 10.0, noise: 0.0 };
+    let mut executor = Executor::new(Machine { load_reports: readings, ..machine(4.0, 4.0) }, 1, 0.0, true);
+    executor.dispatch(1000.0, offer(0, 1.0, 1e6));
     assert_eq!(executor.probe(1010.0).free_slots, 4.0, "before any reading can show it");
     assert_eq!(executor.probe(1000.0 + 20.0 + 10.0 + 2.0 * 100.0).free_slots, 3.0);
-    executor.trouble(1300.0, 0, Trouble::WrongReadings { factor: 0.0 });
+    executor.begin_fault(1300.0, 0, Fault::WrongLoadReports { factor: 0.0 });
     assert_eq!(executor.probe(1300.0).free_slots, 4.0, "it shows none of its load");
-    executor.trouble_over(1300.0, 0);
-    executor.trouble(1300.0, 1, Trouble::LateReadings { by: 800.0 });
-    executor.offer(1301.0, offer(1, 1.0, 1e6));
+    executor.end_fault(1300.0, 0);
+    executor.begin_fault(1300.0, 1, Fault::LateLoadReports { delay: 800.0 });
+    executor.dispatch(1301.0, offer(1, 1.0, 1e6));
     assert_eq!(executor.probe(2000.0).free_slots, 3.0, "late");
 }
 
 #[test]
 fn probes_and_handshakes_cost_work_and_connections_are_bounded() {
-    let of = Machine { probe_work: 10.0, handshake_work: 20.0, connections: 1, ..machine(1.0, 1.0) };
+    let of = Machine { probe_work: 10.0, handshake_work: 20.0, max_connections: 1, ..machine(1.0, 1.0) };
     let mut executor = Executor::new(of, 1, 0.0, true);
     assert!(executor.connect(0.0) && !executor.connect(0.0));
-    executor.offer(0.0, offer(0, 1.0, 100.0));
+    executor.dispatch(0.0, offer(0, 1.0, 100.0));
     executor.probe(0.0);
     assert_eq!(seen(&mut executor, 1000.0), "start 0 0, Done 0 130");
     executor.disconnect(1000.0);
--- a/crates/fake-consul/src/agent.rs
+++ b/crates/fake-consul/src/agent.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
-use troutknot_emulator::wire::{self, Cut, Gate, Line, Lines};
+use troutknot_emulator::wire::{self, Abort, ConnectionHandle, Gate, StreamedBody};
 
 const HEALTH_PATH: &str = "/v1/health/service/";
 /// Requests that are remembered for [`Agent::take_requests`], so that a test that never takes them is bounded.
@@ -61,7 +61,7 @@
     fault: watch::Sender<Fault>,
     stale_view: RefCell<Option<Catalogue>>,
     gate: Rc<Gate>,
-    connections: RefCell<Vec<Weak<Line>>>,
+    connections: RefCell<Vec<Weak<ConnectionHandle>>>,
     token: Option<String>,
     on_answer: RefCell<Option<OnAnswer>>,
     requests: RefCell<Vec<String>>,
@@ -93,14 +93,14 @@
     pub fn set_fault(&self, fault: Fault) {
         let view = (fault == Fault::StaleView).then(|| self.cluster.catalogue().clone());
         *self.stale_view.borrow_mut() = view;
-        self.gate.set(fault == Fault::Silent);
+        self.gate.set_closed(fault == Fault::Silent);
         self.fault.send_replace(fault);
     }
 
     /// Resets all connections.
     pub fn reset(&self) {
         let connections = std::mem::take(&mut *self.connections.borrow_mut());
-        connections.iter().filter_map(Weak::upgrade).for_each(|connection| connection.cut(Cut::Reset));
+        connections.iter().filter_map(Weak::upgrade).for_each(|connection| connection.abort(Abort::Reset));
     }
 
     /// Sets what is notified of answers.
@@ -116,7 +116,7 @@
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
-            let connection = Rc::new(Line::default());
+            let connection = Rc::new(ConnectionHandle::default());
             self.remember_connection(&connection);
             let (agent, own) = (self.clone(), connection.clone());
             spawn_local(wire::serve(stream, self.gate.clone(), connection, move |request| {
@@ -126,7 +126,7 @@
         }
     }
 
-    fn remember_connection(&self, connection: &Rc<Line>) {
+    fn remember_connection(&self, connection: &Rc<ConnectionHandle>) {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| connection.strong_count() > 0);
         connections.push(Rc::downgrade(connection));
@@ -139,7 +139,11 @@
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>, connection: Rc<Line>) -> Response<Lines> {
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+        connection: Rc<ConnectionHandle>,
+    ) -> Response<StreamedBody> {
         self.remember_request(&request);
         let key = match self.authorized_key(&request) {
             Ok(key) => key,
@@ -154,7 +158,7 @@
             Fault::Status500 => return error(StatusCode::INTERNAL_SERVER_ERROR, "rpc error"),
             Fault::NoLeader => return no_leader(),
             Fault::Garbage => {
-                connection.cut(Cut::Say(GARBAGE));
+                connection.abort(Abort::Write(GARBAGE));
                 return std::future::pending().await;
             }
             _ => {}
@@ -182,7 +186,12 @@
         Ok(ServiceKey { datacenter, service })
     }
 
-    fn health(&self, key: &ServiceKey, fault: Fault, connection: &Rc<Line>) -> Response<Lines> {
+    fn health(
+        &self,
+        key: &ServiceKey,
+        fault: Fault,
+        connection: &Rc<ConnectionHandle>,
+    ) -> Response<StreamedBody> {
         let stale_view = self.stale_view.borrow();
         let current = self.cluster.catalogue();
         let catalogue = stale_view.as_ref().unwrap_or(&current);
@@ -198,7 +207,7 @@
         {
             notify(&service.statuses());
         }
-        with_consul_headers(Response::new(Lines::whole(body)), index)
+        with_consul_headers(Response::new(StreamedBody::full(body)), index)
     }
 
     fn index_of(&self, key: &ServiceKey) -> u64 {
@@ -237,7 +246,7 @@
 }
 
 impl Refusal {
-    fn response(self) -> Response<Lines> {
+    fn response(self) -> Response<StreamedBody> {
         match self {
             Refusal::Forbidden => error(StatusCode::FORBIDDEN, "Permission denied"),
             Refusal::NotFound => error(StatusCode::NOT_FOUND, ""),
@@ -246,24 +255,24 @@
     }
 }
 
-fn error(status: StatusCode, body: &'static str) -> Response<Lines> {
-    let mut answer = Response::new(Lines::whole(body));
+fn error(status: StatusCode, body: &'static str) -> Response<StreamedBody> {
+    let mut answer = Response::new(StreamedBody::full(body));
     *answer.status_mut() = status;
     answer
 }
 
-fn no_leader() -> Response<Lines> {
+fn no_leader() -> Response<StreamedBody> {
     let mut answer = error(StatusCode::INTERNAL_SERVER_ERROR, "No cluster leader");
     answer.headers_mut().insert("x-consul-knownleader", HeaderValue::from_static("false"));
     answer
 }
 
 /// An answer whose connection is cut in the middle of its body.
-fn half_of(mut body: String, connection: &Rc<Line>) -> Response<Lines> {
+fn half_of(mut body: String, connection: &Rc<ConnectionHandle>) -> Response<StreamedBody> {
     let half = body.len() / 2;
     body.truncate(half);
-    connection.cut_after(HALF_BODY_DELAY);
-    let (send, lines) = Lines::new(None);
+    connection.reset_after(HALF_BODY_DELAY);
+    let (send, lines) = StreamedBody::new(None);
     let _ = send.send(body.into());
     // The body must not end before the connection does.
     spawn_local(async move {
@@ -273,7 +282,7 @@
     Response::new(lines)
 }
 
-fn with_consul_headers(mut answer: Response<Lines>, index: u64) -> Response<Lines> {
+fn with_consul_headers(mut answer: Response<StreamedBody>, index: u64) -> Response<StreamedBody> {
     let headers = answer.headers_mut();
     headers.insert("content-type", HeaderValue::from_static("application/json"));
     headers.insert("x-consul-index", HeaderValue::from(index));
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -14,9 +14,9 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 use troutknot_emulator::Millis;
-use troutknot_emulator::executors::result_of;
+use troutknot_emulator::executors::format_result;
 use troutknot_emulator::front::Front;
-use troutknot_emulator::observed::{NodeNumber, Record, Seen};
+use troutknot_emulator::observations::{NodeNumber, Observation, ObservationLog};
 
 /// An answer is waited for so long beyond its limit, so that a late one is told from none.
 const BEYOND: Duration = Duration::from_millis(300);
@@ -37,7 +37,7 @@
 pub struct Clients {
     scenario: Arc<Scenario>,
     plan: Arc<Plan>,
-    record: Arc<Record>,
+    record: Arc<ObservationLog>,
     front: Rc<Front>,
     idle: RefCell<Vec<Kept>>,
     room: Semaphore,
@@ -58,7 +58,12 @@
 }
 
 impl Clients {
-    pub fn new(scenario: Arc<Scenario>, plan: Arc<Plan>, record: Arc<Record>, front: Rc<Front>) -> Rc<Self> {
+    pub fn new(
+        scenario: Arc<Scenario>,
+        plan: Arc<Plan>,
+        record: Arc<ObservationLog>,
+        front: Rc<Front>,
+    ) -> Rc<Self> {
         let room = Semaphore::new(scenario.clients.connections);
         Rc::new(Clients {
             scenario,
@@ -127,8 +132,8 @@
     async fn keyed_request(&self, number: usize, request: &Request, kind: &ProjectType) {
         let until = Instant::now() + 2 * kind.hard_limit + BEYOND;
         let (mut attempt, mut deferred) = (0, 0);
-        let Some((node, _)) = self.front.deal() else {
-            self.record.note(Seen::NoWayIn { request: number });
+        let Some((node, _)) = self.front.next_node() else {
+            self.record.record(Observation::ConnectFailed { request: number });
             self.over.set(self.over.get() + 1);
             return;
         };
@@ -166,7 +171,7 @@
         }
         let (node, addr) = match node {
             Some(node) => (node, self.front.addr(node)?),
-            None => self.front.deal()?,
+            None => self.front.next_node()?,
         };
         let stream = timeout(CONNECT_WAIT, TcpStream::connect(addr)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
@@ -186,7 +191,7 @@
     ) -> Came {
         let id = self.plan.request_id(number, attempt);
         let no_way_in = || {
-            self.record.note(Seen::NoWayIn { request: number });
+            self.record.record(Observation::ConnectFailed { request: number });
             Came::NoWayIn
         };
         let Ok(_room) = self.room.try_acquire() else { return no_way_in() };
@@ -216,7 +221,12 @@
                 return no_way_in();
             };
             let (keyed, node) = (node.is_some(), kept.node);
-            self.record.note(Seen::Sent { id: id.as_str().into(), request: number, attempt, node });
+            self.record.record(Observation::RequestSent {
+                id: id.as_str().into(),
+                request: number,
+                attempt,
+                node,
+            });
             let end = Instant::now() + kind.hard_limit + BEYOND;
             let answer = async {
                 let answer =
@@ -235,7 +245,7 @@
                 biased;
                 answer = timeout_at(end, answer) => answer,
                 () = leave => {
-                    self.record.note(Seen::Left { id: id.into() });
+                    self.record.record(Observation::ClientDisconnected { id: id.into() });
                     return Came::Left;
                 }
             };
@@ -244,7 +254,7 @@
                 // It was handed back unwritten, as the connection had ended.
                 Ok(Err(true)) => continue,
                 Ok(Err(false)) => {
-                    self.record.note(Seen::Cut { id: id.into(), reused: kept.reused });
+                    self.record.record(Observation::ConnectionLost { id: id.into(), reused: kept.reused });
                     return Came::Cut;
                 }
                 Err(_) => return Came::Failed,
@@ -253,11 +263,16 @@
             // With a key the result may be of any try before.
             let first = if keyed { 0 } else { attempt };
             let fits =
-                (first..=attempt).any(|k| body == result_of(&self.plan.request_id(number, k)).as_bytes());
+                (first..=attempt).any(|k| body == format_result(&self.plan.request_id(number, k)).as_bytes());
             let told = head.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
             let told = told.filter(|s| (0.0..3600.0).contains(s)).map(Duration::from_secs_f64);
             let come_back = told.map(millis);
-            self.record.note(Seen::Answered { id: id.into(), status, fits, come_back });
+            self.record.record(Observation::RequestAnswered {
+                id: id.into(),
+                status,
+                is_valid: fits,
+                retry_after: come_back,
+            });
             let closes =
                 head.headers.get("connection").is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
             if !closes {
--- a/crates/rehearsal/src/lists.rs
+++ b/crates/rehearsal/src/lists.rs
@@ -11,7 +11,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use troutknot_emulator::discovery::{Agent, Member};
-use troutknot_emulator::observed::{ExecutorNumber, Listed, NodeNumber, Record, Seen};
+use troutknot_emulator::observations::{
+    ExecutorNumber, ListedState, NodeNumber, Observation, ObservationLog,
+};
 use troutknot_fake_consul::{self as fake_consul, Cluster, Fault, Instance, Status};
 
 pub const SERVICE: &str = "box";
@@ -26,9 +28,9 @@
 pub struct ConsulList {
     agent: Rc<fake_consul::Agent>,
     node: NodeNumber,
-    record: Arc<Record>,
+    record: Arc<ObservationLog>,
     /// What could not be told since it went wrong.
-    missed: RefCell<Vec<(ExecutorNumber, Listed)>>,
+    missed: RefCell<Vec<(ExecutorNumber, ListedState)>>,
     wrong: RefCell<Option<How>>,
 }
 
@@ -36,8 +38,12 @@
     id.strip_prefix("s-")?.parse().ok()
 }
 
-fn listed(status: Status) -> Listed {
-    if matches!(status, Status::Passing | Status::Warning) { Listed::Ready } else { Listed::Terminating }
+fn listed(status: Status) -> ListedState {
+    if matches!(status, Status::Passing | Status::Warning) {
+        ListedState::Ready
+    } else {
+        ListedState::Terminating
+    }
 }
 
 impl ConsulList {
@@ -47,33 +53,36 @@
         cluster: &Rc<Cluster>,
         node: NodeNumber,
         at: SocketAddr,
-        record: &Arc<Record>,
+        record: &Arc<ObservationLog>,
     ) -> io::Result<Rc<Self>> {
         let agent = fake_consul::Agent::start(cluster, at, None)?;
-        let told: RefCell<HashMap<ExecutorNumber, Listed>> = RefCell::default();
+        let told: RefCell<HashMap<ExecutorNumber, ListedState>> = RefCell::default();
         let own = record.clone();
         agent.on_answer(Box::new(move |instances| {
-            let now: HashMap<ExecutorNumber, Listed> =
+            let now: HashMap<ExecutorNumber, ListedState> =
                 instances.iter().filter_map(|(id, status)| Some((number_of(id)?, listed(*status)))).collect();
             let mut told = told.borrow_mut();
-            let note = |executor, listed| own.note(Seen::Told { node, executor, listed });
+            let note =
+                |executor, listed| own.record(Observation::NodeNotified { node, executor, state: listed });
             for (&executor, &state) in &now {
                 if told.get(&executor) != Some(&state) {
                     note(executor, state);
                 }
             }
-            told.keys().filter(|executor| !now.contains_key(executor)).for_each(|&e| note(e, Listed::Gone));
+            told.keys()
+                .filter(|executor| !now.contains_key(executor))
+                .for_each(|&e| note(e, ListedState::Gone));
             *told = now;
         }));
         let (missed, wrong) = Default::default();
         Ok(Rc::new(ConsulList { agent, node, record: record.clone(), missed, wrong }))
     }
 
-    fn knows(&self, executor: ExecutorNumber, listed: Listed) {
+    fn knows(&self, executor: ExecutorNumber, listed: ListedState) {
         if self.wrong.borrow().is_some() {
             self.missed.borrow_mut().push((executor, listed));
         } else {
-            self.record.note(Seen::AgentKnows { node: self.node, executor, listed });
+            self.record.record(Observation::AgentUpdated { node: self.node, executor, state: listed });
         }
     }
 
@@ -109,13 +118,13 @@
     /// The list as the node last had it, as far as its agent knows.
     pub fn known(&self, listed: &[Option<Member>]) -> Value {
         match self {
-            NodeList::Platform(agent) => agent.known(),
+            NodeList::Platform(agent) => agent.snapshot(),
             NodeList::Consul(_) => {
-                let members = listed.iter().flatten().filter(|m| m.listed != Listed::Gone);
+                let members = listed.iter().flatten().filter(|m| m.state != ListedState::Gone);
                 let of = |m: &Member| {
-                    let state = if m.listed == Listed::Ready { "Ready" } else { "Terminating" };
-                    serde_json::json!({"id": m.id, "addr": m.addr.to_string(), "zone": m.zone, "kind": m.kind,
-                        "cell": m.cell, "state": state, "weight": m.weight, "started_ms": m.started_ms})
+                    let state = if m.state == ListedState::Ready { "Ready" } else { "Terminating" };
+                    serde_json::json!({"id": m.id, "addr": m.addr.to_string(), "zone": m.zone, "kind": m.machine_type,
+                        "cell": m.deduplication_group, "state": state, "weight": m.weight, "started_ms": m.started_at})
                 };
                 serde_json::json!({"version": 1, "full": true, "servers": members.map(of).collect::<Vec<_>>()})
             }
@@ -144,7 +153,7 @@
 
     pub fn silent(&self, on: bool) {
         match self {
-            NodeList::Platform(agent) => agent.silent(on),
+            NodeList::Platform(agent) => agent.set_silent(on),
             NodeList::Consul(list) => list.script(on.then_some(How::Silent)),
         }
     }
@@ -157,7 +166,7 @@
 
     pub fn restart(&self) {
         match self {
-            NodeList::Platform(agent) => agent.restart(),
+            NodeList::Platform(agent) => agent.reset_watches(),
             NodeList::Consul(list) => list.agent.reset(),
         }
     }
@@ -174,8 +183,8 @@
     /// A change of the list, heard by the platform's agent after a while. Consul's cluster has it already.
     pub fn change(&self, member: &Member, after: Duration) {
         match self {
-            NodeList::Platform(agent) => agent.change(member.clone(), after),
-            NodeList::Consul(list) => list.knows(member.executor, member.listed),
+            NodeList::Platform(agent) => agent.schedule_change(member.clone(), after),
+            NodeList::Consul(list) => list.knows(member.executor, member.state),
         }
     }
 }
@@ -190,24 +199,24 @@
 
 /// Lists a member in Consul as it stands; `failing` says whether its checks do, or an operator.
 pub fn register(cluster: &Cluster, member: &Member, failing: bool) {
-    match member.listed {
-        Listed::Gone => cluster.deregister(SERVICE, &member.id),
+    match member.state {
+        ListedState::Gone => cluster.deregister(SERVICE, &member.id),
         _ => cluster.register(SERVICE, instance(member, failing)),
     }
 }
 
 fn instance(member: &Member, failing: bool) -> Instance {
     let mut instance = Instance::new(&member.id, member.addr);
-    instance.status = match (member.listed, failing) {
-        (Listed::Ready, _) => Status::Passing,
+    instance.status = match (member.state, failing) {
+        (ListedState::Ready, _) => Status::Passing,
         (_, true) => Status::Critical,
         (_, false) => Status::Maintenance,
     };
     let meta = [
         ("executor", member.id.clone()),
-        ("kind", member.kind.clone()),
-        ("cell", member.cell.to_string()),
-        ("started", format!("{:.0}", member.started_ms)),
+        ("kind", member.machine_type.clone()),
+        ("cell", member.deduplication_group.to_string()),
+        ("started", format!("{:.0}", member.started_at)),
     ];
     instance.meta = meta.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
     instance
--- a/crates/rehearsal/src/plan/executors.rs
+++ b/crates/rehearsal/src/plan/executors.rs
@@ -2,7 +2,9 @@
 use crate::scenario::{Cancels, Executors, Order, ReadingsSpec, Rules, Scenario, millis};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
-use troutknot_emulator::{CancelPower, Cold, Fall, Machine, QueueOrder, Ramp, Readings};
+use troutknot_emulator::{
+    CancelScope, LoadReportTiming, Machine, OverloadLimit, QueueOrder, Ramp, SlowStart,
+};
 
 /// One executor over the day.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,17 +48,17 @@
         cores: group.cores.unwrap_or(group.slots),
         speed: group.speed,
         memory: group.memory.unwrap_or(f64::INFINITY),
-        waiting_room: group.waiting_room,
-        order: queue_order(group.order),
-        cold: Some(slow_start(rules)),
-        cancels: cancel_power(group.cancels),
-        checkpoint_every: group.checkpoint_every.map(millis),
-        drain_returns: group.drain_returns,
+        queue_capacity: group.waiting_room,
+        queue_order: queue_order(group.order),
+        slow_start: Some(slow_start(rules)),
+        cancel_scope: cancel_power(group.cancels),
+        checkpoint_interval: group.checkpoint_every.map(millis),
+        returns_queue_on_drain: group.drain_returns,
         probe_work: millis(group.probe_work),
         handshake_work: millis(group.handshake_work),
-        connections: group.connections,
-        readings: readings(&group.readings),
-        progress_every: group.progress_every.map(millis),
+        max_connections: group.connections,
+        load_reports: readings(&group.readings),
+        progress_interval: group.progress_every.map(millis),
     }
 }
 
@@ -68,25 +70,28 @@
     }
 }
 
-fn cancel_power(cancels: Cancels) -> CancelPower {
+fn cancel_power(cancels: Cancels) -> CancelScope {
     match cancels {
-        Cancels::Nothing => CancelPower::Nothing,
-        Cancels::Waiting => CancelPower::Waiting,
-        Cancels::Running => CancelPower::Running,
+        Cancels::Nothing => CancelScope::None,
+        Cancels::Waiting => CancelScope::Waiting,
+        Cancels::Running => CancelScope::Running,
     }
 }
 
-fn slow_start(rules: &Rules) -> Cold {
-    Cold {
-        share: rules.cold_share,
+fn slow_start(rules: &Rules) -> SlowStart {
+    SlowStart {
+        initial_capacity: rules.cold_share,
         ramp: Ramp::Time(millis(rules.ramp)),
-        fall: Some(Fall { multiple: rules.fall_multiple, window: millis(rules.fall_window) }),
+        overload_limit: Some(OverloadLimit {
+            multiple: rules.fall_multiple,
+            window: millis(rules.fall_window),
+        }),
     }
 }
 
-fn readings(spec: &ReadingsSpec) -> Readings {
-    Readings {
-        refresh: millis(spec.refresh),
+fn readings(spec: &ReadingsSpec) -> LoadReportTiming {
+    LoadReportTiming {
+        interval: millis(spec.refresh),
         delay: millis(spec.delay),
         jitter: millis(spec.jitter),
         noise: spec.noise,
--- a/crates/rehearsal/src/plan/faults.rs
+++ b/crates/rehearsal/src/plan/faults.rs
@@ -2,7 +2,7 @@
 use super::schedule::Schedule;
 use super::{Step, startup_delay};
 use crate::scenario::{Scenario, TroubleKind, TroubleSpec, millis};
-use troutknot_emulator::{Millis, Trouble};
+use troutknot_emulator::{Fault, Millis};
 
 const DEFAULT_BURST: Millis = 1000.0;
 const DEFAULT_CORE_SHARE: f64 = 0.5;
@@ -16,7 +16,7 @@
         let (from, to) = (millis(spec.from), millis(spec.to));
         let fault = executor_fault(spec, self.scenario);
         for executor in self.sample(candidates, count) {
-            if fault == (Trouble::Silence { cold: true }) {
+            if fault == (Fault::Silence { restarts: true }) {
                 self.add_listing_changes(executor, from, to);
             }
             self.add(from, Step::FaultBegins { number, executor, fault: fault.clone() });
@@ -36,25 +36,25 @@
     }
 }
 
-fn executor_fault(spec: &TroubleSpec, scenario: &Scenario) -> Trouble {
+fn executor_fault(spec: &TroubleSpec, scenario: &Scenario) -> Fault {
     let factor = spec.factor.unwrap_or(1.0);
     let share = spec.of_work.unwrap_or(1.0);
     match spec.kind {
-        TroubleKind::Slow => Trouble::Slow { factor },
-        TroubleKind::Pause => Trouble::Pause,
-        TroubleKind::Silence => Trouble::Silence { cold: spec.cold.unwrap_or(true) },
-        TroubleKind::Neighbour => Trouble::Neighbour {
-            part: spec.part.unwrap_or(DEFAULT_CORE_SHARE),
+        TroubleKind::Slow => Fault::Slow { factor },
+        TroubleKind::Pause => Fault::Pause,
+        TroubleKind::Silence => Fault::Silence { restarts: spec.cold.unwrap_or(true) },
+        TroubleKind::Neighbour => Fault::CpuContention {
+            share: spec.part.unwrap_or(DEFAULT_CORE_SHARE),
             on: spec.on.map_or(DEFAULT_BURST, millis),
             off: spec.off.map_or(DEFAULT_BURST, millis),
         },
-        TroubleKind::Swallow => Trouble::Swallow { project_type: class_index(spec, scenario), share },
-        TroubleKind::Errors => Trouble::Errors { share },
-        TroubleKind::WrongReadings => Trouble::WrongReadings { factor },
-        TroubleKind::LateReadings => Trouble::LateReadings { by: spec.by.map_or(0.0, millis) },
-        TroubleKind::Resets => Trouble::Resets { share },
-        TroubleKind::HeavyTail => Trouble::HeavyTail {
-            project_type: class_index(spec, scenario),
+        TroubleKind::Swallow => Fault::NeverStart { request_class: class_index(spec, scenario), share },
+        TroubleKind::Errors => Fault::Errors { share },
+        TroubleKind::WrongReadings => Fault::WrongLoadReports { factor },
+        TroubleKind::LateReadings => Fault::LateLoadReports { delay: spec.by.map_or(0.0, millis) },
+        TroubleKind::Resets => Fault::Resets { share },
+        TroubleKind::HeavyTail => Fault::HeavyTail {
+            request_class: class_index(spec, scenario),
             share,
             alpha: spec.alpha.unwrap_or(DEFAULT_PARETO_EXPONENT),
         },
--- a/crates/rehearsal/src/plan/fingerprint.rs
+++ b/crates/rehearsal/src/plan/fingerprint.rs
@@ -2,6 +2,9 @@
 //! follow the names of the types in this crate.
 use super::{Plan, PlannedExecutor, Request, Step};
 use std::fmt;
+use troutknot_emulator::{
+    CancelScope, LoadReportTiming, Machine, OverloadLimit, QueueOrder, Ramp, SlowStart,
+};
 
 const HASH_DIGITS: usize = 16;
 
@@ -33,7 +36,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("PlannedExecutor")
             .field("group", &self.0.group)
-            .field("machine", &self.0.machine)
+            .field("machine", &MachineText(&self.0.machine))
             .field("seed", &self.0.seed)
             .field("kind", &self.0.machine_type)
             .field("at_start", &self.0.is_initial)
@@ -42,6 +45,101 @@
     }
 }
 
+/// The hashed form of a machine.
+struct MachineText<'a>(&'a Machine);
+
+impl fmt::Debug for MachineText<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Machine {
+            slots,
+            cores,
+            speed,
+            memory,
+            queue_capacity,
+            queue_order,
+            slow_start,
+            cancel_scope,
+            checkpoint_interval,
+            returns_queue_on_drain,
+            probe_work,
+            handshake_work,
+            max_connections,
+            load_reports,
+            progress_interval,
+        } = self.0;
+        let queue_order = match queue_order {
+            QueueOrder::InOrder => format_args!("InOrder"),
+            QueueOrder::Backfill => format_args!("Backfill"),
+            QueueOrder::Priority => format_args!("Priority"),
+        };
+        let cancel_scope = match cancel_scope {
+            CancelScope::None => format_args!("Nothing"),
+            CancelScope::Waiting => format_args!("Waiting"),
+            CancelScope::Running => format_args!("Running"),
+        };
+        f.debug_struct("Machine")
+            .field("slots", slots)
+            .field("cores", cores)
+            .field("speed", speed)
+            .field("memory", memory)
+            .field("waiting_room", queue_capacity)
+            .field("order", &queue_order)
+            .field("cold", &slow_start.as_ref().map(SlowStartText))
+            .field("cancels", &cancel_scope)
+            .field("checkpoint_every", checkpoint_interval)
+            .field("drain_returns", returns_queue_on_drain)
+            .field("probe_work", probe_work)
+            .field("handshake_work", handshake_work)
+            .field("connections", max_connections)
+            .field("readings", &LoadReportTimingText(load_reports))
+            .field("progress_every", progress_interval)
+            .finish()
+    }
+}
+
+/// The hashed form of a slow start.
+struct SlowStartText<'a>(&'a SlowStart);
+
+impl fmt::Debug for SlowStartText<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let SlowStart { initial_capacity, ramp, overload_limit } = self.0;
+        let (ramp_name, ramp_length) = match ramp {
+            Ramp::Time(duration) => ("Time", duration),
+            Ramp::Work(work) => ("Work", work),
+        };
+        f.debug_struct("Cold")
+            .field("share", initial_capacity)
+            .field("ramp", &format_args!("{ramp_name}({ramp_length:?})"))
+            .field("fall", &overload_limit.as_ref().map(OverloadLimitText))
+            .finish()
+    }
+}
+
+/// The hashed form of an overload limit.
+struct OverloadLimitText<'a>(&'a OverloadLimit);
+
+impl fmt::Debug for OverloadLimitText<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let OverloadLimit { multiple, window } = self.0;
+        f.debug_struct("Fall").field("multiple", multiple).field("window", window).finish()
+    }
+}
+
+/// The hashed form of the timing of load reports.
+struct LoadReportTimingText<'a>(&'a LoadReportTiming);
+
+impl fmt::Debug for LoadReportTimingText<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let LoadReportTiming { interval, delay, jitter, noise } = self.0;
+        f.debug_struct("Readings")
+            .field("refresh", interval)
+            .field("delay", delay)
+            .field("jitter", jitter)
+            .field("noise", noise)
+            .finish()
+    }
+}
+
 /// The hashed form of a step.
 struct StepText<'a>(&'a Step);
 
@@ -74,7 +172,7 @@
             .debug_struct("TroubleBegins")
             .field("number", number)
             .field("executor", executor)
-            .field("trouble", fault)
+            .field("trouble", &format_args!("{fault}"))
             .finish(),
         Step::FaultEnds { number, executor } => {
             f.debug_struct("TroubleEnds").field("number", number).field("executor", executor).finish()
--- a/crates/rehearsal/src/plan/request_id.rs
+++ b/crates/rehearsal/src/plan/request_id.rs
@@ -1,7 +1,7 @@
 //! Request ids on the wire: 16 hex digits made of a token of the seed, the request's number and the attempt.
 use super::Plan;
 use crate::scenario::Scenario;
-use troutknot_emulator::executors::Work;
+use troutknot_emulator::executors::RequestSpec;
 
 const ID_DIGITS: usize = 16;
 const SEED_DIGITS: usize = 6;
@@ -32,13 +32,13 @@
     }
 
     /// The work that an executor performs for a request id; `None` if the id is not of this plan.
-    pub fn work(&self, scenario: &Scenario, id: &str) -> Option<Work> {
+    pub fn work(&self, scenario: &Scenario, id: &str) -> Option<RequestSpec> {
         let (number, _) = parse_request_id(self.seed, id)?;
         let request = self.requests.get(number)?;
         let class = scenario.project_types.get(request.request_class)?.get_ref();
-        Some(Work {
+        Some(RequestSpec {
             request_id: number as u64,
-            project_type: request.request_class,
+            request_class: request.request_class,
             slots: class.slots,
             memory: class.memory,
             work: request.work,
--- a/crates/rehearsal/src/plan/step.rs
+++ b/crates/rehearsal/src/plan/step.rs
@@ -1,12 +1,12 @@
 //! The changes that a rehearsal makes to its world.
 use crate::scenario::How;
-use troutknot_emulator::Trouble;
+use troutknot_emulator::Fault;
 
 /// A change to executors, nodes or discovery at a time of the day. Executors and nodes are named by their index.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// A fault is injected into an executor. `number` is the index of the fault in the scenario.
-    FaultBegins { number: usize, executor: usize, fault: Trouble },
+    FaultBegins { number: usize, executor: usize, fault: Fault },
     /// A fault ends.
     FaultEnds { number: usize, executor: usize },
     /// A replacement executor starts, with a slow start, and is listed.
--- a/crates/rehearsal/src/referee/events.rs
+++ b/crates/rehearsal/src/referee/events.rs
@@ -3,12 +3,12 @@
 use super::observations::{Answer, Attempt, ClientAttempt, Disconnect, HotRestart, Link, Observations};
 use super::timeline::Timeline;
 use super::violation::{RuleViolation, ViolationKind};
-use troutknot_emulator::observed::{AllocNumber, Listed, NodeNumber, Seen};
-use troutknot_emulator::{End, Millis};
+use troutknot_emulator::observations::{AttemptNumber, ListedState, NodeNumber, Observation};
+use troutknot_emulator::{AttemptOutcome, Millis};
 
 impl Observations {
     /// Arranges the recorded events, which are in the order of time.
-    pub fn from_events(facts: &Facts, events: &[(Millis, Seen)]) -> Self {
+    pub fn from_events(facts: &Facts, events: &[(Millis, Observation)]) -> Self {
         let mut observations = Observations::default();
         for (at, event) in events {
             observations.record(facts, *at, event);
@@ -17,69 +17,70 @@
         observations
     }
 
-    fn record(&mut self, facts: &Facts, at: Millis, event: &Seen) {
+    fn record(&mut self, facts: &Facts, at: Millis, event: &Observation) {
         match event {
-            Seen::Sent { .. }
-            | Seen::Answered { .. }
-            | Seen::Left { .. }
-            | Seen::Cut { .. }
-            | Seen::NoWayIn { .. } => self.record_client_event(at, event),
-            Seen::Received { .. }
-            | Seen::Unknown { .. }
-            | Seen::NeverRan { .. }
-            | Seen::Errored { .. }
-            | Seen::Started { .. }
-            | Seen::Ended { .. }
-            | Seen::GivenUp { .. } => self.record_attempt_event(facts, at, event),
-            Seen::ExecutorUp { .. } | Seen::FellOver { .. } | Seen::AgentKnows { .. } | Seen::Told { .. } => {
-                self.record_executor_event(facts, at, event)
-            }
-            Seen::LeftOut { .. }
-            | Seen::Drained { .. }
-            | Seen::UpgradeBegan { .. }
-            | Seen::UpgradeOver { .. }
-            | Seen::Retuned { .. }
-            | Seen::CallFailed { .. }
-            | Seen::Health { .. } => self.record_operator_event(at, event),
-            Seen::NodeStarted { .. }
-            | Seen::NodeAsked { .. }
-            | Seen::NodeKilled { .. }
-            | Seen::NodeEnded { .. } => self.record_node_event(at, event),
-            Seen::ExecutorDown { .. }
-            | Seen::NodeReread { .. }
-            | Seen::TroubleBegan { .. }
-            | Seen::TroubleOver { .. } => {}
+            Observation::RequestSent { .. }
+            | Observation::RequestAnswered { .. }
+            | Observation::ClientDisconnected { .. }
+            | Observation::ConnectionLost { .. }
+            | Observation::ConnectFailed { .. } => self.record_client_event(at, event),
+            Observation::Received { .. }
+            | Observation::UnknownRequest { .. }
+            | Observation::NotStarted { .. }
+            | Observation::ErrorAnswered { .. }
+            | Observation::Started { .. }
+            | Observation::Ended { .. }
+            | Observation::Cancelled { .. } => self.record_attempt_event(facts, at, event),
+            Observation::ExecutorUp { .. }
+            | Observation::Overloaded { .. }
+            | Observation::AgentUpdated { .. }
+            | Observation::NodeNotified { .. } => self.record_executor_event(facts, at, event),
+            Observation::ExecutorSuspended { .. }
+            | Observation::NodeDrained { .. }
+            | Observation::HotRestartBegan { .. }
+            | Observation::HotRestartEnded { .. }
+            | Observation::MaxAttemptsChanged { .. }
+            | Observation::AdminCallFailed { .. }
+            | Observation::HealthChecked { .. } => self.record_operator_event(at, event),
+            Observation::NodeStarted { .. }
+            | Observation::NodeTerminating { .. }
+            | Observation::NodeKilled { .. }
+            | Observation::NodeExited { .. } => self.record_node_event(at, event),
+            Observation::ExecutorDown { .. }
+            | Observation::NodeReloaded { .. }
+            | Observation::FaultBegan { .. }
+            | Observation::FaultEnded { .. } => {}
         }
     }
 
-    fn record_client_event(&mut self, at: Millis, event: &Seen) {
+    fn record_client_event(&mut self, at: Millis, event: &Observation) {
         match event {
-            Seen::Sent { id, request, node, .. } => {
+            Observation::RequestSent { id, request, node, .. } => {
                 // A request is sent again if its connection turns out to be closed before the first write.
                 self.client_attempts
                     .entry(id.clone())
                     .or_insert_with(|| ClientAttempt::new(*request, *node, at))
                     .node = *node;
             }
-            Seen::Answered { id, status, fits, .. } => {
+            Observation::RequestAnswered { id, status, is_valid: fits, .. } => {
                 let answer = Answer { at, status: *status, is_valid: *fits };
                 self.update_client_attempt(id, |attempt| _ = attempt.answer.get_or_insert(answer));
             }
-            Seen::Left { id } => {
+            Observation::ClientDisconnected { id } => {
                 self.update_client_attempt(id, |attempt| attempt.abandoned_at = Some(at));
             }
-            Seen::Cut { id, reused } => {
+            Observation::ConnectionLost { id, reused } => {
                 let disconnect = Disconnect { at, was_reused: *reused };
                 self.update_client_attempt(id, |attempt| attempt.disconnect = Some(disconnect));
             }
-            Seen::NoWayIn { .. } => self.connect_failures.push(at),
+            Observation::ConnectFailed { .. } => self.connect_failures.push(at),
             _ => {}
         }
     }
 
-    fn record_attempt_event(&mut self, facts: &Facts, at: Millis, event: &Seen) {
+    fn record_attempt_event(&mut self, facts: &Facts, at: Millis, event: &Observation) {
         match event {
-            Seen::Received { executor, attempt_id, id, first_byte, slots, work } => {
+            Observation::Received { executor, attempt_id, id, first_byte, slots, work } => {
                 self.update_client_attempt(id, |attempt| attempt.attempts.push(*attempt_id));
                 let attempt = Attempt {
                     request_id: id.clone(),
@@ -95,38 +96,40 @@
                 };
                 self.attempts.insert(*attempt_id, attempt);
             }
-            Seen::Unknown { executor, id } => {
+            Observation::UnknownRequest { executor, id } => {
                 let description =
                     format!("{} got `{id}`, which no client sent", facts.executor_name(*executor));
                 self.add_violation(ViolationKind::UnknownRequestId, at, description);
             }
-            Seen::NeverRan { attempt_id } => self.end_attempt(*attempt_id, at, End::Returned),
-            Seen::Errored { attempt_id } | Seen::GivenUp { attempt_id } => {
-                self.end_attempt(*attempt_id, at, End::Lost);
+            Observation::NotStarted { attempt_id } => {
+                self.end_attempt(*attempt_id, at, AttemptOutcome::Returned)
             }
-            Seen::Started { attempt_id } => {
+            Observation::ErrorAnswered { attempt_id } | Observation::Cancelled { attempt_id } => {
+                self.end_attempt(*attempt_id, at, AttemptOutcome::Lost);
+            }
+            Observation::Started { attempt_id } => {
                 if let Some(attempt) = self.attempts.get_mut(attempt_id) {
                     attempt.was_started = true;
                 }
             }
-            Seen::Ended { attempt_id, end } => self.end_attempt(*attempt_id, at, *end),
+            Observation::Ended { attempt_id, outcome: end } => self.end_attempt(*attempt_id, at, *end),
             _ => {}
         }
     }
 
-    fn record_executor_event(&mut self, facts: &Facts, at: Millis, event: &Seen) {
+    fn record_executor_event(&mut self, facts: &Facts, at: Millis, event: &Observation) {
         match event {
-            Seen::ExecutorUp { executor } => self.starts.entry(*executor).or_default().push(at),
-            Seen::FellOver { .. } => self.overload_failures += 1,
-            Seen::AgentKnows { node, executor, listed } if *listed != Listed::Ready => {
+            Observation::ExecutorUp { executor } => self.starts.entry(*executor).or_default().push(at),
+            Observation::Overloaded { .. } => self.overload_failures += 1,
+            Observation::AgentUpdated { node, executor, state: listed } if *listed != ListedState::Ready => {
                 let link = Link { node: *node, executor: *executor };
                 let notified_at = at + facts.notification_timeout;
                 self.readiness.entry(link).or_default().push(notified_at, false);
             }
-            Seen::Told { node, executor, listed } => {
+            Observation::NodeNotified { node, executor, state: listed } => {
                 let link = Link { node: *node, executor: *executor };
                 let readiness = self.readiness.entry(link).or_default();
-                let is_ready = *listed == Listed::Ready;
+                let is_ready = *listed == ListedState::Ready;
                 if is_ready {
                     // The notice supersedes earlier changes that have not reached their timeout yet.
                     readiness.truncate_after(at);
@@ -137,37 +140,41 @@
         }
     }
 
-    fn record_operator_event(&mut self, at: Millis, event: &Seen) {
+    fn record_operator_event(&mut self, at: Millis, event: &Observation) {
         match event {
-            Seen::LeftOut { node, executor, out } => {
+            Observation::ExecutorSuspended { node, executor, suspended: out } => {
                 let link = Link { node: *node, executor: *executor };
                 self.exclusions.entry(link).or_default().push(at, *out);
             }
-            Seen::Drained { node, drained } => self.drained.entry(*node).or_default().push(at, *drained),
-            Seen::UpgradeBegan { node } => {
+            Observation::NodeDrained { node, drained } => {
+                self.drained.entry(*node).or_default().push(at, *drained)
+            }
+            Observation::HotRestartBegan { node } => {
                 self.hot_restarts.push(HotRestart { node: *node, began_at: at, ended_at: f64::INFINITY });
             }
-            Seen::UpgradeOver { node } => {
+            Observation::HotRestartEnded { node } => {
                 if let Some(last) = self.hot_restarts.iter_mut().rfind(|restart| restart.node == *node) {
                     last.ended_at = at;
                 }
             }
-            Seen::Retuned { attempts } => self.max_attempts.push(at, *attempts as usize),
-            Seen::CallFailed { node, status } => {
+            Observation::MaxAttemptsChanged { max_attempts: attempts } => {
+                self.max_attempts.push(at, *attempts as usize)
+            }
+            Observation::AdminCallFailed { node, status } => {
                 let description = format!("node n{node} answered a call {status:?}, or not in time");
                 self.add_violation(ViolationKind::CallFailed, at, description);
             }
-            Seen::Health { node, status } => self.check_health(at, *node, *status),
+            Observation::HealthChecked { node, status } => self.check_health(at, *node, *status),
             _ => {}
         }
     }
 
-    fn record_node_event(&mut self, at: Millis, event: &Seen) {
+    fn record_node_event(&mut self, at: Millis, event: &Observation) {
         match event {
-            Seen::NodeStarted { node } => self.reset_operator_state(at, *node),
-            Seen::NodeAsked { node } => _ = self.exit_requests.insert(*node),
-            Seen::NodeKilled { node } => self.record_kill(at, *node),
-            Seen::NodeEnded { node, well } => self.check_exit(at, *node, *well),
+            Observation::NodeStarted { node } => self.reset_operator_state(at, *node),
+            Observation::NodeTerminating { node } => _ = self.exit_requests.insert(*node),
+            Observation::NodeKilled { node } => self.record_kill(at, *node),
+            Observation::NodeExited { node, is_clean: well } => self.check_exit(at, *node, *well),
             _ => {}
         }
     }
@@ -221,13 +228,13 @@
         }
     }
 
-    fn end_attempt(&mut self, number: AllocNumber, at: Millis, end: End) {
+    fn end_attempt(&mut self, number: AttemptNumber, at: Millis, end: AttemptOutcome) {
         let Some(attempt) = self.attempts.get_mut(&number) else { return };
         attempt.ended_at.get_or_insert(at);
         match end {
-            End::Done => attempt.completed = true,
-            End::Returned => attempt.unexecuted_since = Some(at),
-            End::Lost | End::Reset => {}
+            AttemptOutcome::Done => attempt.completed = true,
+            AttemptOutcome::Returned => attempt.unexecuted_since = Some(at),
+            AttemptOutcome::Lost | AttemptOutcome::Reset => {}
         }
     }
 }
