--- a/crates/rehearsal/src/referee/facts.rs
+++ b/crates/rehearsal/src/referee/facts.rs
@@ -1,7 +1,7 @@
 //! What the referee knows before it judges: the limits of the rules, the executors and the planned requests.
 use super::observations::ClientAttempt;
 use crate::scenario::{Effect, RepeatScope};
-use troutknot_emulator::observed::ExecutorNumber;
+use troutknot_emulator::observations::ExecutorNumber;
 use troutknot_emulator::{Machine, Millis};
 
 /// The limits of the rules, the environment and the planned requests of one rehearsal.
--- a/crates/rehearsal/src/referee/mod.rs
+++ b/crates/rehearsal/src/referee/mod.rs
@@ -25,10 +25,10 @@
 use observations::Observations;
 use subject::Subject;
 use troutknot_emulator::Millis;
-use troutknot_emulator::observed::Seen;
+use troutknot_emulator::observations::Observation;
 
 /// Judges the recorded events, which must be in the order of time.
-pub fn judge(facts: &Facts, events: &[(Millis, Seen)]) -> Verdict {
+pub fn judge(facts: &Facts, events: &[(Millis, Observation)]) -> Verdict {
     let mut observations = Observations::from_events(facts, events);
     let mut violations = std::mem::take(&mut observations.violations);
     for (request_id, client_attempt) in &observations.client_attempts {
--- a/crates/rehearsal/src/referee/observations.rs
+++ b/crates/rehearsal/src/referee/observations.rs
@@ -3,7 +3,7 @@
 use super::violation::RuleViolation;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use troutknot_emulator::Millis;
-use troutknot_emulator::observed::{AllocNumber, ExecutorNumber, NodeNumber};
+use troutknot_emulator::observations::{AttemptNumber, ExecutorNumber, NodeNumber};
 
 /// A complete response that a client received.
 #[derive(Clone, Copy, Debug)]
@@ -43,7 +43,7 @@
     pub abandoned_at: Option<Millis>,
     pub disconnect: Option<Disconnect>,
     /// The attempts that executors received for it, in the order of arrival.
-    pub attempts: Vec<AllocNumber>,
+    pub attempts: Vec<AttemptNumber>,
 }
 
 impl ClientAttempt {
@@ -107,7 +107,7 @@
 pub(super) struct Observations {
     /// By request id.
     pub client_attempts: BTreeMap<Box<str>, ClientAttempt>,
-    pub attempts: BTreeMap<AllocNumber, Attempt>,
+    pub attempts: BTreeMap<AttemptNumber, Attempt>,
     /// Whether the node had to regard the executor as ready.
     pub readiness: HashMap<Link, Timeline<bool>>,
     /// When each executor started.
--- a/crates/rehearsal/src/referee/slow_start.rs
+++ b/crates/rehearsal/src/referee/slow_start.rs
@@ -4,7 +4,7 @@
 use super::violation::{RuleViolation, ViolationKind};
 use std::collections::BTreeMap;
 use troutknot_emulator::Millis;
-use troutknot_emulator::observed::{ExecutorNumber, NodeNumber};
+use troutknot_emulator::observations::{ExecutorNumber, NodeNumber};
 
 /// Relative tolerance for rounding when the work of a window is summed up.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -20,7 +20,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, sleep_until};
 use troutknot_emulator::front::Front;
-use troutknot_emulator::observed::Record;
+use troutknot_emulator::observations::ObservationLog;
 
 /// Clients that are so late with one request in a hundred are no longer those of the scenario.
 const LATE_MS: f64 = 25.0;
@@ -206,7 +206,7 @@
 ) -> Result<Report, Failed> {
     let plan = Arc::new(Plan::generate(scenario, seed));
     check_machine(scenario, &plan)?;
-    let record = Arc::new(Record::default());
+    let record = Arc::new(ObservationLog::default());
     let cpu = own_cpu_ms();
     // The world says where its nodes are, the clients say that the day is over.
     let (ready, when_ready) = mpsc::channel();
@@ -242,7 +242,7 @@
             let runtime = runtime()?;
             LocalSet::new().block_on(&runtime, async {
                 let front = Front::start(&addrs, scenario.front.notices_after);
-                while front.taken_in() < addrs.len() && Instant::now() < began {
+                while front.healthy_count() < addrs.len() && Instant::now() < began {
                     sleep(Duration::from_millis(5)).await;
                 }
                 let clients = Clients::new(scenario, plan, record, front);
@@ -269,7 +269,7 @@
         world.join().map_err(|_| anyhow!("the kit's world thread panicked"))??;
     let late = late?;
     let kit_cpu = own_cpu_ms() - cpu;
-    let began_ms = (began.into_std() - record.start()).as_secs_f64() * 1000.0;
+    let began_ms = (began.into_std() - record.started_at()).as_secs_f64() * 1000.0;
     let seen = record.take();
     let verdict = referee::judge(&facts(scenario, &plan, began_ms), &seen);
     let each = |sum: f64| sum * 1000.0 / plan.requests.len().max(1) as f64;
--- a/crates/rehearsal/src/world/listing.rs
+++ b/crates/rehearsal/src/world/listing.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use troutknot_emulator::Millis;
 use troutknot_emulator::discovery::Member;
-use troutknot_emulator::observed::{ExecutorNumber, Listed};
+use troutknot_emulator::observations::{ExecutorNumber, ListedState};
 
 /// The result of the health check that an executor is listed with.
 #[derive(Clone, Copy, PartialEq)]
@@ -17,21 +17,21 @@
 
 impl World {
     /// The entry of an executor in the endpoint list.
-    pub(super) fn member(&self, number: usize, listed: Listed) -> Member {
+    pub(super) fn member(&self, number: usize, listed: ListedState) -> Member {
         let planned = &self.plan.executors[number];
         let hosts = self.hosts.borrow();
         let host = hosts[number].as_ref().expect("it was started before it is listed");
-        let started = self.announced_start(number).unwrap_or(host.started());
+        let started = self.announced_start(number).unwrap_or(host.started_at());
         Member {
             executor: number as ExecutorNumber,
             id: host.name.clone(),
             addr: host.addr,
             zone: PLACE.into(),
-            kind: planned.machine_type.clone(),
-            cell: planned.group as u32,
-            listed,
+            machine_type: planned.machine_type.clone(),
+            deduplication_group: planned.group as u32,
+            state: listed,
             weight: 1.0,
-            started_ms: if started.is_finite() { (self.unix_offset_ms + started).floor() } else { 0.0 },
+            started_at: if started.is_finite() { (self.unix_offset_ms + started).floor() } else { 0.0 },
         }
     }
 
@@ -41,16 +41,16 @@
         let delay = startup_delay(&self.scenario);
         let hosts = self.hosts.borrow();
         let host = hosts[number].as_ref()?;
-        (host.is_down() || host.is_cut_off()).then(|| self.record.now() + delay)
+        (host.is_down() || host.is_silent()).then(|| self.record.now() + delay)
     }
 
     /// Changes the listed state of an executor; each agent is notified after a random delay of its own.
-    pub(super) fn list(&self, number: usize, listed: Listed) {
+    pub(super) fn list(&self, number: usize, listed: ListedState) {
         self.list_with_health(number, listed, HealthCheck::Passing);
     }
 
     /// Like [`World::list`], with the result of the executor's health check.
-    pub(super) fn list_with_health(&self, number: usize, listed: Listed, health: HealthCheck) {
+    pub(super) fn list_with_health(&self, number: usize, listed: ListedState, health: HealthCheck) {
         let member = self.member(number, listed);
         if let Some(cluster) = &*self.cluster.borrow() {
             lists::register(cluster, &member, health == HealthCheck::Failing);
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -28,9 +28,9 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use troutknot_emulator::Millis;
 use troutknot_emulator::discovery::Member;
-use troutknot_emulator::executors::{Host, Shared};
-use troutknot_emulator::front::health;
-use troutknot_emulator::observed::{ExecutorNumber, Listed, Record};
+use troutknot_emulator::executors::{FleetContext, Host};
+use troutknot_emulator::front::check_health;
+use troutknot_emulator::observations::{ExecutorNumber, ListedState, ObservationLog};
 use troutknot_fake_consul::Cluster;
 
 /// How long all nodes together may take to become ready at the start.
@@ -43,8 +43,8 @@
 pub struct World {
     scenario: Arc<Scenario>,
     plan: Arc<Plan>,
-    record: Arc<Record>,
-    shared: Rc<Shared>,
+    record: Arc<ObservationLog>,
+    shared: Rc<FleetContext>,
     launch: Arc<dyn Launch>,
     /// By their numbers in the plan; `None` before they join.
     hosts: RefCell<Vec<Option<Rc<Host>>>>,
@@ -71,7 +71,7 @@
     pub async fn start(
         scenario: Arc<Scenario>,
         plan: Arc<Plan>,
-        record: Arc<Record>,
+        record: Arc<ObservationLog>,
         launch: Arc<dyn Launch>,
         folder: PathBuf,
     ) -> Result<Rc<Self>, WorldError> {
@@ -88,7 +88,12 @@
     }
 
     /// A world in which nothing runs yet.
-    fn new(scenario: Arc<Scenario>, plan: Arc<Plan>, record: Arc<Record>, launch: Arc<dyn Launch>) -> Self {
+    fn new(
+        scenario: Arc<Scenario>,
+        plan: Arc<Plan>,
+        record: Arc<ObservationLog>,
+        launch: Arc<dyn Launch>,
+    ) -> Self {
         let (work_plan, work_scenario) = (plan.clone(), scenario.clone());
         let work_of = Arc::new(move |id: &str| work_plan.work(&work_scenario, id));
         let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -102,7 +107,7 @@
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(plan.seed ^ RNG_SALT)),
             max_step_delay_ms: Cell::new(0.0),
             max_attempts: Cell::new(scenario.rules.most_allocations),
-            shared: Shared::new(record.clone(), work_of, true),
+            shared: FleetContext::new(record.clone(), work_of, true),
             scenario,
             plan,
             record,
@@ -120,7 +125,7 @@
             self.hosts.borrow_mut()[number] = Some(host);
         }
         for &number in &initial {
-            let member = self.member(number, Listed::Ready);
+            let member = self.member(number, ListedState::Ready);
             self.listed.borrow_mut()[number] = Some(member);
         }
         Ok(())
@@ -151,7 +156,7 @@
     async fn wait_until_ready(&self) -> Result<(), WorldError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         for (number, address) in self.node_addrs().into_iter().enumerate() {
-            while health(address).await != Some(200) {
+            while check_health(address).await != Some(200) {
                 if self.has_ended(number) || Instant::now() > deadline {
                     return Err(self.not_ready(number));
                 }
--- a/crates/rehearsal/src/world/node.rs
+++ b/crates/rehearsal/src/world/node.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use troutknot_emulator::discovery::{Agent, Member};
-use troutknot_emulator::observed::NodeNumber;
+use troutknot_emulator::observations::NodeNumber;
 
 /// One node, across all of its processes.
 pub(super) struct Node {
--- a/crates/rehearsal/src/world/operator.rs
+++ b/crates/rehearsal/src/world/operator.rs
@@ -12,8 +12,8 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
-use troutknot_emulator::front::health;
-use troutknot_emulator::observed::{ExecutorNumber, NodeNumber, Seen};
+use troutknot_emulator::front::check_health;
+use troutknot_emulator::observations::{ExecutorNumber, NodeNumber, Observation};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long after it is drained a node's health check is read.
@@ -32,7 +32,7 @@
             None => None,
         };
         if !status.is_some_and(|status| (200..300).contains(&status)) {
-            self.record.note(Seen::CallFailed { node: number as NodeNumber, status });
+            self.record.record(Observation::AdminCallFailed { node: number as NodeNumber, status });
         }
     }
 
@@ -41,15 +41,15 @@
         let host = self.hosts.borrow()[executor].clone();
         let name = host.map(|host| host.name.clone()).unwrap_or_default();
         let (node, executor) = (number as NodeNumber, executor as ExecutorNumber);
-        let change = Seen::LeftOut { node, executor, out: suspended };
+        let change = Observation::ExecutorSuspended { node, executor, suspended };
         // A resumed executor may get requests as soon as the call is sent.
         if !suspended {
-            self.record.note(change.clone());
+            self.record.record(change.clone());
         }
         let action = if suspended { "suspend" } else { "resume" };
         self.call(number, &format!("/v1/executors/{name}/{action}")).await;
         if suspended {
-            self.record.note(change);
+            self.record.record(change);
         }
     }
 
@@ -57,16 +57,16 @@
     pub(super) async fn set_drained(self: Rc<Self>, number: usize, drained: bool) {
         let node = number as NodeNumber;
         if !drained {
-            self.record.note(Seen::Drained { node, drained });
+            self.record.record(Observation::NodeDrained { node, drained });
         }
         self.call(number, if drained { "/v1/node/drain" } else { "/v1/node/activate" }).await;
         if drained {
-            self.record.note(Seen::Drained { node, drained });
+            self.record.record(Observation::NodeDrained { node, drained });
         }
         sleep(if drained { DRAIN_SETTLE_TIME } else { ACTIVATE_SETTLE_TIME }).await;
         let address = self.nodes.borrow()[number].address;
-        let status = timeout(CALL_TIMEOUT, health(address)).await.ok().flatten();
-        self.record.note(Seen::Health { node, status });
+        let status = timeout(CALL_TIMEOUT, check_health(address)).await.ok().flatten();
+        self.record.record(Observation::HealthChecked { node, status });
     }
 
     /// Starts the next process of a node and terminates the previous one when the next is ready.
@@ -75,7 +75,7 @@
         if self.nodes.borrow()[number].process.is_none() {
             return;
         }
-        self.record.note(Seen::UpgradeBegan { node });
+        self.record.record(Observation::HotRestartBegan { node });
         let next = match self.start_process(number) {
             Ok(next) => next,
             Err(error) => return eprintln!("no next process of node n{number}: {error}"),
@@ -87,7 +87,7 @@
             node.admin_address
         };
         if !becomes_ready(admin_address).await {
-            self.record.note(Seen::CallFailed { node, status: None });
+            self.record.record(Observation::AdminCallFailed { node, status: None });
         }
         if let Some(previous) = &mut self.nodes.borrow_mut()[number].previous_process {
             let _ = previous.ask(Ask::End);
@@ -97,7 +97,7 @@
         while !self.reap_previous_process(number, deadline) {
             sleep(POLL_INTERVAL).await;
         }
-        self.record.note(Seen::UpgradeOver { node });
+        self.record.record(Observation::HotRestartEnded { node });
     }
 
     /// Removes the previous process if it has ended, or kills it after the deadline. Returns whether it is gone.
@@ -111,7 +111,7 @@
             return false;
         }
         if ended == Some(false) {
-            self.record.note(Seen::NodeEnded { node: number as NodeNumber, well: false });
+            self.record.record(Observation::NodeExited { node: number as NodeNumber, is_clean: false });
         }
         let _ = previous.ask(Ask::Die);
         node.previous_process = None;
--- a/crates/rehearsal/src/world/process.rs
+++ b/crates/rehearsal/src/world/process.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::rc::Rc;
 use tokio::time::sleep;
-use troutknot_emulator::observed::{Listed, NodeNumber, Seen};
+use troutknot_emulator::observations::{ListedState, NodeNumber, Observation};
 
 impl World {
     /// Writes a node's configuration and returns the endpoint list that it contains.
@@ -35,7 +35,7 @@
         let log = std::fs::File::options().create(true).append(true).open(&node.log);
         let log = log.map_err(|source| WorldError::Write { path: node.log.clone(), source })?;
         if node.process.is_none() {
-            self.record.note(Seen::NodeStarted { node: number as NodeNumber });
+            self.record.record(Observation::NodeStarted { node: number as NodeNumber });
         }
         self.record_configured_endpoints(number, &known);
         let has_operator_config = self.write_operator_config(node)?;
@@ -66,8 +66,13 @@
             listed.iter().flatten().map(|member| (member.id.as_str(), member.executor)).collect();
         for entry in known["servers"].as_array().into_iter().flatten() {
             let Some(executor) = entry["id"].as_str().and_then(|id| by_name.get(id)) else { continue };
-            let listed = if entry["state"] == "Ready" { Listed::Ready } else { Listed::Terminating };
-            self.record.note(Seen::Told { node: number as NodeNumber, executor: *executor, listed });
+            let listed =
+                if entry["state"] == "Ready" { ListedState::Ready } else { ListedState::Terminating };
+            self.record.record(Observation::NodeNotified {
+                node: number as NodeNumber,
+                executor: *executor,
+                state: listed,
+            });
         }
     }
 
@@ -88,11 +93,11 @@
         }
         let Some(mut process) = node.process.take() else { return };
         if let Some(well) = process.ended() {
-            self.record.note(Seen::NodeEnded { node: number as NodeNumber, well });
+            self.record.record(Observation::NodeExited { node: number as NodeNumber, is_clean: well });
             return;
         }
         let used = process.used();
-        self.record.note(Seen::NodeKilled { node: number as NodeNumber });
+        self.record.record(Observation::NodeKilled { node: number as NodeNumber });
         let _ = process.ask(Ask::Die);
         node.add_usage(used);
     }
@@ -104,7 +109,8 @@
                 let Some(process) = &mut node.process else { continue };
                 let used = process.used();
                 if let Some(well) = process.ended() {
-                    self.record.note(Seen::NodeEnded { node: number as NodeNumber, well });
+                    self.record
+                        .record(Observation::NodeExited { node: number as NodeNumber, is_clean: well });
                     node.process = None;
                     node.add_usage(used);
                 }
--- a/crates/rehearsal/src/world/steps.rs
+++ b/crates/rehearsal/src/world/steps.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 use troutknot_emulator::executors::Host;
-use troutknot_emulator::observed::{Listed, NodeNumber, Seen};
+use troutknot_emulator::observations::{ListedState, NodeNumber, Observation};
 
 impl World {
     pub(super) fn apply(self: &Rc<Self>, step: &Step) {
@@ -20,12 +20,12 @@
             | Step::Leave { .. }
             | Step::KillExecutor { .. }
             | Step::RestartExecutor { .. } => self.apply_to_executor(step),
-            Step::ListRemoved { executor } => self.list(*executor, Listed::Gone),
-            Step::ListRestarted { executor } => self.list(*executor, Listed::Ready),
+            Step::ListRemoved { executor } => self.list(*executor, ListedState::Gone),
+            Step::ListRestarted { executor } => self.list(*executor, ListedState::Ready),
             Step::ListFailing { executor } => {
-                self.list_with_health(*executor, Listed::Terminating, HealthCheck::Failing);
+                self.list_with_health(*executor, ListedState::Terminating, HealthCheck::Failing);
             }
-            Step::ListPassing { executor } => self.list(*executor, Listed::Ready),
+            Step::ListPassing { executor } => self.list(*executor, ListedState::Ready),
             Step::SilenceDiscovery { silent } => self.each_endpoint_list(|list| list.silent(*silent)),
             Step::RestartDiscovery => self.each_endpoint_list(NodeList::restart),
             Step::DiscoveryFault { fault } => self.each_endpoint_list(|list| list.trouble(*fault)),
@@ -36,20 +36,20 @@
     fn apply_to_executor(&self, step: &Step) {
         match step {
             Step::FaultBegins { number, executor, fault } => {
-                self.record.note(Seen::TroubleBegan { number: *number });
-                self.with_host(*executor, |host| host.trouble(*number as u64, fault.clone()));
+                self.record.record(Observation::FaultBegan { number: *number });
+                self.with_host(*executor, |host| host.begin_fault(*number as u64, fault.clone()));
             }
             Step::FaultEnds { number, executor } => {
-                self.record.note(Seen::TroubleOver { number: *number });
-                self.with_host(*executor, |host| host.trouble_over(*number as u64));
+                self.record.record(Observation::FaultEnded { number: *number });
+                self.with_host(*executor, |host| host.end_fault(*number as u64));
             }
             Step::Join { executor } => self.join(*executor),
             Step::Drain { executor } => {
-                self.list(*executor, Listed::Terminating);
+                self.list(*executor, ListedState::Terminating);
                 self.with_host(*executor, Host::drain);
             }
             Step::Leave { executor } => {
-                self.list(*executor, Listed::Gone);
+                self.list(*executor, ListedState::Gone);
                 self.with_host(*executor, Host::kill);
             }
             Step::KillExecutor { executor } => self.with_host(*executor, Host::kill),
@@ -62,7 +62,7 @@
         match step {
             Step::KillNode { node } => self.kill_node(*node),
             Step::TerminateNode { node } => {
-                self.record.note(Seen::NodeAsked { node: *node as NodeNumber });
+                self.record.record(Observation::NodeTerminating { node: *node as NodeNumber });
                 self.nodes.borrow_mut()[*node].signal(Ask::End);
             }
             Step::StartNode { node } => match self.start_process(*node) {
@@ -102,7 +102,7 @@
     fn join(&self, executor: usize) {
         let Ok(host) = self.start_host(executor) else { return };
         self.hosts.borrow_mut()[executor] = Some(host);
-        self.list(executor, Listed::Ready);
+        self.list(executor, ListedState::Ready);
     }
 
     /// Moves every node's discovery agent to another address and has the nodes reload their configuration.
@@ -112,7 +112,7 @@
             if moved.is_err() || self.write_config(number).is_err() {
                 continue;
             }
-            self.record.note(Seen::NodeReread { node: number as NodeNumber });
+            self.record.record(Observation::NodeReloaded { node: number as NodeNumber });
             self.nodes.borrow_mut()[number].signal(Ask::Reread);
         }
     }
@@ -120,7 +120,7 @@
     /// Gives every node another attempt limit, in settings that lack a key if `broken`.
     fn reconfigure_nodes(&self, max_attempts: u32, broken: bool) {
         if !broken {
-            self.record.note(Seen::Retuned { attempts: max_attempts });
+            self.record.record(Observation::MaxAttemptsChanged { max_attempts });
             self.max_attempts.set(max_attempts);
         }
         for number in 0..self.scenario.nodes.count {
@@ -130,7 +130,7 @@
             let mut nodes = self.nodes.borrow_mut();
             let node = &mut nodes[number];
             let written = if broken { break_config(&node.config, max_attempts) } else { Ok(()) };
-            self.record.note(Seen::NodeReread { node: number as NodeNumber });
+            self.record.record(Observation::NodeReloaded { node: number as NodeNumber });
             if written.is_ok() {
                 node.signal(Ask::Reread);
             }
--- a/crates/rehearsal/tests/mutants.rs
+++ b/crates/rehearsal/tests/mutants.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
-use troutknot_emulator::wire::{self, Cut, Line, Lines};
+use troutknot_emulator::wire::{self, Abort, ConnectionHandle, StreamedBody};
 use troutknot_rehearsal::nodes::{Ask, Launch, Running, Start, Used};
 use troutknot_rehearsal::run::{Progress, Report, rehearse};
 use troutknot_rehearsal::scenario::Scenario;
@@ -165,7 +165,7 @@
         }
     }
 
-    async fn work(self: Rc<Self>, path: String, id: String, line: Rc<Line>) -> (u16, Bytes) {
+    async fn work(self: Rc<Self>, path: String, id: String, line: Rc<ConnectionHandle>) -> (u16, Bytes) {
         let came = Instant::now();
         let effect = self.effects.get(path.trim_start_matches('/')).cloned().unwrap_or_default();
         match self.wrong {
@@ -204,7 +204,7 @@
                         // Past its limit and the slack, and before its client gives up.
                         Wrong::AnswersLate => sleep_until(came + Duration::from_millis(2150)).await,
                         Wrong::CutsOff => {
-                            line.cut(Cut::Reset);
+                            line.abort(Abort::Reset);
                             std::future::pending().await
                         }
                         _ => {}
@@ -224,11 +224,15 @@
         (if may_defer { 503 } else { 502 }, Bytes::new())
     }
 
-    async fn answer(self: Rc<Self>, request: Request<Incoming>, line: Rc<Line>) -> Response<Lines> {
+    async fn answer(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+        line: Rc<ConnectionHandle>,
+    ) -> Response<StreamedBody> {
         let (path, id) = (request.uri().path().to_string(), request.headers().get("request-id").cloned());
         let drained = self.called.lock().unwrap().drained && self.wrong != Wrong::StaysReadyWhileDrained;
         if self.wrong == Wrong::DropsConnectionsUnread && self.left.get() {
-            line.cut(Cut::Reset);
+            line.abort(Abort::Reset);
             std::future::pending().await
         }
         let (status, body) = match (path.as_str(), id) {
@@ -242,7 +246,7 @@
             }
             _ => (400, Bytes::new()),
         };
-        let mut answer = Response::new(Lines::whole(body));
+        let mut answer = Response::new(StreamedBody::full(body));
         *answer.status_mut() = StatusCode::from_u16(status).unwrap();
         if drained || self.left.get() {
             answer.headers_mut().insert("connection", "close".parse().unwrap());
@@ -250,7 +254,7 @@
         answer
     }
 
-    async fn called(self: Rc<Self>, request: Request<Incoming>) -> Response<Lines> {
+    async fn called(self: Rc<Self>, request: Request<Incoming>) -> Response<StreamedBody> {
         let steps: Vec<&str> = request.uri().path().split('/').collect();
         let mut called = self.called.lock().unwrap();
         let status = match steps[..] {
@@ -275,7 +279,7 @@
             }
             _ => 404,
         };
-        let mut answer = Response::new(Lines::whole(Bytes::new()));
+        let mut answer = Response::new(StreamedBody::full(Bytes::new()));
         *answer.status_mut() = StatusCode::from_u16(status).unwrap();
         answer
     }
@@ -293,11 +297,11 @@
 
 async fn serve_all<F, R>(listener: TcpListener, answer: F)
 where
-    F: Fn(Request<Incoming>, Rc<Line>) -> R + Clone + 'static,
-    R: Future<Output = Response<Lines>> + 'static,
+    F: Fn(Request<Incoming>, Rc<ConnectionHandle>) -> R + Clone + 'static,
+    R: Future<Output = Response<StreamedBody>> + 'static,
 {
     while let Ok((stream, _)) = listener.accept().await {
-        let (line, answer) = (Rc::new(Line::default()), answer.clone());
+        let (line, answer) = (Rc::new(ConnectionHandle::default()), answer.clone());
         let own = line.clone();
         spawn_local(wire::serve(stream, Rc::default(), line, move |request| answer(request, own.clone())));
     }
--- a/crates/rehearsal/tests/referee.rs
+++ b/crates/rehearsal/tests/referee.rs
@@ -1,6 +1,6 @@
 //! The referee on records made by hand: what it must see, and what it must not take for a breach.
-use troutknot_emulator::observed::{Listed, Seen};
-use troutknot_emulator::{End, Machine};
+use troutknot_emulator::observations::{ListedState, Observation};
+use troutknot_emulator::{AttemptOutcome, Machine};
 use troutknot_rehearsal::referee::{ClassFacts, ExecutorFacts, Facts, RequestFacts, judge};
 use troutknot_rehearsal::scenario::{Effect, RepeatScope};
 
@@ -50,54 +50,54 @@
     }
 }
 
-fn sent(attempt: u32) -> Seen {
-    Seen::Sent { id: id(attempt), request: 0, attempt, node: 0 }
+fn sent(attempt: u32) -> Observation {
+    Observation::RequestSent { id: id(attempt), request: 0, attempt, node: 0 }
 }
 
 fn id(attempt: u32) -> Box<str> {
     format!("a{attempt}").into()
 }
 
-fn answered(attempt: u32, status: u16) -> Seen {
-    Seen::Answered { id: id(attempt), status, fits: status == 200, come_back: None }
+fn answered(attempt: u32, status: u16) -> Observation {
+    Observation::RequestAnswered { id: id(attempt), status, is_valid: status == 200, retry_after: None }
 }
 
-fn received(attempt_id: u64, executor: u32, attempt: u32, first_byte: f64) -> Seen {
-    Seen::Received { executor, attempt_id, id: id(attempt), first_byte, slots: 1.0, work: 90.0 }
+fn received(attempt_id: u64, executor: u32, attempt: u32, first_byte: f64) -> Observation {
+    Observation::Received { executor, attempt_id, id: id(attempt), first_byte, slots: 1.0, work: 90.0 }
 }
 
-fn done(attempt_id: u64) -> Seen {
-    Seen::Ended { attempt_id, end: End::Done }
+fn done(attempt_id: u64) -> Observation {
+    Observation::Ended { attempt_id, outcome: AttemptOutcome::Done }
 }
 
-fn reset(attempt_id: u64) -> Seen {
-    Seen::Ended { attempt_id, end: End::Reset }
+fn reset(attempt_id: u64) -> Observation {
+    Observation::Ended { attempt_id, outcome: AttemptOutcome::Reset }
 }
 
-fn told(listed: Listed) -> Seen {
-    Seen::Told { node: 0, executor: 0, listed }
+fn told(listed: ListedState) -> Observation {
+    Observation::NodeNotified { node: 0, executor: 0, state: listed }
 }
 
-fn cut(reused: bool) -> Seen {
-    Seen::Cut { id: id(0), reused }
+fn cut(reused: bool) -> Observation {
+    Observation::ConnectionLost { id: id(0), reused }
 }
 
-type Case = (&'static str, usize, RepeatScope, Vec<(f64, Seen)>, &'static [&'static str]);
+type Case = (&'static str, usize, RepeatScope, Vec<(f64, Observation)>, &'static [&'static str]);
 
 #[test]
 fn breaches_and_what_only_looks_like_one() {
     use RepeatScope::{All, Group};
-    let started = |attempt_id| Seen::Started { attempt_id };
-    let knows = |listed| Seen::AgentKnows { node: 0, executor: 0, listed };
+    let started = |attempt_id| Observation::Started { attempt_id };
+    let knows = |listed| Observation::AgentUpdated { node: 0, executor: 0, state: listed };
     let once = |at: f64| {
         vec![(0.0, sent(0)), (at, received(1, 0, 0, at)), (at + 20.0, done(1)), (at + 30.0, answered(0, 200))]
     };
-    let after = |mut first: Vec<(f64, Seen)>, then: Vec<(f64, Seen)>| {
+    let after = |mut first: Vec<(f64, Observation)>, then: Vec<(f64, Observation)>| {
         first.extend(then);
         first
     };
     let cold = |works: usize| {
-        let mut seen = vec![(0.0, Seen::ExecutorUp { executor: 2 }), (0.0, sent(0))];
+        let mut seen = vec![(0.0, Observation::ExecutorUp { executor: 2 }), (0.0, sent(0))];
         (0..works).for_each(|k| seen.push((1.0, received(k as u64, 2, 0, 1.0))));
         seen.push((1.5, answered(0, 502)));
         (0..works).for_each(|k| seen.push((1.2, reset(k as u64))));
@@ -112,7 +112,7 @@
             "a node that was killed owes nothing",
             RENDER,
             All,
-            vec![(0.0, sent(0)), (10.0, Seen::NodeKilled { node: 0 }), (11.0, cut(true))],
+            vec![(0.0, sent(0)), (10.0, Observation::NodeKilled { node: 0 }), (11.0, cut(true))],
             &[],
         ),
         (
@@ -120,12 +120,12 @@
             RENDER,
             All,
             vec![
-                (0.0, Seen::NodeAsked { node: 0 }),
+                (0.0, Observation::NodeTerminating { node: 0 }),
                 (1.0, sent(0)),
                 (2.0, received(1, 0, 0, 2.0)),
-                (10.0, Seen::NodeKilled { node: 0 }),
+                (10.0, Observation::NodeKilled { node: 0 }),
                 (11.0, cut(true)),
-                (12.0, Seen::GivenUp { attempt_id: 1 }),
+                (12.0, Observation::Cancelled { attempt_id: 1 }),
             ],
             &["lost"],
         ),
@@ -135,7 +135,7 @@
             "a node that ends by itself",
             RENDER,
             All,
-            after(once(10.0), vec![(100.0, Seen::NodeEnded { node: 0, well: true })]),
+            after(once(10.0), vec![(100.0, Observation::NodeExited { node: 0, is_clean: true })]),
             &["node-crashed"],
         ),
         (
@@ -144,7 +144,10 @@
             All,
             after(
                 once(10.0),
-                vec![(100.0, Seen::NodeAsked { node: 0 }), (200.0, Seen::NodeEnded { node: 0, well: true })],
+                vec![
+                    (100.0, Observation::NodeTerminating { node: 0 }),
+                    (200.0, Observation::NodeExited { node: 0, is_clean: true }),
+                ],
             ),
             &[],
         ),
@@ -154,7 +157,7 @@
             All,
             vec![
                 (0.0, sent(0)),
-                (10.0, Seen::Left { id: id(0) }),
+                (10.0, Observation::ClientDisconnected { id: id(0) }),
                 (40.0, received(1, 0, 0, 40.0)),
                 (60.0, done(1)),
             ],
@@ -166,7 +169,7 @@
             All,
             vec![
                 (0.0, sent(0)),
-                (10.0, Seen::Left { id: id(0) }),
+                (10.0, Observation::ClientDisconnected { id: id(0) }),
                 (80.0, received(1, 0, 0, 80.0)),
                 (90.0, done(1)),
             ],
@@ -228,7 +231,7 @@
             vec![
                 (0.0, sent(0)),
                 (1.0, received(1, 0, 0, 1.0)),
-                (9.0, Seen::Ended { attempt_id: 1, end: End::Returned }),
+                (9.0, Observation::Ended { attempt_id: 1, outcome: AttemptOutcome::Returned }),
                 (10.0, received(2, 1, 0, 10.0)),
                 (30.0, done(2)),
                 (31.0, answered(0, 200)),
@@ -243,7 +246,7 @@
                 (0.0, sent(0)),
                 (1.0, received(1, 0, 0, 1.0)),
                 (2.0, started(1)),
-                (9.0, Seen::Ended { attempt_id: 1, end: End::Returned }),
+                (9.0, Observation::Ended { attempt_id: 1, outcome: AttemptOutcome::Returned }),
                 (10.0, answered(0, 503)),
                 (20.0, sent(1)),
                 (21.0, received(2, 1, 1, 21.0)),
@@ -261,7 +264,7 @@
                 (0.0, sent(0)),
                 (1.0, received(1, 0, 0, 1.0)),
                 (100.0, received(2, 1, 0, 100.0)),
-                (120.0, Seen::GivenUp { attempt_id: 1 }),
+                (120.0, Observation::Cancelled { attempt_id: 1 }),
                 (150.0, done(2)),
                 (151.0, answered(0, 200)),
             ],
@@ -285,35 +288,41 @@
             "a send within the grace",
             RENDER,
             All,
-            after(vec![(0.0, told(Listed::Terminating))], once(1040.0)),
+            after(vec![(0.0, told(ListedState::Terminating))], once(1040.0)),
             &[],
         ),
         (
             "a send past the grace",
             RENDER,
             All,
-            after(vec![(0.0, told(Listed::Terminating))], once(1060.0)),
+            after(vec![(0.0, told(ListedState::Terminating))], once(1060.0)),
             &["sent-to-drained"],
         ),
         (
             "a send once it is back",
             RENDER,
             All,
-            after(vec![(0.0, told(Listed::Terminating)), (500.0, told(Listed::Ready))], once(1060.0)),
+            after(
+                vec![(0.0, told(ListedState::Terminating)), (500.0, told(ListedState::Ready))],
+                once(1060.0),
+            ),
             &[],
         ),
         (
             "gone after it drained counts from the drain",
             RENDER,
             All,
-            after(vec![(0.0, told(Listed::Terminating)), (900.0, told(Listed::Gone))], once(1060.0)),
+            after(
+                vec![(0.0, told(ListedState::Terminating)), (900.0, told(ListedState::Gone))],
+                once(1060.0),
+            ),
             &["sent-to-drained"],
         ),
         (
             "a node that never listens counts as told in the end",
             RENDER,
             All,
-            after(vec![(-3000.0, knows(Listed::Gone))], once(1060.0)),
+            after(vec![(-3000.0, knows(ListedState::Gone))], once(1060.0)),
             &["sent-to-drained"],
         ),
         (
@@ -324,8 +333,8 @@
                 (0.0, sent(0)),
                 (5.0, received(1, 0, 0, 5.0)),
                 (6.0, started(1)),
-                (10.0, Seen::NodeKilled { node: 0 }),
-                (10.0, Seen::GivenUp { attempt_id: 1 }),
+                (10.0, Observation::NodeKilled { node: 0 }),
+                (10.0, Observation::Cancelled { attempt_id: 1 }),
                 (11.0, cut(false)),
                 (50.0, sent(1)),
                 (60.0, done(1)),
@@ -341,8 +350,8 @@
                 (0.0, sent(0)),
                 (5.0, received(1, 0, 0, 5.0)),
                 (6.0, started(1)),
-                (10.0, Seen::NodeKilled { node: 0 }),
-                (10.0, Seen::GivenUp { attempt_id: 1 }),
+                (10.0, Observation::NodeKilled { node: 0 }),
+                (10.0, Observation::Cancelled { attempt_id: 1 }),
                 (11.0, cut(false)),
                 (50.0, sent(1)),
                 (55.0, received(2, 1, 0, 55.0)),
@@ -356,7 +365,7 @@
             "a key that is never answered",
             KEYED,
             All,
-            vec![(0.0, sent(0)), (10.0, Seen::NodeKilled { node: 0 }), (11.0, cut(false))],
+            vec![(0.0, sent(0)), (10.0, Observation::NodeKilled { node: 0 }), (11.0, cut(false))],
             &["no-final"],
         ),
         (
@@ -365,7 +374,7 @@
             All,
             vec![
                 (0.0, sent(0)),
-                (10.0, Seen::NodeKilled { node: 0 }),
+                (10.0, Observation::NodeKilled { node: 0 }),
                 (11.0, cut(false)),
                 (50.0, sent(1)),
                 (60.0, answered(1, 502)),
@@ -405,7 +414,10 @@
             (in_time, service, 2)
         );
     }
-    let left = judge(&facts(RENDER, RepeatScope::All), &[(0.0, sent(0)), (1.0, Seen::Left { id: id(0) })]);
+    let left = judge(
+        &facts(RENDER, RepeatScope::All),
+        &[(0.0, sent(0)), (1.0, Observation::ClientDisconnected { id: id(0) })],
+    );
     assert_eq!((left.all.abandoned, left.service), (1, 1.0));
 }
 
--- a/crates/scale/tests/hollow_nodes.rs
+++ b/crates/scale/tests/hollow_nodes.rs
@@ -11,8 +11,8 @@
 use tokio::task::LocalSet;
 use troutknot_emulator::Machine;
 use troutknot_emulator::discovery::{Agent, Member};
-use troutknot_emulator::executors::{Host, Shared, Work};
-use troutknot_emulator::observed::{Listed, Record, Seen};
+use troutknot_emulator::executors::{FleetContext, Host, RequestSpec};
+use troutknot_emulator::observations::{ListedState, Observation, ObservationLog};
 use troutknot_scale::file::MeasuredRates;
 use troutknot_scale::hollow_nodes::{Counts, FIRST_SOURCE, HollowNodes, Settings, StartError};
 use troutknot_scale::request_id::RequestId;
@@ -25,7 +25,7 @@
 /// Executors and discovery on a thread of their own, until it is dropped.
 struct World {
     discovery: SocketAddr,
-    record: Arc<Record>,
+    record: Arc<ObservationLog>,
     end: Option<oneshot::Sender<()>>,
     thread: Option<thread::JoinHandle<()>>,
 }
@@ -37,7 +37,7 @@
 
     /// With one executor alone, which listens elsewhere.
     fn start_with(elsewhere: Option<SocketAddr>) -> Self {
-        let record = Arc::new(Record::default());
+        let record = Arc::new(ObservationLog::default());
         let (told, ready) = mpsc::channel();
         let (end, ended) = oneshot::channel();
         let seen = record.clone();
@@ -62,13 +62,23 @@
 
 type Running = (Vec<std::rc::Rc<Host>>, std::rc::Rc<Agent>);
 
-fn serve(record: &Arc<Record>, told: &mpsc::Sender<SocketAddr>, elsewhere: Option<SocketAddr>) -> Running {
+fn serve(
+    record: &Arc<ObservationLog>,
+    told: &mpsc::Sender<SocketAddr>,
+    elsewhere: Option<SocketAddr>,
+) -> Running {
     let work_of = |id: &str| {
-        let hollow =
-            Work { request_id: 1, project_type: 0, slots: 1.0, memory: 0.0, work: 1.0, priority: 0.0 };
+        let hollow = RequestSpec {
+            request_id: 1,
+            request_class: 0,
+            slots: 1.0,
+            memory: 0.0,
+            work: 1.0,
+            priority: 0.0,
+        };
         RequestId::parse(id).map(|_| hollow)
     };
-    let shared = Shared::new(record.clone(), Arc::new(work_of), true);
+    let shared = FleetContext::new(record.clone(), Arc::new(work_of), true);
     let machine = Machine { slots: 4.0, cores: 4.0, ..Machine::default() };
     let start = |number| Host::start(&shared, number, machine.clone(), 1, ANYWHERE.into(), true).unwrap();
     let count = if elsewhere.is_some() { 1 } else { EXECUTORS };
@@ -78,11 +88,11 @@
         id: host.name.clone(),
         addr: elsewhere.unwrap_or(host.addr),
         zone: "here".into(),
-        kind: "plain".into(),
-        cell: 0,
-        listed: Listed::Ready,
+        machine_type: "plain".into(),
+        deduplication_group: 0,
+        state: ListedState::Ready,
         weight: 4.0,
-        started_ms: 0.0,
+        started_at: 0.0,
     };
     let agent = Agent::start(record, 0, ANYWHERE.into(), hosts.iter().map(member).collect()).unwrap();
     told.send(agent.addr()).unwrap();
@@ -146,12 +156,12 @@
     assert_eq!(nodes.counts(NodeKind::HollowByRates), Counts::default());
     nodes.stop();
     let seen = world.record.take();
-    let unknown = seen.iter().filter(|(_, seen)| matches!(seen, Seen::Unknown { .. })).count();
-    let received = seen.iter().filter(|(_, seen)| matches!(seen, Seen::Received { .. })).count();
+    let unknown = seen.iter().filter(|(_, seen)| matches!(seen, Observation::UnknownRequest { .. })).count();
+    let received = seen.iter().filter(|(_, seen)| matches!(seen, Observation::Received { .. })).count();
     assert_eq!(unknown, 0);
     assert!(received >= 40, "{received}");
     let nodes = seen.iter().filter_map(|(_, seen)| match seen {
-        Seen::Received { id, .. } => Some(RequestId::parse(id)?.node()),
+        Observation::Received { id, .. } => Some(RequestId::parse(id)?.node()),
         _ => None,
     });
     assert_eq!(nodes.collect::<BTreeSet<_>>(), BTreeSet::from([2, 3]));
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -2,7 +2,7 @@
 use super::{BEGAN, WAY, World, WorldEvent};
 use troutknot::{Event, RequestId};
 use troutknot_emulator::Millis;
-use troutknot_emulator::observed::{NodeNumber, Seen};
+use troutknot_emulator::observations::{NodeNumber, Observation};
 use troutknot_rehearsal::scenario::{Effect, millis};
 
 impl World<'_> {
@@ -22,12 +22,17 @@
         let found = (0..count).map(|k| (from + k) % count).find(|&k| self.nodes[k].taken_in);
         let Some(node) = found.filter(|&k| self.nodes[k].up) else {
             self.next_node = found.map_or(from, |k| k + 1);
-            self.note(Seen::NoWayIn { request: request as usize });
+            self.note(Observation::ConnectFailed { request: request as usize });
             return self.schedule_retry(request, attempt, None);
         };
         self.next_node = node + 1;
         let id = self.id(request, attempt);
-        self.note(Seen::Sent { id, request: request as usize, attempt, node: node as NodeNumber });
+        self.note(Observation::RequestSent {
+            id,
+            request: request as usize,
+            attempt,
+            node: node as NodeNumber,
+        });
         let life = self.nodes[node].life;
         self.queue.at(self.now + WAY, WorldEvent::Arrives { node: node as u32, life, request, attempt });
     }
@@ -45,7 +50,7 @@
     /// The connection of a request ended without an answer.
     pub(super) fn request_cut(&mut self, request: u32, attempt: u32) {
         let id = self.id(request, attempt);
-        self.note(Seen::Cut { id, reused: false });
+        self.note(Observation::ConnectionLost { id, reused: false });
         let kind = self.types[self.plan.requests[request as usize].request_class];
         if kind.effect == Effect::Rerunnable {
             self.schedule_retry(request, attempt, None);
@@ -62,7 +67,7 @@
             self.nodes[node].open.remove(&request_id);
         }
         let id = self.id(request, attempt);
-        self.note(Seen::Left { id });
+        self.note(Observation::ClientDisconnected { id });
         self.tell(node, Event::RequestWithdrawn { request_id });
     }
 
@@ -75,7 +80,12 @@
         come_back: Option<Millis>,
     ) {
         let id = self.id(request, attempt);
-        self.note(Seen::Answered { id, status, fits: status == 200, come_back });
+        self.note(Observation::RequestAnswered {
+            id,
+            status,
+            is_valid: status == 200,
+            retry_after: come_back,
+        });
         let kind = self.types[self.plan.requests[request as usize].request_class];
         match status {
             200 => {}
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use troutknot::{DeduplicationGroupId, Endpoint, EndpointState, Event, ListUpdate, MachineTypeId, ZoneId};
 use troutknot_emulator::Millis;
-use troutknot_emulator::observed::{ExecutorNumber, Listed, NodeNumber, Seen};
+use troutknot_emulator::observations::{ExecutorNumber, ListedState, NodeNumber, Observation};
 use troutknot_rehearsal::plan::startup_delay;
 use troutknot_rehearsal::scenario::millis;
 
@@ -12,7 +12,7 @@
     pub(super) fn started(&self, number: usize) -> Option<Millis> {
         let host = self.hosts[number].as_ref()?;
         let announced = host.is_down() || host.is_silent();
-        let at = if announced { self.now + startup_delay(self.scenario) } else { host.started() };
+        let at = if announced { self.now + startup_delay(self.scenario) } else { host.started_at() };
         at.is_finite().then(|| at.floor())
     }
 
@@ -28,9 +28,9 @@
             machine_type: MachineTypeId(kind),
             deduplication_group: DeduplicationGroupId(planned.group as u32),
             state: match listed {
-                Listed::Ready => EndpointState::Ready,
-                Listed::Terminating => EndpointState::Draining,
-                Listed::Gone => EndpointState::Gone,
+                ListedState::Ready => EndpointState::Ready,
+                ListedState::Terminating => EndpointState::Draining,
+                ListedState::Gone => EndpointState::Gone,
             },
             weight: 1.0,
             started_at: started,
@@ -59,14 +59,18 @@
         let grace = millis(self.scenario.rules.drain_grace);
         let shut = &mut self.nodes[node].shut[executor];
         *shut = match listed {
-            Listed::Ready => f64::INFINITY,
+            ListedState::Ready => f64::INFINITY,
             _ => shut.min(self.now + grace * 0.5),
         };
-        self.note(Seen::Told { node: node as NodeNumber, executor: executor as ExecutorNumber, listed });
+        self.note(Observation::NodeNotified {
+            node: node as NodeNumber,
+            executor: executor as ExecutorNumber,
+            state: listed,
+        });
     }
 
     /// Discovery lists an executor otherwise from now on; each agent hears of it after a delay of its own.
-    pub(super) fn list(&mut self, executor: usize, listed: Listed) {
+    pub(super) fn list(&mut self, executor: usize, listed: ListedState) {
         let entry = self.entries.len() as u32;
         self.entries.push((listed, self.started(executor)));
         self.listed[executor] = Some(entry);
@@ -92,7 +96,7 @@
         self.views[node][executor] = Some(entry);
         let listed = self.entries[entry as usize].0;
         let (number, of) = (node as NodeNumber, executor as ExecutorNumber);
-        self.note(Seen::AgentKnows { node: number, executor: of, listed });
+        self.note(Observation::AgentUpdated { node: number, executor: of, state: listed });
         if self.nodes[node].up {
             self.told(node, executor, entry);
             let entries = vec![self.listing(node, executor, entry)];
--- a/crates/simulation/src/world/executors.rs
+++ b/crates/simulation/src/world/executors.rs
@@ -2,8 +2,8 @@
 use super::events::{InTransit, Origin, WorldEvent};
 use super::{WAY, World};
 use troutknot::{ExecutorId, LoadReport, Outcome, RequestId};
-use troutknot_emulator::observed::{ExecutorNumber, Seen};
-use troutknot_emulator::{End, Executor, Key, Millis, Offer, Output, Verdict};
+use troutknot_emulator::observations::{ExecutorNumber, Observation};
+use troutknot_emulator::{Admission, Attempt, AttemptKey, AttemptOutcome, Executor, Millis, Output};
 use troutknot_rehearsal::scenario::millis;
 
 impl World<'_> {
@@ -12,12 +12,12 @@
         let planned = &self.plan.executors[number];
         self.hosts[number] =
             Some(Executor::new(planned.machine.clone(), planned.seed, self.now, !planned.slow_start));
-        self.note(Seen::ExecutorUp { executor: number as ExecutorNumber });
+        self.note(Observation::ExecutorUp { executor: number as ExecutorNumber });
     }
 
     /// Kills the process of an executor.
     pub(super) fn kill_executor(&mut self, executor: usize) {
-        self.note(Seen::ExecutorDown { executor: executor as ExecutorNumber });
+        self.note(Observation::ExecutorDown { executor: executor as ExecutorNumber });
         self.change_executor(executor, |host, now| host.kill(now));
     }
 
@@ -80,10 +80,10 @@
         let number = out.executor as usize;
         let asked = &self.plan.requests[request as usize];
         let kind = self.types[asked.request_class];
-        let offer = Offer {
-            key: Key(out.key),
+        let offer = Attempt {
+            key: AttemptKey(out.key),
             request_id: u64::from(request),
-            project_type: asked.request_class,
+            request_class: asked.request_class,
             slots: kind.slots,
             memory: kind.memory,
             work: asked.work,
@@ -92,26 +92,26 @@
         let id = self.id(request, attempt);
         let (first_byte, attempt_id) = (self.now, out.key);
         let (slots, work) = (offer.slots, offer.work);
-        self.note(Seen::Received { executor: out.executor, attempt_id, id, first_byte, slots, work });
-        let verdict = self.hosts[number].as_mut().expect("it is up").offer(self.now, offer);
+        self.note(Observation::Received { executor: out.executor, attempt_id, id, first_byte, slots, work });
+        let verdict = self.hosts[number].as_mut().expect("it is up").dispatch(self.now, offer);
         let back = self.now + WAY;
         let Origin { node, life, request_id, .. } = origin;
         let came_of =
             |outcome| WorldEvent::Ended { node, life, request_id, attempt_id: out.attempt_id, outcome };
         match verdict {
-            Verdict::Taken => {
+            Admission::Accepted => {
                 self.outs.insert(out.key, origin);
             }
-            Verdict::TurnedAway => {
-                self.note(Seen::NeverRan { attempt_id });
+            Admission::Rejected => {
+                self.note(Observation::NotStarted { attempt_id });
                 self.queue.at(back, came_of(Outcome::Rejected));
             }
-            Verdict::Error => {
-                self.note(Seen::Errored { attempt_id });
+            Admission::Error => {
+                self.note(Observation::ErrorAnswered { attempt_id });
                 self.queue.at(back, came_of(Outcome::Error));
             }
-            Verdict::Down => {
-                self.note(Seen::Ended { attempt_id, end: End::Reset });
+            Admission::Down => {
+                self.note(Observation::Ended { attempt_id, outcome: AttemptOutcome::Reset });
                 self.queue.at(back, came_of(Outcome::Reset));
             }
         }
@@ -130,16 +130,16 @@
     pub(super) fn take_reports(&mut self, number: usize) {
         loop {
             let Some(host) = &mut self.hosts[number] else { return };
-            let Some((at, output)) = host.take(self.now) else { break };
+            let Some((at, output)) = host.pop_output(self.now) else { break };
             match output {
-                Output::Started { key } => self.seen.push((at, Seen::Started { attempt_id: key.0 })),
+                Output::Started { key } => self.seen.push((at, Observation::Started { attempt_id: key.0 })),
                 Output::Progress { .. } => {}
-                Output::Ended { key, end } => {
-                    self.seen.push((at, Seen::Ended { attempt_id: key.0, end }));
+                Output::Ended { key, outcome: end } => {
+                    self.seen.push((at, Observation::Ended { attempt_id: key.0, outcome: end }));
                     let outcome = match end {
-                        End::Done => Outcome::Completed,
-                        End::Returned => Outcome::Rejected,
-                        End::Lost | End::Reset => Outcome::Reset,
+                        AttemptOutcome::Done => Outcome::Completed,
+                        AttemptOutcome::Returned => Outcome::Rejected,
+                        AttemptOutcome::Lost | AttemptOutcome::Reset => Outcome::Reset,
                     };
                     if let Some(Origin { node, life, request_id, attempt_id }) = self.outs.remove(&key.0) {
                         self.queue.at(
@@ -148,14 +148,14 @@
                         );
                     }
                 }
-                Output::FellOver { sent, stood } => {
+                Output::Overloaded { sent, limit: stood } => {
                     let executor = number as ExecutorNumber;
-                    self.seen.push((at, Seen::FellOver { executor, sent, stood }));
-                    self.seen.push((at, Seen::ExecutorDown { executor }));
+                    self.seen.push((at, Observation::Overloaded { executor, sent, limit: stood }));
+                    self.seen.push((at, Observation::ExecutorDown { executor }));
                 }
             }
         }
-        let next = self.hosts[number].as_ref().and_then(|host| host.next_at()).unwrap_or(f64::INFINITY);
+        let next = self.hosts[number].as_ref().and_then(|host| host.next_event_at()).unwrap_or(f64::INFINITY);
         if next < self.looked[number] {
             self.looked[number] = next;
             self.queue.at(next, WorldEvent::ExecutorDue(number as u32));
@@ -167,9 +167,9 @@
         if self.outs.remove(&key).is_none() {
             return;
         }
-        self.note(Seen::GivenUp { attempt_id: key });
+        self.note(Observation::Cancelled { attempt_id: key });
         if let Some(host) = &mut self.hosts[number] {
-            host.cancel(self.now, Key(key));
+            host.cancel(self.now, AttemptKey(key));
         }
         self.take_reports(number);
     }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -17,7 +17,7 @@
 use std::collections::HashMap;
 use troutknot::{Action, Settings};
 use troutknot_configuration::SettingsError;
-use troutknot_emulator::observed::{Listed, Seen};
+use troutknot_emulator::observations::{ListedState, Observation};
 use troutknot_emulator::{Executor, Millis};
 use troutknot_rehearsal::briefing;
 use troutknot_rehearsal::plan::Plan;
@@ -70,7 +70,7 @@
     outs: HashMap<u64, Origin>,
     next_key: u64,
     /// Every entry that discovery ever had.
-    entries: Vec<(Listed, Option<Millis>)>,
+    entries: Vec<(ListedState, Option<Millis>)>,
     /// The entry that counts for each executor.
     listed: Vec<Option<u32>>,
     /// The same as the agent of each node has it.
@@ -83,7 +83,7 @@
     /// The node that the front tries first for the next request.
     next_node: usize,
     chance: ChaCha8Rng,
-    seen: Vec<(Millis, Seen)>,
+    seen: Vec<(Millis, Observation)>,
     counts: Counts,
     /// Kept from one decision to the next for its memory alone.
     actions: Vec<Action>,
@@ -132,7 +132,7 @@
         for number in 0..count {
             if plan.executors[number].is_initial {
                 world.start_executor(number);
-                world.entries.push((Listed::Ready, world.started(number)));
+                world.entries.push((ListedState::Ready, world.started(number)));
                 world.listed[number] = Some(world.entries.len() as u32 - 1);
             }
         }
@@ -160,7 +160,7 @@
     }
 
     /// All that was seen, in the order of time, and what the run cost.
-    pub fn end(self) -> (Vec<(Millis, Seen)>, Counts) {
+    pub fn end(self) -> (Vec<(Millis, Observation)>, Counts) {
         let mut seen = self.seen;
         // What an executor notes of its past came a little later.
         seen.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -168,7 +168,7 @@
     }
 
     /// Records what the referee is to know.
-    fn note(&mut self, seen: Seen) {
+    fn note(&mut self, seen: Observation) {
         self.seen.push((self.now, seen));
     }
 
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -6,7 +6,7 @@
     Action, AttemptId, Event, ExecutorId, ListUpdate, Outcome, RequestClassId, RequestId, TenantId,
 };
 use troutknot_emulator::Millis;
-use troutknot_emulator::observed::{NodeNumber, Seen};
+use troutknot_emulator::observations::{NodeNumber, Observation};
 use troutknot_rehearsal::scenario::millis;
 
 impl World<'_> {
@@ -32,7 +32,7 @@
         } else {
             self.nodes.push(fresh);
         }
-        self.note(Seen::NodeStarted { node: node as NodeNumber });
+        self.note(Observation::NodeStarted { node: node as NodeNumber });
         self.tell_list(node, ListUpdate::Snapshot);
     }
 
@@ -201,9 +201,9 @@
         let open = std::mem::take(&mut was.open);
         let leaving = was.leaving;
         self.note(if leaving {
-            Seen::NodeEnded { node: number, well: true }
+            Observation::NodeExited { node: number, is_clean: true }
         } else {
-            Seen::NodeKilled { node: number }
+            Observation::NodeKilled { node: number }
         });
         for open in open.into_values() {
             if let Some(out) = open.out {
--- a/crates/simulation/src/world/steps.rs
+++ b/crates/simulation/src/world/steps.rs
@@ -1,8 +1,8 @@
 //! Steps of the plan: troubles, replaced and killed executors, and what operators do.
 use super::{HEALTH_EVERY, World, WorldEvent};
 use troutknot::Event;
-use troutknot_emulator::Trouble;
-use troutknot_emulator::observed::{ExecutorNumber, Listed, NodeNumber, Seen};
+use troutknot_emulator::Fault;
+use troutknot_emulator::observations::{ExecutorNumber, ListedState, NodeNumber, Observation};
 use troutknot_rehearsal::plan::Step;
 
 impl World<'_> {
@@ -11,47 +11,49 @@
         let plan = self.plan;
         match &plan.steps[number].1 {
             Step::FaultBegins { number, executor, fault } => {
-                self.note(Seen::TroubleBegan { number: *number });
-                self.change_executor(*executor, |host, now| host.trouble(now, *number as u64, fault.clone()));
-                if *fault == (Trouble::Silence { cold: true }) {
+                self.note(Observation::FaultBegan { number: *number });
+                self.change_executor(*executor, |host, now| {
+                    host.begin_fault(now, *number as u64, fault.clone())
+                });
+                if *fault == (Fault::Silence { restarts: true }) {
                     self.waits_at[*executor].clear();
                 }
             }
             Step::FaultEnds { number, executor } => {
-                self.note(Seen::TroubleOver { number: *number });
+                self.note(Observation::FaultEnded { number: *number });
                 let start =
-                    |world: &Self| world.hosts[*executor].as_ref().map(|h| (h.started(), h.is_down()));
+                    |world: &Self| world.hosts[*executor].as_ref().map(|h| (h.started_at(), h.is_down()));
                 let before = start(self);
-                self.change_executor(*executor, |host, now| host.trouble_over(now, *number as u64));
+                self.change_executor(*executor, |host, now| host.end_fault(now, *number as u64));
                 if start(self) != before && before.is_some_and(|(_, down)| !down) {
-                    self.note(Seen::ExecutorUp { executor: *executor as ExecutorNumber });
+                    self.note(Observation::ExecutorUp { executor: *executor as ExecutorNumber });
                 }
             }
             Step::Join { executor } => {
                 self.start_executor(*executor);
-                self.list(*executor, Listed::Ready);
+                self.list(*executor, ListedState::Ready);
             }
             Step::Drain { executor } => {
-                self.list(*executor, Listed::Terminating);
+                self.list(*executor, ListedState::Terminating);
                 self.change_executor(*executor, |host, now| host.drain(now));
             }
             Step::Leave { executor } => {
-                self.list(*executor, Listed::Gone);
+                self.list(*executor, ListedState::Gone);
                 self.kill_executor(*executor);
             }
             Step::KillExecutor { executor } => self.kill_executor(*executor),
             Step::RestartExecutor { executor } => {
                 self.change_executor(*executor, |host, now| host.restart(now));
-                self.note(Seen::ExecutorUp { executor: *executor as ExecutorNumber });
+                self.note(Observation::ExecutorUp { executor: *executor as ExecutorNumber });
             }
-            Step::ListRemoved { executor } => self.list(*executor, Listed::Gone),
+            Step::ListRemoved { executor } => self.list(*executor, ListedState::Gone),
             Step::ListRestarted { executor } | Step::ListPassing { executor } => {
-                self.list(*executor, Listed::Ready)
+                self.list(*executor, ListedState::Ready)
             }
-            Step::ListFailing { executor } => self.list(*executor, Listed::Terminating),
+            Step::ListFailing { executor } => self.list(*executor, ListedState::Terminating),
             Step::KillNode { node } => self.kill_node(*node),
             Step::TerminateNode { node } => {
-                self.note(Seen::NodeAsked { node: *node as NodeNumber });
+                self.note(Observation::NodeTerminating { node: *node as NodeNumber });
                 self.nodes[*node].leaving = true;
                 self.queue.at(
                     self.now + HEALTH_EVERY / 2.0,
@@ -61,7 +63,7 @@
             Step::StartNode { node } => self.start_node(*node),
             Step::ReloadNodes => {
                 for node in 0..self.nodes.len() {
-                    self.note(Seen::NodeReread { node: node as NodeNumber });
+                    self.note(Observation::NodeReloaded { node: node as NodeNumber });
                 }
             }
             Step::SilenceDiscovery { silent } => self.silence(*silent),
