--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,7 +1,7 @@
-//! Discovery on loopback: one agent for each node, with two addresses of which one is in use at a time.
+//! Emulated discovery: one agent per node, which can move to another address.
 //!
-//! `GET /catalog/members` gives the whole list, with `?stream=1&index=N` a watch. A change reaches each agent
-//! after a delay of its own.
+//! `GET /catalog/members` returns the complete endpoint list, and with `?stream=1&index=N` a watch. A change reaches each
+//! agent after a delay of its own.
 use crate::machine::Millis;
 use crate::observations::{ExecutorNumber, ListedState, NodeNumber, Observation, ObservationLog};
 use crate::wire::{self, Abort, ConnectionHandle, Gate, StreamedBody};
@@ -19,11 +19,12 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-const KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// How long an address that is left goes on with the connections that it has.
-const LEFT_OPEN: Duration = Duration::from_millis(1500);
+/// An idle watch sends an empty line this often.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// How long open connections to the old address continue after a move.
+const OLD_ADDRESS_GRACE: Duration = Duration::from_millis(1500);
 
-/// One executor as discovery lists it.
+/// The entry of one executor in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     pub executor: ExecutorNumber,
@@ -34,7 +35,7 @@
     pub deduplication_group: u32,
     pub state: ListedState,
     pub weight: f64,
-    /// Unix time in milliseconds; 0 for long ago.
+    /// Unix time in milliseconds; 0 if it started long ago.
     pub started_at: f64,
 }
 
@@ -50,10 +51,10 @@
     }
 }
 
-/// What one agent has been sent so far.
+/// The endpoint list as one agent has received it.
 struct View {
     version: u64,
-    /// Each executor's newest entry, with the version that brought it; whoever is gone stays as such.
+    /// The newest entry of each executor, with its version. Executors that are gone keep an entry.
     members: Vec<(u64, Member)>,
 }
 
@@ -61,140 +62,142 @@
     fn put(&mut self, member: Member) {
         self.version += 1;
         let version = self.version;
-        match self.members.iter_mut().find(|(_, m)| m.executor == member.executor) {
+        match self.members.iter_mut().find(|(_, entry)| entry.executor == member.executor) {
             Some(entry) => *entry = (version, member),
             None => self.members.push((version, member)),
         }
     }
 
-    /// A line with the whole list, or with what changed after a version.
-    fn line(&self, after: Option<u64>) -> (String, Vec<(ExecutorNumber, ListedState)>) {
-        let news = |(version, member): &&(u64, Member)| match after {
-            Some(after) => *version > after,
+    /// Formats the complete list, or the changes after a version, and returns it with the states that it contains.
+    fn format_line(&self, after_version: Option<u64>) -> (String, Vec<(ExecutorNumber, ListedState)>) {
+        let is_included = |(version, member): &&(u64, Member)| match after_version {
+            Some(after_version) => *version > after_version,
             None => member.state != ListedState::Gone,
         };
-        let news: Vec<&Member> = self.members.iter().filter(news).map(|(_, m)| m).collect();
-        let servers: Vec<Value> = news.iter().map(|m| m.as_json()).collect();
-        let line = json!({"version": self.version, "full": after.is_none(), "servers": servers});
-        (format!("{line}\n"), news.iter().map(|m| (m.executor, m.state)).collect())
+        let entries: Vec<&Member> =
+            self.members.iter().filter(is_included).map(|(_, member)| member).collect();
+        let servers: Vec<Value> = entries.iter().map(|member| member.as_json()).collect();
+        let line = json!({"version": self.version, "full": after_version.is_none(), "servers": servers});
+        (format!("{line}\n"), entries.iter().map(|member| (member.executor, member.state)).collect())
     }
 }
 
-/// The agent of one node.
+/// The discovery agent of one node.
 pub struct Agent {
     node: NodeNumber,
-    record: Arc<ObservationLog>,
+    observations: Arc<ObservationLog>,
     view: RefCell<View>,
     version: watch::Sender<u64>,
     gate: Rc<Gate>,
     addr: Cell<SocketAddr>,
-    lines: RefCell<Vec<Weak<ConnectionHandle>>>,
-    /// Ends the listener in use when it is replaced.
-    listening: RefCell<watch::Sender<bool>>,
+    connections: RefCell<Vec<Weak<ConnectionHandle>>>,
+    /// Stops the current listener when it is replaced.
+    stop_listener: RefCell<watch::Sender<bool>>,
 }
 
 impl Agent {
-    /// Listens at a free port of an address, with the list as it is.
+    /// Starts an agent at an address, with a first list.
     ///
     /// # Errors
-    /// Where the address cannot be listened at.
+    /// If it cannot listen at the address.
     pub fn start(
-        record: &Arc<ObservationLog>,
+        observations: &Arc<ObservationLog>,
         node: NodeNumber,
-        at: SocketAddr,
+        addr: SocketAddr,
         members: Vec<Member>,
     ) -> io::Result<Rc<Self>> {
-        let listener = wire::listen(at)?;
+        let listener = wire::listen(addr)?;
         let mut view = View { version: 0, members: Vec::new() };
         members.into_iter().for_each(|member| view.put(member));
-        let (listening, listens) = watch::channel(true);
+        let (stop_listener, stopped) = watch::channel(true);
         let agent = Rc::new(Agent {
             node,
-            record: record.clone(),
+            observations: observations.clone(),
             version: watch::channel(view.version).0,
             view: RefCell::new(view),
             gate: Rc::default(),
             addr: Cell::new(listener.local_addr()?),
-            lines: RefCell::default(),
-            listening: RefCell::new(listening),
+            connections: RefCell::default(),
+            stop_listener: RefCell::new(stop_listener),
         });
-        spawn_local(agent.clone().accept(listener, listens));
+        spawn_local(agent.clone().accept(listener, stopped));
         Ok(agent)
     }
 
+    /// The address that accepts connections now.
     pub fn addr(&self) -> SocketAddr {
         self.addr.get()
     }
 
-    /// The whole list as it is now, in discovery's form: what a node last had.
+    /// The complete current list in the format of the discovery API.
     pub fn snapshot(&self) -> Value {
-        let (line, _) = self.view.borrow().line(None);
+        let (line, _) = self.view.borrow().format_line(None);
         serde_json::from_str(&line).unwrap_or_default()
     }
 
-    /// A change, `after` from now on.
-    pub fn schedule_change(self: &Rc<Self>, member: Member, after: Duration) {
+    /// Applies a change after a delay, or when the agent is no longer silent.
+    pub fn schedule_change(self: &Rc<Self>, member: Member, delay: Duration) {
         let agent = self.clone();
         spawn_local(async move {
-            sleep(after).await;
+            sleep(delay).await;
             while agent.gate.is_closed() {
-                // What cannot be told is not known here either.
+                // A silent agent does not receive changes either.
                 sleep(Duration::from_millis(20)).await;
             }
-            let (executor, listed) = (member.executor, member.state);
+            let (executor, state) = (member.executor, member.state);
             agent.view.borrow_mut().put(member);
-            agent.record.record(Observation::AgentUpdated { node: agent.node, executor, state: listed });
+            agent.observations.record(Observation::AgentUpdated { node: agent.node, executor, state });
             let version = agent.view.borrow().version;
             agent.version.send_replace(version);
         });
     }
 
-    /// Says nothing while it is silent; open connections stay open.
+    /// Stops or resumes all traffic; open connections stay open.
     pub fn set_silent(&self, silent: bool) {
         self.gate.set_closed(silent);
     }
 
-    /// Ends all watches; they may be opened again at once.
+    /// Resets all connections; new ones are accepted at once.
     pub fn reset_watches(&self) {
-        let lines = std::mem::take(&mut *self.lines.borrow_mut());
-        lines.iter().filter_map(Weak::upgrade).for_each(|line| line.abort(Abort::Reset));
+        let connections = std::mem::take(&mut *self.connections.borrow_mut());
+        connections.iter().filter_map(Weak::upgrade).for_each(|connection| connection.abort(Abort::Reset));
     }
 
-    /// Moves to another address; the old one takes no new connection, and ends the open ones later.
+    /// Moves to another address; the old one accepts no new connection, and resets the open ones after a grace period.
     ///
     /// # Errors
-    /// Where the new address cannot be listened at.
-    pub fn move_to(self: &Rc<Self>, at: SocketAddr) -> io::Result<SocketAddr> {
-        let listener = wire::listen(at)?;
+    /// If it cannot listen at the new address.
+    pub fn move_to(self: &Rc<Self>, addr: SocketAddr) -> io::Result<SocketAddr> {
+        let listener = wire::listen(addr)?;
         self.addr.set(listener.local_addr()?);
-        let (listening, listens) = watch::channel(true);
-        self.listening.replace(listening).send_replace(false);
-        let old = std::mem::take(&mut *self.lines.borrow_mut());
+        let (stop_listener, stopped) = watch::channel(true);
+        self.stop_listener.replace(stop_listener).send_replace(false);
+        let old = std::mem::take(&mut *self.connections.borrow_mut());
         spawn_local(async move {
-            sleep(LEFT_OPEN).await;
-            old.iter().filter_map(Weak::upgrade).for_each(|line| line.abort(Abort::Reset));
+            sleep(OLD_ADDRESS_GRACE).await;
+            old.iter().filter_map(Weak::upgrade).for_each(|connection| connection.abort(Abort::Reset));
         });
-        spawn_local(self.clone().accept(listener, listens));
+        spawn_local(self.clone().accept(listener, stopped));
         Ok(self.addr())
     }
 
-    async fn accept(self: Rc<Self>, listener: TcpListener, mut listens: watch::Receiver<bool>) {
+    async fn accept(self: Rc<Self>, listener: TcpListener, mut stopped: watch::Receiver<bool>) {
         loop {
             let stream = tokio::select! {
-                _ = listens.changed() => return,
-                came = listener.accept() => match came {
+                _ = stopped.changed() => return,
+                accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => stream,
                     Err(_) => continue,
                 },
             };
-            let line = Rc::new(ConnectionHandle::default());
+            let connection = Rc::new(ConnectionHandle::default());
             {
-                let mut lines = self.lines.borrow_mut();
-                lines.retain(|line| line.strong_count() > 0);
-                lines.push(Rc::downgrade(&line));
+                let mut connections = self.connections.borrow_mut();
+                connections.retain(|connection| connection.strong_count() > 0);
+                connections.push(Rc::downgrade(&connection));
             }
             let (agent, gate) = (self.clone(), self.gate.clone());
-            spawn_local(wire::serve(stream, gate, line, move |request| {
+            spawn_local(wire::serve(stream, gate, connection, move |request| {
                 let agent = agent.clone();
                 async move { agent.answer(request) }
             }));
@@ -207,58 +210,59 @@
             *answer.status_mut() = hyper::StatusCode::NOT_FOUND;
             return answer;
         }
-        let asked = |name: &str| {
+        let parameter = |name: &str| {
             let pairs = request.uri().query().unwrap_or("").split('&');
             pairs
                 .filter_map(|pair| pair.split_once('='))
-                .find(|(n, _)| *n == name)
-                .map(|(_, v)| v.to_string())
+                .find(|(key, _)| *key == name)
+                .map(|(_, value)| value.to_string())
         };
-        if asked("stream").as_deref() != Some("1") {
-            let (line, told) = self.view.borrow().line(None);
-            self.told(&told);
+        if parameter("stream").as_deref() != Some("1") {
+            let (line, states) = self.view.borrow().format_line(None);
+            self.record_notified(&states);
             return Response::new(StreamedBody::full(line));
         }
-        let index = asked("index").and_then(|index| index.parse::<u64>().ok());
-        let (send, lines) = StreamedBody::new(None);
+        let index = parameter("index").and_then(|index| index.parse::<u64>().ok());
+        let (sender, body) = StreamedBody::new(None);
         let mut version = self.version.subscribe();
-        // An index of another count of versions gets the whole list.
-        let mut after = index.filter(|index| *index <= self.view.borrow().version);
+        // An index beyond the current version comes from another version count and gets the complete list.
+        let mut after_version = index.filter(|index| *index <= self.view.borrow().version);
         spawn_local(async move {
             loop {
-                let (line, told) = self.view.borrow().line(after);
-                after = Some(*version.borrow_and_update());
-                if send.send(line.into()).is_err() {
+                let (line, states) = self.view.borrow().format_line(after_version);
+                after_version = Some(*version.borrow_and_update());
+                if sender.send(line.into()).is_err() {
                     return;
                 }
-                self.told(&told);
+                self.record_notified(&states);
                 loop {
                     tokio::select! {
                         changed = version.changed() => match changed {
                             Ok(()) => break,
                             Err(_) => return,
                         },
-                        () = sleep(KEEP_ALIVE) => {
-                            if send.send("\n".into()).is_err() {
+                        () = sleep(KEEP_ALIVE_INTERVAL) => {
+                            if sender.send("\n".into()).is_err() {
                                 return;
                             }
                         }
-                        () = send.closed() => return,
+                        () = sender.closed() => return,
                     }
                 }
             }
         });
-        Response::new(lines)
+        Response::new(body)
     }
 
-    fn told(&self, told: &[(ExecutorNumber, ListedState)]) {
-        for &(executor, listed) in told {
-            self.record.record(Observation::NodeNotified { node: self.node, executor, state: listed });
+    /// Records that the node was notified of these states.
+    fn record_notified(&self, states: &[(ExecutorNumber, ListedState)]) {
+        for &(executor, state) in states {
+            self.observations.record(Observation::NodeNotified { node: self.node, executor, state });
         }
     }
 }
 
-/// How long a change takes to an agent.
+/// The bounds of the delay, in milliseconds, after which an agent receives a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NoticeDelay {
     pub min: Millis,
--- a/crates/emulator/src/executors.rs
+++ b/crates/emulator/src/executors.rs
@@ -1,4 +1,4 @@
-//! Executors on sockets round the model: one task a connection, one that lets time pass for each executor.
+//! Executors that serve the model on sockets: one task per connection, and one per executor that advances its model.
 use crate::machine::{Fault, Machine, Millis};
 use crate::model::{Admission, Attempt, AttemptKey, AttemptOutcome, Executor, Load, Output};
 use crate::observations::{AttemptNumber, ExecutorNumber, Observation, ObservationLog};
@@ -19,9 +19,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-const MOST_BODY: usize = 64 * 1024;
+/// A request body with more bytes is answered with 413.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// What the executors know of a work unit by its id.
+/// What a request id stands for: the resources and the work of a request.
 #[derive(Clone, PartialEq, Debug)]
 pub struct RequestSpec {
     pub request_id: u64,
@@ -32,19 +33,19 @@
     pub priority: f64,
 }
 
-/// Finds what an id stands for; none where no client sent it.
+/// Looks up a request by its id; `None` if no client sent it.
 pub type RequestLookup = Arc<dyn Fn(&str) -> Option<RequestSpec> + Send + Sync>;
 
-/// The result that an executor makes of a work unit, so that a client can tell that it is the right one.
+/// The result of a request, by which a client can check that the answer belongs to its request.
 pub fn format_result(id: &str) -> String {
     format!("result of {id}")
 }
 
-/// What all executors of a fleet share.
+/// The state that all executors of a fleet share.
 pub struct FleetContext {
     pub observations: Arc<ObservationLog>,
     pub find_request: RequestLookup,
-    /// Whether starts and progress are told.
+    /// Whether executors report that an attempt has started.
     pub reports_state: bool,
     next_attempt: Cell<AttemptNumber>,
 }
@@ -60,101 +61,104 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Door {
-    Open,
-    /// Connections come up and are not taken.
+enum ListenState {
+    Accepting,
+    /// Connections are established but not accepted.
     Paused,
-    /// None comes up.
+    /// Connections are not established.
     Silent,
-    /// They are refused.
-    Down,
+    /// Connections are refused.
+    Closed,
 }
 
-/// What an executor that knows fences keeps of a work unit, by its id, until it starts anew.
+/// What an executor remembers of the fences of a request until it restarts.
 #[derive(Default)]
-struct Fenced {
-    /// The highest number that came, or was asked for; one that is not higher is refused.
+struct FenceRecord {
+    /// The highest fence of an attempt or a query; an attempt whose fence is not higher is rejected.
     highest: u64,
-    /// Of the allocation that was taken last.
-    taken: Option<(u64, Fate)>,
+    /// The fence and the state of the attempt that was accepted last.
+    accepted: Option<(u64, FencedState)>,
 }
 
 #[derive(Clone, PartialEq)]
-enum Fate {
+enum FencedState {
     Waiting(AttemptKey),
     Running,
+    /// Completed with this result.
     Done(String),
     Lost,
 }
 
-/// An allocation that was taken and not answered yet.
-struct Out {
+/// An attempt whose answer is not complete yet.
+struct OpenAttempt {
     id: String,
-    send: BodySender,
-    line: Rc<ConnectionHandle>,
+    sender: BodySender,
+    connection: Rc<ConnectionHandle>,
 }
 
-/// One executor on its address.
+/// One executor at its address.
 pub struct Host {
     pub number: ExecutorNumber,
     pub name: String,
     pub addr: SocketAddr,
     model: RefCell<Executor>,
-    shared: Rc<FleetContext>,
+    context: Rc<FleetContext>,
     gate: Rc<Gate>,
-    door: watch::Sender<Door>,
+    listen_state: watch::Sender<ListenState>,
+    /// Wakes the task that advances the model.
     changed: Notify,
-    out: RefCell<HashMap<AttemptKey, Out>>,
-    fenced: RefCell<HashMap<String, Fenced>>,
-    /// Ids of fenced allocations that have not ended.
-    fenced_out: RefCell<HashMap<AttemptKey, String>>,
-    lines: RefCell<Vec<Weak<ConnectionHandle>>>,
+    open_attempts: RefCell<HashMap<AttemptKey, OpenAttempt>>,
+    /// By request id.
+    fences: RefCell<HashMap<String, FenceRecord>>,
+    /// Request ids of the fenced attempts that have not ended.
+    open_fenced: RefCell<HashMap<AttemptKey, String>>,
+    connections: RefCell<Vec<Weak<ConnectionHandle>>>,
 }
 
 impl Host {
-    /// Starts to listen; `warm` where it started long ago.
+    /// Starts an executor at an address; `is_warm` if its slow start is over.
     ///
     /// # Errors
-    /// Where the address cannot be listened at.
+    /// If it cannot listen at the address.
     pub fn start(
-        shared: &Rc<FleetContext>,
+        context: &Rc<FleetContext>,
         number: ExecutorNumber,
         machine: Machine,
         seed: u64,
-        at: SocketAddr,
-        warm: bool,
+        addr: SocketAddr,
+        is_warm: bool,
     ) -> io::Result<Rc<Self>> {
-        let listener = wire::listen(at)?;
-        let model = Executor::new(machine, seed, shared.observations.now(), warm);
+        let listener = wire::listen(addr)?;
+        let model = Executor::new(machine, seed, context.observations.now(), is_warm);
         let host = Rc::new(Host {
             number,
             name: format!("s-{number:05}"),
             addr: listener.local_addr()?,
             model: RefCell::new(model),
-            shared: shared.clone(),
+            context: context.clone(),
             gate: Rc::default(),
-            door: watch::channel(Door::Open).0,
+            listen_state: watch::channel(ListenState::Accepting).0,
             changed: Notify::new(),
-            out: RefCell::default(),
-            fenced: RefCell::default(),
-            fenced_out: RefCell::default(),
-            lines: RefCell::default(),
+            open_attempts: RefCell::default(),
+            fences: RefCell::default(),
+            open_fenced: RefCell::default(),
+            connections: RefCell::default(),
         });
-        host.note(Observation::ExecutorUp { executor: number });
+        host.record(Observation::ExecutorUp { executor: number });
         spawn_local(host.clone().accept(listener));
-        spawn_local(host.clone().let_time_pass());
+        spawn_local(host.clone().advance_model());
         Ok(host)
     }
 
-    fn note(&self, seen: Observation) {
-        self.shared.observations.record(seen);
+    fn record(&self, observation: Observation) {
+        self.context.observations.record(observation);
     }
 
     fn now(&self) -> Millis {
-        self.shared.observations.now()
+        self.context.observations.now()
     }
 
-    /// When it last started, since the record's start; minus infinity for long ago.
+    /// When it last started, on the clock of the observations; minus infinity if it was warm from the beginning.
     pub fn started_at(&self) -> Millis {
         self.model.borrow().started_at()
     }
@@ -163,108 +167,117 @@
         self.model.borrow().is_down()
     }
 
-    /// Whether its connections say nothing.
+    /// Whether its connections carry no traffic.
     pub fn is_silent(&self) -> bool {
         self.model.borrow().is_silent()
     }
 
-    /// Allocations that run and wait.
+    /// The numbers of running and of queued attempts.
     pub fn attempt_counts(&self) -> (usize, usize) {
         let model = self.model.borrow();
         (model.running_count(), model.waiting_count())
     }
 
+    /// Activates a fault under a number, by which [`Host::end_fault`] ends it.
     pub fn begin_fault(&self, number: u64, trouble: Fault) {
         self.model.borrow_mut().begin_fault(self.now(), number, trouble);
-        self.after_a_change();
+        self.apply_changes();
     }
 
+    /// Ends the fault of this number, if it is active.
     pub fn end_fault(&self, number: u64) {
-        let (before, down) = (self.started_at(), self.is_down());
+        let (started_before, was_down) = (self.started_at(), self.is_down());
         self.model.borrow_mut().end_fault(self.now(), number);
-        if self.started_at() != before && !down {
+        if self.started_at() != started_before && !was_down {
             self.reset_all();
-            self.note(Observation::ExecutorUp { executor: self.number });
+            self.record(Observation::ExecutorUp { executor: self.number });
         }
-        self.after_a_change();
+        self.apply_changes();
     }
 
+    /// Begins to drain.
     pub fn drain(&self) {
         self.model.borrow_mut().drain(self.now());
-        self.after_a_change();
+        self.apply_changes();
     }
 
-    /// The process dies: its connections are reset, new ones refused.
+    /// Kills the process: its connections are reset, and new ones refused.
     pub fn kill(&self) {
         self.model.borrow_mut().kill(self.now());
-        self.note(Observation::ExecutorDown { executor: self.number });
-        self.after_a_change();
+        self.record(Observation::ExecutorDown { executor: self.number });
+        self.apply_changes();
         self.reset_all();
     }
 
-    /// It starts anew, cold and empty, under its address.
+    /// Restarts the process at its address, without any attempts and at the beginning of its slow start.
     pub fn restart(&self) {
         self.model.borrow_mut().restart(self.now());
         self.reset_all();
-        self.note(Observation::ExecutorUp { executor: self.number });
-        self.after_a_change();
+        self.record(Observation::ExecutorUp { executor: self.number });
+        self.apply_changes();
     }
 
+    /// Resets all connections, and forgets all fences.
     fn reset_all(&self) {
-        // It starts with an empty memory.
-        self.fenced.borrow_mut().clear();
-        self.fenced_out.borrow_mut().clear();
-        let lines = std::mem::take(&mut *self.lines.borrow_mut());
-        lines.iter().filter_map(Weak::upgrade).for_each(|line| line.abort(Abort::Reset));
+        // A process that starts again has no fences.
+        self.fences.borrow_mut().clear();
+        self.open_fenced.borrow_mut().clear();
+        let connections = std::mem::take(&mut *self.connections.borrow_mut());
+        connections.iter().filter_map(Weak::upgrade).for_each(|connection| connection.abort(Abort::Reset));
     }
 
-    fn after_a_change(&self) {
-        self.hand_out();
+    /// Brings connections and listener in line with the model after a change of its state.
+    fn apply_changes(&self) {
+        self.process_outputs();
         let (down, silent, paused) = {
             let model = self.model.borrow();
             (model.is_down(), model.is_silent(), model.is_paused())
         };
         self.gate.set_closed(silent || paused);
-        let door = match (down, silent, paused) {
-            (true, ..) => Door::Down,
-            (_, true, _) => Door::Silent,
-            (.., true) => Door::Paused,
-            _ => Door::Open,
+        let listen_state = match (down, silent, paused) {
+            (true, ..) => ListenState::Closed,
+            (_, true, _) => ListenState::Silent,
+            (.., true) => ListenState::Paused,
+            _ => ListenState::Accepting,
         };
-        self.door.send_if_modified(|was| std::mem::replace(was, door) != door);
+        self.listen_state
+            .send_if_modified(|previous| std::mem::replace(previous, listen_state) != listen_state);
         self.changed.notify_one();
     }
 
-    /// Writes what the model says to whoever waits for it.
-    fn hand_out(&self) {
+    /// Records the outputs of the model, and writes them to the connections of their attempts.
+    fn process_outputs(&self) {
         loop {
-            let taken = self.model.borrow_mut().pop_output(self.now());
-            let Some((at, output)) = taken else { return };
-            let note = |seen| self.shared.observations.record_at(at, seen);
-            let say = |key: &AttemptKey, what: &dyn Fn(&str) -> serde_json::Value| {
-                if let Some(out) = self.out.borrow().get(key) {
-                    let _ = out.send.send(format!("{}\n", what(&out.id)).into());
+            let next = self.model.borrow_mut().pop_output(self.now());
+            let Some((at, output)) = next else { return };
+            let record = |observation| self.context.observations.record_at(at, observation);
+            let send_event = |key: &AttemptKey, event: &dyn Fn(&str) -> serde_json::Value| {
+                if let Some(open) = self.open_attempts.borrow().get(key) {
+                    let _ = open.sender.send(format!("{}\n", event(&open.id)).into());
                 }
             };
             match output {
                 Output::Started { key } => {
-                    self.fate(&key, |_| Fate::Running);
-                    note(Observation::Started { attempt_id: key.0 });
-                    if self.shared.reports_state {
-                        say(&key, &|id| json!({"id": id, "from": self.name, "state": "started"}));
+                    self.set_fenced_state(&key, |_| FencedState::Running);
+                    record(Observation::Started { attempt_id: key.0 });
+                    if self.context.reports_state {
+                        send_event(&key, &|id| json!({"id": id, "from": self.name, "state": "started"}));
                     }
                 }
                 Output::Progress { key, share } => {
-                    say(&key, &|id| json!({"id": id, "from": self.name, "state": "running", "share": share}));
+                    send_event(
+                        &key,
+                        &|id| json!({"id": id, "from": self.name, "state": "running", "share": share}),
+                    );
                 }
-                Output::Ended { key, outcome: end } => {
-                    note(Observation::Ended { attempt_id: key.0, outcome: end });
-                    self.fate(&key, |id| match end {
-                        AttemptOutcome::Done => Fate::Done(format_result(id)),
-                        _ => Fate::Lost,
+                Output::Ended { key, outcome } => {
+                    record(Observation::Ended { attempt_id: key.0, outcome });
+                    self.set_fenced_state(&key, |id| match outcome {
+                        AttemptOutcome::Done => FencedState::Done(format_result(id)),
+                        _ => FencedState::Lost,
                     });
-                    self.fenced_out.borrow_mut().remove(&key);
-                    let end = |id: &str| match end {
+                    self.open_fenced.borrow_mut().remove(&key);
+                    let event = |id: &str| match outcome {
                         AttemptOutcome::Done => {
                             json!({"id": id, "from": self.name, "state": "done", "result": format_result(id)})
                         }
@@ -272,110 +285,114 @@
                         AttemptOutcome::Lost => json!({"id": id, "from": self.name, "state": "lost"}),
                         AttemptOutcome::Reset => json!(null),
                     };
-                    let reset = matches!(output, Output::Ended { outcome: AttemptOutcome::Reset, .. });
-                    if !reset {
-                        say(&key, &end);
+                    let is_reset = matches!(output, Output::Ended { outcome: AttemptOutcome::Reset, .. });
+                    if !is_reset {
+                        send_event(&key, &event);
                     }
-                    if let Some(out) = self.out.borrow_mut().remove(&key)
-                        && reset
+                    if let Some(open) = self.open_attempts.borrow_mut().remove(&key)
+                        && is_reset
                     {
-                        out.line.abort(Abort::Reset);
+                        open.connection.abort(Abort::Reset);
                     }
                 }
-                Output::Overloaded { sent, limit: stood } => {
-                    note(Observation::Overloaded { executor: self.number, sent, limit: stood });
-                    note(Observation::ExecutorDown { executor: self.number });
+                Output::Overloaded { sent, limit } => {
+                    record(Observation::Overloaded { executor: self.number, sent, limit });
+                    record(Observation::ExecutorDown { executor: self.number });
                 }
             }
         }
     }
 
-    /// Keeps what became of a fenced allocation.
-    fn fate(&self, key: &AttemptKey, fate: impl Fn(&str) -> Fate) {
-        if let Some(id) = self.fenced_out.borrow().get(key)
-            && let Some(Fenced { taken: Some((_, was)), .. }) = self.fenced.borrow_mut().get_mut(id)
+    /// Updates the state of a fenced attempt.
+    fn set_fenced_state(&self, key: &AttemptKey, state: impl Fn(&str) -> FencedState) {
+        if let Some(id) = self.open_fenced.borrow().get(key)
+            && let Some(FenceRecord { accepted: Some((_, current)), .. }) =
+                self.fences.borrow_mut().get_mut(id)
         {
-            *was = fate(id);
+            *current = state(id);
         }
     }
 
-    /// What became of an allocation that was recorded so long ago; what had not begun never does from now on.
-    fn ask_fence(&self, id: &str, fence: u64, age: Millis) -> serde_json::Value {
-        let mut known = self.fenced.borrow_mut();
-        let of = known.entry(id.to_string()).or_default();
-        of.highest = of.highest.max(fence);
-        let waits = match &of.taken {
-            Some((number, Fate::Waiting(key))) if *number <= fence => Some(*key),
+    /// Answers a fence query about an attempt that the node recorded `age` ago. An attempt that has not started yet never
+    /// starts from now on.
+    fn answer_fence_query(&self, id: &str, fence: u64, age: Millis) -> serde_json::Value {
+        let mut fences = self.fences.borrow_mut();
+        let fence_record = fences.entry(id.to_string()).or_default();
+        fence_record.highest = fence_record.highest.max(fence);
+        let waiting = match &fence_record.accepted {
+            Some((number, FencedState::Waiting(key))) if *number <= fence => Some(*key),
             _ => None,
         };
-        if let Some(key) = waits {
-            of.taken = None;
-            self.fenced_out.borrow_mut().remove(&key);
-            drop(known);
-            self.note(Observation::NotStarted { attempt_id: key.0 });
-            self.out.borrow_mut().remove(&key);
+        if let Some(key) = waiting {
+            fence_record.accepted = None;
+            self.open_fenced.borrow_mut().remove(&key);
+            drop(fences);
+            self.record(Observation::NotStarted { attempt_id: key.0 });
+            self.open_attempts.borrow_mut().remove(&key);
             self.model.borrow_mut().cancel(self.now(), key);
             self.changed.notify_one();
             return json!({"state": "never"});
         }
-        match &of.taken {
-            // Another life of this executor may have had it.
+        match &fence_record.accepted {
+            // The process may have accepted it before its last restart.
             None if self.now() - self.started_at() < age => json!({"state": "unknown"}),
             None => json!({"state": "never"}),
             Some((number, _)) if *number > fence => json!({"state": "lost"}),
-            Some((_, Fate::Waiting(_) | Fate::Running)) => json!({"state": "running"}),
-            Some((_, Fate::Done(result))) => json!({"state": "done", "result": result}),
-            Some((_, Fate::Lost)) => json!({"state": "lost"}),
+            Some((_, FencedState::Waiting(_) | FencedState::Running)) => json!({"state": "running"}),
+            Some((_, FencedState::Done(result))) => json!({"state": "done", "result": result}),
+            Some((_, FencedState::Lost)) => json!({"state": "lost"}),
         }
     }
 
-    async fn let_time_pass(self: Rc<Self>) {
+    /// Advances the model at the time of each output and internal change.
+    async fn advance_model(self: Rc<Self>) {
         loop {
             let next = self.model.borrow().next_event_at();
-            let at = self.shared.observations.started_at()
+            let at = self.context.observations.started_at()
                 + Duration::from_secs_f64(next.unwrap_or(0.0).max(0.0) / 1000.0);
             tokio::select! {
-                () = sleep_until(Instant::from_std(at)), if next.is_some() => self.hand_out(),
+                () = sleep_until(Instant::from_std(at)), if next.is_some() => self.process_outputs(),
                 () = self.changed.notified() => {}
             }
         }
     }
 
+    /// Accepts connections as the state of the listener allows.
     async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let mut door = self.door.subscribe();
+        let mut listen_state = self.listen_state.subscribe();
         let mut listener = Some(listener);
         loop {
-            let now = *door.borrow_and_update();
-            if now == Door::Down {
+            let state = *listen_state.borrow_and_update();
+            if state == ListenState::Closed {
                 listener = None;
             } else if listener.is_none() {
                 match wire::listen(self.addr) {
-                    Ok(again) => listener = Some(again),
+                    Ok(reopened) => listener = Some(reopened),
                     Err(_) => {
-                        // Its port is in use for a moment; guards against a restart that never listens.
+                        // The port can be in use for a moment after a restart; without a retry it would never listen again.
                         tokio::time::sleep(Duration::from_millis(20)).await;
                         continue;
                     }
                 }
             }
-            match (now, &listener) {
-                (Door::Silent, Some(listener)) => {
-                    let plug = ListenerBlock::install(listener).await;
-                    let _ = door.changed().await;
-                    if let Ok(plug) = plug {
-                        let _ = plug.remove(listener);
+            match (state, &listener) {
+                (ListenState::Silent, Some(listener)) => {
+                    let block = ListenerBlock::install(listener).await;
+                    let _ = listen_state.changed().await;
+                    if let Ok(block) = block {
+                        let _ = block.remove(listener);
                     }
                 }
-                (Door::Open, Some(listener)) => tokio::select! {
-                    changed = door.changed() => if changed.is_err() { return },
-                    came = listener.accept() => {
-                        if let Ok((stream, _)) = came {
+                (ListenState::Accepting, Some(listener)) => tokio::select! {
+                    changed = listen_state.changed() => if changed.is_err() { return },
+                    accepted = listener.accept() => {
+                        if let Ok((stream, _)) = accepted {
                             spawn_local(self.clone().serve(stream));
                         }
                     }
                 },
                 _ => {
-                    if door.changed().await.is_err() {
+                    if listen_state.changed().await.is_err() {
                         return;
                     }
                 }
@@ -383,35 +400,36 @@
         }
     }
 
+    /// Serves one connection, unless the model refuses it.
     async fn serve(self: Rc<Self>, stream: tokio::net::TcpStream) {
         if !self.model.borrow_mut().connect(self.now()) {
             return;
         }
         self.changed.notify_one();
-        let line = Rc::new(ConnectionHandle::default());
+        let connection = Rc::new(ConnectionHandle::default());
         {
-            let mut lines = self.lines.borrow_mut();
-            lines.retain(|line| line.strong_count() > 0);
-            lines.push(Rc::downgrade(&line));
+            let mut connections = self.connections.borrow_mut();
+            connections.retain(|connection| connection.strong_count() > 0);
+            connections.push(Rc::downgrade(&connection));
         }
-        let (host, own) = (self.clone(), line.clone());
-        let serving = wire::serve(stream, self.gate.clone(), line.clone(), move |request| {
-            let (host, line) = (host.clone(), own.clone());
-            async move { host.answer(request, line).await }
+        let (host, own) = (self.clone(), connection.clone());
+        let serving = wire::serve(stream, self.gate.clone(), connection.clone(), move |request| {
+            let (host, connection) = (host.clone(), own.clone());
+            async move { host.answer(request, connection).await }
         });
         tokio::pin!(serving);
-        let mut ended = false;
+        let mut is_closed = false;
         loop {
             tokio::select! {
                 () = &mut serving => break,
-                // Guards against an end that hyper does not see behind the gate.
-                () = line.peer_closed(), if !ended => {
-                    ended = true;
-                    let of_it = |out: &(&AttemptKey, &Out)| Rc::ptr_eq(&out.1.line, &line);
-                    let keys: Vec<AttemptKey> = self.out.borrow().iter().filter(of_it).map(|(key, _)| *key).collect();
+                // While the gate is closed, hyper does not notice that the peer has closed the connection.
+                () = connection.peer_closed(), if !is_closed => {
+                    is_closed = true;
+                    let is_on_it = |open: &(&AttemptKey, &OpenAttempt)| Rc::ptr_eq(&open.1.connection, &connection);
+                    let keys: Vec<AttemptKey> = self.open_attempts.borrow().iter().filter(is_on_it).map(|(key, _)| *key).collect();
                     for key in keys {
-                        self.out.borrow_mut().remove(&key);
-                        self.given_up(key);
+                        self.open_attempts.borrow_mut().remove(&key);
+                        self.cancel_attempt(key);
                     }
                 }
             }
@@ -419,7 +437,8 @@
         self.model.borrow_mut().disconnect(self.now());
     }
 
-    fn report(&self) -> String {
+    /// Formats a load report.
+    fn load_report(&self) -> String {
         let Load { waiting, running, free_slots, free_memory } = self.model.borrow_mut().probe(self.now());
         self.changed.notify_one();
         let slots = self.model.borrow().machine().slots;
@@ -431,127 +450,134 @@
     async fn answer(
         self: Rc<Self>,
         request: Request<Incoming>,
-        line: Rc<ConnectionHandle>,
+        connection: Rc<ConnectionHandle>,
     ) -> Response<StreamedBody> {
         let status = |status: u16, body: String| {
             let mut answer = Response::new(StreamedBody::full(body));
-            *answer.status_mut() = hyper::StatusCode::from_u16(status).expect("a status of ours");
+            *answer.status_mut() = hyper::StatusCode::from_u16(status).expect("a valid status");
             answer
         };
         if request.method() == Method::GET {
             return match request.uri().path() {
-                "/ping" | "/_load" => status(200, self.report()),
+                "/ping" | "/_load" => status(200, self.load_report()),
                 _ => status(404, String::new()),
             };
         }
-        let first_byte = line.first_byte_at().map_or(self.now(), |at| {
-            (at.into_std() - self.shared.observations.started_at()).as_secs_f64() * 1000.0
+        let first_byte = connection.first_byte_at().map_or(self.now(), |at| {
+            (at.into_std() - self.context.observations.started_at()).as_secs_f64() * 1000.0
         });
         let Some(id) = request.headers().get("request-id").and_then(|id| id.to_str().ok()).map(String::from)
         else {
             return status(404, String::new());
         };
-        let number =
+        let numeric_field =
             |name: &str| request.headers().get(name).and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
-        let fence = number("work-fence").filter(|n| *n >= 1.0).map(|n| n as u64);
+        let fence = numeric_field("work-fence").filter(|n| *n >= 1.0).map(|n| n as u64);
         if request.uri().path() == "/_fence" {
-            let Some((fence, age)) = fence.zip(number("work-fence-age")) else {
+            let Some((fence, age)) = fence.zip(numeric_field("work-fence-age")) else {
                 return status(400, String::new());
             };
-            return status(200, self.ask_fence(&id, fence, age).to_string());
+            return status(200, self.answer_fence_query(&id, fence, age).to_string());
         }
-        let named = request.headers().get("work-millis").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
-        if Limited::new(request.into_body(), MOST_BODY).collect().await.is_err() {
+        let requested_work =
+            request.headers().get("work-millis").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
+        if Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.is_err() {
             return status(413, String::new());
         }
-        let Some(work) = (self.shared.find_request)(&id) else {
-            self.note(Observation::UnknownRequest { executor: self.number, id: id.into() });
+        let Some(spec) = (self.context.find_request)(&id) else {
+            self.record(Observation::UnknownRequest { executor: self.number, id: id.into() });
             return status(400, String::new());
         };
-        let turned_away = || {
+        let rejected = || {
             let mut answer = status(503, String::new());
             answer.headers_mut().insert("not-started", hyper::header::HeaderValue::from_static("1"));
             answer
         };
-        let attempt_id = self.shared.next_attempt.get();
-        self.shared.next_attempt.set(attempt_id + 1);
+        let attempt_id = self.context.next_attempt.get();
+        self.context.next_attempt.set(attempt_id + 1);
         let key = AttemptKey(attempt_id);
-        let offer = Attempt {
+        let attempt = Attempt {
             key,
-            request_id: work.request_id,
-            request_class: work.request_class,
-            slots: work.slots,
-            memory: work.memory,
-            work: named.filter(|w| w.is_finite() && *w >= 0.0).unwrap_or(work.work),
-            priority: work.priority,
+            request_id: spec.request_id,
+            request_class: spec.request_class,
+            slots: spec.slots,
+            memory: spec.memory,
+            work: requested_work.filter(|work| work.is_finite() && *work >= 0.0).unwrap_or(spec.work),
+            priority: spec.priority,
         };
-        self.note(Observation::Received {
+        self.record(Observation::Received {
             executor: self.number,
             attempt_id,
             id: id.clone().into(),
             first_byte,
-            slots: offer.slots,
-            work: offer.work,
+            slots: attempt.slots,
+            work: attempt.work,
         });
         if let Some(fence) = fence {
-            let mut known = self.fenced.borrow_mut();
-            let of = known.entry(id.clone()).or_default();
-            if fence <= of.highest {
-                drop(known);
-                self.note(Observation::NotStarted { attempt_id });
-                return turned_away();
+            let mut fences = self.fences.borrow_mut();
+            let fence_record = fences.entry(id.clone()).or_default();
+            if fence <= fence_record.highest {
+                drop(fences);
+                self.record(Observation::NotStarted { attempt_id });
+                return rejected();
             }
-            of.highest = fence;
-            of.taken = Some((fence, Fate::Waiting(key)));
-            self.fenced_out.borrow_mut().insert(key, id.clone());
+            fence_record.highest = fence;
+            fence_record.accepted = Some((fence, FencedState::Waiting(key)));
+            self.open_fenced.borrow_mut().insert(key, id.clone());
         }
-        let verdict = self.model.borrow_mut().dispatch(self.now(), offer);
-        if verdict != Admission::Accepted && fence.is_some() {
-            let never = verdict == Admission::Rejected;
-            self.fenced_out.borrow_mut().remove(&key);
-            if let Some(of) = self.fenced.borrow_mut().get_mut(&id) {
-                of.taken = of.taken.take().filter(|_| !never).map(|(fence, _)| (fence, Fate::Lost));
+        let admission = self.model.borrow_mut().dispatch(self.now(), attempt);
+        if admission != Admission::Accepted && fence.is_some() {
+            let is_rejected = admission == Admission::Rejected;
+            self.open_fenced.borrow_mut().remove(&key);
+            if let Some(record) = self.fences.borrow_mut().get_mut(&id) {
+                record.accepted = record
+                    .accepted
+                    .take()
+                    .filter(|_| !is_rejected)
+                    .map(|(fence, _)| (fence, FencedState::Lost));
             }
         }
-        match verdict {
+        match admission {
             Admission::Accepted => {}
             Admission::Rejected => {
-                self.note(Observation::NotStarted { attempt_id });
-                self.after_a_change();
-                return turned_away();
+                self.record(Observation::NotStarted { attempt_id });
+                self.apply_changes();
+                return rejected();
             }
             Admission::Error => {
-                self.note(Observation::ErrorAnswered { attempt_id });
+                self.record(Observation::ErrorAnswered { attempt_id });
                 return status(500, String::new());
             }
             Admission::Down => {
-                // It fell over under this very allocation, or died as it came.
-                self.note(Observation::Ended { attempt_id, outcome: AttemptOutcome::Reset });
-                self.after_a_change();
+                // This attempt exceeded the overload limit, or the process was down when it arrived.
+                self.record(Observation::Ended { attempt_id, outcome: AttemptOutcome::Reset });
+                self.apply_changes();
                 self.reset_all();
-                line.abort(Abort::Reset);
+                connection.abort(Abort::Reset);
                 return std::future::pending().await;
             }
         }
         let (host, own) = (Rc::downgrade(&self), key);
-        let dropped = move || {
+        let on_drop = move || {
             if let Some(host) = host.upgrade()
-                && host.out.borrow_mut().remove(&own).is_some()
+                && host.open_attempts.borrow_mut().remove(&own).is_some()
             {
-                host.given_up(own);
+                host.cancel_attempt(own);
             }
         };
-        let (send, lines) = StreamedBody::new(Some(Box::new(dropped)));
-        self.out.borrow_mut().insert(key, Out { id, send, line: line.clone() });
-        self.after_a_change();
-        Response::new(lines)
+        let (sender, body) = StreamedBody::new(Some(Box::new(on_drop)));
+        self.open_attempts
+            .borrow_mut()
+            .insert(key, OpenAttempt { id, sender, connection: connection.clone() });
+        self.apply_changes();
+        Response::new(body)
     }
 
-    /// Whoever sent it has ended the connection.
-    fn given_up(&self, key: AttemptKey) {
-        self.note(Observation::Cancelled { attempt_id: key.0 });
-        if self.fenced_out.borrow().contains_key(&key) {
-            // Whoever sent it will ask what became of it.
+    /// Cancels an attempt whose client has closed the connection.
+    fn cancel_attempt(&self, key: AttemptKey) {
+        self.record(Observation::Cancelled { attempt_id: key.0 });
+        if self.open_fenced.borrow().contains_key(&key) {
+            // A fenced attempt continues: its node queries its state later.
             return;
         }
         self.model.borrow_mut().cancel(self.now(), key);
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -1,5 +1,6 @@
-//! The front: deals out connections among the nodes that it has taken in. It takes a node in once its health
-//! answers 200, out at once when it answers otherwise, and notices only after a while that one has died.
+//! The front: a load balancer that distributes connections round robin over the healthy nodes. A node becomes healthy when
+//! its health check returns 200, and unhealthy at once when it returns another status. A node that does not answer stays
+//! healthy for the detection delay.
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::Request;
@@ -12,87 +13,90 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-const CHECK_EVERY: Duration = Duration::from_millis(200);
-const CHECK_WAIT: Duration = Duration::from_millis(1000);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(1000);
 
 struct Node {
     addr: SocketAddr,
-    taken_in: Cell<bool>,
+    is_healthy: Cell<bool>,
 }
 
-/// Deals connections in turn.
+/// Distributes connections over the healthy nodes.
 pub struct Front {
     nodes: RefCell<Vec<Rc<Node>>>,
     next: Cell<usize>,
-    notices_after: Duration,
+    detection_delay: Duration,
 }
 
 impl Front {
-    /// A front for nodes at these addresses that notices a dead one after so long.
-    pub fn start(nodes: &[SocketAddr], notices_after: Duration) -> Rc<Self> {
-        let of = |addr: &SocketAddr| Rc::new(Node { addr: *addr, taken_in: Cell::new(false) });
-        let nodes: Vec<Rc<Node>> = nodes.iter().map(of).collect();
+    /// Starts a front for nodes at these addresses; a node that does not answer becomes unhealthy after the detection
+    /// delay.
+    pub fn start(nodes: &[SocketAddr], detection_delay: Duration) -> Rc<Self> {
+        let node = |addr: &SocketAddr| Rc::new(Node { addr: *addr, is_healthy: Cell::new(false) });
+        let nodes: Vec<Rc<Node>> = nodes.iter().map(node).collect();
         for node in &nodes {
-            spawn_local(watch(node.clone(), notices_after));
+            spawn_local(watch_health(node.clone(), detection_delay));
         }
-        Rc::new(Front { nodes: RefCell::new(nodes), next: Cell::new(0), notices_after })
+        Rc::new(Front { nodes: RefCell::new(nodes), next: Cell::new(0), detection_delay })
     }
 
+    /// How long a node that does not answer stays healthy.
     pub fn detection_delay(&self) -> Duration {
-        self.notices_after
+        self.detection_delay
     }
 
-    /// How many nodes are taken in.
+    /// The number of healthy nodes.
     pub fn healthy_count(&self) -> usize {
-        self.nodes.borrow().iter().filter(|node| node.taken_in.get()).count()
+        self.nodes.borrow().iter().filter(|node| node.is_healthy.get()).count()
     }
 
-    /// Where a node is, by its number, whether it is taken in or not.
+    /// The address of a node by its number, whether or not it is healthy.
     pub fn addr(&self, node: usize) -> Option<SocketAddr> {
         self.nodes.borrow().get(node).map(|node| node.addr)
     }
 
-    /// The node, by its number, that gets the next connection; none where none is taken in.
+    /// The number and address of the node that gets the next connection; `None` if no node is healthy.
     pub fn next_node(&self) -> Option<(usize, SocketAddr)> {
         let nodes = self.nodes.borrow();
-        let from = self.next.get();
-        let turn = (0..nodes.len()).map(|k| (from + k) % nodes.len());
-        let found = turn.into_iter().find(|&k| nodes[k].taken_in.get())?;
+        let first = self.next.get();
+        let order = (0..nodes.len()).map(|offset| (first + offset) % nodes.len());
+        let found = order.into_iter().find(|&number| nodes[number].is_healthy.get())?;
         self.next.set(found + 1);
         Some((found, nodes[found].addr))
     }
 }
 
-async fn watch(node: Rc<Node>, notices_after: Duration) {
-    let mut failing: Option<Instant> = None;
+/// Checks the health of one node periodically.
+async fn watch_health(node: Rc<Node>, detection_delay: Duration) {
+    let mut unanswered_since: Option<Instant> = None;
     loop {
-        match timeout(CHECK_WAIT, check_health(node.addr)).await {
+        match timeout(CHECK_TIMEOUT, check_health(node.addr)).await {
             Ok(Some(200)) => {
-                node.taken_in.set(true);
-                failing = None;
+                node.is_healthy.set(true);
+                unanswered_since = None;
             }
             Ok(Some(_)) => {
-                node.taken_in.set(false);
-                failing = None;
+                node.is_healthy.set(false);
+                unanswered_since = None;
             }
             _ => {
-                if failing.get_or_insert_with(Instant::now).elapsed() >= notices_after {
-                    node.taken_in.set(false);
+                if unanswered_since.get_or_insert_with(Instant::now).elapsed() >= detection_delay {
+                    node.is_healthy.set(false);
                 }
             }
         }
-        sleep(CHECK_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// The status that a node's health answers; none where it does not.
+/// The status of a node's health check; `None` if it does not answer.
 pub async fn check_health(addr: SocketAddr) -> Option<u16> {
     let stream = TcpStream::connect(addr).await.ok()?;
-    let (mut send, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
     let connection = spawn_local(connection);
     let request =
         Request::get("/_health").header("host", addr.to_string()).body(Empty::<Bytes>::new()).ok()?;
-    let answer = send.send_request(request).await.ok();
+    let answer = sender.send_request(request).await.ok();
     connection.abort();
     answer.map(|answer| answer.status().as_u16())
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,7 @@
-//! Emulated executors for tests and rehearsals: [`model`] without I/O, and the sockets round it.
+//! Emulated executors for tests and rehearsals: a model without I/O in [`model`], and the services that run it on
+//! sockets.
 //!
-//! Nothing here uses the daemon's code, so that a mistake there cannot hide itself.
+//! This crate does not use the code of the daemon, because an error in shared code would cancel out in tests.
 pub mod discovery;
 pub mod executors;
 pub mod front;
