--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/wire.rs
@@ -1,4 +1,4 @@
-//! Connections as peers see them when things go wrong: gated, cut, or ended with garbage. HTTP is hyper's.
+//! HTTP connections (by hyper) with faults: they can stop all traffic, be reset, or end with bytes outside of HTTP.
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming};
 use hyper::service::service_fn;
@@ -18,143 +18,149 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// While a gate is shut, so much of what comes is taken in unseen.
-const MOST_HELD: usize = 256 * 1024;
+/// The bytes of a connection that are buffered while its gate is closed.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Shut, the connections behind it stay open and say nothing.
+/// Controls the traffic of a group of connections. While it is closed, the connections stay open without any traffic.
 #[derive(Default)]
 pub struct Gate {
-    shut: Cell<bool>,
-    waiting: RefCell<Vec<Waker>>,
+    closed: Cell<bool>,
+    wakers: RefCell<Vec<Waker>>,
 }
 
 impl Gate {
-    pub fn set_closed(&self, shut: bool) {
-        self.shut.set(shut);
-        if !shut {
-            self.waiting.take().into_iter().for_each(Waker::wake);
+    /// Closes or opens the gate.
+    pub fn set_closed(&self, closed: bool) {
+        self.closed.set(closed);
+        if !closed {
+            self.wakers.take().into_iter().for_each(Waker::wake);
         }
     }
 
     pub fn is_closed(&self) -> bool {
-        self.shut.get()
+        self.closed.get()
     }
 
-    fn wait(&self, cx: &Context) {
-        let mut waiting = self.waiting.borrow_mut();
-        if !waiting.iter().any(|waker| waker.will_wake(cx.waker())) {
-            waiting.push(cx.waker().clone());
+    /// Wakes the task once the gate opens.
+    fn register_waker(&self, cx: &Context) {
+        let mut wakers = self.wakers.borrow_mut();
+        if !wakers.iter().any(|waker| waker.will_wake(cx.waker())) {
+            wakers.push(cx.waker().clone());
         }
     }
 }
 
-/// How a connection is ended from this side.
+/// How stream side ends a connection.
 #[derive(Clone, Debug)]
 pub enum Abort {
-    /// By RST.
+    /// With a TCP reset.
     Reset,
-    /// After these bytes, outside of HTTP.
+    /// By closing it after these bytes, which are written outside of HTTP.
     Write(&'static [u8]),
 }
 
-/// What is known of one connection, shared with whoever serves it.
+/// The state of one connection, shared between its task and its request handlers.
 #[derive(Default)]
 pub struct ConnectionHandle {
-    cut: RefCell<Option<Abort>>,
-    cut_told: Notify,
-    /// When the first byte since the last answer came.
-    first_byte: Cell<Option<Instant>>,
-    /// Called once the peer has ended its side.
-    ended: Notify,
-    has_ended: Cell<bool>,
+    abort: RefCell<Option<Abort>>,
+    aborted: Notify,
+    /// When the first byte after the last answer arrived.
+    first_byte_at: Cell<Option<Instant>>,
+    /// Notified once the peer has closed its side.
+    peer_closed: Notify,
+    is_peer_closed: Cell<bool>,
 }
 
 impl ConnectionHandle {
-    pub fn abort(&self, how: Abort) {
-        *self.cut.borrow_mut() = Some(how);
-        self.cut_told.notify_one();
+    /// Ends the connection.
+    pub fn abort(&self, abort: Abort) {
+        *self.abort.borrow_mut() = Some(abort);
+        self.aborted.notify_one();
     }
 
-    /// The same by RST, after a while.
-    pub fn reset_after(self: &Rc<Self>, wait: std::time::Duration) {
-        let line = self.clone();
+    /// Resets the connection after a delay.
+    pub fn reset_after(self: &Rc<Self>, delay: std::time::Duration) {
+        let connection = self.clone();
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(wait).await;
-            line.abort(Abort::Reset);
+            tokio::time::sleep(delay).await;
+            connection.abort(Abort::Reset);
         });
     }
 
-    /// When the request that is being served began to come.
+    /// When the first byte of the current request arrived.
     pub fn first_byte_at(&self) -> Option<Instant> {
-        self.first_byte.get()
+        self.first_byte_at.get()
     }
 
-    /// Waits until the peer has ended its side.
+    /// Waits until the peer has closed its side.
     pub async fn peer_closed(&self) {
-        if !self.has_ended.get() {
-            self.ended.notified().await;
+        if !self.is_peer_closed.get() {
+            self.peer_closed.notified().await;
         }
     }
 }
 
-struct Gated {
+/// A TCP stream whose traffic a gate controls.
+struct GatedStream {
     stream: TcpStream,
     gate: Rc<Gate>,
-    line: Rc<ConnectionHandle>,
-    held: VecDeque<u8>,
+    connection: Rc<ConnectionHandle>,
+    /// Bytes received while the gate was closed.
+    buffered: VecDeque<u8>,
 }
 
-impl Gated {
-    fn read_on(&mut self, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+impl GatedStream {
+    /// Reads from the socket, and notes the first byte and the end of the stream.
+    fn poll_socket(&mut self, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if let Poll::Ready(read) = &read {
-            let n = buf.filled().len() - before;
-            if n > 0 && self.line.first_byte.get().is_none() {
-                self.line.first_byte.set(Some(Instant::now()));
+            let count = buf.filled().len() - before;
+            if count > 0 && self.connection.first_byte_at.get().is_none() {
+                self.connection.first_byte_at.set(Some(Instant::now()));
             }
-            if n == 0 || read.is_err() {
-                self.line.has_ended.set(true);
-                self.line.ended.notify_waiters();
+            if count == 0 || read.is_err() {
+                self.connection.is_peer_closed.set(true);
+                self.connection.peer_closed.notify_waiters();
             }
         }
         read
     }
 }
 
-impl AsyncRead for Gated {
+impl AsyncRead for GatedStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        let this = &mut *self;
-        while this.gate.is_closed() {
-            // Seen by the kernel all the same, so that an end of the peer's side is noticed when it comes.
-            this.gate.wait(cx);
-            if this.held.len() >= MOST_HELD || this.line.has_ended.get() {
+        let gated = &mut *self;
+        while gated.gate.is_closed() {
+            // Reads even while the gate is closed, in order to notice when the peer closes its side.
+            gated.gate.register_waker(cx);
+            if gated.buffered.len() >= MAX_BUFFERED_BYTES || gated.connection.is_peer_closed.get() {
                 return Poll::Pending;
             }
             let mut space = [0; 4096];
-            let mut own = ReadBuf::new(&mut space);
-            match this.read_on(cx, &mut own) {
-                Poll::Ready(Ok(())) => this.held.extend(own.filled()),
+            let mut chunk = ReadBuf::new(&mut space);
+            match gated.poll_socket(cx, &mut chunk) {
+                Poll::Ready(Ok(())) => gated.buffered.extend(chunk.filled()),
                 Poll::Ready(Err(_)) | Poll::Pending => return Poll::Pending,
             }
         }
-        if this.held.is_empty() {
-            return this.read_on(cx, buf);
+        if gated.buffered.is_empty() {
+            return gated.poll_socket(cx, buf);
         }
-        let n = this.held.len().min(buf.remaining());
-        let bytes: Vec<u8> = this.held.drain(..n).collect();
+        let count = gated.buffered.len().min(buf.remaining());
+        let bytes: Vec<u8> = gated.buffered.drain(..count).collect();
         buf.put_slice(&bytes);
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Gated {
+impl AsyncWrite for GatedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         if self.gate.is_closed() {
-            self.gate.wait(cx);
+            self.gate.register_waker(cx);
             return Poll::Pending;
         }
-        self.line.first_byte.set(None);
+        self.connection.first_byte_at.set(None);
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
 
@@ -167,29 +173,31 @@
     }
 }
 
-/// A body that is written as it becomes known.
+/// A response body whose chunks are sent while it is being written.
 pub struct StreamedBody {
-    lines: mpsc::UnboundedReceiver<Bytes>,
-    /// Told when the body is dropped, whole or not.
-    dropped: Option<Box<dyn FnOnce()>>,
+    chunks: mpsc::UnboundedReceiver<Bytes>,
+    /// Called when the body is dropped, complete or not.
+    on_drop: Option<Box<dyn FnOnce()>>,
 }
 
+/// Sends the chunks of a [`StreamedBody`]; the body is complete when it is dropped.
 pub type BodySender = mpsc::UnboundedSender<Bytes>;
 
 impl StreamedBody {
-    pub fn new(dropped: Option<Box<dyn FnOnce()>>) -> (BodySender, Self) {
-        let (send, lines) = mpsc::unbounded_channel();
-        (send, StreamedBody { lines, dropped })
+    /// Creates a body and its sender; `on_drop` is called when the body is dropped.
+    pub fn new(on_drop: Option<Box<dyn FnOnce()>>) -> (BodySender, Self) {
+        let (sender, chunks) = mpsc::unbounded_channel();
+        (sender, StreamedBody { chunks, on_drop })
     }
 
-    /// A body that is known as a whole.
+    /// Creates a complete body.
     pub fn full(body: impl Into<Bytes>) -> Self {
-        let (send, lines) = StreamedBody::new(None);
+        let (sender, streamed) = StreamedBody::new(None);
         let body = body.into();
         if !body.is_empty() {
-            let _ = send.send(body);
+            let _ = sender.send(body);
         }
-        lines
+        streamed
     }
 }
 
@@ -201,26 +209,26 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.lines.poll_recv(cx).map(|line| line.map(|line| Ok(Frame::data(line))))
+        self.chunks.poll_recv(cx).map(|chunk| chunk.map(|chunk| Ok(Frame::data(chunk))))
     }
 }
 
 impl Drop for StreamedBody {
     fn drop(&mut self) {
-        if let Some(dropped) = self.dropped.take() {
-            dropped();
+        if let Some(on_drop) = self.on_drop.take() {
+            on_drop();
         }
     }
 }
 
-/// Serves one connection until it ends or is cut.
-pub async fn serve<F, R>(stream: TcpStream, gate: Rc<Gate>, line: Rc<ConnectionHandle>, answer: F)
+/// Serves one connection until it ends or is aborted.
+pub async fn serve<F, R>(stream: TcpStream, gate: Rc<Gate>, handle: Rc<ConnectionHandle>, answer: F)
 where
     F: Fn(Request<Incoming>) -> R,
     R: Future<Output = Response<StreamedBody>>,
 {
     let _ = stream.set_nodelay(true);
-    let gated = Gated { stream, gate, line: line.clone(), held: VecDeque::new() };
+    let gated = GatedStream { stream, gate, connection: handle.clone(), buffered: VecDeque::new() };
     let service = service_fn(|request| {
         let answer = answer(request);
         async move { Ok::<_, Infallible>(answer.await) }
@@ -228,22 +236,23 @@
     let builder = hyper::server::conn::http1::Builder::new();
     let mut connection = builder.serve_connection(TokioIo::new(gated), service);
     tokio::select! {
-        // A cut comes before whatever ended in the same moment: guards against a broken answer that ends well.
+        // An abort takes precedence over the end of the connection at the same time; otherwise an answer that should
+        // break off could end properly.
         biased;
-        () = line.cut_told.notified() => {}
+        () = handle.aborted.notified() => {}
         _ = &mut connection => return,
     }
     let mut stream = connection.into_parts().io.into_inner().stream;
-    match line.cut.take() {
+    match handle.abort.take() {
         Some(Abort::Write(bytes)) => _ = stream.write_all(bytes).await,
         _ => _ = socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO)),
     }
 }
 
-/// Listens at an address, also one that was just in use.
+/// Listens at an address, even if it was in use shortly before.
 ///
 /// # Errors
-/// Where the address is not this machine's, or in use.
+/// If the address is not local or in use.
 pub fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = if addr.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -251,29 +260,36 @@
     socket.listen(1024)
 }
 
-/// Makes new connections to a listener never come up, until it is dropped: the queue of those that wait to be
-/// accepted is cut to nothing and filled, so that the kernel passes over what asks to connect.
+/// Prevents a listener from establishing new connections: its backlog is reduced to the minimum and filled, so that the
+/// kernel ignores connection requests.
 pub struct ListenerBlock {
-    _fill: Vec<TcpStream>,
+    _connections: Vec<TcpStream>,
 }
 
 impl ListenerBlock {
+    /// Blocks a listener.
+    ///
+    /// # Errors
+    /// If the address of the listener or its backlog cannot be accessed.
     pub async fn install(listener: &TcpListener) -> io::Result<Self> {
         let addr = listener.local_addr()?;
         socket2::SockRef::from(listener).listen(0)?;
-        let mut fill = Vec::new();
-        // Each fill may itself wait in vain once the queue is full.
+        let mut connections = Vec::new();
+        // Once the backlog is full, a further connection attempt gets no answer.
         for _ in 0..4 {
-            let wait = std::time::Duration::from_millis(20);
-            match tokio::time::timeout(wait, TcpStream::connect(addr)).await {
-                Ok(Ok(stream)) => fill.push(stream),
+            let connect_timeout = std::time::Duration::from_millis(20);
+            match tokio::time::timeout(connect_timeout, TcpStream::connect(addr)).await {
+                Ok(Ok(stream)) => connections.push(stream),
                 _ => break,
             }
         }
-        Ok(ListenerBlock { _fill: fill })
+        Ok(ListenerBlock { _connections: connections })
     }
 
-    /// Lets connections come up again.
+    /// Lets the listener establish connections again.
+    ///
+    /// # Errors
+    /// If its backlog cannot be set.
     pub fn remove(self, listener: &TcpListener) -> io::Result<()> {
         socket2::SockRef::from(listener).listen(1024)
     }
