--- a/crates/emulator/examples/theory.rs
+++ b/crates/emulator/examples/theory.rs
@@ -1,4 +1,5 @@
-//! Prints the model beside the theory: waits in M/M/1 and M/M/c, and the supermarket model with probe costs.
+//! Prints a comparison of the model with queueing theory: waiting times in M/M/1 and M/M/c, and response times in the
+//! supermarket model with probe costs.
 use std::thread;
 use troutknot_emulator::theory::{Fleet, esm_response, mmc_wait};
 use troutknot_emulator::*;
@@ -29,9 +30,8 @@
             rows.push(thread::spawn(move || {
                 let formula = esm_response(d, load, c)?;
                 let machine = machine(1.0, c);
-                let draws = d as usize;
-                let fleet =
-                    Fleet { executors: 500, machine, load, samples: draws, arrivals: 3_000_000, seed: 7 };
+                let samples = d as usize;
+                let fleet = Fleet { executors: 500, machine, load, samples, arrivals: 3_000_000, seed: 7 };
                 let model = fleet.simulate().response;
                 let off = (model / formula - 1.0) * 100.0;
                 Some(format!("| {load:.2} | {d} | {c} | {formula:.3} | {model:.3} | {off:+.1}% |"))
--- a/crates/emulator/src/executors.rs
+++ b/crates/emulator/src/executors.rs
@@ -179,8 +179,8 @@
     }
 
     /// Activates a fault under a number, by which [`Host::end_fault`] ends it.
-    pub fn begin_fault(&self, number: u64, trouble: Fault) {
-        self.model.borrow_mut().begin_fault(self.now(), number, trouble);
+    pub fn begin_fault(&self, number: u64, fault: Fault) {
+        self.model.borrow_mut().begin_fault(self.now(), number, fault);
         self.apply_changes();
     }
 
@@ -472,7 +472,7 @@
         };
         let numeric_field =
             |name: &str| request.headers().get(name).and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
-        let fence = numeric_field("work-fence").filter(|n| *n >= 1.0).map(|n| n as u64);
+        let fence = numeric_field("work-fence").filter(|fence| *fence >= 1.0).map(|fence| fence as u64);
         if request.uri().path() == "/_fence" {
             let Some((fence, age)) = fence.zip(numeric_field("work-fence-age")) else {
                 return status(400, String::new());
--- a/crates/emulator/src/observations.rs
+++ b/crates/emulator/src/observations.rs
@@ -168,16 +168,16 @@
     },
 }
 
-/// All events of a run, with their times in milliseconds since the creation of the log.
+/// All observations of a run, with their times in milliseconds since the creation of the log.
 #[derive(Debug)]
 pub struct ObservationLog {
     start: Instant,
-    events: Mutex<Vec<(Millis, Observation)>>,
+    observations: Mutex<Vec<(Millis, Observation)>>,
 }
 
 impl Default for ObservationLog {
     fn default() -> Self {
-        ObservationLog { start: Instant::now(), events: Mutex::default() }
+        ObservationLog { start: Instant::now(), observations: Mutex::default() }
     }
 }
 
@@ -192,20 +192,21 @@
         self.start
     }
 
-    /// Records an event at the current time.
-    pub fn record(&self, event: Observation) {
-        self.record_at(self.now(), event);
+    /// Records an observation at the current time.
+    pub fn record(&self, observation: Observation) {
+        self.record_at(self.now(), observation);
     }
 
-    /// Records an event at a given time.
-    pub fn record_at(&self, at: Millis, event: Observation) {
-        self.events.lock().unwrap_or_else(|e| e.into_inner()).push((at, event));
+    /// Records an observation at a given time.
+    pub fn record_at(&self, at: Millis, observation: Observation) {
+        self.observations.lock().unwrap_or_else(|e| e.into_inner()).push((at, observation));
     }
 
-    /// Removes and returns all events, sorted by time.
+    /// Removes and returns all observations, sorted by time.
     pub fn take(&self) -> Vec<(Millis, Observation)> {
-        let mut events = std::mem::take(&mut *self.events.lock().unwrap_or_else(|e| e.into_inner()));
-        events.sort_by(|a, b| a.0.total_cmp(&b.0));
-        events
+        let mut observations =
+            std::mem::take(&mut *self.observations.lock().unwrap_or_else(|e| e.into_inner()));
+        observations.sort_by(|a, b| a.0.total_cmp(&b.0));
+        observations
     }
 }
--- a/crates/emulator/src/theory.rs
+++ b/crates/emulator/src/theory.rs
@@ -25,26 +25,26 @@
     last / (sum + last) / (servers as f64 * (1.0 - rho))
 }
 
-/// The mean response time with `d` probes per request at load `lambda` and probe cost `c`, in units of the mean work:
+/// The mean response time with d probes per request at load lambda and probe cost c, in units of the mean work:
 /// equation (1) of the ESM paper, T = (rho / lambda) sum rho^((d^i - d) / (d - 1)) with
 /// rho = lambda / (1 - lambda d c). `None` if rho reaches 1. For d = 1 it is M/M/1.
-pub fn esm_response(d: u32, lambda: f64, c: f64) -> Option<f64> {
-    let rho = lambda / (1.0 - lambda * d as f64 * c);
+pub fn esm_response(probes: u32, load: f64, probe_cost: f64) -> Option<f64> {
+    let rho = load / (1.0 - load * probes as f64 * probe_cost);
     if !(0.0..1.0).contains(&rho) {
         return None;
     }
-    if d == 1 {
-        return Some(rho / lambda / (1.0 - rho));
+    if probes == 1 {
+        return Some(rho / load / (1.0 - rho));
     }
-    let d = d as f64;
-    let (mut sum, mut i) = (0.0, 1);
+    let probes = probes as f64;
+    let (mut sum, mut exponent) = (0.0, 1);
     loop {
-        let term = rho.powf((d.powi(i) - d) / (d - 1.0));
+        let term = rho.powf((probes.powi(exponent) - probes) / (probes - 1.0));
         sum += term;
         if term < 1e-12 {
-            return Some(rho / lambda * sum);
+            return Some(rho / load * sum);
         }
-        i += 1;
+        exponent += 1;
     }
 }
 
--- a/crates/emulator/tests/sockets.rs
+++ b/crates/emulator/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Executors, discovery and front on sockets: what a peer sees when each trouble strikes.
+//! Tests of executors, discovery and front on sockets: what a peer observes during each fault.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{SendRequest, handshake};
@@ -18,30 +18,33 @@
 use troutknot_emulator::observations::{ListedState, Observation, ObservationLog};
 use troutknot_emulator::*;
 
-const SOON: Duration = Duration::from_millis(150);
-const PATIENCE: Duration = Duration::from_secs(10);
-const ANYWHERE: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
+/// How long a test waits for something that must not happen.
+const QUIET_TIME: Duration = Duration::from_millis(150);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// A free port of the loopback address.
+const ANY_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
 
-fn in_one_thread<F: Future>(test: impl FnOnce() -> F) -> F::Output {
+fn run_on_one_thread<F: Future>(test: impl FnOnce() -> F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, async { timeout(PATIENCE, test()).await.expect("it ends in time") })
+    LocalSet::new()
+        .block_on(&runtime, async { timeout(TEST_TIMEOUT, test()).await.expect("the test ends in time") })
 }
 
-fn host(machine: Machine) -> (Rc<Host>, Arc<ObservationLog>) {
+fn start_host(machine: Machine) -> (Rc<Host>, Arc<ObservationLog>) {
     let record = Arc::new(ObservationLog::default());
-    // The id says how long the work is; one that says nothing is not known.
-    let work_of = |id: &str| {
+    // The last part of an id is the work of the request; an id without it is unknown.
+    let find_request = |id: &str| {
         let work = id.split('-').next_back()?.parse().ok()?;
         Some(RequestSpec { request_id: 1, request_class: 0, slots: 1.0, memory: 0.0, work, priority: 0.0 })
     };
-    let shared = FleetContext::new(record.clone(), Arc::new(work_of), true);
-    (Host::start(&shared, 0, machine, 1, ANYWHERE.into(), true).unwrap(), record)
+    let shared = FleetContext::new(record.clone(), Arc::new(find_request), true);
+    (Host::start(&shared, 0, machine, 1, ANY_ADDRESS.into(), true).unwrap(), record)
 }
 
-async fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !done() {
-        assert!(Instant::now() < end, "{what}");
+async fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
+    let end = Instant::now() + TEST_TIMEOUT;
+    while !is_met() {
+        assert!(Instant::now() < end, "{condition}");
         sleep(Duration::from_millis(1)).await;
     }
 }
@@ -55,57 +58,64 @@
     Ok(send)
 }
 
-fn work(id: &str) -> Request<Full<Bytes>> {
+fn work_request(id: &str) -> Request<Full<Bytes>> {
     Request::post("/render").header("host", "x").header("request-id", id).body(Full::new("x".into())).unwrap()
 }
 
-fn load() -> Request<Full<Bytes>> {
+fn load_request() -> Request<Full<Bytes>> {
     Request::get("/_load").header("host", "x").body(Full::default()).unwrap()
 }
 
-async fn text(answer: Response<Incoming>) -> String {
+async fn read_text(answer: Response<Incoming>) -> String {
     String::from_utf8(answer.into_body().collect().await.unwrap().to_bytes().to_vec()).unwrap()
 }
 
 #[test]
-fn work_is_answered_line_by_line_and_noted() {
-    in_one_thread(|| async {
-        let (host, record) = host(Machine { queue_capacity: 0, ..Machine::default() });
+fn attempts_are_answered_event_by_event_and_observed() {
+    run_on_one_thread(|| async {
+        let (host, record) = start_host(Machine { queue_capacity: 0, ..Machine::default() });
         let (mut first, mut second) = (connect(host.addr).await.unwrap(), connect(host.addr).await.unwrap());
-        let answer = first.send_request(work("a-30")).await.unwrap();
-        let turned_away = second.send_request(work("b-30")).await.unwrap();
-        assert_eq!(turned_away.status(), 503);
-        assert_eq!(turned_away.headers()["not-started"], "1");
-        let said = text(answer).await;
-        assert!(said.contains(r#""state":"started""#) && said.contains(&format_result("a-30")), "{said}");
+        let answer = first.send_request(work_request("a-30")).await.unwrap();
+        let rejected = second.send_request(work_request("b-30")).await.unwrap();
+        assert_eq!(rejected.status(), 503);
+        assert_eq!(rejected.headers()["not-started"], "1");
+        let text = read_text(answer).await;
+        assert!(text.contains(r#""state":"started""#) && text.contains(&format_result("a-30")), "{text}");
         assert_eq!(
-            text(second.send_request(load()).await.unwrap()).await,
+            read_text(second.send_request(load_request()).await.unwrap()).await,
             "inflight=0,queue=0,util=0.000,x0=1.000"
         );
-        assert_eq!(second.send_request(work("odd")).await.unwrap().status(), 400);
-        let seen = record.take();
-        for part in ["Received", "NeverRan", "Started", "Done", "Unknown"] {
-            assert!(seen.iter().any(|(_, s)| format!("{s:?}").contains(part)), "{part} in {seen:?}");
+        assert_eq!(second.send_request(work_request("odd")).await.unwrap().status(), 400);
+        let observed = record.take();
+        for name in ["Received", "NotStarted", "Started", "Ended", "UnknownRequest"] {
+            let is_observed =
+                observed.iter().any(|(_, observation)| format!("{observation:?}").starts_with(name));
+            assert!(is_observed, "{name} in {observed:?}");
         }
+        let is_done = |observation: &Observation| format!("{observation:?}").contains("Done");
+        assert!(observed.iter().any(|(_, observation)| is_done(observation)), "Done in {observed:?}");
     });
 }
 
 #[test]
-fn a_silent_machine_says_nothing_lets_nobody_in_and_comes_back_cold() {
-    in_one_thread(|| async {
-        let (host, record) = host(Machine::default());
+fn a_silent_executor_has_no_traffic_and_restarts_at_the_end() {
+    run_on_one_thread(|| async {
+        let (host, record) = start_host(Machine::default());
         let mut old = connect(host.addr).await.unwrap();
-        let answer = old.send_request(work("a-30")).await.unwrap();
+        let answer = old.send_request(work_request("a-30")).await.unwrap();
         host.begin_fault(1, Fault::Silence { restarts: true });
-        assert!(timeout(SOON, answer.into_body().collect()).await.is_err(), "an open connection stays open");
+        assert!(
+            timeout(QUIET_TIME, answer.into_body().collect()).await.is_err(),
+            "an open connection stays open"
+        );
         assert!(
             timeout(Duration::from_millis(400), TcpStream::connect(host.addr)).await.is_err(),
-            "none comes up"
+            "no new connection is established"
         );
         host.end_fault(1);
         let again = connect(host.addr).await;
-        assert!(again.is_ok(), "new ones come up again");
-        until("the old one is reset", || old.is_closed()).await;
+        assert!(again.is_ok(), "new connections are established again");
+        wait_until("the old connection is reset", || old.is_closed()).await;
         assert!(
             record.take().iter().filter(|(_, s)| matches!(s, Observation::ExecutorUp { .. })).count() == 2
         );
@@ -113,89 +123,96 @@
 }
 
 #[test]
-fn a_paused_machine_answers_late_and_loses_nothing() {
-    in_one_thread(|| async {
-        let (host, _record) = host(Machine::default());
+fn a_paused_executor_answers_late_and_loses_nothing() {
+    run_on_one_thread(|| async {
+        let (host, _record) = start_host(Machine::default());
         let mut old = connect(host.addr).await.unwrap();
-        let answer = old.send_request(work("a-30")).await.unwrap();
+        let answer = old.send_request(work_request("a-30")).await.unwrap();
         host.begin_fault(1, Fault::Pause);
         let mut body = std::pin::pin!(answer.into_body().collect());
-        assert!(timeout(SOON, &mut body).await.is_err());
-        assert!(timeout(SOON, TcpStream::connect(host.addr)).await.unwrap().is_ok(), "connections come up");
+        assert!(timeout(QUIET_TIME, &mut body).await.is_err());
+        assert!(
+            timeout(QUIET_TIME, TcpStream::connect(host.addr)).await.unwrap().is_ok(),
+            "connections are established"
+        );
         host.end_fault(1);
-        let said = body.await.unwrap().to_bytes();
-        assert!(String::from_utf8_lossy(&said).contains("done"));
+        let text = body.await.unwrap().to_bytes();
+        assert!(String::from_utf8_lossy(&text).contains("done"));
     });
 }
 
 #[test]
-fn a_machine_that_dies_resets_what_is_open_and_refuses_until_it_is_back() {
-    in_one_thread(|| async {
-        let (host, record) = host(Machine::default());
+fn a_killed_executor_resets_and_refuses_connections_until_its_restart() {
+    run_on_one_thread(|| async {
+        let (host, record) = start_host(Machine::default());
         let mut old = connect(host.addr).await.unwrap();
-        let answer = old.send_request(work("a-5000")).await.unwrap();
+        let answer = old.send_request(work_request("a-5000")).await.unwrap();
         host.kill();
         assert!(answer.into_body().collect().await.is_err(), "the answer breaks off");
-        until("its door is shut", || std::net::TcpStream::connect(host.addr).is_err()).await;
+        wait_until("connections are refused", || std::net::TcpStream::connect(host.addr).is_err()).await;
         host.restart();
-        until("its door is open", || std::net::TcpStream::connect(host.addr).is_ok()).await;
+        wait_until("connections are established again", || std::net::TcpStream::connect(host.addr).is_ok())
+            .await;
         let mut new = connect(host.addr).await.unwrap();
-        assert!(text(new.send_request(work("b-5")).await.unwrap()).await.contains("done"));
-        let seen = record.take();
+        assert!(read_text(new.send_request(work_request("b-5")).await.unwrap()).await.contains("done"));
+        let observed = record.take();
         assert!(
-            seen.iter().any(|(_, s)| matches!(s, Observation::Ended { outcome: AttemptOutcome::Reset, .. })),
-            "{seen:?}"
+            observed
+                .iter()
+                .any(|(_, s)| matches!(s, Observation::Ended { outcome: AttemptOutcome::Reset, .. })),
+            "{observed:?}"
         );
     });
 }
 
 #[test]
-fn a_client_that_ends_its_connection_has_given_its_work_up_also_behind_a_pause() {
+fn a_closed_connection_cancels_its_attempt_even_during_a_pause() {
     for paused in [false, true] {
-        in_one_thread(|| async move {
-            let (host, record) = host(Machine { cancel_scope: CancelScope::Running, ..Machine::default() });
+        run_on_one_thread(|| async move {
+            let (host, record) =
+                start_host(Machine { cancel_scope: CancelScope::Running, ..Machine::default() });
             let mut client = connect(host.addr).await.unwrap();
-            let answer = client.send_request(work("a-5000")).await.unwrap();
+            let answer = client.send_request(work_request("a-5000")).await.unwrap();
             if paused {
                 host.begin_fault(1, Fault::Pause);
             }
             drop((answer, client));
-            let mut seen = Vec::new();
-            until("it is noted", || {
-                seen.extend(record.take());
-                seen.iter().any(|(_, s)| matches!(s, Observation::Cancelled { .. }))
+            let mut observed = Vec::new();
+            wait_until("the cancellation is observed", || {
+                observed.extend(record.take());
+                observed.iter().any(|(_, s)| matches!(s, Observation::Cancelled { .. }))
             })
             .await;
-            assert_eq!(host.attempt_counts(), (0, 0), "it was stopped");
+            assert_eq!(host.attempt_counts(), (0, 0), "the attempt was stopped");
         });
     }
 }
 
 #[test]
-fn an_address_in_use_is_said_and_not_shared() {
-    in_one_thread(|| async {
-        let (first, record) = host(Machine::default());
+fn an_address_in_use_is_an_error() {
+    run_on_one_thread(|| async {
+        let (first, record) = start_host(Machine::default());
         let shared = FleetContext::new(record, Arc::new(|_: &str| None), true);
         assert!(Host::start(&shared, 1, Machine::default(), 1, first.addr, true).is_err());
     });
 }
 
 #[test]
-fn connections_past_the_cap_are_not_served() {
-    in_one_thread(|| async {
-        let (host, _record) = host(Machine { max_connections: 1, ..Machine::default() });
+fn connections_beyond_the_limit_are_closed() {
+    run_on_one_thread(|| async {
+        let (host, _record) = start_host(Machine { max_connections: 1, ..Machine::default() });
         let mut first = connect(host.addr).await.unwrap();
-        assert_eq!(first.send_request(load()).await.unwrap().status(), 200);
+        assert_eq!(first.send_request(load_request()).await.unwrap().status(), 200);
         let mut second = connect(host.addr).await.unwrap();
-        assert!(second.send_request(load()).await.is_err());
+        assert!(second.send_request(load_request()).await.is_err());
         drop(first);
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         loop {
             let mut third = connect(host.addr).await.unwrap();
-            if third.send_request(load()).await.is_ok() {
+            if third.send_request(load_request()).await.is_ok() {
                 break;
             }
-            assert!(Instant::now() < end, "room is given back");
+            assert!(Instant::now() < end, "a closed connection no longer counts");
         }
     });
 }
@@ -204,7 +221,7 @@
     Member {
         executor,
         id: format!("s-{executor}"),
-        addr: ANYWHERE.into(),
+        addr: ANY_ADDRESS.into(),
         zone: "z".into(),
         machine_type: "k".into(),
         deduplication_group: 0,
@@ -214,101 +231,107 @@
     }
 }
 
-async fn line(body: &mut Incoming) -> Option<String> {
+async fn read_line(body: &mut Incoming) -> Option<String> {
     let frame = body.frame().await?.ok()?;
     Some(String::from_utf8(frame.into_data().ok()?.to_vec()).unwrap())
 }
 
-async fn watch(addr: SocketAddr, after: &str) -> Incoming {
-    let path = format!("/catalog/members?stream=1{after}");
+async fn open_watch(addr: SocketAddr, parameters: &str) -> Incoming {
+    let path = format!("/catalog/members?stream=1{parameters}");
     let mut send = connect(addr).await.unwrap();
-    let asked = Request::get(path).header("host", "x").body(Full::default()).unwrap();
-    let body = send.send_request(asked).await.unwrap().into_body();
-    // Kept for as long as the watch is read.
+    let request = Request::get(path).header("host", "x").body(Full::default()).unwrap();
+    let body = send.send_request(request).await.unwrap().into_body();
+    // Keeps the connection open while the watch is read.
     spawn_local(async move {
         let _send = send;
-        sleep(PATIENCE).await;
+        sleep(TEST_TIMEOUT).await;
     });
     body
 }
 
 #[test]
-fn watches_tell_changes_go_silent_break_and_move() {
-    in_one_thread(|| async {
+fn watches_deliver_changes_and_follow_silence_resets_and_moves() {
+    run_on_one_thread(|| async {
         let record = Arc::new(ObservationLog::default());
         let members = vec![member(0, ListedState::Ready), member(1, ListedState::Ready)];
-        let agent = Agent::start(&record, 0, ANYWHERE.into(), members).unwrap();
-        let mut whole = watch(agent.addr(), "").await;
-        let first = line(&mut whole).await.unwrap();
+        let agent = Agent::start(&record, 0, ANY_ADDRESS.into(), members).unwrap();
+        let mut first_watch = open_watch(agent.addr(), "").await;
+        let first = read_line(&mut first_watch).await.unwrap();
         assert!(
             first.contains(r#""full":true"#) && first.contains("s-0") && first.contains("s-1"),
             "{first}"
         );
         agent.schedule_change(member(1, ListedState::Terminating), Duration::ZERO);
-        let second = line(&mut whole).await.unwrap();
+        let second = read_line(&mut first_watch).await.unwrap();
         assert!(
             second.contains(r#""full":false"#) && !second.contains("s-0") && second.contains("Terminating")
         );
-        let since = line(&mut watch(agent.addr(), "&index=2").await).await.unwrap();
+        let since = read_line(&mut open_watch(agent.addr(), "&index=2").await).await.unwrap();
         assert!(
             since.contains(r#""version":3"#) && since.contains("s-1") && !since.contains("s-0"),
             "{since}"
         );
-        let told = |record: &ObservationLog| {
-            let seen = record.take();
-            let told = |s: &Observation| {
-                matches!(s, Observation::NodeNotified { executor: 1, state: ListedState::Terminating, .. })
+        let notified_count = |log: &ObservationLog| {
+            let observed = log.take();
+            let is_notified = |observation: &Observation| {
+                matches!(
+                    observation,
+                    Observation::NodeNotified { executor: 1, state: ListedState::Terminating, .. }
+                )
             };
-            seen.iter().filter(|(_, s)| told(s)).count()
+            observed.iter().filter(|(_, observation)| is_notified(observation)).count()
         };
-        assert_eq!(told(&record), 2);
+        assert_eq!(notified_count(&record), 2);
         agent.set_silent(true);
         agent.schedule_change(member(0, ListedState::Gone), Duration::ZERO);
-        assert!(timeout(SOON, line(&mut whole)).await.is_err(), "silent");
-        let known = |record: &ObservationLog| {
+        assert!(timeout(QUIET_TIME, read_line(&mut first_watch)).await.is_err(), "silent");
+        let is_updated = |record: &ObservationLog| {
             record.take().iter().any(|(_, s)| matches!(s, Observation::AgentUpdated { .. }))
         };
-        assert!(!known(&record), "what cannot be told is not known");
+        assert!(!is_updated(&record), "a silent agent does not receive changes");
         agent.set_silent(false);
-        assert!(line(&mut whole).await.unwrap().contains("Gone"));
+        assert!(read_line(&mut first_watch).await.unwrap().contains("Gone"));
         agent.reset_watches();
-        assert_eq!(line(&mut whole).await, None, "broken off");
-        let (old, mut open) = (agent.addr(), watch(agent.addr(), "").await);
-        let new = agent.move_to(ANYWHERE.into()).unwrap();
-        until("the old address takes nobody", || std::net::TcpStream::connect(old).is_err()).await;
-        assert!(line(&mut open).await.is_some() && line(&mut watch(new, "").await).await.is_some());
+        assert_eq!(read_line(&mut first_watch).await, None, "the connection was reset");
+        let (old, mut open) = (agent.addr(), open_watch(agent.addr(), "").await);
+        let new = agent.move_to(ANY_ADDRESS.into()).unwrap();
+        wait_until("the old address refuses connections", || std::net::TcpStream::connect(old).is_err())
+            .await;
+        assert!(
+            read_line(&mut open).await.is_some() && read_line(&mut open_watch(new, "").await).await.is_some()
+        );
         let moved = Instant::now();
-        while line(&mut open).await.is_some() {}
-        assert!(moved.elapsed() > Duration::from_secs(1), "what was open stays so for a while");
+        while read_line(&mut open).await.is_some() {}
+        assert!(moved.elapsed() > Duration::from_secs(1), "open connections continue for a while");
     });
 }
 
 #[test]
-fn a_front_takes_out_at_once_who_says_so_and_late_who_died() {
-    in_one_thread(|| async {
+fn a_front_removes_failing_nodes_at_once_and_dead_ones_after_the_delay() {
+    run_on_one_thread(|| async {
         let health = Rc::new(std::cell::Cell::new(200));
-        let listener = wire::listen(ANYWHERE.into()).unwrap();
+        let listener = wire::listen(ANY_ADDRESS.into()).unwrap();
         let addr = listener.local_addr().unwrap();
-        let said = health.clone();
+        let status = health.clone();
         let serving = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let said = said.clone();
+                let status = status.clone();
                 spawn_local(wire::serve(stream, Rc::default(), Rc::default(), move |_| {
                     let mut answer = Response::new(wire::StreamedBody::full(""));
-                    *answer.status_mut() = hyper::StatusCode::from_u16(said.get()).unwrap();
+                    *answer.status_mut() = hyper::StatusCode::from_u16(status.get()).unwrap();
                     async move { answer }
                 }));
             }
         });
         let front = Front::start(&[addr], Duration::from_millis(600));
-        until("it is taken in", || front.next_node() == Some((0, addr))).await;
+        wait_until("the node is healthy", || front.next_node() == Some((0, addr))).await;
         health.set(503);
-        until("it is taken out", || front.next_node().is_none()).await;
+        wait_until("the node is removed", || front.next_node().is_none()).await;
         health.set(200);
-        until("it is back", || front.healthy_count() == 1).await;
+        wait_until("the node is healthy again", || front.healthy_count() == 1).await;
         serving.abort();
         let died = Instant::now();
-        until("its death is noticed", || front.healthy_count() == 0).await;
-        assert!(died.elapsed() >= Duration::from_millis(500), "but late");
+        wait_until("the dead node is removed", || front.healthy_count() == 0).await;
+        assert!(died.elapsed() >= Duration::from_millis(500), "only after the delay");
     });
 }
