--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,15 +1,16 @@
-//! Emulated executors for tests and rehearsals: [`model`] without I/O, and the sockets round it.
+//! Emulated executors for tests and rehearsals: a model without I/O in [`model`], and the services that run it on
+//! sockets.
 //!
-//! Nothing here uses the daemon's code, so that a mistake there cannot hide itself.
+//! This crate does not use the code of the daemon, because an error in shared code would cancel out in tests.
 pub mod discovery;
 pub mod executors;
 pub mod front;
 pub mod machine;
 pub mod model;
-pub mod observed;
+pub mod observations;
 pub mod scripted;
 pub mod theory;
 pub mod wire;
 
 pub use machine::*;
-pub use model::{End, Executor, Key, Load, Offer, Output, Verdict};
+pub use model::{Admission, Attempt, AttemptKey, AttemptOutcome, Executor, Load, Output};
