--- a/crates/configuration/src/catalog.rs
+++ b/crates/configuration/src/catalog.rs
@@ -13,7 +13,7 @@
 /// Deadlines that a class may have, in milliseconds.
 const DEADLINES: std::ops::Range<Millis> = 1.0..1e9;
 /// Hedging needs at least this number of attempts: the first and its copy.
-const LEAST_HEDGED_ATTEMPTS: f64 = 2.0;
+const MIN_HEDGED_ATTEMPTS: f64 = 2.0;
 
 #[derive(Clone)]
 struct NamedClass {
@@ -152,7 +152,7 @@
             class_ids.push(id as u32);
         }
         match self.classes.len() {
-            count if count > MAX_NAMES => Err(SettingsError::TooManyTerms { count }),
+            count if count > MAX_NAMES => Err(SettingsError::TooManyClassTerms { count }),
             _ => Ok(class_ids),
         }
     }
@@ -197,21 +197,21 @@
     let mut faults = Vec::new();
     let max_attempts = settings.limits.max_attempts;
     if max_attempts.is_some_and(|attempts| !is_positive(attempts)) {
-        faults.push(SettingsError::MaxAttempts);
+        faults.push(SettingsError::InvalidMaxAttempts);
     }
-    let may_hedge = max_attempts.is_some_and(|attempts| attempts >= LEAST_HEDGED_ATTEMPTS);
+    let may_hedge = max_attempts.is_some_and(|attempts| attempts >= MIN_HEDGED_ATTEMPTS);
     if settings.limits.hedging_enabled && !may_hedge {
-        faults.push(SettingsError::Hedging);
+        faults.push(SettingsError::HedgingWithoutSecondAttempt);
     }
     if let WeightSource::Unknown(word) = &settings.weight_source {
-        faults.push(SettingsError::WeightSource { word: word.clone() });
+        faults.push(SettingsError::UnknownWeightSource { word: word.clone() });
     }
     let nodes = document.get("balancers").filter(|nodes| !nodes.is_null()).map(|_| settings.nodes);
     if let (Some(node), Some(nodes)) = (settings.node, nodes)
         && settings.limits.gossip_enabled
         && node >= nodes
     {
-        faults.push(SettingsError::NodeNumber { node, nodes });
+        faults.push(SettingsError::NodeNumberOutOfRange { node, nodes });
     }
     faults
 }
@@ -225,7 +225,7 @@
             faults.push(SettingsError::NotPositive { class: class_name(), term: "hard_limit" })
         }
         Some(deadline) if !DEADLINES.contains(&deadline) => {
-            faults.push(SettingsError::Deadline { class: class_name() })
+            faults.push(SettingsError::DeadlineOutOfRange { class: class_name() })
         }
         Some(_) => {}
     }
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -5,7 +5,7 @@
 use troutknot::{MachineTypeId, Settings};
 
 /// Lists whose entries may be names in place of objects.
-const LISTS_OF_NAMED: [&str; 2] = ["project_types", "customers"];
+const LISTS_OF_NAMES: [&str; 2] = ["project_types", "customers"];
 
 /// The settings that a configuration's object states; what it leaves out, or gives as `null`, has its default.
 ///
@@ -20,7 +20,7 @@
 pub fn parse_settings(document: &Map<String, Value>) -> Result<Settings, SettingsError> {
     let mut document = Value::Object(document.clone());
     remove_nulls(&mut document);
-    for list in LISTS_OF_NAMED {
+    for list in LISTS_OF_NAMES {
         let entries = document.get_mut(list).and_then(Value::as_array_mut);
         let names = entries.into_iter().flatten().filter(|entry| !entry.is_object());
         names.for_each(|entry| *entry = Value::Object(Map::new()));
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -15,7 +15,7 @@
     },
     /// An entry of a list whose entries need names has none.
     #[error("setting `{key}`: entry {entry} has no name")]
-    Unnamed {
+    MissingName {
         /// The list.
         key: &'static str,
         /// The index of the entry, from 0.
@@ -23,7 +23,7 @@
     },
     /// A name occurs in a list more than once.
     #[error("setting `{key}`: `{name}` stands there twice")]
-    Repeated {
+    DuplicateName {
         /// The list.
         key: &'static str,
         /// The name.
@@ -49,7 +49,7 @@
     /// There were more request classes over the life of the node than [`MAX_NAMES`](crate::MAX_NAMES); one whose terms
     /// change counts as a new one.
     #[error("with its terms this is project type {count}, {MAX} are kept in mind", MAX = crate::MAX_NAMES)]
-    TooManyTerms {
+    TooManyClassTerms {
         /// How many there were.
         count: usize,
     },
@@ -63,19 +63,19 @@
     },
     /// The maximum number of attempts is not positive.
     #[error("setting `limits.max_allocations` is not a positive number")]
-    MaxAttempts,
+    InvalidMaxAttempts,
     /// Hedging is enabled, but a request may not have a second attempt.
     #[error("setting `limits.second_copies`: true needs `limits.max_allocations` of 2 or more")]
-    Hedging,
+    HedgingWithoutSecondAttempt,
     /// The source of weights is not one of those allowed.
     #[error("setting `weight_source`: `{word}`; silent, none, nominal, rough and live are allowed")]
-    WeightSource {
+    UnknownWeightSource {
         /// The source that the settings name.
         word: String,
     },
     /// The number of this node is not below the number of nodes.
     #[error("setting `me`: {node} is not under `balancers`, which is {nodes}")]
-    NodeNumber {
+    NodeNumberOutOfRange {
         /// The node's number.
         node: f64,
         /// The number of nodes.
@@ -99,13 +99,13 @@
     },
     /// A class has a deadline out of bounds.
     #[error("project type `{class}`: `hard_limit` is from 1 ms to 1e9 ms")]
-    Deadline {
+    DeadlineOutOfRange {
         /// The class.
         class: String,
     },
     /// A key is missing that the settings in force have.
     #[error("setting `{key}` is missing")]
-    Missing {
+    MissingKey {
         /// The key.
         key: String,
     },
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -18,6 +18,6 @@
 const MICROS_PER_MILLI: f64 = 1000.0;
 
 /// The configuration's microseconds as milliseconds.
-pub fn millis(micros: u64) -> Millis {
+pub fn millis_from_micros(micros: u64) -> Millis {
     micros as f64 / MICROS_PER_MILLI
 }
--- a/crates/configuration/src/load_report.rs
+++ b/crates/configuration/src/load_report.rs
@@ -13,7 +13,7 @@
 
 impl LoadField {
     /// A field by its name. Some have two, one in the simulator's protocol and one on sockets.
-    fn from_word(word: &str) -> Self {
+    fn from_name(word: &str) -> Self {
         match word {
             "depth" | "queue" => LoadField::QueueLength,
             "concurrent" | "inflight" => LoadField::InFlight,
@@ -44,7 +44,7 @@
     pub fn from_document(document: &Map<String, Value>) -> Self {
         let fields = document.get("load_info").and_then(|info| info.get("fields")).and_then(Value::as_array);
         let words = fields.into_iter().flatten().map(|field| field.as_str().unwrap_or(""));
-        LoadFields(words.map(LoadField::from_word).collect())
+        LoadFields(words.map(LoadField::from_name).collect())
     }
 
     /// Whether no fields are stated.
@@ -69,7 +69,7 @@
 pub fn parse_load_report(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
-        LoadField::from_word(name.trim()).set(value.trim().parse().ok(), &mut report);
+        LoadField::from_name(name.trim()).set(value.trim().parse().ok(), &mut report);
     }
     report
 }
--- a/crates/configuration/src/names.rs
+++ b/crates/configuration/src/names.rs
@@ -48,11 +48,11 @@
     let name = |entry: &Value| entry.as_str().or_else(|| entry.get("name")?.as_str()).map(str::to_string);
     let names: Vec<String> = entries
         .enumerate()
-        .map(|(number, entry)| name(entry).ok_or(SettingsError::Unnamed { key, entry: number }))
+        .map(|(number, entry)| name(entry).ok_or(SettingsError::MissingName { key, entry: number }))
         .collect::<Result<_, _>>()?;
     let mut seen = HashSet::new();
     match names.iter().find(|name| !seen.insert(name.as_str())) {
-        Some(repeated) => Err(SettingsError::Repeated { key, name: repeated.clone() }),
+        Some(repeated) => Err(SettingsError::DuplicateName { key, name: repeated.clone() }),
         None => Ok(names),
     }
 }
@@ -63,7 +63,7 @@
     if let Some(before) = before.as_object() {
         collect_missing(before, after, "", &mut missing);
     }
-    missing.into_iter().map(|key| SettingsError::Missing { key }).collect()
+    missing.into_iter().map(|key| SettingsError::MissingKey { key }).collect()
 }
 
 fn collect_missing(
--- a/crates/daemon/src/node/discovery.rs
+++ b/crates/daemon/src/node/discovery.rs
@@ -84,7 +84,7 @@
         codec: shared.codec.clone(),
         updates: sender,
         requests: shared.watch_requests.clone(),
-        retention: Retention::of_node(node_name),
+        retention: Retention::for_node(node_name),
     };
     // The watch begins at once, without a request of the dispatcher.
     shared.watch_requests.resume.notify_one();
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -84,7 +84,7 @@
     /// For the node of this name, which retains at most `bound` executors and caches `max_unretained` other entries.
     pub fn new(node: &str, bound: usize, max_unretained: usize) -> Self {
         EndpointRetention {
-            retention: Retention::of_node(node),
+            retention: Retention::for_node(node),
             bound,
             max_unretained,
             retained: 0,
--- a/crates/daemon/tests/unit/endpoint_list_parser.rs
+++ b/crates/daemon/tests/unit/endpoint_list_parser.rs
@@ -4,7 +4,7 @@
 const BOUNDS: ParseBounds = ParseBounds { max_list_bytes: 4096, max_buffered_bytes: 1024, max_entries: 8 };
 
 fn parser(bounds: ParseBounds) -> EndpointListParser {
-    EndpointListParser::new(bounds, Retention::of_node("n0"))
+    EndpointListParser::new(bounds, Retention::for_node("n0"))
 }
 
 /// Parses a text in pieces of this size: the lists, the error, and whether the end is inside a list.
@@ -145,7 +145,7 @@
     let texts: Vec<String> = (0..40).map(|number| entry(&format!("s-{number}"))).collect();
     let (got, why, _) = read(BOUNDS, &list(1, true, &texts), 100);
     assert!(why.is_none(), "{why:?}");
-    let retention = Retention::of_node("n0");
+    let retention = Retention::for_node("n0");
     let all: Vec<EndpointEntry> = texts.iter().map(|text| serde_json::from_str(text).unwrap()).collect();
     let ranks: Vec<Rank> = all.iter().map(|entry| retention::rank(&retention, entry)).collect();
     let chosen = Retention::choose(&ranks, BOUNDS.max_entries);
--- a/crates/daemon/tests/unit/platform.rs
+++ b/crates/daemon/tests/unit/platform.rs
@@ -16,7 +16,7 @@
     let (address_sender, address) = watch::channel(at);
     let limits = Rc::new(Limits::new(&inputs));
     let updates = EndpointUpdateSender::unmerged(events);
-    let retention = Retention::of_node("n0");
+    let retention = Retention::for_node("n0");
     let watcher = PlatformWatcher { address, limits, codec, updates, requests: Rc::default(), retention };
     (watcher, received, address_sender)
 }
--- a/crates/daemon/tests/unit/retention.rs
+++ b/crates/daemon/tests/unit/retention.rs
@@ -70,7 +70,7 @@
 
 /// The names that the node would retain of all that are listed.
 fn preferred(listed: &BTreeMap<CompactString, EndpointEntry>, bound: usize) -> Vec<&str> {
-    let retention = Retention::of_node(NODE);
+    let retention = Retention::for_node(NODE);
     let mut ranked: Vec<&EndpointEntry> = listed.values().collect();
     ranked.sort_by_key(|entry| std::cmp::Reverse(rank(&retention, entry)));
     let mut names: Vec<&str> = ranked.into_iter().take(bound).map(|entry| entry.id.as_str()).collect();
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -7,7 +7,7 @@
 pub const MAX_MESSAGE_BYTES: usize = 256;
 const VERSION: u8 = 1;
 const IDLE_CONNECTION_LOST: u8 = 1;
-const WORK_REJECTED: u8 = 2;
+const REQUEST_REJECTED: u8 = 2;
 
 /// The names of request classes by their ids here, which may be others at another node.
 pub type ClassNames<'a> = &'a [String];
@@ -20,18 +20,18 @@
 /// A message as bytes.
 ///
 /// ```
-/// use troutknot::{RequestClassId, GossipMessage::WorkRejected};
+/// use troutknot::{RequestClassId, GossipMessage::RequestRejected};
 /// use troutknot_gossip::{decode, encode};
 /// let (here, there) = (["a".to_string(), "b".to_string()], ["b".to_string()]);
-/// let bytes = encode(WorkRejected { token: 7, class: RequestClassId(1) }, &here);
-/// assert_eq!(decode(&bytes, &there), Some(WorkRejected { token: 7, class: RequestClassId(0) }));
+/// let bytes = encode(RequestRejected { token: 7, class: RequestClassId(1) }, &here);
+/// assert_eq!(decode(&bytes, &there), Some(RequestRejected { token: 7, class: RequestClassId(0) }));
 /// ```
 pub fn encode(message: GossipMessage, classes: ClassNames) -> Vec<u8> {
     match message {
         GossipMessage::IdleConnectionLost => vec![VERSION, IDLE_CONNECTION_LOST],
-        GossipMessage::WorkRejected { token: executor, class } => {
+        GossipMessage::RequestRejected { token: executor, class } => {
             let name = classes.get(class.0 as usize).map_or("", String::as_str);
-            let mut bytes = vec![VERSION, WORK_REJECTED];
+            let mut bytes = vec![VERSION, REQUEST_REJECTED];
             bytes.extend_from_slice(&executor.to_le_bytes());
             bytes.extend_from_slice(&class_token(name).to_le_bytes());
             bytes
@@ -43,11 +43,11 @@
 pub fn decode(bytes: &[u8], classes: ClassNames) -> Option<GossipMessage> {
     match bytes {
         [VERSION, IDLE_CONNECTION_LOST] => Some(GossipMessage::IdleConnectionLost),
-        [VERSION, WORK_REJECTED, executor @ .., low, high] => {
+        [VERSION, REQUEST_REJECTED, executor @ .., low, high] => {
             let token = u32::from_le_bytes(executor.try_into().ok()?);
             let class = u16::from_le_bytes([*low, *high]);
             let found = classes.iter().rposition(|name| class_token(name) == class)?;
-            Some(GossipMessage::WorkRejected { token, class: RequestClassId(found as u32) })
+            Some(GossipMessage::RequestRejected { token, class: RequestClassId(found as u32) })
         }
         _ => None,
     }
--- a/crates/gossip/tests/compatibility.rs
+++ b/crates/gossip/tests/compatibility.rs
@@ -14,7 +14,7 @@
     let classes = ["other".to_string(), "render".to_string()];
     let messages = [
         GossipMessage::IdleConnectionLost,
-        GossipMessage::WorkRejected { token: 9, class: RequestClassId(1) },
+        GossipMessage::RequestRejected { token: 9, class: RequestClassId(1) },
     ];
     let datagrams = datagrams();
     assert_eq!(datagrams.len(), messages.len());
--- a/crates/gossip/tests/odd_messages.rs
+++ b/crates/gossip/tests/malformed_messages.rs
@@ -7,7 +7,7 @@
 #[test]
 fn odd_messages_say_nothing() {
     let types = ["render".to_string()];
-    let good = encode(GossipMessage::WorkRejected { token: 9, class: RequestClassId(0) }, &types);
+    let good = encode(GossipMessage::RequestRejected { token: 9, class: RequestClassId(0) }, &types);
     assert!(decode(&good, &types).is_some());
     for (what, bytes) in [
         ("empty", vec![]),
--- a/crates/membership/src/retention.rs
+++ b/crates/membership/src/retention.rs
@@ -27,7 +27,7 @@
 ///
 /// ```
 /// use troutknot_membership::{Retention, Readiness::{Draining, Ready}};
-/// let retention = Retention::of_node("n0");
+/// let retention = Retention::for_node("n0");
 /// let ranks: Vec<_> = [("a", Ready), ("b", Draining), ("c", Ready)]
 ///     .map(|(name, readiness)| retention.rank(name, readiness))
 ///     .into();
@@ -47,7 +47,7 @@
 
 impl Retention {
     /// The name is the node's alone; processes of one node choose alike.
-    pub fn of_node(name: &str) -> Self {
+    pub fn for_node(name: &str) -> Self {
         Retention { node: mix(token(name)) }
     }
 
--- a/crates/membership/tests/retention.rs
+++ b/crates/membership/tests/retention.rs
@@ -11,7 +11,7 @@
 }
 
 fn nodes() -> Vec<Retention> {
-    (0..NODES).map(|number| Retention::of_node(&format!("n{number}"))).collect()
+    (0..NODES).map(|number| Retention::for_node(&format!("n{number}"))).collect()
 }
 
 fn ranks(retention: &Retention, names: &[String], readiness: Readiness) -> Vec<Rank> {
@@ -70,7 +70,7 @@
 
 #[test]
 fn the_choice_does_not_depend_on_the_order_of_the_list() {
-    let retention = Retention::of_node("n0");
+    let retention = Retention::for_node("n0");
     let names = names(LISTED);
     let backwards: Vec<String> = names.iter().rev().cloned().collect();
     let mut one = kept(&retention, &names);
@@ -97,7 +97,7 @@
 
 #[test]
 fn room_for_none_and_room_for_all() {
-    let retention = Retention::of_node("n0");
+    let retention = Retention::for_node("n0");
     let ranks = ranks(&retention, &names(3), Ready);
     assert_eq!(Retention::choose(&ranks, 0), [false; 3]);
     assert_eq!(Retention::choose(&ranks, 3), [true; 3]);
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,10 +1,10 @@
 //! Applies the lines of a batch to the instances, and gathers their actions at its end.
-use crate::decode::{self, HeartbeatKind, PeersKind};
+use crate::decode::{self, HeartbeatContent, PeersKind};
 use crate::error::LineError;
 use crate::instance::Instance;
 use std::collections::BTreeMap;
 use troutknot::{Action, AttemptId, Event, ListUpdate, Millis, RequestClassId, TenantId};
-use troutknot_configuration::millis;
+use troutknot_configuration::millis_from_micros;
 
 /// What a line did to the batch.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     sheets: BTreeMap<u8, Vec<decode::SheetEntry>>,
     /// Instances with an event in this batch, in the order of their first event. The reply has their actions in
     /// this order.
-    with_events: Vec<u64>,
+    active_instances: Vec<u64>,
     /// Empty between batches; kept so that its memory is used again.
     actions: Vec<Action>,
 }
@@ -40,7 +40,7 @@
             self.begin_batch(&operation, line)?;
             return Ok(BatchState::Open);
         };
-        let now = millis(time);
+        let now = millis_from_micros(time);
         match &*operation {
             "begin_batch" => Err(LineError::NestedBatch),
             "eof_batch" => {
@@ -97,7 +97,7 @@
     }
 
     fn end_batch(&mut self, now: Millis, reply: &mut Vec<u8>) {
-        for number in self.with_events.drain(..) {
+        for number in self.active_instances.drain(..) {
             let Some(instance) = self.instances.get_mut(&number) else { continue };
             instance.has_events = false;
             instance.write_actions(number, now, &mut self.actions, reply);
@@ -108,14 +108,14 @@
 
     fn create(&mut self, now: Millis, create: &decode::Create) -> Result<(), LineError> {
         self.instances.insert(create.instance, Instance::new(now, create)?);
-        self.with_events.retain(|&number| number != create.instance);
-        self.with_events.push(create.instance);
+        self.active_instances.retain(|&number| number != create.instance);
+        self.active_instances.push(create.instance);
         Ok(())
     }
 
     fn stop(&mut self, stopped: &decode::InstanceEvent) {
         self.instances.remove(&stopped.instance);
-        self.with_events.retain(|&number| number != stopped.instance);
+        self.active_instances.retain(|&number| number != stopped.instance);
     }
 
     fn update_endpoints(&mut self, now: Millis, update: &decode::PeersKnown) -> Result<(), LineError> {
@@ -143,7 +143,7 @@
             tenant: TenantId(request.tenant.unwrap_or(0)),
             slots: request.slots.unwrap_or(1.0),
             memory: request.memory.unwrap_or(0.0),
-            time_left: millis(request.time_left),
+            time_left: millis_from_micros(request.time_left),
             is_retry: request.is_retry.unwrap_or(false),
         };
         self.handle_event(request.instance, now, event);
@@ -166,13 +166,13 @@
 
     fn apply_heartbeat(&mut self, now: Millis, heartbeat: &decode::Heartbeat) {
         let (request_id, attempt_id) = (heartbeat.request_id, AttemptId(heartbeat.attempt));
-        let event = match heartbeat.kind() {
-            HeartbeatKind::Started => Event::AttemptStarted { request_id, attempt_id },
-            HeartbeatKind::Progressed => {
+        let event = match heartbeat.content() {
+            HeartbeatContent::Started => Event::AttemptStarted { request_id, attempt_id },
+            HeartbeatContent::Progressed => {
                 let share = heartbeat.share.unwrap_or(0.0);
                 Event::AttemptProgressed { request_id, attempt_id, share }
             }
-            HeartbeatKind::Unknown => return,
+            HeartbeatContent::Unknown => return,
         };
         self.handle_event(heartbeat.instance, now, event);
     }
@@ -181,7 +181,7 @@
         let Some(instance) = self.instances.get_mut(&inbox.instance) else { return };
         match instance.gossip_received(inbox) {
             Some(event) => self.handle_event(inbox.instance, now, event),
-            None if instance.logs_unreadable() => self.add_to_reply(inbox.instance),
+            None if instance.is_unreadable_log_due() => self.add_to_reply(inbox.instance),
             None => {}
         }
     }
@@ -203,7 +203,7 @@
     fn add_to_reply(&mut self, number: u64) {
         let Some(instance) = self.instances.get_mut(&number) else { return };
         if !std::mem::replace(&mut instance.has_events, true) {
-            self.with_events.push(number);
+            self.active_instances.push(number);
         }
     }
 }
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -236,7 +236,7 @@
     pub attempt: u32,
 }
 
-/// A heartbeat of an attempt, see [`Heartbeat::kind`].
+/// A heartbeat of an attempt, see [`Heartbeat::content`].
 #[derive(Deserialize)]
 pub struct Heartbeat {
     #[serde(rename = "i")]
@@ -253,7 +253,7 @@
 }
 
 /// What a heartbeat reports.
-pub enum HeartbeatKind {
+pub enum HeartbeatContent {
     Started,
     Progressed,
     /// A kind of a later protocol.
@@ -262,11 +262,11 @@
 
 impl Heartbeat {
     /// What it reports.
-    pub fn kind(&self) -> HeartbeatKind {
+    pub fn content(&self) -> HeartbeatContent {
         match self.code {
-            1 => HeartbeatKind::Started,
-            2 => HeartbeatKind::Progressed,
-            _ => HeartbeatKind::Unknown,
+            1 => HeartbeatContent::Started,
+            2 => HeartbeatContent::Progressed,
+            _ => HeartbeatContent::Unknown,
         }
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -6,7 +6,7 @@
     Action, DeduplicationGroupId, Dispatcher, Endpoint, EndpointState, Event, MachineTypeId, Millis,
     ProbeReply, ZoneId,
 };
-use troutknot_configuration::{LoadFields, class_names, millis, parse_settings};
+use troutknot_configuration::{LoadFields, class_names, millis_from_micros, parse_settings};
 use troutknot_membership::{ExecutorRegistry, token};
 
 /// One simulated node.
@@ -20,7 +20,7 @@
     pub has_events: bool,
     unreadable_messages: u64,
     /// Whether the count of unreadable messages is logged with this batch.
-    logs_unreadable: bool,
+    is_unreadable_log_due: bool,
 }
 
 impl Instance {
@@ -35,7 +35,7 @@
             registry: ExecutorRegistry::default(),
             has_events: true,
             unreadable_messages: 0,
-            logs_unreadable: false,
+            is_unreadable_log_due: false,
         })
     }
 
@@ -62,7 +62,7 @@
                 EntryPhase::Deregistered => EndpointState::Gone,
             },
             weight: entry.weight.unwrap_or(1.0),
-            started_at: entry.started_at.filter(|&at| at > 0).map(millis),
+            started_at: entry.started_at.filter(|&at| at > 0).map(millis_from_micros),
         }
     }
 
@@ -72,7 +72,7 @@
         Event::ProbeCompleted {
             executor: self.registry.get(&result.executor).unwrap_or_default(),
             reply: is_answered.then(|| ProbeReply {
-                latency: millis(result.latency),
+                latency: millis_from_micros(result.latency),
                 report: self.load_fields.report(result.metrics.as_deref().unwrap_or_default()),
             }),
         }
@@ -85,13 +85,13 @@
         }
         self.unreadable_messages += 1;
         // Logged at each power of two, so that a flood of them does not fill the log.
-        self.logs_unreadable |= self.unreadable_messages.is_power_of_two();
+        self.is_unreadable_log_due |= self.unreadable_messages.is_power_of_two();
         None
     }
 
     /// Whether the count of unreadable messages is to be logged with this batch.
-    pub fn logs_unreadable(&self) -> bool {
-        self.logs_unreadable
+    pub fn is_unreadable_log_due(&self) -> bool {
+        self.is_unreadable_log_due
     }
 
     /// Appends the lines of all actions that follow from this batch.
@@ -103,7 +103,7 @@
                 self.registry.release(executor);
             }
         }
-        if std::mem::take(&mut self.logs_unreadable) {
+        if std::mem::take(&mut self.is_unreadable_log_due) {
             let line = format!("{} messages passed over: not understood", self.unreadable_messages);
             encode::log_line(out, number, &line);
         }
--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -51,13 +51,13 @@
         let is_another_in_flight = request.is_in_flight();
         self.fleet.executors.record_slot_change(now, attempt.executor, -slots);
         self.fleet.outliers.record_outcome(now);
-        self.judge_outcome(now, class, &attempt, end.outcome);
+        self.apply_outcome(now, class, &attempt, end.outcome);
         let is_completed = end.outcome == Outcome::Completed;
         if is_completed {
             self.observe_running_time(now, class, &attempt);
         }
         match end.is_request_closed {
-            true => self.forget(request_id),
+            true => self.remove_request(request_id),
             false if is_another_in_flight => {}
             // Without probes, a rejection is the sign that the executors are busy.
             false if end.outcome == Outcome::Rejected && self.probes.is_forbidden => {
@@ -71,7 +71,7 @@
     }
 
     /// Applies what an outcome says of the executor, and of the connections to it.
-    fn judge_outcome(&mut self, now: Millis, class: RequestClassId, attempt: &Attempt, outcome: Outcome) {
+    fn apply_outcome(&mut self, now: Millis, class: RequestClassId, attempt: &Attempt, outcome: Outcome) {
         let executor = attempt.executor;
         match outcome {
             Outcome::Reset if self.connection_reuse.was_stale(attempt, now) => {
--- a/src/dispatcher/endpoints.rs
+++ b/src/dispatcher/endpoints.rs
@@ -43,7 +43,7 @@
     pub(super) fn on_gossip(&mut self, now: Millis, message: GossipMessage) {
         match message {
             GossipMessage::IdleConnectionLost => self.block_idle_reuse(now, Observer::Peer),
-            GossipMessage::WorkRejected { token, class } => {
+            GossipMessage::RequestRejected { token, class } => {
                 self.fleet.record_gossiped_rejection(now, token, class)
             }
         }
--- a/src/dispatcher/fleet.rs
+++ b/src/dispatcher/fleet.rs
@@ -39,15 +39,15 @@
         }
     }
 
-    /// Applies settings. `longest_objective` is the longest latency objective of all request classes.
-    pub fn apply_settings(&mut self, settings: &Settings, nodes: f64, longest_objective: Millis) {
-        self.slow_start = SlowStart::new(settings, nodes, longest_objective);
+    /// Applies settings. `max_objective` is the longest latency objective of all request classes.
+    pub fn apply_settings(&mut self, settings: &Settings, nodes: f64, max_objective: Millis) {
+        self.slow_start = SlowStart::new(settings, nodes, max_objective);
         self.local_zone = settings.preferred_zone();
         self.executors.apply_settings(settings);
     }
 
     /// Records that another process of this node runs or has stopped; its dispatches count for another window.
-    pub fn sibling_changed(&mut self, now: Millis, is_running: bool) {
+    pub fn record_sibling(&mut self, now: Millis, is_running: bool) {
         self.sibling_until = if is_running { f64::INFINITY } else { self.slow_start.window_end(now) };
     }
 
@@ -184,7 +184,7 @@
         let recorded = decay.reject(*score, now);
         *score = recorded.score;
         let token = state.endpoint.token as u32;
-        (recorded.notice == PeerNotice::Send).then_some(GossipMessage::WorkRejected { token, class })
+        (recorded.notice == PeerNotice::Send).then_some(GossipMessage::RequestRejected { token, class })
     }
 
     /// Records a rejection that a peer reported, by the lower half of the executor's token.
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -118,14 +118,14 @@
                 self.on_attempt_recovered(now, request_id, executor, sent_at)
             }
             Event::GossipReceived(message) => self.on_gossip(now, message),
-            Event::SiblingChanged { is_running } => self.fleet.sibling_changed(now, is_running),
+            Event::SiblingChanged { is_running } => self.fleet.record_sibling(now, is_running),
             Event::WarmStateReceived(state) => self.import_state(state),
             Event::AttemptStarted { request_id, attempt_id } => {
                 self.on_attempt_started(now, request_id, attempt_id)
             }
             Event::AttemptProgressed { .. } => {}
             Event::TimerFired => self.timers.host_timer_fired(),
-            Event::RequestWithdrawn { request_id } => self.forget(request_id),
+            Event::RequestWithdrawn { request_id } => self.remove_request(request_id),
         }
         while let Some(request_id) = self.timers.pop_due(now) {
             self.on_request_timer(now, request_id);
@@ -150,5 +150,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/random_days.rs"]
+#[path = "../../tests/unit/random_events.rs"]
 mod tests;
--- a/src/dispatcher/probes.rs
+++ b/src/dispatcher/probes.rs
@@ -116,14 +116,14 @@
         }
         let Some(state) = self.fleet.executors.state_mut(executor) else { return };
         let report = reply.map(|reply| reply.report);
-        report.iter().for_each(|report| state.take_report(now, *report));
+        report.iter().for_each(|report| state.record_report(now, *report));
         state.is_probe_in_flight = false;
         for request_id in std::mem::take(&mut state.awaiting_probe) {
-            self.take_reply(now, request_id, executor, report);
+            self.apply_reply(now, request_id, executor, report);
         }
     }
 
-    fn take_reply(
+    fn apply_reply(
         &mut self,
         now: Millis,
         request_id: RequestId,
--- a/src/dispatcher/reconcile.rs
+++ b/src/dispatcher/reconcile.rs
@@ -10,7 +10,7 @@
 impl Dispatcher {
     /// Appends the actions that follow from all events since the last call.
     pub fn poll_actions(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.discovery.take_due_call(now) {
+        if self.discovery.start_due_call(now) {
             actions.push(Action::WatchEndpoints);
         }
         for request_id in std::mem::take(&mut self.dirty) {
@@ -34,11 +34,11 @@
             }
             DesiredState::Probing | DesiredState::Queued | DesiredState::Dispatched { .. } => {}
             DesiredState::Rejected { retry_after } => {
-                self.forget(request_id);
+                self.remove_request(request_id);
                 actions.push(Action::Reject { request_id, retry_after })
             }
             DesiredState::Failed => {
-                self.forget(request_id);
+                self.remove_request(request_id);
                 actions.push(Action::Fail { request_id })
             }
         }
@@ -81,7 +81,7 @@
             return;
         }
         let spent_since = self.fleet.slow_start.window_start(now);
-        let referenced = self.requests.values().flat_map(Request::executors);
+        let referenced = self.requests.values().flat_map(Request::referenced_executors);
         let released = self.fleet.executors.reclaim(now, spent_since, referenced);
         actions.extend(released.into_iter().map(|executor| Action::ReleaseExecutor { executor }));
     }
--- a/src/dispatcher/requests.rs
+++ b/src/dispatcher/requests.rs
@@ -60,7 +60,7 @@
     }
 
     /// Drops a request that needs no answer any more.
-    pub(super) fn forget(&mut self, request_id: RequestId) {
+    pub(super) fn remove_request(&mut self, request_id: RequestId) {
         let Some(request) = self.requests.remove(&request_id) else { return };
         // Attempts that are in flight after the answer are left to the executors' reports.
         for attempt in request.attempts.iter().filter(|attempt| attempt.is_in_flight()) {
@@ -130,7 +130,7 @@
             let request = &self.requests[&request_id];
             queueing::priority(&self.classes[request.class], request, self.over_quota_value, now)
         };
-        let Some(request_id) = queueing::first_in_queue(&self.queue, priority) else { return };
+        let Some(request_id) = queueing::highest_priority(&self.queue, priority) else { return };
         let request = &self.requests[&request_id];
         if self.fleet.is_eligible(now, &self.classes[request.class], request, executor) {
             self.probe(now, request_id, vec![executor]);
--- a/src/dispatcher/settings.rs
+++ b/src/dispatcher/settings.rs
@@ -12,7 +12,7 @@
         self.nodes = settings.nodes.max(1.0);
         self.quotas.apply_settings(now, settings, self.nodes);
         self.over_quota_value = settings.over_quota_value;
-        self.fleet.apply_settings(settings, self.nodes, self.classes.longest_objective());
+        self.fleet.apply_settings(settings, self.nodes, self.classes.max_objective());
         self.retry_after_enabled = settings.limits.retry_after_enabled;
         self.connection_reuse.apply_settings(settings);
         self.gossip_enabled = settings.limits.gossip_enabled;
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -62,7 +62,7 @@
 
 impl LoadReport {
     /// A report of free slots alone.
-    pub fn of_free_slots(free_slots: f64) -> Self {
+    pub fn from_free_slots(free_slots: f64) -> Self {
         LoadReport { free_slots: Some(free_slots), ..LoadReport::default() }
     }
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -143,7 +143,7 @@
     /// An idle connection had broken without notice.
     IdleConnectionLost,
     /// An executor rejected a request though its report had shown free capacity.
-    WorkRejected {
+    RequestRejected {
         /// The lower half of the executor's token.
         token: u32,
         /// The class of the request.
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -9,7 +9,7 @@
 /// Upper bound on that time constant.
 const MAX_SCORE_DECAY: Millis = 30_000.0;
 /// Time constant of a score, in mean intervals between two attempts of this node at one executor.
-const DECAY_MEETINGS: f64 = 4.0;
+const DECAY_INTERVALS: f64 = 4.0;
 /// Score of a slow attempt, per unit of the logarithm of its response time relative to the mean.
 const SLOWNESS_WEIGHT: f64 = 0.7;
 /// Upper bound on the score of one fault.
@@ -21,7 +21,7 @@
 /// Peers are notified of a rejection if the score before it was below this.
 const GOSSIP_THRESHOLD: f64 = GOSSIP_PENALTY / 2.0;
 /// Slack, in running times, from which on a score has its plain effect; it is also the largest sensitivity.
-const AMPLE_SLACK: f64 = 3.0;
+const REFERENCE_SLACK: f64 = 3.0;
 
 /// Counts the attempts that ended at all executors, which say how often this node meets one executor.
 #[derive(Default)]
@@ -41,8 +41,8 @@
         let outcomes = self.recent_outcomes.at(now, MIN_SCORE_DECAY);
         // Decayed with this constant, the count is about the outcomes of one such span. With none, the interval
         // is infinite, and the upper bound holds.
-        let meeting_interval = MIN_SCORE_DECAY * ready_executors.max(1) as f64 / outcomes;
-        let time_constant = (DECAY_MEETINGS * meeting_interval).clamp(MIN_SCORE_DECAY, MAX_SCORE_DECAY);
+        let attempt_interval = MIN_SCORE_DECAY * ready_executors.max(1) as f64 / outcomes;
+        let time_constant = (DECAY_INTERVALS * attempt_interval).clamp(MIN_SCORE_DECAY, MAX_SCORE_DECAY);
         ScoreDecay { time_constant }
     }
 }
@@ -122,7 +122,7 @@
 pub(crate) fn sensitivity(class: &RequestClass) -> f64 {
     let response_time = class.response_time.mean;
     let slack = (class.latency_objective + (class.terms.stretch - 1.0) * response_time) / response_time;
-    (AMPLE_SLACK / slack).clamp(1.0, AMPLE_SLACK)
+    (REFERENCE_SLACK / slack).clamp(1.0, REFERENCE_SLACK)
 }
 
 /// Weight of an executor with this score when executors are sampled, 0 to 1.
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -48,7 +48,10 @@
 }
 
 /// The queued request of the highest priority, the last one of several.
-pub(crate) fn first_in_queue(queue: &[RequestId], priority: impl Fn(RequestId) -> f64) -> Option<RequestId> {
+pub(crate) fn highest_priority(
+    queue: &[RequestId],
+    priority: impl Fn(RequestId) -> f64,
+) -> Option<RequestId> {
     queue.iter().copied().max_by(|&one, &other| priority(one).total_cmp(&priority(other)))
 }
 
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -10,7 +10,7 @@
 
 /// Part of the deduplication window within which a request is sent again; the rest covers the transit time
 /// and clocks that differ.
-const USABLE_WINDOW: f64 = 0.8;
+const USABLE_WINDOW_SHARE: f64 = 0.8;
 
 /// Where a request may be dispatched next.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -65,7 +65,8 @@
                 RetryPolicy { target: RetryTarget::Nowhere, unserved_answer: UnservedAnswer::Failed }
             }
             Effect::Deduplicated => {
-                let is_window_over = now - first.sent_at > class.terms.deduplication_window * USABLE_WINDOW;
+                let is_window_over =
+                    now - first.sent_at > class.terms.deduplication_window * USABLE_WINDOW_SHARE;
                 let target = match is_window_over {
                     true => RetryTarget::Nowhere,
                     false if is_recognized_everywhere => RetryTarget::Anywhere,
@@ -93,7 +94,7 @@
     /// request that may have run is sent completely within its deduplication window, or not at all.
     pub fn send_deadline(class: &RequestClass, attempts: &[Attempt], attempt_deadline: Millis) -> Millis {
         let first = first_possible_run(attempts).filter(|_| class.terms.effect == Effect::Deduplicated);
-        let window = class.terms.deduplication_window * USABLE_WINDOW;
+        let window = class.terms.deduplication_window * USABLE_WINDOW_SHARE;
         first.map_or(attempt_deadline, |first| attempt_deadline.min(first.sent_at + window))
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -124,7 +124,7 @@
 /// The report that stands in for a probe reply where probes are forbidden: the fewer slots this node has in
 /// flight, the emptier the executor. It never shows a queue.
 pub(crate) fn assumed_report(slots_in_flight: f64) -> LoadReport {
-    LoadReport::of_free_slots(UNKNOWN_SLOTS - slots_in_flight)
+    LoadReport::from_free_slots(UNKNOWN_SLOTS - slots_in_flight)
 }
 
 #[cfg(test)]
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -6,7 +6,7 @@
 use crate::warm_state::WarmUpDispatch;
 
 /// Part of the budget that this node plans to spend; requests longer than the mean running time use the rest.
-const USABLE_BUDGET: f64 = 0.8;
+const USABLE_BUDGET_SHARE: f64 = 0.8;
 /// Nodes that share one executor's budget, for each request as long as the longest latency objective that
 /// fits in the budget of one slot at its start.
 const NODES_PER_REQUEST: f64 = 1.5;
@@ -49,11 +49,10 @@
 }
 
 impl SlowStart {
-    /// `longest_objective` is the longest latency objective of all request classes.
-    pub fn new(settings: &Settings, nodes: f64, longest_objective: Millis) -> Self {
+    /// `max_objective` is the longest latency objective of all request classes.
+    pub fn new(settings: &Settings, nodes: f64, max_objective: Millis) -> Self {
         let rules = settings.rules.clone();
-        let fitting =
-            rules.budget_multiple * rules.initial_capacity * rules.budget_window / longest_objective;
+        let fitting = rules.budget_multiple * rules.initial_capacity * rules.budget_window / max_objective;
         let assigned_nodes = (NODES_PER_REQUEST * fitting).round().clamp(1.0, MAX_ASSIGNED_NODES).min(nodes);
         SlowStart { rules, node: settings.node.map(|node| node as u64), nodes, assigned_nodes }
     }
@@ -119,7 +118,7 @@
             SiblingProcess::Absent => 1.0,
         };
         let spent = warm_up.spent.iter().filter(|dispatch| dispatch.at >= since);
-        USABLE_BUDGET * budget * part * self.share(warm_up.endpoint.token)
+        USABLE_BUDGET_SHARE * budget * part * self.share(warm_up.endpoint.token)
             - spent.map(|dispatch| dispatch.work).sum::<f64>()
     }
 
--- a/src/state/discovery_backoff.rs
+++ b/src/state/discovery_backoff.rs
@@ -8,14 +8,14 @@
 /// Mean interval between the calls of different nodes after a failure.
 const CALL_SPACING: Millis = 100.0;
 /// Upper bound on the spread of the nodes' calls, as a part of the poll interval.
-const MAX_SPREAD: f64 = 0.7;
+const MAX_SPREAD_SHARE: f64 = 0.7;
 /// Upper bound on the backoff, as a part of the poll interval.
-const MAX_BACKOFF: f64 = 0.25;
+const MAX_BACKOFF_SHARE: f64 = 0.25;
 /// Upper bound on the backoff of a list that is pushed, as a part of the drain grace: changes that the source
 /// reports when it is back must be known within that grace.
-const MAX_BACKOFF_OF_GRACE: f64 = 0.25;
+const MAX_PUSH_BACKOFF_SHARE: f64 = 0.25;
 /// Lower bound on that upper bound: a short grace must not make the node call without a pause.
-const MIN_LONGEST_PUSH_BACKOFF: Millis = 100.0;
+const MIN_PUSH_BACKOFF_LIMIT: Millis = 100.0;
 /// Half of the backoff after the first failure.
 const BASE_BACKOFF: Millis = 100.0;
 /// Failures beyond this number do not prolong the backoff.
@@ -35,7 +35,7 @@
     /// The time of the next call; infinite while a call or a watch is open.
     pub next_call_at: Millis,
     /// Whether the list was received, and at most one call has failed since it was lost.
-    was_followed: bool,
+    was_available: bool,
     failures: u32,
     poll_interval: Millis,
     /// The drain grace, if the list is pushed.
@@ -49,7 +49,7 @@
         let next_call_at = if is_subscribed { now } else { f64::INFINITY };
         DiscoveryBackoff {
             next_call_at,
-            was_followed: false,
+            was_available: false,
             failures: 0,
             poll_interval: 0.0,
             push_grace: None,
@@ -64,7 +64,7 @@
     }
 
     /// Whether a call is due; if so, the caller makes it.
-    pub fn take_due_call(&mut self, now: Millis) -> bool {
+    pub fn start_due_call(&mut self, now: Millis) -> bool {
         let is_due = self.next_call_at <= now;
         if is_due {
             self.next_call_at = f64::INFINITY;
@@ -74,7 +74,7 @@
 
     /// Records that the list was received. Returns a log entry if calls had failed.
     pub fn record_success(&mut self) -> Option<LogEvent> {
-        self.was_followed = true;
+        self.was_available = true;
         let failures = std::mem::take(&mut self.failures);
         (failures > 0).then_some(LogEvent::EndpointListRecovered { failures })
     }
@@ -90,19 +90,19 @@
         self.failures = (self.failures + 1).min(MAX_FAILURES);
         // While a source that pushes is silent, this node may dispatch to executors that are draining by now.
         let grace = self.push_grace.filter(|_| failure == ListFailure::Unanswered);
-        let backoff = (BASE_BACKOFF * f64::powi(2.0, self.failures as i32)).min(self.longest_backoff(grace));
+        let backoff = (BASE_BACKOFF * f64::powi(2.0, self.failures as i32)).min(self.max_backoff(grace));
         let spread = self.call_spread(nodes, failure, grace);
-        self.was_followed &= self.failures == 1;
+        self.was_available &= self.failures == 1;
         let wait = backoff * random.random_range(0.5..1.0) + spread * random.random::<f64>();
         self.next_call_at = now + wait;
         LogEvent::EndpointListLost { failures: self.failures, next_call_in: wait }
     }
 
     /// Upper bound on the backoff; `grace` is the drain grace if a source that pushes the list fell silent.
-    fn longest_backoff(&self, grace: Option<Millis>) -> Millis {
-        let longest = self.poll_interval * MAX_BACKOFF;
+    fn max_backoff(&self, grace: Option<Millis>) -> Millis {
+        let longest = self.poll_interval * MAX_BACKOFF_SHARE;
         grace.map_or(longest, |grace| {
-            (grace * MAX_BACKOFF_OF_GRACE).max(MIN_LONGEST_PUSH_BACKOFF).min(longest)
+            (grace * MAX_PUSH_BACKOFF_SHARE).max(MIN_PUSH_BACKOFF_LIMIT).min(longest)
         })
     }
 
@@ -112,10 +112,10 @@
         // Right after the loss, and after one call without an answer, a spread on top would exceed the time
         // within which a change must be known.
         let is_urgent = self.failures == 1 || failure == ListFailure::Unanswered;
-        if self.was_followed && is_urgent {
+        if self.was_available && is_urgent {
             return 0.0;
         }
         let spacing = if grace.is_some() { 0.0 } else { CALL_SPACING };
-        ((nodes - 1.0) * spacing).min(self.poll_interval * MAX_SPREAD)
+        ((nodes - 1.0) * spacing).min(self.poll_interval * MAX_SPREAD_SHARE)
     }
 }
--- a/src/state/executor_state.rs
+++ b/src/state/executor_state.rs
@@ -96,7 +96,7 @@
     }
 
     /// Stores a report, and the largest number of slots so far, with one slot for each running request.
-    pub fn take_report(&mut self, now: Millis, report: LoadReport) {
+    pub fn record_report(&mut self, now: Millis, report: LoadReport) {
         let running = (report.in_flight.unwrap_or(0.0) - report.queue_length.unwrap_or(0.0)).max(0.0);
         let shown_slots = report.free_slots.unwrap_or(0.0) + running;
         self.max_slots = self.max_slots.max(shown_slots.round());
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -90,7 +90,7 @@
 
     /// The executors that it refers to: those of its attempts, which limit where it may be retried, and its
     /// candidates while it awaits probes.
-    pub fn executors(&self) -> impl Iterator<Item = ExecutorId> {
+    pub fn referenced_executors(&self) -> impl Iterator<Item = ExecutorId> {
         let sent = self.attempts.iter().map(|attempt| attempt.executor);
         let sampled = if self.desired == DesiredState::Probing { &self.candidates[..] } else { &[] };
         sent.chain(sampled.iter().copied())
--- a/src/state/request_class.rs
+++ b/src/state/request_class.rs
@@ -7,7 +7,7 @@
 use std::ops::{Index, IndexMut};
 
 /// Lower bound on the longest latency objective.
-const MIN_LONGEST_OBJECTIVE: Millis = 1.0;
+const MIN_MAX_OBJECTIVE: Millis = 1.0;
 
 /// One request class.
 pub(crate) struct RequestClass {
@@ -77,9 +77,9 @@
     }
 
     /// The longest latency objective, at least 1 ms.
-    pub fn longest_objective(&self) -> Millis {
+    pub fn max_objective(&self) -> Millis {
         let objectives = self.0.iter().map(|class| class.latency_objective);
-        objectives.fold(MIN_LONGEST_OBJECTIVE, f64::max)
+        objectives.fold(MIN_MAX_OBJECTIVE, f64::max)
     }
 
     pub fn iter(&self) -> impl Iterator<Item = &RequestClass> {
--- a/tests/deployments.rs
+++ b/tests/connections_and_hedging.rs
@@ -93,7 +93,7 @@
         };
         let actions = node.handle(probe_reply(executor, 1.0, report));
         let is_reported =
-            actions.iter().any(|a| matches!(a, Action::Gossip(GossipMessage::WorkRejected { .. })));
+            actions.iter().any(|a| matches!(a, Action::Gossip(GossipMessage::RequestRejected { .. })));
         let second = dispatched_to(&node.answer_probes(actions, |_| 0.0));
         assert_eq!(
             (is_reported, second.is_some_and(|second| second != executor)),
@@ -137,7 +137,7 @@
         let mut dispatched = [0; 2];
         for number in 0..800 {
             node.now += 50.0;
-            let message = GossipMessage::WorkRejected { token, class: RequestClassId(3) };
+            let message = GossipMessage::RequestRejected { token, class: RequestClassId(3) };
             let echo = if is_observed { Vec::new() } else { node.handle(Event::GossipReceived(message)) };
             assert!(!echo.contains(&Action::Gossip(message)));
             let (request_id, executor) = node.dispatched([0, 3][number % 2]);
--- a/tests/executor_lifetime.rs
+++ b/tests/executor_lifetime.rs
@@ -187,7 +187,7 @@
     for (count, stale) in [
         reply(executor(0), 9.0),
         Event::ProbeCompleted { executor: executor(0), reply: None },
-        Event::GossipReceived(GossipMessage::WorkRejected { token, class: RequestClassId(0) }),
+        Event::GossipReceived(GossipMessage::RequestRejected { token, class: RequestClassId(0) }),
         Event::EndpointsUpdated {
             update: ListUpdate::Delta,
             endpoints: vec![endpoint(0, 0, EndpointState::Gone, None)],
--- a/tests/unit/queueing.rs
+++ b/tests/unit/queueing.rs
@@ -84,8 +84,8 @@
 #[test]
 fn the_highest_priority_is_first_and_the_last_of_equals() {
     let queue = [RequestId(1), RequestId(2), RequestId(3)];
-    assert_eq!(first_in_queue(&queue, |id| -(id.0 as f64)), Some(RequestId(1)));
-    assert_eq!(first_in_queue(&queue, |id| if id.0 == 2 { 1.1 } else { 1.0 }), Some(RequestId(2)));
-    assert_eq!(first_in_queue(&queue, |_| 1.0), Some(RequestId(3)));
-    assert_eq!(first_in_queue(&[], |_| 1.0), None);
+    assert_eq!(highest_priority(&queue, |id| -(id.0 as f64)), Some(RequestId(1)));
+    assert_eq!(highest_priority(&queue, |id| if id.0 == 2 { 1.1 } else { 1.0 }), Some(RequestId(2)));
+    assert_eq!(highest_priority(&queue, |_| 1.0), Some(RequestId(3)));
+    assert_eq!(highest_priority(&[], |_| 1.0), None);
 }
--- a/tests/unit/random_days.rs
+++ b/tests/unit/random_events.rs
@@ -324,13 +324,13 @@
         let Some(last) = self.released.len().checked_sub(1) else { return Ok(()) };
         let executor = self.released[self.random.random_range(0..=last)];
         let (before, choice) = (self.node.stale_events(), self.random.random_range(0..4));
-        let report = LoadReport::of_free_slots(1000.0);
+        let report = LoadReport::from_free_slots(1000.0);
         let event = match choice {
             0 => probe_reply(executor, 1.0, report),
             1 => Event::ProbeCompleted { executor, reply: None },
             2 => {
                 let class = RequestClassId(0);
-                Event::GossipReceived(GossipMessage::WorkRejected { token: u32::MAX, class })
+                Event::GossipReceived(GossipMessage::RequestRejected { token: u32::MAX, class })
             }
             _ => {
                 let request_id = RequestId(self.random.random_range(0..=self.next_request));
@@ -505,8 +505,9 @@
             if named.is_needed {
                 named.needed_at = self.now;
             }
-            let refers_to_it =
-                |request: &crate::state::request::Request| request.executors().any(|other| other == executor);
+            let refers_to_it = |request: &crate::state::request::Request| {
+                request.referenced_executors().any(|other| other == executor)
+            };
             named.is_needed = named.state != EndpointState::Gone
                 || self.probes.contains(&executor)
                 || self.node.requests.values().any(refers_to_it);
--- a/tests/unit/start_check.rs
+++ b/tests/unit/start_check.rs
@@ -55,7 +55,7 @@
 
 #[test]
 fn an_attempt_that_started_is_not_lost() {
-    let mut request = checked(1, LoadReport { queue_length: Some(0.0), ..LoadReport::of_free_slots(1.0) });
+    let mut request = checked(1, LoadReport { queue_length: Some(0.0), ..LoadReport::from_free_slots(1.0) });
     assert!(is_lost(&request));
     request.attempts = vec![Attempt { started_at: Some(1.0), ..request.attempts[0] }];
     assert!(!is_lost(&request));
