--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: their start and their end, and what these say of executors and connections.
+//! Starts and ends of attempts, and their effect on the state of executors and connections.
 use super::Dispatcher;
 use crate::event::{GossipMessage, Outcome};
 use crate::ids::{AttemptId, ExecutorId, RequestClassId, RequestId};
@@ -16,7 +16,7 @@
     pub is_request_closed: bool,
 }
 
-/// Who observed that an idle connection had broken.
+/// The node that observed a broken idle connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Observer {
     ThisNode,
@@ -24,7 +24,7 @@
 }
 
 impl Dispatcher {
-    /// Records the start of an attempt, once.
+    /// Records the start of an attempt; a repeated report has no effect.
     pub(super) fn on_attempt_started(&mut self, now: Millis, request_id: RequestId, attempt_id: AttemptId) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         let class = &self.classes[request.class];
@@ -34,8 +34,8 @@
         self.admission.record_start(class, now - attempt.sent_at);
     }
 
-    /// Applies the end of an attempt to its executor, its class and its request; the request is retried, given up
-    /// or closed.
+    /// Applies the end of an attempt to its executor, its class and its request. The request is then retried, given
+    /// up or closed.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Millis,
@@ -59,7 +59,7 @@
         match end.is_request_closed {
             true => self.remove_request(request_id),
             false if is_another_in_flight => {}
-            // Without probes, a rejection is the sign that the executors are busy.
+            // Without probes, a rejection is the only indication that the executors are busy.
             false if end.outcome == Outcome::Rejected && self.probes.is_forbidden => {
                 self.enqueue(now, request_id)
             }
@@ -70,14 +70,15 @@
         }
     }
 
-    /// Applies what an outcome says of the executor, and of the connections to it.
+    /// Applies an outcome to the scores of the executor and to the reuse of connections.
     fn apply_outcome(&mut self, now: Millis, class: RequestClassId, attempt: &Attempt, outcome: Outcome) {
         let executor = attempt.executor;
         match outcome {
             Outcome::Reset if self.connection_reuse.was_stale(attempt, now) => {
                 self.block_idle_reuse(now, Observer::ThisNode)
             }
-            // Only an executor that shows free capacity gets requests: one that rejects them reports wrongly.
+            // Requests are only dispatched to executors that show free capacity, so a rejection means that the report
+            // was wrong.
             Outcome::Rejected => self.gossip.extend(self.fleet.record_rejection(now, executor, class)),
             Outcome::Completed | Outcome::NotSent | Outcome::Cancelled => {}
             _ => self.fleet.record_fault(now, executor),
@@ -99,7 +100,7 @@
         self.admission.record_end(class, now - attempt.sent_at);
     }
 
-    /// Blocks the reuse of idle connections; peers are notified of what this node observed itself.
+    /// Blocks the reuse of idle connections, and notifies the peers if this node observed the broken connection.
     pub(super) fn block_idle_reuse(&mut self, now: Millis, observer: Observer) {
         if let ReuseBlock::Began { max_idle_time } = self.connection_reuse.block(now) {
             self.log.push(LogEvent::IdleConnectionsLost { max_idle_time });
@@ -109,8 +110,8 @@
         }
     }
 
-    /// The last attempt of a request has not been reported as started in time: without probes that counts
-    /// against the admitted share, otherwise its executor is probed to find out whether the attempt was lost.
+    /// Handles the last attempt of a request that was not reported as started in time. Without probes it lowers the
+    /// admitted share; otherwise its executor is probed to find out whether the attempt was lost.
     pub(super) fn on_start_overdue(&mut self, now: Millis, request_id: RequestId, executor: ExecutorId) {
         let Some(request) = self.requests.get(&request_id) else { return };
         if request.attempts.last().is_none_or(|last| last.started_at.is_some()) {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Ends a start check, with the executor's report if it sent one: a lost attempt is hedged, any other is
+    /// Completes a start check with the executor's report, if there is one. A lost attempt is hedged; any other is
     /// left to run.
     pub(super) fn hedge_if_lost(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get(&request_id) else { return };
@@ -139,7 +140,7 @@
         self.sample(now, request_id)
     }
 
-    /// Adds an attempt of an earlier process; the request waits for its end.
+    /// Adds an attempt of an earlier process to its request, which then waits for its end.
     pub(super) fn on_attempt_recovered(
         &mut self,
         now: Millis,
@@ -152,7 +153,7 @@
         }
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         request.attempts.push(Attempt::new(executor, sent_at, f64::INFINITY));
-        // Its arrival was sampled for before the attempt was known; that round does not count.
+        // The request was sampled for at its arrival, before its attempt was reported; that round does not count.
         request.sampling_rounds = 0;
         let slots = request.slots;
         self.fleet.executors.record_slot_change(now, executor, slots);
--- a/src/dispatcher/endpoints.rs
+++ b/src/dispatcher/endpoints.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and messages of peers.
+//! Updates of the endpoint list, and gossip from peers.
 use super::Dispatcher;
 use super::attempts::Observer;
 use crate::endpoint::{Endpoint, ListUpdate};
@@ -17,8 +17,8 @@
         self.resample_undispatchable(now);
     }
 
-    /// Samples anew for the requests whose dispatch is decided but not carried out, if their executor no
-    /// longer accepts requests.
+    /// Samples again for requests whose dispatch is decided but not yet carried out and whose executor no longer
+    /// accepts requests.
     fn resample_undispatchable(&mut self, now: Millis) {
         for request_id in self.dirty.clone() {
             let Some(request) = self.requests.get(&request_id) else { continue };
@@ -39,7 +39,7 @@
         self.log.push(lost);
     }
 
-    /// Applies a message of a peer.
+    /// Applies a gossip message of a peer.
     pub(super) fn on_gossip(&mut self, now: Millis, message: GossipMessage) {
         match message {
             GossipMessage::IdleConnectionLost => self.block_idle_reuse(now, Observer::Peer),
--- a/src/dispatcher/fleet.rs
+++ b/src/dispatcher/fleet.rs
@@ -1,4 +1,4 @@
-//! The executors of a node, with the rules on them applied.
+//! All executors of a node, and the rules that apply to them.
 use crate::endpoint::LoadReport;
 use crate::event::GossipMessage;
 use crate::ids::{ExecutorId, RequestClassId, ZoneId};
@@ -15,20 +15,20 @@
 use crate::time::Millis;
 use crate::warm_state::WarmUpDispatch;
 
-/// All executors, and the rules that depend on them.
+/// All executors, with the state of the rules that apply to them.
 pub(crate) struct Fleet {
     pub executors: ExecutorTable,
     pub slow_start: SlowStart,
     pub outliers: OutlierDetection,
-    /// This node's zone, if dispatches across zones are priced.
+    /// This node's zone; `None` if dispatches across zones have no price.
     local_zone: Option<ZoneId>,
-    /// Until when the dispatches of another process of this node count against warm-up budgets: while it
-    /// runs, and for one window after it has stopped.
+    /// Until when the dispatches of another process of this node count against warm-up budgets: while it runs, and
+    /// for one budget window after it has stopped.
     sibling_until: Millis,
 }
 
 impl Fleet {
-    /// A fleet without executors and without slow start.
+    /// Creates a fleet without executors and without slow start.
     pub fn new() -> Self {
         Fleet {
             executors: ExecutorTable::new(),
@@ -39,19 +39,20 @@
         }
     }
 
-    /// Applies settings. `max_objective` is the longest latency objective of all request classes.
+    /// Applies settings; `max_objective` is the longest latency objective of all request classes.
     pub fn apply_settings(&mut self, settings: &Settings, nodes: f64, max_objective: Millis) {
         self.slow_start = SlowStart::new(settings, nodes, max_objective);
         self.local_zone = settings.preferred_zone();
         self.executors.apply_settings(settings);
     }
 
-    /// Records that another process of this node runs or has stopped; its dispatches count for another window.
+    /// Records that another process of this node runs or has stopped. Its dispatches count for one more budget
+    /// window after it stops.
     pub fn record_sibling(&mut self, now: Millis, is_running: bool) {
         self.sibling_until = if is_running { f64::INFINITY } else { self.slow_start.window_end(now) };
     }
 
-    /// Whether a dispatch to this executor crosses zones and is priced.
+    /// Whether a dispatch to this executor crosses zones and has a price.
     pub fn is_cross_zone(&self, executor: ExecutorId) -> bool {
         self.local_zone.is_some_and(|zone| self.executors.state(executor).endpoint.zone != zone)
     }
@@ -72,7 +73,7 @@
             && self.remaining_warm_up_budget(now, executor) >= warm_up_cost(class, request.slots)
     }
 
-    /// What this node may still dispatch to an executor, in slot-milliseconds.
+    /// Work that this node may still dispatch to an executor, in slot-milliseconds; infinite without a limit.
     fn remaining_warm_up_budget(&self, now: Millis, executor: ExecutorId) -> f64 {
         let state = self.executors.state(executor);
         if !self.slow_start.is_limited(state.endpoint.started_at, now) {
@@ -88,7 +89,7 @@
         self.slow_start.remaining_budget(&warm_up, now)
     }
 
-    /// Records the cost of a dispatch, in slot-milliseconds, if a budget limits the executor.
+    /// Records the cost of a dispatch, in slot-milliseconds, if a warm-up budget limits the executor.
     pub fn spend_warm_up_budget(&mut self, now: Millis, executor: ExecutorId, cost: f64) {
         let started_at = self.executors.state(executor).endpoint.started_at;
         if !self.slow_start.is_limited(started_at, now) {
@@ -100,8 +101,8 @@
         state.warm_up_spent.push(WarmUpDispatch { at: now, work: cost });
     }
 
-    /// Updates what follows from all executors together: those that are ready, those in slow start that are
-    /// assigned to this node, and the smallest number of slots.
+    /// Updates the values derived from all executors: the ready ones, those in slow start that are assigned to this
+    /// node, and the smallest number of slots.
     pub fn refresh(&mut self, now: Millis) {
         self.executors.collect_ready();
         let is_assigned = |&executor: &ExecutorId| {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Weight of an executor when it is sampled for a request of a class.
+    /// Sampling weight of an executor for a request of a class.
     pub fn sampling_weight(
         &self,
         now: Millis,
@@ -138,12 +139,12 @@
         }
     }
 
-    /// The rank of a candidate by its report, for a request that needs these slots.
+    /// Ranks a candidate by its load report, for a request that needs `slots`.
     pub fn rank(&self, now: Millis, slots: f64, executor: ExecutorId, report: &LoadReport) -> QueueRank {
         let state = self.executors.state(executor);
         let load = CandidateLoad {
             report,
-            // Without its own recent dispatches, a node would send bursts to the same executor.
+            // If a node ignored its own recent dispatches, it would send bursts to the same executor.
             free_slots: report.free_slots.map(|free_slots| free_slots - state.unreported_change(now)),
             total_slots: self.executors.slots_or_min(executor),
             is_cross_zone: self.is_cross_zone(executor),
@@ -157,7 +158,7 @@
         self.penalize(now, executor, decay.fault_penalty());
     }
 
-    /// Records a response time, as a multiple of the mean.
+    /// Records a response time, given as a multiple of the mean.
     pub fn record_response_time(&mut self, now: Millis, executor: ExecutorId, relative: f64) {
         self.penalize(now, executor, outlier::slowness_penalty(relative));
     }
@@ -170,8 +171,8 @@
         (state.failure_score, state.observations) = (after.score, after.observations);
     }
 
-    /// Records that an executor rejected a request though its report showed free capacity. Returns the
-    /// message to peers, if they are to be notified.
+    /// Records that an executor rejected a request although its report showed free capacity. Returns the gossip
+    /// message if peers are to be notified.
     pub fn record_rejection(
         &mut self,
         now: Millis,
@@ -187,11 +188,11 @@
         (recorded.notice == PeerNotice::Send).then_some(GossipMessage::RequestRejected { token, class })
     }
 
-    /// Records a rejection that a peer reported, by the lower half of the executor's token.
+    /// Records a rejection that a peer reported. `token` is the lower half of the executor's token.
     pub fn record_gossiped_rejection(&mut self, now: Millis, token: u32, class: RequestClassId) {
         let has_token = |state: &&ExecutorState| state.endpoint.token as u32 == token;
         let found = self.executors.iter().find(has_token);
-        // The default handle never has state, so that a message with an unknown token counts as stale.
+        // The default handle never has state, so a message with an unknown token counts as stale.
         let executor = found.map_or(ExecutorId::default(), |state| state.endpoint.executor);
         let decay = self.score_decay(now);
         if !self.executors.count_if_stale(executor)
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -1,11 +1,11 @@
 //! The dispatcher of one node: its state, the events that it handles and the actions that follow.
 //!
-//! [`Dispatcher::new`] takes settings, a seed and the time. A host hands in all events of one moment with
-//! [`Dispatcher::handle_event`], then carries out the actions of one [`Dispatcher::poll_actions`], which
+//! [`Dispatcher::new`] takes settings, a seed and the time. A host reports all events of one point in time with
+//! [`Dispatcher::handle_event`], then calls [`Dispatcher::poll_actions`] once and carries out the actions. That call
 //! reconciles the desired state of each request with its attempts.
 //!
-//! The dispatcher owns the rules of [`crate::policy`] and the random source, and applies what the rules
-//! return.
+//! The dispatcher owns the state of the rules in [`crate::policy`] and the random source, and applies the rules'
+//! decisions.
 mod attempts;
 mod endpoints;
 mod fleet;
@@ -36,10 +36,10 @@
 use requests::Arrival;
 use std::collections::HashMap;
 
-/// The dispatcher of one node: see the [module](self) for how to drive it.
+/// The dispatcher of one node; the [module](self) describes how a host drives it.
 pub struct Dispatcher {
     random: ChaCha8Rng,
-    /// The number of nodes that share the load, at least 1.
+    /// Number of nodes that share the load, at least 1.
     nodes: f64,
     classes: RequestClasses,
     quotas: TenantQuotas,
@@ -48,11 +48,11 @@
     retry_after_enabled: bool,
     fleet: Fleet,
     requests: HashMap<RequestId, Request>,
-    /// Requests that wait here for capacity, in the order in which they were queued.
+    /// Requests that wait at this node for capacity, in the order in which they were queued.
     queue: Vec<RequestId>,
-    /// Requests whose desired state may differ from their attempts.
+    /// Requests to reconcile: their desired state may differ from their attempts.
     dirty: Vec<RequestId>,
-    /// Executors to probe at the next [`Dispatcher::poll_actions`], unless no request awaits it by then.
+    /// Executors to probe at the next [`Dispatcher::poll_actions`], unless no request awaits the probe any more.
     due_probes: Vec<ExecutorId>,
     timers: TimerQueue,
     probes: ProbeStatistics,
@@ -61,15 +61,15 @@
     connection_reuse: ConnectionReuse,
     start_check: StartCheck,
     gossip_enabled: bool,
-    /// Messages to peers that are due.
+    /// Gossip messages to send at the next [`Dispatcher::poll_actions`].
     gossip: Vec<GossipMessage>,
     discovery: DiscoveryBackoff,
     log: Vec<LogEvent>,
 }
 
 impl Dispatcher {
-    /// A node without executors. It is deterministic: instances with the same settings, seed and events
-    /// return the same actions.
+    /// Creates a dispatcher without executors. It is deterministic: instances with the same settings, seed and
+    /// events return the same actions.
     pub fn new(settings: &Settings, seed: u64, now: Millis) -> Self {
         let mut dispatcher = Dispatcher {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -98,7 +98,7 @@
         dispatcher
     }
 
-    /// Handles one event; the actions that follow are returned by the next [`Dispatcher::poll_actions`].
+    /// Handles one event. The resulting actions are returned by the next [`Dispatcher::poll_actions`].
     pub fn handle_event(&mut self, now: Millis, event: Event) {
         match event {
             Event::EndpointsUpdated { update, endpoints } => {
@@ -132,18 +132,18 @@
         }
     }
 
-    /// The number of executors with state: those that are listed, and those that are gone and still needed.
+    /// Returns the number of executors with state: those that are listed, and those that are gone but still needed.
     pub fn executor_count(&self) -> usize {
         self.fleet.executors.len()
     }
 
-    /// The number of events so far that were dropped because they name an executor without state.
+    /// Returns the number of events dropped so far because they refer to an executor without state.
     pub fn stale_events(&self) -> u64 {
         self.fleet.executors.stale_events
     }
 
-    /// Makes the next [`Dispatcher::poll_actions`] release the executors that are gone and no longer needed,
-    /// for a host that is short of handles.
+    /// Makes the next [`Dispatcher::poll_actions`] release the executors that are gone and no longer needed. A host
+    /// that runs out of handles calls it.
     pub fn reclaim_now(&mut self) {
         self.fleet.executors.reclaim_now();
     }
--- a/src/dispatcher/probes.rs
+++ b/src/dispatcher/probes.rs
@@ -1,4 +1,4 @@
-//! From a sample of executors over their probes to a dispatch.
+//! Samples executors for a request, probes them, and dispatches it.
 use super::Dispatcher;
 use crate::endpoint::LoadReport;
 use crate::event::ProbeReply;
@@ -11,8 +11,8 @@
 use crate::time::Millis;
 
 impl Dispatcher {
-    /// Samples ready executors with replacement, and probes each distinct one. Without any, the request is
-    /// queued; it is given up if it may not be dispatched any more.
+    /// Samples ready executors with replacement and probes each distinct one. If none is eligible, the request is
+    /// queued. A request that may not be dispatched any more is given up.
     pub(super) fn sample(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get(&request_id) else { return };
         let class = &self.classes[request.class];
@@ -27,7 +27,7 @@
             let sampled = self.sample_one(now, request_id, &avoided);
             candidates.extend(sampled.filter(|executor| !candidates.contains(executor)));
         }
-        // The node's own zone is probed first: if it has capacity, the other probes are saved.
+        // Executors of the node's own zone are probed first; if one has capacity, no others are probed.
         candidates.sort_by_key(|&executor| self.fleet.is_cross_zone(executor));
         match candidates.is_empty() {
             true => self.enqueue(now, request_id),
@@ -67,7 +67,7 @@
         self.log.extend(self.sample_sizing.update(now, busy_ratio, probe_cost));
     }
 
-    /// Probes these executors for a request, one after the other.
+    /// Starts a sampling round: probes `candidates` for a request, one after the other.
     pub(super) fn probe(&mut self, now: Millis, request_id: RequestId, candidates: Vec<ExecutorId>) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         request.candidates = candidates;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Probes the next candidate of a request; with no more candidates, it is dispatched.
+    /// Probes the next candidate of a request, or dispatches the request if there are no more.
     pub(super) fn probe_next(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         let Some(&executor) = request.candidates.get(request.probed) else {
@@ -100,7 +100,7 @@
         self.set_desired(request_id, DesiredState::Probing, timer_at);
     }
 
-    /// Hands the reply of a probe, or `None` for a failed one, to all requests that await it.
+    /// Applies the reply to a probe to all requests that await it; `None` if the probe failed.
     pub(super) fn on_probe_completed(
         &mut self,
         now: Millis,
@@ -133,8 +133,8 @@
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         let position = request.candidates.iter().take(request.probed).position(|&probed| probed == executor);
         let Some(position) = position.filter(|_| request.desired == DesiredState::Probing) else { return };
-        // If a later candidate has been probed meanwhile, a late reply only adds its report unless it is
-        // sufficient: the later probe moves the request on.
+        // If a later candidate is already being probed, this reply only adds its report unless it is sufficient; the
+        // reply to the later probe continues the request.
         let is_last = position + 1 >= request.probed;
         request.reports.extend(report.map(|report| CandidateReport { executor, report }));
         let slots = request.slots;
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Dispatches by this node's own attempts in flight, where probes are forbidden.
+    /// Dispatches by the slots of this node's own attempts in flight, where probes are forbidden.
     fn dispatch_by_own_load(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         let report = |&executor: &ExecutorId| {
@@ -161,11 +161,11 @@
         self.dispatch_to_shortest(now, request_id);
     }
 
-    /// Dispatches to the best of the candidates that have replied, at random among equal ones.
+    /// Dispatches to the best candidate that has replied; of equal ones, to one at random.
     fn dispatch_to_shortest(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get(&request_id) else { return };
-        // The only candidate is the executor of an attempt in flight: it was probed as a start check, or no
-        // other executor is eligible.
+        // If the only candidate is the executor of an attempt in flight, it was probed as a start check, or no other
+        // executor is eligible.
         let last = request.attempts.last().filter(|_| request.is_in_flight());
         if last.is_some_and(|last| request.candidates == [last.executor]) {
             return self.hedge_if_lost(now, request_id);
@@ -177,7 +177,7 @@
             NextStep::Dispatch => selection::choose_any(&shortest.executors, &mut self.random),
             NextStep::DispatchUnprobed => {
                 let sampled = self.sample_one(now, request_id, &[]);
-                // A draw among one at most; without it all later random numbers would shift.
+                // Chooses from one executor at most. Without this draw, all later random numbers of a seed would shift.
                 selection::choose_any(sampled.as_slice(), &mut self.random)
             }
         };
--- a/src/dispatcher/reconcile.rs
+++ b/src/dispatcher/reconcile.rs
@@ -1,4 +1,4 @@
-//! Reconciles the desired state with what is under way; the only source of actions.
+//! Reconciles the desired state of requests, probes and timers with what is under way. All actions originate here.
 use super::Dispatcher;
 use crate::action::Action;
 use crate::ids::{ExecutorId, RequestId};
@@ -8,7 +8,7 @@
 use crate::time::Millis;
 
 impl Dispatcher {
-    /// Appends the actions that follow from all events since the last call.
+    /// Appends the actions that result from all events since the last call.
     pub fn poll_actions(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if self.discovery.start_due_call(now) {
             actions.push(Action::WatchEndpoints);
@@ -63,7 +63,7 @@
         actions.push(Action::Dispatch { request_id, executor, attempt_deadline, send_deadline });
     }
 
-    /// Starts the probes that requests still await.
+    /// Starts the due probes that a request still awaits.
     fn start_probes(&mut self, actions: &mut Vec<Action>) {
         for executor in std::mem::take(&mut self.due_probes) {
             let is_awaited =
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Releases the executors that are gone and no longer needed, once that is due.
+    /// Releases the executors that are gone and no longer needed, if a check is due.
     fn reclaim(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if now < self.fleet.executors.reclaim_at() {
             return;
@@ -86,7 +86,7 @@
         actions.extend(released.into_iter().map(|executor| Action::ReleaseExecutor { executor }));
     }
 
-    /// Sets the host's timer, if the next due time is earlier than the one it is set for.
+    /// Sets the host's timer if the next due time is earlier than the time for which it is set.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let next_call_at = self.discovery.next_call_at;
         let next = self.timers.first().min(next_call_at).min(self.fleet.executors.reclaim_at());
--- a/src/dispatcher/requests.rs
+++ b/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their answer, with the queue and the timers of requests.
+//! The life cycle of requests from arrival to answer, with the queue and the request timers.
 use super::Dispatcher;
 use crate::ids::{ExecutorId, RequestClassId, RequestId, TenantId};
 use crate::policy::admission::{self, Admission, QuotaUse};
@@ -7,7 +7,7 @@
 use crate::state::request::{DesiredState, MIN_SLOTS, Request};
 use crate::time::Millis;
 
-/// A request that has arrived.
+/// The terms of a request at its arrival.
 pub(super) struct Arrival {
     pub class: RequestClassId,
     pub tenant: TenantId,
@@ -17,7 +17,7 @@
 }
 
 impl Dispatcher {
-    /// Admits a request or sheds it. One of an unknown class, or of an id that is open, is ignored.
+    /// Admits a request or sheds it. A request of an unknown class, or with the id of an open request, is ignored.
     pub(super) fn on_request_arrived(&mut self, now: Millis, request_id: RequestId, arrival: Arrival) {
         let Arrival { class, tenant, slots, time_left, is_retry } = arrival;
         if !self.classes.contains(class) || self.requests.contains_key(&request_id) {
@@ -28,8 +28,8 @@
             class,
             slots: slots.max(MIN_SLOTS),
             is_over_quota: quota_use == QuotaUse::OverQuota,
-            // A client's retry has less than its class's deadline left: the rest is taken to have passed since
-            // the client sent it first.
+            // A client's retry has less time left than the deadline of its class. The difference is taken as the time
+            // since the client first sent it.
             first_sent_at: now + time_left - self.classes[class].deadline.max(time_left),
             deadline: now + time_left,
             timer_at: f64::INFINITY,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Continues a request whose timer fired: the next probe, the check of its start, or another sample.
+    /// Continues a request whose timer fired, with the next probe, a start check or another sample.
     pub(super) fn on_request_timer(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         request.timer_at = f64::INFINITY;
@@ -51,7 +51,7 @@
             DesiredState::Probing => self.probe_next(now, request_id),
             DesiredState::Dispatched { executor, .. } => self.on_start_overdue(now, request_id, executor),
             DesiredState::Queued => {
-                // The next sample is the last round: without capacity, the request is queued again or given up.
+                // The next sample is the last round; without capacity the request is queued again or given up.
                 request.sampling_rounds = 1;
                 self.sample(now, request_id)
             }
@@ -59,10 +59,10 @@
         }
     }
 
-    /// Drops a request that needs no answer any more.
+    /// Removes a request that needs no answer any more.
     pub(super) fn remove_request(&mut self, request_id: RequestId) {
         let Some(request) = self.requests.remove(&request_id) else { return };
-        // Attempts that are in flight after the answer are left to the executors' reports.
+        // Attempts still in flight are no longer counted here; only the executors' load reports show them.
         for attempt in request.attempts.iter().filter(|attempt| attempt.is_in_flight()) {
             let Some(state) = self.fleet.executors.state_mut(attempt.executor) else { continue };
             state.slots_in_flight = (state.slots_in_flight - request.slots).max(0.0);
@@ -71,7 +71,7 @@
         self.timers.remove(request_id, request.timer_at);
     }
 
-    /// Sets the desired state of a request, and when its timer fires; infinite for never.
+    /// Sets the desired state of a request and the time at which its timer fires; infinite for no timer.
     pub(super) fn set_desired(&mut self, request_id: RequestId, desired: DesiredState, timer_at: Millis) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         self.timers.remove(request_id, request.timer_at);
@@ -84,7 +84,7 @@
         self.dirty.push(request_id);
     }
 
-    /// Leaves a request to its attempts in flight.
+    /// Makes a request wait for the end of its attempts in flight.
     pub(super) fn await_attempts(&mut self, request_id: RequestId) {
         let Some(request) = self.requests.get(&request_id) else { return };
         let Some(last) = request.attempts.last() else { return };
@@ -93,7 +93,7 @@
         self.set_desired(request_id, desired, f64::INFINITY);
     }
 
-    /// Gives a request up; its answer is among the next actions.
+    /// Gives up a request, unless an attempt is in flight. Its answer is among the next actions.
     pub(super) fn finish_unserved(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get(&request_id) else { return };
         if request.is_in_flight() {
@@ -110,7 +110,7 @@
         self.set_desired(request_id, desired, f64::INFINITY);
     }
 
-    /// Queues a request for which no executor has capacity, or gives it up.
+    /// Queues a request for which no executor has capacity, or gives it up if it cannot be answered in time.
     pub(super) fn enqueue(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get(&request_id) else { return };
         if request.is_in_flight() {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Probes an executor that may have free capacity again, for the queued request of the highest priority.
+    /// Probes an executor that may have free capacity again, for the queued request with the highest priority.
     pub(super) fn probe_for_queue(&mut self, now: Millis, executor: ExecutorId) {
         let priority = |request_id: RequestId| {
             let request = &self.requests[&request_id];
--- a/src/dispatcher/settings.rs
+++ b/src/dispatcher/settings.rs
@@ -1,12 +1,12 @@
-//! How new settings reach the rules and the state.
+//! Applies new settings to the rules and the state.
 use super::Dispatcher;
 use crate::policy::start_check::StartCheck;
 use crate::settings::Settings;
 use crate::time::Millis;
 
 impl Dispatcher {
-    /// Applies new settings from now on. Request classes that exist retain their terms, so that a request
-    /// retains those of its arrival; only further classes are added.
+    /// Applies new settings from now on. Existing request classes retain their terms, so that a request keeps the
+    /// terms that it arrived with; only additional classes are added.
     pub fn apply_settings(&mut self, now: Millis, settings: &Settings) {
         self.classes.add_new(settings);
         self.nodes = settings.nodes.max(1.0);
--- a/src/dispatcher/warm_state.rs
+++ b/src/dispatcher/warm_state.rs
@@ -1,10 +1,10 @@
-//! The state that one process of a node hands to the next.
+//! Export and import of the state that one process of a node hands over to the next.
 use super::Dispatcher;
 use crate::time::Millis;
 use crate::warm_state::WarmState;
 
 impl Dispatcher {
-    /// The state with which the next process of this node starts.
+    /// Returns the state with which the next process of this node starts.
     pub fn export_state(&self, now: Millis) -> WarmState {
         let executors = &self.fleet.executors;
         WarmState {
@@ -17,12 +17,13 @@
         }
     }
 
-    /// Continues with the state of an earlier process of this node.
+    /// Imports the state of an earlier process of this node.
     pub(super) fn import_state(&mut self, state: WarmState) {
         self.fleet.executors.import(state.executors);
         let observed = self.classes.iter_mut().zip(state.class_running_times);
         for (class, running_time) in observed.filter(|(_, running_time)| running_time.observations > 0.0) {
-            // The wait at the executor is not handed over separately: service times start too long.
+            // Service times are not handed over. They start at the response times, which include the queueing at the
+            // executor and are therefore too long.
             (class.response_time, class.service_time) = (running_time, running_time);
         }
         self.fleet.executors.mean_running_time = state.mean_running_time;
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -1,52 +1,53 @@
-//! Connection reuse: idle connections that break without notice, and which idle connections are closed.
+//! Connection reuse: detects idle connections that broke unnoticed, and decides which idle connections are closed.
 use crate::settings::Settings;
 use crate::state::request::Attempt;
 use crate::time::Millis;
 
-/// A connection that breaks this soon under an attempt that has not started was broken before.
+/// A reset within this time of the dispatch, in milliseconds and before the attempt started, means that the
+/// connection was already broken.
 const STALE_CONNECTION_WINDOW: Millis = 150.0;
-/// Longest idle time after which a connection is reused while reuse is blocked.
+/// Idle time up to which a connection is still reused while reuse is blocked, in milliseconds.
 const SAFE_IDLE_TIME: Millis = 200.0;
-/// How long reuse is blocked after an idle connection broke.
+/// Time for which reuse is blocked after a broken idle connection, in milliseconds.
 const REUSE_BLOCK: Millis = 30_000.0;
 
-/// Whether a block of connection reuse began or was prolonged.
+/// Whether a block of connection reuse began or was extended.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum ReuseBlock {
     Began {
-        /// The longest idle time after which a connection is still reused.
+        /// Idle time up to which a connection is still reused, in milliseconds.
         max_idle_time: Millis,
     },
     Prolonged,
 }
 
-/// Blocks the reuse of idle connections for a while after one of them broke without notice.
+/// Blocks the reuse of idle connections for 30 s after one of them was found broken.
 #[derive(Default)]
 pub(crate) struct ConnectionReuse {
-    /// How long an executor keeps an idle connection open.
+    /// Time for which an executor keeps an idle connection open.
     idle_timeout: Millis,
     blocked_until: Millis,
 }
 
 impl ConnectionReuse {
-    /// Takes the idle timeout of the executors from the settings; 0 by default.
+    /// Reads the idle timeout of the executors from the settings; 0 by default.
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.idle_timeout = settings.limits.idle_timeout.unwrap_or(0.0);
     }
 
-    /// Whether an attempt whose connection was reset was sent over a connection that had broken while idle.
+    /// Whether an attempt that ended with a reset was sent over a connection that had broken while idle.
     pub fn was_stale(&self, attempt: &Attempt, now: Millis) -> bool {
         now - attempt.sent_at < STALE_CONNECTION_WINDOW
             && attempt.started_at.is_none()
             && self.may_be_reused(attempt.idle_time)
     }
 
-    /// Whether a broken idle connection explains an attempt that was lost on the way to its executor.
+    /// Whether a broken idle connection explains an attempt that never reached its executor.
     pub fn explains_lost_attempt(&self, attempt: &Attempt, now: Millis) -> bool {
         self.may_be_reused(attempt.idle_time) && now >= self.blocked_until
     }
 
-    /// Blocks reuse from now on.
+    /// Starts or extends the block of connection reuse.
     pub fn block(&mut self, now: Millis) -> ReuseBlock {
         let is_blocked = now < self.blocked_until;
         self.blocked_until = now + REUSE_BLOCK;
@@ -56,8 +57,7 @@
         }
     }
 
-    /// Whether the idle connections of an executor are closed before a dispatch, given how long they have
-    /// been idle.
+    /// Whether the idle connections of an executor are closed before a dispatch, given their idle time.
     pub fn must_close_idle(&self, idle_time: Millis, now: Millis) -> bool {
         now < self.blocked_until && idle_time > SAFE_IDLE_TIME && self.may_be_reused(idle_time)
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,5 @@
-//! The rules of the dispatcher, one module each. A rule is a value or a function: its inputs are its
-//! arguments, and its result says what is to be done. [`crate::dispatcher`] owns the values and applies the
-//! results.
+//! The dispatcher's rules, one module each. A rule takes its inputs as arguments and returns a decision; it has
+//! no side effects outside its own state. [`crate::dispatcher`] owns that state and applies the decisions.
 pub(crate) mod admission;
 pub(crate) mod connection_reuse;
 pub(crate) mod outlier;
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -1,34 +1,34 @@
-//! Queueing at this node: how long a request waits for capacity, which is dispatched first, and when it is
-//! given up.
+//! Queueing at this node: how long a request waits for capacity, which queued request is dispatched first, and
+//! when a request is given up.
 use super::retry::RetryPolicy;
 use crate::ids::RequestId;
 use crate::state::request::Request;
 use crate::state::request_class::RequestClass;
 use crate::time::Millis;
 
-/// Part of the latency objective of a request of mean length for which requests of its class are queued. The
-/// rest covers the attempt; a request shorter than the mean may have a shorter objective.
+/// Longest wait in the queue, as a part of the latency objective of a request of mean running time. The rest
+/// covers the attempt; a request with a shorter running time may have a shorter objective.
 pub(crate) const MAX_WAIT_SHARE: f64 = 0.25;
-/// Part of its longest wait after which a queued request samples executors again.
+/// Interval at which a queued request samples executors again, as a part of its longest wait.
 const RECHECK_SHARE: f64 = 0.5;
 
-/// What happens to a request for which no executor has capacity.
+/// The decision on a request for which no executor has capacity.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum QueueDecision {
-    /// It is queued and samples executors again at this time.
     Enqueue {
+        /// When the request samples executors again.
         recheck_at: Millis,
     },
     GiveUp,
 }
 
-/// How long a request of this class may wait in the queue.
+/// Longest wait in the queue for a request of this class, in milliseconds.
 pub(crate) fn max_queueing_time(class: &RequestClass) -> Millis {
     MAX_WAIT_SHARE * class.mean_objective(class.response_time.mean)
 }
 
-/// Queues a request while it may still be answered in time. `queued` is the number of queued requests: while
-/// there are any, capacity is short, and a request over its tenant's quota is shed.
+/// Queues a request as long as it can still be answered in time. `queued` is the number of queued requests. If
+/// there are any, capacity is short, and a request over its tenant's quota is given up.
 pub(crate) fn decide(class: &RequestClass, request: &Request, queued: usize, now: Millis) -> QueueDecision {
     let max_wait = max_queueing_time(class);
     let until = (request.first_sent_at + max_wait).min(request.deadline);
@@ -40,14 +40,14 @@
     QueueDecision::Enqueue { recheck_at: (now + max_wait * RECHECK_SHARE).min(until) }
 }
 
-/// Priority of a queued request: its value per slot, times its wait. `over_quota_value` is the part of the
-/// value that a request over its tenant's quota retains.
+/// Priority of a queued request: its value per slot times its waiting time. `over_quota_value` is the part of
+/// its value that a request over its tenant's quota retains, 0 to 1.
 pub(crate) fn priority(class: &RequestClass, request: &Request, over_quota_value: f64, now: Millis) -> f64 {
     let part = if request.is_over_quota { over_quota_value } else { 1.0 };
     part * class.terms.value / request.slots * (now - request.first_sent_at)
 }
 
-/// The queued request of the highest priority, the last one of several.
+/// Returns the queued request with the highest priority; of equal ones, the last.
 pub(crate) fn highest_priority(
     queue: &[RequestId],
     priority: impl Fn(RequestId) -> f64,
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: where a request may be dispatched again, and until when, by what running it twice would do.
+//! Retries: where and until when a request may be dispatched again, depending on the effect of running it twice.
 use crate::endpoint::Endpoint;
 use crate::event::Outcome;
 use crate::ids::ExecutorId;
@@ -8,15 +8,15 @@
 use crate::state::request_class::RequestClass;
 use crate::time::Millis;
 
-/// Part of the deduplication window within which a request is sent again; the rest covers the transit time
-/// and clocks that differ.
+/// Part of the deduplication window within which a request is sent again. The rest covers transit time and
+/// clock skew.
 const USABLE_WINDOW_SHARE: f64 = 0.8;
 
 /// Where a request may be dispatched next.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum RetryTarget {
     Anywhere,
-    /// Only to executors that recognize repeats of what this executor may have run.
+    /// Only to executors that recognize a repeat of a request that this executor may have run.
     SameDeduplicationDomain(ExecutorId),
     Nowhere,
 }
@@ -35,23 +35,23 @@
     }
 }
 
-/// The final answer to a request that is given up.
+/// The final answer to a request that was not served.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum UnservedAnswer {
     /// The request was not served; the client may send it again.
     Rejected,
-    /// The request may have run; the client must not send it again unchecked.
+    /// The request may have run; the client must check before it sends it again.
     Failed,
 }
 
-/// What a request's attempts so far allow.
+/// What the attempts of a request so far allow: where it may be retried, and its answer if it is not served.
 pub(crate) struct RetryPolicy {
     pub target: RetryTarget,
     pub unserved_answer: UnservedAnswer,
 }
 
 impl RetryPolicy {
-    /// Decides by the class's effect and the first attempt that may have run, or may yet run.
+    /// Decides by the effect of the class and by the first attempt that may have run or may still run.
     pub fn decide(class: &RequestClass, attempts: &[Attempt], now: Millis) -> Self {
         let Some(first) = first_possible_run(attempts) else {
             return RetryPolicy { target: RetryTarget::Anywhere, unserved_answer: UnservedAnswer::Rejected };
@@ -79,19 +79,20 @@
         }
     }
 
-    /// Whether a request may be dispatched once more, to any executor at all.
+    /// Whether the rules allow another attempt of a request at any executor.
     pub fn allows_dispatch(class: &RequestClass, attempts: &[Attempt], now: Millis) -> bool {
         !Self::is_exhausted(class, attempts)
             && Self::decide(class, attempts, now).target != RetryTarget::Nowhere
     }
 
-    /// Whether a request has had all attempts that its class allows.
+    /// Whether a request has used up the attempts that its class allows.
     pub fn is_exhausted(class: &RequestClass, attempts: &[Attempt]) -> bool {
         attempts.len() >= class.max_attempts
     }
 
-    /// Until when the last byte of the next attempt may be sent. A connection may be established late: a
-    /// request that may have run is sent completely within its deduplication window, or not at all.
+    /// Returns until when the last byte of the next attempt may be sent. Establishing a connection takes time, so
+    /// a request that may have run needs a bound: it is sent completely within its deduplication window, or not
+    /// at all.
     pub fn send_deadline(class: &RequestClass, attempts: &[Attempt], attempt_deadline: Millis) -> Millis {
         let first = first_possible_run(attempts).filter(|_| class.terms.effect == Effect::Deduplicated);
         let window = class.terms.deduplication_window * USABLE_WINDOW_SHARE;
@@ -99,7 +100,7 @@
     }
 }
 
-/// The first attempt that may have run, or may yet run.
+/// The first attempt that may have run or may still run.
 fn first_possible_run(attempts: &[Attempt]) -> Option<&Attempt> {
     attempts.iter().find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
 }
--- a/src/policy/running_time.rs
+++ b/src/policy/running_time.rs
@@ -1,17 +1,17 @@
-//! Running times: what a completed attempt adds to the means of its class and of all requests.
+//! Running times: the smoothed means per class and over all requests.
 use crate::state::request::Attempt;
 use crate::state::request_class::RequestClass;
 use crate::state::smooth;
 use crate::time::Millis;
 
-/// Weight of one attempt in a smoothed mean: about the last thirty count.
+/// Weight of one attempt in a smoothed mean, which averages over about the last 30 attempts.
 const RUNNING_TIME_WEIGHT: f64 = 0.03;
 
-/// Adds a completed attempt to the means, unless it is scaled, and returns its response time as a multiple of
-/// its class's mean.
+/// Adds a completed attempt to the means unless it is scaled, and returns its response time as a multiple of
+/// the mean of its class.
 ///
-/// `scale` is below 1 for an executor in slow start where many nodes share the load: its response time is
-/// scaled down to that of a warm one, an estimate that would distort the means.
+/// `scale` is below 1 for an executor in slow start if many nodes share the load. It scales the response time
+/// down to that of a warm executor; this is an estimate, which would distort the means.
 pub(crate) fn observe(
     class: &mut RequestClass,
     mean_running_time: &mut Millis,
--- a/src/policy/sampling.rs
+++ b/src/policy/sampling.rs
@@ -1,5 +1,4 @@
-//! Sampling, as the paper has it: how many executors are sampled for a request, by the ESM formula, and
-//! which ones.
+//! Sampling: how many executors are sampled for a request, by the paper's ESM formula, and which ones.
 use crate::ids::ExecutorId;
 use crate::log_event::LogEvent;
 use crate::state::request::Request;
@@ -7,33 +6,33 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// How often the sample size is computed anew.
+/// Interval at which the sample size is recomputed, in milliseconds.
 const SAMPLE_SIZE_INTERVAL: Millis = 1000.0;
-/// The initial sample size, and its lower bound.
+/// Initial sample size and its lower bound, in executors.
 const MIN_SAMPLE_SIZE: u32 = 2;
-/// Upper bound on the sample size: an executor with several slots rarely makes requests wait, and probes
-/// cost.
+/// Upper bound on the sample size. Executors with several slots rarely have a queue, and each probe has a cost.
 const MAX_SAMPLE_SIZE: u32 = 3;
-/// The sample size while capacity is short everywhere, as each probe has its cost.
+/// Sample size while capacity is short everywhere. More probes would find no capacity either, at a cost.
 const SAMPLE_SIZE_WITHOUT_CAPACITY: u32 = 1;
-/// Executors that are sampled before all ready ones are searched for an eligible one.
+/// Number of random samples after which all ready executors are searched for an eligible one.
 const MAX_SAMPLES: usize = 40;
-/// Smoothed share of replies with a queue above which capacity is short, even if no request is queued here.
+/// Smoothed share of probe replies with a queue above which capacity is short, even if no request is queued at
+/// this node.
 const SHORT_CAPACITY_RATIO: f64 = 0.3;
-/// An executor of at least this weight is taken without use of the random source.
+/// Weight above which a sampled executor is accepted without a draw from the random source.
 const FULL_WEIGHT: f64 = 0.98;
-/// Weight of an executor in another zone, if dispatches across zones are priced.
+/// Sampling weight of an executor in another zone if dispatches across zones have a price.
 const CROSS_ZONE_PREFERENCE: f64 = 0.3;
-/// Terms of the formula's sum below this are dropped.
+/// The sum of the formula ends at the first term that is not above this value.
 const NEGLIGIBLE_TERM: f64 = 1e-9;
-/// Upper bound on the number of the formula's terms.
+/// Upper bound on the number of terms in the sum of the formula.
 const MAX_TERMS: i32 = 10_000;
-/// Bounds on the busy ratio in the formula's tail law, which has no solution at 0 and 1.
+/// Distance of the busy ratio from 0 and 1, where the tail law has no solution.
 const BUSY_RATIO_MARGIN: f64 = 1e-6;
 
-/// The mean time in the system by the ESM formula, in mean running times.
+/// Returns the mean time in the system by the ESM formula, in mean running times.
 ///
-/// `load` is the utilization without probes, and `probe_cost` the cost of a probe in mean running times.
+/// `load` is the utilization without probes, `probe_cost` the cost of a probe in mean running times. Returns
 /// `None` if the utilization with probes reaches 1.
 pub fn time_in_system(sample_size: u32, load: f64, probe_cost: f64) -> Option<f64> {
     let (size, capacity_left) = (sample_size as f64, 1.0 - load * sample_size as f64 * probe_cost);
@@ -45,16 +44,17 @@
         1 => index as f64 - 1.0,
         _ => (size.powi(index) - size) / (size - 1.0),
     };
-    // The first term is 1 and they fall at least geometrically: the dropped ones cannot move the minimum.
+    // The first term is 1 and the terms fall at least geometrically, so the omitted ones cannot change which sample
+    // size is the best.
     let terms = (1..MAX_TERMS).map(|index| utilization.powf(power(index)));
     let terms = terms.take_while(|&term| term > NEGLIGIBLE_TERM);
     Some(utilization / load * terms.sum::<f64>())
 }
 
-/// The sample size, up to `max_size`, with the shortest time in the system.
+/// Returns the sample size, up to `max_size`, with the shortest time in the system.
 ///
-/// The load follows from the busy ratio that was observed with `sample_size`, by the tail law: busy ratio =
-/// load^(d+1). `None` if no size is stable.
+/// The load follows from the busy ratio that was observed with `sample_size` (d), by the tail law: busy ratio =
+/// load^(d+1). Returns `None` if no size is stable.
 pub fn best_sample_size(busy_ratio: f64, sample_size: u32, probe_cost: f64, max_size: u32) -> Option<u32> {
     let busy_ratio = busy_ratio.clamp(BUSY_RATIO_MARGIN, 1.0 - BUSY_RATIO_MARGIN);
     let load = busy_ratio.powf(1.0 / (sample_size as f64 + 1.0));
@@ -63,7 +63,7 @@
     times.min_by(|one, other| one.1.total_cmp(&other.1)).map(|(size, _)| size)
 }
 
-/// Whether all executors appear to be busy.
+/// Whether executors appear to have free capacity.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum FleetCapacity {
     Available,
@@ -71,8 +71,8 @@
 }
 
 impl FleetCapacity {
-    /// Capacity is short if requests are queued at this node, or if probe replies show it to a node of a
-    /// large fleet, which has too few requests to queue some at most times.
+    /// Capacity is short if requests are queued at this node. In a large fleet it is also short if many probe
+    /// replies show a queue, because a node of a large fleet usually has too few requests to queue any.
     pub fn observe(queued: usize, busy_ratio: Option<f64>, is_large_fleet: bool) -> Self {
         let is_shown = busy_ratio.unwrap_or(0.0) > SHORT_CAPACITY_RATIO;
         match queued > 0 || (is_shown && is_large_fleet) {
@@ -82,14 +82,14 @@
     }
 }
 
-/// The number of executors that are sampled for a request, computed anew at intervals.
+/// The number of executors that are sampled for a request, recomputed at intervals.
 pub(crate) struct SampleSizing {
     sample_size: u32,
     updated_at: Millis,
 }
 
 impl SampleSizing {
-    /// Starts with the smallest sample size.
+    /// Creates a sizing with the smallest sample size.
     pub fn new(now: Millis) -> Self {
         SampleSizing { sample_size: MIN_SAMPLE_SIZE, updated_at: now }
     }
@@ -107,13 +107,13 @@
         }
     }
 
-    /// Whether the sample size is due to be computed anew.
+    /// Whether the sample size is due for a recomputation.
     pub fn is_due(&self, now: Millis) -> bool {
         now - self.updated_at >= SAMPLE_SIZE_INTERVAL
     }
 
-    /// Computes the sample size from the busy ratio and the cost of a probe in mean running times. Returns
-    /// the change, if there is one.
+    /// Recomputes the sample size from the busy ratio and the cost of a probe in mean running times. Returns a
+    /// log entry if it changed.
     pub fn update(&mut self, now: Millis, busy_ratio: f64, probe_cost: f64) -> Option<LogEvent> {
         self.updated_at = now;
         let from = self.sample_size;
@@ -123,7 +123,7 @@
         (to != from).then_some(LogEvent::SampleSizeChanged { from, to, busy_ratio, probe_cost })
     }
 
-    /// Continues with the sample size of an earlier process.
+    /// Takes over the sample size of an earlier process, clamped to the bounds.
     pub fn import(&mut self, sample_size: u32) {
         self.sample_size = sample_size.clamp(MIN_SAMPLE_SIZE, MAX_SAMPLE_SIZE);
     }
@@ -131,15 +131,15 @@
 
 /// The factors of an executor's weight when it is sampled, each from 0 to 1.
 pub(crate) struct SamplingWeight {
-    /// By slow start.
+    /// Factor of slow start.
     pub warm_up: f64,
-    /// By outlier detection.
+    /// Factor of outlier detection.
     pub health: f64,
     pub is_cross_zone: bool,
 }
 
 impl SamplingWeight {
-    /// Whether an executor that was sampled is taken, with its weight as the chance.
+    /// Whether a sampled executor is accepted, with its weight as the probability.
     fn accepts(&self, random: &mut ChaCha8Rng) -> bool {
         let preference = if self.is_cross_zone { CROSS_ZONE_PREFERENCE } else { 1.0 };
         let weight = preference * self.warm_up * self.health;
@@ -147,8 +147,8 @@
     }
 }
 
-/// Executors that are not sampled for a request: those of its attempts, and those of the first round while
-/// the second is sampled.
+/// Returns the executors to avoid for a request: those of its attempts, and in the second sampling round those of
+/// the first.
 pub(crate) fn avoided_executors(request: &Request) -> Vec<ExecutorId> {
     let mut avoided: Vec<ExecutorId> = request.attempts.iter().map(|attempt| attempt.executor).collect();
     avoided.extend(request.candidates.iter().filter(|_| request.sampling_rounds == 1));
@@ -158,14 +158,14 @@
 /// The executors to sample from.
 pub(crate) struct Sampler<'a> {
     pub ready: &'a [ExecutorId],
-    /// Ready executors in slow start that are assigned to this node, which are sampled more often.
+    /// Ready executors in slow start that are assigned to this node; they are sampled more often.
     pub assigned: &'a [ExecutorId],
-    /// Weight of the assigned executors beyond that of as many others.
+    /// Total weight of the assigned executors in addition to their weight as ready ones.
     pub assigned_weight: f64,
 }
 
 impl Sampler<'_> {
-    /// One eligible executor, at random by weight; one to avoid if there is no other.
+    /// Samples one eligible executor at random by weight; one of `avoided` only if there is no other.
     pub fn sample_one(
         &self,
         random: &mut ChaCha8Rng,
@@ -175,7 +175,7 @@
     ) -> Option<ExecutorId> {
         let ready = self.ready.len();
         let assigned_chance = self.assigned_weight / (self.assigned_weight + ready.max(1) as f64);
-        // A bounded number of samples keeps the cost of a request independent of the size of the fleet.
+        // The bound on the samples keeps the usual cost of a request independent of the size of the fleet.
         for _ in 0..if ready == 0 { 0 } else { MAX_SAMPLES } {
             let from = if random.random_bool(assigned_chance) { self.assigned } else { self.ready };
             let executor = from[random.random_range(0..from.len())];
@@ -186,7 +186,7 @@
         self.search(random, avoided, is_eligible)
     }
 
-    /// One of all eligible executors, each with the same chance.
+    /// Searches all ready executors and returns one of the eligible ones, all with the same probability.
     fn search(
         &self,
         random: &mut ChaCha8Rng,
--- a/src/policy/start_check.rs
+++ b/src/policy/start_check.rs
@@ -1,4 +1,5 @@
-//! Start checks: when an attempt that has not started is probed for, and when it counts as lost.
+//! Start checks: when the executor of an attempt that has not started is probed, and when the attempt counts as
+//! lost.
 use crate::settings::Settings;
 use crate::state::executor_state::REPORT_LIFETIME;
 use crate::state::probe_statistics::MIN_QUEUE_LENGTH;
@@ -6,20 +7,20 @@
 use crate::state::request_class::RequestClass;
 use crate::time::Millis;
 
-/// Queue length of a report that does not show one: it is not taken for free capacity.
+/// Queue length assumed for a report without one, so that it does not count as free capacity.
 const UNREPORTED_QUEUE_LENGTH: f64 = 1.0;
 
 /// Whether attempts that have not started are checked.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub(crate) enum StartCheck {
-    /// Starts are not reported, executors cannot be probed, or no second attempt may run.
+    /// Starts are not reported, probes are forbidden, or hedging is disabled.
     #[default]
     Disabled,
     Enabled,
 }
 
 impl StartCheck {
-    /// Enabled if attempts may be hedged, executors probed, and starts are reported.
+    /// Enabled if the settings allow hedging and probes, and executors report starts.
     pub fn new(settings: &Settings) -> Self {
         let limits = &settings.limits;
         match limits.hedging_enabled && settings.executors.reports_start && limits.probes_enabled {
@@ -28,8 +29,8 @@
         }
     }
 
-    /// When an attempt of this class that is dispatched now is checked: after its latency objective, and not
-    /// before its executor's report can show it. Infinite if it is not checked.
+    /// When an attempt of this class that is dispatched now is checked: after its latency objective, but not before
+    /// its executor's load report can include it. Infinite if attempts are not checked.
     pub fn due_at(self, class: &RequestClass, now: Millis) -> Millis {
         let delay = match self {
             StartCheck::Disabled => f64::INFINITY,
@@ -39,7 +40,7 @@
     }
 }
 
-/// Whether the last attempt of a request was lost on the way: it has not started, though its executor
+/// Whether the last attempt of a request never reached its executor: it has not started, although the executor
 /// reports free capacity.
 pub(crate) fn is_lost(request: &Request) -> bool {
     let Some(attempt) = request.attempts.last() else { return false };
