--- a/src/action.rs
+++ b/src/action.rs
@@ -1,68 +1,68 @@
-//! Actions that the decision module orders its host to carry out.
+//! Actions that the dispatcher returns for its host to carry out.
 use crate::event::GossipMessage;
 use crate::ids::{AttemptId, ExecutorId, RequestId};
 use crate::log_event::LogEvent;
 use crate::time::Millis;
 
-/// One action of [`crate::Dispatcher::poll_actions`]; the host carries actions out in their order.
+/// One action returned by [`crate::Dispatcher::poll_actions`]. The host carries out actions in order.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
     /// Sends a request to an executor, as the request's next attempt.
     Dispatch {
-        /// The request.
+        /// Request to send.
         request_id: RequestId,
-        /// The executor.
+        /// Executor that receives it.
         executor: ExecutorId,
         /// When the attempt times out.
         attempt_deadline: Millis,
-        /// Its last byte is sent before this time, or never; a partial send is aborted then.
+        /// Until when its last byte may be sent. A partial send is aborted at this time.
         send_deadline: Millis,
     },
-    /// Cancels an attempt. No rule orders this at present; hosts carry it out.
+    /// Cancels an attempt. Hosts implement this action, but no rule returns it at present.
     Cancel {
-        /// Its request.
+        /// Request of the attempt.
         request_id: RequestId,
-        /// Its number within the request.
+        /// Number of the attempt within its request.
         attempt_id: AttemptId,
     },
-    /// Answers finally that the request was not served and may be sent again.
+    /// Sends the final answer that the request was not served and may be sent again.
     Reject {
-        /// The request.
+        /// Request to answer.
         request_id: RequestId,
-        /// The wait before a retry that the answer states (`Retry-After`), if any.
+        /// Delay before a retry that the answer states (`Retry-After`), in milliseconds.
         retry_after: Option<Millis>,
     },
-    /// Answers finally that the request failed; it may have run.
+    /// Sends the final answer that the request failed; it may have run.
     Fail {
-        /// The request.
+        /// Request to answer.
         request_id: RequestId,
     },
     /// Probes an executor for its load.
     Probe {
-        /// The executor.
+        /// Executor to probe.
         executor: ExecutorId,
     },
-    /// Requests [`crate::Event::TimerFired`] at a time; timers that were set before still fire.
+    /// Sets a timer that ends in [`crate::Event::TimerFired`]. Timers that were set before still fire.
     SetTimer {
-        /// The time.
+        /// When the timer fires.
         at: Millis,
     },
-    /// Closes the idle connections to an executor, as they may be broken.
+    /// Closes the idle connections to an executor because they may be broken.
     CloseIdleConnections {
-        /// The executor.
+        /// Executor at the other end.
         executor: ExecutorId,
     },
-    /// Sends a message to all other nodes, without a guarantee of delivery.
+    /// Sends a gossip message to all other nodes, without a guarantee of delivery.
     Gossip(GossipMessage),
     /// Opens a watch of the endpoint list, unless one is open.
     WatchEndpoints,
-    /// Releases an executor that is gone and no longer needed. The host frees its name, its list entry and
-    /// its connections.
+    /// Releases an executor that is gone and no longer needed. The host frees its name, its list entry and its
+    /// connections.
     ///
-    /// No later action names this handle. If the executor is listed again, the host gives it a new handle;
-    /// events that name the old one are dropped and counted.
+    /// No later action refers to this handle. If the executor is listed again, the host assigns a new handle; events
+    /// that refer to the old one are dropped and counted.
     ReleaseExecutor {
-        /// The executor.
+        /// Handle of the executor.
         executor: ExecutorId,
     },
     /// Writes an entry to the log.
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,13 +1,13 @@
-//! Endpoints of executors as discovery lists them, and the load that executors report.
+//! Endpoints of executors from discovery, and the load reports of executors.
 use crate::ids::{DeduplicationGroupId, ExecutorId, MachineTypeId, ZoneId};
 use crate::time::Millis;
 
-/// Whether an executor accepts new requests, by the endpoint list.
+/// The state of an executor in the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum EndpointState {
     /// It accepts new requests.
     Ready,
-    /// It completes its requests and accepts no new ones.
+    /// It completes its running requests and accepts no new ones.
     Draining,
     /// It is no longer listed.
     Gone,
@@ -16,52 +16,52 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Endpoint {
-    /// The host's handle.
+    /// Handle that the host assigned.
     pub executor: ExecutorId,
-    /// A number that identifies this executor at every node.
+    /// Number that identifies the executor and is the same at every node.
     pub token: u64,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: ZoneId,
-    /// The type of its machine.
+    /// Type of the machine on which it runs.
     pub machine_type: MachineTypeId,
-    /// The group of executors that share their records of deduplicated work.
+    /// Group of executors that share their records of deduplicated requests.
     pub deduplication_group: DeduplicationGroupId,
     /// Whether it accepts new requests.
     pub state: EndpointState,
-    /// Its weight in the list; [`crate::settings::WeightSource`] says what it means.
+    /// Weight in the list; [`crate::settings::WeightSource`] defines its meaning.
     pub weight: f64,
-    /// When it started; `None` if that is unknown or long ago.
+    /// When it started; `None` if that is unknown or so long ago that it is warm.
     pub started_at: Option<Millis>,
 }
 
-/// What an update of the endpoint list contains.
+/// The content of an update of the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ListUpdate {
-    /// The entries that changed.
+    /// Entries that changed.
     Delta,
-    /// The entries that operators changed; it does not come from discovery.
+    /// Entries that an operator changed; the update does not come from discovery.
     Operator,
-    /// The complete list; executors that it does not contain are gone.
+    /// The complete list; executors missing from it are gone.
     Snapshot,
     /// The complete list as it was cached before a restart; it may be outdated.
     Cached,
 }
 
-/// The load that an executor reported; figures that it does not report are `None`.
+/// The load that an executor reported. Values that it does not report are `None`.
 #[derive(Clone, Copy, PartialEq, Default, Debug)]
 pub struct LoadReport {
-    /// Requests in its queue.
+    /// Number of requests in its queue.
     pub queue_length: Option<f64>,
-    /// Requests in its queue or running.
+    /// Number of requests in its queue or running.
     pub in_flight: Option<f64>,
-    /// Free slots.
+    /// Number of free slots.
     pub free_slots: Option<f64>,
-    /// Free memory, in the unit of the requests' memory; no decision depends on it.
+    /// Free memory, in the unit of the requests' memory. No decision depends on it.
     pub free_memory: Option<f64>,
 }
 
 impl LoadReport {
-    /// A report of free slots alone.
+    /// Creates a report that contains only free slots.
     pub fn from_free_slots(free_slots: f64) -> Self {
         LoadReport { free_slots: Some(free_slots), ..LoadReport::default() }
     }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,101 +1,101 @@
-//! Events that a host reports to the decision module.
+//! Events that a host reports to the dispatcher.
 use crate::endpoint::{Endpoint, ListUpdate, LoadReport};
 use crate::ids::{AttemptId, ExecutorId, RequestClassId, RequestId, TenantId};
 use crate::time::Millis;
 use crate::warm_state::WarmState;
 
-/// One event, for [`crate::Dispatcher::handle_event`].
+/// One event that [`crate::Dispatcher::handle_event`] handles.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Event {
     /// Discovery or an operator updated the endpoint list.
     EndpointsUpdated {
-        /// What the update contains.
+        /// Content of the update.
         update: ListUpdate,
-        /// The endpoints in it.
+        /// Endpoints in the update.
         endpoints: Vec<Endpoint>,
     },
-    /// A call for the endpoint list failed, or a watch of it broke off.
+    /// A call for the endpoint list failed, or a watch of it was interrupted.
     EndpointWatchLost {
-        /// Whether the source answered that it accepts no calls now.
+        /// Whether the source answered that it accepts no calls at present.
         is_rejected: bool,
     },
     /// A client sent a request.
     RequestArrived {
-        /// Its id, new.
+        /// Id of the request, which no open request has.
         request_id: RequestId,
-        /// Its class; a request of an unknown class is ignored.
+        /// Class of the request; a request of an unknown class is ignored.
         class: RequestClassId,
-        /// The tenant whose quota it counts against; an unknown tenant has no quota.
+        /// Tenant whose quota the request counts against; an unknown tenant has no quota.
         tenant: TenantId,
-        /// Slots that it needs at an executor, at least 1.
+        /// Number of slots that it needs at an executor, at least 1.
         slots: f64,
-        /// Memory that it needs; no decision depends on it.
+        /// Memory that it needs. No decision depends on it.
         memory: f64,
-        /// How long the client waits for the answer.
+        /// Time for which the client waits for the answer.
         time_left: Millis,
         /// Whether the client has sent it before.
         is_retry: bool,
     },
     /// A probe ended.
     ProbeCompleted {
-        /// The executor that was probed.
+        /// Executor that was probed.
         executor: ExecutorId,
-        /// Its reply; `None` if it failed or timed out.
+        /// Reply to the probe; `None` if the probe failed or timed out.
         reply: Option<ProbeReply>,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Its request.
+        /// Request of the attempt.
         request_id: RequestId,
-        /// Its number within the request.
+        /// Number of the attempt within its request.
         attempt_id: AttemptId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Whether the request has its final answer, with this attempt or before.
+        /// Whether the request has its final answer, from this attempt or an earlier one.
         is_request_closed: bool,
     },
     /// An attempt of an earlier process of this node is in flight; its end is reported later.
     ///
-    /// The event follows the arrival of its request, attempts in order. Its executor has been listed, or
-    /// reported as gone in the same batch.
+    /// Attempts are reported in order, after the arrival of their request. The executor has been listed, or reported as
+    /// gone in the same batch.
     AttemptRecovered {
-        /// Its request.
+        /// Request of the attempt.
         request_id: RequestId,
-        /// The executor that it was dispatched to.
+        /// Executor that it was dispatched to.
         executor: ExecutorId,
         /// When it was dispatched.
         sent_at: Millis,
     },
-    /// Another process of this node, which dispatches as well, has started or stopped.
+    /// Another process of this node, which also dispatches, has started or stopped.
     SiblingChanged {
-        /// Whether one is running now.
+        /// Whether the other process is running now.
         is_running: bool,
     },
-    /// An earlier process of this node handed over its state; after the endpoint list.
+    /// An earlier process of this node handed over its state. Reported after the endpoint list.
     WarmStateReceived(WarmState),
-    /// A peer sent a message, which may be late or wrong.
+    /// A peer sent a gossip message, which may be late or wrong.
     GossipReceived(GossipMessage),
-    /// An attempt has started to run, or to answer.
+    /// An attempt has started to run or to send its answer.
     AttemptStarted {
-        /// Its request.
+        /// Request of the attempt.
         request_id: RequestId,
-        /// Its number within the request.
+        /// Number of the attempt within its request.
         attempt_id: AttemptId,
     },
-    /// An attempt made progress; no decision depends on it.
+    /// An attempt made progress. No decision depends on it.
     AttemptProgressed {
-        /// Its request.
+        /// Request of the attempt.
         request_id: RequestId,
-        /// Its number within the request.
+        /// Number of the attempt within its request.
         attempt_id: AttemptId,
-        /// The part of it that is done, 0 to 1.
+        /// Part of the attempt that is complete, 0 to 1.
         share: f64,
     },
-    /// A timer that [`crate::Action::SetTimer`] set has fired; one more than needed does no harm.
+    /// A timer set by [`crate::Action::SetTimer`] has fired. An additional event has no effect.
     TimerFired,
-    /// The client has disconnected and needs no answer.
+    /// The client of a request has disconnected and needs no answer.
     RequestWithdrawn {
-        /// Its request.
+        /// Request without a client.
         request_id: RequestId,
     },
 }
@@ -103,20 +103,20 @@
 /// The reply to a probe.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct ProbeReply {
-    /// Time from the probe to its reply.
+    /// Time from the probe to its reply, in milliseconds.
     pub latency: Millis,
-    /// The load that the executor reported.
+    /// Load that the executor reported.
     pub report: LoadReport,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Outcome {
-    /// It ran, and its result was received.
+    /// It ran and its result was received.
     Completed,
     /// Its executor reported an error.
     Error,
-    /// Its executor rejected it without starting it.
+    /// Its executor rejected it without running it.
     Rejected,
     /// Its deadline passed.
     TimedOut,
@@ -131,22 +131,22 @@
 }
 
 impl Outcome {
-    /// Whether the outcome proves that the attempt never ran.
+    /// Whether the outcome proves that the attempt did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::NoConnection | Outcome::NotSent)
     }
 }
 
-/// A message from one node to the others.
+/// A gossip message from one node to the others.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum GossipMessage {
-    /// An idle connection had broken without notice.
+    /// An idle connection to an executor had broken unnoticed.
     IdleConnectionLost,
-    /// An executor rejected a request though its report had shown free capacity.
+    /// An executor rejected a request although its load report had shown free capacity.
     RequestRejected {
-        /// The lower half of the executor's token.
+        /// Lower half of the executor's token.
         token: u32,
-        /// The class of the request.
+        /// Class of the request.
         class: RequestClassId,
     },
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a dispatcher that sends requests to executors, without I/O and without a clock. Each node
+//! The decision logic of a dispatcher that sends requests to executors, without I/O and without a clock. Each node
 //! has one instance.
 //!
 //! A host creates a [`Dispatcher`] from [`Settings`], a seed and the time, reports [`Event`]s to it, and
-//! carries out the [`Action`]s that follow:
+//! carries out the resulting [`Action`]s:
 //!
 //! ```
 //! use troutknot::{Action, Dispatcher, Event, Settings};
@@ -14,10 +14,10 @@
 //! ```
 //!
 //! [`policy`] contains the rules, one module each; [`dispatcher`] applies them. The hosts are `crates/daemon`,
-//! the node, `crates/simulator-adapter`, the adapter to the simulator, and `crates/simulation`, which simulates days
-//! of a fleet.
+//! the node, `crates/simulator-adapter`, the adapter to the simulator, and `crates/simulation`, which simulates a
+//! fleet.
 
-// Unit tests use the helpers of the integration tests, which name this crate.
+// Unit tests use the helpers of the integration tests, which import this crate by its name.
 #[cfg(test)]
 extern crate self as troutknot;
 
--- a/src/log_event.rs
+++ b/src/log_event.rs
@@ -1,33 +1,33 @@
-//! What the decision module reports for the log; hosts choose the wording.
+//! Log entries of the dispatcher. Hosts may format them themselves.
 use crate::time::Millis;
 use std::fmt;
 
-/// One entry for the log of a node. [`Display`](fmt::Display) gives one line of text, for hosts whose log is
-/// plain text.
+/// One entry for the log of a node. [`Display`](fmt::Display) formats it as one line, for hosts whose log is plain
+/// text.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum LogEvent {
-    /// A call for the endpoint list failed, or a watch of it broke off.
+    /// A call for the endpoint list failed, or a watch of it was interrupted.
     EndpointListLost {
-        /// Consecutive failures, counted up to an upper bound.
+        /// Number of consecutive failures, up to an upper bound.
         failures: u32,
-        /// Time until the next call.
+        /// Time until the next call, in milliseconds.
         next_call_in: Millis,
     },
     /// The endpoint list was received after failed calls.
     EndpointListRecovered {
-        /// Consecutive failures before it, counted up to an upper bound.
+        /// Number of consecutive failures before it, up to an upper bound.
         failures: u32,
     },
-    /// Idle connections broke without notice; for a while only recently used ones are reused.
+    /// Idle connections broke unnoticed; for 30 s only recently used ones are reused.
     IdleConnectionsLost {
-        /// The longest idle time after which a connection is still reused.
+        /// Idle time up to which a connection is still reused, in milliseconds.
         max_idle_time: Millis,
     },
-    /// The number of executors sampled for a request changed.
+    /// The number of executors that are sampled for a request changed.
     SampleSizeChanged {
-        /// The sample size before.
+        /// Sample size before the change.
         from: u32,
-        /// The sample size from now on.
+        /// Sample size after the change.
         to: u32,
         /// Smoothed share of probe replies that showed a queue.
         busy_ratio: f64,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,32 +1,32 @@
-//! The settings of a node, as the platform's configuration states them.
+//! The settings of a node, deserialized from the platform's configuration.
 //!
-//! Keys of the configuration that differ from the names here are given by `serde(rename)`; unknown keys are
-//! ignored. Durations are microseconds in the configuration and [`Millis`] here. Keys that the configuration
-//! omits have the value of [`Default`].
+//! Where a key of the configuration differs from the field name, `serde(rename)` contains it. Unknown keys are
+//! ignored, and missing keys have the value of [`Default`]. Durations are microseconds in the configuration and
+//! [`Millis`] here.
 use crate::ids::{MachineTypeId, RequestClassId, ZoneId};
 use crate::time::Millis;
 use serde::{Deserialize, Deserializer};
 
 const MICROS_PER_MILLI: f64 = 1000.0;
-/// The poll interval of the endpoint list if the settings state none.
+/// Poll interval of the endpoint list if the settings do not contain one, in milliseconds.
 const DEFAULT_POLL_INTERVAL: Millis = 10_000.0;
 
 /// All settings of one node.
 #[derive(Clone, PartialEq, Debug, Deserialize)]
 #[serde(default)]
 pub struct Settings {
-    /// The number of nodes that share the load, at least 1; 1 by default.
+    /// Number of nodes that share the load, at least 1; 1 by default.
     #[serde(rename = "balancers")]
     pub nodes: f64,
-    /// This node's number among them, from 0, if it is known.
+    /// This node's number among the nodes, from 0; `None` if it has none.
     #[serde(rename = "me")]
     pub node: Option<f64>,
-    /// The number of this node's zone, if it is known.
+    /// Number of this node's zone; `None` if it is not stated.
     pub zone: Option<f64>,
     /// Request classes by their ids.
     #[serde(rename = "project_types")]
     pub classes: Vec<ClassSettings>,
-    /// Tenants by their ids; the first one without a quota ends the list of quotas.
+    /// Tenants by their ids. The list of quotas ends at the first tenant without a quota.
     #[serde(rename = "customers")]
     pub tenants: Vec<TenantSettings>,
     /// Part of its value that a request over its tenant's quota retains, 0 to 1; 1 by default.
@@ -35,12 +35,12 @@
     /// How the node receives the endpoint list.
     #[serde(rename = "registry_mode")]
     pub discovery_mode: DiscoveryMode,
-    /// What the weight of an endpoint means.
+    /// Meaning of the weights of endpoints.
     pub weight_source: WeightSource,
-    /// Figures of the rules on draining and slow start.
+    /// Parameters of draining and slow start.
     #[serde(rename = "contract")]
     pub rules: RuleSettings,
-    /// What the node may do, and its limits.
+    /// Permissions and limits of the node.
     pub limits: LimitSettings,
     /// Prices of actions, relative to the value of a request.
     #[serde(rename = "tariffs")]
@@ -70,17 +70,17 @@
 }
 
 impl Settings {
-    /// The zone that is preferred for dispatches; `None` if dispatches across zones are free.
+    /// Zone that is preferred for dispatches; `None` if dispatches across zones have no price.
     pub fn preferred_zone(&self) -> Option<ZoneId> {
         (self.prices.cross_zone > 0.0).then_some(ZoneId(self.zone.unwrap_or(0.0) as u32))
     }
 
-    /// The number of attempts that a request of this class may have.
+    /// Upper bound on the number of attempts of a request of this class.
     pub fn max_attempts(&self, class: &ClassSettings) -> usize {
         class.max_attempts.or(self.limits.max_attempts).unwrap_or(1.0) as usize
     }
 
-    /// The quotas of the tenants in requests per second, up to the first tenant without one.
+    /// Returns the quotas of the tenants in requests per second, up to the first tenant without one.
     pub fn quotas(&self) -> impl Iterator<Item = f64> {
         self.tenants.iter().map_while(|tenant| tenant.quota_per_s)
     }
@@ -90,50 +90,51 @@
 #[derive(Clone, PartialEq, Default, Debug, Deserialize)]
 #[serde(default)]
 pub struct ClassSettings {
-    /// The effect of running a request twice.
+    /// Effect of running a request twice.
     pub effect: Effect,
-    /// The executors that recognize a repeat of deduplicated work.
+    /// Executors that recognize a repeat of a deduplicated request.
     #[serde(rename = "key_scope")]
     pub deduplication_scope: DeduplicationScope,
-    /// How long they recognize it.
+    /// Time for which these executors recognize the repeat.
     #[serde(rename = "window", deserialize_with = "millis")]
     pub deduplication_window: Millis,
     /// Time from its arrival within which a request should be answered.
     #[serde(rename = "promised_turnaround", deserialize_with = "optional_millis")]
     pub latency_objective: Option<Millis>,
-    /// Time from its arrival within which a request must be answered; the first class without one ends the
-    /// list of classes.
+    /// Time from its arrival within which a request must be answered. The list of classes ends at the first class
+    /// without a deadline.
     #[serde(rename = "hard_limit", deserialize_with = "optional_millis")]
     pub deadline: Option<Millis>,
-    /// The value of an answer in time.
+    /// Value of an answer within the latency objective.
     #[serde(rename = "credit")]
     pub value: f64,
-    /// The value of a late answer; no decision depends on it.
+    /// Value of a late answer. No decision depends on it.
     #[serde(rename = "tardy_credit")]
     pub late_value: f64,
-    /// A request's latency objective grows by `stretch - 1` times its running time, if that is positive.
+    /// Growth of the latency objective with the running time of a request: `stretch - 1` times the running time is
+    /// added if that is positive.
     #[serde(skip)]
     pub stretch: f64,
-    /// The only type of machine that can run it; `None` if all can.
+    /// Only machine type that can run its requests; `None` if all can.
     #[serde(skip)]
     pub machine_type: Option<MachineTypeId>,
-    /// The number of attempts that a request may have; [`LimitSettings::max_attempts`] by default.
+    /// Upper bound on the number of attempts of a request; [`LimitSettings::max_attempts`] by default.
     #[serde(skip)]
     pub max_attempts: Option<f64>,
-    /// The earlier class of the same name, whose running times this one starts with.
+    /// Earlier class of the same name, from which this class inherits the observed running times.
     #[serde(skip)]
     pub inherits_from: Option<RequestClassId>,
 }
 
-/// The effect of running a request twice. An unknown word means the strictest one.
+/// The effect of running a request twice. An unknown value is read as the strictest effect.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Deserialize)]
 #[serde(from = "String")]
 pub enum Effect {
-    /// The same as running it once: it may be retried.
+    /// The same as running it once; it may be retried.
     Idempotent,
-    /// Executors drop repeats within a scope and a window: within both it may be retried.
+    /// Executors drop repeats within a scope and a time window; within both it may be retried.
     Deduplicated,
-    /// It takes effect twice: it may be retried only if it certainly never ran.
+    /// It takes effect twice; it may be retried only if it certainly did not run.
     #[default]
     AtMostOnce,
 }
@@ -148,7 +149,7 @@
     }
 }
 
-/// The executors that recognize a repeat of deduplicated work. An unknown word means the strictest scope.
+/// The executors that recognize a repeat of a deduplicated request. An unknown value is read as the strictest scope.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Deserialize)]
 #[serde(from = "String")]
 pub enum DeduplicationScope {
@@ -175,7 +176,7 @@
 #[derive(Clone, PartialEq, Default, Debug, Deserialize)]
 #[serde(default)]
 pub struct TenantSettings {
-    /// Requests per second, over all nodes.
+    /// Quota in requests per second over all nodes; `None` for no quota.
     pub quota_per_s: Option<f64>,
 }
 
@@ -183,11 +184,11 @@
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Deserialize)]
 #[serde(from = "String")]
 pub enum DiscoveryMode {
-    /// It watches the list, and calls again if a watch breaks off.
+    /// It watches the list, and calls again if a watch is interrupted.
     Subscribe,
     /// The source pushes the list without a call.
     Push,
-    /// The settings state no known mode: the node calls only after a watch broke off.
+    /// No mode or an unknown one. The node calls only after a watch was interrupted.
     #[default]
     Unstated,
 }
@@ -202,16 +203,16 @@
     }
 }
 
-/// What the weight of an endpoint means.
+/// The meaning of the weights of endpoints.
 #[derive(Clone, PartialEq, Eq, Default, Debug, Deserialize)]
 #[serde(from = "String")]
 pub enum WeightSource {
     /// Weights are ignored.
     #[default]
     Unstated,
-    /// Its free capacity, which falls with load.
+    /// Weights are free capacities, which fall with load.
     Live,
-    /// An unknown word.
+    /// An unknown value, which hosts may reject.
     Unknown(String),
 }
 
@@ -225,32 +226,32 @@
     }
 }
 
-/// Figures of the rules on draining and slow start.
+/// Parameters of draining and slow start.
 #[derive(Clone, PartialEq, Debug, Deserialize)]
 #[serde(default)]
 pub struct RuleSettings {
-    /// Time within which a node that failed to receive the endpoint list has to call again.
+    /// Time within which a node that did not receive the endpoint list has to call again.
     #[serde(rename = "ask_every", deserialize_with = "optional_millis")]
     pub poll_interval: Option<Millis>,
-    /// How long a node may still dispatch to an executor after the list said that it is draining.
+    /// Time for which a node may still dispatch to an executor after the list marks it as draining.
     #[serde(deserialize_with = "optional_millis")]
     pub drain_grace: Option<Millis>,
-    /// Part of its capacity that an executor has at its start, 0 to 1.
+    /// Part of its full capacity that an executor has at its start, 0 to 1.
     #[serde(rename = "cold_share")]
     pub initial_capacity: f64,
-    /// Time from its start to its full capacity.
+    /// Time from the start of an executor to its full capacity.
     #[serde(rename = "ramp_time", deserialize_with = "millis")]
     pub ramp_duration: Millis,
-    /// The sliding window over which dispatches to an executor in slow start are counted.
+    /// Length of the sliding window over which dispatches to an executor in slow start are counted.
     #[serde(rename = "fall", deserialize_with = "millis")]
     pub budget_window: Millis,
-    /// The work that it may receive within the window, as a multiple of its capacity.
+    /// Work that an executor may receive within the window, as a multiple of its capacity at the start of the window.
     #[serde(rename = "fall_multiple")]
     pub budget_multiple: f64,
 }
 
 impl RuleSettings {
-    /// [`RuleSettings::poll_interval`], or its default.
+    /// Returns the poll interval of the endpoint list, 10 s if the settings do not contain one.
     pub fn poll_interval(&self) -> Millis {
         self.poll_interval.unwrap_or(DEFAULT_POLL_INTERVAL)
     }
@@ -269,35 +270,35 @@
     }
 }
 
-/// What a node may do, and its limits.
+/// Permissions and limits of a node.
 #[derive(Clone, PartialEq, Debug, Deserialize)]
 #[serde(default)]
 pub struct LimitSettings {
-    /// The number of attempts that a request may have; 1 by default.
+    /// Upper bound on the number of attempts of a request; 1 by default.
     #[serde(rename = "max_allocations")]
     pub max_attempts: Option<f64>,
-    /// Whether executors may be probed; they may by default.
+    /// Whether executors may be probed; true by default.
     #[serde(rename = "probes")]
     pub probes_enabled: bool,
-    /// Whether attempts in flight may be cancelled; the host decides, no rule of this module does.
+    /// Whether attempts in flight may be cancelled. Hosts apply it; no rule of the dispatcher does.
     #[serde(rename = "cancel")]
     pub cancel_enabled: bool,
     /// Whether a second attempt may be in flight while the first has not started.
     #[serde(rename = "second_copies")]
     pub hedging_enabled: bool,
-    /// Whether nodes may send each other messages.
+    /// Whether nodes may send gossip to each other.
     #[serde(rename = "peers")]
     pub gossip_enabled: bool,
     /// Whether a rejection states when to retry.
     #[serde(rename = "retry_after")]
     pub retry_after_enabled: bool,
-    /// The longest such time; unbounded by default. The host applies it.
+    /// Upper bound on the `Retry-After` of a rejection; unbounded by default. Hosts apply it.
     #[serde(rename = "max_retry_after", deserialize_with = "optional_millis")]
     pub max_retry_after: Option<Millis>,
-    /// How long a connection to an executor may take to be established.
+    /// Time within which a connection to an executor must be established.
     #[serde(deserialize_with = "optional_millis")]
     pub connect_timeout: Option<Millis>,
-    /// How long an executor keeps an idle connection open.
+    /// Time for which an executor keeps an idle connection open.
     #[serde(rename = "conn_idle", deserialize_with = "optional_millis")]
     pub idle_timeout: Option<Millis>,
 }
@@ -322,9 +323,9 @@
 #[derive(Clone, PartialEq, Default, Debug, Deserialize)]
 #[serde(default)]
 pub struct PriceSettings {
-    /// A dispatch to another zone.
+    /// Price of a dispatch to another zone.
     pub cross_zone: f64,
-    /// A probe.
+    /// Price of a probe.
     pub probe: f64,
 }
 
@@ -332,13 +333,13 @@
 #[derive(Clone, PartialEq, Default, Debug, Deserialize)]
 #[serde(default)]
 pub struct ExecutorSettings {
-    /// Whether they report when an attempt starts to run.
+    /// Whether executors report when an attempt starts to run.
     #[serde(rename = "tells_start")]
     pub reports_start: bool,
-    /// [`ClassSettings::machine_type`] by class, as a number; below 0 for all machines.
+    /// [`ClassSettings::machine_type`] of each class as a number; below 0 for all machine types.
     #[serde(rename = "class_kind")]
     pub class_machine_types: Vec<Option<f64>>,
-    /// [`ClassSettings::stretch`] by class.
+    /// [`ClassSettings::stretch`] of each class.
     #[serde(rename = "class_stretch")]
     pub class_stretches: Vec<Option<f64>>,
 }
--- a/src/state/adaptive_share.rs
+++ b/src/state/adaptive_share.rs
@@ -1,20 +1,20 @@
-//! A share that grows by additive increase and falls by multiplicative decrease.
+//! A share with additive increase and multiplicative decrease (AIMD).
 //!
-//! After D.-M. Chiu and R. Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance
-//! in Computer Networks" (1989): nodes that observe the same signals converge to the same share, whatever their
-//! traffic.
+//! See D.-M. Chiu and R. Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance
+//! in Computer Networks" (1989): nodes that observe the same signals converge to the same share, regardless of
+//! their traffic.
 
-/// How a share changes.
+/// Step sizes of an [`AdaptiveShare`].
 pub(crate) struct ShareSteps {
-    /// Added by a good signal.
+    /// Amount added on a positive signal.
     pub increase: f64,
-    /// Factor that a bad signal applies.
+    /// Factor applied on a negative signal, below 1.
     pub decrease: f64,
     /// Lower bound on the share.
     pub floor: f64,
 }
 
-/// A share from the floor of its steps to 1, initially 1.
+/// A share between the floor and 1, initially 1.
 pub(crate) struct AdaptiveShare {
     share: f64,
     steps: ShareSteps,
--- a/src/state/discovery_backoff.rs
+++ b/src/state/discovery_backoff.rs
@@ -1,49 +1,50 @@
-//! When the endpoint list is called for: a backoff with jitter.
+//! Schedules calls for the endpoint list, with exponential backoff and jitter.
 use crate::log_event::LogEvent;
 use crate::settings::{DiscoveryMode, Settings};
 use crate::time::Millis;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Mean interval between the calls of different nodes after a failure.
+/// Mean interval between the calls of different nodes after a failure, in milliseconds.
 const CALL_SPACING: Millis = 100.0;
-/// Upper bound on the spread of the nodes' calls, as a part of the poll interval.
+/// Upper bound on the time over which the calls of all nodes are spread, as a part of the poll interval.
 const MAX_SPREAD_SHARE: f64 = 0.7;
 /// Upper bound on the backoff, as a part of the poll interval.
 const MAX_BACKOFF_SHARE: f64 = 0.25;
-/// Upper bound on the backoff of a list that is pushed, as a part of the drain grace: changes that the source
-/// reports when it is back must be known within that grace.
+/// Upper bound on the backoff for a pushed list, as a part of the drain grace. The node must receive the changes
+/// within that grace once the source is available again.
 const MAX_PUSH_BACKOFF_SHARE: f64 = 0.25;
-/// Lower bound on that upper bound: a short grace must not make the node call without a pause.
+/// Lower bound on the limit that follows from the drain grace, in milliseconds, so that a short grace does not
+/// make the node call without a pause.
 const MIN_PUSH_BACKOFF_LIMIT: Millis = 100.0;
-/// Half of the backoff after the first failure.
+/// Base of the exponential backoff, in milliseconds: half of the backoff after the first failure.
 const BASE_BACKOFF: Millis = 100.0;
-/// Failures beyond this number do not prolong the backoff.
+/// Number of consecutive failures after which the backoff does not grow any more.
 const MAX_FAILURES: u32 = 6;
 
-/// How a call for the endpoint list failed.
+/// The reason for which a call for the endpoint list failed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum ListFailure {
-    /// The source is reachable and rejects calls, as it has too many of them.
+    /// The source is reachable and rejects calls because it receives too many.
     Rejected,
-    /// The source did not answer, or a watch broke off.
+    /// The source did not answer, or a watch was interrupted.
     Unanswered,
 }
 
 /// The backoff of calls for the endpoint list.
 pub(crate) struct DiscoveryBackoff {
-    /// The time of the next call; infinite while a call or a watch is open.
+    /// Time of the next call; infinite while a call or a watch is open.
     pub next_call_at: Millis,
-    /// Whether the list was received, and at most one call has failed since it was lost.
+    /// Whether the list has been received, and at most one call has failed since the list was lost.
     was_available: bool,
     failures: u32,
     poll_interval: Millis,
-    /// The drain grace, if the list is pushed.
+    /// Drain grace if the list is pushed; `None` otherwise.
     push_grace: Option<Millis>,
 }
 
 impl DiscoveryBackoff {
-    /// Calls for the list at once if the settings say that the node subscribes.
+    /// Creates a backoff whose first call is due at once if the settings make the node subscribe.
     pub fn new(settings: &Settings, now: Millis) -> Self {
         let is_subscribed = settings.discovery_mode == DiscoveryMode::Subscribe;
         let next_call_at = if is_subscribed { now } else { f64::INFINITY };
@@ -63,7 +64,7 @@
         self.push_grace = is_pushed.then(|| settings.rules.drain_grace.unwrap_or(0.0));
     }
 
-    /// Whether a call is due; if so, the caller makes it.
+    /// Whether a call is due; if so, it counts as open from now on, and the caller must make it.
     pub fn start_due_call(&mut self, now: Millis) -> bool {
         let is_due = self.next_call_at <= now;
         if is_due {
@@ -79,7 +80,7 @@
         (failures > 0).then_some(LogEvent::EndpointListRecovered { failures })
     }
 
-    /// Records that a call failed or a watch broke off, and schedules the next call. Returns a log entry.
+    /// Records that a call failed or a watch was interrupted, and schedules the next call. Returns a log entry.
     pub fn record_failure(
         &mut self,
         now: Millis,
@@ -88,7 +89,7 @@
         random: &mut ChaCha8Rng,
     ) -> LogEvent {
         self.failures = (self.failures + 1).min(MAX_FAILURES);
-        // While a source that pushes is silent, this node may dispatch to executors that are draining by now.
+        // While a pushing source does not answer, this node may dispatch to executors that are already draining.
         let grace = self.push_grace.filter(|_| failure == ListFailure::Unanswered);
         let backoff = (BASE_BACKOFF * f64::powi(2.0, self.failures as i32)).min(self.max_backoff(grace));
         let spread = self.call_spread(nodes, failure, grace);
@@ -98,7 +99,7 @@
         LogEvent::EndpointListLost { failures: self.failures, next_call_in: wait }
     }
 
-    /// Upper bound on the backoff; `grace` is the drain grace if a source that pushes the list fell silent.
+    /// Upper bound on the backoff. `grace` is the drain grace if a source that pushes the list stopped answering.
     fn max_backoff(&self, grace: Option<Millis>) -> Millis {
         let longest = self.poll_interval * MAX_BACKOFF_SHARE;
         grace.map_or(longest, |grace| {
@@ -106,11 +107,11 @@
         })
     }
 
-    /// The span over which the calls of all nodes are spread at random, on top of the backoff. Without it, the
+    /// Time over which the calls of all nodes are spread at random, in addition to the backoff. Without it, the
     /// calls of many nodes overload the source, and all of them time out.
     fn call_spread(&self, nodes: f64, failure: ListFailure, grace: Option<Millis>) -> Millis {
-        // Right after the loss, and after one call without an answer, a spread on top would exceed the time
-        // within which a change must be known.
+        // Right after the loss, and after one call without an answer, an additional spread would exceed the time
+        // within which the node must receive a change.
         let is_urgent = self.failures == 1 || failure == ListFailure::Unanswered;
         if self.was_available && is_urgent {
             return 0.0;
--- a/src/state/executor_state.rs
+++ b/src/state/executor_state.rs
@@ -1,13 +1,13 @@
-//! The state of one executor: its list entry, its reports, and what this node observed of it.
+//! The state of one executor: its list entry, its load reports, and this node's observations.
 use crate::endpoint::{Endpoint, EndpointState, LoadReport};
 use crate::ids::{RequestClassId, RequestId};
 use crate::time::Millis;
 use crate::warm_state::{DecayingScore, WarmUpDispatch};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Upper bound on the age of a report when it is received.
+/// Upper bound on the age of a load report when it is received, in milliseconds.
 const REPORT_DELAY: Millis = 40.0;
-/// Upper bound on the time for which an executor sends the same report.
+/// Upper bound on the time for which an executor repeats the same load report, in milliseconds.
 pub(crate) const REPORT_LIFETIME: Millis = 500.0;
 
 /// The state of one executor.
@@ -17,12 +17,12 @@
     pub failure_score: DecayingScore,
     /// Decaying number of the outcomes in that score.
     pub observations: DecayingScore,
-    /// Score by class of the requests that it rejected though its report showed free capacity.
+    /// Scores by class of the requests that it rejected although its report showed free capacity.
     pub rejections: BTreeMap<RequestClassId, DecayingScore>,
-    /// The largest number of slots that its reports have shown.
+    /// Largest number of slots that its reports have shown.
     pub max_slots: f64,
     pub report: LoadReport,
-    /// When this report was first received; an executor repeats a report until it makes a new one.
+    /// When this report was first received; an executor repeats a report until it creates a new one.
     pub reported_at: Millis,
     /// Slots taken by this node's recent dispatches (+) and freed by its ended attempts (-).
     recent_changes: VecDeque<SlotChange>,
@@ -31,10 +31,10 @@
     /// Requests that await the probe that is due or in flight.
     pub awaiting_probe: Vec<RequestId>,
     pub is_probe_in_flight: bool,
-    /// Dispatches while it was in slow start.
+    /// Dispatches of this node to it during slow start.
     pub warm_up_spent: Vec<WarmUpDispatch>,
-    /// When the last attempt there that may have run ended, which stands for the last use of its connections.
-    /// Rejections do not count, though they use a connection.
+    /// When the last attempt at it that may have run ended; approximates the last use of its connections.
+    /// Rejections do not count, although they use a connection.
     pub last_used: Millis,
 }
 
@@ -62,15 +62,16 @@
         }
     }
 
-    /// Applies its list entry. A restart clears its history. An executor that is gone retains its start: it
-    /// may be listed with it again, and its spent warm-up budget still counts then.
+    /// Applies a new list entry. A restart clears the history. An executor that is gone keeps its start time: if it
+    /// is listed again with the same one, its spent warm-up budget still counts.
     pub fn relist(&mut self, endpoint: Endpoint) {
         if endpoint.state == EndpointState::Gone {
             self.endpoint.state = EndpointState::Gone;
             return;
         }
         if self.endpoint.started_at != endpoint.started_at {
-            // Dispatches of an earlier process are imported without the start that they belong to.
+            // Dispatches imported from an earlier process come without a start time and must not be cleared by the
+            // first one.
             if self.endpoint.started_at.is_some() {
                 self.warm_up_spent.clear();
             }
@@ -80,7 +81,7 @@
         self.endpoint = endpoint;
     }
 
-    /// Records slots taken by a dispatch (+) or freed by an ended attempt (-), until reports show them.
+    /// Records slots taken by a dispatch (+) or freed by an ended attempt (-) until reports include them.
     pub fn record_slot_change(&mut self, now: Millis, slots: f64) {
         while self.recent_changes.front().is_some_and(|change| change.at < now - REPORT_LIFETIME) {
             self.recent_changes.pop_front();
@@ -89,13 +90,13 @@
         self.slots_in_flight = (self.slots_in_flight + slots).max(0.0);
     }
 
-    /// Slots taken (+) or freed (-) by this node that the report may not show yet.
+    /// Returns the slots taken (+) or freed (-) by this node that the report may not include yet.
     pub fn unreported_change(&self, now: Millis) -> f64 {
         let since = (self.reported_at - REPORT_DELAY).max(now - REPORT_LIFETIME);
         self.recent_changes.iter().filter(|change| change.at >= since).map(|change| change.slots).sum()
     }
 
-    /// Stores a report, and the largest number of slots so far, with one slot for each running request.
+    /// Stores a load report and updates the largest number of slots, counting one slot per running request.
     pub fn record_report(&mut self, now: Millis, report: LoadReport) {
         let running = (report.in_flight.unwrap_or(0.0) - report.queue_length.unwrap_or(0.0)).max(0.0);
         let shown_slots = report.free_slots.unwrap_or(0.0) + running;
@@ -105,12 +106,12 @@
         }
     }
 
-    /// Dispatches in slow start since this time.
+    /// Returns the dispatches during slow start since this time.
     pub fn warm_up_spent_since(&self, since: Millis) -> impl Iterator<Item = &WarmUpDispatch> {
         self.warm_up_spent.iter().filter(move |spent| spent.at >= since)
     }
 
-    /// Whether a probe is due or in flight, or a dispatch in slow start since this time counts.
+    /// Whether a probe is due or in flight, or a dispatch during slow start since `spent_since` counts.
     pub fn is_in_use(&self, spent_since: Millis) -> bool {
         let is_probed = self.is_probe_in_flight || !self.awaiting_probe.is_empty();
         is_probed || self.warm_up_spent_since(spent_since).next().is_some()
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -1,8 +1,8 @@
-//! The states of all executors, their lifetime, and when it is reclaimed.
+//! The states of all executors, and when they are reclaimed.
 //!
-//! State exists under the host's handle from the first listing of the executor until the list says that it is
-//! gone and nothing can need its state any more. A handle without state reads as an executor that is gone and
-//! has no history, so an outdated handle is harmless.
+//! An executor has state under the host's handle from its first listing until it is gone from the list and nothing
+//! needs the state any more. A handle without state reads as an executor that is gone and has no history, so an
+//! outdated handle is harmless.
 use crate::endpoint::{Endpoint, EndpointState, ListUpdate};
 use crate::ids::{DeduplicationGroupId, ExecutorId, MachineTypeId, ZoneId};
 use crate::settings::Settings;
@@ -13,45 +13,45 @@
 use slotmap::SecondaryMap;
 use std::collections::{BTreeSet, HashSet};
 
-/// Interval at which executors that are gone are checked for release.
+/// Interval at which executors that are gone are checked for release, in milliseconds.
 const RECLAIM_INTERVAL: Millis = 1000.0;
-/// Mean running time before the first attempt has completed.
+/// Mean running time assumed until the first attempt has completed, in milliseconds.
 const INITIAL_RUNNING_TIME: Millis = 500.0;
 
 /// All executors with state.
 pub(crate) struct ExecutorTable {
     states: SecondaryMap<ExecutorId, ExecutorState>,
-    /// Stands in for an executor without state.
+    /// State returned for an executor without state.
     absent: ExecutorState,
     machine_types: MachineTypes,
-    /// The smallest number of slots that any executor's reports have shown, assumed for executors whose
-    /// reports have shown none yet.
+    /// Smallest number of slots that the reports of any executor have shown. Assumed for executors whose reports
+    /// have not shown slots yet.
     pub min_slots: f64,
     /// Executors that accept new requests.
     pub ready: Vec<ExecutorId>,
-    /// Ready executors in slow start of whose budget this node has more than an even share.
+    /// Ready executors in slow start for which this node has more than an even share of the warm-up budget.
     pub assigned: Vec<ExecutorId>,
-    /// Smoothed response time of all requests, from dispatch to result; the unit of a probe's cost.
+    /// Smoothed response time of all requests, from dispatch to result. The cost of a probe is relative to it.
     pub mean_running_time: Millis,
-    /// Executors that are gone and still have state.
+    /// Executors that are gone but still have state.
     gone: BTreeSet<ExecutorId>,
-    /// When these are checked for release next; infinite if there are none.
+    /// When the executors that are gone are next checked for release; infinite if there are none.
     reclaim_at: Millis,
-    /// Number of events so far that referenced an executor without state.
+    /// Number of events so far that referred to an executor without state.
     pub stale_events: u64,
     #[cfg(test)]
     pub reclaiming: Reclaiming,
 }
 
-/// When state is reclaimed; tests compare the correct time with wrong ones.
+/// When state is reclaimed. Tests compare the correct behavior with faulty ones.
 #[cfg(test)]
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Reclaiming {
     Unneeded,
     Never,
-    /// Wrong: also while open requests refer to it.
+    /// Faulty: also while open requests refer to it.
     Referenced,
-    /// Wrong: also while a probe is in flight or its warm-up budget counts.
+    /// Faulty: also while a probe is in flight or a dispatch counts against its warm-up budget.
     InUse,
 }
 
@@ -87,7 +87,7 @@
         self.machine_types.apply_settings(settings);
     }
 
-    /// The number of executors with state, including those that are gone.
+    /// Number of executors with state, including those that are gone.
     pub fn len(&self) -> usize {
         self.states.len()
     }
@@ -97,7 +97,7 @@
         self.states.get(executor)
     }
 
-    /// The state of an executor; without state, that of one that is gone and has no history.
+    /// The state of an executor; if it has none, that of an executor that is gone and has no history.
     pub fn state(&self, executor: ExecutorId) -> &ExecutorState {
         self.states.get(executor).unwrap_or(&self.absent)
     }
@@ -117,7 +117,7 @@
         state.record_slot_change(now, slots);
     }
 
-    /// Whether the executor that an event names has no state; the event is counted as stale then.
+    /// Whether the executor that an event refers to has no state. If so, the event is counted as stale.
     pub fn count_if_stale(&mut self, executor: ExecutorId) -> bool {
         let is_stale = !self.states.contains_key(executor);
         self.stale_events += u64::from(is_stale);
@@ -129,8 +129,8 @@
         self.state(executor).endpoint.state == EndpointState::Ready
     }
 
-    /// Reserves space for the executors of a complete list and an eighth more. Growing step by step would
-    /// leave freed memory of the same size behind.
+    /// Reserves space for the executors of a complete list plus an eighth. Growing incrementally would leave freed
+    /// memory of the same size behind.
     fn reserve(&mut self, executors: usize) {
         if executors > self.states.capacity() {
             self.states.set_capacity(executors + executors / 8);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Applies an update of the endpoint list; executors that a complete list does not contain are gone.
+    /// Applies an update of the endpoint list. Executors missing from a complete list are gone.
     pub fn update(&mut self, now: Millis, update: ListUpdate, endpoints: &[Endpoint]) {
         if matches!(update, ListUpdate::Snapshot | ListUpdate::Cached) {
             self.states.values_mut().for_each(|state| state.endpoint.state = EndpointState::Gone);
@@ -169,7 +169,7 @@
                 self.states.insert(executor, ExecutorState::new(*endpoint));
             }
         }
-        // An outdated handle, whose slot belongs to another executor now, gets no state.
+        // An outdated handle, whose slot now belongs to another executor, gets no state.
         if self.count_if_stale(executor) {
             return;
         }
@@ -188,7 +188,8 @@
         self.ready = ready.map(|(executor, _)| executor).collect();
     }
 
-    /// Slots of an executor by its reports, or the smallest number of any executor if they have shown none yet.
+    /// Slots of an executor according to its reports; if they have not shown any yet, the smallest number of any
+    /// executor.
     pub fn slots_or_min(&self, executor: ExecutorId) -> f64 {
         let shown = self.state(executor).max_slots;
         if shown > 0.0 { shown } else { self.min_slots }
@@ -200,18 +201,19 @@
         self.min_slots = shown.min_by(f64::total_cmp).unwrap_or(1.0);
     }
 
-    /// Slots of an executor when it is warm: by its weight if weights fall with load, as reports show fewer
-    /// slots then.
+    /// Slots of an executor when it is warm. They follow from the weights of its machine type if weights fall with
+    /// load, because reports show fewer slots during warm-up.
     pub fn capacity(&self, executor: ExecutorId) -> f64 {
         let machine_type = self.state(executor).endpoint.machine_type;
         self.machine_types.capacity(machine_type).unwrap_or_else(|| self.slots_or_min(executor))
     }
 
-    /// The state for the next process of this node, with the dispatches in slow start since `spent_since`.
+    /// Returns the state for the next process of this node, with the dispatches during slow start since
+    /// `spent_since`.
     pub fn export(&self, spent_since: Millis) -> Vec<ExecutorWarmState> {
         let spent =
             |state: &ExecutorState| state.warm_up_spent_since(spent_since).copied().collect::<Vec<_>>();
-        // An executor that is gone may be listed again with the same start, and the same budget.
+        // An executor that is gone may be listed again with the same start time, and thus the same budget.
         let is_exported = |state: &&ExecutorState| {
             state.endpoint.state != EndpointState::Gone
                 || state.warm_up_spent_since(spent_since).next().is_some()
@@ -240,15 +242,15 @@
         }
     }
 
-    /// When executors that are gone are checked for release next; infinite if there are none.
+    /// When executors that are gone are next checked for release; infinite if there are none.
     pub fn reclaim_at(&self) -> Millis {
         self.reclaim_at
     }
 
-    /// Drops the state of executors that are gone and no longer needed, and returns them. `referenced` are
-    /// the executors that open requests refer to; dispatches in slow start since `spent_since` count.
+    /// Removes the state of executors that are gone and no longer needed, and returns their handles. `referenced` are
+    /// the executors that open requests refer to; dispatches during slow start since `spent_since` count.
     ///
-    /// The cost is linear in the open requests and the executors that are gone.
+    /// The cost is linear in the number of open requests and of executors that are gone.
     pub fn reclaim(
         &mut self,
         now: Millis,
--- a/src/state/machine_types.rs
+++ b/src/state/machine_types.rs
@@ -1,20 +1,20 @@
-//! The largest weight of each type of machine, from which capacities follow if weights fall with load.
+//! The largest weight of each machine type, which is the capacity of its executors if weights fall with load.
 use crate::endpoint::{Endpoint, EndpointState};
 use crate::ids::MachineTypeId;
 use crate::settings::{Settings, WeightSource};
 use std::collections::BTreeMap;
 
-/// The weights of one type of machine.
+/// The largest weight and the number of executors of one machine type.
 #[derive(Default)]
 struct MachineTypeWeight {
     largest: f64,
     executors: usize,
 }
 
-/// The weights of all types of machines that executors have.
+/// The weights of all machine types that executors have.
 #[derive(Default)]
 pub(crate) struct MachineTypes {
-    /// Whether weights fall with load, so that the largest one of a type is its capacity.
+    /// Whether weights fall with load, so that the largest weight of a type is its capacity.
     weights_fall_with_load: bool,
     weights: BTreeMap<MachineTypeId, MachineTypeWeight>,
 }
@@ -24,12 +24,12 @@
         self.weights_fall_with_load = settings.weight_source == WeightSource::Live;
     }
 
-    /// The capacity of a type of machine, if weights have shown it.
+    /// Capacity of a machine type in slots; `None` if no weight has shown it.
     pub fn capacity(&self, machine_type: MachineTypeId) -> Option<f64> {
         self.weights.get(&machine_type).map(|weight| weight.largest).filter(|&largest| largest > 0.0)
     }
 
-    /// Counts an executor's type of machine, which replaces its type `before`, and its weight.
+    /// Counts an executor under its machine type instead of its type `before`, and records its weight.
     pub fn update(&mut self, before: Option<MachineTypeId>, endpoint: &Endpoint) {
         let machine_type = endpoint.machine_type;
         if before != Some(machine_type) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Removes one executor of this type of machine; the weight goes with the last one.
+    /// Removes one executor of this machine type, and the weight with the last one.
     pub fn remove(&mut self, machine_type: MachineTypeId) {
         let Some(weight) = self.weights.get_mut(&machine_type) else { return };
         weight.executors = weight.executors.saturating_sub(1);
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! State without rules: executors, requests, probe statistics, timers and token buckets.
+//! State that the rules work on: executors, requests, probe statistics, timers and token buckets.
 pub(crate) mod adaptive_share;
 pub(crate) mod discovery_backoff;
 pub(crate) mod executor_state;
@@ -12,7 +12,7 @@
 
 use crate::time::Millis;
 
-/// Moves an exponential average towards a sample by this weight.
+/// Updates an exponential moving average with a sample of this weight, 0 to 1.
 pub(crate) fn smooth(average: &mut Millis, sample: Millis, weight: f64) {
     *average += weight * (sample - *average);
 }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,4 +1,4 @@
-//! Open requests with their attempts, and the desired state of each.
+//! Open requests, with their attempts and their desired state.
 use crate::endpoint::LoadReport;
 use crate::event::Outcome;
 use crate::ids::{AttemptId, ExecutorId, RequestClassId};
@@ -9,10 +9,10 @@
 pub(crate) struct Attempt {
     pub executor: ExecutorId,
     pub sent_at: Millis,
-    /// How long the connections to the executor had been idle; infinite if that is unknown, as then no broken
-    /// idle connection explains how the attempt ended.
+    /// Time for which the connections to the executor had been idle. Infinite if unknown, so that the end of the
+    /// attempt is not attributed to a broken idle connection.
     pub idle_time: Millis,
-    /// When it started, if the executor has reported that.
+    /// When it started; `None` until the executor reports it.
     pub started_at: Option<Millis>,
     pub outcome: Option<Outcome>,
 }
@@ -27,15 +27,17 @@
     }
 }
 
-/// The state that a request is to be in.
+/// The state that reconciliation brings a request to.
 #[derive(Clone, Copy, PartialEq, Default)]
 pub(crate) enum DesiredState {
     #[default]
     Probing,
-    /// `attempts` in all, the last one at this executor with this deadline.
     Dispatched {
+        /// Executor of the last attempt.
         executor: ExecutorId,
+        /// Deadline of the last attempt.
         deadline: Millis,
+        /// Total number of attempts, including the last one.
         attempts: usize,
     },
     Queued,
@@ -52,7 +54,7 @@
     pub report: LoadReport,
 }
 
-/// The smallest number of slots that a request takes.
+/// Smallest number of slots that a request takes.
 pub(crate) const MIN_SLOTS: f64 = 1.0;
 
 /// A request that has no final answer yet.
@@ -61,21 +63,21 @@
     pub class: RequestClassId,
     pub slots: f64,
     pub is_over_quota: bool,
-    /// When the client sent the request first; before the arrival if it is a retry of the client's.
+    /// When the client first sent the request; before its arrival if this is a client's retry.
     pub first_sent_at: Millis,
-    /// The time by which it must be answered.
+    /// When it must be answered at the latest.
     pub deadline: Millis,
     pub desired: DesiredState,
     pub attempts: Vec<Attempt>,
-    /// The executors that were sampled last.
+    /// Executors sampled in the last round.
     pub candidates: Vec<ExecutorId>,
-    /// How many of the candidates were probed.
+    /// Number of candidates that have been probed.
     pub probed: usize,
     pub reports: Vec<CandidateReport>,
-    /// How often candidates were probed for it since its arrival, start checks included. A wait in the queue
-    /// sets it back to 1, so that one more sample is the last round.
+    /// Number of sampling rounds since its arrival, including start checks. A wait in the queue resets it to 1, so
+    /// that the next round is the last.
     pub sampling_rounds: u32,
-    /// When its timer fires; infinite for never.
+    /// When its timer fires; infinite for no timer.
     pub timer_at: Millis,
 }
 
@@ -88,8 +90,8 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// The executors that it refers to: those of its attempts, which limit where it may be retried, and its
-    /// candidates while it awaits probes.
+    /// Returns the executors that it refers to: those of its attempts, which limit where it may be retried, and its
+    /// candidates while it awaits probe replies.
     pub fn referenced_executors(&self) -> impl Iterator<Item = ExecutorId> {
         let sent = self.attempts.iter().map(|attempt| attempt.executor);
         let sampled = if self.desired == DesiredState::Probing { &self.candidates[..] } else { &[] };
--- a/src/state/request_class.rs
+++ b/src/state/request_class.rs
@@ -1,4 +1,4 @@
-//! Request classes: their terms, and the running times observed of their requests.
+//! Request classes: their terms, and the observed running times of their requests.
 use crate::endpoint::Endpoint;
 use crate::ids::RequestClassId;
 use crate::settings::{ClassSettings, DeduplicationScope, Settings};
@@ -6,20 +6,20 @@
 use crate::warm_state::ObservedMean;
 use std::ops::{Index, IndexMut};
 
-/// Lower bound on the longest latency objective.
+/// Lower bound on the longest latency objective of all classes, in milliseconds.
 const MIN_MAX_OBJECTIVE: Millis = 1.0;
 
 /// One request class.
 pub(crate) struct RequestClass {
     pub terms: ClassSettings,
-    /// The fixed part of the latency objective; [`ClassSettings::stretch`] adds a part by running time.
+    /// Fixed part of the latency objective; [`ClassSettings::stretch`] adds a part in proportion to the running time.
     pub latency_objective: Millis,
-    /// The span from the arrival of a request within which it must be answered.
+    /// Time from the arrival of a request within which it must be answered.
     pub deadline: Millis,
     pub max_attempts: usize,
-    /// Smoothed time from dispatch to result, initially the latency objective.
+    /// Smoothed time from dispatch to result; initially the latency objective.
     pub response_time: ObservedMean,
-    /// Smoothed time from start to result, where executors report starts.
+    /// Smoothed time from start to result; from dispatch to result if executors do not report starts.
     pub service_time: ObservedMean,
 }
 
@@ -38,29 +38,29 @@
         }
     }
 
-    /// The latency objective of a request of mean length, given the mean running time; never less than the
-    /// fixed part. The slack in `policy::outlier::sensitivity` has no such bound: the two are not the same.
+    /// Latency objective of a request with the mean running time `mean`; never less than the fixed part. The slack in
+    /// `policy::outlier::sensitivity` is computed without that bound, so the two are not interchangeable.
     pub fn mean_objective(&self, mean: Millis) -> Millis {
         self.latency_objective + (self.terms.stretch - 1.0).max(0.0) * mean
     }
 
-    /// Whether both executors recognize each other's repeats of deduplicated work.
+    /// Whether both executors recognize each other's repeats of deduplicated requests.
     pub fn is_same_deduplication_domain(&self, one: &Endpoint, other: &Endpoint) -> bool {
         match self.terms.deduplication_scope {
             DeduplicationScope::Zone => one.zone == other.zone,
-            // With the scope `All` a retry may go anywhere, and no domain is asked for.
+            // With the scope `All` a retry may be dispatched anywhere, and this function is not called.
             _ => one.deduplication_group == other.deduplication_group,
         }
     }
 }
 
-/// All request classes of a node, by their ids. Classes are only ever added.
+/// All request classes of a node, by their ids. Classes are added and never removed.
 #[derive(Default)]
 pub(crate) struct RequestClasses(Vec<RequestClass>);
 
 impl RequestClasses {
-    /// Adds the classes of the settings whose ids are new; those before them retain their terms. The first
-    /// class without a deadline ends the list.
+    /// Adds the classes of the settings whose ids are new; existing classes retain their terms. The list ends at the
+    /// first class without a deadline.
     pub fn add_new(&mut self, settings: &Settings) {
         let new = settings.classes.iter().skip(self.0.len());
         for terms in new.take_while(|terms| terms.deadline.is_some()) {
@@ -76,7 +76,7 @@
         self.0.len()
     }
 
-    /// The longest latency objective, at least 1 ms.
+    /// Longest latency objective of all classes, not below 1 ms.
     pub fn max_objective(&self) -> Millis {
         let objectives = self.0.iter().map(|class| class.latency_objective);
         objectives.fold(MIN_MAX_OBJECTIVE, f64::max)
--- a/src/state/timer_queue.rs
+++ b/src/state/timer_queue.rs
@@ -1,13 +1,13 @@
-//! The timers of requests, and the one timer of the host that stands for them.
+//! The timers of requests, all driven by a single timer of the host.
 use crate::ids::RequestId;
 use crate::time::Millis;
 use std::collections::BTreeSet;
 
-/// Due times of requests, the earliest first. Each request stores its own due time, by which it is removed.
+/// The due times of requests, ordered by time. Each request stores its own due time, which is needed to remove it.
 pub(crate) struct TimerQueue {
-    /// By the bits of the time: they order like the times, which are not negative.
+    /// Keyed by the bits of the time, which order like the times themselves because these are not negative.
     due: BTreeSet<(u64, RequestId)>,
-    /// The time for which the host's timer is set; infinite if it is not.
+    /// Time for which the host's timer is set; infinite if it is not set.
     host_timer_at: Millis,
 }
 
@@ -16,7 +16,7 @@
         TimerQueue { due: BTreeSet::new(), host_timer_at: f64::INFINITY }
     }
 
-    /// An infinite time is never due.
+    /// Inserts a due time; an infinite one is ignored, since it is never due.
     pub fn insert(&mut self, request_id: RequestId, at: Millis) {
         if at.is_finite() {
             self.due.insert((at.to_bits(), request_id));
@@ -27,7 +27,7 @@
         self.due.remove(&(at.to_bits(), request_id));
     }
 
-    /// Removes and returns the earliest request that is due.
+    /// Removes and returns the request with the earliest due time, if it has passed.
     pub fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
         let &(bits, request_id) = self.due.first()?;
         if f64::from_bits(bits) > now {
@@ -37,17 +37,17 @@
         Some(request_id)
     }
 
-    /// The earliest due time; infinite if there is none.
+    /// Returns the earliest due time; infinite if there is none.
     pub fn first(&self) -> Millis {
         self.due.first().map_or(f64::INFINITY, |&(bits, _)| f64::from_bits(bits))
     }
 
-    /// The host's timer has fired.
+    /// Records that the host's timer has fired.
     pub fn host_timer_fired(&mut self) {
         self.host_timer_at = f64::INFINITY;
     }
 
-    /// The time for which the host has to set its timer, if that is earlier than before.
+    /// Returns `at` if the host has to set its timer for it: if it is earlier than the time already set.
     pub fn arm_host_timer(&mut self, at: Millis) -> Option<Millis> {
         if at >= self.host_timer_at {
             return None;
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -1,7 +1,7 @@
 //! A token bucket: tokens are added at a rate, up to a capacity.
 use crate::time::Millis;
 
-/// A token bucket that starts full, whatever its capacity.
+/// A token bucket that starts full, independently of its capacity.
 pub(crate) struct TokenBucket {
     tokens: f64,
     refilled_at: Millis,
@@ -13,7 +13,7 @@
         TokenBucket { tokens: f64::INFINITY, refilled_at: now, rate_per_ms: 0.0 }
     }
 
-    /// Adds the tokens since the last refill.
+    /// Adds the tokens accumulated since the last refill, up to `capacity`.
     pub fn refill(&mut self, now: Millis, capacity: f64) {
         self.tokens = (self.tokens + self.rate_per_ms * (now - self.refilled_at)).min(capacity);
         self.refilled_at = now;
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,4 @@
-//! Time in the decision module, which has no clock: its host states the time with each call.
+//! Time in the dispatcher, which has no clock: its host passes the time with each call.
 
-/// A point in time or a span, in milliseconds with fractions.
+/// A point in time or a duration, in milliseconds with fractions.
 pub type Millis = f64;
