--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Applies the lines of a batch to the instances, and gathers their actions at its end.
+//! Applies the lines of a batch to the instances, and collects their actions at the end of the batch.
 use crate::decode::{self, HeartbeatContent, PeersKind};
 use crate::error::LineError;
 use crate::instance::Instance;
@@ -6,34 +6,34 @@
 use troutknot::{Action, AttemptId, Event, ListUpdate, Millis, RequestClassId, TenantId};
 use troutknot_configuration::millis_from_micros;
 
-/// What a line did to the batch.
+/// The state of a batch after a line.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum BatchState {
-    /// Further lines follow.
+    /// The batch has not ended.
     Open,
     /// The batch has ended and its reply is complete.
     Answered,
 }
 
-/// All instances of a simulated day. They share nothing but the sheets: entries of endpoint lists, by number.
+/// All instances of a simulation. They only share the sheets, which are numbered parts of endpoint lists.
 #[derive(Default)]
 pub struct Adapter {
-    /// Simulated time of the open batch, in microseconds.
+    /// Simulated time of the open batch, in microseconds; `None` between batches.
     batch_time: Option<u64>,
     instances: BTreeMap<u64, Instance>,
     sheets: BTreeMap<u8, Vec<decode::SheetEntry>>,
-    /// Instances with an event in this batch, in the order of their first event. The reply has their actions in
+    /// Instances with an event in this batch, in the order of their first event. The reply contains their actions in
     /// this order.
     active_instances: Vec<u64>,
-    /// Empty between batches; kept so that its memory is used again.
+    /// Buffer for the actions of one instance, which is reused to save allocations.
     actions: Vec<Action>,
 }
 
 impl Adapter {
-    /// Applies one line; appends the reply to `reply` once the line ends a batch.
+    /// Applies one line. Appends the reply of the batch to `reply` if the line ends it.
     ///
     /// # Errors
-    /// If the line cannot be parsed or does not fit into the batch.
+    /// If the line cannot be parsed or is not valid at this point.
     pub fn apply_line(&mut self, line: &[u8], reply: &mut Vec<u8>) -> Result<BatchState, LineError> {
         let operation = decode::operation(line)?;
         let Some(time) = self.batch_time else {
@@ -82,7 +82,7 @@
                 self.handle_event(instance, now, Event::RequestWithdrawn { request_id });
             }
             "inbox" => self.receive_gossip(now, &decode::parse(line)?),
-            // Operations of a later protocol are skipped, but have to be JSON.
+            // Unknown operations, as of a later protocol version, are ignored, but must be JSON.
             _ => decode::check_json(line)?,
         }
         Ok(())
@@ -186,12 +186,12 @@
         }
     }
 
-    /// Hands an event to an instance; an event for an instance that is gone is dropped.
+    /// Reports an event to an instance. An event for an instance that does not exist is dropped.
     fn handle_event(&mut self, number: u64, now: Millis, event: Event) {
         self.handle_event_with(number, now, |_| event);
     }
 
-    /// The same for an event that is made from the state of the instance.
+    /// Reports an event that is built from the state of the instance.
     fn handle_event_with(&mut self, number: u64, now: Millis, event: impl FnOnce(&Instance) -> Event) {
         self.add_to_reply(number);
         let Some(instance) = self.instances.get_mut(&number) else { return };
@@ -199,7 +199,7 @@
         instance.handle_event(now, event);
     }
 
-    /// Has the actions of an instance written at the end of the batch.
+    /// Marks an instance so that its actions are written at the end of the batch.
     fn add_to_reply(&mut self, number: u64) {
         let Some(instance) = self.instances.get_mut(&number) else { return };
         if !std::mem::replace(&mut instance.has_events, true) {
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,5 +1,5 @@
-//! The simulator's events, as they stand on a line and borrowed from it. Fields that the adapter does not use are
-//! skipped.
+//! The simulator's events, deserialized from one line each and borrowed from it where possible. Fields that the
+//! adapter does not use are ignored.
 use crate::error::LineError;
 use base64::prelude::{BASE64_STANDARD, Engine};
 use serde::de::{Error, IgnoredAny};
@@ -8,7 +8,7 @@
 use troutknot::{GossipMessage, Outcome, RequestId};
 use troutknot_gossip::ClassNames;
 
-/// Digits of a request id.
+/// Number of hexadecimal digits of a request id.
 const ID_DIGITS: usize = 16;
 
 /// Parses a line.
@@ -19,18 +19,18 @@
     Ok(serde_json::from_slice(line)?)
 }
 
-/// Checks that a line whose content is not used is JSON.
+/// Checks that a line whose content is ignored is JSON.
 ///
 /// # Errors
-/// If it is not.
+/// If the line is not JSON.
 pub fn check_json(line: &[u8]) -> Result<(), LineError> {
     parse::<IgnoredAny>(line).map(|_| ())
 }
 
-/// The operation that a line names. It nearly always stands first, so that a line is rarely parsed twice.
+/// Returns the operation of a line. It is almost always the first field, so lines are rarely parsed twice.
 ///
 /// # Errors
-/// If the line is not JSON or names no operation.
+/// If the line is not JSON or has no operation.
 pub fn operation(line: &[u8]) -> Result<Cow<'_, str>, LineError> {
     #[derive(Deserialize)]
     struct Named<'a> {
@@ -68,7 +68,7 @@
     pub time: u64,
 }
 
-/// An event without further content: a timer fired, or the instance stopped.
+/// An event without further fields: a timer fired, or the instance stopped.
 #[derive(Deserialize)]
 pub struct InstanceEvent {
     #[serde(rename = "i")]
@@ -86,7 +86,7 @@
     pub profile_data: serde_json::Map<String, serde_json::Value>,
 }
 
-/// Entries of endpoint lists, to which later lines refer by number.
+/// A set of endpoint list entries, to which later lines refer by its number.
 #[derive(Deserialize)]
 pub struct Sheet {
     #[serde(rename = "sheet")]
@@ -94,7 +94,7 @@
     pub entries: Vec<SheetEntry>,
 }
 
-/// One executor of a sheet.
+/// One executor in a sheet.
 #[derive(Deserialize, Clone)]
 pub struct SheetEntry {
     pub executor: Box<str>,
@@ -107,12 +107,12 @@
     pub phase: EntryPhase,
     #[serde(default, rename = "scale")]
     pub weight: Option<f64>,
-    /// In microseconds; none or 0 if the executor started long ago.
+    /// Start time in microseconds; `None` or 0 if the executor started long ago.
     #[serde(default, rename = "start_time")]
     pub started_at: Option<u64>,
 }
 
-/// Whether an executor takes new requests.
+/// The state of an executor in a sheet.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
 pub enum EntryPhase {
@@ -121,31 +121,31 @@
     Deregistered,
 }
 
-/// An update of an instance's endpoint list, or the loss of its watch.
+/// An update of the endpoint list of an instance, or the loss of its watch.
 #[derive(Deserialize)]
 pub struct PeersKnown {
     #[serde(rename = "i")]
     pub instance: u64,
     pub kind: PeersKind,
-    /// The number of the sheet; none if the watch was lost.
+    /// Number of the sheet; `None` if the watch was lost.
     pub sheet: Option<u8>,
 }
 
-/// What a [`PeersKnown`] holds.
+/// The content of a [`PeersKnown`].
 #[derive(Deserialize, PartialEq, Eq, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum PeersKind {
-    /// Only what changed.
+    /// Only the changed entries.
     Incr,
     /// The complete list.
     Total,
-    /// The complete list as cached before a restart.
+    /// The complete list from a cache that was written before a restart.
     WarmCopy,
     /// No list: the watch was lost.
     Lost,
 }
 
-/// A client's request.
+/// The arrival of a request.
 #[derive(Deserialize)]
 pub struct NewRequest {
     #[serde(rename = "i")]
@@ -156,7 +156,7 @@
     pub slots: Option<f64>,
     #[serde(default, rename = "mem_needed")]
     pub memory: Option<f64>,
-    /// In microseconds.
+    /// Time for which the client waits for the answer, in microseconds.
     pub time_left: u64,
     #[serde(default, rename = "account")]
     pub tenant: Option<u32>,
@@ -174,10 +174,10 @@
     #[serde(borrow)]
     pub executor: Cow<'a, str>,
     pub state_code: StateCode,
-    /// In microseconds.
+    /// Time from the probe to its reply, in microseconds.
     #[serde(rename = "lag")]
     pub latency: u64,
-    /// The load report's values, in the order that the settings name.
+    /// Values of the load report, in the order of the fields that the settings list.
     #[serde(default)]
     pub metrics: Option<Vec<Option<f64>>>,
 }
@@ -236,14 +236,14 @@
     pub attempt: u32,
 }
 
-/// A heartbeat of an attempt, see [`Heartbeat::content`].
+/// A heartbeat of an attempt, with the content [`Heartbeat::content`].
 #[derive(Deserialize)]
 pub struct Heartbeat {
     #[serde(rename = "i")]
     pub instance: u64,
     #[serde(rename = "call", deserialize_with = "request_id")]
     pub request_id: RequestId,
-    /// The share that is done, if it is a progress.
+    /// Part of the attempt that is complete, 0 to 1, if the heartbeat reports progress.
     #[serde(default, rename = "value")]
     pub share: Option<f64>,
     #[serde(rename = "n")]
@@ -252,16 +252,16 @@
     code: u32,
 }
 
-/// What a heartbeat reports.
+/// The content of a heartbeat.
 pub enum HeartbeatContent {
     Started,
     Progressed,
-    /// A kind of a later protocol.
+    /// Content of a later protocol version.
     Unknown,
 }
 
 impl Heartbeat {
-    /// What it reports.
+    /// Returns what the heartbeat reports.
     pub fn content(&self) -> HeartbeatContent {
         match self.code {
             1 => HeartbeatContent::Started,
@@ -271,7 +271,7 @@
     }
 }
 
-/// The client of a request left.
+/// The disconnection of a request's client.
 #[derive(Deserialize)]
 pub struct Withdrawn {
     #[serde(rename = "i")]
@@ -280,18 +280,18 @@
     pub request_id: RequestId,
 }
 
-/// A message from another node.
+/// A gossip message from another node.
 #[derive(Deserialize)]
 pub struct Inbox<'a> {
     #[serde(rename = "i")]
     pub instance: u64,
-    /// In base64.
+    /// Message in base64.
     #[serde(default, borrow)]
     body: Option<Cow<'a, str>>,
 }
 
 impl Inbox<'_> {
-    /// The message; None if it cannot be read.
+    /// Decodes the message; `None` if it is missing or invalid.
     pub fn message(&self, class_names: ClassNames) -> Option<GossipMessage> {
         let bytes = BASE64_STANDARD.decode(self.body.as_deref()?).ok()?;
         troutknot_gossip::decode(&bytes, class_names)
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,22 +1,23 @@
-//! Actions as lines of the simulator's protocol.
+//! Encodes actions as lines of the simulator's protocol.
 use base64::prelude::{BASE64_STANDARD, Engine};
 use troutknot::{Action, ExecutorId, Millis, RequestId};
 use troutknot_gossip::ClassNames;
 use troutknot_membership::ExecutorRegistry;
 
 const MICROS_PER_MILLI: f64 = 1000.0;
-/// Hexadecimal digits of a request id.
+/// Number of hexadecimal digits of a request id.
 const ID_DIGITS: u32 = 16;
 
-/// Operation and text field of a line for the log.
+/// Operation of a log line.
 const LOG_OPERATION: &str = "emit";
+/// Key of the text of a log line, as in [`put_number`].
 const LOG_TEXT_KEY: &str = ",\"line\":";
 
 fn micros(time: Millis) -> u64 {
     (time * MICROS_PER_MILLI).round().max(0.0) as u64
 }
 
-/// Appends the start of a line, up to the instance's number.
+/// Appends the start of a line, up to and including the number of the instance.
 fn begin_line(out: &mut Vec<u8>, operation: &str, instance: u64) {
     out.extend_from_slice(b"{\"op\":\"");
     out.extend_from_slice(operation.as_bytes());
@@ -27,13 +28,13 @@
     out.extend_from_slice(b"}\n");
 }
 
-/// Appends a number. `key` is written as it is, so it includes the comma before the field and the colon.
+/// Appends a number. `key` is written verbatim, so it includes the leading comma, the quotes and the colon.
 fn put_number(out: &mut Vec<u8>, key: &str, value: u64) {
     out.extend_from_slice(key.as_bytes());
     out.extend_from_slice(itoa::Buffer::new().format(value).as_bytes());
 }
 
-/// Appends a string, escaped as JSON; `key` as in [`put_number`].
+/// Appends a string, escaped as JSON. `key` is written verbatim, as in [`put_number`].
 fn put_text(out: &mut Vec<u8>, key: &str, value: &str) {
     out.extend_from_slice(key.as_bytes());
     serde_json::to_writer(&mut *out, value).expect("writing to memory cannot fail");
@@ -48,15 +49,15 @@
     out.push(b'"');
 }
 
-/// Appends a line for the log of one instance.
+/// Appends a log line of one instance.
 pub fn log_line(out: &mut Vec<u8>, instance: u64, line: &str) {
     begin_line(out, LOG_OPERATION, instance);
     put_text(out, LOG_TEXT_KEY, line);
     end_line(out);
 }
 
-/// Appends one action of one instance as a line. The release of an executor writes nothing, as the protocol has
-/// names in place of handles.
+/// Appends one action of an instance as a line. The release of an executor writes nothing, because the protocol
+/// uses names and not handles.
 pub fn action(
     out: &mut Vec<u8>,
     instance: u64,
@@ -70,7 +71,7 @@
     end_line(out);
 }
 
-/// The protocol's name for an action; None if the protocol has no such operation.
+/// Returns the protocol's operation for an action; `None` if the protocol has none.
 fn operation(action: &Action) -> Option<&'static str> {
     match action {
         Action::Dispatch { .. } => Some("forward"),
@@ -128,7 +129,7 @@
 }
 
 fn put_timer_fields(out: &mut Vec<u8>, at: Millis) {
-    // Rounded up, so that the timer does not fire before the time that the dispatcher waits for.
+    // Rounded up, so that the timer never fires before the due time.
     put_number(out, ",\"at\":", (at * MICROS_PER_MILLI).ceil() as u64);
     put_number(out, ",\"key_back\":", 0);
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One node of a simulated day: a dispatcher, and what translates between its ids and the protocol's names.
+//! One simulated node: a dispatcher, with the translation between its ids and the names of the protocol.
 use crate::decode::{Create, EntryPhase, Inbox, PingResult, SheetEntry, StateCode};
 use crate::encode;
 use crate::error::LineError;
@@ -14,18 +14,20 @@
     dispatcher: Dispatcher,
     registry: ExecutorRegistry,
     load_fields: LoadFields,
-    /// Names of the request classes by their ids.
+    /// Names of the request classes, by their ids.
     class_names: Vec<String>,
-    /// Whether it is in the list of instances with events in this batch.
+    /// Whether the adapter lists this instance among those with an event in the open batch.
     pub has_events: bool,
     unreadable_messages: u64,
-    /// Whether the count of unreadable messages is logged with this batch.
+    /// Whether the count of unreadable messages is to be logged at the end of this batch.
     is_unreadable_log_due: bool,
 }
 
 impl Instance {
+    /// Creates a dispatcher from the settings of the instance.
+    ///
     /// # Errors
-    /// If the settings cannot be used.
+    /// If the settings are invalid.
     pub fn new(now: Millis, create: &Create) -> Result<Self, LineError> {
         let settings = parse_settings(&create.profile_data)?;
         Ok(Instance {
@@ -39,12 +41,12 @@
         })
     }
 
-    /// Hands an event to the dispatcher.
+    /// Reports an event to the dispatcher.
     pub fn handle_event(&mut self, now: Millis, event: Event) {
         self.dispatcher.handle_event(now, event);
     }
 
-    /// The endpoints of a sheet, with a handle for each name.
+    /// Returns the endpoints of a sheet; registers a handle for each new name.
     pub fn endpoints(&mut self, sheet: &[SheetEntry]) -> Vec<Endpoint> {
         sheet.iter().map(|entry| self.endpoint(entry)).collect()
     }
@@ -66,7 +68,7 @@
         }
     }
 
-    /// The event of a probe's end. The dispatcher drops and counts it if the executor has no handle.
+    /// Returns the event for the end of a probe. The dispatcher drops and counts it if the executor has no handle.
     pub fn probe_completed(&self, result: &PingResult) -> Event {
         let is_answered = result.state_code == StateCode::Good;
         Event::ProbeCompleted {
@@ -78,13 +80,13 @@
         }
     }
 
-    /// The event of a message from another node; None if it is unreadable, which is counted.
+    /// Returns the event for a gossip message; `None` if the message is unreadable, which is counted.
     pub fn gossip_received(&mut self, inbox: &Inbox) -> Option<Event> {
         if let Some(message) = inbox.message(&self.class_names) {
             return Some(Event::GossipReceived(message));
         }
         self.unreadable_messages += 1;
-        // Logged at each power of two, so that a flood of them does not fill the log.
+        // The count is logged at each power of two, so that many of them do not fill the log.
         self.is_unreadable_log_due |= self.unreadable_messages.is_power_of_two();
         None
     }
@@ -94,7 +96,7 @@
         self.is_unreadable_log_due
     }
 
-    /// Appends the lines of all actions that follow from this batch.
+    /// Appends the lines of all actions that result from this batch.
     pub fn write_actions(&mut self, number: u64, now: Millis, actions: &mut Vec<Action>, out: &mut Vec<u8>) {
         self.dispatcher.poll_actions(now, actions);
         for action in actions.drain(..) {
@@ -104,7 +106,7 @@
             }
         }
         if std::mem::take(&mut self.is_unreadable_log_due) {
-            let line = format!("{} messages passed over: not understood", self.unreadable_messages);
+            let line = format!("{} unreadable gossip messages ignored", self.unreadable_messages);
             encode::log_line(out, number, &line);
         }
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! `troutknot-wirehost`: lets the simulator drive dispatchers. Reads batches of events on standard input, drives one
-//! [`troutknot::Dispatcher`] per instance, and answers each batch with the actions on standard output.
+//! `troutknot-wirehost`: the adapter between the simulator and the dispatcher. It reads batches of events from standard
+//! input, drives one [`troutknot::Dispatcher`] per instance, and answers each batch with the actions on standard output.
 //!
-//! The names of the simulator's protocol stand in `decode` and `encode` alone. Nothing is decided here.
+//! Field names of the simulator's protocol occur in `decode` and `encode` only. The adapter takes no decisions itself.
 mod adapter;
 mod decode;
 mod encode;
@@ -26,10 +26,10 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Answers batches until the end of the input.
 ///
 /// # Errors
-/// If input or output fails, or a line cannot be applied.
+/// If reading or writing fails, or a line is invalid.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let (mut line, mut reply) = (Vec::new(), Vec::new());
