--- a/crates/configuration/src/catalog.rs
+++ b/crates/configuration/src/catalog.rs
@@ -1,5 +1,5 @@
-//! Ids for the names in the settings. An id is valid for the life of a node, whatever settings it reads later: each
-//! request class with its terms, tenant, zone and machine type keeps its id, and an id is never given to another name.
+//! Assigns ids to the names in the settings. Ids are stable while a node runs, also when it applies new settings: each
+//! request class with its terms, tenant, zone and machine type keeps its id, and no id is assigned to another name.
 use crate::document::parse_settings;
 use crate::error::{SettingsError, SettingsErrors};
 use crate::names::{MACHINE_TYPES, Names, TENANTS, ZONES, missing_class_keys, missing_keys};
@@ -7,12 +7,12 @@
 use troutknot::settings::{ClassSettings, TenantSettings, WeightSource};
 use troutknot::{MachineTypeId, Millis, RequestClassId, Settings};
 
-/// Upper bound on the request classes, each with its terms, over the life of a node; also on its tenants, zones and
-/// machine types.
+/// Upper bound on the number of request classes over the lifetime of a node, counting a class again when its terms
+/// change. Also the upper bound on the numbers of tenants, of zones and of machine types.
 pub const MAX_NAMES: usize = 1024;
-/// Deadlines that a class may have, in milliseconds.
+/// Valid deadlines of a class, in milliseconds.
 const DEADLINES: std::ops::Range<Millis> = 1.0..1e9;
-/// Hedging needs at least this number of attempts: the first and its copy.
+/// Smallest limit on the attempts of a request that allows hedging: the first attempt and the hedged one.
 const MIN_HEDGED_ATTEMPTS: f64 = 2.0;
 
 #[derive(Clone)]
@@ -21,41 +21,42 @@
     terms: ClassSettings,
 }
 
-/// Ids for all names that were ever in force.
+/// The ids of all names that have ever been in effect.
 #[derive(Clone, Default)]
 pub struct IdCatalog {
     classes: Vec<NamedClass>,
     tenants: Vec<String>,
     zones: Vec<String>,
     machine_types: Vec<String>,
-    /// The settings in force, as they were written.
+    /// The settings in effect, as JSON.
     current: Option<Value>,
 }
 
 /// Settings whose names are resolved to ids.
 #[derive(Clone, Debug)]
 pub struct ResolvedSettings {
-    /// The settings; classes and tenants are all that were ever in force, by their ids.
+    /// Settings with all classes and tenants that have ever been in effect, by their ids.
     pub settings: Settings,
-    /// Names of classes by id, of all that were ever in force.
+    /// Names of all classes that have ever been in effect, by id.
     pub classes: Vec<String>,
     /// Names of tenants by id.
     pub tenants: Vec<String>,
     /// Names of zones by id.
     pub zones: Vec<String>,
-    /// Names of types of machine by id.
+    /// Names of machine types by id.
     pub machine_types: Vec<String>,
-    /// Ids of the classes in force.
+    /// Ids of the classes in effect.
     pub current_classes: Vec<u32>,
-    /// Ids of the tenants in force.
+    /// Ids of the tenants in effect.
     pub current_tenants: Vec<u32>,
 }
 
 impl IdCatalog {
-    /// Resolves settings and puts all of them in force, or none.
+    /// Resolves new settings and makes them the settings in effect. On an error, nothing changes.
     ///
     /// # Errors
-    /// All faults, each with its key and what is allowed. A key that the settings in force have must not be missing.
+    /// All errors in the settings, each with its key and the allowed values. A key of the settings in effect must not be
+    /// missing.
     pub fn resolve(&mut self, document: &Map<String, Value>) -> Result<ResolvedSettings, SettingsErrors> {
         let settings = parse_settings(document)?;
         let names = Names::read(document)?;
@@ -95,7 +96,7 @@
         distinct
     }
 
-    /// Gives ids to names that are new, and replaces the indices that the settings use by ids.
+    /// Assigns ids to new names, and replaces the indices in the settings by ids.
     fn assign(&mut self, mut settings: Settings, names: Names) -> Result<ResolvedSettings, SettingsError> {
         let current_tenants = ids(&mut self.tenants, &names.tenants, TENANTS)?;
         let zones = ids(&mut self.zones, &names.zones, ZONES)?;
@@ -117,7 +118,7 @@
         })
     }
 
-    /// Quotas by id. If any tenant has a quota, those without one have a quota of 0.
+    /// Returns the quotas by tenant id. If any tenant has a quota, tenants without one get a quota of 0.
     fn tenant_quotas(&self, stated: &[TenantSettings], ids: &[u32]) -> Vec<TenantSettings> {
         if stated.iter().all(|tenant| tenant.quota_per_s.is_none()) {
             return Vec::new();
@@ -129,7 +130,8 @@
         quotas
     }
 
-    /// The ids of the classes: that of a class of the same name with the same terms, or else a new one.
+    /// Returns the ids of the classes. A class with the name and the terms of an earlier one keeps its id; any other gets
+    /// a new one.
     fn class_ids(
         &mut self,
         settings: &Settings,
@@ -157,7 +159,7 @@
         }
     }
 
-    /// All classes by id. Each inherits the running times of the last one before it with the same name.
+    /// Returns all classes by id. Each inherits the running times of the last class before it with the same name.
     fn all_classes(&self) -> Vec<ClassSettings> {
         let class = |(id, class): (usize, &NamedClass)| ClassSettings {
             inherits_from: self.last_class_named(&class.name, id),
@@ -166,24 +168,24 @@
         self.classes.iter().enumerate().map(class).collect()
     }
 
-    /// The last of the first `count` classes with this name.
+    /// Returns the last class with this name among the first `count`.
     fn last_class_named(&self, name: &str, count: usize) -> Option<RequestClassId> {
         let position = self.classes[..count].iter().rposition(|class| class.name == name);
         position.map(|position| RequestClassId(position as u32))
     }
 }
 
-/// Gives ids to the names that are new, and returns the ids of all names.
-fn ids(known: &mut Vec<String>, names: &[String], key: &'static str) -> Result<Vec<u32>, SettingsError> {
+/// Assigns ids to the names that are not registered, and returns the ids of all names.
+fn ids(registered: &mut Vec<String>, names: &[String], key: &'static str) -> Result<Vec<u32>, SettingsError> {
     let mut ids = Vec::with_capacity(names.len());
     for name in names {
-        let id = known.iter().position(|other| other == name).unwrap_or_else(|| {
-            known.push(name.clone());
-            known.len() - 1
+        let id = registered.iter().position(|other| other == name).unwrap_or_else(|| {
+            registered.push(name.clone());
+            registered.len() - 1
         });
         ids.push(id as u32);
     }
-    match known.len() {
+    match registered.len() {
         count if count > MAX_NAMES => Err(SettingsError::TooManyNames { key, count }),
         _ => Ok(ids),
     }
@@ -203,8 +205,8 @@
     if settings.limits.hedging_enabled && !may_hedge {
         faults.push(SettingsError::HedgingWithoutSecondAttempt);
     }
-    if let WeightSource::Unknown(word) = &settings.weight_source {
-        faults.push(SettingsError::UnknownWeightSource { word: word.clone() });
+    if let WeightSource::Unknown(source) = &settings.weight_source {
+        faults.push(SettingsError::UnknownWeightSource { source_name: source.clone() });
     }
     let nodes = document.get("balancers").filter(|nodes| !nodes.is_null()).map(|_| settings.nodes);
     if let (Some(node), Some(nodes)) = (settings.node, nodes)
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -4,10 +4,10 @@
 use serde_path_to_error::{Path, Segment};
 use troutknot::{MachineTypeId, Settings};
 
-/// Lists whose entries may be names in place of objects.
+/// Lists whose entries may be plain names in place of objects.
 const LISTS_OF_NAMES: [&str; 2] = ["project_types", "customers"];
 
-/// The settings that a configuration's object states; what it leaves out, or gives as `null`, has its default.
+/// Parses the settings from a JSON object. A key that is missing or `null` has its default value.
 ///
 /// ```
 /// let settings = serde_json::json!({"balancers": 3, "limits": {"conn_idle": 1500000}});
@@ -16,7 +16,7 @@
 /// ```
 ///
 /// # Errors
-/// The first key whose value is of the wrong type.
+/// If a value has the wrong type; the error contains the first such key.
 pub fn parse_settings(document: &Map<String, Value>) -> Result<Settings, SettingsError> {
     let mut document = Value::Object(document.clone());
     remove_nulls(&mut document);
@@ -31,7 +31,7 @@
     Ok(settings)
 }
 
-/// Moves values that the configuration lists apart from the classes, by class index, into the classes.
+/// Copies values that the configuration lists by class index, outside the classes, into the classes.
 fn assign_listed_class_values(settings: &mut Settings) {
     let executors = &settings.executors;
     for (number, class) in settings.classes.iter_mut().enumerate() {
@@ -54,7 +54,7 @@
     }
 }
 
-/// The error for a value at `path`, which is looked up in the document.
+/// Returns the error for the value at `path` of the document.
 fn wrong_type(document: &Value, path: &Path) -> SettingsError {
     let mut value = Some(document);
     let mut names = Vec::new();
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -1,84 +1,84 @@
-//! What makes settings unusable.
+//! Errors in settings.
 use serde_json::Value;
 use std::fmt;
 
-/// One fault of the settings: which key, and what is allowed.
+/// One error in the settings, with the key and the allowed values.
 #[derive(Clone, PartialEq, Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// A value is of another type than its key's.
+    /// A value has the wrong type.
     #[error("setting `{key}`: {value} is of the wrong type")]
     WrongType {
-        /// The key, with a star for an index in a list.
+        /// Key of the value, with a star for an index in a list.
         key: String,
         /// The value.
         value: Value,
     },
-    /// An entry of a list whose entries need names has none.
+    /// An entry in a list of names has no name.
     #[error("setting `{key}`: entry {entry} has no name")]
     MissingName {
-        /// The list.
+        /// Key of the list.
         key: &'static str,
-        /// The index of the entry, from 0.
+        /// Index of the entry, from 0.
         entry: usize,
     },
-    /// A name occurs in a list more than once.
-    #[error("setting `{key}`: `{name}` stands there twice")]
+    /// A name occurs more than once in a list.
+    #[error("setting `{key}`: `{name}` occurs twice")]
     DuplicateName {
-        /// The list.
+        /// Key of the list.
         key: &'static str,
-        /// The name.
+        /// Name that occurs again.
         name: String,
     },
-    /// There is no request class.
-    #[error("setting `project_types` names none; it is a list of at least one")]
+    /// The settings contain no request class.
+    #[error("setting `project_types` names none; at least one is required")]
     NoClasses,
-    /// There are more request classes than [`MAX_NAMES`](crate::MAX_NAMES).
+    /// The settings contain more request classes than [`MAX_NAMES`](crate::MAX_NAMES).
     #[error("setting `project_types` names {count}, at most {MAX} are kept in mind", MAX = crate::MAX_NAMES)]
     TooManyClasses {
-        /// How many it names.
+        /// Number of request classes.
         count: usize,
     },
-    /// There were more names over the life of the node than [`MAX_NAMES`](crate::MAX_NAMES).
+    /// A list has had more different names over the lifetime of the node than [`MAX_NAMES`](crate::MAX_NAMES).
     #[error("setting `{key}`: {count} were named so far, at most {MAX} are kept in mind", MAX = crate::MAX_NAMES)]
     TooManyNames {
-        /// The list.
+        /// Key of the list.
         key: &'static str,
-        /// How many were named.
+        /// Number of different names.
         count: usize,
     },
-    /// There were more request classes over the life of the node than [`MAX_NAMES`](crate::MAX_NAMES); one whose terms
-    /// change counts as a new one.
+    /// There have been more request classes over the lifetime of the node than [`MAX_NAMES`](crate::MAX_NAMES). A class
+    /// whose terms change counts as a new one.
     #[error("with its terms this is project type {count}, {MAX} are kept in mind", MAX = crate::MAX_NAMES)]
     TooManyClassTerms {
-        /// How many there were.
+        /// Number of request classes.
         count: usize,
     },
-    /// A class needs a type of machine that is not listed.
-    #[error("project type `{class}`: there is no kind {machine_type}")]
+    /// A class requires a machine type that is not listed.
+    #[error("project type `{class}`: `kinds` has no entry {machine_type}")]
     UnknownMachineType {
         /// The class.
         class: String,
-        /// The number that it names.
+        /// Index of the machine type.
         machine_type: u32,
     },
     /// The maximum number of attempts is not positive.
     #[error("setting `limits.max_allocations` is not a positive number")]
     InvalidMaxAttempts,
-    /// Hedging is enabled, but a request may not have a second attempt.
+    /// Hedging is enabled, but requests may not have a second attempt.
     #[error("setting `limits.second_copies`: true needs `limits.max_allocations` of 2 or more")]
     HedgingWithoutSecondAttempt,
-    /// The source of weights is not one of those allowed.
-    #[error("setting `weight_source`: `{word}`; silent, none, nominal, rough and live are allowed")]
+    /// The weight source is unknown.
+    #[error("setting `weight_source`: `{source_name}`; silent, none, nominal, rough and live are allowed")]
     UnknownWeightSource {
-        /// The source that the settings name.
-        word: String,
+        /// Value in the settings.
+        source_name: String,
     },
     /// The number of this node is not below the number of nodes.
-    #[error("setting `me`: {node} is not under `balancers`, which is {nodes}")]
+    #[error("setting `me`: {node} is not below `balancers`, which is {nodes}")]
     NodeNumberOutOfRange {
-        /// The node's number.
+        /// Number of this node.
         node: f64,
-        /// The number of nodes.
+        /// Number of nodes.
         nodes: f64,
     },
     /// A term of a class is not a positive number.
@@ -86,7 +86,7 @@
     NotPositive {
         /// The class.
         class: String,
-        /// The term's key.
+        /// Key of the term.
         term: &'static str,
     },
     /// A term of a class is missing.
@@ -94,24 +94,24 @@
     MissingTerm {
         /// The class.
         class: String,
-        /// The term's key.
+        /// Key of the term.
         term: String,
     },
-    /// A class has a deadline out of bounds.
-    #[error("project type `{class}`: `hard_limit` is from 1 ms to 1e9 ms")]
+    /// The deadline of a class is out of range.
+    #[error("project type `{class}`: `hard_limit` must be from 1 ms to 1e9 ms")]
     DeadlineOutOfRange {
         /// The class.
         class: String,
     },
-    /// A key is missing that the settings in force have.
+    /// A key of the settings in effect is missing.
     #[error("setting `{key}` is missing")]
     MissingKey {
-        /// The key.
+        /// Path of the key.
         key: String,
     },
 }
 
-/// All faults that were found in settings, in one line.
+/// All errors that were found in settings, displayed in one line.
 #[derive(Clone, PartialEq, Debug, thiserror::Error)]
 pub struct SettingsErrors(pub Vec<SettingsError>);
 
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,7 +1,8 @@
-//! Settings of a node from the platform's configuration: parsed, checked, and with ids for their names. Without I/O.
+//! Parses and validates the settings of a node from the platform's configuration, and assigns ids to the names in it.
+//! Without I/O.
 //!
-//! [`parse_settings`] parses one configuration. A host whose settings may be replaced while it runs resolves all of
-//! them by one [`IdCatalog`], so that each id keeps its meaning.
+//! [`parse_settings`] parses one configuration. A host that applies new settings while it runs resolves all of them with
+//! one [`IdCatalog`], so that ids remain stable.
 mod catalog;
 mod document;
 mod error;
@@ -17,7 +18,7 @@
 
 const MICROS_PER_MILLI: f64 = 1000.0;
 
-/// The configuration's microseconds as milliseconds.
+/// Converts microseconds of the configuration to milliseconds.
 pub fn millis_from_micros(micros: u64) -> Millis {
     micros as f64 / MICROS_PER_MILLI
 }
--- a/crates/configuration/src/load_report.rs
+++ b/crates/configuration/src/load_report.rs
@@ -1,4 +1,4 @@
-//! The fields of load reports, and reports written as text.
+//! Decodes load reports: lists of values, and text.
 use serde_json::{Map, Value};
 use troutknot::LoadReport;
 
@@ -12,9 +12,10 @@
 }
 
 impl LoadField {
-    /// A field by its name. Some have two, one in the simulator's protocol and one on sockets.
-    fn from_name(word: &str) -> Self {
-        match word {
+    /// Returns the field with this name. Some fields have two names: one in the simulator's protocol and one in HTTP
+    /// responses.
+    fn from_name(name: &str) -> Self {
+        match name {
             "depth" | "queue" => LoadField::QueueLength,
             "concurrent" | "inflight" => LoadField::InFlight,
             "x0" => LoadField::FreeSlots,
@@ -40,19 +41,19 @@
 pub struct LoadFields(Vec<LoadField>);
 
 impl LoadFields {
-    /// As a configuration's object states them; none where it does not.
+    /// Reads the fields from the JSON object of the settings; none if it does not list them.
     pub fn from_document(document: &Map<String, Value>) -> Self {
         let fields = document.get("load_info").and_then(|info| info.get("fields")).and_then(Value::as_array);
-        let words = fields.into_iter().flatten().map(|field| field.as_str().unwrap_or(""));
-        LoadFields(words.map(LoadField::from_name).collect())
+        let names = fields.into_iter().flatten().map(|field| field.as_str().unwrap_or(""));
+        LoadFields(names.map(LoadField::from_name).collect())
     }
 
-    /// Whether no fields are stated.
+    /// Whether the settings list no fields.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// A report of these values, in the order of the fields; what is no finite number is left out.
+    /// Creates a report from values in the order of the fields. Values that are not finite are omitted.
     pub fn report(&self, values: &[Option<f64>]) -> LoadReport {
         let mut report = LoadReport::default();
         self.0.iter().zip(values).for_each(|(field, value)| field.set(*value, &mut report));
@@ -60,7 +61,7 @@
     }
 }
 
-/// A load report written as `name=value,name=value`; what is not known or no number is passed over.
+/// Parses a load report of the form `name=value,name=value`. Unknown names and invalid numbers are ignored.
 ///
 /// ```
 /// let report = troutknot_configuration::parse_load_report("queue=2, x0=1.5,util=0.6,x1=odd");
--- a/crates/configuration/src/names.rs
+++ b/crates/configuration/src/names.rs
@@ -1,4 +1,4 @@
-//! The names that settings list, and the keys that later settings must still have.
+//! The lists of names in settings, and the keys that new settings must not omit.
 use crate::catalog::MAX_NAMES;
 use crate::error::SettingsError;
 use serde_json::{Map, Value};
@@ -9,7 +9,7 @@
 pub(crate) const ZONES: &str = "failure_domains";
 pub(crate) const MACHINE_TYPES: &str = "kinds";
 
-/// The names that a file lists, in its order.
+/// The names that the settings list, in their order.
 pub(crate) struct Names {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
@@ -36,13 +36,13 @@
     }
 }
 
-/// The names of the request classes as the settings list them; empty where one has none.
+/// Returns the names of the request classes in the order of the settings; an empty string for a class without a name.
 pub fn class_names(document: &Map<String, Value>) -> Vec<String> {
     let entries = document.get(CLASSES).and_then(Value::as_array).into_iter().flatten();
     entries.map(|entry| entry.get("name").and_then(Value::as_str).unwrap_or("").to_string()).collect()
 }
 
-/// The names in a list of names, or of objects with names.
+/// Returns the names in a list whose entries are names or objects with a `name`.
 fn list(document: &Map<String, Value>, key: &'static str) -> Result<Vec<String>, SettingsError> {
     let entries = document.get(key).and_then(Value::as_array).into_iter().flatten();
     let name = |entry: &Value| entry.as_str().or_else(|| entry.get("name")?.as_str()).map(str::to_string);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Keys of `before`, at any depth, that `after` does not have. The contents of lists are not compared.
+/// Returns an error for each key of `before`, at any depth, that `after` does not have. Lists are not compared.
 pub(crate) fn missing_keys(before: &Value, after: &Map<String, Value>) -> Vec<SettingsError> {
     let mut missing = Vec::new();
     if let Some(before) = before.as_object() {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Keys that all classes of `before` have and a class of `after` does not.
+/// Returns an error for each key that all classes of `before` have and a class of `after` does not have.
 pub(crate) fn missing_class_keys(
     before: &Value,
     after: &Map<String, Value>,
@@ -106,7 +106,7 @@
     missing
 }
 
-/// The keys that each entry of a list has.
+/// Returns the keys that all entries of a list have.
 fn common_keys(list: Option<&Value>) -> Vec<&String> {
     let entries: Vec<&Map<String, Value>> =
         list.and_then(Value::as_array).into_iter().flatten().filter_map(Value::as_object).collect();
--- a/crates/configuration/tests/catalog.rs
+++ b/crates/configuration/tests/catalog.rs
@@ -1,13 +1,13 @@
-//! Ids that hold over new settings, and files of which nothing is taken.
+//! Ids remain stable when settings change, and invalid settings have no effect.
 use serde_json::{Map, Value, json};
 use troutknot::{Effect, RequestClassId};
 use troutknot_configuration::{IdCatalog, MAX_NAMES};
 
-fn settings(types: &[(&str, &str, i64)], attempts: Value) -> Value {
-    let of = |(name, effect, limit): &(&str, &str, i64)| json!({"name": name, "effect": effect, "hard_limit": limit});
-    json!({"project_types": types.iter().map(of).collect::<Vec<_>>(), "kinds": ["k", "l"],
+fn settings(classes: &[(&str, &str, i64)], max_attempts: Value) -> Value {
+    let class = |(name, effect, limit): &(&str, &str, i64)| json!({"name": name, "effect": effect, "hard_limit": limit});
+    json!({"project_types": classes.iter().map(class).collect::<Vec<_>>(), "kinds": ["k", "l"],
         "customers": [{"name": "c", "quota_per_s": 2}], "failure_domains": ["y", "z"], "zone": 1,
-        "limits": {"max_allocations": attempts}, "contract": {"drain_grace": 1000}})
+        "limits": {"max_allocations": max_attempts}, "contract": {"drain_grace": 1000}})
 }
 
 fn map(value: &Value) -> &Map<String, Value> {
@@ -15,31 +15,32 @@
 }
 
 #[test]
-fn numbers_hold_for_a_name_with_its_terms_and_serve_no_other() {
+fn a_class_keeps_its_id_while_its_terms_are_the_same() {
     let mut catalog = IdCatalog::default();
-    for (types, attempts, in_force, names) in [
+    for (classes, max_attempts, current, names) in [
         (vec![("a", "safe", 5), ("b", "safe", 5)], 3, vec![0, 1], "a b"),
-        // One vanishes and one appears.
+        // One class is removed and one is added.
         (vec![("b", "safe", 5), ("c", "safe", 5)], 3, vec![1, 2], "a b c"),
-        // A stricter effect, and back.
+        // A stricter effect, then the earlier one again.
         (vec![("b", "unsafe", 5)], 3, vec![3], "a b c b"),
         (vec![("b", "safe", 5)], 3, vec![1], "a b c b"),
-        // Fewer attempts, for all.
+        // Fewer attempts for all classes.
         (vec![("b", "safe", 5), ("a", "safe", 5)], 2, vec![4, 5], "a b c b b a"),
         (vec![("a", "safe", 5000), ("b", "safe", 5)], 2, vec![6, 4], "a b c b b a a"),
     ] {
-        let types: Vec<_> = types.into_iter().map(|(n, e, l)| (n, e, l * 1000)).collect();
-        let resolved = catalog.resolve(map(&settings(&types, attempts.into()))).unwrap();
-        assert_eq!((&resolved.current_classes, resolved.classes.join(" ").as_str()), (&in_force, names));
+        let classes: Vec<_> =
+            classes.into_iter().map(|(name, effect, limit)| (name, effect, limit * 1000)).collect();
+        let resolved = catalog.resolve(map(&settings(&classes, max_attempts.into()))).unwrap();
+        assert_eq!((&resolved.current_classes, resolved.classes.join(" ").as_str()), (&current, names));
     }
     let resolved = catalog.resolve(map(&settings(&[("b", "safe", 5000)], 2.into()))).unwrap();
-    assert_eq!(resolved.settings.classes[0].max_attempts, Some(3.0), "old terms stay");
+    assert_eq!(resolved.settings.classes[0].max_attempts, Some(3.0), "an earlier class keeps its terms");
     assert_eq!(resolved.settings.classes[6].inherits_from, Some(RequestClassId(5)));
     assert_eq!(resolved.settings.classes[3].effect, Effect::AtMostOnce);
 }
 
 #[test]
-fn places_kinds_and_customers_keep_their_numbers_when_a_file_lists_them_otherwise() {
+fn zones_machine_types_and_tenants_keep_their_ids_when_the_order_changes() {
     let mut catalog = IdCatalog::default();
     let mut file = settings(&[("a", "safe", 5000)], 3.into());
     file["family_info"] = json!({"class_kind": [1]});
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn of_a_broken_file_nothing_is_taken() {
+fn invalid_settings_are_rejected_and_the_current_ones_stay_in_effect() {
     let good = settings(&[("a", "safe", 5000), ("b", "unsafe", 5000)], 3.into());
     let with = |at: &str, value: Value| {
         let mut file = good.clone();
@@ -71,16 +72,16 @@
         file
     };
     let limit = "/project_types/1/hard_limit";
-    for (what, file, part) in [
+    for (case, file, expected) in [
         ("empty", json!({}), "`project_types` names none"),
         (
-            "no such kind",
+            "unknown machine type",
             {
-                let mut f = good.clone();
-                f["family_info"] = json!({"class_kind": [-1, 9]});
-                f
+                let mut file = good.clone();
+                file["family_info"] = json!({"class_kind": [-1, 9]});
+                file
             },
-            "`b`: there is no kind 9",
+            "`b`: `kinds` has no entry 9",
         ),
         ("no project types", with("/project_types", json!([])), "names none"),
         ("no limit", without("/project_types/1", "hard_limit"), "`b`: `hard_limit` is missing"),
@@ -100,33 +101,36 @@
         ("no attempts", without("/limits", "max_allocations"), "`limits.max_allocations` is missing"),
         ("no limits", without("", "limits"), "`limits` is missing"),
         ("no grace", without("/contract", "drain_grace"), "`contract.drain_grace` is missing"),
-        ("twice", with("/project_types/1/name", json!("a")), "`a` stands there twice"),
+        ("twice", with("/project_types/1/name", json!("a")), "`a` occurs twice"),
         ("no customers", without("", "customers"), "`customers` is missing"),
         ("not finite", with(limit, json!(1e300)), "from 1 ms to"),
     ] {
         let mut catalog = IdCatalog::default();
         catalog.resolve(map(&good)).unwrap();
-        let why = catalog.resolve(map(&file)).map(|_| ()).expect_err(what).to_string();
-        assert!(why.contains(part), "{what}: {why}");
+        let error = catalog.resolve(map(&file)).map(|_| ()).expect_err(case).to_string();
+        assert!(error.contains(expected), "{case}: {error}");
         let resolved = catalog.resolve(map(&good)).unwrap();
-        assert_eq!(resolved.current_classes, [0, 1], "{what}: what was in force stays");
+        assert_eq!(resolved.current_classes, [0, 1], "{case}: the earlier settings stay in effect");
         assert_eq!(resolved.tenants, ["c"]);
     }
     let mut more = good.clone();
     more["family_info"] = json!({"class_kind": [-1, -1, 9]});
-    assert!(IdCatalog::default().resolve(map(&more)).is_ok(), "of a third that is not there");
+    assert!(
+        IdCatalog::default().resolve(map(&more)).is_ok(),
+        "a machine type for a third class, which does not exist"
+    );
     let mut catalog = IdCatalog::default();
-    let many = |n: usize| settings(&[("a", "safe", 5000 + n as i64)], 3.into());
-    (0..MAX_NAMES).for_each(|n| _ = catalog.resolve(map(&many(n))).unwrap());
-    assert!(catalog.resolve(map(&many(MAX_NAMES))).is_err(), "no more are kept in mind");
-    assert!(catalog.resolve(map(&many(7))).is_ok());
+    let with_terms = |number: usize| settings(&[("a", "safe", 5000 + number as i64)], 3.into());
+    (0..MAX_NAMES).for_each(|number| _ = catalog.resolve(map(&with_terms(number))).unwrap());
+    assert!(catalog.resolve(map(&with_terms(MAX_NAMES))).is_err(), "the catalog is full");
+    assert!(catalog.resolve(map(&with_terms(7))).is_ok(), "terms that have an id");
 }
 
 #[test]
-fn all_faults_of_a_file_are_listed_in_one_line() {
+fn all_errors_in_settings_are_listed_in_one_line() {
     let mut file = settings(&[("a", "safe", 5000), ("b", "unsafe", 0)], json!(0));
     file["weight_source"] = json!("loud");
-    let errors = IdCatalog::default().resolve(map(&file)).expect_err("three faults");
+    let errors = IdCatalog::default().resolve(map(&file)).expect_err("three errors");
     assert_eq!(
         errors.to_string(),
         "setting `limits.max_allocations` is not a positive number; \
@@ -135,18 +139,18 @@
     );
 }
 
-/// Keys that a file gives as `null` stand for nothing, and a tenant may be a name alone.
+/// A key with the value `null` counts as missing, and a tenant may be a plain name.
 #[test]
-fn nulls_and_names_alone_are_read() {
+fn nulls_have_the_default_value_and_plain_names_are_accepted() {
     let mut file = settings(&[("a", "safe", 5000)], json!(3));
     file["customers"] = json!(["c", {"name": "d", "quota_per_s": 7}]);
     file["contract"]["fall_multiple"] = json!(null);
     file["limits"]["conn_idle"] = json!(null);
-    let resolved = IdCatalog::default().resolve(map(&file)).expect("it can be used");
+    let resolved = IdCatalog::default().resolve(map(&file)).expect("the settings are valid");
     assert_eq!(resolved.settings.quotas().collect::<Vec<_>>(), [0.0, 7.0]);
     assert_eq!(resolved.settings.rules.budget_multiple, 1.0);
     assert_eq!(resolved.settings.limits.idle_timeout, None);
     file["contract"] = json!(5);
-    let error = IdCatalog::default().resolve(map(&file)).expect_err("no object").to_string();
+    let error = IdCatalog::default().resolve(map(&file)).expect_err("not an object").to_string();
     assert_eq!(error, "setting `contract`: 5 is of the wrong type");
 }
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -298,7 +298,7 @@
     let good = config.clone();
     for (at, value, said) in [
         ("/settings/project_types/1/hard_limit", json!(0), "`thumb`: `hard_limit` is not a positive number"),
-        ("/settings/project_types/1/name", json!("other"), "`other` stands there twice"),
+        ("/settings/project_types/1/name", json!("other"), "`other` occurs twice"),
         ("/settings/limits/max_allocations", json!(-1), "`limits.max_allocations` is not a positive number"),
         ("/settings/contract", json!({}), "`contract.drain_grace` is missing"),
         ("/settings", json!({}), "names none"),
--- a/crates/daemon/tests/shape.rs
+++ b/crates/daemon/tests/shape.rs
@@ -38,7 +38,7 @@
         (with(&[copies.clone(), limits("max_allocations", json!(1))]), "", "`limits.max_allocations` of 2"),
         (with(&[copies]), &durable, "`limits.second_copies`: true cannot go with [durable]"),
         (with(&[("", "weight_source", json!("loud"))]), "", "`weight_source`: `loud`; silent"),
-        (with(&[talk, ("", "me", json!(4))]), &talks, "`me`: 4 is not under `balancers`"),
+        (with(&[talk, ("", "me", json!(4))]), &talks, "`me`: 4 is not below `balancers`"),
     ];
     let (_executor, discovery) = one_executor();
     let old = Node::start(&discovery);
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,23 +1,23 @@
-//! What nodes tell one another, as bytes: a version, a kind of message, and what that holds. Whoever reads passes
-//! over what it does not know, so that releases may differ among the nodes. Without I/O.
+//! Encodes and decodes gossip messages between nodes: a version, a message type, and the fields of that type. Decoding
+//! ignores unknown messages, so that nodes of different releases can exchange gossip. Without I/O.
 use troutknot::{GossipMessage, RequestClassId};
 use troutknot_membership::token;
 
-/// The longest message that may be sent or is read.
+/// Upper bound on the length of a message, in bytes; longer datagrams are not sent or read.
 pub const MAX_MESSAGE_BYTES: usize = 256;
 const VERSION: u8 = 1;
 const IDLE_CONNECTION_LOST: u8 = 1;
 const REQUEST_REJECTED: u8 = 2;
 
-/// The names of request classes by their ids here, which may be others at another node.
+/// The names of the request classes by their ids at this node. The ids may differ between nodes.
 pub type ClassNames<'a> = &'a [String];
 
-/// The lower bits of a name's token stand for it in a message.
+/// Returns the number that identifies a class in messages: the lower 16 bits of the token of its name.
 fn class_token(name: &str) -> u16 {
     token(name) as u16
 }
 
-/// A message as bytes.
+/// Encodes a message.
 ///
 /// ```
 /// use troutknot::{RequestClassId, GossipMessage::RequestRejected};
@@ -39,7 +39,8 @@
     }
 }
 
-/// What a message says; none where it is cut, too long, of another form or of a class that is not known here.
+/// Decodes a message. Returns `None` if it is truncated, too long, of an unknown version or type, or about a class that
+/// this node does not have.
 pub fn decode(bytes: &[u8], classes: ClassNames) -> Option<GossipMessage> {
     match bytes {
         [VERSION, IDLE_CONNECTION_LOST] => Some(GossipMessage::IdleConnectionLost),
--- a/crates/gossip/tests/compatibility.rs
+++ b/crates/gossip/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes, byte for byte as an earlier release wrote them (commit cc67128).
+//! Compatibility of datagrams with those of an earlier release (commit cc67128), byte for byte.
 use troutknot::{GossipMessage, RequestClassId};
 use troutknot_gossip::{decode, encode};
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn each_message_is_read_and_written_as_before() {
+fn each_message_has_the_encoding_of_the_earlier_release() {
     let classes = ["other".to_string(), "render".to_string()];
     let messages = [
         GossipMessage::IdleConnectionLost,
--- a/crates/gossip/tests/malformed_messages.rs
+++ b/crates/gossip/tests/malformed_messages.rs
@@ -1,23 +1,23 @@
-//! Datagrams that say nothing.
+//! Malformed and unknown datagrams are ignored.
 use troutknot::{GossipMessage, RequestClassId};
 use troutknot_gossip::{MAX_MESSAGE_BYTES, decode, encode};
 
 const VERSION: u8 = 1;
 
 #[test]
-fn odd_messages_say_nothing() {
-    let types = ["render".to_string()];
-    let good = encode(GossipMessage::RequestRejected { token: 9, class: RequestClassId(0) }, &types);
-    assert!(decode(&good, &types).is_some());
-    for (what, bytes) in [
+fn malformed_and_unknown_messages_are_not_decoded() {
+    let classes = ["render".to_string()];
+    let good = encode(GossipMessage::RequestRejected { token: 9, class: RequestClassId(0) }, &classes);
+    assert!(decode(&good, &classes).is_some());
+    for (case, bytes) in [
         ("empty", vec![]),
-        ("cut", good[..5].to_vec()),
-        ("longer", [&good[..], &[0]].concat()),
-        ("too long", vec![VERSION; MAX_MESSAGE_BYTES + 1]),
+        ("truncated", good[..5].to_vec()),
+        ("with an additional byte", [&good[..], &[0]].concat()),
+        ("longer than the upper bound", vec![VERSION; MAX_MESSAGE_BYTES + 1]),
         ("of another version", vec![VERSION + 1, 1]),
-        ("of another kind", vec![VERSION, 9]),
-        ("of a type that is not known here", [&good[..6], &[0, 0]].concat()),
+        ("of an unknown type", vec![VERSION, 9]),
+        ("about an unknown class", [&good[..6], &[0, 0]].concat()),
     ] {
-        assert_eq!(decode(&bytes, &types), None, "{what}");
+        assert_eq!(decode(&bytes, &classes), None, "{case}");
     }
 }
--- a/crates/membership/src/executor_registry.rs
+++ b/crates/membership/src/executor_registry.rs
@@ -1,12 +1,12 @@
-//! The executors that a host keeps in mind: names by handle, and handles by name.
+//! The registry of a host's executors: names by handle, and handles by name.
 use slotmap::SlotMap;
 use std::collections::HashMap;
 use troutknot::ExecutorId;
 
-/// Names of executors under handles with a generation.
+/// A registry of executor names by generational handles.
 ///
-/// Slots are given in the order of first mention. A released slot is given to another executor under another
-/// generation, so a handle from before finds nothing.
+/// Slots are assigned in the order of registration. A released slot is reused with another generation, so that an
+/// outdated handle has no name.
 ///
 /// ```
 /// use troutknot_membership::ExecutorRegistry;
@@ -24,7 +24,7 @@
 }
 
 impl ExecutorRegistry {
-    /// The handle of an executor; a name that is not registered gets a new one.
+    /// Returns the handle of an executor, and registers the name if it is new.
     pub fn register(&mut self, name: &str) -> ExecutorId {
         if let Some(executor) = self.get(name) {
             return executor;
@@ -34,8 +34,8 @@
         executor
     }
 
-    /// The same where at most `limit` are registered at a time; none for one name more. Guards against a list that
-    /// names more executors than there is memory for.
+    /// Returns the handle of an executor, and registers the name if it is new and fewer than `limit` are registered;
+    /// otherwise returns `None`. Guards against a list with more executors than fit into memory.
     ///
     /// ```
     /// let mut registry = troutknot_membership::ExecutorRegistry::default();
@@ -49,44 +49,44 @@
         fits.then(|| self.register(name))
     }
 
-    /// How many fit before the registry has to grow.
+    /// Returns the number of executors that fit without a reallocation.
     pub fn capacity(&self) -> usize {
         self.names.capacity()
     }
 
-    /// Makes room for so many in all, at once.
+    /// Reserves memory for this number of executors in total.
     pub fn reserve(&mut self, executors: usize) {
-        let more = executors.saturating_sub(self.names.len());
-        self.names.reserve(more);
-        self.handles.reserve(more);
+        let additional = executors.saturating_sub(self.names.len());
+        self.names.reserve(additional);
+        self.handles.reserve(additional);
     }
 
-    /// The handle of a name that is registered.
+    /// Returns the handle of a registered name.
     pub fn get(&self, name: &str) -> Option<ExecutorId> {
         self.handles.get(name).copied()
     }
 
-    /// The name of an executor; none for a handle that was released.
+    /// Returns the name of an executor; `None` for a released handle.
     pub fn name(&self, executor: ExecutorId) -> Option<&str> {
         self.names.get(executor).map(|name| &**name)
     }
 
-    /// All handles in the order of their slots.
+    /// Returns all handles in the order of their slots.
     pub fn handles(&self) -> impl Iterator<Item = ExecutorId> {
         self.names.keys()
     }
 
-    /// How many are registered.
+    /// Returns the number of registered executors.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether none is registered.
+    /// Whether no executor is registered.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// Forgets an executor; its name, unless it was released before.
+    /// Removes an executor and returns its name; `None` if the handle was already released.
     pub fn release(&mut self, executor: ExecutorId) -> Option<Box<str>> {
         let name = self.names.remove(executor)?;
         self.handles.remove(&name);
