--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,14 +1,14 @@
-//! Load shedding where probes are forbidden: new requests are rejected while this node's attempts start late, and
-//! admitted again once they start in time.
+//! Load shedding without probes: requests are rejected while this node's attempts start late, and admitted again once
+//! attempts start in time.
 mod helpers;
 use helpers::*;
 use std::collections::BTreeMap;
 use troutknot::*;
 
 const RUNNING_TIME: Millis = 50.0;
-/// The latest start in time: the latency objective of 100 ms, and the running time.
+/// Longest delay of a start in time: the latency objective of 100 ms plus the running time.
 const LATEST_START: Millis = 150.0;
-/// The latest end in time if starts are not reported: a quarter of the deadline of 5 s.
+/// Longest delay of an end in time if starts are not reported: a quarter of the deadline of 5 s.
 const LATEST_END: Millis = 1250.0;
 
 fn settings_without_probes(starts_reported: bool) -> Settings {
@@ -18,8 +18,8 @@
     settings
 }
 
-/// Offers requests one after the other, of which each starts after `wait` and runs for [`RUNNING_TIME`]. Returns how
-/// many were admitted.
+/// Sends requests one after the other; each attempt starts after `wait` and runs for [`RUNNING_TIME`]. Returns the
+/// number of admitted requests.
 fn admitted_of(node: &mut Node, requests: usize, class: u32, wait: Millis, starts_reported: bool) -> usize {
     let mut admitted = 0;
     for _ in 0..requests {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_late_start_counts_once_before_it_is_reported() {
+fn a_late_start_is_counted_only_once() {
     let admitted_after = |is_reported: bool| {
         let mut node = node_with(settings_without_probes(true));
         node.list_warm(4);
@@ -96,7 +96,7 @@
     assert!(admitted[0] > 2 * admitted[1] && admitted[1] > 0, "{admitted:?}");
 }
 
-/// Where probes show queues, late starts have no effect on admission.
+/// If probes show the queues, late starts have no effect on admission.
 #[test]
 fn late_starts_do_not_count_where_queues_can_be_probed() {
     let mut node = node_numbered(300.0, Some(0.0));
@@ -112,24 +112,24 @@
     }
 }
 
-/// The start or the end of a request of a node.
+/// The start or the end of an attempt.
 struct DueEvent {
     node: usize,
     request_id: RequestId,
     is_start: bool,
 }
 
-/// Executors with first-in-first-out queues that cannot be probed.
+/// A model of executors with first-in-first-out queues that cannot be probed.
 struct QueueModel {
-    /// When each slot of each executor is free.
+    /// When each slot of each executor becomes free.
     free_at: Vec<[Millis; 2]>,
-    /// What is due, by time and sequence number.
+    /// Scheduled events, by the bits of their time and a sequence number.
     due: BTreeMap<(u64, u64), DueEvent>,
     sequence: u64,
 }
 
 impl QueueModel {
-    fn offer(
+    fn enqueue(
         &mut self,
         now: Millis,
         node: usize,
@@ -148,17 +148,17 @@
     }
 }
 
-/// The shares of requests that were answered within a second, and that were rejected.
-struct Served {
+/// The shares of requests that were answered within one second, and that were rejected.
+struct ServiceRatios {
     in_time: f64,
     rejected: f64,
 }
 
-/// Ten nodes offer this multiple of the capacity of eight executors for 60 s.
-fn serve(load: f64) -> Served {
+/// Simulates ten nodes that receive `load` times the capacity of eight executors for 60 s.
+fn simulate(load: f64) -> ServiceRatios {
     const NODES: usize = 10;
-    const WORK: Millis = 400.0;
-    let interval = WORK / (8.0 * 2.0) / load;
+    const QUEUED_RUNNING_TIME: Millis = 400.0;
+    let interval = QUEUED_RUNNING_TIME / (8.0 * 2.0) / load;
     let mut nodes: Vec<Node> =
         (0..NODES).map(|seed| node_with_seed(settings_without_probes(true), seed as u64)).collect();
     nodes.iter_mut().for_each(|node| node.list_warm(8));
@@ -185,19 +185,19 @@
         match dispatched_to(&actions) {
             Some(executor) => {
                 in_flight.insert((node, request_id), now);
-                model.offer(now, node, request_id, executor, WORK);
+                model.enqueue(now, node, request_id, executor, QUEUED_RUNNING_TIME);
             }
             None => rejected += 1,
         }
     }
-    Served { in_time: in_time as f64 / offered as f64, rejected: rejected as f64 / offered as f64 }
+    ServiceRatios { in_time: in_time as f64 / offered as f64, rejected: rejected as f64 / offered as f64 }
 }
 
 #[test]
-fn an_overload_of_half_the_capacity_is_served_in_part() {
-    let Served { in_time, rejected } = serve(1.5);
+fn requests_are_served_in_time_during_an_overload_of_half_the_capacity() {
+    let ServiceRatios { in_time, rejected } = simulate(1.5);
     assert!(in_time > 0.3, "{in_time} in time, {rejected} rejected");
     assert!((0.2..0.6).contains(&rejected), "{in_time} in time, {rejected} rejected");
-    let Served { in_time, rejected } = serve(0.7);
+    let ServiceRatios { in_time, rejected } = simulate(0.7);
     assert!(in_time > 0.8 && rejected < 0.02, "{in_time} in time, {rejected} rejected");
 }
--- a/tests/connections_and_hedging.rs
+++ b/tests/connections_and_hedging.rs
@@ -1,4 +1,4 @@
-//! Connections that break while idle, hedged requests, rejections by class, and budgets by weights.
+//! Broken idle connections, hedged requests, rejections by class, and the nodes that share a warm-up budget.
 mod helpers;
 use helpers::*;
 use troutknot::settings::WeightSource;
@@ -10,7 +10,7 @@
     ReportsStart,
 }
 
-/// Settings with an idle timeout of 15 s and these flags.
+/// Returns settings with an idle timeout of 15 s and these flags.
 fn settings_with(flags: &[Flag]) -> Settings {
     let mut settings = settings_of(1.0, None);
     settings.limits.idle_timeout = Some(15_000.0);
@@ -24,9 +24,10 @@
     settings
 }
 
-/// After a reset over an idle connection before any start, peers are notified, and idle connections are closed for 30 s.
+/// After a reset over an idle connection, before the attempt started, peers are notified and idle connections are
+/// closed for 30 s. Otherwise further requests would be lost over broken connections.
 #[test]
-fn idle_connections_are_closed_after_one_broke() {
+fn idle_connections_are_closed_after_one_was_found_broken() {
     for (idle_time, has_started, reset_after, is_stale) in [
         (2e3, false, 1.0, true),
         (2e3, true, 1.0, false),
@@ -53,11 +54,11 @@
             let closes = node
                 .answer_probes(actions, |_| 0.0)
                 .iter()
-                .any(|a| matches!(a, Action::CloseIdleConnections { .. }));
+                .any(|action| matches!(action, Action::CloseIdleConnections { .. }));
             assert_eq!(
                 closes,
                 is_stale && (1..30).contains(&age),
-                "{idle_time} {has_started} {reset_after}: {age} s"
+                "idle for {idle_time} ms, started: {has_started}, reset after {reset_after} ms, {age} s later"
             );
             node.end_attempt(request_id, 0, Outcome::Completed);
             node.now += 1000.0;
@@ -65,8 +66,8 @@
     }
 }
 
-/// An attempt that has not started though its executor shows capacity was lost: the request is hedged if it may be, and
-/// peers are notified.
+/// An attempt that has not started although its executor reports free capacity was lost. The request is hedged if its
+/// class allows it, and peers are notified.
 #[test]
 fn a_lost_attempt_is_hedged() {
     for (flags, class, has_started, queue_length, free_slots, is_hedged) in [
@@ -92,8 +93,9 @@
             ..LoadReport::default()
         };
         let actions = node.handle(probe_reply(executor, 1.0, report));
-        let is_reported =
-            actions.iter().any(|a| matches!(a, Action::Gossip(GossipMessage::RequestRejected { .. })));
+        let is_reported = actions
+            .iter()
+            .any(|action| matches!(action, Action::Gossip(GossipMessage::RequestRejected { .. })));
         let second = dispatched_to(&node.answer_probes(actions, |_| 0.0));
         assert_eq!(
             (is_reported, second.is_some_and(|second| second != executor)),
@@ -102,7 +104,7 @@
     }
 }
 
-/// Whatever the outcomes of two attempts and their order, a request has one answer.
+/// A hedged request has one answer for any outcomes of its two attempts, in either order.
 #[test]
 fn a_hedged_request_has_one_answer() {
     use Outcome::*;
@@ -120,16 +122,17 @@
         assert_eq!(
             response_to(&node.end_attempt(request_id, order[0], early)),
             Response::Waiting,
-            "answered, or the other is in flight"
+            "already answered, or the other attempt is in flight"
         );
         let actions = node.end_attempt(request_id, order[1], late);
         assert_eq!(response_to(&actions), expected, "{early:?} {late:?}");
     }
 }
 
-/// Rejections, observed or reported by a peer, count for their class alone and never exclude an executor.
+/// Rejections, observed or reported by a peer, lower the weight of an executor for their class only, and never exclude
+/// it.
 #[test]
-fn rejections_count_by_class() {
+fn rejections_lower_the_weight_for_their_class_only() {
     let token = endpoint(2, 2, EndpointState::Ready, None).token as u32;
     for (is_observed, token, is_fewer) in [(true, 0, true), (false, token, true), (false, 5, false)] {
         let mut node = node_with(settings_with(&[Flag::Gossip]));
@@ -138,8 +141,8 @@
         for number in 0..800 {
             node.now += 50.0;
             let message = GossipMessage::RequestRejected { token, class: RequestClassId(3) };
-            let echo = if is_observed { Vec::new() } else { node.handle(Event::GossipReceived(message)) };
-            assert!(!echo.contains(&Action::Gossip(message)));
+            let followed = if is_observed { Vec::new() } else { node.handle(Event::GossipReceived(message)) };
+            assert!(!followed.contains(&Action::Gossip(message)));
             let (request_id, executor) = node.dispatched([0, 3][number % 2]);
             dispatched[number % 2] += usize::from(number_of(executor) == 2);
             let is_rejected = is_observed && number_of(executor) == 2 && number % 2 == 1;
@@ -156,10 +159,10 @@
     }
 }
 
-/// The longer the latency objective, the fewer nodes share a budget; if weights fall with load, the largest one is the
-/// capacity.
+/// The longer the latency objective, the fewer nodes share a warm-up budget. If weights fall with load, the largest
+/// weight is the capacity.
 #[test]
-fn the_nodes_of_a_budget_follow_from_objective_and_weights() {
+fn the_nodes_that_share_a_budget_depend_on_objective_and_weights() {
     for (latency_objective, weight_source, nodes) in [
         (50.0, WeightSource::Unstated, 8),
         (500.0, WeightSource::Unstated, 3),
@@ -177,9 +180,9 @@
                 |weight, started| Endpoint { weight, ..endpoint(5, 5, EndpointState::Ready, started) };
             node.update_endpoints(ListUpdate::Snapshot, &[weighted(4.0, None)]);
             node.update_endpoints(ListUpdate::Snapshot, &[weighted(1.0, Some(45_000.0))]);
-            node.arrive(0).1.iter().any(|a| matches!(a, Action::Probe { .. }))
+            node.arrive(0).1.iter().any(|action| matches!(action, Action::Probe { .. }))
         };
         let count = (0..40).filter(has_budget).count();
-        assert_eq!(count, nodes, "{latency_objective} {weight_source:?}");
+        assert_eq!(count, nodes, "objective of {latency_objective} ms, weights {weight_source:?}");
     }
 }
--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -1,4 +1,4 @@
-//! Calls for the endpoint list after it was lost.
+//! The times of calls for the endpoint list after its watch was lost.
 mod helpers;
 use helpers::*;
 use troutknot::settings::DiscoveryMode;
@@ -19,17 +19,17 @@
     }
 }
 
-/// After a common failure, a hundred nodes spread their calls over much of the poll interval; few nodes, and all
-/// nodes after a list that was received, call soon.
+/// After a failure at all of them, 100 nodes spread their calls over much of the poll interval, so that they do not
+/// overload the source. Two nodes, and all nodes right after the list was received, call soon.
 #[test]
-fn many_nodes_that_are_rejected_spread_their_calls() {
+fn many_rejected_nodes_spread_their_calls() {
     for (nodes, was_received, earliest, latest) in
         [(100.0, false, 5000.0, 9500.0), (100.0, true, 0.0, 200.0), (2.0, false, 0.0, 500.0)]
     {
         let waits: Vec<f64> = (0..100)
             .map(|seed| {
                 let mut settings = settings_of(nodes, None);
-                // Even if the list is pushed: its source is reachable and has too many calls.
+                // This also holds for a pushed list: its source is reachable and receives too many calls.
                 settings.discovery_mode =
                     if seed % 2 == 0 { DiscoveryMode::Push } else { DiscoveryMode::Subscribe };
                 settings.rules.drain_grace = Some(2000.0);
@@ -46,19 +46,19 @@
         let last = waits.iter().copied().fold(0.0, f64::max);
         assert!(
             last >= earliest && last <= latest,
-            "{nodes} nodes, list received: {was_received}, the last after {last}"
+            "{nodes} nodes, list received: {was_received}, last call after {last} ms"
         );
-        // In no half second a quarter of them call.
+        // Fewer than a quarter of the nodes call in any half second.
         let busiest =
             (0..20).map(|slice| waits.iter().filter(|&&wait| (wait / 500.0) as i32 == slice).count()).max();
         assert!(earliest == 0.0 || busiest < Some(25), "{busiest:?}");
     }
 }
 
-/// A pushed list that fell silent is called for within a quarter of the drain grace, whatever the number of nodes and
-/// of failures.
+/// After a pushing source stopped answering, calls follow within a quarter of the drain grace, for any number of nodes
+/// and failures. Otherwise a node would dispatch to executors whose drain it has not received.
 #[test]
-fn a_pushed_list_is_called_for_within_a_part_of_the_drain_grace() {
+fn calls_to_a_silent_pushing_source_follow_within_a_part_of_the_drain_grace() {
     for (nodes, grace, latest) in [(300.0, 2000.0, 500.0), (6.0, 2000.0, 500.0), (300.0, 250.0, 100.0)] {
         let mut settings = settings_of(nodes, None);
         settings.discovery_mode = DiscoveryMode::Push;
@@ -69,7 +69,7 @@
                 let wait = next_call_after(&mut node, false);
                 assert!(
                     (50.0..=latest).contains(&wait),
-                    "{nodes} nodes, failure {failure}: {wait} of {grace}"
+                    "{nodes} nodes, failure {failure}: {wait} ms, grace of {grace} ms"
                 );
                 node.now += wait;
                 assert!(node.handle(Event::TimerFired).contains(&Action::WatchEndpoints));
@@ -78,7 +78,7 @@
     }
 }
 
-/// All calls follow within the poll interval; the first ones after a list that fell silent follow soon.
+/// All calls follow within the poll interval, and the first ones after the loss of a received list follow soon.
 #[test]
 fn calls_follow_within_the_poll_interval() {
     const POLL_INTERVAL: Millis = 3000.0;
@@ -99,7 +99,10 @@
                     2 if !is_rejected => 400.0,
                     _ => POLL_INTERVAL,
                 };
-                assert!(wait <= latest, "{mode:?}, grace {grace}, {is_rejected}, failure {failure}: {wait}");
+                assert!(
+                    wait <= latest,
+                    "{mode:?}, grace {grace} ms, rejected: {is_rejected}, failure {failure}: {wait} ms"
+                );
                 node.now += wait;
                 assert!(node.handle(Event::TimerFired).contains(&Action::WatchEndpoints));
             }
@@ -107,9 +110,10 @@
     }
 }
 
-/// Time from the loss of the list to the next call.
+/// Reports the loss of the list and returns the time to the next call, in milliseconds.
 fn next_call_after(node: &mut Node, is_rejected: bool) -> f64 {
     let actions = node.handle(Event::EndpointWatchLost { is_rejected });
-    let at = actions.iter().find_map(|a| if let Action::SetTimer { at } = a { Some(*at) } else { None });
+    let at =
+        actions.iter().find_map(|action| if let Action::SetTimer { at } = action { Some(*at) } else { None });
     at.expect("a next call") - node.now
 }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,22 +1,22 @@
-//! A node with given settings, and short ways to report events to it.
+//! Test helpers: a dispatcher with its clock, settings, and shorthand for events and actions.
 #![allow(dead_code)]
 use slotmap::{Key, KeyData};
 use troutknot::settings::{ClassSettings, RuleSettings, TenantSettings};
 use troutknot::*;
 
-/// The first handle of the slot with this number.
+/// Returns the handle of the slot with this number before any release.
 pub fn executor(number: u32) -> ExecutorId {
     reused_handle(number, 0)
 }
 
-/// The handle of the slot with this number after this many releases.
+/// Returns the handle of the slot with this number after this many releases.
 pub fn reused_handle(number: u32, releases: u32) -> ExecutorId {
-    // Slot 0 is never used, and the generation of a slot in use is odd.
+    // `SlotMap` never uses slot 0, and the generation of an occupied slot is odd.
     let (slot, generation) = (u64::from(number) + 1, u64::from(2 * releases + 1));
     KeyData::from_ffi(generation << 32 | slot).into()
 }
 
-/// The number of a handle's slot.
+/// Returns the number of a handle's slot.
 pub fn number_of(executor: ExecutorId) -> u32 {
     executor.data().as_ffi() as u32 - 1
 }
@@ -28,18 +28,18 @@
     last_request: u64,
 }
 
-/// A node with the settings of [`settings_of`].
+/// Creates a node with the settings of [`settings_of`] and no number of its own.
 pub fn node(nodes: f64) -> Node {
     node_numbered(nodes, None)
 }
 
-/// A node that knows its own number among the nodes.
+/// Creates a node with this number among the nodes.
 pub fn node_numbered(nodes: f64, number: Option<f64>) -> Node {
     node_with(settings_of(nodes, number))
 }
 
-/// Settings with four classes: 0 idempotent, 1 deduplicated by all executors, 2 deduplicated within a group, 3
-/// at most once.
+/// Returns settings with four classes: 0 idempotent, 1 deduplicated by all executors, 2 deduplicated within a group,
+/// 3 at most once.
 pub fn settings_of(nodes: f64, number: Option<f64>) -> Settings {
     let class = |(effect, deduplication_scope)| ClassSettings {
         effect,
@@ -57,7 +57,7 @@
         (Effect::Deduplicated, DeduplicationScope::Group),
         (Effect::AtMostOnce, DeduplicationScope::Group),
     ];
-    // Tenant 0 has an ample quota, tenant 1 hardly any.
+    // Tenant 0 has a quota of 1e9 requests per second, tenant 1 of one.
     let tenants = [1e9, 1.0].map(|quota| TenantSettings { quota_per_s: Some(quota) });
     let mut settings = Settings {
         nodes,
@@ -89,7 +89,7 @@
     node_started_at(0.0, settings, seed)
 }
 
-/// A node whose process starts at this time.
+/// Creates a node whose process starts at this time.
 pub fn node_started_at(now: Millis, settings: Settings, seed: u64) -> Node {
     Node { dispatcher: Dispatcher::new(&settings, seed, now), now, last_request: 0 }
 }
@@ -107,20 +107,20 @@
     }
 }
 
-/// The reply to a probe.
+/// Returns the event of a probe reply.
 pub fn probe_reply(executor: ExecutorId, latency: Millis, report: LoadReport) -> Event {
     Event::ProbeCompleted { executor, reply: Some(ProbeReply { latency, report }) }
 }
 
 impl Node {
-    /// The actions that are due.
+    /// Returns the due actions.
     pub fn poll(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.poll_actions(self.now, &mut actions);
         actions
     }
 
-    /// Reports one event, and returns the actions that follow.
+    /// Reports one event and returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         self.dispatcher.handle_event(self.now, event);
         self.poll()
@@ -130,7 +130,7 @@
         self.handle(Event::EndpointsUpdated { update, endpoints: endpoints.to_vec() })
     }
 
-    /// Lists this many ready, warm executors from 0 on, each in a group of its own.
+    /// Lists this many ready, warm executors, numbered from 0, each in a group of its own.
     pub fn list_warm(&mut self, count: u32) {
         let warm = |number| endpoint(number, number, EndpointState::Ready, None);
         let endpoints: Vec<Endpoint> = (0..count).map(warm).collect();
@@ -156,8 +156,8 @@
         (request_id, actions)
     }
 
-    /// Replies to each probe with the queue length that `queue` gives by executor, until there are no more
-    /// probes. Returns the other actions. An executor without a queue has four free slots.
+    /// Replies to all probes, including those that follow, with the queue length that `queue` returns for the executor.
+    /// An executor without a queue has four free slots. Returns the other actions.
     pub fn answer_probes(&mut self, mut actions: Vec<Action>, queue: impl Fn(u32) -> f64) -> Vec<Action> {
         let mut others = Vec::new();
         while let Some(at) = actions.iter().position(|action| matches!(action, Action::Probe { .. })) {
@@ -175,7 +175,7 @@
         others
     }
 
-    /// Ends an attempt; one that completed closes its request.
+    /// Ends an attempt. A completed one closes its request.
     pub fn end_attempt(&mut self, request_id: RequestId, attempt_id: u32, outcome: Outcome) -> Vec<Action> {
         self.handle(Event::AttemptEnded {
             request_id,
@@ -185,7 +185,7 @@
         })
     }
 
-    /// A request that arrived and was dispatched after probes that showed free capacity: its id and executor.
+    /// Reports an arrival and answers the probes with free capacity. Returns the id of the request and its executor.
     pub fn dispatched(&mut self, class: u32) -> (RequestId, ExecutorId) {
         let (request_id, actions) = self.arrive(class);
         let actions = self.answer_probes(actions, |_| 0.0);
@@ -193,7 +193,7 @@
     }
 }
 
-/// The executor of the first dispatch among the actions.
+/// Returns the executor of the first dispatch among the actions.
 pub fn dispatched_to(actions: &[Action]) -> Option<ExecutorId> {
     actions.iter().find_map(|action| match action {
         Action::Dispatch { executor, .. } => Some(*executor),
@@ -201,7 +201,7 @@
     })
 }
 
-/// The executor of the first probe among the actions.
+/// Returns the executor of the first probe among the actions.
 pub fn probed(actions: &[Action]) -> Option<ExecutorId> {
     actions.iter().find_map(|action| match action {
         Action::Probe { executor } => Some(*executor),
@@ -209,7 +209,7 @@
     })
 }
 
-/// The send deadline of the first dispatch among the actions.
+/// Returns the send deadline of the first dispatch among the actions.
 pub fn send_deadline(actions: &[Action]) -> Option<Millis> {
     actions.iter().find_map(|action| match action {
         Action::Dispatch { send_deadline, .. } => Some(*send_deadline),
@@ -217,18 +217,18 @@
     })
 }
 
-/// What actions mean for the requests.
+/// The effect of actions on the requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Response {
     /// A request waits.
     Waiting,
-    /// A request is probed for or dispatched.
+    /// An executor is probed for a request, or the request is dispatched.
     Dispatching,
     Rejected,
     Failed,
 }
 
-/// The first answer among the actions; else whether there is a probe or a dispatch.
+/// Returns the first answer among the actions; without an answer, whether there is a probe or a dispatch.
 pub fn response_to(actions: &[Action]) -> Response {
     let mut response = Response::Waiting;
     for action in actions {
@@ -242,7 +242,7 @@
     response
 }
 
-/// One of 300 nodes that may not probe.
+/// Creates one of 300 nodes that may not probe.
 pub fn node_without_probes(starts_reported: bool) -> Node {
     let mut settings = settings_of(300.0, Some(0.0));
     settings.limits.probes_enabled = false;
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -1,4 +1,4 @@
-//! Outliers: executors that are slow or fail are sampled less, and are tried again.
+//! Outlier detection: executors that are slow or fail are sampled less, and are tried again later.
 mod helpers;
 use helpers::*;
 use troutknot::*;
@@ -22,7 +22,8 @@
     assert!(even > 30 && slow < even * 3 / 4 && slow > 0, "{even} before, {slow} when ten times slower");
 }
 
-/// Ordinary long requests at a busy node do not hide an executor that fails most of its requests.
+/// The slow requests that a busy node has at all executors do not mask an executor that fails three quarters of its
+/// requests.
 #[test]
 fn a_score_rates_outcomes_and_not_their_number() {
     let mut node = node(1.0);
@@ -44,15 +45,15 @@
     assert!(dispatched[..3].iter().all(|&count| count > 200), "{dispatched:?} of 1000 by executor");
 }
 
-/// An executor in slow start is several times slower. It is not scored for that, nor do its response times raise the
-/// cost of requests, or it would stay idle while the others queue.
+/// An executor in slow start is several times slower. Its score must not rise for that, and its response times must not
+/// raise the estimated cost of requests; otherwise it would stay idle while the other executors have queues.
 #[test]
 fn slowness_in_slow_start_is_not_penalized() {
     let sampled_and_dispatched = |slow: bool| {
         let mut node = node(9.0);
-        let fresh = |e| if e < 4 { None } else { Some(0.0) };
+        let started_at = |number| if number < 4 { None } else { Some(0.0) };
         let endpoints: Vec<Endpoint> =
-            (0..8).map(|e| endpoint(e, e, EndpointState::Ready, fresh(e))).collect();
+            (0..8).map(|number| endpoint(number, number, EndpointState::Ready, started_at(number))).collect();
         node.update_endpoints(ListUpdate::Snapshot, &endpoints);
         for _ in 0..30 {
             let (request_id, executor) = node.dispatched(0);
@@ -77,12 +78,22 @@
         (sampled, dispatched.count())
     };
     let (usual, slow) = (sampled_and_dispatched(false), sampled_and_dispatched(true));
-    assert!(slow.0 as f64 > 0.85 * usual.0 as f64, "sampled {} of 600 if slow, else {}", slow.0, usual.0);
-    assert!(slow.1 as f64 > 0.85 * usual.1 as f64, "dispatched {} if slow, else {}", slow.1, usual.1);
+    assert!(
+        slow.0 as f64 > 0.85 * usual.0 as f64,
+        "sampled {} of 600 if slow, {} otherwise",
+        slow.0,
+        usual.0
+    );
+    assert!(
+        slow.1 as f64 > 0.85 * usual.1 as f64,
+        "dispatched {} of 600 if slow, {} otherwise",
+        slow.1,
+        usual.1
+    );
 }
 
-/// After one fault, a node that meets each of 60 executors once in six seconds still avoids the executor at the next
-/// meeting. With five executors and the same traffic it is tried again by then.
+/// A node that dispatches to each of 60 executors once in six seconds still avoids an executor at the next attempt after
+/// one fault. With five executors and the same traffic, the executor is tried again by then.
 #[test]
 fn a_fault_outlasts_the_time_to_the_next_attempt() {
     for (executors, is_avoided) in [(60, true), (5, false)] {
@@ -95,7 +106,8 @@
             if number == 40 {
                 faulty = Some(executor);
                 let actions = node.end_attempt(request_id, 0, Outcome::Error);
-                dispatched_to(&node.answer_probes(actions, |_| 0.0)).expect("it may run again");
+                dispatched_to(&node.answer_probes(actions, |_| 0.0))
+                    .expect("an idempotent request is retried");
                 node.end_attempt(request_id, 1, Outcome::Completed);
             } else {
                 node.end_attempt(request_id, 0, Outcome::Completed);
@@ -112,7 +124,7 @@
         let share = (0..arrivals).filter(samples_it).count() as f64 / 40.0;
         assert!(
             if is_avoided { share < 0.4 } else { share > 0.6 },
-            "{executors}: sampled {share:.2} times an even part"
+            "{executors} executors: sampled {share:.2} times an even share"
         );
     }
 }
--- a/tests/queueing.rs
+++ b/tests/queueing.rs
@@ -1,13 +1,13 @@
-//! Queueing at the node, and quotas while capacity is short.
+//! Queueing at the node, and tenant quotas while capacity is short.
 mod helpers;
 use helpers::*;
 use troutknot::*;
 
-/// Without capacity, a request is sampled for a second time and queued, until an attempt of this node ends or the
-/// request is rejected.
+/// Without capacity, a request samples executors twice and is queued, until an attempt of this node ends or the request
+/// is rejected.
 #[test]
 fn a_request_is_queued_while_it_may_be_in_time() {
-    for (ends, expected) in [(true, Response::Dispatching), (false, Response::Rejected)] {
+    for (has_ended, expected) in [(true, Response::Dispatching), (false, Response::Rejected)] {
         let mut node = node(1.0);
         node.list_warm(2);
         let (running, executor) = node.dispatched(0);
@@ -15,23 +15,24 @@
         let actions = node.answer_probes(actions, |_| 5.0);
         assert_eq!(response_to(&actions), Response::Waiting, "nothing is dispatched into a queue");
         let mut followed = actions;
-        if ends {
+        if has_ended {
             node.now += 10.0;
             let actions = node.end_attempt(running, 0, Outcome::Completed);
             assert!(actions.contains(&Action::Probe { executor }));
             followed = node.answer_probes(actions, |_| 0.0);
             assert_eq!(dispatched_to(&followed), Some(executor));
         }
-        while !ends && response_to(&followed) == Response::Waiting && node.now < 1000.0 {
+        while !has_ended && response_to(&followed) == Response::Waiting && node.now < 1000.0 {
             node.now += 10.0;
             let actions = node.handle(Event::TimerFired);
             followed = node.answer_probes(actions, |_| 5.0);
         }
         assert_eq!(response_to(&followed), expected);
         assert!(
-            ends || (node.now < 400.0
-                && followed.iter().any(|a| matches!(a,
-            Action::Reject { request_id: gone, retry_after: Some(_) } if *gone == request_id)))
+            has_ended
+                || (node.now < 400.0
+                    && followed.iter().any(|action| matches!(action,
+            Action::Reject { request_id: rejected, retry_after: Some(_) } if *rejected == request_id)))
         );
     }
 }
@@ -55,7 +56,7 @@
     }
 }
 
-/// Among hundreds of nodes a node's part of a quota is far under one request, and still allows a small burst.
+/// With hundreds of nodes, one node's part of a quota is far below one request, but still allows a small burst.
 #[test]
 fn a_small_part_of_a_quota_allows_a_small_burst() {
     let mut node = node(300.0);
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,12 +1,13 @@
-//! Retries: what follows an outcome, by class, window and number of attempts.
+//! Retries: the response to an outcome, by class, deduplication window and number of attempts.
 mod helpers;
 use helpers::*;
 use troutknot::settings::ClassSettings;
 use troutknot::*;
 
-/// By class and outcome of the first attempt: the request is retried, rejected or failed.
+/// After the first attempt, the request is retried, rejected or failed, depending on its class and the outcome.
+/// Otherwise at-most-once requests could run twice.
 #[test]
-fn what_follows_an_outcome() {
+fn the_response_to_an_outcome_depends_on_the_class() {
     use Outcome::*;
     let never_ran = [Rejected, NoConnection, NotSent];
     let may_have_run = [Error, TimedOut, Reset, Cancelled];
@@ -23,7 +24,7 @@
                 let mut node = node(1.0);
                 node.list_warm(3);
                 let (request_id, executor) = node.dispatched(class);
-                // Without its only executor, a deduplication group cannot run a retry.
+                // A deduplication group without its only executor has none for a retry.
                 if class == 2 {
                     node.update_endpoints(
                         ListUpdate::Delta,
@@ -33,39 +34,44 @@
                 }
                 let actions = node.end_attempt(request_id, 0, outcome);
                 assert_eq!(response_to(&actions), expected, "class {class} after {outcome:?}");
-                // A connection may be established after the deduplication window, in which repeats are dropped.
-                let until = if class == 1 && !outcome.never_ran() { 1600.0 } else { 5000.0 };
-                let until = (expected == Response::Dispatching).then_some(until);
+                // Repeats are dropped within the deduplication window only, and a connection may be established later.
+                let deadline = if class == 1 && !outcome.never_ran() { 1600.0 } else { 5000.0 };
+                let deadline = (expected == Response::Dispatching).then_some(deadline);
                 assert_eq!(
                     send_deadline(&node.answer_probes(actions, |_| 0.0)),
-                    until,
-                    "{class} {outcome:?}"
+                    deadline,
+                    "class {class} after {outcome:?}"
                 );
             }
         }
     }
 }
 
-/// Attempts of an earlier process count like those of this one; the request waits for one in flight.
+/// Attempts of an earlier process count like those of this process. A request waits for one in flight.
 #[test]
 fn attempts_of_an_earlier_process_count() {
     use Outcome::*;
     let cases: &[(&str, u32, &[Option<Outcome>], Response)] = &[
-        ("at-most-once work that may have run", 3, &[Some(Reset)], Response::Failed),
-        ("at-most-once work that never ran", 3, &[Some(NotSent)], Response::Dispatching),
-        ("at-most-once work that is in flight", 3, &[None], Response::Waiting),
-        ("one is in flight after another that never ran", 3, &[Some(Rejected), None], Response::Waiting),
-        ("three that never ran", 3, &[Some(Rejected), Some(NotSent), Some(NoConnection)], Response::Rejected),
-        ("idempotent work that may have run", 0, &[Some(Reset)], Response::Dispatching),
+        ("an at-most-once request that may have run", 3, &[Some(Reset)], Response::Failed),
+        ("an at-most-once request that never ran", 3, &[Some(NotSent)], Response::Dispatching),
+        ("an at-most-once request in flight", 3, &[None], Response::Waiting),
+        ("an attempt in flight after one that never ran", 3, &[Some(Rejected), None], Response::Waiting),
         (
-            "idempotent work that may have run three times",
+            "three attempts that never ran",
+            3,
+            &[Some(Rejected), Some(NotSent), Some(NoConnection)],
+            Response::Rejected,
+        ),
+        ("an idempotent request that may have run", 0, &[Some(Reset)], Response::Dispatching),
+        (
+            "an idempotent request that may have run three times",
             0,
             &[Some(Reset), Some(Error), Some(TimedOut)],
             Response::Rejected,
         ),
-        ("deduplicated work in its window", 1, &[Some(Reset)], Response::Dispatching),
+        ("a deduplicated request within its window", 1, &[Some(Reset)], Response::Dispatching),
     ];
-    for (what, class, earlier, expected) in cases {
+    for (case, class, earlier, expected) in cases {
         let mut node = node(1.0);
         node.list_warm(3);
         node.update_endpoints(ListUpdate::Delta, &[endpoint(9, 9, EndpointState::Gone, None)]);
@@ -93,22 +99,23 @@
         }
         let polled = node.poll();
         let actions = node.answer_probes(polled, |_| 0.0);
-        assert_eq!(response_to(&actions), *expected, "{what}");
+        assert_eq!(response_to(&actions), *expected, "{case}");
         if earlier.last() == Some(&None) {
-            // Its end is reported at last.
+            // The end of the last attempt is reported now.
             let ended = node.end_attempt(request_id, earlier.len() as u32 - 1, NotSent);
-            assert!(dispatched_to(&node.answer_probes(ended, |_| 0.0)).is_some(), "{what}");
+            assert!(dispatched_to(&node.answer_probes(ended, |_| 0.0)).is_some(), "{case}");
         }
     }
 }
 
-/// A deduplicated request that may have run is retried within its group and its window only.
+/// A deduplicated request that may have run is retried only within its group and its window; otherwise it could run
+/// twice.
 #[test]
 fn deduplicated_requests_are_retried_in_their_group_and_window() {
     for (after, expected) in [(100.0, Response::Dispatching), (1700.0, Response::Failed)] {
         let mut node = node(1.0);
         let endpoints: Vec<Endpoint> =
-            (0..6).map(|e| endpoint(e, e % 2, EndpointState::Ready, None)).collect();
+            (0..6).map(|number| endpoint(number, number % 2, EndpointState::Ready, None)).collect();
         node.update_endpoints(ListUpdate::Snapshot, &endpoints);
         let (request_id, executor) = node.dispatched(2);
         node.now = after;
@@ -122,7 +129,7 @@
 }
 
 #[test]
-fn attempts_are_limited_and_answers_final() {
+fn attempts_are_limited_and_a_rejection_is_final() {
     let mut node = node(1.0);
     node.list_warm(6);
     let (request_id, _) = node.dispatched(3);
@@ -131,11 +138,14 @@
         dispatched_to(&node.answer_probes(actions, |_| 0.0)).unwrap();
     }
     assert_eq!(response_to(&node.end_attempt(request_id, 2, Outcome::Rejected)), Response::Rejected);
-    assert!(node.end_attempt(request_id, 2, Outcome::Rejected).is_empty(), "nothing follows a final answer");
+    assert!(
+        node.end_attempt(request_id, 2, Outcome::Rejected).is_empty(),
+        "no action follows a final answer"
+    );
 }
 
 #[test]
-fn new_settings_apply_to_new_requests_alone() {
+fn new_settings_apply_to_new_requests_only() {
     let mut node = node(1.0);
     node.list_warm(6);
     let ((idempotent, _), (at_most_once, _)) = (node.dispatched(0), node.dispatched(3));
@@ -150,17 +160,17 @@
     });
     settings.limits.max_attempts = Some(1.0);
     node.dispatcher.apply_settings(node.now, &settings);
-    let lost = |node: &mut Node, request_id: RequestId| {
+    let response_to_reset = |node: &mut Node, request_id: RequestId| {
         let actions = node.end_attempt(request_id, 0, Outcome::Reset);
         response_to(&node.answer_probes(actions, |_| 0.0))
     };
     assert_eq!(
-        (lost(&mut node, idempotent), lost(&mut node, at_most_once)),
+        (response_to_reset(&mut node, idempotent), response_to_reset(&mut node, at_most_once)),
         (Response::Dispatching, Response::Failed),
-        "the terms at their arrival"
+        "requests keep the terms at their arrival"
     );
     let (strict, _) = node.dispatched(4);
-    assert_eq!(lost(&mut node, strict), Response::Failed);
+    assert_eq!(response_to_reset(&mut node, strict), Response::Failed);
     let (strict, _) = node.dispatched(4);
     assert_eq!(
         response_to(&node.end_attempt(strict, 0, Outcome::Rejected)),
@@ -168,5 +178,5 @@
         "one attempt"
     );
     let (idempotent, _) = node.dispatched(0);
-    assert_eq!(lost(&mut node, idempotent), Response::Dispatching, "a class retains its terms");
+    assert_eq!(response_to_reset(&mut node, idempotent), Response::Dispatching, "a class keeps its terms");
 }
--- a/tests/selection.rs
+++ b/tests/selection.rs
@@ -1,21 +1,21 @@
-//! Selection: which executor a request is dispatched to, and which it is not.
+//! Selection: to which executor a request is dispatched.
 mod helpers;
 use helpers::*;
 use troutknot::*;
 
 #[test]
-fn shortest_queue_wins() {
+fn a_request_is_dispatched_to_the_shortest_queue() {
     let mut node = node(1.0);
     node.list_warm(2);
     for _ in 0..20 {
         let (request_id, actions) = node.arrive(0);
         let executor = dispatched_to(&node.answer_probes(actions, |number| 3.0 * f64::from(number))).unwrap();
-        assert_eq!(number_of(executor), 0, "a first sample of only the longer queue is followed by a second");
+        assert_eq!(number_of(executor), 0, "a sample of the longer queue only is followed by another one");
         node.end_attempt(request_id, 0, Outcome::Completed);
     }
 }
 
-/// A drain is effective in the same batch, even for a request whose replies are all in.
+/// A drain takes effect in the batch in which it is reported, even for a request whose probes are all answered.
 #[test]
 fn a_draining_executor_gets_no_new_requests() {
     for state in [EndpointState::Draining, EndpointState::Gone] {
@@ -24,7 +24,7 @@
         let (_, actions) = node.arrive(0);
         let probes: Vec<ExecutorId> = actions
             .iter()
-            .filter_map(|a| if let Action::Probe { executor } = a { Some(*executor) } else { None })
+            .filter_map(|action| if let Action::Probe { executor } = action { Some(*executor) } else { None })
             .collect();
         for executor in probes {
             let report =
@@ -40,7 +40,7 @@
     }
     let mut node = node(1.0);
     node.list_warm(2);
-    // Executors that a snapshot does not contain are gone; without executors nothing is dispatched.
+    // Executors missing from a snapshot are gone; without executors, a request waits.
     node.update_endpoints(ListUpdate::Snapshot, &[]);
     assert_eq!(response_to(&node.arrive(0).1), Response::Waiting);
 }
@@ -53,50 +53,51 @@
     for number in 0..200 {
         node.now = 10.0 * f64::from(number);
         let (request_id, actions) = node.arrive(0);
-        let executor = dispatched_to(&actions).expect("it is dispatched at once");
+        let executor = dispatched_to(&actions).expect("the request is dispatched at once");
         in_flight[number_of(executor) as usize] += 1;
-        // Without a start, new requests would be shed (tests/admission.rs).
+        // Without a reported start, new requests would be shed, as in tests/admission.rs.
         node.handle(Event::AttemptStarted { request_id, attempt_id: AttemptId(0) });
         assert_eq!(probed(&actions), None);
         assert!(in_flight[0].abs_diff(in_flight[1]) < 5, "{in_flight:?} after {number}");
     }
-    // A rejection shows that capacity is short, a completed attempt that there is some; the third attempt is
-    // the last.
+    // A rejection indicates that capacity is short, and a completed attempt that there is some. The third attempt is the
+    // last.
     let (request_id, _) = node.arrive(0);
     for (attempt_id, expected) in [(0, Response::Waiting), (1, Response::Waiting), (2, Response::Rejected)] {
         assert_eq!(
             response_to(&node.end_attempt(request_id, attempt_id, Outcome::Rejected)),
             expected,
-            "{attempt_id}"
+            "attempt {attempt_id}"
         );
         let ended = node.end_attempt(RequestId(attempt_id as u64 + 1), 0, Outcome::Completed);
         assert_eq!(
             dispatched_to(&ended).is_some(),
             expected == Response::Waiting,
-            "{attempt_id}: dispatched where an attempt ended"
+            "attempt {attempt_id}: dispatched to the executor whose attempt ended"
         );
     }
     assert!(dispatched_to(&node.arrive(0).1).is_some());
     node.now += 2500.0;
     let actions = node.handle(Event::TimerFired);
-    assert_eq!(probed(&actions), None, "not even if an attempt has not started");
+    assert_eq!(probed(&actions), None, "no start check without probes");
 }
 
-/// With invalid numbers of nodes, each request is still answered once, and none is dispatched to an executor that is
-/// gone.
+/// With invalid numbers of nodes and a fleet that shrinks, each request is still answered once, and none is dispatched
+/// to an executor that is gone.
 #[test]
-fn invalid_node_numbers_and_shrinking_fleets() {
+fn requests_are_answered_once_with_invalid_node_numbers_and_a_shrinking_fleet() {
     for (nodes, number) in
         [(0.0, None), (0.0, Some(0.0)), (3.0, Some(7.0)), (-2.0, Some(-1.0)), (1e9, Some(5.0))]
     {
         let mut node = node_numbered(nodes, number);
         node.now = 50_000.0;
-        let started = |e| if e % 2 == 0 { Some(49_000.0) } else { None };
-        let all: Vec<Endpoint> =
-            (0..3000).map(|e| endpoint(e * 5, e, EndpointState::Ready, started(e))).collect();
+        let started = |number| if number % 2 == 0 { Some(49_000.0) } else { None };
+        let all: Vec<Endpoint> = (0..3000)
+            .map(|number| endpoint(number * 5, number, EndpointState::Ready, started(number)))
+            .collect();
         node.update_endpoints(ListUpdate::Snapshot, &all);
         let (request_id, actions) = node.arrive(3);
-        // All but one leave the list while the probes are in flight.
+        // All executors but one are removed from the list while the probes are in flight.
         node.update_endpoints(ListUpdate::Snapshot, &all[1..2]);
         let mut actions = node.answer_probes(actions, |_| 0.0);
         while response_to(&actions) == Response::Waiting && node.now < 56_000.0 {
@@ -106,26 +107,26 @@
         }
         assert!(
             dispatched_to(&actions).is_none_or(|executor| executor == all[1].executor),
-            "{nodes} {number:?}"
+            "{nodes} nodes, number {number:?}"
         );
-        assert_ne!(response_to(&actions), Response::Waiting, "{nodes} {number:?}");
+        assert_ne!(response_to(&actions), Response::Waiting, "{nodes} nodes, number {number:?}");
         if dispatched_to(&actions).is_some() {
             assert_eq!(response_to(&node.end_attempt(request_id, 0, Outcome::Reset)), Response::Failed);
         }
     }
 }
 
-/// Stale events change nothing, and the same events have the same actions.
+/// Stale events have no effect, and the same events result in the same actions.
 #[test]
-fn stale_events_are_ignored_and_decisions_repeatable() {
-    let play = || {
+fn stale_events_are_ignored_and_decisions_are_deterministic() {
+    let run = || {
         let mut node = node(2.0);
         node.list_warm(5);
         let mut all = Vec::new();
-        for k in 0..30 {
-            node.now = k as f64;
-            let (request_id, actions) = node.arrive(k % 4);
-            let actions = node.answer_probes(actions, |e| (e % 3) as f64);
+        for number in 0..30 {
+            node.now = number as f64;
+            let (request_id, actions) = node.arrive(number % 4);
+            let actions = node.answer_probes(actions, |executor| (executor % 3) as f64);
             all.extend(actions.clone());
             if dispatched_to(&actions).is_some() {
                 all.extend(node.end_attempt(request_id, 0, Outcome::Completed));
@@ -143,5 +144,5 @@
         }
         all
     };
-    assert_eq!(play(), play());
+    assert_eq!(run(), run());
 }
--- a/tests/warm_state.rs
+++ b/tests/warm_state.rs
@@ -1,8 +1,9 @@
-//! The state that one process of a node hands to the next.
+//! The state that one process of a node hands over to the next.
 mod helpers;
 use helpers::*;
 use troutknot::*;
 
+/// The next process samples a faulty executor less from its start on, unless the executor has restarted since.
 #[test]
 fn scores_and_running_times_are_handed_over() {
     let mut old = node(1.0);
@@ -45,7 +46,7 @@
         imported < without / 2 && restarted > without / 2,
         "{imported} after an import, {without} without, {restarted} after a restart of the executor"
     );
-    // A sample size out of bounds is clamped, and executors that are not listed are skipped.
+    // A sample size out of bounds is clamped, and executors that are not listed are ignored.
     let mut other = node(1.0);
     other.list_warm(1);
     other.handle(Event::WarmStateReceived(WarmState { sample_size: 99, ..exported }));
--- a/tests/warm_up_budget.rs
+++ b/tests/warm_up_budget.rs
@@ -1,10 +1,10 @@
-//! The warm-up budget of one executor: its nodes, processes and running times.
+//! The warm-up budget of one executor, shared by nodes and processes, and spent by running times.
 mod helpers;
 use helpers::*;
 use troutknot::*;
 
-/// All nodes together dispatch no more than its budget to an executor in slow start, however long a burst, and at least
-/// one request. A node that does not know its number uses an even share.
+/// During a burst of any length, all nodes together dispatch at least one request to an executor in slow start, and no
+/// more than its budget. A node without a number uses an even share.
 #[test]
 fn all_nodes_together_stay_within_a_warm_up_budget() {
     for (nodes, is_numbered) in [(1, false), (4, false), (1, true), (3, true), (161, true), (314, true)] {
@@ -21,7 +21,8 @@
                 dispatched += dispatched_to(&node.answer_probes(actions, |_| 0.0)).is_some() as u32;
             }
         }
-        // 4 slots at a quarter for 1000 ms, four times over; a request takes 100 ms until more is known.
+        // Four times the work of 4 slots at a quarter of their capacity over 1000 ms. A request is assumed to run for
+        // 100 ms until running times are observed.
         let budget = 4.0 * 0.25 * 4.0 * 1000.0 / 100.0 / if is_numbered { 1.0 } else { nodes as f64 };
         assert!(
             dispatched >= 1 && f64::from(dispatched) <= budget,
@@ -30,18 +31,18 @@
     }
 }
 
-/// Two processes of a node, of which the later one continues a burst, together stay within one budget if both know of
-/// each other. The dispatches of the earlier one do not count for an executor that has restarted.
+/// Two processes of a node that both dispatch during a burst together stay within one budget if each is notified of the
+/// other. Dispatches of the earlier one do not count after a restart of the executor.
 #[test]
 fn two_processes_of_a_node_stay_within_one_warm_up_budget() {
-    let fresh = |started| [endpoint(7, 0, EndpointState::Ready, Some(started))];
-    // One more request, withdrawn at once, so that only the budget limits the dispatches.
+    let warming_up = |started| [endpoint(7, 0, EndpointState::Ready, Some(started))];
+    // Sends another request and withdraws it at once, so that only the budget limits the dispatches.
     let dispatches = |node: &mut Node| {
         node.now += 11.0;
         let (request_id, actions) = node.arrive(0);
         let free_slots = Some(4.0 + node.now / 1e9);
         let mut is_dispatched = dispatched_to(&actions).is_some();
-        if actions.iter().any(|a| matches!(a, Action::Probe { .. })) {
+        if actions.iter().any(|action| matches!(action, Action::Probe { .. })) {
             let report = LoadReport { queue_length: Some(0.0), free_slots, ..LoadReport::default() };
             let probed = probe_reply(executor(7), 1.0, report);
             is_dispatched |= dispatched_to(&node.handle(probed)).is_some();
@@ -52,11 +53,11 @@
     for (is_imported, is_announced) in [(true, true), (true, false), (false, true), (false, false)] {
         let (mut old, mut new) = (node(1.0), node(1.0));
         (old.now, new.now) = (50_000.0, 50_000.0);
-        old.update_endpoints(ListUpdate::Snapshot, &fresh(50_000.0));
+        old.update_endpoints(ListUpdate::Snapshot, &warming_up(50_000.0));
         let mut dispatched = (0..10).map(|_| dispatches(&mut old)).sum::<u32>();
         let exported = old.dispatcher.export_state(old.now);
         new.now = old.now;
-        new.update_endpoints(ListUpdate::Cached, &fresh(50_000.0));
+        new.update_endpoints(ListUpdate::Cached, &warming_up(50_000.0));
         if is_imported {
             new.handle(Event::WarmStateReceived(exported));
         }
@@ -66,15 +67,16 @@
             }
         }
         dispatched += (0..75).map(|_| dispatches(&mut old) + dispatches(&mut new)).sum::<u32>();
-        // 4 slots at a quarter for 1000 ms, four times over; a request takes 100 ms until more is known.
+        // Four times the work of 4 slots at a quarter of their capacity over 1000 ms. A request is assumed to run for
+        // 100 ms until running times are observed.
         let budget = 4.0 * 0.25 * 4.0 * 1000.0 / 100.0;
         let case = format!("imported: {is_imported}, announced: {is_announced}");
         assert_eq!(f64::from(dispatched) <= budget, is_announced, "{dispatched} of {budget}, {case}");
         let is_used = f64::from(dispatched) > budget / 2.0;
         assert!(!(is_imported && is_announced) || is_used, "{dispatched} of {budget}");
-        // The other process has stopped: half of the budget for as long as its dispatches count.
+        // After the other process has stopped, half of the budget is available as long as its dispatches count.
         new.handle(Event::SiblingChanged { is_running: false });
-        new.update_endpoints(ListUpdate::Delta, &fresh(new.now));
+        new.update_endpoints(ListUpdate::Delta, &warming_up(new.now));
         let half = (0..75).map(|_| dispatches(&mut new)).sum::<u32>();
         assert!(half >= 5 && f64::from(half) <= budget / 2.0, "after a restart: {half} of {budget}");
     }
@@ -85,7 +87,7 @@
     for starts_reported in [true, false] {
         let mut node = node_without_probes(starts_reported);
         node.list_warm(1);
-        // Work that waits for 140 ms, which is not late yet, and runs for 50 ms.
+        // Each request waits for 140 ms, which is not late yet, and runs for 50 ms.
         for _ in 0..100 {
             let (request_id, _) = node.arrive(0);
             node.now += 140.0;
@@ -94,9 +96,10 @@
             node.now += 50.0;
             node.end_attempt(request_id, 0, Outcome::Completed);
         }
-        // One that has just started, whose budget is dealt to this node.
-        let fresh = Endpoint { token: 300, ..endpoint(1, 0, EndpointState::Ready, Some(node.now - 1500.0)) };
-        node.update_endpoints(ListUpdate::Delta, &[fresh]);
+        // An executor that started 1500 ms ago, whose budget is assigned to this node.
+        let warming_up =
+            Endpoint { token: 300, ..endpoint(1, 0, EndpointState::Ready, Some(node.now - 1500.0)) };
+        node.update_endpoints(ListUpdate::Delta, &[warming_up]);
         assert_eq!((0..50).any(|_| dispatched_to(&node.arrive(0).1) == Some(executor(1))), starts_reported);
     }
 }
