--- a/tests/unit/admission.rs
+++ b/tests/unit/admission.rs
@@ -1,10 +1,10 @@
-//! Admission: load shedding and quotas, each at its edge.
+//! Admission control: load shedding and quotas at their boundary values.
 use super::*;
 use crate::policy::rule_inputs::*;
 use crate::settings::{ClassSettings, Effect, TenantSettings};
 use rand::RngExt;
 
-/// A control that adapts, as probes are forbidden.
+/// Returns a control that adapts because probes are forbidden.
 fn adaptive(starts_reported: bool) -> AdmissionControl {
     let mut settings = Settings::default();
     settings.limits.probes_enabled = false;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn all_requests_are_admitted_at_first_without_use_of_the_random_source() {
+fn all_requests_are_admitted_initially_without_a_random_draw() {
     let (mut used, mut unused) = (random(), random());
     let control = adaptive(true);
     assert!((0..100).all(|_| control.decide(1.0, &mut used) == Admission::Admitted));
@@ -31,7 +31,7 @@
 fn requests_are_shed_after_late_starts_and_costly_ones_first() {
     let mut control = adaptive(true);
     (0..4).for_each(|_| control.record_late_start());
-    // 0.85 to the fourth is 0.52.
+    // The share is 0.85^4 = 0.52.
     let [cheap, mean, costly] = [0.1, 1.0, 4.0].map(|cost| admitted_of_1000(&control, cost));
     assert!((900..970).contains(&cheap), "{cheap}");
     assert!((470..570).contains(&mean), "{mean}");
@@ -39,7 +39,7 @@
     (0..100).for_each(|_| control.record_late_start());
     assert_close(control.share.share(), 0.05);
     (0..10).for_each(|_| control.record_start(&class(Effect::Idempotent), 0.0));
-    assert_eq!(admitted_of_1000(&control, 4.0), 1000, "ten starts in time end it");
+    assert_eq!(admitted_of_1000(&control, 4.0), 1000, "ten starts in time restore the share");
 }
 
 #[test]
@@ -53,8 +53,8 @@
 #[test]
 fn a_start_within_the_longest_delay_raises_the_share() {
     let class = class(Effect::Idempotent);
-    for (starts_reported, longest) in [(true, LATENCY_OBJECTIVE), (false, DEADLINE / 4.0)] {
-        for (delay, expected) in [(longest, 0.95), (longest + 1.0, 0.85)] {
+    for (starts_reported, max_delay) in [(true, LATENCY_OBJECTIVE), (false, DEADLINE / 4.0)] {
+        for (delay, expected) in [(max_delay, 0.95), (max_delay + 1.0, 0.85)] {
             let mut control = adaptive(starts_reported);
             control.record_late_start();
             control.record_start(&class, delay);
@@ -92,14 +92,14 @@
         ..ClassSettings::default()
     };
     let classes = vec![terms(100.0, 1.0), terms(300.0, 1.0), terms(100.0, 0.5)];
-    let mut known = RequestClasses::default();
-    known.add_new(&Settings { classes, ..Settings::default() });
+    let mut request_classes = RequestClasses::default();
+    request_classes.add_new(&Settings { classes, ..Settings::default() });
     for (class, expected) in [(0, 0.5), (1, 1.5), (2, 1.0)] {
-        assert_close(relative_cost(&known, RequestClassId(class)), expected);
+        assert_close(relative_cost(&request_classes, RequestClassId(class)), expected);
     }
 }
 
-/// Tenant 0 has 10 requests a second, tenant 1 hardly any.
+/// Returns quotas of 10 requests per second for tenant 0 and of 0.001 for tenant 1.
 fn quotas(nodes: f64) -> TenantQuotas {
     let tenants = [10.0, 0.001].map(|quota| TenantSettings { quota_per_s: Some(quota) }).into();
     let mut quotas = TenantQuotas::default();
@@ -114,7 +114,7 @@
 
 #[test]
 fn a_quota_allows_a_burst_and_then_its_rate() {
-    // Two seconds are accumulated; a node gets up to twice an even part of a quota.
+    // Quota accumulates over two seconds, and a node gets up to twice an even part of a quota.
     for (nodes, burst, refill) in [(1.0, 20, 100.0), (2.0, 20, 100.0), (4.0, 10, 200.0)] {
         for (pause, expected) in [(refill - 1.0, 0), (refill, 1)] {
             let mut quotas = quotas(nodes);
@@ -122,12 +122,12 @@
             assert_eq!(accepted(&mut quotas, pause, 0), expected, "{nodes} nodes, after {pause} ms");
         }
     }
-    assert_eq!(accepted(&mut quotas(1.0), 0.0, 1), 3, "the smallest burst");
+    assert_eq!(accepted(&mut quotas(1.0), 0.0, 1), 3, "the smallest burst that a quota allows");
     assert_eq!(accepted(&mut quotas(1.0), 0.0, 2), 1000, "a tenant without a quota");
 }
 
 #[test]
-fn a_retry_is_not_counted_twice() {
+fn a_client_retry_is_not_counted_again() {
     let mut quotas = quotas(1.0);
     for _ in 0..10 {
         assert_eq!(quotas.record_request(0.0, TenantId(1), true), QuotaUse::WithinQuota);
--- a/tests/unit/connection_reuse.rs
+++ b/tests/unit/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Connection reuse: stale connections, and the block that follows.
+//! Connection reuse: detection of stale connections, and the block of reuse that follows.
 use super::*;
 use crate::policy::rule_inputs::*;
 
@@ -28,7 +28,7 @@
         assert_eq!(was_stale, expected, "idle for {idle_time} ms, reset after {reset_at} ms");
     }
     let started = Attempt { started_at: Some(1.0), ..sent_after(10.0) };
-    assert!(!rule().was_stale(&started, 2.0), "the connection was intact");
+    assert!(!rule().was_stale(&started, 2.0), "the attempt started, so the connection was intact");
 }
 
 #[test]
@@ -44,7 +44,7 @@
 #[test]
 fn idle_connections_are_closed_while_reuse_is_blocked() {
     let mut rule = rule();
-    assert!(!rule.must_close_idle(201.0, 0.0), "no loss was observed");
+    assert!(!rule.must_close_idle(201.0, 0.0), "no broken connection was observed");
     rule.block(0.0);
     for (idle_time, now, expected) in [
         (200.0, 1.0, false),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_lost_attempt_is_explained_once_by_an_idle_connection() {
+fn an_idle_connection_explains_a_lost_attempt_unless_reuse_is_blocked() {
     let mut rule = rule();
     assert!(rule.explains_lost_attempt(&sent_after(IDLE_TIMEOUT - 1.0), 0.0));
     assert!(!rule.explains_lost_attempt(&sent_after(IDLE_TIMEOUT), 0.0), "its connection was new");
--- a/tests/unit/outlier.rs
+++ b/tests/unit/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: scores, their decay and the weights that follow.
+//! Outlier detection: scores, their decay and the resulting weights.
 use super::*;
 use crate::policy::rule_inputs::*;
 use crate::settings::Effect;
@@ -13,7 +13,7 @@
     DecayingScore { value, set_at: NOW }
 }
 
-/// The time constant after this many outcomes at one moment.
+/// Returns the time constant after this many outcomes at one point in time.
 fn time_constant(outcomes: u32, ready_executors: usize) -> Millis {
     let mut detection = OutlierDetection::default();
     (0..outcomes).for_each(|_| detection.record_outcome(NOW));
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn scores_decay_slower_the_rarer_an_executor_is_met() {
-    // Four intervals between two attempts at one executor, from 4 s to 30 s.
+fn scores_decay_more_slowly_with_rarer_attempts_at_an_executor() {
+    // Four times the interval between two attempts at one executor, from 4 s to 30 s.
     for (outcomes, ready_executors, expected) in [
         (0, 1, MAX_SCORE_DECAY),
         (10, 10, 16_000.0),
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn a_fault_counts_up_to_three_times_the_more_slowly_scores_decay() {
+fn the_penalty_of_a_fault_grows_with_the_time_constant_up_to_three() {
     for (time_constant, expected) in [(4000.0, 1.0), (11_000.0, 2.75), (12_000.0, 3.0), (30_000.0, 3.0)] {
         assert_close(decay(time_constant).fault_penalty(), expected);
     }
 }
 
 #[test]
-fn a_penalty_adds_to_what_is_left_of_the_score() {
+fn a_penalty_is_added_to_the_decayed_score() {
     let before = FailureScore { score: score(2.0), observations: score(1.0) };
     let after = decay(8000.0).penalize(before, 1.0, NOW);
     assert_eq!((after.score, after.observations), (score(3.0), score(2.0)));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_score_is_made_of_twelve_outcomes() {
+fn a_score_consists_of_at_most_twelve_outcomes() {
     for (observations, retained) in [(10.0, 1.0), (11.0, 1.0), (12.0, 12.0 / 13.0)] {
         let before = FailureScore { score: score(2.0), observations: score(observations) };
         let after = decay(4000.0).penalize(before, 0.0, NOW);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn peers_are_notified_of_a_rejection_that_is_new() {
+fn peers_are_notified_of_a_rejection_only_while_the_score_is_low() {
     for (before, notice) in
         [(0.0, PeerNotice::Send), (0.74, PeerNotice::Send), (0.75, PeerNotice::Skip), (3.0, PeerNotice::Skip)]
     {
@@ -74,20 +74,20 @@
 }
 
 #[test]
-fn gossip_raises_a_score_to_its_own_and_no_further() {
+fn gossip_raises_a_score_up_to_the_gossip_penalty() {
     for (before, expected) in [(0.0, 1.5), (1.4, 1.5), (1.6, 1.6)] {
         assert_eq!(decay(4000.0).apply_gossip(score(before), NOW), score(expected));
     }
 }
 
 #[test]
-fn failures_and_rejections_add_up() {
+fn failure_and_rejection_scores_are_added() {
     assert_close(decay(4000.0).current_score(score(1.0), score(0.5), NOW), 1.5);
     assert_close(decay(4000.0).current_score(score(1.0), score(0.0), NOW + 4000.0), (-1.0_f64).exp());
 }
 
 #[test]
-fn only_what_is_slower_than_the_mean_is_penalized() {
+fn only_response_times_above_the_mean_are_penalized() {
     for (relative, expected) in [(0.5, 0.0), (1.0, 0.0), (1.0_f64.exp(), 0.7), (2.0_f64.exp(), 1.4)] {
         assert_close(slowness_penalty(relative), expected);
     }
@@ -96,14 +96,14 @@
 #[test]
 fn a_class_with_less_slack_is_more_sensitive() {
     let mut class = class(Effect::Idempotent);
-    for (running_times_in_objective, expected) in [(3.0, 1.0), (2.0, 1.5), (1.0, 3.0), (0.5, 3.0)] {
-        class.response_time.mean = LATENCY_OBJECTIVE / running_times_in_objective;
+    for (objective_in_running_times, expected) in [(3.0, 1.0), (2.0, 1.5), (1.0, 3.0), (0.5, 3.0)] {
+        class.response_time.mean = LATENCY_OBJECTIVE / objective_in_running_times;
         assert_close(sensitivity(&class), expected);
     }
 }
 
 #[test]
-fn weight_falls_with_score_and_sensitivity() {
+fn the_weight_falls_with_score_and_sensitivity() {
     assert_eq!(health_weight(0.0, 3.0), 1.0);
     assert_close(health_weight(1.0, 1.0), (-1.0_f64).exp());
     assert_close(health_weight(1.0, 2.0), (-2.0_f64).exp());
--- a/tests/unit/queueing.rs
+++ b/tests/unit/queueing.rs
@@ -1,4 +1,4 @@
-//! Queueing: how long a request is queued, which is first, and when it is given up.
+//! Queueing: how long a request is queued, which one is dispatched first, and when a request is given up.
 use super::*;
 use crate::event::Outcome;
 use crate::policy::rule_inputs::*;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_long_request_waits_longer() {
+fn the_longest_wait_grows_with_the_running_time() {
     let mut class = class(Effect::Idempotent);
     class.terms.stretch = 3.0;
     class.response_time.mean = 50.0;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_highest_priority_is_first_and_the_last_of_equals() {
+fn the_highest_priority_is_chosen_and_the_last_of_equal_ones() {
     let queue = [RequestId(1), RequestId(2), RequestId(3)];
     assert_eq!(highest_priority(&queue, |id| -(id.0 as f64)), Some(RequestId(1)));
     assert_eq!(highest_priority(&queue, |id| if id.0 == 2 { 1.1 } else { 1.0 }), Some(RequestId(2)));
--- a/tests/unit/random_events.rs
+++ b/tests/unit/random_events.rs
@@ -1,8 +1,8 @@
-//! Random days of events, with state reclaimed and not: no rule is violated, and the state is bounded by the
-//! executors that are listed or needed.
+//! Randomized sequences of events, with and without the reclaiming of state: no rule is violated, and only executors
+//! that are listed or needed have state.
 //!
-//! The host here keeps its own record, against which each action is checked. The same checks have to find
-//! wrong ways to reclaim state.
+//! The simulated host records its own view of requests and executors and checks each action against it. The same checks
+//! must detect faulty reclaiming.
 use super::Dispatcher;
 use crate::state::executor_table::Reclaiming;
 use crate::*;
@@ -16,7 +16,7 @@
 mod helpers;
 
 const STEPS: usize = 100_000;
-/// Upper bound on the events of a day, so that a faulty day ends.
+/// Upper bound on the number of events of a run, so that a faulty run ends.
 const MAX_EVENTS: usize = 20 * STEPS;
 const FLEET: usize = 24;
 const GROUPS: u32 = 3;
@@ -24,13 +24,13 @@
 const FREE_SLOTS: f64 = 4.0;
 const RUNNING_TIME: Millis = 100.0;
 const DEADLINE: Millis = 5000.0;
-/// Figures of the helpers' settings, with a smaller budget, which is used up more often.
+/// Parameters of the helpers' settings, with a smaller budget, which is exhausted more often.
 const DEDUPLICATION_WINDOW: Millis = 2000.0;
 const BUDGET_WINDOW: Millis = 1000.0;
 const RAMP_DURATION: Millis = 10_000.0;
 const INITIAL_CAPACITY: f64 = 0.25;
 const BUDGET_MULTIPLE: f64 = 0.5;
-/// Upper bound on the time for which the state of an executor is retained unneeded.
+/// Upper bound on the time for which state that is not needed is retained, in milliseconds.
 const RECLAIM_INTERVAL: Millis = 1000.0;
 
 const IDEMPOTENT: u32 = 0;
@@ -55,17 +55,17 @@
     }
 }
 
-/// One executor by its name, as the endpoint list has it.
+/// One executor in the endpoint list.
 struct NamedExecutor {
     group: u32,
     state: EndpointState,
     started_at: Option<Millis>,
     handle: Option<ExecutorId>,
-    /// When it got requests in slow start.
+    /// Times of the dispatches to it during slow start.
     warm_up_dispatches: Vec<Millis>,
     /// Whether its state was needed after the last event.
     is_needed: bool,
-    /// When its state was needed last.
+    /// When its state was last needed.
     needed_at: Millis,
 }
 
@@ -75,14 +75,15 @@
     Failed,
 }
 
-/// What happens at its time.
-enum Due {
+/// An event that is scheduled for a point in time.
+enum ScheduledEvent {
     AttemptEnds { request_id: RequestId, attempt: usize, outcome: Outcome },
     Timer,
 }
 
+/// Counts of what happened during a run.
 #[derive(Default, Debug)]
-struct Figures {
+struct Statistics {
     answers: usize,
     completed: usize,
     released: usize,
@@ -92,7 +93,8 @@
     listed_again_before_release: usize,
 }
 
-struct Day {
+/// The dispatcher under test, with a simulated host.
+struct SimulatedHost {
     node: Dispatcher,
     random: ChaCha8Rng,
     now: Millis,
@@ -105,26 +107,26 @@
     probes: Vec<ExecutorId>,
     open: BTreeMap<RequestId, Request>,
     next_request: u64,
-    due: BTreeMap<(u64, usize), Due>,
-    next_due: usize,
+    scheduled: BTreeMap<(u64, usize), ScheduledEvent>,
+    next_scheduled: usize,
     timer_at: Millis,
-    figures: Figures,
+    statistics: Statistics,
     reclaiming: Reclaiming,
 }
 
-/// An error names the violation.
+/// The result of a check; the error describes the violation.
 type Checked = Result<(), String>;
 
 fn ensure(is_satisfied: bool, violation: &str) -> Checked {
     if is_satisfied { Ok(()) } else { Err(violation.to_string()) }
 }
 
-fn play(seed: u64, reclaiming: Reclaiming, steps: usize) -> Result<Figures, String> {
+fn run(seed: u64, reclaiming: Reclaiming, steps: usize) -> Result<Statistics, String> {
     let mut settings = helpers::settings_of(1.0, None);
     settings.rules.budget_multiple = BUDGET_MULTIPLE;
     let mut node = Dispatcher::new(&settings, seed, 0.0);
     node.fleet.executors.reclaiming = reclaiming;
-    let mut day = Day {
+    let mut host = SimulatedHost {
         node,
         random: ChaCha8Rng::seed_from_u64(seed),
         now: 0.0,
@@ -137,66 +139,66 @@
         probes: Vec::new(),
         open: BTreeMap::new(),
         next_request: 0,
-        due: BTreeMap::new(),
-        next_due: 0,
+        scheduled: BTreeMap::new(),
+        next_scheduled: 0,
         timer_at: f64::INFINITY,
-        figures: Figures::default(),
+        statistics: Statistics::default(),
         reclaiming,
     };
-    day.list_new_fleet()?;
+    host.list_new_fleet()?;
     for step in 0..steps {
-        day.step()
-            .map_err(|violation| format!("seed {seed}, step {step}, at {:.1} ms: {violation}", day.now))?;
+        host.step()
+            .map_err(|violation| format!("seed {seed}, step {step}, at {:.1} ms: {violation}", host.now))?;
     }
-    day.end().map_err(|violation| format!("seed {seed}, at the end: {violation}"))?;
-    day.figures.stale = day.node.stale_events();
-    Ok(day.figures)
+    host.end().map_err(|violation| format!("seed {seed}, at the end: {violation}"))?;
+    host.statistics.stale = host.node.stale_events();
+    Ok(host.statistics)
 }
 
-impl Day {
+impl SimulatedHost {
     fn step(&mut self) -> Checked {
         let pause = if self.random.random_bool(0.002) { 800.0 } else { 4.0 };
         let until = self.now + pause * self.random.random::<f64>();
-        self.pass(until)?;
+        self.advance(until)?;
         match self.random.random_range(0..100) {
             0..32 => self.arrive(),
             32..82 => self.answer_probe(),
             82..88 => self.change_endpoint(),
             88..90 => self.withdraw(),
-            90..94 => self.stale_event(),
+            90..94 => self.report_stale_event(),
             94 if self.random.random_bool(0.02) => self.list_new_fleet(),
             94 if self.random.random_bool(0.1) => self.list_part_of_fleet(),
             _ => self.handle(Event::TimerFired),
         }
     }
 
-    /// Waits until all requests are answered, after all executors have left.
+    /// Removes all executors from the list and waits until all requests are answered.
     fn end(&mut self) -> Checked {
         self.update_endpoints(ListUpdate::Snapshot, &[])?;
         while !self.probes.is_empty() {
             self.answer_probe()?;
         }
-        self.pass(self.now + 2.0 * DEADLINE)?;
+        self.advance(self.now + 2.0 * DEADLINE)?;
         ensure(self.open.is_empty(), "a request was never answered")?;
-        let left = if self.reclaiming == Reclaiming::Never { self.handles.len() } else { 0 };
-        ensure(self.node.executor_count() == left, "the state of an executor is retained that nothing needs")
+        let expected = if self.reclaiming == Reclaiming::Never { self.handles.len() } else { 0 };
+        ensure(self.node.executor_count() == expected, "state that nothing needs is retained")
     }
 
-    /// Advances the time, and reports what is due.
-    fn pass(&mut self, until: Millis) -> Checked {
-        while let Some((&(bits, number), _)) = self.due.first_key_value()
+    /// Advances the time and reports the events that are due.
+    fn advance(&mut self, until: Millis) -> Checked {
+        while let Some((&(bits, number), _)) = self.scheduled.first_key_value()
             && f64::from_bits(bits) <= until
         {
-            let Some(due) = self.due.remove(&(bits, number)) else { break };
+            let Some(event) = self.scheduled.remove(&(bits, number)) else { break };
             self.now = self.now.max(f64::from_bits(bits));
-            match due {
-                Due::Timer if f64::from_bits(bits) == self.timer_at => {
+            match event {
+                ScheduledEvent::Timer if f64::from_bits(bits) == self.timer_at => {
                     self.timer_at = f64::INFINITY;
                     self.handle(Event::TimerFired)?;
                 }
-                Due::Timer => {}
-                Due::AttemptEnds { request_id, attempt, outcome } => {
-                    self.attempt_ends(request_id, attempt, outcome)?
+                ScheduledEvent::Timer => {}
+                ScheduledEvent::AttemptEnds { request_id, attempt, outcome } => {
+                    self.end_attempt(request_id, attempt, outcome)?
                 }
             }
         }
@@ -204,9 +206,9 @@
         Ok(())
     }
 
-    fn at(&mut self, at: Millis, due: Due) {
-        self.next_due += 1;
-        self.due.insert((at.max(self.now).to_bits(), self.next_due), due);
+    fn schedule(&mut self, at: Millis, event: ScheduledEvent) {
+        self.next_scheduled += 1;
+        self.scheduled.insert((at.max(self.now).to_bits(), self.next_scheduled), event);
     }
 
     fn arrive(&mut self) -> Checked {
@@ -251,7 +253,7 @@
             _ => (EndpointState::Ready, named.started_at),
         };
         let is_listed_again = was_gone && named.state != EndpointState::Gone && named.handle.is_some();
-        self.figures.listed_again_before_release += usize::from(is_listed_again);
+        self.statistics.listed_again_before_release += usize::from(is_listed_again);
         self.update_endpoints(ListUpdate::Delta, &[name])
     }
 
@@ -294,7 +296,7 @@
         let mut endpoints = Vec::new();
         for name in names {
             let Some(named) = self.names.get_mut(name) else { continue };
-            // The event that lists it needs it.
+            // The event that lists the executor for the first time needs its state.
             named.is_needed |= named.handle.is_none();
             let executor = *named.handle.get_or_insert_with(|| self.handles.insert(*name));
             endpoints.push(Endpoint {
@@ -315,12 +317,12 @@
         let nth = self.random.random_range(0..self.open.len().max(1));
         let Some(request_id) = self.open.keys().nth(nth).copied() else { return Ok(()) };
         self.open.remove(&request_id);
-        self.figures.answers += 1;
+        self.statistics.answers += 1;
         self.handle(Event::RequestWithdrawn { request_id })
     }
 
-    /// Reports an event for an executor that is released or a request that is answered.
-    fn stale_event(&mut self) -> Checked {
+    /// Reports an event about a released executor or an answered request.
+    fn report_stale_event(&mut self) -> Checked {
         let Some(last) = self.released.len().checked_sub(1) else { return Ok(()) };
         let executor = self.released[self.random.random_range(0..=last)];
         let (before, choice) = (self.node.stale_events(), self.random.random_range(0..4));
@@ -350,27 +352,27 @@
         ensure(counted == u64::from(choice < 3), "an outdated event was not dropped and counted")
     }
 
-    fn attempt_ends(&mut self, request_id: RequestId, attempt: usize, outcome: Outcome) -> Checked {
+    fn end_attempt(&mut self, request_id: RequestId, attempt: usize, outcome: Outcome) -> Checked {
         if let Some(request) = self.open.get_mut(&request_id) {
             request.attempts[attempt].outcome = Some(outcome);
         }
-        let closed = outcome == Outcome::Completed;
-        if closed && self.open.remove(&request_id).is_some() {
-            self.figures.answers += 1;
-            self.figures.completed += 1;
+        let is_closed = outcome == Outcome::Completed;
+        if is_closed && self.open.remove(&request_id).is_some() {
+            self.statistics.answers += 1;
+            self.statistics.completed += 1;
         }
         self.handle(Event::AttemptEnded {
             request_id,
             attempt_id: AttemptId(attempt as u32),
             outcome,
-            is_request_closed: closed,
+            is_request_closed: is_closed,
         })
     }
 
-    /// Reports one event to the dispatcher, and checks all actions that follow.
+    /// Reports one event to the dispatcher and checks all resulting actions.
     fn handle(&mut self, event: Event) -> Checked {
         self.events += 1;
-        ensure(self.events < MAX_EVENTS, "the day does not end")?;
+        ensure(self.events < MAX_EVENTS, "the run does not end")?;
         let mut actions = Vec::new();
         self.node.handle_event(self.now, event);
         self.node.poll_actions(self.now, &mut actions);
@@ -396,7 +398,7 @@
             Action::SetTimer { at } => {
                 if at < self.timer_at {
                     self.timer_at = at.max(self.now);
-                    self.at(self.timer_at, Due::Timer);
+                    self.schedule(self.timer_at, ScheduledEvent::Timer);
                 }
                 Ok(())
             }
@@ -420,8 +422,8 @@
             "a dispatch while an attempt is in flight",
         )?;
         if let Some(first) = request.first_possible_run() {
-            self.figures.retried += 1;
-            ensure(request.class != AT_MOST_ONCE, "a retry of at-most-once work that may have run")?;
+            self.statistics.retried += 1;
+            ensure(request.class != AT_MOST_ONCE, "a retry of an at-most-once request that may have run")?;
             let in_window = request.class == IDEMPOTENT || self.now - first.at <= DEDUPLICATION_WINDOW;
             ensure(in_window, "a retry after the window")?;
             let in_group = request.class != DEDUPLICATED_IN_GROUP || first.group == named.group;
@@ -438,19 +440,19 @@
             82..94 => (self.now + 300.0 * self.random.random::<f64>(), Outcome::Reset),
             _ => (attempt_deadline, Outcome::TimedOut),
         };
-        self.at(at, Due::AttemptEnds { request_id, attempt, outcome });
+        self.schedule(at, ScheduledEvent::AttemptEnds { request_id, attempt, outcome });
         Ok(())
     }
 
     fn check_warm_up_budget(now: Millis, named: &mut NamedExecutor) -> Checked {
-        let (Some(start), then) = (named.started_at, now - BUDGET_WINDOW) else { return Ok(()) };
-        if then >= start + RAMP_DURATION {
+        let (Some(start), window_start) = (named.started_at, now - BUDGET_WINDOW) else { return Ok(()) };
+        if window_start >= start + RAMP_DURATION {
             return Ok(());
         }
         let progress =
-            INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * ((then - start) / RAMP_DURATION).max(0.0);
+            INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * ((window_start - start) / RAMP_DURATION).max(0.0);
         let budget = BUDGET_MULTIPLE * progress * FREE_SLOTS * BUDGET_WINDOW;
-        named.warm_up_dispatches.retain(|at| *at >= then && *at >= start);
+        named.warm_up_dispatches.retain(|at| *at >= window_start && *at >= start);
         named.warm_up_dispatches.push(now);
         let spent = named.warm_up_dispatches.len() as f64 * RUNNING_TIME;
         ensure(spent <= budget, "more than the warm-up budget")
@@ -458,16 +460,16 @@
 
     fn check_answer(&mut self, request_id: RequestId, answer: Answer) -> Checked {
         let request = self.open.remove(&request_id).ok_or("a second answer")?;
-        self.figures.answers += 1;
+        self.statistics.answers += 1;
         ensure(
             request.attempts.iter().all(|attempt| attempt.outcome.is_some()),
             "an answer while an attempt is in flight",
         )?;
-        let strict = request.class == AT_MOST_ONCE || request.class == DEDUPLICATED_IN_GROUP;
+        let is_strict = request.class == AT_MOST_ONCE || request.class == DEDUPLICATED_IN_GROUP;
         let may_have_run = request.first_possible_run().is_some();
         ensure(
-            !(answer == Answer::Rejected && strict && may_have_run),
-            "a rejection of work that may have run",
+            !(answer == Answer::Rejected && is_strict && may_have_run),
+            "a rejection of a request that may have run",
         )
     }
 
@@ -487,21 +489,21 @@
             self.names.remove(&name);
         }
         self.released.push(executor);
-        self.figures.released += 1;
+        self.statistics.released += 1;
         Ok(())
     }
 
-    /// Executors with state are listed, or needed, or were so a moment ago.
+    /// Checks that each executor with state is listed or needed, or was so within the reclaim interval.
     fn check_executors(&mut self) -> Checked {
         let executors = self.node.executor_count();
-        ensure(executors == self.handles.len(), "host and dispatcher differ in their executors")?;
-        self.figures.max_executors = self.figures.max_executors.max(executors);
+        ensure(executors == self.handles.len(), "host and dispatcher have different numbers of executors")?;
+        self.statistics.max_executors = self.statistics.max_executors.max(executors);
         if self.reclaiming == Reclaiming::Never {
             return Ok(());
         }
         for (executor, name) in &self.handles {
             let Some(named) = self.names.get_mut(name) else { continue };
-            // State that was needed after the last event was needed until this one.
+            // State that was needed after the previous event was needed until this one.
             if named.is_needed {
                 named.needed_at = self.now;
             }
@@ -514,37 +516,40 @@
             let spent_until =
                 named.warm_up_dispatches.last().map_or(f64::NEG_INFINITY, |at| at + BUDGET_WINDOW);
             let unneeded_for = self.now - named.needed_at.max(spent_until);
-            let in_time = named.is_needed || unneeded_for <= RECLAIM_INTERVAL + 1.0;
-            ensure(in_time, "the state of an executor is retained that nothing needs")?;
+            let is_allowed = named.is_needed || unneeded_for <= RECLAIM_INTERVAL + 1.0;
+            ensure(is_allowed, "state that nothing needs is retained")?;
         }
         Ok(())
     }
 }
 
+/// Random events violate no rule, whether state is reclaimed or not, and reclaiming bounds the number of executors with
+/// state.
 #[test]
-fn random_days_violate_no_rule_and_retain_only_needed_state() {
+fn random_events_violate_no_rule_and_only_needed_state_is_retained() {
     for reclaiming in [Reclaiming::Unneeded, Reclaiming::Never] {
-        let figures =
-            play(20_261, reclaiming, STEPS).unwrap_or_else(|violation| panic!("{reclaiming:?}: {violation}"));
-        println!("{reclaiming:?}: {figures:?}");
-        // The checked cases occur often.
-        let often = figures.answers > STEPS / 10 && figures.completed > STEPS / 20 && figures.retried > 100;
-        assert!(often && figures.listed_again_before_release > 50, "{reclaiming:?}: {figures:?}");
-        let reclaims = reclaiming == Reclaiming::Unneeded;
-        assert_eq!(figures.released > 300, reclaims, "{reclaiming:?}: {figures:?}");
-        assert_eq!(figures.max_executors <= 4 * FLEET, reclaims, "{reclaiming:?}: {figures:?}");
-        assert_eq!(figures.stale > 1000, reclaims, "{reclaiming:?}: {figures:?}");
+        let statistics =
+            run(20_261, reclaiming, STEPS).unwrap_or_else(|violation| panic!("{reclaiming:?}: {violation}"));
+        println!("{reclaiming:?}: {statistics:?}");
+        // The cases to check must occur often.
+        let is_frequent =
+            statistics.answers > STEPS / 10 && statistics.completed > STEPS / 20 && statistics.retried > 100;
+        assert!(is_frequent && statistics.listed_again_before_release > 50, "{reclaiming:?}: {statistics:?}");
+        let is_reclaimed = reclaiming == Reclaiming::Unneeded;
+        assert_eq!(statistics.released > 300, is_reclaimed, "{reclaiming:?}: {statistics:?}");
+        assert_eq!(statistics.max_executors <= 4 * FLEET, is_reclaimed, "{reclaiming:?}: {statistics:?}");
+        assert_eq!(statistics.stale > 1000, is_reclaimed, "{reclaiming:?}: {statistics:?}");
     }
 }
 
-/// The checks find state that is reclaimed too early.
+/// Verifies that the checks above detect state that is reclaimed too early.
 #[test]
 fn state_that_is_reclaimed_too_early_is_detected() {
-    for (wrong, expected) in [
+    for (faulty, expected) in [
         (Reclaiming::Referenced, "released while an open request refers to it"),
         (Reclaiming::InUse, "released while"),
     ] {
-        let violation = play(20_261, wrong, STEPS).expect_err("the check finds it");
-        assert!(violation.contains(expected), "{wrong:?}: {violation}");
+        let violation = run(20_261, faulty, STEPS).expect_err("the checks detect it");
+        assert!(violation.contains(expected), "{faulty:?}: {violation}");
     }
 }
--- a/tests/unit/retry.rs
+++ b/tests/unit/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: where, how often and until when, by effect, scope and window.
+//! Retries: where, how often and until when, depending on effect, scope and window.
 use super::*;
 use crate::endpoint::ListUpdate;
 use crate::ids::{DeduplicationGroupId, ZoneId};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn what_never_ran_is_retried_anywhere() {
+fn a_request_that_never_ran_is_retried_anywhere() {
     let never_ran = [Outcome::Rejected, Outcome::NoConnection, Outcome::NotSent].map(Some);
     for effect in [Effect::Idempotent, Effect::Deduplicated, Effect::AtMostOnce] {
         for outcomes in [&[][..], &never_ran[..]] {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_retried_by_its_effect() {
+fn the_retry_of_a_request_that_may_have_run_depends_on_its_effect() {
     let may_have_run = [
         None,
         Some(Outcome::Completed),
@@ -50,13 +50,13 @@
 #[test]
 fn deduplicated_requests_are_retried_within_their_window() {
     let mut class = class(Effect::Deduplicated);
-    for (scope, inside, answer) in [
+    for (scope, target_in_window, answer) in [
         (DeduplicationScope::Group, SameDeduplicationDomain(executor(7)), Failed),
         (DeduplicationScope::Zone, SameDeduplicationDomain(executor(7)), Failed),
         (DeduplicationScope::All, Anywhere, Rejected),
     ] {
         class.terms.deduplication_scope = scope;
-        for (now, expected) in [(RETRY_WINDOW, inside), (RETRY_WINDOW + 1.0, Nowhere)] {
+        for (now, expected) in [(RETRY_WINDOW, target_in_window), (RETRY_WINDOW + 1.0, Nowhere)] {
             let decided = decide(&class, &[Some(Outcome::Reset)], now);
             assert_eq!(decided, (expected, answer), "{scope:?} at {now} ms");
         }
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_send_deadline_is_inside_the_window_of_what_may_have_run() {
+fn the_send_deadline_of_a_request_that_may_have_run_is_within_its_window() {
     for (effect, outcome, expected) in [
         (Effect::Deduplicated, Outcome::Reset, 10.0 + RETRY_WINDOW),
         (Effect::Deduplicated, Outcome::Rejected, DEADLINE),
--- a/tests/unit/rule_inputs.rs
+++ b/tests/unit/rule_inputs.rs
@@ -1,4 +1,4 @@
-//! Inputs of the rules, for their unit tests.
+//! Inputs for the unit tests of the rules.
 use crate::endpoint::{Endpoint, EndpointState};
 use crate::event::Outcome;
 use crate::ids::{DeduplicationGroupId, ExecutorId, MachineTypeId, ZoneId};
@@ -21,11 +21,11 @@
 }
 
 pub(crate) fn executor(number: u32) -> ExecutorId {
-    // Slot 0 is never used, and the generation of a slot in use is odd.
+    // `SlotMap` never uses slot 0, and the generation of an occupied slot is odd.
     KeyData::from_ffi(1 << 32 | (u64::from(number) + 1)).into()
 }
 
-/// A ready executor that is warm, in a zone and a deduplication group of its own.
+/// Returns a ready, warm executor in a zone and a deduplication group of its own.
 pub(crate) fn endpoint(number: u32) -> Endpoint {
     Endpoint {
         executor: executor(number),
@@ -39,7 +39,7 @@
     }
 }
 
-/// A class with the terms above, whose running times are not observed yet.
+/// Returns a class with the terms above and without observed running times.
 pub(crate) fn class(effect: Effect) -> RequestClass {
     let unobserved = ObservedMean { mean: LATENCY_OBJECTIVE, observations: 0.0 };
     RequestClass {
@@ -58,7 +58,7 @@
     }
 }
 
-/// A request of one slot that arrived at 0.
+/// Returns a request for one slot that arrived at 0 ms.
 pub(crate) fn request() -> Request {
     Request { slots: 1.0, deadline: DEADLINE, ..Request::default() }
 }
@@ -67,7 +67,7 @@
     Attempt { outcome, ..Attempt::new(executor(number), sent_at, 0.0) }
 }
 
-/// Slow start from a quarter of the capacity over 10 s, with a budget over 1 s.
+/// Returns settings with a slow start from a quarter of the capacity over 10 s and a budget window of 1 s.
 pub(crate) fn slow_start_settings(nodes: f64, node: Option<f64>) -> Settings {
     let rules = RuleSettings {
         initial_capacity: 0.25,
--- a/tests/unit/running_time.rs
+++ b/tests/unit/running_time.rs
@@ -1,4 +1,4 @@
-//! Running times: what a completed attempt adds to the means.
+//! Running times: how a completed attempt changes the means.
 use super::*;
 use crate::policy::rule_inputs::*;
 use crate::settings::Effect;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_later_attempt_counts_for_three_percent() {
+fn a_later_attempt_has_a_weight_of_three_percent() {
     let (mut class, mut mean) = (class(Effect::Idempotent), 500.0);
     class.response_time.observations = 1000.0;
     class.service_time.observations = 1000.0;
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn an_attempt_in_slow_start_is_scaled_and_not_added() {
+fn an_attempt_in_slow_start_is_scaled_and_does_not_change_the_means() {
     let (mut class, mut mean) = (class(Effect::Idempotent), 500.0);
     let relative = observe(&mut class, &mut mean, &attempt(0, 0.0, None), 300.0, 0.5);
     assert_close(relative, 300.0 * 0.5 / LATENCY_OBJECTIVE);
     assert_eq!((class.response_time.mean, class.response_time.observations), (LATENCY_OBJECTIVE, 0.0));
     assert_eq!((class.service_time.observations, mean), (0.0, 500.0));
     observe(&mut class, &mut mean, &attempt(0, 0.0, None), 300.0, 0.999);
-    assert_eq!(class.response_time.observations, 0.0, "just below a warm executor");
+    assert_eq!(class.response_time.observations, 0.0, "a scale just below that of a warm executor");
 }
--- a/tests/unit/sampling.rs
+++ b/tests/unit/sampling.rs
@@ -1,11 +1,11 @@
-//! Sampling: how many executors are sampled, and which.
+//! Sampling: how many executors are sampled, and which ones.
 use super::*;
 use crate::event::Outcome;
 use crate::policy::rule_inputs::*;
 use std::collections::BTreeSet;
 
 #[test]
-fn capacity_is_short_while_requests_are_queued_or_a_large_fleet_shows_it() {
+fn capacity_is_short_if_requests_are_queued_or_replies_show_it_in_a_large_fleet() {
     for (queued, busy_ratio, is_large_fleet, expected) in [
         (0, None, true, FleetCapacity::Available),
         (1, None, false, FleetCapacity::Short),
@@ -14,7 +14,10 @@
         (0, Some(0.31), false, FleetCapacity::Available),
     ] {
         let capacity = FleetCapacity::observe(queued, busy_ratio, is_large_fleet);
-        assert_eq!(capacity, expected, "{queued} queued, busy {busy_ratio:?}, large: {is_large_fleet}");
+        assert_eq!(
+            capacity, expected,
+            "{queued} queued, busy ratio {busy_ratio:?}, large fleet: {is_large_fleet}"
+        );
     }
 }
 
@@ -26,7 +29,7 @@
 }
 
 #[test]
-fn the_sample_size_is_computed_once_a_second() {
+fn the_sample_size_is_recomputed_once_per_second() {
     let mut sizing = SampleSizing::new(500.0);
     assert!(!sizing.is_due(1499.0) && sizing.is_due(1500.0));
     sizing.update(1500.0, 0.2, 0.0);
@@ -37,7 +40,7 @@
 fn the_sample_size_follows_load_and_cost_within_its_bounds() {
     let mut sizing = SampleSizing::new(0.0);
     let grown = LogEvent::SampleSizeChanged { from: 2, to: 3, busy_ratio: 0.2, probe_cost: 0.0 };
-    assert_eq!(sizing.update(1000.0, 0.2, 0.0), Some(grown), "free probes: the largest size");
+    assert_eq!(sizing.update(1000.0, 0.2, 0.0), Some(grown), "probes without a cost: the largest size");
     assert_eq!(sizing.update(2000.0, 0.2, 0.0), None, "no change");
     let shrunk = LogEvent::SampleSizeChanged { from: 3, to: 2, busy_ratio: 0.99, probe_cost: 0.6 };
     assert_eq!(sizing.update(3000.0, 0.99, 0.6), Some(shrunk), "no size is stable: the smallest one");
@@ -69,7 +72,7 @@
     SamplingWeight { warm_up: 1.0, health, is_cross_zone: false }
 }
 
-/// What is sampled 200 times from executors 0 to 3, of which 3 is assigned.
+/// Samples 200 times from executors 0 to 3, of which 3 is assigned, and returns the different results.
 fn sampled(
     avoided: &[ExecutorId],
     assigned_weight: f64,
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn an_assigned_executor_is_sampled_in_place_of_other_nodes() {
+fn an_assigned_executor_is_sampled_more_often_by_the_assigned_weight() {
     let (ready, mut random) = ([0, 1, 2, 3].map(executor), random());
     for (assigned_weight, expected) in [(0.0, 190..310), (4.0, 570..680)] {
         let sampler = Sampler { ready: &ready, assigned: &ready[3..], assigned_weight };
@@ -127,11 +130,11 @@
 }
 
 #[test]
-fn a_weight_close_to_one_does_not_use_the_random_source() {
+fn a_weight_close_to_one_is_accepted_without_a_random_draw() {
     for (health, is_used) in [(1.0, false), (0.981, false), (0.98, true), (0.5, true)] {
         let (mut used, mut unused) = (random(), random());
         weight_of(health).accepts(&mut used);
-        assert_eq!(used.random::<u64>() != unused.random::<u64>(), is_used, "{health}");
+        assert_eq!(used.random::<u64>() != unused.random::<u64>(), is_used, "weight {health}");
     }
 }
 
--- a/tests/unit/selection.rs
+++ b/tests/unit/selection.rs
@@ -1,4 +1,4 @@
-//! Selection: ranks of candidates, and what follows from the shortest queue.
+//! Selection: ranks of candidates, and the next step after the choice of the shortest queue.
 use super::*;
 use crate::policy::rule_inputs::*;
 use std::collections::BTreeSet;
@@ -7,14 +7,14 @@
     LoadReport { queue_length: Some(queue_length), free_slots: Some(free_slots), ..LoadReport::default() }
 }
 
-/// The rank for a request of two slots at an executor of ten.
+/// Returns the rank of an executor with ten slots for a request of two slots.
 fn rank(report: &LoadReport, is_cross_zone: bool) -> QueueRank {
     let load = CandidateLoad { report, free_slots: report.free_slots, total_slots: 10.0, is_cross_zone };
     QueueRank::new(&load, 2.0)
 }
 
 #[test]
-fn slots_that_a_request_lacks_count_as_queued() {
+fn missing_slots_count_as_queue_length() {
     for (queue_length, free_slots, expected) in [
         (0.0, 2.0, 0.0),
         (0.0, 1.0, 1.0),
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn a_report_without_a_queue_shows_it_by_what_is_in_flight() {
+fn requests_in_flight_replace_a_missing_queue_length() {
     let in_flight = LoadReport { in_flight: Some(4.0), ..LoadReport::default() };
     assert_eq!(rank(&in_flight, false).queue_length, 4.0);
     assert_eq!(rank(&LoadReport::default(), false).queue_length, 0.0);
 }
 
 #[test]
-fn ranks_go_by_queue_then_zone_then_free_slots() {
+fn ranks_are_ordered_by_queue_then_zone_then_free_slots() {
     let ordered = [
         rank(&report(0.0, 6.0), false),
         rank(&report(0.0, 5.0), false),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_candidate_without_queue_ends_the_probes_if_it_is_idle_or_probes_are_priced() {
+fn a_candidate_without_a_queue_suffices_if_it_is_idle_or_probes_have_a_price() {
     let (free, queued) = (report(0.0, 2.0), report(0.0, 1.0));
     for (report, is_cross_zone, slots_in_flight, probe_price, expected) in [
         (free, false, 0.4, 0.0, true),
@@ -74,14 +74,14 @@
 #[test]
 fn the_shortest_queue_has_all_candidates_of_the_best_rank() {
     let (short, long) = (report(0.0, 4.0), report(2.0, 4.0));
-    let of = |candidates: &[(u32, LoadReport)]| shortest(candidates).executors;
-    assert_eq!(of(&[(1, long), (2, short), (3, long), (4, short)]), [2, 4].map(executor));
-    assert_eq!(of(&[(1, short), (2, report(0.0, 5.0))]), [executor(2)], "one more slot is free");
-    assert!(of(&[]).is_empty());
+    let executors_of = |candidates: &[(u32, LoadReport)]| shortest(candidates).executors;
+    assert_eq!(executors_of(&[(1, long), (2, short), (3, long), (4, short)]), [2, 4].map(executor));
+    assert_eq!(executors_of(&[(1, short), (2, report(0.0, 5.0))]), [executor(2)], "one more slot is free");
+    assert!(executors_of(&[]).is_empty());
 }
 
 #[test]
-fn what_follows_once_all_reports_are_in() {
+fn the_next_step_depends_on_queue_round_and_capacity() {
     let (short, long) = ([(1, report(0.0, 2.0))], [(1, report(0.0, 1.0))]);
     for (candidates, rounds, capacity, expected) in [
         (&short[..], 1, FleetCapacity::Available, NextStep::Dispatch),
--- a/tests/unit/slow_start.rs
+++ b/tests/unit/slow_start.rs
@@ -1,23 +1,23 @@
-//! Slow start: budgets, shares and weights, each at its edge.
+//! Slow start: budgets, shares and weights at their boundary values.
 use super::*;
 use crate::policy::rule_inputs::*;
 use crate::settings::Effect;
 
 const START: Millis = 50_000.0;
 const SLOTS: f64 = 4.0;
-/// 4 slots at a quarter of their capacity for 1000 ms, four times over, of which 0.8 are spent.
+/// 0.8 of four times the work of 4 slots at a quarter of their capacity over 1000 ms, in slot-milliseconds.
 const BUDGET: f64 = 3200.0;
 
 fn rule(nodes: f64, node: Option<f64>) -> SlowStart {
     SlowStart::new(&slow_start_settings(nodes, node), nodes, LATENCY_OBJECTIVE)
 }
 
-fn fresh(token: u64) -> Endpoint {
+fn warming_up(token: u64) -> Endpoint {
     Endpoint { token, started_at: Some(START), ..endpoint(0) }
 }
 
 fn remaining(rule: &SlowStart, now: Millis, spent: &[WarmUpDispatch], sibling: SiblingProcess) -> f64 {
-    let endpoint = fresh(0);
+    let endpoint = warming_up(0);
     rule.remaining_budget(&WarmUp { endpoint: &endpoint, capacity_slots: SLOTS, spent, sibling }, now)
 }
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_budget_limits_an_executor_until_its_window_began_after_the_ramp() {
+fn a_budget_limits_an_executor_until_its_window_begins_after_the_ramp() {
     let rule = rule(1.0, None);
     for (after_start, is_limited) in [(0.0, true), (10_999.0, true), (11_000.0, false)] {
         let now = START + after_start;
@@ -49,8 +49,9 @@
 }
 
 #[test]
-fn the_shares_of_all_nodes_are_one_budget() {
-    // Ten requests of the longest objective fit: half as many nodes again, but no more than eight.
+fn the_shares_of_all_nodes_add_up_to_one_budget() {
+    // Ten requests of the longest objective fit in the budget of one slot. 1.5 nodes per request are 15, and at most
+    // eight are assigned.
     for (nodes, assigned) in [(4, 4), (8, 8), (20, 8)] {
         let rules = (0..nodes).map(|node| rule(f64::from(nodes), Some(f64::from(node))));
         let budgets: Vec<f64> =
@@ -58,19 +59,19 @@
         assert_eq!(budgets.iter().filter(|&&budget| budget > 0.0).count(), assigned, "{nodes} nodes");
         assert_close(budgets.iter().sum(), BUDGET);
     }
-    let unnumbered = remaining(&rule(20.0, None), START, &[], SiblingProcess::Absent);
-    assert_close(unnumbered, BUDGET / 20.0);
+    let without_number = remaining(&rule(20.0, None), START, &[], SiblingProcess::Absent);
+    assert_close(without_number, BUDGET / 20.0);
 }
 
 #[test]
-fn the_first_nodes_from_the_token_on_are_assigned() {
-    let assigned = |token| rule(20.0, Some(10.0)).is_assigned(&fresh(token), START);
+fn the_nodes_that_follow_the_token_are_assigned() {
+    let assigned = |token| rule(20.0, Some(10.0)).is_assigned(&warming_up(token), START);
     for (token, expected) in [(2, false), (3, true), (10, true), (11, false), (30, true)] {
         assert_eq!(assigned(token), expected, "token {token}");
     }
     let rule = rule(20.0, Some(10.0));
-    assert!(rule.is_assigned(&fresh(10), START + 9999.0));
-    assert!(!rule.is_assigned(&fresh(10), START + 10_000.0), "it is warm");
+    assert!(rule.is_assigned(&warming_up(10), START + 9999.0));
+    assert!(!rule.is_assigned(&warming_up(10), START + 10_000.0), "the executor is warm");
     assert_close(rule.assigned_weight(2), 2.0 * (20.0 / 8.0 - 1.0));
 }
 
--- a/tests/unit/start_check.rs
+++ b/tests/unit/start_check.rs
@@ -1,4 +1,4 @@
-//! Start checks: when they are due, and which attempts are lost.
+//! Start checks: when a check is due, and which attempts count as lost.
 use super::*;
 use crate::endpoint::LoadReport;
 use crate::policy::rule_inputs::*;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn starts_are_checked_with_hedging_probes_and_reports_of_starts() {
+fn start_checks_need_hedging_probes_and_reported_starts() {
     assert_eq!(StartCheck::new(&settings(true, true, true)), StartCheck::Enabled);
     for (hedging, probes, reports) in [(false, true, true), (true, false, true), (true, true, false)] {
         assert_eq!(StartCheck::new(&settings(hedging, probes, reports)), StartCheck::Disabled);
@@ -31,7 +31,7 @@
     }
 }
 
-/// A request of one slot at executor 1, with a report of executor `reported`.
+/// Returns a request for one slot with an attempt at executor 1 and a report of executor `reported`.
 fn checked(reported: u32, report: LoadReport) -> Request {
     let reports = vec![CandidateReport { executor: executor(reported), report }];
     Request { attempts: vec![attempt(1, 0.0, None)], reports, ..request() }
