--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,5 +1,5 @@
 //! Applies the lines of a batch to the instances, and collects their actions at the end of the batch.
-use crate::decode::{self, HeartbeatContent, PeersKind};
+use crate::decode::{self, HeartbeatContent, UpdateContent};
 use crate::error::LineError;
 use crate::instance::Instance;
 use std::collections::BTreeMap;
@@ -67,7 +67,7 @@
             "peers_known" => self.update_endpoints(now, &decode::parse(line)?)?,
             "new_request" => self.add_request(now, &decode::parse(line)?),
             "ping_result" => {
-                let result: decode::PingResult = decode::parse(line)?;
+                let result: decode::ProbeResult = decode::parse(line)?;
                 self.handle_event_with(result.instance, now, |instance| instance.probe_completed(&result));
             }
             "returned" => self.end_attempt(now, &decode::parse(line)?),
@@ -78,7 +78,7 @@
                 self.handle_event(instance, now, Event::TimerFired);
             }
             "withdrawn" => {
-                let decode::Withdrawn { instance, request_id } = decode::parse(line)?;
+                let decode::RequestWithdrawn { instance, request_id } = decode::parse(line)?;
                 self.handle_event(instance, now, Event::RequestWithdrawn { request_id });
             }
             "inbox" => self.receive_gossip(now, &decode::parse(line)?),
@@ -118,15 +118,15 @@
         self.active_instances.retain(|&number| number != stopped.instance);
     }
 
-    fn update_endpoints(&mut self, now: Millis, update: &decode::PeersKnown) -> Result<(), LineError> {
-        let list_update = match update.kind {
-            PeersKind::Lost => {
+    fn update_endpoints(&mut self, now: Millis, update: &decode::EndpointsUpdate) -> Result<(), LineError> {
+        let list_update = match update.content {
+            UpdateContent::Lost => {
                 self.handle_event(update.instance, now, Event::EndpointWatchLost { is_rejected: true });
                 return Ok(());
             }
-            PeersKind::Incr => ListUpdate::Delta,
-            PeersKind::Total => ListUpdate::Snapshot,
-            PeersKind::WarmCopy => ListUpdate::Cached,
+            UpdateContent::Delta => ListUpdate::Delta,
+            UpdateContent::Snapshot => ListUpdate::Snapshot,
+            UpdateContent::Cached => ListUpdate::Cached,
         };
         let number = update.sheet.ok_or(LineError::MissingSheet)?;
         let sheet = self.sheets.get(&number).ok_or(LineError::UnknownSheet(number))?;
@@ -136,7 +136,7 @@
         Ok(())
     }
 
-    fn add_request(&mut self, now: Millis, request: &decode::NewRequest) {
+    fn add_request(&mut self, now: Millis, request: &decode::RequestArrived) {
         let event = Event::RequestArrived {
             request_id: request.request_id,
             class: RequestClassId(request.class),
@@ -149,19 +149,19 @@
         self.handle_event(request.instance, now, event);
     }
 
-    fn start_attempt(&mut self, now: Millis, begun: &decode::Begun) {
-        let (request_id, attempt_id) = (begun.request_id, AttemptId(begun.attempt));
-        self.handle_event(begun.instance, now, Event::AttemptStarted { request_id, attempt_id });
+    fn start_attempt(&mut self, now: Millis, started: &decode::AttemptStarted) {
+        let (request_id, attempt_id) = (started.request_id, AttemptId(started.attempt));
+        self.handle_event(started.instance, now, Event::AttemptStarted { request_id, attempt_id });
     }
 
-    fn end_attempt(&mut self, now: Millis, returned: &decode::Returned) {
+    fn end_attempt(&mut self, now: Millis, ended: &decode::AttemptEnded) {
         let event = Event::AttemptEnded {
-            request_id: returned.request_id,
-            attempt_id: AttemptId(returned.attempt),
-            outcome: returned.state_code.into(),
-            is_request_closed: returned.is_request_closed,
+            request_id: ended.request_id,
+            attempt_id: AttemptId(ended.attempt),
+            outcome: ended.status.into(),
+            is_request_closed: ended.is_request_closed,
         };
-        self.handle_event(returned.instance, now, event);
+        self.handle_event(ended.instance, now, event);
     }
 
     fn apply_heartbeat(&mut self, now: Millis, heartbeat: &decode::Heartbeat) {
@@ -177,11 +177,11 @@
         self.handle_event(heartbeat.instance, now, event);
     }
 
-    fn receive_gossip(&mut self, now: Millis, inbox: &decode::Inbox) {
-        let Some(instance) = self.instances.get_mut(&inbox.instance) else { return };
-        match instance.gossip_received(inbox) {
-            Some(event) => self.handle_event(inbox.instance, now, event),
-            None if instance.is_unreadable_log_due() => self.add_to_reply(inbox.instance),
+    fn receive_gossip(&mut self, now: Millis, gossip: &decode::GossipReceived) {
+        let Some(instance) = self.instances.get_mut(&gossip.instance) else { return };
+        match instance.gossip_received(gossip) {
+            Some(event) => self.handle_event(gossip.instance, now, event),
+            None if instance.is_unreadable_log_due() => self.add_to_reply(gossip.instance),
             None => {}
         }
     }
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -114,40 +114,46 @@
 
 /// The state of an executor in a sheet.
 #[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "lowercase")]
 pub enum EntryPhase {
-    Healthy,
-    Cordoned,
-    Deregistered,
+    #[serde(rename = "healthy")]
+    Ready,
+    #[serde(rename = "cordoned")]
+    Draining,
+    #[serde(rename = "deregistered")]
+    Gone,
 }
 
 /// An update of the endpoint list of an instance, or the loss of its watch.
 #[derive(Deserialize)]
-pub struct PeersKnown {
+pub struct EndpointsUpdate {
     #[serde(rename = "i")]
     pub instance: u64,
-    pub kind: PeersKind,
+    #[serde(rename = "kind")]
+    pub content: UpdateContent,
     /// Number of the sheet; `None` if the watch was lost.
     pub sheet: Option<u8>,
 }
 
-/// The content of a [`PeersKnown`].
+/// The content of an [`EndpointsUpdate`].
 #[derive(Deserialize, PartialEq, Eq, Clone, Copy)]
-#[serde(rename_all = "snake_case")]
-pub enum PeersKind {
+pub enum UpdateContent {
     /// Only the changed entries.
-    Incr,
+    #[serde(rename = "incr")]
+    Delta,
     /// The complete list.
-    Total,
+    #[serde(rename = "total")]
+    Snapshot,
     /// The complete list from a cache that was written before a restart.
-    WarmCopy,
+    #[serde(rename = "warm_copy")]
+    Cached,
     /// No list: the watch was lost.
+    #[serde(rename = "lost")]
     Lost,
 }
 
 /// The arrival of a request.
 #[derive(Deserialize)]
-pub struct NewRequest {
+pub struct RequestArrived {
     #[serde(rename = "i")]
     pub instance: u64,
     #[serde(rename = "call", deserialize_with = "request_id")]
@@ -168,12 +174,13 @@
 
 /// The end of a probe.
 #[derive(Deserialize)]
-pub struct PingResult<'a> {
+pub struct ProbeResult<'a> {
     #[serde(rename = "i")]
     pub instance: u64,
     #[serde(borrow)]
     pub executor: Cow<'a, str>,
-    pub state_code: StateCode,
+    #[serde(rename = "state_code")]
+    pub status: CompletionStatus,
     /// Time from the probe to its reply, in microseconds.
     #[serde(rename = "lag")]
     pub latency: u64,
@@ -184,36 +191,43 @@
 
 /// How a probe or an attempt ended.
 #[derive(Deserialize, PartialEq, Eq, Clone, Copy)]
-#[serde(rename_all = "UPPERCASE")]
-pub enum StateCode {
-    Good,
-    Bad,
-    Full,
-    Late,
-    Noconn,
-    Rst,
-    Cxl,
-    Nop,
+pub enum CompletionStatus {
+    #[serde(rename = "GOOD")]
+    Completed,
+    #[serde(rename = "BAD")]
+    Error,
+    #[serde(rename = "FULL")]
+    Rejected,
+    #[serde(rename = "LATE")]
+    TimedOut,
+    #[serde(rename = "NOCONN")]
+    NoConnection,
+    #[serde(rename = "RST")]
+    Reset,
+    #[serde(rename = "CXL")]
+    Cancelled,
+    #[serde(rename = "NOP")]
+    NotSent,
 }
 
-impl From<StateCode> for Outcome {
-    fn from(code: StateCode) -> Self {
-        match code {
-            StateCode::Good => Outcome::Completed,
-            StateCode::Bad => Outcome::Error,
-            StateCode::Full => Outcome::Rejected,
-            StateCode::Late => Outcome::TimedOut,
-            StateCode::Noconn => Outcome::NoConnection,
-            StateCode::Rst => Outcome::Reset,
-            StateCode::Cxl => Outcome::Cancelled,
-            StateCode::Nop => Outcome::NotSent,
+impl From<CompletionStatus> for Outcome {
+    fn from(status: CompletionStatus) -> Self {
+        match status {
+            CompletionStatus::Completed => Outcome::Completed,
+            CompletionStatus::Error => Outcome::Error,
+            CompletionStatus::Rejected => Outcome::Rejected,
+            CompletionStatus::TimedOut => Outcome::TimedOut,
+            CompletionStatus::NoConnection => Outcome::NoConnection,
+            CompletionStatus::Reset => Outcome::Reset,
+            CompletionStatus::Cancelled => Outcome::Cancelled,
+            CompletionStatus::NotSent => Outcome::NotSent,
         }
     }
 }
 
 /// The end of an attempt.
 #[derive(Deserialize)]
-pub struct Returned {
+pub struct AttemptEnded {
     #[serde(rename = "i")]
     pub instance: u64,
     #[serde(rename = "call", deserialize_with = "request_id")]
@@ -222,12 +236,13 @@
     pub is_request_closed: bool,
     #[serde(rename = "n")]
     pub attempt: u32,
-    pub state_code: StateCode,
+    #[serde(rename = "state_code")]
+    pub status: CompletionStatus,
 }
 
 /// The start of an attempt.
 #[derive(Deserialize)]
-pub struct Begun {
+pub struct AttemptStarted {
     #[serde(rename = "i")]
     pub instance: u64,
     #[serde(rename = "call", deserialize_with = "request_id")]
@@ -273,7 +288,7 @@
 
 /// The disconnection of a request's client.
 #[derive(Deserialize)]
-pub struct Withdrawn {
+pub struct RequestWithdrawn {
     #[serde(rename = "i")]
     pub instance: u64,
     #[serde(rename = "call", deserialize_with = "request_id")]
@@ -282,7 +297,7 @@
 
 /// A gossip message from another node.
 #[derive(Deserialize)]
-pub struct Inbox<'a> {
+pub struct GossipReceived<'a> {
     #[serde(rename = "i")]
     pub instance: u64,
     /// Message in base64.
@@ -290,7 +305,7 @@
     body: Option<Cow<'a, str>>,
 }
 
-impl Inbox<'_> {
+impl GossipReceived<'_> {
     /// Decodes the message; `None` if it is missing or invalid.
     pub fn message(&self, class_names: ClassNames) -> Option<GossipMessage> {
         let bytes = BASE64_STANDARD.decode(self.body.as_deref()?).ok()?;
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,5 +1,5 @@
 //! One simulated node: a dispatcher, with the translation between its ids and the names of the protocol.
-use crate::decode::{Create, EntryPhase, Inbox, PingResult, SheetEntry, StateCode};
+use crate::decode::{CompletionStatus, Create, EntryPhase, GossipReceived, ProbeResult, SheetEntry};
 use crate::encode;
 use crate::error::LineError;
 use troutknot::{
@@ -59,9 +59,9 @@
             machine_type: MachineTypeId(entry.machine_type.unwrap_or(0)),
             deduplication_group: DeduplicationGroupId(entry.deduplication_group.unwrap_or(0)),
             state: match entry.phase {
-                EntryPhase::Healthy => EndpointState::Ready,
-                EntryPhase::Cordoned => EndpointState::Draining,
-                EntryPhase::Deregistered => EndpointState::Gone,
+                EntryPhase::Ready => EndpointState::Ready,
+                EntryPhase::Draining => EndpointState::Draining,
+                EntryPhase::Gone => EndpointState::Gone,
             },
             weight: entry.weight.unwrap_or(1.0),
             started_at: entry.started_at.filter(|&at| at > 0).map(millis_from_micros),
@@ -69,8 +69,8 @@
     }
 
     /// Returns the event for the end of a probe. The dispatcher drops and counts it if the executor has no handle.
-    pub fn probe_completed(&self, result: &PingResult) -> Event {
-        let is_answered = result.state_code == StateCode::Good;
+    pub fn probe_completed(&self, result: &ProbeResult) -> Event {
+        let is_answered = result.status == CompletionStatus::Completed;
         Event::ProbeCompleted {
             executor: self.registry.get(&result.executor).unwrap_or_default(),
             reply: is_answered.then(|| ProbeReply {
@@ -81,8 +81,8 @@
     }
 
     /// Returns the event for a gossip message; `None` if the message is unreadable, which is counted.
-    pub fn gossip_received(&mut self, inbox: &Inbox) -> Option<Event> {
-        if let Some(message) = inbox.message(&self.class_names) {
+    pub fn gossip_received(&mut self, gossip: &GossipReceived) -> Option<Event> {
+        if let Some(message) = gossip.message(&self.class_names) {
             return Some(Event::GossipReceived(message));
         }
         self.unreadable_messages += 1;
--- a/src/policy/sampling.rs
+++ b/src/policy/sampling.rs
@@ -74,8 +74,8 @@
     /// Capacity is short if requests are queued at this node. In a large fleet it is also short if many probe
     /// replies show a queue, because a node of a large fleet usually has too few requests to queue any.
     pub fn observe(queued: usize, busy_ratio: Option<f64>, is_large_fleet: bool) -> Self {
-        let is_shown = busy_ratio.unwrap_or(0.0) > SHORT_CAPACITY_RATIO;
-        match queued > 0 || (is_shown && is_large_fleet) {
+        let is_busy = busy_ratio.unwrap_or(0.0) > SHORT_CAPACITY_RATIO;
+        match queued > 0 || (is_busy && is_large_fleet) {
             true => FleetCapacity::Short,
             false => FleetCapacity::Available,
         }
--- a/src/state/executor_state.rs
+++ b/src/state/executor_state.rs
@@ -64,7 +64,7 @@
 
     /// Applies a new list entry. A restart clears the history. An executor that is gone keeps its start time: if it
     /// is listed again with the same one, its spent warm-up budget still counts.
-    pub fn relist(&mut self, endpoint: Endpoint) {
+    pub fn apply_entry(&mut self, endpoint: Endpoint) {
         if endpoint.state == EndpointState::Gone {
             self.endpoint.state = EndpointState::Gone;
             return;
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -151,7 +151,7 @@
             self.gone = self.states.keys().collect();
             self.reserve(endpoints.len());
         }
-        endpoints.iter().for_each(|endpoint| self.list(endpoint));
+        endpoints.iter().for_each(|endpoint| self.apply_entry(endpoint));
         self.collect_ready();
         if self.gone.is_empty() {
             self.reclaim_at = f64::INFINITY;
@@ -160,11 +160,11 @@
         }
     }
 
-    fn list(&mut self, endpoint: &Endpoint) {
+    fn apply_entry(&mut self, endpoint: &Endpoint) {
         let executor = endpoint.executor;
         let type_before = self.states.get(executor).map(|state| state.endpoint.machine_type);
         match self.states.get_mut(executor) {
-            Some(state) => state.relist(*endpoint),
+            Some(state) => state.apply_entry(*endpoint),
             None => {
                 self.states.insert(executor, ExecutorState::new(*endpoint));
             }
--- a/tests/unit/slow_start.rs
+++ b/tests/unit/slow_start.rs
@@ -37,8 +37,8 @@
     for (after_start, is_limited) in [(0.0, true), (10_999.0, true), (11_000.0, false)] {
         let now = START + after_start;
         assert_eq!(rule.is_limited(Some(START), now), is_limited, "{after_start} ms after its start");
-        let left = remaining(&rule, now, &[], SiblingProcess::Absent);
-        assert_eq!(left.is_finite(), is_limited, "{after_start} ms after its start");
+        let remaining_budget = remaining(&rule, now, &[], SiblingProcess::Absent);
+        assert_eq!(remaining_budget.is_finite(), is_limited, "{after_start} ms after its start");
     }
     assert!(!rule.is_limited(None, START), "an executor without a start is warm");
 }
