--- a/crates/configuration/tests/catalog.rs
+++ b/crates/configuration/tests/catalog.rs
@@ -14,6 +14,7 @@
     value.as_object().expect("an object")
 }
 
+/// An id that changes or is assigned twice would make open requests use the terms of another class.
 #[test]
 fn a_class_keeps_its_id_while_its_terms_are_the_same() {
     let mut catalog = IdCatalog::default();
@@ -39,6 +40,7 @@
     assert_eq!(resolved.settings.classes[3].effect, Effect::AtMostOnce);
 }
 
+/// Settings that list names in another order must not exchange ids, or quotas would apply to the wrong tenant.
 #[test]
 fn zones_machine_types_and_tenants_keep_their_ids_when_the_order_changes() {
     let mut catalog = IdCatalog::default();
@@ -58,6 +60,7 @@
     assert_eq!(quotas, [0.0, 7.0]);
 }
 
+/// Invalid settings must not be applied in part, and the error must contain the key.
 #[test]
 fn invalid_settings_are_rejected_and_the_current_ones_stay_in_effect() {
     let good = settings(&[("a", "safe", 5000), ("b", "unsafe", 5000)], 3.into());
@@ -126,6 +129,7 @@
     assert!(catalog.resolve(map(&with_terms(7))).is_ok(), "terms that have an id");
 }
 
+/// An operator should not have to correct settings one error at a time.
 #[test]
 fn all_errors_in_settings_are_listed_in_one_line() {
     let mut file = settings(&[("a", "safe", 5000), ("b", "unsafe", 0)], json!(0));
--- a/crates/gossip/tests/compatibility.rs
+++ b/crates/gossip/tests/compatibility.rs
@@ -9,6 +9,7 @@
     lines.map(|line| line.as_bytes().chunks(2).map(byte).collect()).collect()
 }
 
+/// Nodes of different releases must understand each other during an upgrade.
 #[test]
 fn each_message_has_the_encoding_of_the_earlier_release() {
     let classes = ["other".to_string(), "render".to_string()];
--- a/crates/gossip/tests/malformed_messages.rs
+++ b/crates/gossip/tests/malformed_messages.rs
@@ -4,6 +4,7 @@
 
 const VERSION: u8 = 1;
 
+/// A datagram that is damaged or from another release must not be read as a rejection.
 #[test]
 fn malformed_and_unknown_messages_are_not_decoded() {
     let classes = ["render".to_string()];
--- a/crates/membership/tests/retention.rs
+++ b/crates/membership/tests/retention.rs
@@ -46,6 +46,7 @@
     assert!((55.0..80.0).contains(&variance), "variance of independent choices: {variance}");
 }
 
+/// If nodes chose alike, all of them would leave out the same executors.
 #[test]
 fn any_two_nodes_choose_independently() {
     let (names, nodes) = (names(LISTED), nodes());
@@ -57,6 +58,7 @@
     }
 }
 
+/// A change of the list must not replace many retained executors, whose state and connections would be lost.
 #[test]
 fn replacing_one_executor_changes_at_most_one_retained_one() {
     for (number, retention) in nodes().iter().enumerate() {
@@ -72,6 +74,7 @@
     }
 }
 
+/// A list in another order must not change which executors are retained.
 #[test]
 fn the_choice_does_not_depend_on_the_order_of_the_list() {
     let retention = Retention::for_node("n0");
@@ -84,6 +87,7 @@
     assert_eq!(one, other);
 }
 
+/// A draining executor gets no new requests, so it must not use the memory of a ready one.
 #[test]
 fn a_draining_executor_is_never_retained_instead_of_a_ready_one() {
     let names = names(LISTED);
@@ -99,6 +103,7 @@
     }
 }
 
+/// Guards against errors by one at the limits, and against equal ranks exceeding the limit.
 #[test]
 fn limits_of_zero_and_of_all_are_exact() {
     let retention = Retention::for_node("n0");
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -27,6 +27,7 @@
 const REQUEST: &str = r#"{"op":"new_request","i":3,"call":"00ff1911375d3a91","cores_needed":1,"time_left":240000,"priority":0,"new_key":null}"#;
 const PROBE: &str = r#"{"op":"sample","i":3,"executor":"executor_a"}"#;
 
+/// Guards against events that are lost, applied to the wrong instance or answered in the wrong order.
 #[test]
 fn each_batch_is_answered_with_the_actions_of_its_events() {
     let lines = |parts: &[&str]| parts.join("\n") + "\n";
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -9,8 +9,8 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Step sizes of the admitted share. The floor keeps 5 % of the requests admitted, so that the end of an
-/// overload is detected.
+/// Step sizes of the admitted share. The floor keeps 5 % of the requests of mean cost admitted, so that the end of
+/// an overload is detected.
 const SHARE_STEPS: ShareSteps = ShareSteps { increase: 0.1, decrease: 0.85, floor: 0.05 };
 /// Lower bound on the value of a class, which keeps the cost per value finite.
 const MIN_VALUE: f64 = 1e-9;
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -45,6 +45,8 @@
     admitted
 }
 
+/// Without shedding, queues at executors would grow; without the recovery, requests would be rejected after an
+/// overload.
 #[test]
 fn requests_are_rejected_while_attempts_start_late_and_admitted_again_after() {
     for (starts_reported, latest) in [(true, LATEST_START), (false, LATEST_END)] {
@@ -59,6 +61,7 @@
     }
 }
 
+/// A late start that is counted again when it is reported would reject too many requests.
 #[test]
 fn a_late_start_is_counted_only_once() {
     let admitted_after = |is_reported: bool| {
@@ -80,6 +83,7 @@
     assert_eq!(unreported, reported, "a late start that is reported does not count again");
 }
 
+/// If all classes were shed alike, an overload would cost more value than necessary.
 #[test]
 fn requests_of_higher_cost_for_their_value_are_rejected_first() {
     let mut settings = settings_without_probes(true);
@@ -193,6 +197,7 @@
     ServiceRatios { in_time: in_time as f64 / offered as f64, rejected: rejected as f64 / offered as f64 }
 }
 
+/// Without shedding, all requests would be late during the overload; with too much, capacity would be idle.
 #[test]
 fn requests_are_served_in_time_during_an_overload_of_half_the_capacity() {
     let ServiceRatios { in_time, rejected } = simulate(1.5);
--- a/tests/discovery_backoff.rs
+++ b/tests/discovery_backoff.rs
@@ -4,6 +4,7 @@
 use troutknot::settings::DiscoveryMode;
 use troutknot::*;
 
+/// A node whose backoff exceeds the poll interval would use an outdated list for too long.
 #[test]
 fn a_lost_list_is_called_for_within_the_poll_interval() {
     let mut settings = Settings { discovery_mode: DiscoveryMode::Subscribe, ..Settings::default() };
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -128,6 +128,7 @@
     }
 }
 
+/// Guards against unbounded retries and against a second answer.
 #[test]
 fn attempts_are_limited_and_a_rejection_is_final() {
     let mut node = node(1.0);
@@ -144,6 +145,7 @@
     );
 }
 
+/// An open request must keep the terms that its client relied on when it was sent.
 #[test]
 fn new_settings_apply_to_new_requests_only() {
     let mut node = node(1.0);
--- a/tests/selection.rs
+++ b/tests/selection.rs
@@ -3,6 +3,7 @@
 use helpers::*;
 use troutknot::*;
 
+/// Guards against a request that is dispatched to the only executor of a first sample although that has a queue.
 #[test]
 fn a_request_is_dispatched_to_the_shortest_queue() {
     let mut node = node(1.0);
@@ -45,6 +46,7 @@
     assert_eq!(response_to(&node.arrive(0).1), Response::Waiting);
 }
 
+/// Without probes, requests must still be spread evenly over the executors, and be retried after rejections.
 #[test]
 fn no_executor_is_probed_where_probes_are_forbidden() {
     let mut node = node_without_probes(true);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -244,6 +244,7 @@
     actions
 }
 
+/// Independent processes, also during handovers and restarts, must not exceed the budget or leave it unused.
 #[test]
 fn all_processes_together_stay_within_a_budget() {
     for change in
--- a/tests/unit/admission.rs
+++ b/tests/unit/admission.rs
@@ -19,6 +19,7 @@
     (0..1000).filter(|_| control.decide(relative_cost, &mut random) == Admission::Admitted).count()
 }
 
+/// A draw without need would shift all later random numbers.
 #[test]
 fn all_requests_are_admitted_initially_without_a_random_draw() {
     let (mut used, mut unused) = (random(), random());
@@ -27,6 +28,7 @@
     assert_eq!(used.random::<u64>(), unused.random::<u64>());
 }
 
+/// Guards against a share that does not fall, falls below its floor, does not recover, or ignores the cost.
 #[test]
 fn requests_are_shed_after_late_starts_and_costly_ones_first() {
     let mut control = adaptive(true);
@@ -42,6 +44,7 @@
     assert_eq!(admitted_of_1000(&control, 4.0), 1000, "ten starts in time restore the share");
 }
 
+/// Late starts must not reject requests for which probes find capacity.
 #[test]
 fn nothing_is_shed_while_queues_can_be_probed() {
     let mut control = AdmissionControl::new();
@@ -50,6 +53,7 @@
     assert_eq!(admitted_of_1000(&control, 1.0), 1000);
 }
 
+/// A late start must not raise the share, or an overload would not reduce it.
 #[test]
 fn a_start_within_the_longest_delay_raises_the_share() {
     let class = class(Effect::Idempotent);
@@ -63,6 +67,7 @@
     }
 }
 
+/// An attempt must not raise the share twice, by its start and by its end.
 #[test]
 fn an_end_counts_only_if_starts_are_not_reported() {
     let class = class(Effect::Idempotent);
@@ -74,6 +79,7 @@
     }
 }
 
+/// Classes with long requests have a longer objective; without the stretch their starts would count as late.
 #[test]
 fn the_longest_start_delay_grows_with_the_stretch() {
     let mut class = class(Effect::Idempotent);
@@ -83,6 +89,7 @@
     assert_close(adaptive(false).max_start_delay(&class), DEADLINE / 4.0);
 }
 
+/// Guards against a cost that ignores running times or values.
 #[test]
 fn the_cost_of_a_class_is_relative_to_the_mean() {
     let terms = |latency_objective, value| ClassSettings {
@@ -112,6 +119,7 @@
     (0..1000).filter(within).count()
 }
 
+/// Guards against quotas that reject bursts, or that nodes together exceed several times.
 #[test]
 fn a_quota_allows_a_burst_and_then_its_rate() {
     // Quota accumulates over two seconds, and a node gets up to twice an even part of a quota.
@@ -126,6 +134,7 @@
     assert_eq!(accepted(&mut quotas(1.0), 0.0, 2), 1000, "a tenant without a quota");
 }
 
+/// A client that retries after a rejection must not use up its quota by that.
 #[test]
 fn a_client_retry_is_not_counted_again() {
     let mut quotas = quotas(1.0);
--- a/tests/unit/connection_reuse.rs
+++ b/tests/unit/connection_reuse.rs
@@ -16,6 +16,7 @@
     Attempt { idle_time, ..attempt(0, 0.0, None) }
 }
 
+/// A reset for another reason must count as a fault of the executor and not block connection reuse.
 #[test]
 fn a_reset_soon_after_dispatch_shows_a_stale_connection() {
     for (idle_time, reset_at, expected) in [
@@ -31,6 +32,7 @@
     assert!(!rule().was_stale(&started, 2.0), "the attempt started, so the connection was intact");
 }
 
+/// A block that ends too early loses requests; one that does not end prevents reuse for good.
 #[test]
 fn a_block_ends_thirty_seconds_after_the_last_loss() {
     let mut rule = rule();
@@ -41,6 +43,7 @@
     assert_eq!(rule.block(89_998.0), began);
 }
 
+/// Guards against a dispatch over a connection that may be broken.
 #[test]
 fn idle_connections_are_closed_while_reuse_is_blocked() {
     let mut rule = rule();
@@ -58,6 +61,7 @@
     }
 }
 
+/// While reuse is blocked, a lost attempt must count against its executor.
 #[test]
 fn an_idle_connection_explains_a_lost_attempt_unless_reuse_is_blocked() {
     let mut rule = rule();
--- a/tests/unit/outlier.rs
+++ b/tests/unit/outlier.rs
@@ -20,6 +20,7 @@
     detection.score_decay(NOW, ready_executors).time_constant
 }
 
+/// With a constant decay, a node with rare attempts would forget a fault before its next attempt.
 #[test]
 fn scores_decay_more_slowly_with_rarer_attempts_at_an_executor() {
     // Four times the interval between two attempts at one executor, from 4 s to 30 s.
@@ -36,6 +37,7 @@
     }
 }
 
+/// Guards against a penalty that has decayed before the next attempt, and against an unbounded one.
 #[test]
 fn the_penalty_of_a_fault_grows_with_the_time_constant_up_to_three() {
     for (time_constant, expected) in [(4000.0, 1.0), (11_000.0, 2.75), (12_000.0, 3.0), (30_000.0, 3.0)] {
@@ -43,6 +45,7 @@
     }
 }
 
+/// Guards against a score that keeps old penalties without decay.
 #[test]
 fn a_penalty_is_added_to_the_decayed_score() {
     let before = FailureScore { score: score(2.0), observations: score(1.0) };
@@ -53,6 +56,7 @@
     assert_close(later.observations.value, (-2.0_f64).exp() + 1.0);
 }
 
+/// Without the bound, an executor with many requests would have a higher score than one with few.
 #[test]
 fn a_score_consists_of_at_most_twelve_outcomes() {
     for (observations, retained) in [(10.0, 1.0), (11.0, 1.0), (12.0, 12.0 / 13.0)] {
@@ -63,6 +67,7 @@
     }
 }
 
+/// Guards against a gossip message for each of many rejections.
 #[test]
 fn peers_are_notified_of_a_rejection_only_while_the_score_is_low() {
     for (before, notice) in
@@ -73,6 +78,7 @@
     }
 }
 
+/// Repeated gossip must not exclude an executor.
 #[test]
 fn gossip_raises_a_score_up_to_the_gossip_penalty() {
     for (before, expected) in [(0.0, 1.5), (1.4, 1.5), (1.6, 1.6)] {
@@ -80,12 +86,14 @@
     }
 }
 
+/// Guards against a score that ignores one of its parts, or does not decay.
 #[test]
 fn failure_and_rejection_scores_are_added() {
     assert_close(decay(4000.0).current_score(score(1.0), score(0.5), NOW), 1.5);
     assert_close(decay(4000.0).current_score(score(1.0), score(0.0), NOW + 4000.0), (-1.0_f64).exp());
 }
 
+/// A fast response must not change the score.
 #[test]
 fn only_response_times_above_the_mean_are_penalized() {
     for (relative, expected) in [(0.5, 0.0), (1.0, 0.0), (1.0_f64.exp(), 0.7), (2.0_f64.exp(), 1.4)] {
@@ -93,6 +101,7 @@
     }
 }
 
+/// A slow executor makes requests with little slack late first.
 #[test]
 fn a_class_with_less_slack_is_more_sensitive() {
     let mut class = class(Effect::Idempotent);
@@ -102,6 +111,7 @@
     }
 }
 
+/// An executor without a score must have the full weight for any class.
 #[test]
 fn the_weight_falls_with_score_and_sensitivity() {
     assert_eq!(health_weight(0.0, 3.0), 1.0);
--- a/tests/unit/queueing.rs
+++ b/tests/unit/queueing.rs
@@ -11,6 +11,7 @@
     QueueDecision::Enqueue { recheck_at }
 }
 
+/// A request that waits longer could not be answered in time any more.
 #[test]
 fn a_request_is_queued_until_its_longest_wait() {
     let class = class(Effect::Idempotent);
@@ -25,6 +26,7 @@
     }
 }
 
+/// A client's retry can have less time left than the longest wait of its class.
 #[test]
 fn a_request_is_queued_until_its_deadline() {
     let class = class(Effect::Idempotent);
@@ -33,6 +35,7 @@
     assert_eq!(decide(&class, &request, 0, 10.0), QueueDecision::GiveUp);
 }
 
+/// A class with long requests has a longer objective, so its requests can wait longer.
 #[test]
 fn the_longest_wait_grows_with_the_running_time() {
     let mut class = class(Effect::Idempotent);
@@ -41,6 +44,7 @@
     assert_close(max_queueing_time(&class), 0.25 * (LATENCY_OBJECTIVE + 2.0 * 50.0));
 }
 
+/// A request that may not be dispatched again must be answered at once and not after its wait.
 #[test]
 fn a_request_without_a_further_attempt_is_given_up() {
     let never_ran = Some(Outcome::Rejected);
@@ -57,6 +61,7 @@
     }
 }
 
+/// A tenant over its quota must not delay the requests of others while capacity is short.
 #[test]
 fn a_request_over_its_quota_is_shed_while_others_are_queued() {
     let class = class(Effect::Idempotent);
@@ -71,6 +76,7 @@
     }
 }
 
+/// Guards against a priority that ignores value, slots, wait or quota.
 #[test]
 fn priority_is_the_value_per_slot_times_the_wait() {
     let mut class = class(Effect::Idempotent);
@@ -81,6 +87,7 @@
     assert_close(priority(&class, &over_quota, 0.5, 30.0), 0.5 * 6.0 / 2.0 * 20.0);
 }
 
+/// The choice among equal priorities must be deterministic.
 #[test]
 fn the_highest_priority_is_chosen_and_the_last_of_equal_ones() {
     let queue = [RequestId(1), RequestId(2), RequestId(3)];
--- a/tests/unit/retry.rs
+++ b/tests/unit/retry.rs
@@ -15,6 +15,7 @@
     (policy.target, policy.unserved_answer)
 }
 
+/// Guards against a final failure of a request that can safely be sent again.
 #[test]
 fn a_request_that_never_ran_is_retried_anywhere() {
     let never_ran = [Outcome::Rejected, Outcome::NoConnection, Outcome::NotSent].map(Some);
@@ -25,6 +26,7 @@
     }
 }
 
+/// Guards against a request that takes effect twice.
 #[test]
 fn the_retry_of_a_request_that_may_have_run_depends_on_its_effect() {
     let may_have_run = [
@@ -47,6 +49,7 @@
     }
 }
 
+/// After the window, executors do not recognize a repeat, which would run a second time.
 #[test]
 fn deduplicated_requests_are_retried_within_their_window() {
     let mut class = class(Effect::Deduplicated);
@@ -63,6 +66,7 @@
     }
 }
 
+/// Guards against an attempt more or less than the class allows.
 #[test]
 fn attempts_are_limited() {
     let class = class(Effect::Idempotent);
@@ -71,6 +75,7 @@
     assert!(RetryPolicy::is_exhausted(&class, &attempts));
 }
 
+/// A connection may be established late; a request sent after the window would run a second time.
 #[test]
 fn the_send_deadline_of_a_request_that_may_have_run_is_within_its_window() {
     for (effect, outcome, expected) in [
@@ -86,6 +91,7 @@
     assert_close(RetryPolicy::send_deadline(&class(Effect::Deduplicated), &attempts, 500.0), 500.0);
 }
 
+/// An executor outside the domain does not recognize a repeat, which would run a second time.
 #[test]
 fn a_deduplication_domain_is_a_group_or_a_zone() {
     let first = endpoint(7);
--- a/tests/unit/running_time.rs
+++ b/tests/unit/running_time.rs
@@ -3,6 +3,7 @@
 use crate::policy::rule_inputs::*;
 use crate::settings::Effect;
 
+/// The assumed mean must not outlast the first observation.
 #[test]
 fn the_first_attempt_sets_the_means_of_its_class() {
     let (mut class, mut mean) = (class(Effect::Idempotent), 500.0);
@@ -13,6 +14,7 @@
     assert_close(mean, 500.0 + 0.03 * (80.0 - 500.0));
 }
 
+/// A single attempt must not change the means much.
 #[test]
 fn a_later_attempt_has_a_weight_of_three_percent() {
     let (mut class, mut mean) = (class(Effect::Idempotent), 500.0);
@@ -25,6 +27,7 @@
     assert_close(relative, 200.0 / expected);
 }
 
+/// The estimate for an executor in slow start would distort the means.
 #[test]
 fn an_attempt_in_slow_start_is_scaled_and_does_not_change_the_means() {
     let (mut class, mut mean) = (class(Effect::Idempotent), 500.0);
--- a/tests/unit/sampling.rs
+++ b/tests/unit/sampling.rs
@@ -4,6 +4,7 @@
 use crate::policy::rule_inputs::*;
 use std::collections::BTreeSet;
 
+/// Guards against a node of a large fleet that probes on although no executor has capacity.
 #[test]
 fn capacity_is_short_if_requests_are_queued_or_replies_show_it_in_a_large_fleet() {
     for (queued, busy_ratio, is_large_fleet, expected) in [
@@ -21,6 +22,7 @@
     }
 }
 
+/// Guards against probes that cost capacity while it is short.
 #[test]
 fn one_executor_is_sampled_while_capacity_is_short() {
     let sizing = SampleSizing::new(0.0);
@@ -28,6 +30,7 @@
     assert_eq!(sizing.size_for(FleetCapacity::Short), 1);
 }
 
+/// Guards against a recomputation for each request.
 #[test]
 fn the_sample_size_is_recomputed_once_per_second() {
     let mut sizing = SampleSizing::new(500.0);
@@ -36,6 +39,7 @@
     assert!(!sizing.is_due(2499.0) && sizing.is_due(2500.0));
 }
 
+/// Guards against a sample size out of bounds, and against log entries without a change.
 #[test]
 fn the_sample_size_follows_load_and_cost_within_its_bounds() {
     let mut sizing = SampleSizing::new(0.0);
@@ -47,6 +51,7 @@
     assert_eq!(sizing.sample_size(), 2);
 }
 
+/// An earlier process of another release may hand over a size out of bounds.
 #[test]
 fn an_imported_sample_size_is_clamped() {
     let mut sizing = SampleSizing::new(0.0);
@@ -56,6 +61,7 @@
     }
 }
 
+/// A second round must not probe the executors of the first again.
 #[test]
 fn candidates_of_the_first_round_are_avoided_in_the_second() {
     let mut request = request();
@@ -89,6 +95,7 @@
     numbers.iter().map(|&number| Some(executor(number))).collect()
 }
 
+/// Guards against a dispatch that the rules forbid, and against executors that are never sampled.
 #[test]
 fn eligible_executors_are_sampled_and_others_are_not() {
     let (healthy, all) = (|_| weight_of(1.0), |_| true);
@@ -97,6 +104,7 @@
     assert_eq!(sampled(&[], 0.0, |_| false, healthy), BTreeSet::from([None]));
 }
 
+/// A retry must prefer another executor, but must not fail if there is none.
 #[test]
 fn an_avoided_executor_is_sampled_only_if_there_is_no_other() {
     let (healthy, avoided) = (|_| weight_of(1.0), [executor(1), executor(2)]);
@@ -105,6 +113,7 @@
     assert_eq!(sampled(&avoided, 0.0, only_avoided, healthy), all_of(&[1, 2]));
 }
 
+/// A weight of 0 must not make a request wait if the executor is the only one.
 #[test]
 fn an_executor_without_weight_is_sampled_only_if_there_is_no_other() {
     let weight = |id| weight_of(if id == executor(0) { 0.0 } else { 1.0 });
@@ -112,6 +121,7 @@
     assert_eq!(sampled(&[], 0.0, |id| id == executor(0), weight), all_of(&[0]));
 }
 
+/// Without the weight, the budget that is assigned to this node would remain unused.
 #[test]
 fn an_assigned_executor_is_sampled_more_often_by_the_assigned_weight() {
     let (ready, mut random) = ([0, 1, 2, 3].map(executor), random());
@@ -123,12 +133,14 @@
     }
 }
 
+/// Guards against a panic by a random choice from an empty list.
 #[test]
 fn no_executor_is_sampled_from_none() {
     let sampler = Sampler { ready: &[], assigned: &[], assigned_weight: 0.0 };
     assert_eq!(sampler.sample_one(&mut random(), &[], |_| true, |_| weight_of(1.0)), None);
 }
 
+/// Guards against a draw without need, which shifts all later random numbers.
 #[test]
 fn a_weight_close_to_one_is_accepted_without_a_random_draw() {
     for (health, is_used) in [(1.0, false), (0.981, false), (0.98, true), (0.5, true)] {
@@ -138,6 +150,7 @@
     }
 }
 
+/// Guards against a weight that ignores one of its factors.
 #[test]
 fn the_factors_of_a_weight_are_multiplied() {
     let mut random = random();
--- a/tests/unit/selection.rs
+++ b/tests/unit/selection.rs
@@ -13,6 +13,7 @@
     QueueRank::new(&load, 2.0)
 }
 
+/// A request that needs more slots than are free would wait at the executor.
 #[test]
 fn missing_slots_count_as_queue_length() {
     for (queue_length, free_slots, expected) in [
@@ -29,6 +30,7 @@
     }
 }
 
+/// An executor that reports no queue length must not always appear idle.
 #[test]
 fn requests_in_flight_replace_a_missing_queue_length() {
     let in_flight = LoadReport { in_flight: Some(4.0), ..LoadReport::default() };
@@ -36,6 +38,7 @@
     assert_eq!(rank(&LoadReport::default(), false).queue_length, 0.0);
 }
 
+/// Guards against a dispatch to another zone or a busier executor without need.
 #[test]
 fn ranks_are_ordered_by_queue_then_zone_then_free_slots() {
     let ordered = [
@@ -48,6 +51,7 @@
     assert!(ordered.windows(2).all(|pair| pair[0] < pair[1]), "{ordered:?}");
 }
 
+/// Guards against probes that cannot find a better candidate.
 #[test]
 fn a_candidate_without_a_queue_suffices_if_it_is_idle_or_probes_have_a_price() {
     let (free, queued) = (report(0.0, 2.0), report(0.0, 1.0));
@@ -71,6 +75,7 @@
     shortest_queue(candidates.iter().map(ranked))
 }
 
+/// If one of several equal candidates were always chosen, it would receive all requests.
 #[test]
 fn the_shortest_queue_has_all_candidates_of_the_best_rank() {
     let (short, long) = (report(0.0, 4.0), report(2.0, 4.0));
@@ -80,6 +85,7 @@
     assert!(executors_of(&[]).is_empty());
 }
 
+/// Guards against endless sampling, and against a dispatch into a queue.
 #[test]
 fn the_next_step_depends_on_queue_round_and_capacity() {
     let (short, long) = ([(1, report(0.0, 2.0))], [(1, report(0.0, 1.0))]);
@@ -97,6 +103,7 @@
     }
 }
 
+/// Nodes with the same order of candidates must not all choose the same executor.
 #[test]
 fn equal_executors_are_chosen_at_random() {
     let (executors, mut random) = ([1, 2, 3].map(executor), random());
@@ -105,6 +112,7 @@
     assert_eq!(choose_any(&[], &mut random), None);
 }
 
+/// Without probes, requests must be spread by this node's own load and never be queued.
 #[test]
 fn an_assumed_report_ranks_by_slots_in_flight_and_shows_no_queue() {
     let ranks = [0.0, 1.0, 500.0].map(|slots_in_flight| rank(&assumed_report(slots_in_flight), false));
--- a/tests/unit/slow_start.rs
+++ b/tests/unit/slow_start.rs
@@ -21,6 +21,7 @@
     rule.remaining_budget(&WarmUp { endpoint: &endpoint, capacity_slots: SLOTS, spent, sibling }, now)
 }
 
+/// Guards against a dispatch that counts for too short or too long.
 #[test]
 fn a_dispatch_counts_against_the_budget_until_its_window_is_over() {
     let rule = rule(1.0, None);
@@ -31,6 +32,7 @@
     }
 }
 
+/// An executor that is warm must not be limited, and one without a start time is warm.
 #[test]
 fn a_budget_limits_an_executor_until_its_window_begins_after_the_ramp() {
     let rule = rule(1.0, None);
@@ -43,11 +45,13 @@
     assert!(!rule.is_limited(None, START), "an executor without a start is warm");
 }
 
+/// Two processes of one node must not spend its share twice.
 #[test]
 fn two_processes_of_a_node_get_half_a_budget_each() {
     assert_close(remaining(&rule(1.0, None), START, &[], SiblingProcess::Running), BUDGET / 2.0);
 }
 
+/// Shares that add up to more would overload the executor; to less, leave it idle.
 #[test]
 fn the_shares_of_all_nodes_add_up_to_one_budget() {
     // Ten requests of the longest objective fit in the budget of one slot. 1.5 nodes per request are 15, and at most
@@ -63,6 +67,7 @@
     assert_close(without_number, BUDGET / 20.0);
 }
 
+/// All nodes must agree on the assignment without messages.
 #[test]
 fn the_nodes_that_follow_the_token_are_assigned() {
     let assigned = |token| rule(20.0, Some(10.0)).is_assigned(&warming_up(token), START);
@@ -75,6 +80,7 @@
     assert_close(rule.assigned_weight(2), 2.0 * (20.0 / 8.0 - 1.0));
 }
 
+/// Guards against a budget before the start of an executor, or after its ramp, that is out of bounds.
 #[test]
 fn progress_rises_from_the_initial_capacity_to_one() {
     let rule = rule(1.0, None);
@@ -86,6 +92,7 @@
     assert_eq!(rule.progress(None, START), 1.0);
 }
 
+/// Guards against an exponent or a scale at the wrong fleet size.
 #[test]
 fn a_fleet_of_more_than_eight_nodes_is_large() {
     for (nodes, is_large, weight, scale) in [(8.0, false, 0.25, 1.0), (9.0, true, 0.5, 0.25)] {
@@ -96,6 +103,7 @@
     }
 }
 
+/// Guards against a cost that ignores the slots of a request.
 #[test]
 fn a_request_costs_its_slots_for_the_mean_running_time() {
     assert_close(warm_up_cost(&class(Effect::Idempotent), 3.0), 3.0 * LATENCY_OBJECTIVE);
--- a/tests/unit/start_check.rs
+++ b/tests/unit/start_check.rs
@@ -13,6 +13,7 @@
     settings
 }
 
+/// Without any of the three, a lost attempt cannot be detected or not be hedged.
 #[test]
 fn start_checks_need_hedging_probes_and_reported_starts() {
     assert_eq!(StartCheck::new(&settings(true, true, true)), StartCheck::Enabled);
@@ -21,6 +22,7 @@
     }
 }
 
+/// A check before the report can include the attempt would take each attempt for a lost one.
 #[test]
 fn a_check_is_due_after_the_objective_and_not_before_a_report() {
     let mut class = class(Effect::Idempotent);
@@ -37,6 +39,7 @@
     Request { attempts: vec![attempt(1, 0.0, None)], reports, ..request() }
 }
 
+/// An attempt in the queue of a busy executor must not be hedged.
 #[test]
 fn an_attempt_is_lost_if_its_executor_reports_free_capacity() {
     let report = |queue_length, free_slots| LoadReport { queue_length, free_slots, ..LoadReport::default() };
@@ -53,6 +56,7 @@
     }
 }
 
+/// Guards against a hedge of a running attempt.
 #[test]
 fn an_attempt_that_started_is_not_lost() {
     let mut request = checked(1, LoadReport { queue_length: Some(0.0), ..LoadReport::from_free_slots(1.0) });
--- a/tests/warm_up_budget.rs
+++ b/tests/warm_up_budget.rs
@@ -82,6 +82,7 @@
     }
 }
 
+/// If waiting times were spent as well, an executor in slow start would get too few requests.
 #[test]
 fn a_budget_is_spent_by_running_times_and_not_by_waits() {
     for starts_reported in [true, false] {
