--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -86,7 +86,7 @@
     /// `max_unretained` other entries.
     pub fn new(node: &str, bound: usize, max_unretained: usize) -> Self {
         EndpointRetention {
-            retention: Retention::of_node(node),
+            retention: Retention::for_node(node),
             bound,
             max_unretained,
             retained: 0,
--- a/crates/gossip/tests/compatibility.rs
+++ b/crates/gossip/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes, byte for byte as an earlier release wrote them (commit cc67128).
+//! Compatibility of datagrams with those of an earlier release (commit cc67128), byte for byte.
 use troutknot::{GossipMessage, RequestClassId};
 use troutknot_gossip::{decode, encode};
 
@@ -9,12 +9,13 @@
     lines.map(|line| line.as_bytes().chunks(2).map(byte).collect()).collect()
 }
 
+/// Nodes of different releases must understand each other during an upgrade.
 #[test]
-fn each_message_is_read_and_written_as_before() {
+fn each_message_has_the_encoding_of_the_earlier_release() {
     let classes = ["other".to_string(), "render".to_string()];
     let messages = [
         GossipMessage::IdleConnectionLost,
-        GossipMessage::WorkRejected { token: 9, class: RequestClassId(1) },
+        GossipMessage::RequestRejected { token: 9, class: RequestClassId(1) },
     ];
     let datagrams = datagrams();
     assert_eq!(datagrams.len(), messages.len());
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,12 +1,12 @@
-//! One node of a simulated day: a dispatcher, and what translates between its ids and the protocol's names.
-use crate::decode::{Create, EntryPhase, Inbox, PingResult, SheetEntry, StateCode};
+//! One simulated node: a dispatcher, with the translation between its ids and the names of the protocol.
+use crate::decode::{CompletionStatus, Create, EntryPhase, GossipReceived, ProbeResult, SheetEntry};
 use crate::encode;
 use crate::error::LineError;
 use troutknot::{
     Action, DeduplicationGroupId, Dispatcher, Endpoint, EndpointState, Event, MachineTypeId, Millis,
     ProbeReply, ZoneId,
 };
-use troutknot_configuration::{LoadFields, class_names, millis, parse_settings};
+use troutknot_configuration::{LoadFields, class_names, millis_from_micros, parse_settings};
 use troutknot_membership::{ExecutorRegistry, token};
 
 /// One simulated node.
@@ -14,18 +14,20 @@
     dispatcher: Dispatcher,
     registry: ExecutorRegistry,
     load_fields: LoadFields,
-    /// Names of the request classes by their ids.
+    /// Names of the request classes, by their ids.
     class_names: Vec<String>,
-    /// Whether it is in the list of instances with events in this batch.
+    /// Whether the adapter lists this instance among those with an event in the open batch.
     pub has_events: bool,
     unreadable_messages: u64,
-    /// Whether the count of unreadable messages is logged with this batch.
-    logs_unreadable: bool,
+    /// Whether the count of unreadable messages is to be logged at the end of this batch.
+    is_unreadable_log_due: bool,
 }
 
 impl Instance {
+    /// Creates a dispatcher from the settings of the instance.
+    ///
     /// # Errors
-    /// If the settings cannot be used.
+    /// If the settings are invalid.
     pub fn new(now: Millis, create: &Create) -> Result<Self, LineError> {
         let settings = parse_settings(&create.profile_data)?;
         Ok(Instance {
@@ -35,16 +37,16 @@
             registry: ExecutorRegistry::default(),
             has_events: true,
             unreadable_messages: 0,
-            logs_unreadable: false,
+            is_unreadable_log_due: false,
         })
     }
 
-    /// Hands an event to the dispatcher.
+    /// Reports an event to the dispatcher.
     pub fn handle_event(&mut self, now: Millis, event: Event) {
         self.dispatcher.handle_event(now, event);
     }
 
-    /// The endpoints of a sheet, with a handle for each name.
+    /// Returns the endpoints of a sheet; registers a handle for each new name.
     pub fn endpoints(&mut self, sheet: &[SheetEntry]) -> Vec<Endpoint> {
         sheet.iter().map(|entry| self.endpoint(entry)).collect()
     }
@@ -57,44 +59,44 @@
             machine_type: MachineTypeId(entry.machine_type.unwrap_or(0)),
             deduplication_group: DeduplicationGroupId(entry.deduplication_group.unwrap_or(0)),
             state: match entry.phase {
-                EntryPhase::Healthy => EndpointState::Ready,
-                EntryPhase::Cordoned => EndpointState::Draining,
-                EntryPhase::Deregistered => EndpointState::Gone,
+                EntryPhase::Ready => EndpointState::Ready,
+                EntryPhase::Draining => EndpointState::Draining,
+                EntryPhase::Gone => EndpointState::Gone,
             },
             weight: entry.weight.unwrap_or(1.0),
-            started_at: entry.started_at.filter(|&at| at > 0).map(millis),
+            started_at: entry.started_at.filter(|&at| at > 0).map(millis_from_micros),
         }
     }
 
-    /// The event of a probe's end. The dispatcher drops and counts it if the executor has no handle.
-    pub fn probe_completed(&self, result: &PingResult) -> Event {
-        let is_answered = result.state_code == StateCode::Good;
+    /// Returns the event for the end of a probe. The dispatcher drops and counts it if the executor has no handle.
+    pub fn probe_completed(&self, result: &ProbeResult) -> Event {
+        let is_answered = result.status == CompletionStatus::Completed;
         Event::ProbeCompleted {
             executor: self.registry.get(&result.executor).unwrap_or_default(),
             reply: is_answered.then(|| ProbeReply {
-                latency: millis(result.latency),
+                latency: millis_from_micros(result.latency),
                 report: self.load_fields.report(result.metrics.as_deref().unwrap_or_default()),
             }),
         }
     }
 
-    /// The event of a message from another node; None if it is unreadable, which is counted.
-    pub fn gossip_received(&mut self, inbox: &Inbox) -> Option<Event> {
-        if let Some(message) = inbox.message(&self.class_names) {
+    /// Returns the event for a gossip message; `None` if the message is unreadable, which is counted.
+    pub fn gossip_received(&mut self, gossip: &GossipReceived) -> Option<Event> {
+        if let Some(message) = gossip.message(&self.class_names) {
             return Some(Event::GossipReceived(message));
         }
         self.unreadable_messages += 1;
-        // Logged at each power of two, so that a flood of them does not fill the log.
-        self.logs_unreadable |= self.unreadable_messages.is_power_of_two();
+        // The count is logged at each power of two, so that many of them do not fill the log.
+        self.is_unreadable_log_due |= self.unreadable_messages.is_power_of_two();
         None
     }
 
     /// Whether the count of unreadable messages is to be logged with this batch.
-    pub fn logs_unreadable(&self) -> bool {
-        self.logs_unreadable
+    pub fn is_unreadable_log_due(&self) -> bool {
+        self.is_unreadable_log_due
     }
 
-    /// Appends the lines of all actions that follow from this batch.
+    /// Appends the lines of all actions that result from this batch.
     pub fn write_actions(&mut self, number: u64, now: Millis, actions: &mut Vec<Action>, out: &mut Vec<u8>) {
         self.dispatcher.poll_actions(now, actions);
         for action in actions.drain(..) {
@@ -103,8 +105,8 @@
                 self.registry.release(executor);
             }
         }
-        if std::mem::take(&mut self.logs_unreadable) {
-            let line = format!("{} messages passed over: not understood", self.unreadable_messages);
+        if std::mem::take(&mut self.is_unreadable_log_due) {
+            let line = format!("{} unreadable gossip messages ignored", self.unreadable_messages);
             encode::log_line(out, number, &line);
         }
     }
--- a/src/dispatcher/reconcile.rs
+++ b/src/dispatcher/reconcile.rs
@@ -1,4 +1,4 @@
-//! Reconciles the desired state with what is under way; the only source of actions.
+//! Reconciles the desired state of requests, probes and timers with what is under way. All actions originate here.
 use super::Dispatcher;
 use crate::action::Action;
 use crate::ids::{ExecutorId, RequestId};
@@ -8,9 +8,9 @@
 use crate::time::Millis;
 
 impl Dispatcher {
-    /// Appends the actions that follow from all events since the last call.
+    /// Appends the actions that result from all events since the last call.
     pub fn poll_actions(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.discovery.take_due_call(now) {
+        if self.discovery.start_due_call(now) {
             actions.push(Action::WatchEndpoints);
         }
         for request_id in std::mem::take(&mut self.dirty) {
@@ -34,11 +34,11 @@
             }
             DesiredState::Probing | DesiredState::Queued | DesiredState::Dispatched { .. } => {}
             DesiredState::Rejected { retry_after } => {
-                self.forget(request_id);
+                self.remove_request(request_id);
                 actions.push(Action::Reject { request_id, retry_after })
             }
             DesiredState::Failed => {
-                self.forget(request_id);
+                self.remove_request(request_id);
                 actions.push(Action::Fail { request_id })
             }
         }
@@ -63,7 +63,7 @@
         actions.push(Action::Dispatch { request_id, executor, attempt_deadline, send_deadline });
     }
 
-    /// Starts the probes that requests still await.
+    /// Starts the due probes that a request still awaits.
     fn start_probes(&mut self, actions: &mut Vec<Action>) {
         for executor in std::mem::take(&mut self.due_probes) {
             let is_awaited =
@@ -75,18 +75,18 @@
         }
     }
 
-    /// Releases the executors that are gone and no longer needed, once that is due.
+    /// Releases the executors that are gone and no longer needed, if a check is due.
     fn reclaim(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if now < self.fleet.executors.reclaim_at() {
             return;
         }
         let spent_since = self.fleet.slow_start.window_start(now);
-        let referenced = self.requests.values().flat_map(Request::executors);
+        let referenced = self.requests.values().flat_map(Request::referenced_executors);
         let released = self.fleet.executors.reclaim(now, spent_since, referenced);
         actions.extend(released.into_iter().map(|executor| Action::ReleaseExecutor { executor }));
     }
 
-    /// Sets the host's timer, if the next due time is earlier than the one it is set for.
+    /// Sets the host's timer if the next due time is earlier than the time for which it is set.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let next_call_at = self.discovery.next_call_at;
         let next = self.timers.first().min(next_call_at).min(self.fleet.executors.reclaim_at());
--- a/tests/unit/connection_reuse.rs
+++ b/tests/unit/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Connection reuse: stale connections, and the block that follows.
+//! Connection reuse: detection of stale connections, and the block of reuse that follows.
 use super::*;
 use crate::policy::rule_inputs::*;
 
@@ -16,6 +16,7 @@
     Attempt { idle_time, ..attempt(0, 0.0, None) }
 }
 
+/// A reset for another reason must count as a fault of the executor and not block connection reuse.
 #[test]
 fn a_reset_soon_after_dispatch_shows_a_stale_connection() {
     for (idle_time, reset_at, expected) in [
@@ -28,9 +29,10 @@
         assert_eq!(was_stale, expected, "idle for {idle_time} ms, reset after {reset_at} ms");
     }
     let started = Attempt { started_at: Some(1.0), ..sent_after(10.0) };
-    assert!(!rule().was_stale(&started, 2.0), "the connection was intact");
+    assert!(!rule().was_stale(&started, 2.0), "the attempt started, so the connection was intact");
 }
 
+/// A block that ends too early loses requests; one that does not end prevents reuse for good.
 #[test]
 fn a_block_ends_thirty_seconds_after_the_last_loss() {
     let mut rule = rule();
@@ -41,10 +43,11 @@
     assert_eq!(rule.block(89_998.0), began);
 }
 
+/// Guards against a dispatch over a connection that may be broken.
 #[test]
 fn idle_connections_are_closed_while_reuse_is_blocked() {
     let mut rule = rule();
-    assert!(!rule.must_close_idle(201.0, 0.0), "no loss was observed");
+    assert!(!rule.must_close_idle(201.0, 0.0), "no broken connection was observed");
     rule.block(0.0);
     for (idle_time, now, expected) in [
         (200.0, 1.0, false),
@@ -58,8 +61,9 @@
     }
 }
 
+/// While reuse is blocked, a lost attempt must count against its executor.
 #[test]
-fn a_lost_attempt_is_explained_once_by_an_idle_connection() {
+fn an_idle_connection_explains_a_lost_attempt_unless_reuse_is_blocked() {
     let mut rule = rule();
     assert!(rule.explains_lost_attempt(&sent_after(IDLE_TIMEOUT - 1.0), 0.0));
     assert!(!rule.explains_lost_attempt(&sent_after(IDLE_TIMEOUT), 0.0), "its connection was new");
--- a/tests/unit/retry.rs
+++ b/tests/unit/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: where, how often and until when, by effect, scope and window.
+//! Retries: where, how often and until when, depending on effect, scope and window.
 use super::*;
 use crate::endpoint::ListUpdate;
 use crate::ids::{DeduplicationGroupId, ZoneId};
@@ -15,8 +15,9 @@
     (policy.target, policy.unserved_answer)
 }
 
+/// Guards against a final failure of a request that can safely be sent again.
 #[test]
-fn what_never_ran_is_retried_anywhere() {
+fn a_request_that_never_ran_is_retried_anywhere() {
     let never_ran = [Outcome::Rejected, Outcome::NoConnection, Outcome::NotSent].map(Some);
     for effect in [Effect::Idempotent, Effect::Deduplicated, Effect::AtMostOnce] {
         for outcomes in [&[][..], &never_ran[..]] {
@@ -25,8 +26,9 @@
     }
 }
 
+/// Guards against a request that takes effect twice.
 #[test]
-fn what_may_have_run_is_retried_by_its_effect() {
+fn the_retry_of_a_request_that_may_have_run_depends_on_its_effect() {
     let may_have_run = [
         None,
         Some(Outcome::Completed),
@@ -47,22 +49,24 @@
     }
 }
 
+/// After the window, executors do not recognize a repeat, which would run a second time.
 #[test]
 fn deduplicated_requests_are_retried_within_their_window() {
     let mut class = class(Effect::Deduplicated);
-    for (scope, inside, answer) in [
+    for (scope, target_in_window, answer) in [
         (DeduplicationScope::Group, SameDeduplicationDomain(executor(7)), Failed),
         (DeduplicationScope::Zone, SameDeduplicationDomain(executor(7)), Failed),
         (DeduplicationScope::All, Anywhere, Rejected),
     ] {
         class.terms.deduplication_scope = scope;
-        for (now, expected) in [(RETRY_WINDOW, inside), (RETRY_WINDOW + 1.0, Nowhere)] {
+        for (now, expected) in [(RETRY_WINDOW, target_in_window), (RETRY_WINDOW + 1.0, Nowhere)] {
             let decided = decide(&class, &[Some(Outcome::Reset)], now);
             assert_eq!(decided, (expected, answer), "{scope:?} at {now} ms");
         }
     }
 }
 
+/// Guards against an attempt more or less than the class allows.
 #[test]
 fn attempts_are_limited() {
     let class = class(Effect::Idempotent);
@@ -71,8 +75,9 @@
     assert!(RetryPolicy::is_exhausted(&class, &attempts));
 }
 
+/// A connection may be established late; a request sent after the window would run a second time.
 #[test]
-fn the_send_deadline_is_inside_the_window_of_what_may_have_run() {
+fn the_send_deadline_of_a_request_that_may_have_run_is_within_its_window() {
     for (effect, outcome, expected) in [
         (Effect::Deduplicated, Outcome::Reset, 10.0 + RETRY_WINDOW),
         (Effect::Deduplicated, Outcome::Rejected, DEADLINE),
@@ -86,6 +91,7 @@
     assert_close(RetryPolicy::send_deadline(&class(Effect::Deduplicated), &attempts, 500.0), 500.0);
 }
 
+/// An executor outside the domain does not recognize a repeat, which would run a second time.
 #[test]
 fn a_deduplication_domain_is_a_group_or_a_zone() {
     let first = endpoint(7);
--- a/tests/unit/start_check.rs
+++ b/tests/unit/start_check.rs
@@ -1,4 +1,4 @@
-//! Start checks: when they are due, and which attempts are lost.
+//! Start checks: when a check is due, and which attempts count as lost.
 use super::*;
 use crate::endpoint::LoadReport;
 use crate::policy::rule_inputs::*;
@@ -13,14 +13,16 @@
     settings
 }
 
+/// Without any of the three, a lost attempt cannot be detected or not be hedged.
 #[test]
-fn starts_are_checked_with_hedging_probes_and_reports_of_starts() {
+fn start_checks_need_hedging_probes_and_reported_starts() {
     assert_eq!(StartCheck::new(&settings(true, true, true)), StartCheck::Enabled);
     for (hedging, probes, reports) in [(false, true, true), (true, false, true), (true, true, false)] {
         assert_eq!(StartCheck::new(&settings(hedging, probes, reports)), StartCheck::Disabled);
     }
 }
 
+/// A check before the report can include the attempt would take each attempt for a lost one.
 #[test]
 fn a_check_is_due_after_the_objective_and_not_before_a_report() {
     let mut class = class(Effect::Idempotent);
@@ -31,12 +33,13 @@
     }
 }
 
-/// A request of one slot at executor 1, with a report of executor `reported`.
+/// Returns a request for one slot with an attempt at executor 1 and a report of executor `reported`.
 fn checked(reported: u32, report: LoadReport) -> Request {
     let reports = vec![CandidateReport { executor: executor(reported), report }];
     Request { attempts: vec![attempt(1, 0.0, None)], reports, ..request() }
 }
 
+/// An attempt in the queue of a busy executor must not be hedged.
 #[test]
 fn an_attempt_is_lost_if_its_executor_reports_free_capacity() {
     let report = |queue_length, free_slots| LoadReport { queue_length, free_slots, ..LoadReport::default() };
@@ -53,9 +56,10 @@
     }
 }
 
+/// Guards against a hedge of a running attempt.
 #[test]
 fn an_attempt_that_started_is_not_lost() {
-    let mut request = checked(1, LoadReport { queue_length: Some(0.0), ..LoadReport::of_free_slots(1.0) });
+    let mut request = checked(1, LoadReport { queue_length: Some(0.0), ..LoadReport::from_free_slots(1.0) });
     assert!(is_lost(&request));
     request.attempts = vec![Attempt { started_at: Some(1.0), ..request.attempts[0] }];
     assert!(!is_lost(&request));
