--- a/crates/cli/src/emulate.rs
+++ b/crates/cli/src/emulate.rs
@@ -156,7 +156,7 @@
 
     fn set_status(&self, executor: usize, status: Status, text: &str) {
         let Some(host) = self.hosts.get(executor) else { return };
-        self.cluster.set(CONSUL_SERVICE, &[&host.name], status);
+        self.cluster.set_status(CONSUL_SERVICE, &[&host.name], status);
         eprintln!("{} {text}", host.name);
     }
 }
--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -116,7 +116,7 @@
     println!("{} requests on record, {open} open; {rows} rows", ledger.len());
     let mut shown: Vec<&Job> = ledger.jobs().map(|(_, job)| job).collect();
     shown.retain(|job| all || job.answered_at.is_none());
-    shown.sort_by(|one, other| one.taken_at.total_cmp(&other.taken_at));
+    shown.sort_by(|one, other| one.accepted_at.total_cmp(&other.accepted_at));
     for job in shown {
         let remaining = if job.answered_at.is_some() {
             String::new()
@@ -128,7 +128,7 @@
         println!(
             "{}: recorded {} ago{remaining}; {}",
             job.client_id,
-            format_span(now - job.taken_at),
+            format_span(now - job.accepted_at),
             format_state(job, now)
         );
     }
--- a/crates/cli/tests/rehearse.rs
+++ b/crates/cli/tests/rehearse.rs
@@ -191,11 +191,19 @@
     let request_id = troutknot::RequestId(1);
     let (id, key, digest, work) = ("a1".to_string(), None, [0; 32], vec![]);
     let effect = troutknot::Effect::AtMostOnce;
-    let row = |sequence, record| Row { at: 1e12, sequence, record };
+    let row = |sequence, record| Row { recorded_at: 1e12, sequence, record };
     let rows = [
         row(
             0,
-            Record::Taken { request_id, effect, deadline: 2e12, client_id: id, key, digest, payload: work },
+            Record::Accepted {
+                request_id,
+                effect,
+                deadline: 2e12,
+                client_id: id,
+                key,
+                digest,
+                payload: work,
+            },
         ),
         row(1, Record::Dispatched { request_id, fence: Fence(1), executor: "s-7".into(), lease_until: 1e12 }),
     ];
--- a/crates/consul/examples/health_answer_processing.rs
+++ b/crates/consul/examples/health_answer_processing.rs
@@ -43,7 +43,7 @@
         let started = Instant::now();
         let instances = decoder.decode(body, &ResponseBounds::default()).expect("a valid body");
         catalog.apply_response(now, WatchId(0), &instances);
-        let (changes, _) = catalog.changes(now);
+        let (changes, _) = catalog.take_changes(now);
         // The first response is decoded completely in either case.
         if number > 0 {
             times.push(started.elapsed().as_secs_f64() * 1000.0);
@@ -87,7 +87,7 @@
     let mut catalog = Catalog::new(CatalogPolicy { damping, ..CatalogPolicy::default() }, 0.0);
     let healthy: Vec<_> = (0..EXECUTORS).map(|number| instance(number, Health::Passing)).collect();
     catalog.apply_response(0.0, WatchId(0), &healthy);
-    catalog.changes(0.0);
+    catalog.take_changes(0.0);
     let (mut recoveries, mut restarts) = (0, 0);
     for half_second in 1..=120u32 {
         let now = f64::from(half_second) * 500.0;
@@ -98,7 +98,7 @@
             }
         }
         catalog.apply_response(now, WatchId(0), &instances);
-        let (changes, _) = catalog.changes(now);
+        let (changes, _) = catalog.take_changes(now);
         recoveries += changes.iter().filter(|change| change.state == InstanceState::Ready).count();
         restarts += changes.iter().filter(|change| change.started_at != Some(STARTED_AT)).count();
     }
--- a/crates/consul/src/catalog/mod.rs
+++ b/crates/consul/src/catalog/mod.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, PartialEq, Debug)]
 pub enum CatalogEvent {
     /// More executors are missing than may be removed; the excess is retained.
-    RetentionBegan {
+    RetentionStarted {
         /// Executors that are missing and retained.
         retained: usize,
         /// Executors that are listed or retained.
@@ -87,7 +87,7 @@
     entries: BTreeMap<String, CatalogEntry>,
     /// Watches with a response. What the first response lists started long ago.
     answered: BTreeSet<WatchId>,
-    /// Executors that may have changed since the last call of [`Catalog::changes`].
+    /// Executors that may have changed since the last call of [`Catalog::take_changes`].
     dirty: BTreeSet<String>,
     /// Times of the removals within the window.
     removals: VecDeque<Millis>,
@@ -120,12 +120,12 @@
     }
 
     /// Number of executors that are listed or retained.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.entries.values().filter(|entry| entry.is_listed() || entry.is_retained).count()
     }
 
     /// Number of executors that are missing from the responses and retained.
-    pub fn retained(&self) -> usize {
+    pub fn retained_count(&self) -> usize {
         self.entries.values().filter(|entry| entry.is_retained).count()
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// The changes since the last call, and the events to be logged.
-    pub fn changes(&mut self, now: Millis) -> (Vec<InstanceChange>, Vec<CatalogEvent>) {
+    pub fn take_changes(&mut self, now: Millis) -> (Vec<InstanceChange>, Vec<CatalogEvent>) {
         while let Some(id) = self.timers.pop_expired(now) {
             self.dirty.insert(id);
         }
@@ -303,14 +303,14 @@
     }
 
     fn report_retention(&mut self) {
-        let retained = self.retained();
+        let retained = self.retained_count();
         let has_retained = retained > 0;
         if has_retained == std::mem::replace(&mut self.has_retained, has_retained) {
             return;
         }
-        let listed = self.listed();
+        let listed = self.listed_count();
         self.events.push(match has_retained {
-            true => CatalogEvent::RetentionBegan { retained, listed },
+            true => CatalogEvent::RetentionStarted { retained, listed },
             false => CatalogEvent::RetentionEnded,
         });
     }
--- a/crates/consul/src/query.rs
+++ b/crates/consul/src/query.rs
@@ -62,7 +62,7 @@
 
 /// Why a response must not be used; the endpoints stay as they are.
 #[derive(Clone, PartialEq, Debug, thiserror::Error)]
-pub enum ResponseRefused {
+pub enum ResponseError {
     /// The agent or its servers failed.
     #[error("status {0}")]
     Status(u16),
@@ -190,22 +190,22 @@
     ///
     /// # Errors
     /// If the response must not be used.
-    pub fn check_response(&mut self, headers: &ResponseHeaders) -> Result<(), ResponseRefused> {
+    pub fn check_response(&mut self, headers: &ResponseHeaders) -> Result<(), ResponseError> {
         // Agents answer 500 without a leader, but the documentation promises no status for that.
         if headers.known_leader == Some("false") {
-            return Err(ResponseRefused::NoLeader);
+            return Err(ResponseError::NoLeader);
         }
         if headers.status != 200 {
-            return Err(ResponseRefused::Status(headers.status));
+            return Err(ResponseError::Status(headers.status));
         }
         let staleness = headers.staleness();
         if staleness > self.timing.max_staleness {
-            return Err(ResponseRefused::Stale(staleness));
+            return Err(ResponseError::Stale(staleness));
         }
-        let index = headers.parse_index().ok_or(ResponseRefused::InvalidIndex)?;
+        let index = headers.parse_index().ok_or(ResponseError::InvalidIndex)?;
         if index < self.highest_index && self.responses_behind < self.agent_count {
             self.responses_behind += 1;
-            return Err(ResponseRefused::IndexBehind { index, highest: self.highest_index });
+            return Err(ResponseError::IndexBehind { index, highest: self.highest_index });
         }
         Ok(())
     }
--- a/crates/consul/tests/catalog.rs
+++ b/crates/consul/tests/catalog.rs
@@ -37,13 +37,13 @@
 
 /// The changes as text.
 fn changes_text(catalog: &mut Catalog, now: f64) -> String {
-    let (changes, _) = catalog.changes(now);
+    let (changes, _) = catalog.take_changes(now);
     let lines: Vec<String> = changes.iter().map(|c| format!("{} {:?}", c.instance.id, c.state)).collect();
     lines.join(", ")
 }
 
 fn count(catalog: &mut Catalog, now: f64, state: InstanceState) -> usize {
-    catalog.changes(now).0.iter().filter(|c| c.state == state).count()
+    catalog.take_changes(now).0.iter().filter(|c| c.state == state).count()
 }
 
 #[test]
@@ -72,13 +72,13 @@
     catalog.apply_response(0.0, ONE, &all);
     assert_eq!(count(&mut catalog, 0.0, InstanceState::Ready), 100);
     catalog.apply_response(10.0, ONE, &[]);
-    let (changes, events) = catalog.changes(10.0);
-    assert_eq!((changes.len(), catalog.retained()), (50, 50), "a half may go");
-    assert_eq!(events, [CatalogEvent::RetentionBegan { retained: 50, listed: 50 }]);
+    let (changes, events) = catalog.take_changes(10.0);
+    assert_eq!((changes.len(), catalog.retained_count()), (50, 50), "a half may go");
+    assert_eq!(events, [CatalogEvent::RetentionStarted { retained: 50, listed: 50 }]);
     assert_eq!(count(&mut catalog, 500.0, InstanceState::Gone), 0, "no more within the window");
     // Listed again: retained executors are unchanged, removed ones return with their start time.
     catalog.apply_response(600.0, ONE, &all);
-    let (changes, events) = catalog.changes(600.0);
+    let (changes, events) = catalog.take_changes(600.0);
     assert!(changes.iter().all(|c| c.state == InstanceState::Ready && c.started_at == Some(5.0)));
     assert_eq!((changes.len(), events.last()), (50, Some(&CatalogEvent::RetentionEnded)));
     catalog.apply_response(2000.0, ONE, &[]);
@@ -101,13 +101,13 @@
 fn a_scale_down_within_the_removal_limit_retains_nothing() {
     let mut catalog = Catalog::new(CatalogPolicy::default(), UNIX);
     catalog.apply_response(0.0, ONE, &many(100));
-    catalog.changes(0.0);
+    catalog.take_changes(0.0);
     catalog.apply_response(1.0, ONE, &many(50));
-    let (changes, events) = catalog.changes(1.0);
-    assert_eq!((changes.len(), events.len(), catalog.retained()), (50, 0, 0));
+    let (changes, events) = catalog.take_changes(1.0);
+    assert_eq!((changes.len(), events.len(), catalog.retained_count()), (50, 0, 0));
     catalog.apply_response(2.0, ONE, &many(49));
-    catalog.changes(2.0);
-    assert_eq!(catalog.retained(), 1, "one more within the window is retained");
+    catalog.take_changes(2.0);
+    assert_eq!(catalog.retained_count(), 1, "one more within the window is retained");
 }
 
 #[test]
@@ -121,7 +121,7 @@
     let policy = CatalogPolicy { damping: Some(damping), ..CatalogPolicy::default() };
     let mut catalog = Catalog::new(policy, UNIX);
     catalog.apply_response(0.0, ONE, &[up("a"), up("b")]);
-    catalog.changes(0.0);
+    catalog.take_changes(0.0);
     let (mut now, mut suppress_times) = (0.0, Vec::new());
     for _ in 0..6 {
         now += 50.0;
@@ -129,7 +129,7 @@
         let _ = changes_text(&mut catalog, now);
         now += 50.0;
         catalog.apply_response(now, ONE, &[up("a"), up("b")]);
-        let (changes, events) = catalog.changes(now);
+        let (changes, events) = catalog.take_changes(now);
         assert!(changes.iter().all(|c| c.started_at == Some(5.0)), "no new start");
         suppress_times.push(events.iter().find_map(|n| match n {
             CatalogEvent::Suppressed { until, .. } => Some(until - now),
@@ -167,11 +167,11 @@
         let mut catalog = Catalog::new(CatalogPolicy::default(), UNIX);
         let of = |health, start| [instance("a", health, start), up("b"), up("c")];
         catalog.apply_response(0.0, ONE, &of(Health::Passing, first));
-        catalog.changes(0.0);
+        catalog.take_changes(0.0);
         catalog.apply_response(100.0, ONE, &of(Health::Critical, first));
-        catalog.changes(100.0);
+        catalog.take_changes(100.0);
         catalog.apply_response(200.0, ONE, &of(Health::Passing, then));
-        let (changes, _) = catalog.changes(200.0);
+        let (changes, _) = catalog.take_changes(200.0);
         assert_eq!(
             (changes[0].state, changes[0].started_at),
             (InstanceState::Ready, started_at),
@@ -181,11 +181,11 @@
     // The same where it was away in between.
     let mut catalog = Catalog::new(CatalogPolicy::default(), UNIX);
     catalog.apply_response(0.0, ONE, &[up("a"), up("b"), up("c")]);
-    catalog.changes(0.0);
+    catalog.take_changes(0.0);
     catalog.apply_response(100.0, ONE, &[up("b"), up("c")]);
     assert_eq!(changes_text(&mut catalog, 100.0), "a Gone");
     catalog.apply_response(200.0, ONE, &[up("a"), up("b"), up("c")]);
-    assert_eq!(catalog.changes(200.0).0[0].started_at, Some(5.0));
+    assert_eq!(catalog.take_changes(200.0).0[0].started_at, Some(5.0));
 }
 
 #[test]
@@ -207,11 +207,11 @@
     let policy = CatalogPolicy { max_executors: 10, removed_retention: 1000.0, ..CatalogPolicy::default() };
     let mut catalog = Catalog::new(policy, UNIX);
     catalog.apply_response(0.0, ONE, &many(12));
-    let (changes, events) = catalog.changes(0.0);
+    let (changes, events) = catalog.take_changes(0.0);
     assert_eq!((changes.len(), events), (10, vec![CatalogEvent::Dropped { count: 2 }]));
     catalog.apply_response(1.0, ONE, &many(12)[..6]);
     assert_eq!(count(&mut catalog, 1.0, InstanceState::Gone), 4);
-    catalog.changes(1001.0);
+    catalog.take_changes(1001.0);
     assert_eq!(catalog.next_timer(), None);
     catalog.apply_response(1002.0, ONE, &many(12));
     assert_eq!(count(&mut catalog, 1002.0, InstanceState::Ready), 4, "forgotten executors make room");
@@ -231,11 +231,11 @@
     for replaced in 0..30 {
         let now = replaced as f64 * spans;
         catalog.apply_response(now, ONE, &named(replaced));
-        let (changes, events) = catalog.changes(now);
+        let (changes, events) = catalog.take_changes(now);
         let of = |state| changes.iter().filter(|change| change.state == state).count();
         let gone = if replaced == 0 { 0 } else { fleet };
         assert_eq!(
-            (of(InstanceState::Ready), of(InstanceState::Gone), catalog.listed()),
+            (of(InstanceState::Ready), of(InstanceState::Gone), catalog.listed_count()),
             (fleet, gone, fleet),
             "{replaced}"
         );
@@ -246,7 +246,7 @@
     while let Some(at) = catalog.next_timer() {
         due += 1;
         assert!(
-            due <= max_executors && catalog.changes(at).0.is_empty(),
+            due <= max_executors && catalog.take_changes(at).0.is_empty(),
             "forgotten without a change, and once"
         );
     }
@@ -258,7 +258,7 @@
     let mut catalog = Catalog::new(CatalogPolicy::default(), UNIX);
     let all = many(2000);
     catalog.apply_response(0.0, ONE, &all);
-    assert_eq!(catalog.changes(0.0).0.len(), 2000);
+    assert_eq!(catalog.take_changes(0.0).0.len(), 2000);
     let (mut ready, mut sent) = (0, 0);
     for second in 1..=60u32 {
         let now = f64::from(second) * 1000.0;
@@ -266,7 +266,7 @@
         let of = |k: usize| if failing && k < 200 { down(&all[k].id) } else { all[k].clone() };
         let instances: Vec<_> = (0..2000).map(of).collect();
         catalog.apply_response(now, ONE, &instances);
-        let (changes, _) = catalog.changes(now);
+        let (changes, _) = catalog.take_changes(now);
         sent += changes.len();
         ready += changes.iter().filter(|c| c.state == InstanceState::Ready).count();
         assert!(changes.iter().all(|c| c.instance.id.as_str() < "s0200"));
@@ -285,9 +285,9 @@
     let registered = |id: &str| instance(id, Health::Passing, Incarnation::RegisteredAt(7));
     catalog.apply_response(1.0, ONE, &[registered("a"), registered("b")]);
     catalog.apply_response(1.0, cached, &[]);
-    let (changes, _) = catalog.changes(1.0);
+    let (changes, _) = catalog.take_changes(1.0);
     assert!(changes.iter().all(|c| c.started_at.is_none()), "{changes:?}");
-    assert_eq!(catalog.retained(), 0);
+    assert_eq!(catalog.retained_count(), 0);
     assert!(changes.iter().any(|c| c.instance.id == "c" && c.state == InstanceState::Gone));
 }
 
@@ -295,10 +295,10 @@
 fn a_removed_watch_is_not_bound_by_the_removal_limit() {
     let mut catalog = Catalog::new(CatalogPolicy::default(), UNIX);
     catalog.apply_response(0.0, ONE, &many(10));
-    catalog.changes(0.0);
+    catalog.take_changes(0.0);
     catalog.remove_watch(ONE);
     assert_eq!(count(&mut catalog, 1.0, InstanceState::Gone), 10);
-    catalog.changes(2.0);
+    catalog.take_changes(2.0);
     catalog.apply_response(3.0, ONE, &many(10));
     assert_eq!(count(&mut catalog, 3.0, InstanceState::Ready), 10);
 }
--- a/crates/consul/tests/responses.rs
+++ b/crates/consul/tests/responses.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use troutknot_consul::health::{Health, HealthDecoder, Incarnation, ResponseBounds, ServiceInstance};
 use troutknot_consul::query::{
-    BlockingQuery, Consistency, QueryTiming, ResponseHeaders, ResponseRefused, WatchedService,
+    BlockingQuery, Consistency, QueryTiming, ResponseError, ResponseHeaders, WatchedService,
 };
 
 fn entry(id: &str, checks: Value) -> Value {
@@ -160,12 +160,12 @@
     };
     query.record_response(&good);
     for (headers, refused) in [
-        (ResponseHeaders { status: 500, ..good }, ResponseRefused::Status(500)),
-        (ResponseHeaders { status: 500, known_leader: Some("false"), ..good }, ResponseRefused::NoLeader),
-        (ResponseHeaders { known_leader: Some("false"), ..good }, ResponseRefused::NoLeader),
-        (ResponseHeaders { last_contact: Some("60000"), ..good }, ResponseRefused::Stale(60_000.0)),
-        (ResponseHeaders { index: None, ..good }, ResponseRefused::InvalidIndex),
-        (ResponseHeaders { index: Some("-4"), ..good }, ResponseRefused::InvalidIndex),
+        (ResponseHeaders { status: 500, ..good }, ResponseError::Status(500)),
+        (ResponseHeaders { status: 500, known_leader: Some("false"), ..good }, ResponseError::NoLeader),
+        (ResponseHeaders { known_leader: Some("false"), ..good }, ResponseError::NoLeader),
+        (ResponseHeaders { last_contact: Some("60000"), ..good }, ResponseError::Stale(60_000.0)),
+        (ResponseHeaders { index: None, ..good }, ResponseError::InvalidIndex),
+        (ResponseHeaders { index: Some("-4"), ..good }, ResponseError::InvalidIndex),
     ] {
         assert_eq!(query.check_response(&headers), Err(refused));
     }
@@ -192,7 +192,7 @@
     query.reset_index();
     assert_eq!(
         query.check_response(&headers("45")),
-        Err(ResponseRefused::IndexBehind { index: 45, highest: 50 })
+        Err(ResponseError::IndexBehind { index: 45, highest: 50 })
     );
     assert_eq!(query.check_response(&headers("51")), Ok(()));
     query.record_response(&headers("51"));
@@ -200,7 +200,7 @@
     for _ in 0..3 {
         assert_eq!(
             query.check_response(&headers("7")),
-            Err(ResponseRefused::IndexBehind { index: 7, highest: 51 })
+            Err(ResponseError::IndexBehind { index: 7, highest: 51 })
         );
     }
     assert_eq!(query.check_response(&headers("7")), Ok(()));
--- a/crates/daemon/src/discovery/consul/mod.rs
+++ b/crates/daemon/src/discovery/consul/mod.rs
@@ -88,7 +88,7 @@
             cached.iter().filter_map(instance_of).map(Rc::new).collect();
         catalog.apply_response(watcher.clock.now(), CACHED_LIST, &instances);
         // The driver has these already.
-        let _ = catalog.changes(watcher.clock.now());
+        let _ = catalog.take_changes(watcher.clock.now());
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Shared {
             limits: watcher.limits.clone(),
--- a/crates/daemon/src/discovery/consul/publish.rs
+++ b/crates/daemon/src/discovery/consul/publish.rs
@@ -15,7 +15,7 @@
 impl Shared {
     /// Sends the catalog's changes to the driver.
     pub(super) async fn publish(&self) {
-        let (changes, events) = self.catalog.borrow_mut().changes(self.clock.now());
+        let (changes, events) = self.catalog.borrow_mut().take_changes(self.clock.now());
         events.iter().for_each(|event| self.log_event(event));
         tracing::debug!(count = changes.len(), "consul changes sent");
         let has_answer = self.watches.borrow().iter().any(|watch| watch.last_answer_at.get().is_some());
@@ -30,7 +30,7 @@
 
     fn log_event(&self, event: &CatalogEvent) {
         match event {
-            CatalogEvent::RetentionBegan { retained: missing, listed: count } => {
+            CatalogEvent::RetentionStarted { retained: missing, listed: count } => {
                 tracing::warn!(missing, count, "too many executors missing in consul, they stay listed");
             }
             CatalogEvent::RetentionEnded => tracing::info!("no executor missing in consul stays listed"),
@@ -51,7 +51,7 @@
     pub(super) fn refresh_status(&self) {
         let now = self.clock.now();
         let (watches, catalog) = (self.watches.borrow(), self.catalog.borrow());
-        let (listed, missing) = (catalog.listed(), catalog.retained());
+        let (listed, missing) = (catalog.listed_count(), catalog.retained_count());
         let mut status = format!("list from consul: {listed} listed, {missing} kept though missing\n");
         for watch in watches.iter() {
             let state = if watch.is_failing.get() { "failing" } else { "followed" };
--- a/crates/daemon/src/discovery/consul/query.rs
+++ b/crates/daemon/src/discovery/consul/query.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 use troutknot::Millis;
 use troutknot_consul::health::{HealthDecoder, HealthError, ResponseBounds, ServiceInstance};
-use troutknot_consul::query::{BlockingQuery, ResponseHeaders, ResponseRefused, WatchedService};
+use troutknot_consul::query::{BlockingQuery, ResponseError, ResponseHeaders, WatchedService};
 
 /// Wait before the query to the next agent, unless all agents have failed.
 const FAILOVER_WAIT: Millis = 50.0;
@@ -37,7 +37,7 @@
     Connection(#[source] ReceiveError),
     /// The head of the answer shows that it must not be used.
     #[error(transparent)]
-    Refused(#[from] ResponseRefused),
+    Refused(#[from] ResponseError),
     /// The body is no list of healthy instances.
     #[error(transparent)]
     Unusable(#[from] HealthError),
--- a/crates/daemon/src/discovery/consul/service.rs
+++ b/crates/daemon/src/discovery/consul/service.rs
@@ -80,7 +80,7 @@
 
     fn record_failure(&self, number: WatchId, address: SocketAddr, error: &QueryError) {
         let now = self.clock.now();
-        let count = self.catalog.borrow().listed();
+        let count = self.catalog.borrow().listed_count();
         for watch in self.watches.borrow().iter().filter(|watch| watch.number == number) {
             let service = &watch.watched.service;
             if watch.is_failing.replace(true) {
--- a/crates/daemon/src/durable/jobs.rs
+++ b/crates/daemon/src/durable/jobs.rs
@@ -85,7 +85,7 @@
         let request = &in_flight.request;
         let time_left = in_flight.deadline.saturating_duration_since(Instant::now());
         let codec = self.codec.load();
-        let record = Record::Taken {
+        let record = Record::Accepted {
             request_id: in_flight.request_id,
             effect: codec.effect(request.class).unwrap_or(Effect::AtMostOnce),
             deadline: self.now() + to_millis(time_left),
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -28,7 +28,7 @@
 use tokio::time::Instant;
 use troutknot::{Millis, RequestId};
 use troutknot_clock::Clock;
-use troutknot_ledger::committer::{Committer, NotReady, NotWritten, ReadError, StartError, SyncMode};
+use troutknot_ledger::committer::{CommitError, Committer, ReadError, ReadinessError, StartError, SyncMode};
 use troutknot_ledger::store::Store;
 use troutknot_ledger::{Ledger, Record, Row};
 use waiters::PendingAnswers;
@@ -54,7 +54,7 @@
 enum Unavailable {
     /// The disk fails or is slow.
     #[error(transparent)]
-    NotReady(#[from] NotReady),
+    NotReady(#[from] ReadinessError),
     /// As many requests are on record as the limits allow.
     #[error("the ledger is full")]
     Full,
@@ -176,10 +176,10 @@
     }
 
     /// Writes rows, and returns once they are on disk.
-    async fn write(&self, rows: Vec<Row>) -> Result<(), NotWritten> {
+    async fn write(&self, rows: Vec<Row>) -> Result<(), CommitError> {
         let (done, written) = oneshot::channel();
         self.committer.write(rows, move |result| _ = done.send(result));
-        written.await.unwrap_or_else(|_| Err(NotWritten("the ledger has ended".into())))
+        written.await.unwrap_or_else(|_| Err(CommitError("the ledger has ended".into())))
     }
 
     /// Reads all rows of a request.
--- a/crates/daemon/src/durable/recovery.rs
+++ b/crates/daemon/src/durable/recovery.rs
@@ -101,7 +101,7 @@
 
     async fn read_accepted(&self, request_id: RequestId) -> Result<AcceptedRequest, RecoveryError> {
         for row in self.read(request_id).await? {
-            if let Record::Taken { client_id, key, deadline, payload, .. } = row.record {
+            if let Record::Accepted { client_id, key, deadline, payload, .. } = row.record {
                 let stored = postcard::from_bytes(&payload)?;
                 return Ok(AcceptedRequest { client_id, key, deadline, stored });
             }
--- a/crates/daemon/src/durable/status.rs
+++ b/crates/daemon/src/durable/status.rs
@@ -33,7 +33,7 @@
             _ if attempts.is_empty() => "taken",
             _ => "allocated",
         };
-        let job = json!({"id": client_id, "state": state, "taken_ms": job.taken_at,
+        let job = json!({"id": client_id, "state": state, "taken_ms": job.accepted_at,
             "limit_ms": job.deadline, "answered_ms": job.answered_at,
             "acknowledged": job.is_acknowledged, "allocations": attempts});
         Some(format!("{job}\n"))
--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -67,7 +67,7 @@
     }
 
     fn set(&self, id: &'static str, status: Status) {
-        self.with(move |cluster, _| cluster.set("box", &[id], status));
+        self.with(move |cluster, _| cluster.set_status("box", &[id], status));
     }
 }
 
@@ -155,8 +155,8 @@
         (Fault::Silent, "no answer in time"),
         (Fault::Status500, "status 500"),
         (Fault::NoLeader, "the cluster has no leader"),
-        (Fault::HalfBody, "connection failed: "),
-        (Fault::Garbage, "no JSON of the health API"),
+        (Fault::TruncatedBody, "connection failed: "),
+        (Fault::InvalidJson, "no JSON of the health API"),
     ];
     thread::scope(|all| {
         for (wrong, said) in wrongs {
@@ -307,7 +307,7 @@
         standins.with(move |cluster, _| {
             let ids: Vec<String> = (0..200).map(|k| format!("s{k:04}")).collect();
             let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-            cluster.set("box", &ids, status);
+            cluster.set_status("box", &ids, status);
         });
         for _ in 0..20 {
             assert_eq!(node.ask(work("render", &new_id(), 3.0, "")).0, 200);
@@ -383,7 +383,7 @@
             let asked = Instant::now() + Duration::from_millis(80);
             until("the next question is out", || Instant::now() > asked);
             let start = Instant::now();
-            standins.with(move |cluster, _| cluster.set("box", &["s0003"], status));
+            standins.with(move |cluster, _| cluster.set_status("box", &["s0003"], status));
             node.logged("consul changes sent count=1");
             took.push(start.elapsed().as_secs_f64() * 1000.0);
         }
@@ -414,11 +414,11 @@
     std::fs::write(&own, format!("{text}[[lists.consul.services]]\nname = \"cart\"\n")).unwrap();
     let node = follow(&own);
     wait_until_used(&node, "both services", &all, &[true, true]);
-    standins.script(0, Fault::Late(Duration::from_millis(200)));
-    standins.with(|cluster, _| cluster.set("cart", &["c0"], Status::Critical));
+    standins.script(0, Fault::Delayed(Duration::from_millis(200)));
+    standins.with(|cluster, _| cluster.set_status("cart", &["c0"], Status::Critical));
     wait_until_used(&node, "a late word counts when it comes", &all, &[true, false]);
     // The operator takes a service out.
-    standins.with(|cluster, _| cluster.set("cart", &["c0"], Status::Passing));
+    standins.with(|cluster, _| cluster.set_status("cart", &["c0"], Status::Passing));
     wait_until_used(&node, "both again", &all, &[true, true]);
     std::fs::write(&own, text).unwrap();
     node.signal("HUP");
--- a/crates/daemon/tests/durable.rs
+++ b/crates/daemon/tests/durable.rs
@@ -182,10 +182,10 @@
         let rows = store.rows_of(troutknot::RequestId(0)).unwrap();
         let (request_id, attempt_id, outcome) =
             (troutknot::RequestId(0), troutknot::AttemptId(0), troutknot::Outcome::Completed);
-        let (at, number) = (rows.last().unwrap().at, rows.len() as u32);
+        let (recorded_at, number) = (rows.last().unwrap().recorded_at, rows.len() as u32);
         store
             .commit(&[Row {
-                at,
+                recorded_at,
                 sequence: number,
                 record: Record::Ended { request_id, attempt_id, outcome },
             }])
@@ -289,10 +289,10 @@
     let place = place(FENCES);
     die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
     edit(&place.ledger, |row| {
-        row.at += HOUR;
-        if let Record::Taken { deadline: limit, .. } = &mut row.record {
+        row.recorded_at += HOUR;
+        if let Record::Accepted { deadline: limit, .. } = &mut row.record {
             // It had a second left.
-            *limit = row.at + 1000.0;
+            *limit = row.recorded_at + 1000.0;
         }
     });
     *executor.fates.lock().unwrap() = vec![json!({"state": "running"})].into();
@@ -317,8 +317,8 @@
             Store::open(place.ledger.as_ref()).unwrap().commit(&[first]).unwrap();
         }
         edit(&place.ledger, |row| {
-            if let Record::Taken { deadline: limit, .. } = &mut row.record {
-                *limit = row.at;
+            if let Record::Accepted { deadline: limit, .. } = &mut row.record {
+                *limit = row.recorded_at;
             }
         });
         let node = start(&discovery, &place);
@@ -359,7 +359,7 @@
         {
             let store = Store::open(place.ledger.as_ref()).unwrap();
             let first = store.rows_of(troutknot::RequestId(0)).unwrap()[0].clone();
-            let Record::Taken { effect, deadline: limit, digest, payload: work, .. } = first.record else {
+            let Record::Accepted { effect, deadline: limit, digest, payload: work, .. } = first.record else {
                 panic!()
             };
             let of = |number: u64| {
@@ -369,7 +369,7 @@
                 let at = work.windows(8).position(|part| part == b"m0000000").unwrap();
                 work[at..at + 8].copy_from_slice(id.as_bytes());
                 let (request_id, key) = (troutknot::RequestId(number), Some(format!("km{number}")));
-                let record = Record::Taken {
+                let record = Record::Accepted {
                     request_id,
                     effect,
                     deadline: limit,
@@ -378,7 +378,7 @@
                     digest,
                     payload: work,
                 };
-                Row { at: first.at, sequence: 0, record }
+                Row { recorded_at: first.recorded_at, sequence: 0, record }
             };
             store.commit(&(1..count).map(of).collect::<Vec<_>>()).unwrap();
         }
--- a/crates/fake-consul/src/agent.rs
+++ b/crates/fake-consul/src/agent.rs
@@ -17,15 +17,16 @@
 
 const HEALTH_PATH: &str = "/v1/health/service/";
 /// Requests that are remembered for [`Agent::take_requests`], so that a test that never takes them is bounded.
-const MAX_REMEMBERED_REQUESTS: usize = 100_000;
+const MAX_RECORDED_REQUESTS: usize = 100_000;
 /// How long a half-sent body stays unfinished before its connection is cut.
-const HALF_BODY_DELAY: Duration = Duration::from_millis(20);
-/// How long the rest of a half-sent body is held back; longer than [`HALF_BODY_DELAY`].
-const HELD_BODY_TIME: Duration = Duration::from_secs(1);
+const TRUNCATED_BODY_DELAY: Duration = Duration::from_millis(20);
+/// How long the rest of a half-sent body is held back; longer than [`TRUNCATED_BODY_DELAY`].
+const BODY_HOLD_TIME: Duration = Duration::from_secs(1);
 /// Consul adds up to this part of the wait to a blocking query; the fake one always adds all of it.
 const WAIT_JITTER_DIVISOR: u32 = 16;
 /// An answer with a high index and a body that is not valid JSON.
-const GARBAGE: &[u8] = b"HTTP/1.1 200 OK\r\nX-Consul-Index: 99999\r\nContent-Length: 9\r\n\r\n[{\"Node\":";
+const INVALID_JSON_ANSWER: &[u8] =
+    b"HTTP/1.1 200 OK\r\nX-Consul-Index: 99999\r\nContent-Length: 9\r\n\r\n[{\"Node\":";
 
 /// What is wrong with an agent.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -35,7 +36,7 @@
     /// Connections are accepted, nothing is answered, and open ones hang.
     Silent,
     /// Every answer is delayed.
-    Late(Duration),
+    Delayed(Duration),
     /// Every answer is status 500.
     Status500,
     /// Every answer is status 500 and says that no leader is known.
@@ -43,15 +44,15 @@
     /// Every answer has the right index and an empty list.
     Empty,
     /// The connection ends in the middle of the body.
-    HalfBody,
+    TruncatedBody,
     /// The catalogue as it was when the fault was set.
     StaleView,
     /// Every answer has a high index and a body that is not valid JSON.
-    Garbage,
+    InvalidJson,
 }
 
 /// Notified of the instances and statuses in each answer that shows the current catalogue.
-pub type OnAnswer = Box<dyn Fn(&[(String, Status)])>;
+pub type AnswerCallback = Box<dyn Fn(&[(String, Status)])>;
 
 /// One agent of a cluster.
 pub struct Agent {
@@ -63,7 +64,7 @@
     gate: Rc<Gate>,
     connections: RefCell<Vec<Weak<Line>>>,
     token: Option<String>,
-    on_answer: RefCell<Option<OnAnswer>>,
+    answer_callback: RefCell<Option<AnswerCallback>>,
     requests: RefCell<Vec<String>>,
 }
 
@@ -82,7 +83,7 @@
             gate: Rc::default(),
             connections: RefCell::default(),
             token: token.map(String::from),
-            on_answer: RefCell::default(),
+            answer_callback: RefCell::default(),
             requests: RefCell::default(),
         });
         spawn_local(agent.clone().accept(listener));
@@ -98,14 +99,14 @@
     }
 
     /// Resets all connections.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         let connections = std::mem::take(&mut *self.connections.borrow_mut());
         connections.iter().filter_map(Weak::upgrade).for_each(|connection| connection.cut(Cut::Reset));
     }
 
     /// Sets what is notified of answers.
-    pub fn on_answer(&self, notify: OnAnswer) {
-        *self.on_answer.borrow_mut() = Some(notify);
+    pub fn set_answer_callback(&self, notify: AnswerCallback) {
+        *self.answer_callback.borrow_mut() = Some(notify);
     }
 
     /// Path and query of every request since the last call.
@@ -117,7 +118,7 @@
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             let connection = Rc::new(Line::default());
-            self.remember_connection(&connection);
+            self.add_connection(&connection);
             let (agent, own) = (self.clone(), connection.clone());
             spawn_local(wire::serve(stream, self.gate.clone(), connection, move |request| {
                 let (agent, connection) = (agent.clone(), own.clone());
@@ -126,21 +127,21 @@
         }
     }
 
-    fn remember_connection(&self, connection: &Rc<Line>) {
+    fn add_connection(&self, connection: &Rc<Line>) {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| connection.strong_count() > 0);
         connections.push(Rc::downgrade(connection));
     }
 
-    fn remember_request(&self, request: &Request<Incoming>) {
+    fn record_request(&self, request: &Request<Incoming>) {
         let mut requests = self.requests.borrow_mut();
-        if requests.len() < MAX_REMEMBERED_REQUESTS {
+        if requests.len() < MAX_RECORDED_REQUESTS {
             requests.push(request.uri().path_and_query().map(ToString::to_string).unwrap_or_default());
         }
     }
 
     async fn answer(&self, request: Request<Incoming>, connection: Rc<Line>) -> Response<Lines> {
-        self.remember_request(&request);
+        self.record_request(&request);
         let key = match self.authorized_key(&request) {
             Ok(key) => key,
             Err(refusal) => return refusal.response(),
@@ -150,11 +151,11 @@
         self.block(&key, query.index(), wait + wait / WAIT_JITTER_DIVISOR).await;
         let fault = *self.fault.borrow();
         match fault {
-            Fault::Late(delay) => sleep(delay).await,
+            Fault::Delayed(delay) => sleep(delay).await,
             Fault::Status500 => return error(StatusCode::INTERNAL_SERVER_ERROR, "rpc error"),
             Fault::NoLeader => return no_leader(),
-            Fault::Garbage => {
-                connection.cut(Cut::Say(GARBAGE));
+            Fault::InvalidJson => {
+                connection.cut(Cut::Say(INVALID_JSON_ANSWER));
                 return std::future::pending().await;
             }
             _ => {}
@@ -190,10 +191,10 @@
         let empty = Service::default();
         let service = catalogue.get(key).filter(|_| fault != Fault::Empty).unwrap_or(&empty);
         let body = service.body();
-        if fault == Fault::HalfBody {
-            return with_consul_headers(half_of(body, connection), index);
+        if fault == Fault::TruncatedBody {
+            return with_consul_headers(truncated_response(body, connection), index);
         }
-        if let Some(notify) = &*self.on_answer.borrow()
+        if let Some(notify) = &*self.answer_callback.borrow()
             && !matches!(fault, Fault::Empty | Fault::StaleView)
         {
             notify(&service.statuses());
@@ -219,7 +220,7 @@
             tokio::select! {
                 _ = changes.changed() => {}
                 _ = faults.changed() => {
-                    if !matches!(*faults.borrow(), Fault::None | Fault::Late(_) | Fault::StaleView) {
+                    if !matches!(*faults.borrow(), Fault::None | Fault::Delayed(_) | Fault::StaleView) {
                         return;
                     }
                 }
@@ -259,15 +260,15 @@
 }
 
 /// An answer whose connection is cut in the middle of its body.
-fn half_of(mut body: String, connection: &Rc<Line>) -> Response<Lines> {
+fn truncated_response(mut body: String, connection: &Rc<Line>) -> Response<Lines> {
     let half = body.len() / 2;
     body.truncate(half);
-    connection.cut_after(HALF_BODY_DELAY);
+    connection.cut_after(TRUNCATED_BODY_DELAY);
     let (send, lines) = Lines::new(None);
     let _ = send.send(body.into());
     // The body must not end before the connection does.
     spawn_local(async move {
-        sleep(HELD_BODY_TIME).await;
+        sleep(BODY_HOLD_TIME).await;
         drop(send);
     });
     Response::new(lines)
--- a/crates/fake-consul/src/catalogue.rs
+++ b/crates/fake-consul/src/catalogue.rs
@@ -193,7 +193,7 @@
     }
 
     /// Sets the status of instances; ids that are not registered are skipped.
-    pub fn set(&self, service: &str, ids: &[&str], status: Status) {
+    pub fn set_status(&self, service: &str, ids: &[&str], status: Status) {
         let key = self.key(service);
         let catalogue = self.catalogue.borrow();
         let with_status = |id: &&str| {
--- a/crates/fake-consul/src/lib.rs
+++ b/crates/fake-consul/src/lib.rs
@@ -6,5 +6,5 @@
 mod catalogue;
 mod query;
 
-pub use agent::{Agent, Fault, OnAnswer};
+pub use agent::{Agent, AnswerCallback, Fault};
 pub use catalogue::{Cluster, Instance, Status};
--- a/crates/ledger/examples/commit_throughput.rs
+++ b/crates/ledger/examples/commit_throughput.rs
@@ -19,7 +19,7 @@
 fn taken(number: u64) -> Record {
     let (id, key, digest) = (format!("{number:016x}"), Some(format!("key-{number}")), [7; 32]);
     let work = vec![7; BODY];
-    Record::Taken {
+    Record::Accepted {
         request_id: RequestId(number),
         effect: Effect::AtMostOnce,
         deadline: 1e13,
@@ -45,7 +45,7 @@
 impl Shared {
     fn row(&self, record: Record) -> Row {
         let row = self.ledger.lock().expect("no thread panics").apply(1e12, record).expect("it follows");
-        self.logical.fetch_add(codec::encode(row.at, &row.record).len() as u64, Ordering::Relaxed);
+        self.logical.fetch_add(codec::encode(row.recorded_at, &row.record).len() as u64, Ordering::Relaxed);
         row
     }
 
@@ -123,7 +123,7 @@
         let request_id = RequestId(number);
         let allocated =
             Record::Dispatched { request_id, fence: Fence(1), executor: "s-00001".into(), lease_until: 1e13 };
-        let row = |sequence, record| Row { at: 1e12, sequence, record };
+        let row = |sequence, record| Row { recorded_at: 1e12, sequence, record };
         [row(0, taken(number)), row(1, allocated)]
     };
     for first in (0..records / 2).step_by(5000) {
--- a/crates/ledger/src/codec.rs
+++ b/crates/ledger/src/codec.rs
@@ -57,10 +57,10 @@
 pub enum RowError {
     /// There are fewer bytes than a row has.
     #[error("it is cut off after {0} bytes")]
-    Short(usize),
+    Truncated(usize),
     /// The format byte is that of a later release, or damaged.
     #[error("format {0} is not known; 1 to {FORMAT} are")]
-    Format(u8),
+    UnsupportedFormat(u8),
     /// The bytes have changed since they were written.
     #[error("its checksum does not fit")]
     Checksum,
@@ -69,7 +69,7 @@
     Record(#[from] postcard::Error),
     /// The record belongs to another request than its key.
     #[error("it is of another request")]
-    OtherRequest,
+    RequestMismatch,
 }
 
 /// The bytes of a row, without its sequence, which is part of its key.
@@ -88,16 +88,16 @@
 /// If the bytes are not a row that this release can read.
 pub fn decode(sequence: u32, bytes: &[u8]) -> Result<Row, RowError> {
     let (Some(format), true) = (bytes.first(), bytes.len() > TIME.end) else {
-        return Err(RowError::Short(bytes.len()));
+        return Err(RowError::Truncated(bytes.len()));
     };
     if !(1..=FORMAT).contains(format) {
-        return Err(RowError::Format(*format));
+        return Err(RowError::UnsupportedFormat(*format));
     }
     let checksum = u32::from_le_bytes(bytes[CHECKSUM].try_into().expect("four bytes"));
     if crc32fast::hash(&bytes[TIME.start..]) != checksum {
         return Err(RowError::Checksum);
     }
-    let at = f64::from_le_bytes(bytes[TIME].try_into().expect("eight bytes"));
+    let recorded_at = f64::from_le_bytes(bytes[TIME].try_into().expect("eight bytes"));
     let record = postcard::from_bytes(&bytes[TIME.end..])?;
-    Ok(Row { at, sequence, record })
+    Ok(Row { recorded_at, sequence, record })
 }
--- a/crates/ledger/src/committer.rs
+++ b/crates/ledger/src/committer.rs
@@ -43,7 +43,7 @@
 /// The commit failed: the rows may or may not be on disk. They stay queued.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("not written: {0}")]
-pub struct NotWritten(pub String);
+pub struct CommitError(pub String);
 
 /// Why rows could not be read.
 #[derive(Debug, thiserror::Error)]
@@ -61,10 +61,10 @@
 
 /// Why no new request may be accepted now.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
-pub enum NotReady {
+pub enum ReadinessError {
     /// The last commit failed with this error.
     #[error("{0}")]
-    Failing(String),
+    CommitFailed(String),
     /// The commit in progress takes longer than is allowed.
     #[error("a sync takes {millis} ms already")]
     SlowSync {
@@ -73,7 +73,7 @@
     },
 }
 
-type WriteCallback = Box<dyn FnOnce(Result<(), NotWritten>) + Send>;
+type WriteCallback = Box<dyn FnOnce(Result<(), CommitError>) + Send>;
 type ReadCallback = Box<dyn FnOnce(Result<Vec<Row>, ReadError>) + Send>;
 
 enum Command {
@@ -154,7 +154,7 @@
 
     /// Queues rows to be written after all rows that were queued before. `done` is called on the ledger's thread. Rows
     /// whose commit failed stay queued, although `done` gets the error.
-    pub fn write(&self, rows: Vec<Row>, done: impl FnOnce(Result<(), NotWritten>) + Send + 'static) {
+    pub fn write(&self, rows: Vec<Row>, done: impl FnOnce(Result<(), CommitError>) + Send + 'static) {
         self.send(Command::Write(rows, Box::new(done)));
     }
 
@@ -183,17 +183,17 @@
     ///
     /// # Errors
     /// If the last commit failed, or if the commit in progress has taken longer than `max_sync_time`.
-    pub fn check_ready(&self, max_sync_time: Duration) -> Result<(), NotReady> {
+    pub fn check_ready(&self, max_sync_time: Duration) -> Result<(), ReadinessError> {
         if self.health.is_failing.load(Ordering::Acquire) {
             let last_error = self.health.last_error.lock();
-            return Err(NotReady::Failing(
+            return Err(ReadinessError::CommitFailed(
                 last_error.map_or_else(|_| "it failed".into(), |error| error.clone()),
             ));
         }
         let busy_since = self.health.busy_since.load(Ordering::Acquire);
         let millis = busy_clock(self.started_at).saturating_sub(busy_since);
         if busy_since > 0 && u128::from(millis) > max_sync_time.as_millis() {
-            return Err(NotReady::SlowSync { millis });
+            return Err(ReadinessError::SlowSync { millis });
         }
         Ok(())
     }
@@ -317,7 +317,7 @@
     }
 
     /// Commits the backlog and then these rows. An empty batch still reopens a ledger whose disk failed.
-    fn commit(&mut self, rows: &mut Vec<Row>) -> Result<(), NotWritten> {
+    fn commit(&mut self, rows: &mut Vec<Row>) -> Result<(), CommitError> {
         self.backlog.extend(rows.drain(..));
         if self.backlog.is_empty() && self.store.is_some() {
             return Ok(());
@@ -325,8 +325,8 @@
         self.health.busy_since.store(busy_clock(self.started_at), Ordering::Release);
         let written = self.write_backlog();
         self.health.busy_since.store(0, Ordering::Release);
-        let written = written.map_err(|error| NotWritten(error.to_string()));
-        if let Err(NotWritten(error)) = &written
+        let written = written.map_err(|error| CommitError(error.to_string()));
+        if let Err(CommitError(error)) = &written
             && let Ok(mut last_error) = self.health.last_error.lock()
         {
             last_error.clone_from(error);
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -70,7 +70,7 @@
     /// The effect of running it twice.
     pub effect: Effect,
     /// When it was recorded.
-    pub taken_at: Millis,
+    pub accepted_at: Millis,
     /// When it must have its final answer.
     pub deadline: Millis,
     /// The id that its client gave.
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -15,7 +15,7 @@
     UnknownAttempt,
     /// The request's number or its client's id is on record already.
     #[error("the request was taken before")]
-    TakenTwice,
+    DuplicateRequest,
     /// The request has its final answer.
     #[error("the request has its final answer")]
     Answered,
@@ -24,19 +24,19 @@
     AttemptEnded,
     /// The request may not have another attempt now.
     #[error("{0}")]
-    NotDispatched(#[from] DispatchError),
+    DispatchNotAllowed(#[from] DispatchError),
     /// The attempt's fence is not above that of the attempt before.
     #[error("the fence does not grow")]
-    Fence,
+    FenceNotIncreasing,
     /// The request has no final answer yet.
     #[error("the request is open")]
-    Open,
+    NotAnswered,
     /// The idempotency key is on record already.
     #[error("the key was taken before")]
-    KeyTwice,
+    DuplicateKey,
     /// The row is not the next one of its request.
     #[error("records before it are missing")]
-    Missing,
+    MissingRows,
 }
 
 /// All requests on record. Their contents and answers are on disk only.
@@ -92,11 +92,11 @@
     /// As [`Ledger::apply`], and if rows before it are missing.
     pub fn restore(&mut self, row: &Row) -> Result<(), RecordError> {
         if row.sequence != self.row_count(row.record.request_id()) {
-            return Err(RecordError::Missing);
+            return Err(RecordError::MissingRows);
         }
         // That earlier leases had expired was checked before the row was written.
-        self.add(f64::INFINITY, row.at, &row.record)?;
-        self.latest_time = self.latest_time.max(row.at);
+        self.add(f64::INFINITY, row.recorded_at, &row.record)?;
+        self.latest_time = self.latest_time.max(row.recorded_at);
         Ok(())
     }
 
@@ -108,7 +108,7 @@
         let sequence = self.row_count(record.request_id());
         self.add(now, now, &record)?;
         self.latest_time = self.latest_time.max(now);
-        Ok(Row { at: now, sequence, record })
+        Ok(Row { recorded_at: now, sequence, record })
     }
 
     /// One request; none if it is not on record.
@@ -169,7 +169,7 @@
     /// Adds a record that was made at `at`. Leases of earlier attempts must have expired at `now`.
     fn add(&mut self, now: Millis, at: Millis, record: &Record) -> Result<(), RecordError> {
         match record {
-            Record::Taken { .. } => self.take(at, record)?,
+            Record::Accepted { .. } => self.take(at, record)?,
             Record::Dispatched { .. } => self.dispatch(now, at, record)?,
             Record::Started { request_id, attempt_id } => {
                 self.attempt_in_flight(*request_id, *attempt_id)?.has_started = true
@@ -194,7 +194,7 @@
             }
             Record::Acknowledged { request_id } => {
                 let job = self.jobs.get_mut(request_id).ok_or(RecordError::UnknownRequest)?;
-                job.answered_at.ok_or(RecordError::Open)?;
+                job.answered_at.ok_or(RecordError::NotAnswered)?;
                 job.is_acknowledged = true;
             }
             Record::Forgotten { request_id } => return self.forget(*request_id),
@@ -206,14 +206,14 @@
     }
 
     fn take(&mut self, at: Millis, record: &Record) -> Result<(), RecordError> {
-        let Record::Taken { request_id, effect, deadline, client_id, key, digest, .. } = record else {
+        let Record::Accepted { request_id, effect, deadline, client_id, key, digest, .. } = record else {
             return Ok(());
         };
         if self.jobs.contains_key(request_id) || self.by_client_id.contains_key(client_id) {
-            return Err(RecordError::TakenTwice);
+            return Err(RecordError::DuplicateRequest);
         }
         if key.as_ref().is_some_and(|key| self.by_key.contains_key(key)) {
-            return Err(RecordError::KeyTwice);
+            return Err(RecordError::DuplicateKey);
         }
         self.by_client_id.insert(client_id.clone(), *request_id);
         if let Some(key) = key {
@@ -222,7 +222,7 @@
         self.next_number = self.next_number.max(request_id.0 + 1);
         let job = Job {
             effect: *effect,
-            taken_at: at,
+            accepted_at: at,
             deadline: *deadline,
             client_id: client_id.clone(),
             key: key.clone(),
@@ -241,7 +241,7 @@
         let max_attempts = self.max_attempts;
         let job = self.open_job(*request_id)?;
         if job.next_fence(now, max_attempts)? > *fence {
-            return Err(RecordError::Fence);
+            return Err(RecordError::FenceNotIncreasing);
         }
         job.attempts.push(Attempt {
             fence: *fence,
@@ -257,7 +257,7 @@
 
     fn forget(&mut self, request_id: RequestId) -> Result<(), RecordError> {
         let job = self.jobs.get(&request_id).ok_or(RecordError::UnknownRequest)?;
-        let answered_at = job.answered_at.ok_or(RecordError::Open)?;
+        let answered_at = job.answered_at.ok_or(RecordError::NotAnswered)?;
         self.answered.remove(&(time_bits(answered_at), request_id));
         if let Some(forgotten) = self.jobs.remove(&request_id) {
             self.by_client_id.remove(&forgotten.client_id);
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -25,7 +25,8 @@
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub enum Record {
     /// The request was accepted.
-    Taken {
+    #[serde(rename = "Taken")]
+    Accepted {
         /// Its number in this ledger.
         #[serde(with = "codec::RequestIdDef")]
         request_id: RequestId,
@@ -122,7 +123,7 @@
     /// The request that the record belongs to.
     pub fn request_id(&self) -> RequestId {
         match self {
-            Record::Taken { request_id, .. }
+            Record::Accepted { request_id, .. }
             | Record::Dispatched { request_id, .. }
             | Record::Started { request_id, .. }
             | Record::Heartbeat { request_id, .. }
@@ -139,7 +140,7 @@
 #[derive(Clone, PartialEq, Debug)]
 pub struct Row {
     /// When the record was made.
-    pub at: Millis,
+    pub recorded_at: Millis,
     /// The number of rows of the same request before it.
     pub sequence: u32,
     /// The record.
--- a/crates/ledger/src/store.rs
+++ b/crates/ledger/src/store.rs
@@ -32,7 +32,7 @@
     InUse,
     /// A later release created it, in a format that this one cannot read.
     #[error("it is of format {0}; up to {FORMAT} is understood")]
-    Newer(u64),
+    UnsupportedFormat(u64),
     /// The file cannot be read or written.
     #[error("{0}")]
     Disk(String),
@@ -48,7 +48,7 @@
     },
     /// The file is not a ledger.
     #[error("it is no ledger")]
-    NoLedger,
+    NotALedger,
 }
 
 fn disk_error(error: impl std::fmt::Display) -> StoreError {
@@ -213,7 +213,7 @@
                 if let Record::Forgotten { .. } = row.record {
                     table.retain_in(keys_of(request_id), |_, _| false).map_err(disk_error)?;
                 } else {
-                    let bytes = codec::encode(row.at, &row.record);
+                    let bytes = codec::encode(row.recorded_at, &row.record);
                     table.insert((request_id.0, row.sequence), bytes.as_slice()).map_err(disk_error)?;
                 }
             }
@@ -252,7 +252,7 @@
     };
     let format = metadata.get(FORMAT_KEY).map_err(disk_error)?.map(|found| found.value());
     match format {
-        Some(format) if format > u64::from(FORMAT) => Err(StoreError::Newer(format)),
+        Some(format) if format > u64::from(FORMAT) => Err(StoreError::UnsupportedFormat(format)),
         other => Ok(other),
     }
 }
@@ -306,7 +306,7 @@
     let damaged = |error| StoreError::Row { request_id, sequence, error };
     let row = codec::decode(sequence, bytes).map_err(damaged)?;
     if row.record.request_id() != RequestId(request_id) {
-        return Err(damaged(RowError::OtherRequest));
+        return Err(damaged(RowError::RequestMismatch));
     }
     Ok(row)
 }
@@ -338,13 +338,13 @@
             Err(_) => {
                 let bytes = std::fs::read(path).map_err(disk_error)?;
                 if bytes.is_empty() {
-                    return Err(StoreError::NoLedger);
+                    return Err(StoreError::NotALedger);
                 }
                 Reader::Copy(Box::new(Store::with_backend(Memory(Mutex::new(bytes)))?))
             }
         };
         let format = format_of(&reader.begin_read()?)?;
-        format.map(|_| reader).ok_or(StoreError::NoLedger)
+        format.map(|_| reader).ok_or(StoreError::NotALedger)
     }
 }
 
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -146,7 +146,7 @@
     let (id, key, digest) =
         (format!("id-{request_id}"), Some(format!("key-{request_id}")), [request_id as u8; 32]);
     let work = vec![request_id as u8; 300];
-    Record::Taken {
+    Record::Accepted {
         request_id: RequestId(request_id),
         effect: Effect::AtMostOnce,
         deadline: 1e12,
--- a/crates/ledger/tests/crashes.rs
+++ b/crates/ledger/tests/crashes.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{self, RecvTimeoutError};
 use std::time::{Duration, Instant};
 use troutknot::RequestId;
-use troutknot_ledger::committer::{Committer, NotWritten, SyncMode};
+use troutknot_ledger::committer::{CommitError, Committer, SyncMode};
 use troutknot_ledger::store::{Reader, Rows, Store, StoreError};
 use troutknot_ledger::{Ledger, Record, Row};
 
@@ -78,7 +78,7 @@
             return Err(format!("point {point:?}: {found:?} is none of {allowed:?}"));
         }
         // And it goes on from there.
-        if let Err(why) = store.commit(&[Row { at: 1.0, sequence: 0, record: taken(199) }]) {
+        if let Err(why) = store.commit(&[Row { recorded_at: 1.0, sequence: 0, record: taken(199) }]) {
             return Err(format!("point {point:?}: {why}"));
         }
     }
@@ -159,7 +159,7 @@
 }
 
 /// Writes, and waits for what comes of it.
-fn write(committer: &Committer, rows: Vec<Row>) -> mpsc::Receiver<Result<(), NotWritten>> {
+fn write(committer: &Committer, rows: Vec<Row>) -> mpsc::Receiver<Result<(), CommitError>> {
     let (tell, told) = mpsc::channel();
     committer.write(rows, move |came| _ = tell.send(came));
     told
@@ -228,7 +228,7 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("ledger");
     let store = Store::open(&path).unwrap();
-    store.commit(&[Row { at: 1.0, sequence: 0, record: taken(1) }]).unwrap();
+    store.commit(&[Row { recorded_at: 1.0, sequence: 0, record: taken(1) }]).unwrap();
     assert!(matches!(Store::open(&path), Err(StoreError::InUse)), "a second process is refused");
     assert_eq!(state(&load(&Reader::open(&path).unwrap())), [(1, 1, false)], "a live one is read");
     // A copy of a live file is what a dead process leaves.
@@ -257,13 +257,13 @@
     let bytes: Vec<u8> = (0..first.len()).step_by(2).map(byte).collect();
     let answer = troutknot_ledger::Answer::Completed(b"r".to_vec());
     let record = Record::Answered { request_id: RequestId(1), answer };
-    assert_eq!(decode(0, &bytes), Ok(Row { at: 1.0, sequence: 0, record: record.clone() }));
+    assert_eq!(decode(0, &bytes), Ok(Row { recorded_at: 1.0, sequence: 0, record: record.clone() }));
     assert_eq!(encode(1.0, &record), bytes, "what is written has changed: it needs a new format");
     let mut newer = bytes.clone();
     newer[0] = 2;
     let mut torn = bytes.clone();
     torn[12] ^= 1;
-    assert_eq!(decode(0, &newer), Err(RowError::Format(2)));
+    assert_eq!(decode(0, &newer), Err(RowError::UnsupportedFormat(2)));
     assert_eq!(decode(0, &torn), Err(RowError::Checksum));
-    assert_eq!(decode(0, &bytes[..5]), Err(RowError::Short(5)));
+    assert_eq!(decode(0, &bytes[..5]), Err(RowError::Truncated(5)));
 }
--- a/crates/ledger/tests/interleavings.rs
+++ b/crates/ledger/tests/interleavings.rs
@@ -11,7 +11,7 @@
 
 fn taken(effect: Effect) -> Record {
     let (id, digest, work) = ("a".into(), [0; 32], Vec::new());
-    Record::Taken {
+    Record::Accepted {
         request_id: WU,
         effect,
         deadline: 1e9,
@@ -24,7 +24,7 @@
 
 /// As they stand on disk.
 fn rows(records: Vec<Record>) -> Vec<Row> {
-    let row = |(place, record)| Row { at: 0.0, sequence: place as u32, record };
+    let row = |(place, record)| Row { recorded_at: 0.0, sequence: place as u32, record };
     records.into_iter().enumerate().map(row).collect()
 }
 
@@ -141,7 +141,7 @@
     let taken = taken(Effect::AtMostOnce);
     let other = |id: &str, key: &str| {
         let (id, key, digest, work) = (id.into(), Some(key.into()), [0; 32], Vec::new());
-        Record::Taken {
+        Record::Accepted {
             request_id: RequestId(2),
             effect: Effect::AtMostOnce,
             deadline: 9.0,
@@ -161,19 +161,23 @@
     let ended = |outcome| Record::Ended { request_id: WU, attempt_id: AttemptId(0), outcome };
     let cases: Vec<(Vec<Record>, Record, RecordError)> = vec![
         (vec![], allocated(1), RecordError::UnknownRequest),
-        (vec![taken.clone()], taken.clone(), RecordError::TakenTwice),
+        (vec![taken.clone()], taken.clone(), RecordError::DuplicateRequest),
         (vec![taken.clone()], ended(Outcome::Reset), RecordError::UnknownAttempt),
         (
             vec![taken.clone(), allocated(1)],
             allocated(2),
-            RecordError::NotDispatched(DispatchError::InFlight),
+            RecordError::DispatchNotAllowed(DispatchError::InFlight),
         ),
         (
             vec![taken.clone(), allocated(1), ended(Outcome::Reset)],
             allocated(2),
-            RecordError::NotDispatched(DispatchError::MayHaveRun),
+            RecordError::DispatchNotAllowed(DispatchError::MayHaveRun),
+        ),
+        (
+            vec![taken.clone(), allocated(7), ended(Outcome::Rejected)],
+            allocated(7),
+            RecordError::FenceNotIncreasing,
         ),
-        (vec![taken.clone(), allocated(7), ended(Outcome::Rejected)], allocated(7), RecordError::Fence),
         (
             vec![taken.clone(), allocated(1), ended(Outcome::Rejected)],
             ended(Outcome::Rejected),
@@ -185,11 +189,11 @@
             RecordError::AttemptEnded,
         ),
         (vec![taken.clone(), answered.clone()], allocated(1), RecordError::Answered),
-        (vec![taken.clone()], other("a", "l"), RecordError::TakenTwice),
-        (vec![taken.clone()], other("b", "k"), RecordError::KeyTwice),
-        (vec![taken.clone()], Record::Acknowledged { request_id: WU }, RecordError::Open),
+        (vec![taken.clone()], other("a", "l"), RecordError::DuplicateRequest),
+        (vec![taken.clone()], other("b", "k"), RecordError::DuplicateKey),
+        (vec![taken.clone()], Record::Acknowledged { request_id: WU }, RecordError::NotAnswered),
         (vec![taken.clone(), answered.clone()], answered, RecordError::Answered),
-        (vec![taken.clone()], Record::Forgotten { request_id: WU }, RecordError::Open),
+        (vec![taken.clone()], Record::Forgotten { request_id: WU }, RecordError::NotAnswered),
     ];
     for (before, record, expected) in cases {
         let mut ledger = Ledger::new(MOST);
@@ -250,7 +254,7 @@
     assert_eq!(ledger.answered_before(4.0, 9), []);
     assert_eq!(ledger.answered_before(4.1, 9), [WU]);
     let gap: Vec<Row> = written.iter().filter(|row| row.sequence != 2).cloned().collect();
-    assert_eq!(Ledger::recover(MOST, &gap).1, Some((2, RecordError::Missing)));
+    assert_eq!(Ledger::recover(MOST, &gap).1, Some((2, RecordError::MissingRows)));
     ledger.apply(9.0, Record::Forgotten { request_id: WU }).unwrap();
     assert!(
         ledger.is_empty() && ledger.find_by_key("k").is_none() && ledger.answered_before(1e9, 9).is_empty()
--- a/crates/rehearsal/src/lists.rs
+++ b/crates/rehearsal/src/lists.rs
@@ -52,7 +52,7 @@
         let agent = fake_consul::Agent::start(cluster, at, None)?;
         let told: RefCell<HashMap<ExecutorNumber, Listed>> = RefCell::default();
         let own = record.clone();
-        agent.on_answer(Box::new(move |instances| {
+        agent.set_answer_callback(Box::new(move |instances| {
             let now: HashMap<ExecutorNumber, Listed> =
                 instances.iter().filter_map(|(id, status)| Some((number_of(id)?, listed(*status)))).collect();
             let mut told = told.borrow_mut();
@@ -85,9 +85,9 @@
             Some(How::Errors) => Fault::Status500,
             Some(How::NoLeader) => Fault::NoLeader,
             Some(How::Empty) => Fault::Empty,
-            Some(How::HalfBody) => Fault::HalfBody,
+            Some(How::HalfBody) => Fault::TruncatedBody,
             Some(How::StaleView) => Fault::StaleView,
-            Some(How::Late) => Fault::Late(Duration::from_millis(500)),
+            Some(How::Late) => Fault::Delayed(Duration::from_millis(500)),
         });
         if how.is_none() {
             for (executor, listed) in self.missed.take() {
@@ -158,7 +158,7 @@
     pub fn restart(&self) {
         match self {
             NodeList::Platform(agent) => agent.restart(),
-            NodeList::Consul(list) => list.agent.reset(),
+            NodeList::Consul(list) => list.agent.reset_connections(),
         }
     }
 
