--- a/crates/daemon/tests/durable.rs
+++ b/crates/daemon/tests/durable.rs
@@ -179,7 +179,7 @@
     die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
     {
         let store = Store::open(place.ledger.as_ref()).unwrap();
-        let rows = store.rows_of(troutknot::RequestId(0)).unwrap();
+        let rows = store.read_rows(troutknot::RequestId(0)).unwrap();
         let (request_id, attempt_id, outcome) =
             (troutknot::RequestId(0), troutknot::AttemptId(0), troutknot::Outcome::Completed);
         let (recorded_at, number) = (rows.last().unwrap().recorded_at, rows.len() as u32);
@@ -311,7 +311,7 @@
         die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("publish", "a1", "k", "b"));
         if taken_only {
             // As if it had died before the allocation was on record.
-            let of = |store: &Store| store.rows_of(troutknot::RequestId(0)).unwrap()[0].clone();
+            let of = |store: &Store| store.read_rows(troutknot::RequestId(0)).unwrap()[0].clone();
             let first = of(&Store::open(place.ledger.as_ref()).unwrap());
             std::fs::remove_file(&place.ledger).unwrap();
             Store::open(place.ledger.as_ref()).unwrap().commit(&[first]).unwrap();
@@ -358,7 +358,7 @@
         die_with_one_out(&discovery, &place, &executor, Act::Silent, &keyed("render", "m0000000", "k", "b"));
         {
             let store = Store::open(place.ledger.as_ref()).unwrap();
-            let first = store.rows_of(troutknot::RequestId(0)).unwrap()[0].clone();
+            let first = store.read_rows(troutknot::RequestId(0)).unwrap()[0].clone();
             let Record::Accepted { effect, deadline: limit, digest, payload: work, .. } = first.record else {
                 panic!()
             };
--- a/crates/ledger/src/codec.rs
+++ b/crates/ledger/src/codec.rs
@@ -1,14 +1,15 @@
-//! Encoding of a row: one byte for the format, a CRC-32 of all that follows (4 bytes), the time (8 bytes), the record
-//! in postcard. The checksum and the time are little-endian.
+//! Encoding of a row: the format (1 byte), a CRC-32 of the bytes that follow it (4 bytes), the time (8 bytes), and the
+//! record in postcard. The checksum and the time are little-endian.
 use crate::record::{Record, Row};
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
 use troutknot::{AttemptId, Effect, Millis, Outcome, RequestId};
 
-/// The format that is written; formats 1 to this one are read.
+/// The row format that is written. Formats 1 up to this one can be read.
 pub const FORMAT: u8 = 1;
-/// Byte positions of the checksum and the time in a row.
+/// Byte range of the checksum in a row.
 const CHECKSUM: Range<usize> = 1..5;
+/// Byte range of the time in a row.
 const TIME: Range<usize> = 5..13;
 
 /// Encoding of [`RequestId`].
@@ -27,20 +28,20 @@
     pub u32,
 );
 
-/// Encoding of [`Effect`]: its index here, so the order must not change.
+/// Encoding of [`Effect`], which is stored as its index here, so the order must not change.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Effect")]
-#[expect(missing_docs, reason = "as in the type that it stands for")]
+#[expect(missing_docs, reason = "documented at the type that it encodes")]
 pub enum EffectDef {
     Idempotent,
     Deduplicated,
     AtMostOnce,
 }
 
-/// Encoding of [`Outcome`]: its index here, so the order must not change.
+/// Encoding of [`Outcome`], which is stored as its index here, so the order must not change.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Outcome")]
-#[expect(missing_docs, reason = "as in the type that it stands for")]
+#[expect(missing_docs, reason = "documented at the type that it encodes")]
 pub enum OutcomeDef {
     Completed,
     Error,
@@ -55,34 +56,34 @@
 /// Why bytes cannot be decoded as a row.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum RowError {
-    /// There are fewer bytes than a row has.
-    #[error("it is cut off after {0} bytes")]
+    /// The bytes are fewer than the shortest row has.
+    #[error("row is truncated to {0} bytes")]
     Truncated(usize),
     /// The format byte is that of a later release, or damaged.
-    #[error("format {0} is not known; 1 to {FORMAT} are")]
+    #[error("unsupported row format {0}; this release reads 1 to {FORMAT}")]
     UnsupportedFormat(u8),
     /// The bytes have changed since they were written.
-    #[error("its checksum does not fit")]
+    #[error("checksum mismatch")]
     Checksum,
     /// The bytes after the time are not a record.
-    #[error("its record is not understood: {0}")]
+    #[error("record cannot be decoded: {0}")]
     Record(#[from] postcard::Error),
-    /// The record belongs to another request than its key.
-    #[error("it is of another request")]
+    /// The record belongs to a different request than the row's key.
+    #[error("record belongs to another request")]
     RequestMismatch,
 }
 
-/// The bytes of a row, without its sequence, which is part of its key.
-pub fn encode(at: Millis, record: &Record) -> Vec<u8> {
+/// Encodes a row without its sequence, which is part of its key.
+pub fn encode(recorded_at: Millis, record: &Record) -> Vec<u8> {
     let mut bytes = vec![FORMAT, 0, 0, 0, 0];
-    bytes.extend_from_slice(&at.to_le_bytes());
-    bytes = postcard::to_extend(record, bytes).expect("a record is written to memory");
+    bytes.extend_from_slice(&recorded_at.to_le_bytes());
+    bytes = postcard::to_extend(record, bytes).expect("encoding to memory does not fail");
     let checksum = crc32fast::hash(&bytes[TIME.start..]);
     bytes[CHECKSUM].copy_from_slice(&checksum.to_le_bytes());
     bytes
 }
 
-/// Decodes a row; `sequence` comes from its key.
+/// Decodes a row whose key has the given `sequence`.
 ///
 /// # Errors
 /// If the bytes are not a row that this release can read.
--- a/crates/ledger/src/committer.rs
+++ b/crates/ledger/src/committer.rs
@@ -1,6 +1,6 @@
-//! A thread that writes rows: all rows that wait share one commit and its sync. After an error of the disk the ledger
-//! is reopened at intervals. Unwritten rows stay queued in order until they are on disk; their callers get the error
-//! at once.
+//! A thread that writes rows by group commit: all queued rows share one commit and its sync. After a disk error the
+//! thread tries at intervals to reopen the ledger. Unwritten rows stay queued in order until they are on disk; their
+//! callers get the error at once.
 use crate::ledger::{Ledger, RecordError};
 use crate::record::Row;
 use crate::store::{Rows, Store, StoreError, WriteStatistics};
@@ -12,37 +12,37 @@
 use std::time::{Duration, Instant};
 use troutknot::RequestId;
 
-/// Upper bound on the rows of one commit.
-const MAX_BATCH: usize = 4096;
-/// Upper bound on the delay of a row for which no caller waits.
-const MAX_DELAY: Duration = Duration::from_millis(100);
-/// Pause between two attempts to reopen the ledger after an error of the disk.
+/// Number of rows at which a commit takes no further writes.
+const MAX_BATCH_ROWS: usize = 4096;
+/// Upper bound on the delay of a row that has no waiting caller.
+const MAX_WRITE_DELAY: Duration = Duration::from_millis(100);
+/// Pause between attempts to reopen the ledger after a disk error.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Why a ledger cannot be opened, or its records cannot be used.
+/// Why a ledger cannot be opened, or why its records cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The file cannot be used.
     #[error("{0}")]
     Store(#[from] StoreError),
-    /// A row does not follow from those before it.
+    /// A row is not valid after those before it.
     #[error("row {sequence} of request {request_id}: {error}")]
     Record {
         /// The request.
         request_id: u64,
         /// The row's sequence.
         sequence: u32,
-        /// Why it does not follow.
+        /// Why the row is not valid.
         error: RecordError,
     },
     /// The thread cannot be started.
-    #[error("no thread: {0}")]
+    #[error("cannot start the ledger thread: {0}")]
     Thread(std::io::Error),
 }
 
-/// The commit failed: the rows may or may not be on disk. They stay queued.
+/// A commit failed. Its rows may or may not be on disk, and stay queued.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
-#[error("not written: {0}")]
+#[error("commit failed: {0}")]
 pub struct CommitError(pub String);
 
 /// Why rows could not be read.
@@ -51,24 +51,24 @@
     /// The file cannot be read, or a row is damaged.
     #[error("{0}")]
     Store(#[from] StoreError),
-    /// The disk failed, and the ledger is not reopened yet.
-    #[error("the disk errs")]
+    /// The disk failed, and the ledger has not been reopened yet.
+    #[error("the ledger is closed after a disk error")]
     NotOpen,
     /// The ledger's thread has ended.
-    #[error("the ledger has ended")]
+    #[error("the ledger thread has ended")]
     Ended,
 }
 
-/// Why no new request may be accepted now.
+/// Why new requests must not be accepted now.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum ReadinessError {
     /// The last commit failed with this error.
     #[error("{0}")]
     CommitFailed(String),
-    /// The commit in progress takes longer than is allowed.
-    #[error("a sync takes {millis} ms already")]
+    /// The commit in progress takes longer than allowed.
+    #[error("the current sync has taken {millis} ms so far")]
     SlowSync {
-        /// Its duration so far.
+        /// The duration of the commit so far, in milliseconds.
         millis: u64,
     },
 }
@@ -78,30 +78,30 @@
 
 enum Command {
     Write(Vec<Row>, WriteCallback),
-    /// Nobody waits for it.
+    /// A row that has no waiting caller.
     WriteLater(Row),
     Read(RequestId, ReadCallback),
 }
 
-/// State of the disk, which other threads read without waiting for a commit.
+/// State of the disk, which other threads can read without waiting for a commit.
 #[derive(Default)]
 pub struct DiskHealth {
     is_failing: AtomicBool,
-    /// When the commit in progress began, by [`busy_clock`]; 0 if there is none.
-    busy_since: AtomicU64,
+    /// When the commit in progress started, by [`commit_clock`]; 0 if there is none.
+    commit_started_at: AtomicU64,
     last_error: Mutex<String>,
-    /// Successful commits.
+    /// Number of successful commits.
     pub commits: AtomicU64,
-    /// Rows that were written.
+    /// Number of rows written.
     pub rows: AtomicU64,
 }
 
-/// Milliseconds since the start plus 1, so that 0 can stand for no commit.
-fn busy_clock(started_at: Instant) -> u64 {
+/// Returns the milliseconds since `started_at` plus 1, so that 0 can stand for no commit.
+fn commit_clock(started_at: Instant) -> u64 {
     started_at.elapsed().as_millis() as u64 + 1
 }
 
-/// The handle of the ledger's thread. Dropping it writes all queued rows and ends the thread.
+/// Handle of the ledger's thread. Dropping it writes all queued rows and ends the thread.
 pub struct Committer {
     commands: Option<Sender<Command>>,
     health: Arc<DiskHealth>,
@@ -110,15 +110,15 @@
     statistics: Arc<WriteStatistics>,
 }
 
-/// Opens the ledger: at the start, and again after an error of the disk.
+/// Opens the ledger, at the start and again after a disk error.
 pub type OpenStore = Box<dyn Fn() -> Result<Store, StoreError> + Send>;
 
 /// Which writes share a sync.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SyncMode {
-    /// All writes that wait share one.
+    /// All queued writes share one sync.
     Shared,
-    /// Each write has its own.
+    /// Each write has its own sync.
     Separate,
 }
 
@@ -126,16 +126,16 @@
     /// Opens a ledger, reads its records and starts the thread.
     ///
     /// # Errors
-    /// If it cannot be opened, or if a row is damaged or does not follow from those before it. The rows stay as they
-    /// are then.
+    /// If the ledger cannot be opened, or if a row is damaged or not valid after those before it. The rows are left
+    /// unchanged.
     pub fn start(
         open: OpenStore,
         sync_mode: SyncMode,
         max_attempts: usize,
     ) -> Result<(Self, Ledger), StartError> {
         let store = open()?;
-        let ledger = read_ledger(&store, max_attempts)?;
-        let (commands, received) = channel();
+        let ledger = restore_ledger(&store, max_attempts)?;
+        let (commands, receiver) = channel();
         let (health, started_at) = (Arc::<DiskHealth>::default(), Instant::now());
         let statistics = store.statistics().clone();
         let worker = Worker {
@@ -145,36 +145,36 @@
             backlog: VecDeque::new(),
             health: health.clone(),
             started_at,
-            opened_at: started_at,
+            last_open_attempt_at: started_at,
         };
-        let thread = thread::Builder::new().name("ledger".into()).spawn(move || worker.run(&received));
+        let thread = thread::Builder::new().name("ledger".into()).spawn(move || worker.run(&receiver));
         let thread = Some(thread.map_err(StartError::Thread)?);
         Ok((Committer { commands: Some(commands), health, started_at, thread, statistics }, ledger))
     }
 
-    /// Queues rows to be written after all rows that were queued before. `done` is called on the ledger's thread. Rows
-    /// whose commit failed stay queued, although `done` gets the error.
-    pub fn write(&self, rows: Vec<Row>, done: impl FnOnce(Result<(), CommitError>) + Send + 'static) {
-        self.send(Command::Write(rows, Box::new(done)));
+    /// Queues rows to be written after all rows queued earlier. `callback` is called on the ledger's thread. Rows whose
+    /// commit failed stay queued, although `callback` gets the error.
+    pub fn write(&self, rows: Vec<Row>, callback: impl FnOnce(Result<(), CommitError>) + Send + 'static) {
+        self.send(Command::Write(rows, Box::new(callback)));
     }
 
-    /// Queues a row for which no caller waits: it is written with the next commit, at the latest after 100 ms.
+    /// Queues a row that has no waiting caller. It is written with the next commit, after 100 ms at the latest.
     pub fn write_later(&self, row: Row) {
         self.send(Command::WriteLater(row));
     }
 
-    /// Reads the rows of one request, including those that are queued.
+    /// Reads the rows of one request, including queued ones. `callback` is called on the ledger's thread.
     pub fn read(
         &self,
         request_id: RequestId,
-        done: impl FnOnce(Result<Vec<Row>, ReadError>) + Send + 'static,
+        callback: impl FnOnce(Result<Vec<Row>, ReadError>) + Send + 'static,
     ) {
-        self.send(Command::Read(request_id, Box::new(done)));
+        self.send(Command::Read(request_id, Box::new(callback)));
     }
 
     fn send(&self, command: Command) {
         if let Some(commands) = &self.commands {
-            // The thread ends only once this is dropped.
+            // The thread ends only after this handle is dropped.
             let _ = commands.send(command);
         }
     }
@@ -187,23 +187,23 @@
         if self.health.is_failing.load(Ordering::Acquire) {
             let last_error = self.health.last_error.lock();
             return Err(ReadinessError::CommitFailed(
-                last_error.map_or_else(|_| "it failed".into(), |error| error.clone()),
+                last_error.map_or_else(|_| "the last commit failed".into(), |error| error.clone()),
             ));
         }
-        let busy_since = self.health.busy_since.load(Ordering::Acquire);
-        let millis = busy_clock(self.started_at).saturating_sub(busy_since);
-        if busy_since > 0 && u128::from(millis) > max_sync_time.as_millis() {
+        let commit_started_at = self.health.commit_started_at.load(Ordering::Acquire);
+        let millis = commit_clock(self.started_at).saturating_sub(commit_started_at);
+        if commit_started_at > 0 && u128::from(millis) > max_sync_time.as_millis() {
             return Err(ReadinessError::SlowSync { millis });
         }
         Ok(())
     }
 
-    /// State of the disk.
+    /// Returns the state of the disk.
     pub fn health(&self) -> &DiskHealth {
         &self.health
     }
 
-    /// What was written and synced by the store that was opened at the start.
+    /// Returns the counts of writes and syncs of the store that was opened at the start.
     pub fn statistics(&self) -> &WriteStatistics {
         &self.statistics
     }
@@ -218,10 +218,10 @@
     }
 }
 
-/// Applies all rows of a store. Fails with the first fault.
-fn read_ledger(store: &Store, max_attempts: usize) -> Result<Ledger, StartError> {
+/// Rebuilds the ledger from all rows of a store, or returns the first error.
+fn restore_ledger(store: &Store, max_attempts: usize) -> Result<Ledger, StartError> {
     let mut ledger = Ledger::new(max_attempts);
-    let mut first_fault = None;
+    let mut first_error = None;
     store.for_each_row(|row| {
         let restored = row.map_err(StartError::from).and_then(|row| {
             ledger.restore(&row).map_err(|error| StartError::Record {
@@ -230,46 +230,48 @@
                 error,
             })
         });
-        first_fault = first_fault.take().or(restored.err());
+        first_error = first_error.take().or(restored.err());
     })?;
-    first_fault.map_or(Ok(ledger), Err)
+    first_error.map_or(Ok(ledger), Err)
 }
 
-/// The rows of the next commit, and the callers that wait for it.
+/// The rows of the next commit, and the callbacks to call after it.
 #[derive(Default)]
 struct Batch {
     rows: Vec<Row>,
-    waiting: Vec<WriteCallback>,
-    /// When the commit is due at the latest, if a row has no waiting caller.
-    due: Option<Instant>,
+    callbacks: Vec<WriteCallback>,
+    /// By when the commit must start, if the batch has a row without a waiting caller.
+    due_at: Option<Instant>,
 }
 
 struct Worker {
     store: Option<Store>,
     open: OpenStore,
     sync_mode: SyncMode,
-    /// Rows of failed commits, in order, which go before those of the next batch.
+    /// Rows of failed commits in order, to be written before those of the next batch.
     backlog: VecDeque<Row>,
     health: Arc<DiskHealth>,
     started_at: Instant,
-    /// When the store was last opened, failed, or was tried to be reopened.
-    opened_at: Instant,
+    /// When the store was last opened or failed, or when reopening it was last attempted.
+    last_open_attempt_at: Instant,
 }
 
 impl Worker {
     fn run(mut self, commands: &Receiver<Command>) {
         let mut batch = Batch::default();
-        let mut next = None;
+        let mut next_command = None;
         loop {
-            let wait = batch.due.map_or(REOPEN_INTERVAL, |due| due.saturating_duration_since(Instant::now()));
-            let received = next.take().map_or_else(|| commands.recv_timeout(wait), Ok);
-            match received {
-                Ok(Command::Read(request_id, done)) => done(self.read(request_id, &batch.rows)),
+            let timeout = batch
+                .due_at
+                .map_or(REOPEN_INTERVAL, |due_at| due_at.saturating_duration_since(Instant::now()));
+            let command = next_command.take().map_or_else(|| commands.recv_timeout(timeout), Ok);
+            match command {
+                Ok(Command::Read(request_id, callback)) => callback(self.read(request_id, &batch.rows)),
                 Ok(Command::WriteLater(row)) => self.write_later(row, &mut batch),
-                Ok(Command::Write(rows, done)) => {
+                Ok(Command::Write(rows, callback)) => {
                     batch.rows.extend(rows);
-                    batch.waiting.push(done);
-                    next = self.gather(commands, &mut batch);
+                    batch.callbacks.push(callback);
+                    next_command = self.collect_queued_writes(commands, &mut batch);
                     self.commit_batch(&mut batch);
                 }
                 Err(RecvTimeoutError::Timeout) => self.commit_batch(&mut batch),
@@ -278,14 +280,14 @@
         }
     }
 
-    /// Adds the writes that wait to the batch, if they share a sync. Returns the command that ended this, which is to
-    /// be handled next.
-    fn gather(&self, commands: &Receiver<Command>, batch: &mut Batch) -> Option<Command> {
-        while self.sync_mode == SyncMode::Shared && batch.rows.len() < MAX_BATCH {
+    /// Adds the queued writes to the batch, if they share a sync. Returns the first other command, which is to be
+    /// handled next.
+    fn collect_queued_writes(&self, commands: &Receiver<Command>, batch: &mut Batch) -> Option<Command> {
+        while self.sync_mode == SyncMode::Shared && batch.rows.len() < MAX_BATCH_ROWS {
             match commands.try_recv().ok()? {
-                Command::Write(rows, done) => {
+                Command::Write(rows, callback) => {
                     batch.rows.extend(rows);
-                    batch.waiting.push(done);
+                    batch.callbacks.push(callback);
                 }
                 Command::WriteLater(row) => batch.rows.push(row),
                 other => return Some(other),
@@ -296,58 +298,59 @@
 
     fn write_later(&mut self, row: Row, batch: &mut Batch) {
         batch.rows.push(row);
-        batch.due.get_or_insert_with(|| Instant::now() + MAX_DELAY);
-        if batch.rows.len() >= MAX_BATCH {
+        batch.due_at.get_or_insert_with(|| Instant::now() + MAX_WRITE_DELAY);
+        if batch.rows.len() >= MAX_BATCH_ROWS {
             self.commit_batch(batch);
         }
     }
 
     fn commit_batch(&mut self, batch: &mut Batch) {
-        batch.due = None;
-        let written = self.commit(&mut batch.rows);
-        batch.waiting.drain(..).for_each(|done| done(written.clone()));
+        batch.due_at = None;
+        let result = self.commit(&mut batch.rows);
+        batch.callbacks.drain(..).for_each(|callback| callback(result.clone()));
     }
 
-    /// The rows of one request: those on disk, then those that are not written yet.
+    /// Reads the rows of one request: those on disk, then those not yet written.
     fn read(&self, request_id: RequestId, batch: &[Row]) -> Result<Vec<Row>, ReadError> {
-        let mut rows = self.store.as_ref().ok_or(ReadError::NotOpen)?.rows_of(request_id)?;
+        let mut rows = self.store.as_ref().ok_or(ReadError::NotOpen)?.read_rows(request_id)?;
         let unwritten = self.backlog.iter().chain(batch);
         rows.extend(unwritten.filter(|row| row.record.request_id() == request_id).cloned());
         Ok(rows)
     }
 
-    /// Commits the backlog and then these rows. An empty batch still reopens a ledger whose disk failed.
+    /// Commits the backlog and then these rows. Without rows, it still reopens a ledger that was closed after a disk
+    /// error.
     fn commit(&mut self, rows: &mut Vec<Row>) -> Result<(), CommitError> {
         self.backlog.extend(rows.drain(..));
         if self.backlog.is_empty() && self.store.is_some() {
             return Ok(());
         }
-        self.health.busy_since.store(busy_clock(self.started_at), Ordering::Release);
-        let written = self.write_backlog();
-        self.health.busy_since.store(0, Ordering::Release);
-        let written = written.map_err(|error| CommitError(error.to_string()));
-        if let Err(CommitError(error)) = &written
+        self.health.commit_started_at.store(commit_clock(self.started_at), Ordering::Release);
+        let result = self.write_backlog();
+        self.health.commit_started_at.store(0, Ordering::Release);
+        let result = result.map_err(|error| CommitError(error.to_string()));
+        if let Err(CommitError(error)) = &result
             && let Ok(mut last_error) = self.health.last_error.lock()
         {
             last_error.clone_from(error);
         }
-        self.health.is_failing.store(written.is_err(), Ordering::Release);
-        written
+        self.health.is_failing.store(result.is_err(), Ordering::Release);
+        result
     }
 
     fn write_backlog(&mut self) -> Result<(), StoreError> {
         if self.store.is_none() {
-            if self.opened_at.elapsed() < REOPEN_INTERVAL {
-                return Err(StoreError::Disk("the disk erred".into()));
+            if self.last_open_attempt_at.elapsed() < REOPEN_INTERVAL {
+                return Err(StoreError::Disk("the ledger is closed after a disk error".into()));
             }
-            self.opened_at = Instant::now();
+            self.last_open_attempt_at = Instant::now();
             self.store = Some((self.open)()?);
         }
         let Some(store) = &self.store else { return Ok(()) };
         if let Err(error) = store.commit(&self.backlog) {
-            // After an error redb refuses further writes until the database is reopened.
+            // After a disk error redb refuses further writes until the database is reopened.
             self.store = None;
-            self.opened_at = Instant::now();
+            self.last_open_attempt_at = Instant::now();
             return Err(error);
         }
         self.health.commits.fetch_add(1, Ordering::Relaxed);
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -1,22 +1,22 @@
-//! The state of one durable request: its attempts, and whether it may have another.
+//! The state of one durable request: its attempts, and whether another one is allowed.
 use crate::record::{Digest, Fence};
 use troutknot::{Effect, Millis, Outcome};
 
-/// Why a request may not have another attempt now.
+/// Why a request may not be dispatched again now.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum DispatchError {
     /// The lease of an attempt has not expired.
     #[error("an attempt is in flight")]
     InFlight,
-    /// It is at most once, and an earlier attempt may have run.
+    /// The request is at-most-once, and an earlier attempt may have run.
     #[error("an earlier attempt may have run")]
     MayHaveRun,
-    /// It has had the maximum number of attempts.
-    #[error("it was dispatched as often as it may be")]
+    /// The request has had the maximum number of attempts.
+    #[error("the request has had the maximum number of attempts")]
     MaxAttempts,
 }
 
-/// What is known of an attempt.
+/// State of an attempt, as far as the records tell.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptStatus {
     /// Its lease has not expired.
@@ -25,33 +25,33 @@
     Unknown,
     /// It has not run and never will.
     NeverRan,
-    /// It ended, and may have run.
+    /// It ended without a result, and may have run.
     MayHaveRun,
     /// It ran, and its result was received.
     Completed,
 }
 
-/// One attempt on record.
+/// One recorded attempt.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Attempt {
     /// Its fence.
     pub fence: Fence,
     /// The name of its executor.
     pub executor: String,
-    /// When it was recorded.
+    /// When its dispatch was recorded.
     pub recorded_at: Millis,
-    /// The end of its lease if no further heartbeat follows.
+    /// When its lease expires unless a heartbeat extends it.
     pub lease_until: Millis,
     /// Whether its executor reported that it started.
     pub has_started: bool,
     /// Its outcome; none if it has not ended.
     pub outcome: Option<Outcome>,
-    /// Whether its executor has confirmed that it did not run and is refused from then on.
+    /// Whether its executor has confirmed that it did not run, and refuses it from then on.
     pub is_fenced: bool,
 }
 
 impl Attempt {
-    /// Its status at this time.
+    /// Its status at the time `now`.
     pub fn status(&self, now: Millis) -> AttemptStatus {
         match self.outcome {
             _ if self.is_fenced => AttemptStatus::NeverRan,
@@ -67,33 +67,34 @@
 /// One durable request.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Job {
-    /// The effect of running it twice.
+    /// The effect of running it more than once.
     pub effect: Effect,
-    /// When it was recorded.
+    /// When its acceptance was recorded.
     pub accepted_at: Millis,
-    /// When it must have its final answer.
+    /// By when it must have its final answer.
     pub deadline: Millis,
-    /// The id that its client gave.
+    /// The id that the client assigned to it.
     pub client_id: String,
     /// Its idempotency key, if it has one.
     pub key: Option<String>,
-    /// Its hash.
+    /// The hash of its contents.
     pub digest: Digest,
-    /// Its attempts in order.
+    /// Its attempts, oldest first.
     pub attempts: Vec<Attempt>,
     /// When its final answer was recorded.
     pub answered_at: Option<Millis>,
     /// Whether the last byte of the answer was written to a client.
     pub is_acknowledged: bool,
-    /// The number of its rows.
+    /// How many rows it has.
     pub row_count: u32,
 }
 
 impl Job {
-    /// The fence of its next attempt, if it may have one at this time.
+    /// The fence for its next attempt, if another one is allowed at the time `now`.
     ///
     /// # Errors
-    /// If it may not have another attempt now.
+    /// If an attempt is in flight, if an earlier one of an at-most-once request may have run, or if `max_attempts` is
+    /// reached.
     pub fn next_fence(&self, now: Millis, max_attempts: usize) -> Result<Fence, DispatchError> {
         let mut may_have_run = false;
         for attempt in &self.attempts {
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,20 +1,20 @@
-//! The state of all durable requests that follows from their records.
+//! The state of all durable requests, rebuilt from their records.
 use crate::job::{Attempt, DispatchError, Job};
 use crate::record::{Record, Row};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use troutknot::{AttemptId, Millis, RequestId};
 
-/// Why a record does not follow from those before it.
+/// Why a record is not valid after those before it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum RecordError {
-    /// The request is not on record.
-    #[error("the request is not known")]
+    /// The request is not recorded.
+    #[error("unknown request")]
     UnknownRequest,
-    /// The attempt is not on record.
-    #[error("the attempt is not known")]
+    /// The attempt is not recorded.
+    #[error("unknown attempt")]
     UnknownAttempt,
-    /// The request's number or its client's id is on record already.
-    #[error("the request was taken before")]
+    /// A request of the same number or client id is recorded already.
+    #[error("the request is already recorded")]
     DuplicateRequest,
     /// The request has its final answer.
     #[error("the request has its final answer")]
@@ -22,43 +22,43 @@
     /// The attempt has ended, or has started and so cannot be fenced.
     #[error("the attempt has ended")]
     AttemptEnded,
-    /// The request may not have another attempt now.
+    /// The request may not be dispatched again now.
     #[error("{0}")]
     DispatchNotAllowed(#[from] DispatchError),
-    /// The attempt's fence is not above that of the attempt before.
-    #[error("the fence does not grow")]
+    /// The attempt's fence is not higher than that of the previous attempt.
+    #[error("the fence is not higher than that of the previous attempt")]
     FenceNotIncreasing,
     /// The request has no final answer yet.
-    #[error("the request is open")]
+    #[error("the request has no final answer yet")]
     NotAnswered,
-    /// The idempotency key is on record already.
-    #[error("the key was taken before")]
+    /// Another request with the same idempotency key is recorded.
+    #[error("the idempotency key is already in use")]
     DuplicateKey,
-    /// The row is not the next one of its request.
-    #[error("records before it are missing")]
+    /// The row's sequence is not the next one of its request.
+    #[error("earlier records of the request are missing")]
     MissingRows,
 }
 
-/// All requests on record. Their contents and answers are on disk only.
+/// All recorded requests. Their contents and answers are kept on disk only.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Ledger {
     jobs: BTreeMap<RequestId, Job>,
     by_client_id: HashMap<String, RequestId>,
     by_key: HashMap<String, RequestId>,
-    /// Answered requests by the time of their answers, as [`time_bits`].
+    /// Answered requests, sorted by the [`time_bits`] of their answers.
     answered: BTreeSet<(u64, RequestId)>,
     max_attempts: usize,
     latest_time: Millis,
     next_number: u64,
 }
 
-/// The bits of a time, which sort like the times as none of them is negative.
+/// The bits of a time. They sort like the times because no time is negative.
 fn time_bits(at: Millis) -> u64 {
     at.max(0.0).to_bits()
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger for requests with up to `max_attempts` attempts each.
     pub fn new(max_attempts: usize) -> Self {
         Ledger {
             jobs: BTreeMap::new(),
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Applies rows up to the first that does not follow from those before it; its index is returned with the error.
-    /// The rows of one request must be in their order.
+    /// Rebuilds a ledger from rows, which must be in order for each request. Stops at the first invalid row, and returns
+    /// its index with the error.
     pub fn recover<'a>(
         max_attempts: usize,
         rows: impl IntoIterator<Item = &'a Row>,
@@ -86,91 +86,92 @@
         (ledger, None)
     }
 
-    /// Adds a row that was written by an earlier process.
+    /// Applies a row that an earlier process wrote.
     ///
     /// # Errors
-    /// As [`Ledger::apply`], and if rows before it are missing.
+    /// As for [`Ledger::apply`], and if earlier rows of the request are missing.
     pub fn restore(&mut self, row: &Row) -> Result<(), RecordError> {
         if row.sequence != self.row_count(row.record.request_id()) {
             return Err(RecordError::MissingRows);
         }
-        // That earlier leases had expired was checked before the row was written.
-        self.add(f64::INFINITY, row.recorded_at, &row.record)?;
+        // The expiry of earlier leases was checked before the row was written.
+        self.apply_record(f64::INFINITY, row.recorded_at, &row.record)?;
         self.latest_time = self.latest_time.max(row.recorded_at);
         Ok(())
     }
 
-    /// Adds a record that is made now, and returns the row to be written.
+    /// Applies a record that is made at the time `now`, and returns the row to be written.
     ///
     /// # Errors
-    /// If it does not follow from the records before it; nothing is changed then.
+    /// If the record is not valid after those before it; the ledger is unchanged then.
     pub fn apply(&mut self, now: Millis, record: Record) -> Result<Row, RecordError> {
         let sequence = self.row_count(record.request_id());
-        self.add(now, now, &record)?;
+        self.apply_record(now, now, &record)?;
         self.latest_time = self.latest_time.max(now);
         Ok(Row { recorded_at: now, sequence, record })
     }
 
-    /// One request; none if it is not on record.
+    /// Returns a request, or `None` if it is not recorded.
     pub fn job(&self, request_id: RequestId) -> Option<&Job> {
         self.jobs.get(&request_id)
     }
 
-    /// The request to which its client gave this id.
+    /// Finds the request to which its client assigned this id.
     pub fn find_by_client_id(&self, client_id: &str) -> Option<RequestId> {
         self.by_client_id.get(client_id).copied()
     }
 
-    /// The request with this idempotency key.
+    /// Finds the request with this idempotency key.
     pub fn find_by_key(&self, key: &str) -> Option<RequestId> {
         self.by_key.get(key).copied()
     }
 
-    /// The number of requests on record, including answered ones.
+    /// Returns the number of recorded requests, including answered ones.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether no request is on record.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// The time of the latest record. After the clock was set back, new records are not given an earlier time.
+    /// Returns the time of the latest record. After the clock was set back, new records must not get an earlier time.
     pub fn latest_time(&self) -> Millis {
         self.latest_time
     }
 
-    /// A number above those of all requests that were ever on record here.
+    /// Returns a number higher than that of every request that was ever recorded here.
     pub fn next_number(&self) -> u64 {
         self.next_number
     }
 
-    /// All requests on record, by their numbers.
+    /// Iterates over all recorded requests in the order of their numbers.
     pub fn jobs(&self) -> impl Iterator<Item = (RequestId, &Job)> {
         self.jobs.iter().map(|(id, job)| (*id, job))
     }
 
-    /// Requests without a final answer, by their numbers.
+    /// Iterates over the requests without a final answer in the order of their numbers.
     pub fn open_jobs(&self) -> impl Iterator<Item = (RequestId, &Job)> {
         self.jobs().filter(|(_, job)| job.answered_at.is_none())
     }
 
-    /// Up to `limit` requests that were answered before `then`, the oldest answers first.
-    pub fn answered_before(&self, then: Millis, limit: usize) -> Vec<RequestId> {
-        let until = (time_bits(then), RequestId(0));
-        self.answered.range(..until).take(limit).map(|(_, request_id)| *request_id).collect()
+    /// Returns up to `limit` requests that were answered before `cutoff`, the oldest answers first.
+    pub fn answered_before(&self, cutoff: Millis, limit: usize) -> Vec<RequestId> {
+        let end = (time_bits(cutoff), RequestId(0));
+        self.answered.range(..end).take(limit).map(|(_, request_id)| *request_id).collect()
     }
 
     fn row_count(&self, request_id: RequestId) -> u32 {
         self.jobs.get(&request_id).map_or(0, |job| job.row_count)
     }
 
-    /// Adds a record that was made at `at`. Leases of earlier attempts must have expired at `now`.
-    fn add(&mut self, now: Millis, at: Millis, record: &Record) -> Result<(), RecordError> {
+    /// Applies a record that was made at `recorded_at`. A dispatch is valid only if the leases of earlier attempts have
+    /// expired at `now`.
+    fn apply_record(&mut self, now: Millis, recorded_at: Millis, record: &Record) -> Result<(), RecordError> {
         match record {
-            Record::Accepted { .. } => self.take(at, record)?,
-            Record::Dispatched { .. } => self.dispatch(now, at, record)?,
+            Record::Accepted { .. } => self.accept(recorded_at, record)?,
+            Record::Dispatched { .. } => self.dispatch(now, recorded_at, record)?,
             Record::Started { request_id, attempt_id } => {
                 self.attempt_in_flight(*request_id, *attempt_id)?.has_started = true
             }
@@ -189,8 +190,8 @@
                 attempt.is_fenced = true;
             }
             Record::Answered { request_id, .. } => {
-                self.open_job(*request_id)?.answered_at = Some(at);
-                self.answered.insert((time_bits(at), *request_id));
+                self.open_job(*request_id)?.answered_at = Some(recorded_at);
+                self.answered.insert((time_bits(recorded_at), *request_id));
             }
             Record::Acknowledged { request_id } => {
                 let job = self.jobs.get_mut(request_id).ok_or(RecordError::UnknownRequest)?;
@@ -205,7 +206,7 @@
         Ok(())
     }
 
-    fn take(&mut self, at: Millis, record: &Record) -> Result<(), RecordError> {
+    fn accept(&mut self, recorded_at: Millis, record: &Record) -> Result<(), RecordError> {
         let Record::Accepted { request_id, effect, deadline, client_id, key, digest, .. } = record else {
             return Ok(());
         };
@@ -222,7 +223,7 @@
         self.next_number = self.next_number.max(request_id.0 + 1);
         let job = Job {
             effect: *effect,
-            accepted_at: at,
+            accepted_at: recorded_at,
             deadline: *deadline,
             client_id: client_id.clone(),
             key: key.clone(),
@@ -236,7 +237,7 @@
         Ok(())
     }
 
-    fn dispatch(&mut self, now: Millis, at: Millis, record: &Record) -> Result<(), RecordError> {
+    fn dispatch(&mut self, now: Millis, recorded_at: Millis, record: &Record) -> Result<(), RecordError> {
         let Record::Dispatched { request_id, fence, executor, lease_until } = record else { return Ok(()) };
         let max_attempts = self.max_attempts;
         let job = self.open_job(*request_id)?;
@@ -246,7 +247,7 @@
         job.attempts.push(Attempt {
             fence: *fence,
             executor: executor.clone(),
-            recorded_at: at,
+            recorded_at,
             lease_until: *lease_until,
             has_started: false,
             outcome: None,
@@ -271,7 +272,7 @@
         if job.answered_at.is_some() { Err(RecordError::Answered) } else { Ok(job) }
     }
 
-    /// An attempt that has not ended. Its records are accepted also after the final answer of its request.
+    /// Returns an attempt that has not ended. Its records are accepted even after the final answer of its request.
     fn attempt_in_flight(
         &mut self,
         request_id: RequestId,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,13 +1,13 @@
-//! Durable requests with leases: their state, which follows from records, and the records on disk. [`Ledger`] has no
-//! I/O and no clock.
+//! Durable requests with leases: the records on disk, and the state that is rebuilt from them. [`Ledger`] does no I/O
+//! and reads no clock.
 //!
 //! Each [`Record`] is applied to the [`Ledger`] in the order in which the records were written. A crash can leave any
 //! prefix of them on disk, so the state after each prefix must be a valid one.
-//! [`store::Store`] has the rows in one file, [`committer::Committer`] is the thread that writes them. Times are Unix
-//! milliseconds, given by the caller.
+//! [`store::Store`] keeps the rows in one file, [`committer::Committer`] is the thread that writes them. Times are Unix
+//! milliseconds that the caller passes in.
 //!
 //! An attempt whose lease has expired is *unknown*: it may have run. An at-most-once request gets another attempt only
-//! after all earlier ones are known not to have run, by their outcomes or because their executors refuse the fence.
+//! after every earlier one is certain not to have run, by its outcome or because its executor refuses the fence.
 pub mod codec;
 pub mod committer;
 mod job;
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,62 +1,62 @@
-//! Records: each is one step of a durable request.
+//! Records, each of which describes one step in the processing of a durable request.
 use crate::codec;
 use serde::{Deserialize, Serialize};
 use troutknot::{AttemptId, Effect, Millis, Outcome, RequestId};
 
-/// A number that grows with every attempt of a request; an executor that knows fences refuses a lower one.
+/// A number that increases with every attempt of a request. An executor that supports fences refuses a lower one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct Fence(pub u64);
 
-/// A hash of a request, by which the use of its idempotency key for another request is detected.
+/// A hash of a request, which reveals that an idempotency key is reused for a different request.
 pub type Digest = [u8; 32];
 
-/// The final answer as it is recorded.
+/// A final answer in recorded form.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub enum Answer {
     /// The result.
     Completed(Vec<u8>),
-    /// Not served; with the time after which the client may retry, if there is one.
+    /// Rejected; with the delay in milliseconds after which the client may retry, if one is given.
     Rejected(Option<Millis>),
-    /// Failed, and may have run.
+    /// Failed; the request may have run.
     Failed,
 }
 
-/// One record. New kinds are added at the end: on disk a kind is its index here.
+/// One record. New variants are added at the end, because a variant is stored as its index.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub enum Record {
     /// The request was accepted.
     #[serde(rename = "Taken")]
     Accepted {
-        /// Its number in this ledger.
+        /// The number of the request in this ledger.
         #[serde(with = "codec::RequestIdDef")]
         request_id: RequestId,
-        /// The effect of running it twice.
+        /// The effect of running the request more than once.
         #[serde(with = "codec::EffectDef")]
         effect: Effect,
-        /// When it must have its final answer.
+        /// By when the request must have its final answer.
         deadline: Millis,
-        /// The id that its client gave.
+        /// The id that the client assigned to the request.
         client_id: String,
-        /// Its idempotency key, if it has one.
+        /// The idempotency key, if the request has one.
         key: Option<String>,
-        /// Its hash.
+        /// The hash of the request.
         digest: Digest,
-        /// The contents that are needed to send it, encoded by the caller.
+        /// All that is needed to dispatch the request, encoded by the caller.
         payload: Vec<u8>,
     },
-    /// An attempt is to be sent; on disk before its first byte is sent.
+    /// An attempt is about to be sent. The record is on disk before the first byte is sent.
     Dispatched {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
         request_id: RequestId,
-        /// The attempt's fence.
+        /// The fence of the attempt.
         fence: Fence,
         /// The name of the executor.
         executor: String,
-        /// The end of the lease if no heartbeat follows.
+        /// When the lease expires unless a heartbeat extends it.
         lease_until: Millis,
     },
-    /// An attempt has started to run.
+    /// The executor has started to run an attempt.
     Started {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
@@ -65,7 +65,7 @@
         #[serde(with = "codec::AttemptIdDef")]
         attempt_id: AttemptId,
     },
-    /// A heartbeat of the executor, which extends the lease.
+    /// A heartbeat from the executor, which extends the lease.
     Heartbeat {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
@@ -73,7 +73,7 @@
         /// The attempt.
         #[serde(with = "codec::AttemptIdDef")]
         attempt_id: AttemptId,
-        /// The new end of the lease; one before the present end changes nothing.
+        /// The new expiry of the lease; an earlier one than the current expiry is ignored.
         lease_until: Millis,
     },
     /// An attempt has ended.
@@ -84,11 +84,11 @@
         /// The attempt.
         #[serde(with = "codec::AttemptIdDef")]
         attempt_id: AttemptId,
-        /// Its outcome.
+        /// The outcome of the attempt.
         #[serde(with = "codec::OutcomeDef")]
         outcome: Outcome,
     },
-    /// The executor confirms that it has not run this attempt and will refuse it.
+    /// The executor confirms that it has not run an attempt and will refuse it.
     Fenced {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
@@ -97,7 +97,7 @@
         #[serde(with = "codec::AttemptIdDef")]
         attempt_id: AttemptId,
     },
-    /// The final answer; on disk before it is sent to the client.
+    /// The request has its final answer. The record is on disk before the answer is sent to the client.
     Answered {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
@@ -105,13 +105,13 @@
         /// The answer.
         answer: Answer,
     },
-    /// The last byte of the answer was written to a client.
+    /// The last byte of the final answer was written to a client.
     Acknowledged {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
         request_id: RequestId,
     },
-    /// All rows of the request are deleted.
+    /// The request is deleted with all its rows.
     Forgotten {
         /// The request.
         #[serde(with = "codec::RequestIdDef")]
@@ -120,7 +120,7 @@
 }
 
 impl Record {
-    /// The request that the record belongs to.
+    /// Returns the request that the record belongs to.
     pub fn request_id(&self) -> RequestId {
         match self {
             Record::Accepted { request_id, .. }
@@ -136,12 +136,12 @@
     }
 }
 
-/// A record with its place in the ledger.
+/// A record with its time and its position among the rows of its request.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Row {
-    /// When the record was made.
+    /// When the record was made, in Unix milliseconds.
     pub recorded_at: Millis,
-    /// The number of rows of the same request before it.
+    /// The number of earlier rows of the same request.
     pub sequence: u32,
     /// The record.
     pub record: Record,
--- a/crates/ledger/src/store.rs
+++ b/crates/ledger/src/store.rs
@@ -1,6 +1,6 @@
-//! Rows on disk: one redb database, in which the key of a row is its request and its sequence among the rows of that
-//! request. After a crash a commit is complete or absent; an incomplete one is rolled back. The rows of a request that
-//! is forgotten are deleted, and their space is used again.
+//! Rows on disk, in one redb database. The key of a row is its request's number and its sequence among the rows of that
+//! request. After a crash a commit is complete or absent; an incomplete one is rolled back. The rows of a forgotten
+//! request are deleted, and their space is reused.
 use crate::codec::{self, FORMAT, RowError};
 use crate::record::{Record, Row};
 use redb::backends::FileBackend;
@@ -18,36 +18,37 @@
 
 /// Encoded rows by request number and sequence.
 const ROWS: TableDefinition<(u64, u32), &[u8]> = TableDefinition::new("rows");
-/// Properties of the file, by name.
+/// Properties of the file by name.
 const METADATA: TableDefinition<&str, u64> = TableDefinition::new("about");
+/// The name of the property that holds the format.
 const FORMAT_KEY: &str = "format";
-/// Upper bound on the memory for cached pages.
+/// Upper bound on the memory for cached pages: 4 MiB.
 const CACHE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a ledger cannot be used, or a commit failed.
+/// Why a ledger cannot be used, or why a commit failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Another process writes it.
+    /// Another process has the ledger open for writing.
     #[error("another process has it open")]
     InUse,
-    /// A later release created it, in a format that this one cannot read.
-    #[error("it is of format {0}; up to {FORMAT} is understood")]
+    /// A later release created the ledger, in a format that this release cannot read.
+    #[error("unsupported ledger format {0}; this release reads up to {FORMAT}")]
     UnsupportedFormat(u64),
     /// The file cannot be read or written.
     #[error("{0}")]
     Disk(String),
     /// A row is damaged.
     #[error("row {sequence} of request {request_id}: {error}")]
-    Row {
+    DamagedRow {
         /// The request.
         request_id: u64,
         /// The row's sequence.
         sequence: u32,
-        /// The damage.
+        /// What is wrong with the row.
         error: RowError,
     },
     /// The file is not a ledger.
-    #[error("it is no ledger")]
+    #[error("not a ledger file")]
     NotALedger,
 }
 
@@ -62,27 +63,27 @@
     }
 }
 
-/// What was written and synced since the ledger was opened.
+/// Counts of writes and syncs since the ledger was opened.
 #[derive(Default, Debug)]
 pub struct WriteStatistics {
-    /// Writes.
+    /// Write operations.
     pub writes: AtomicU64,
-    /// Bytes that were written.
+    /// Bytes written.
     pub bytes: AtomicU64,
-    /// Syncs.
+    /// Sync operations.
     pub syncs: AtomicU64,
 }
 
-/// A storage backend whose writes and syncs are counted.
+/// A storage backend that counts writes and syncs.
 #[derive(Debug)]
-struct Counted<B: StorageBackend> {
+struct CountingBackend<B: StorageBackend> {
     inner: B,
     statistics: Arc<WriteStatistics>,
 }
 
 type BackendResult<T> = Result<T, BackendError>;
 
-impl<B: StorageBackend> StorageBackend for Counted<B> {
+impl<B: StorageBackend> StorageBackend for CountingBackend<B> {
     fn len(&self) -> io::Result<u64> {
         self.inner.len()
     }
@@ -143,41 +144,41 @@
 }
 
 impl Store {
-    /// Opens or creates a ledger; a commit that a crash interrupted is rolled back. Other processes may read the ledger
+    /// Opens or creates a ledger, and rolls back a commit that a crash interrupted. Other processes may read the ledger
     /// while it is open.
     ///
     /// # Errors
-    /// If another process writes it, if it cannot be read or written, or if a later release created it.
+    /// If another process has it open for writing, if it cannot be read or written, or if a later release created it.
     pub fn open(path: &Path) -> Result<Self, StoreError> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
         let backend = FileBackend::new(file.map_err(disk_error)?).map_err(open_error)?;
-        let store = Store::build(backend, ConcurrencyMode::SingleWriter)?;
-        // The name of a new file may be lost in a crash until its directory is synced.
+        let store = Store::open_backend(backend, ConcurrencyMode::SingleWriter)?;
+        // A crash can lose the directory entry of a new file until the directory is synced.
         let directory = path.parent().filter(|parent| !parent.as_os_str().is_empty());
         let directory = File::open(directory.unwrap_or(Path::new(".")));
         directory.and_then(|directory| directory.sync_all()).map_err(disk_error)?;
         Ok(store)
     }
 
-    /// The same as [`Store::open`] on a backend of the caller, which nobody else may use.
+    /// Like [`Store::open`], on a storage backend that nothing else uses.
     ///
     /// # Errors
-    /// As [`Store::open`].
+    /// As for [`Store::open`].
     pub fn with_backend(backend: impl StorageBackend) -> Result<Self, StoreError> {
-        Store::build(backend, ConcurrencyMode::ExclusiveWriter)
+        Store::open_backend(backend, ConcurrencyMode::ExclusiveWriter)
     }
 
-    fn build(backend: impl StorageBackend, mode: ConcurrencyMode) -> Result<Self, StoreError> {
+    fn open_backend(backend: impl StorageBackend, mode: ConcurrencyMode) -> Result<Self, StoreError> {
         let statistics = Arc::<WriteStatistics>::default();
-        let backend = Counted { inner: backend, statistics: statistics.clone() };
+        let backend = CountingBackend { inner: backend, statistics: statistics.clone() };
         let db = Builder::new()
             .set_cache_size(CACHE_BYTES)
             .set_concurrency_mode(mode)
             .create_with_backend(backend);
         let store = Store { db: db.map_err(open_error)?, statistics };
-        let known = format_of(&store.db.begin_read().map_err(disk_error)?)?;
-        if known.is_none() {
-            let txn = store.begin()?;
+        let format = read_format(&store.db.begin_read().map_err(disk_error)?)?;
+        if format.is_none() {
+            let txn = store.begin_write()?;
             {
                 txn.open_table(ROWS).map_err(disk_error)?;
                 let mut metadata = txn.open_table(METADATA).map_err(disk_error)?;
@@ -188,30 +189,30 @@
         Ok(store)
     }
 
-    fn begin(&self) -> Result<redb::WriteTransaction, StoreError> {
+    fn begin_write(&self) -> Result<redb::WriteTransaction, StoreError> {
         let mut txn = self.db.begin_write().map_err(disk_error)?;
         txn.set_two_phase_commit(true);
         Ok(txn)
     }
 
-    /// What was written and synced since the ledger was opened.
+    /// Returns the counts of writes and syncs since the ledger was opened.
     pub fn statistics(&self) -> &Arc<WriteStatistics> {
         &self.statistics
     }
 
-    /// Writes rows and syncs them, all or none. A row that exists is overwritten, so that a commit whose result is
-    /// unknown can be repeated.
+    /// Writes rows atomically and syncs them. An existing row is overwritten, so that a commit whose result is unknown
+    /// can be repeated.
     ///
     /// # Errors
-    /// If the disk fails. The rows may be on disk nevertheless.
+    /// If the disk fails. The rows may be on disk even so.
     pub fn commit<'a>(&self, rows: impl IntoIterator<Item = &'a Row>) -> Result<(), StoreError> {
-        let txn = self.begin()?;
+        let txn = self.begin_write()?;
         {
             let mut table = txn.open_table(ROWS).map_err(disk_error)?;
             for row in rows {
                 let request_id = row.record.request_id();
                 if let Record::Forgotten { .. } = row.record {
-                    table.retain_in(keys_of(request_id), |_, _| false).map_err(disk_error)?;
+                    table.retain_in(key_range(request_id), |_, _| false).map_err(disk_error)?;
                 } else {
                     let bytes = codec::encode(row.recorded_at, &row.record);
                     table.insert((request_id.0, row.sequence), bytes.as_slice()).map_err(disk_error)?;
@@ -221,7 +222,7 @@
         txn.commit().map_err(disk_error)
     }
 
-    /// Returns unused space to the file system. Returns false if there was none.
+    /// Returns unused space to the file system. The result is false if there was none.
     ///
     /// # Errors
     /// If the disk fails.
@@ -229,70 +230,70 @@
         self.db.compact().map_err(disk_error)
     }
 
-    /// Checks every page. Returns false if something had to be repaired.
+    /// Checks every page, and repairs what it can. The result is false if something had to be repaired.
     ///
     /// # Errors
     /// If the file is damaged beyond repair.
-    pub fn check(&mut self) -> Result<bool, StoreError> {
+    pub fn check_integrity(&mut self) -> Result<bool, StoreError> {
         self.db.check_integrity().map_err(disk_error)
     }
 }
 
-/// The keys of all rows of a request.
-fn keys_of(request_id: RequestId) -> RangeInclusive<(u64, u32)> {
+/// Returns the range of the keys of a request's rows.
+fn key_range(request_id: RequestId) -> RangeInclusive<(u64, u32)> {
     (request_id.0, 0)..=(request_id.0, u32::MAX)
 }
 
-/// The format that a ledger was created in; none if the file has no ledger yet.
-fn format_of(txn: &ReadTransaction) -> Result<Option<u64>, StoreError> {
+/// Returns the format that a ledger was created in, or `None` if the file has no ledger yet.
+fn read_format(txn: &ReadTransaction) -> Result<Option<u64>, StoreError> {
     let metadata = match txn.open_table(METADATA) {
         Ok(metadata) => metadata,
         Err(TableError::TableDoesNotExist(_)) => return Ok(None),
         Err(other) => return Err(disk_error(other)),
     };
-    let format = metadata.get(FORMAT_KEY).map_err(disk_error)?.map(|found| found.value());
+    let format = metadata.get(FORMAT_KEY).map_err(disk_error)?.map(|entry| entry.value());
     match format {
         Some(format) if format > u64::from(FORMAT) => Err(StoreError::UnsupportedFormat(format)),
         other => Ok(other),
     }
 }
 
-/// Read access to the rows of a ledger, in the process that writes it or in another one.
+/// Read access to the rows of a ledger, from the process that writes it or from another one.
 pub trait Rows {
     #[doc(hidden)]
     fn begin_read(&self) -> Result<ReadTransaction, StoreError>;
 
-    /// Calls `visit` for each row; the rows of one request follow each other in their order. A damaged row is passed as
-    /// an error, and the rows after it are still visited.
+    /// Calls `visit` for each row, by request and then by sequence. A damaged row is passed as an error, and the rows
+    /// after it are still visited.
     ///
     /// # Errors
-    /// If the file cannot be read further.
+    /// If the file cannot be read to its end.
     fn for_each_row(&self, mut visit: impl FnMut(Result<Row, StoreError>)) -> Result<(), StoreError> {
         let txn = self.begin_read()?;
-        for found in txn.open_table(ROWS).map_err(disk_error)?.iter().map_err(disk_error)? {
-            let (key, bytes) = found.map_err(disk_error)?;
+        for entry in txn.open_table(ROWS).map_err(disk_error)?.iter().map_err(disk_error)? {
+            let (key, bytes) = entry.map_err(disk_error)?;
             let (request_id, sequence) = key.value();
             visit(decode_row(request_id, sequence, bytes.value()));
         }
         Ok(())
     }
 
-    /// The rows of one request, in order.
+    /// Reads the rows of one request in order.
     ///
     /// # Errors
-    /// If one is damaged, or if the file cannot be read.
-    fn rows_of(&self, request_id: RequestId) -> Result<Vec<Row>, StoreError> {
+    /// If a row is damaged, or if the file cannot be read.
+    fn read_rows(&self, request_id: RequestId) -> Result<Vec<Row>, StoreError> {
         let txn = self.begin_read()?;
         let table = txn.open_table(ROWS).map_err(disk_error)?;
         let mut rows = Vec::new();
-        for found in table.range(keys_of(request_id)).map_err(disk_error)? {
-            let (key, bytes) = found.map_err(disk_error)?;
+        for entry in table.range(key_range(request_id)).map_err(disk_error)? {
+            let (key, bytes) = entry.map_err(disk_error)?;
             rows.push(decode_row(request_id.0, key.value().1, bytes.value())?);
         }
         Ok(rows)
     }
 
-    /// The number of rows.
+    /// Returns the number of rows.
     ///
     /// # Errors
     /// If the file cannot be read.
@@ -303,7 +304,7 @@
 
 /// Decodes a row and checks that it belongs to the request of its key.
 fn decode_row(request_id: u64, sequence: u32, bytes: &[u8]) -> Result<Row, StoreError> {
-    let damaged = |error| StoreError::Row { request_id, sequence, error };
+    let damaged = |error| StoreError::DamagedRow { request_id, sequence, error };
     let row = codec::decode(sequence, bytes).map_err(damaged)?;
     if row.record.request_id() != RequestId(request_id) {
         return Err(damaged(RowError::RequestMismatch));
@@ -317,16 +318,16 @@
     }
 }
 
-/// A ledger that is only read, while another process writes it or after that process has ended.
+/// A ledger that is open for reading only, while another process writes it or after that process has ended.
 pub enum Reader {
-    /// The file itself, up to the last commit.
+    /// The file itself, as of the last commit.
     Live(ReadOnlyDatabase),
-    /// A copy in memory, in which a commit that a crash interrupted is rolled back. The file stays unchanged.
+    /// A copy in memory, in which a commit that a crash interrupted was rolled back. The file is not changed.
     Copy(Box<Store>),
 }
 
 impl Reader {
-    /// Opens a ledger without changing it.
+    /// Opens a ledger without changing the file.
     ///
     /// # Errors
     /// If it cannot be read, if it is not a ledger, or if a later release created it.
@@ -340,10 +341,10 @@
                 if bytes.is_empty() {
                     return Err(StoreError::NotALedger);
                 }
-                Reader::Copy(Box::new(Store::with_backend(Memory(Mutex::new(bytes)))?))
+                Reader::Copy(Box::new(Store::with_backend(MemoryBackend(Mutex::new(bytes)))?))
             }
         };
-        let format = format_of(&reader.begin_read()?)?;
+        let format = read_format(&reader.begin_read()?)?;
         format.map(|_| reader).ok_or(StoreError::NotALedger)
     }
 }
@@ -357,16 +358,16 @@
     }
 }
 
-/// The bytes of a file; changes stay in memory.
+/// A storage backend in memory, filled with the bytes of a file.
 #[derive(Debug)]
-struct Memory(Mutex<Vec<u8>>);
+struct MemoryBackend(Mutex<Vec<u8>>);
 
-impl Memory {
+impl MemoryBackend {
     fn lock(&self) -> io::Result<MutexGuard<'_, Vec<u8>>> {
-        self.0.lock().map_err(|_| io::Error::other("a reader has died"))
+        self.0.lock().map_err(|_| io::Error::other("a reader panicked"))
     }
 
-    /// Applies `access` to `len` bytes from `offset` on.
+    /// Applies `access` to the `len` bytes at `offset`.
     fn access<R>(&self, offset: u64, len: usize, access: impl FnOnce(&mut [u8]) -> R) -> io::Result<R> {
         let mut bytes = self.lock()?;
         let start = usize::try_from(offset).map_err(io::Error::other)?;
@@ -375,7 +376,7 @@
     }
 }
 
-impl StorageBackend for Memory {
+impl StorageBackend for MemoryBackend {
     fn len(&self) -> io::Result<u64> {
         self.lock().map(|bytes| bytes.len() as u64)
     }
--- a/crates/ledger/tests/compatibility.rs
+++ b/crates/ledger/tests/compatibility.rs
@@ -92,7 +92,7 @@
         let (mut ledger, _) = Ledger::recover(4, &rows());
         let answer = Record::Answered { request_id: RequestId(12), answer: Answer::Failed };
         store.commit([&ledger.apply(NOW, answer).unwrap()]).unwrap();
-        assert_eq!(store.rows_of(RequestId(12)).unwrap().len(), 2);
+        assert_eq!(store.read_rows(RequestId(12)).unwrap().len(), 2);
     }
     std::fs::remove_file(path).unwrap();
 }
