--- a/crates/ledger/tests/compatibility.rs
+++ b/crates/ledger/tests/compatibility.rs
@@ -1,28 +1,30 @@
-//! A ledger that an earlier release wrote (commit cc67128) is read as it was meant.
+//! Compatibility with the file format of an earlier release: the fixture was written at commit cc67128. A change of the
+//! encoding that misreads existing files fails here.
 #![allow(clippy::unwrap_used, missing_docs)]
 use std::path::PathBuf;
 use troutknot::{AttemptId, Effect, Outcome, RequestId};
 use troutknot_ledger::store::{Reader, Rows, Store};
 use troutknot_ledger::{Answer, AttemptStatus, Fence, Ledger, Record, Row};
 
-/// The moment of the checks: the leases in the file hold until then or beyond.
+/// Time of the checks, in Unix milliseconds; no lease in the fixture expires before it.
 const NOW: f64 = 1_500_000.0;
 
-fn fixture() -> PathBuf {
+fn fixture_path() -> PathBuf {
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/ledger.redb"))
 }
 
-fn rows() -> Vec<Row> {
+fn read_fixture() -> Vec<Row> {
     let mut rows = Vec::new();
-    Reader::open(&fixture()).unwrap().for_each_row(|row| rows.push(row.unwrap())).unwrap();
+    Reader::open(&fixture_path()).unwrap().for_each_row(|row| rows.push(row.unwrap())).unwrap();
     rows
 }
 
+/// A restart after an upgrade must not lose requests or misread their attempts.
 #[test]
-fn open_and_ended_work_of_an_earlier_release_is_recovered() {
-    let rows = rows();
-    let (ledger, broken) = Ledger::recover(4, &rows);
-    assert_eq!((rows.len(), ledger.len(), broken), (50, 11, None));
+fn open_and_answered_requests_of_an_earlier_release_are_recovered() {
+    let rows = read_fixture();
+    let (ledger, error) = Ledger::recover(4, &rows);
+    assert_eq!((rows.len(), ledger.len(), error), (50, 11, None));
     let open: Vec<u64> = ledger.open_jobs().map(|(id, _)| id.0).collect();
     assert_eq!(open, [9, 10, 11, 12]);
     assert_eq!((ledger.find_by_client_id("id-3"), ledger.find_by_key("key-10")), (None, Some(RequestId(10))));
@@ -64,32 +66,33 @@
     assert_eq!(ledger.job(RequestId(11)).unwrap().attempts[0].status(0.0), AttemptStatus::InFlight);
 }
 
+/// Recorded answers are returned to clients, and heartbeats extend leases, also after an upgrade.
 #[test]
-fn answers_and_signs_of_life_of_an_earlier_release_are_read() {
-    let rows = rows();
-    let answer = |id| {
+fn answers_and_heartbeats_of_an_earlier_release_are_decoded() {
+    let rows = read_fixture();
+    let find_answer = |number| {
         rows.iter().find_map(|row| match &row.record {
-            Record::Answered { request_id, answer } if request_id.0 == id => Some(answer.clone()),
+            Record::Answered { request_id, answer } if request_id.0 == number => Some(answer.clone()),
             _ => None,
         })
     };
-    assert_eq!(answer(4), Some(Answer::Completed(vec![7; 40])));
-    assert_eq!(answer(5), Some(Answer::Rejected(Some(250.0))));
-    assert_eq!(answer(6), Some(Answer::Rejected(None)));
-    assert_eq!(answer(7), Some(Answer::Failed));
+    assert_eq!(find_answer(4), Some(Answer::Completed(vec![7; 40])));
+    assert_eq!(find_answer(5), Some(Answer::Rejected(Some(250.0))));
+    assert_eq!(find_answer(6), Some(Answer::Rejected(None)));
+    assert_eq!(find_answer(7), Some(Answer::Failed));
     let heartbeat =
         Record::Heartbeat { request_id: RequestId(9), attempt_id: AttemptId(0), lease_until: 2e6 };
     assert!(rows.iter().any(|row| row.record == heartbeat));
 }
 
-/// The file is a copy: a fixture stays as it is.
+/// New records can be appended to a file of an earlier release. The test writes to a copy of the fixture.
 #[test]
-fn an_earlier_ledger_is_gone_on_with() {
+fn a_ledger_of_an_earlier_release_accepts_new_records() {
     let path = std::env::temp_dir().join(format!("troutknot-compatibility-{}.redb", std::process::id()));
-    std::fs::copy(fixture(), &path).unwrap();
+    std::fs::copy(fixture_path(), &path).unwrap();
     {
         let store = Store::open(&path).unwrap();
-        let (mut ledger, _) = Ledger::recover(4, &rows());
+        let (mut ledger, _) = Ledger::recover(4, &read_fixture());
         let answer = Record::Answered { request_id: RequestId(12), answer: Answer::Failed };
         store.commit([&ledger.apply(NOW, answer).unwrap()]).unwrap();
         assert_eq!(store.read_rows(RequestId(12)).unwrap().len(), 2);
--- a/crates/ledger/tests/interleavings.rs
+++ b/crates/ledger/tests/interleavings.rs
@@ -1,261 +1,272 @@
-//! Every order of crash, lease end, wake-up, late end and retry, until no new state comes, for one exclusive work
-//! unit: it must never run twice, nor be out twice at once. A ledger whose leases free must be caught.
+//! Model check of one at-most-once request: explores every order of crash, lease expiry, delayed start, late outcome
+//! and retry until no new state is reached. The request must never run twice, nor have two attempts in flight. A faulty
+//! ledger that frees a request when its lease expires must be detected.
 #![allow(clippy::unwrap_used, missing_docs)]
 use std::collections::HashSet;
 use troutknot::{AttemptId, Effect, Outcome, RequestId};
 use troutknot_ledger::{Answer, AttemptStatus, DispatchError, Fence, Ledger, Record, RecordError, Row};
 
-const WU: RequestId = RequestId(1);
-const MOST: usize = 3;
-const DEPTH: usize = 24;
+const REQUEST: RequestId = RequestId(1);
+const MAX_ATTEMPTS: usize = 3;
+/// Upper bound on the steps from the initial state.
+const MAX_DEPTH: usize = 24;
 
-fn taken(effect: Effect) -> Record {
-    let (id, digest, work) = ("a".into(), [0; 32], Vec::new());
+fn accepted_record(effect: Effect) -> Record {
     Record::Accepted {
-        request_id: WU,
+        request_id: REQUEST,
         effect,
         deadline: 1e9,
-        client_id: id,
+        client_id: "a".into(),
         key: Some("k".into()),
-        digest,
-        payload: work,
+        digest: [0; 32],
+        payload: Vec::new(),
     }
 }
 
-/// As they stand on disk.
-fn rows(records: Vec<Record>) -> Vec<Row> {
-    let row = |(place, record)| Row { recorded_at: 0.0, sequence: place as u32, record };
-    records.into_iter().enumerate().map(row).collect()
+/// The rows of one request as they are on disk.
+fn to_rows(records: Vec<Record>) -> Vec<Row> {
+    let to_row = |(index, record)| Row { recorded_at: 0.0, sequence: index as u32, record };
+    records.into_iter().enumerate().map(to_row).collect()
 }
 
-/// What an executor did with an allocation that reached it, or not.
+/// How far an attempt has got.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-enum At {
-    /// On record, not sent.
-    Record,
-    /// Taken, and paused for any time.
-    Paused,
+enum Progress {
+    /// Recorded, not sent.
+    Recorded,
+    /// Received by the executor, which delays it for any time.
+    Delayed,
     Ran,
     Refused,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
-struct World {
-    /// One a lease, each an own unit of time; the lease of an allocation ends by a step.
-    attempts: Vec<(At, bool)>,
-    /// Ends and fences on record.
+struct SystemState {
+    /// Each attempt with whether its lease has expired; a step of its own expires it.
+    attempts: Vec<(Progress, bool)>,
+    /// For each attempt, whether its outcome (`true`) or its fencing (`false`) is recorded.
     ended: Vec<Option<bool>>,
-    up: bool,
+    is_node_up: bool,
 }
 
-/// The records that a world stands for: all of them are on disk whenever a step is over.
-fn records(world: &World) -> Vec<Record> {
-    let mut records = vec![taken(Effect::AtMostOnce)];
-    for (k, (_, lease_over)) in world.attempts.iter().enumerate() {
-        let lease_until = if *lease_over { 0.0 } else { f64::MAX };
-        let fence = Fence(k as u64 + 1);
-        records.push(Record::Dispatched { request_id: WU, fence, executor: "s".into(), lease_until });
-        match world.ended[k] {
-            Some(true) => records.push(Record::Ended {
-                request_id: WU,
-                attempt_id: AttemptId(k as u32),
-                outcome: Outcome::Completed,
-            }),
-            Some(false) => records.push(Record::Fenced { request_id: WU, attempt_id: AttemptId(k as u32) }),
+/// The records in a state; all of them are on disk after each step.
+fn to_records(state: &SystemState) -> Vec<Record> {
+    let mut records = vec![accepted_record(Effect::AtMostOnce)];
+    for (index, (_, has_lease_expired)) in state.attempts.iter().enumerate() {
+        let lease_until = if *has_lease_expired { 0.0 } else { f64::MAX };
+        let fence = Fence(index as u64 + 1);
+        let attempt_id = AttemptId(index as u32);
+        records.push(Record::Dispatched { request_id: REQUEST, fence, executor: "s".into(), lease_until });
+        match state.ended[index] {
+            Some(true) => {
+                records.push(Record::Ended { request_id: REQUEST, attempt_id, outcome: Outcome::Completed })
+            }
+            Some(false) => records.push(Record::Fenced { request_id: REQUEST, attempt_id }),
             None => {}
         }
     }
     records
 }
 
-/// All that may happen next; `frees` is the mutant whose leases free when they end.
-fn next(world: &World, frees: bool) -> Vec<World> {
-    let mut worlds = Vec::new();
-    let mut then = |change: &dyn Fn(&mut World)| {
-        let mut next = world.clone();
+/// Returns the states that can follow. `is_faulty` simulates a ledger that allows another attempt as soon as all leases
+/// have expired.
+fn next_states(state: &SystemState, is_faulty: bool) -> Vec<SystemState> {
+    let mut states = Vec::new();
+    let mut add_state = |change: &dyn Fn(&mut SystemState)| {
+        let mut next = state.clone();
         change(&mut next);
-        worlds.push(next);
+        states.push(next);
     };
-    if !world.up {
-        then(&|w| w.up = true);
+    if !state.is_node_up {
+        add_state(&|next| next.is_node_up = true);
     } else {
-        then(&|w| w.up = false);
-        let (ledger, broken) = Ledger::recover(MOST, &rows(records(world)));
-        assert!(broken.is_none() || frees, "{broken:?} {world:?}");
-        let job = ledger.job(WU).unwrap();
-        let mutant = frees && world.attempts.len() < MOST && world.attempts.iter().all(|(_, over)| *over);
-        if job.next_fence(1.0, MOST).is_ok() || mutant {
-            then(&|w| {
-                w.attempts.push((At::Record, false));
-                w.ended.push(None);
+        add_state(&|next| next.is_node_up = false);
+        let (ledger, error) = Ledger::recover(MAX_ATTEMPTS, &to_rows(to_records(state)));
+        assert!(error.is_none() || is_faulty, "{error:?} {state:?}");
+        let job = ledger.job(REQUEST).unwrap();
+        let is_freed = is_faulty
+            && state.attempts.len() < MAX_ATTEMPTS
+            && state.attempts.iter().all(|(_, has_lease_expired)| *has_lease_expired);
+        if job.next_fence(1.0, MAX_ATTEMPTS).is_ok() || is_freed {
+            add_state(&|next| {
+                next.attempts.push((Progress::Recorded, false));
+                next.ended.push(None);
             });
         }
     }
-    for (k, (at, lease_over)) in world.attempts.iter().enumerate() {
-        match at {
-            // A node that is down sends nothing, and one that came back does not send what it had recorded.
-            At::Record if world.up && k + 1 == world.attempts.len() => {
-                then(&|w| w.attempts[k].0 = At::Paused)
+    for (index, (progress, has_lease_expired)) in state.attempts.iter().enumerate() {
+        let can_end = state.is_node_up && state.ended[index].is_none();
+        match progress {
+            // A node that is down sends nothing. After a restart it does not send an attempt recorded earlier.
+            Progress::Recorded if state.is_node_up && index + 1 == state.attempts.len() => {
+                add_state(&|next| next.attempts[index].0 = Progress::Delayed)
             }
-            At::Paused => then(&|w| w.attempts[k].0 = At::Ran),
-            At::Ran if world.up && world.ended[k].is_none() => then(&|w| w.ended[k] = Some(true)),
+            Progress::Delayed => add_state(&|next| next.attempts[index].0 = Progress::Ran),
+            Progress::Ran if can_end => add_state(&|next| next.ended[index] = Some(true)),
             _ => {}
         }
-        if !lease_over {
-            then(&|w| w.attempts[k].1 = true);
+        if !has_lease_expired {
+            add_state(&|next| next.attempts[index].1 = true);
         }
-        // The executor is asked, and says that it has not run this fence and never will.
-        if world.up && *lease_over && matches!(at, At::Record | At::Paused) && world.ended[k].is_none() {
-            then(&|w| (w.attempts[k].0, w.ended[k]) = (At::Refused, Some(false)));
+        // The node asks the executor, which confirms that it has not run this fence and never will.
+        if can_end && *has_lease_expired && matches!(progress, Progress::Recorded | Progress::Delayed) {
+            add_state(&|next| (next.attempts[index].0, next.ended[index]) = (Progress::Refused, Some(false)));
         }
     }
-    worlds
+    states
 }
 
-/// The most runs in any state within the depth, and how many states there are.
-fn explore(frees: bool) -> (usize, usize) {
-    let mut seen: HashSet<World> = HashSet::from([World::default()]);
-    let (mut edge, mut most) = (vec![World::default()], 0);
-    for _ in 0..DEPTH {
-        let worlds: Vec<World> = edge.iter().flat_map(|world| next(world, frees)).collect();
-        edge = worlds.into_iter().filter(|world| seen.insert(world.clone())).collect();
-        for world in &edge {
-            most = most.max(world.attempts.iter().filter(|(at, _)| *at == At::Ran).count());
+/// Returns the maximum number of runs in any reachable state, and the number of those states.
+fn explore(is_faulty: bool) -> (usize, usize) {
+    let mut visited: HashSet<SystemState> = HashSet::from([SystemState::default()]);
+    let (mut frontier, mut max_runs) = (vec![SystemState::default()], 0);
+    for _ in 0..MAX_DEPTH {
+        let states: Vec<SystemState> =
+            frontier.iter().flat_map(|state| next_states(state, is_faulty)).collect();
+        frontier = states.into_iter().filter(|state| visited.insert(state.clone())).collect();
+        for state in &frontier {
+            let runs = state.attempts.iter().filter(|(progress, _)| *progress == Progress::Ran).count();
+            max_runs = max_runs.max(runs);
         }
     }
-    assert!(edge.is_empty(), "the depth reaches every state");
-    (most, seen.len())
+    assert!(frontier.is_empty(), "every state is reached within the maximum depth");
+    (max_runs, visited.len())
 }
 
+/// An attempt whose lease has expired may still run. Dispatching the request again would run it twice.
 #[test]
-fn no_order_of_events_runs_exclusive_work_twice_and_a_lease_that_frees_is_caught() {
-    let (most, states) = explore(false);
-    assert_eq!(most, 1, "in {states} states");
-    println!("{states} states to depth {DEPTH}");
-    assert!(states > 50, "{states} states");
-    assert!(explore(true).0 > 1, "the mutant is caught");
+fn no_order_of_events_runs_an_at_most_once_request_twice() {
+    let (max_runs, state_count) = explore(false);
+    assert_eq!(max_runs, 1, "in {state_count} states");
+    println!("{state_count} states to depth {MAX_DEPTH}");
+    assert!(state_count > 50, "{state_count} states");
+    assert!(explore(true).0 > 1, "the faulty ledger is detected");
 }
 
+/// An invalid record that is accepted, or a refused one that changes the state, makes the ledger disagree with the disk.
 #[test]
-fn records_that_do_not_follow_are_refused_and_change_nothing() {
-    let taken = taken(Effect::AtMostOnce);
-    let other = |id: &str, key: &str| {
-        let (id, key, digest, work) = (id.into(), Some(key.into()), [0; 32], Vec::new());
-        Record::Accepted {
-            request_id: RequestId(2),
-            effect: Effect::AtMostOnce,
-            deadline: 9.0,
-            client_id: id,
-            key,
-            digest,
-            payload: work,
-        }
+fn invalid_records_are_refused_and_change_nothing() {
+    let accepted = accepted_record(Effect::AtMostOnce);
+    let other_request = |client_id: &str, key: &str| Record::Accepted {
+        request_id: RequestId(2),
+        effect: Effect::AtMostOnce,
+        deadline: 9.0,
+        client_id: client_id.into(),
+        key: Some(key.into()),
+        digest: [0; 32],
+        payload: Vec::new(),
     };
-    let answered = Record::Answered { request_id: WU, answer: Answer::Failed };
-    let allocated = |fence| Record::Dispatched {
-        request_id: WU,
+    let answered = Record::Answered { request_id: REQUEST, answer: Answer::Failed };
+    let dispatched = |fence| Record::Dispatched {
+        request_id: REQUEST,
         fence: Fence(fence),
         executor: "s".into(),
         lease_until: 5.0,
     };
-    let ended = |outcome| Record::Ended { request_id: WU, attempt_id: AttemptId(0), outcome };
+    let ended = |outcome| Record::Ended { request_id: REQUEST, attempt_id: AttemptId(0), outcome };
     let cases: Vec<(Vec<Record>, Record, RecordError)> = vec![
-        (vec![], allocated(1), RecordError::UnknownRequest),
-        (vec![taken.clone()], taken.clone(), RecordError::DuplicateRequest),
-        (vec![taken.clone()], ended(Outcome::Reset), RecordError::UnknownAttempt),
+        (vec![], dispatched(1), RecordError::UnknownRequest),
+        (vec![accepted.clone()], accepted.clone(), RecordError::DuplicateRequest),
+        (vec![accepted.clone()], ended(Outcome::Reset), RecordError::UnknownAttempt),
         (
-            vec![taken.clone(), allocated(1)],
-            allocated(2),
+            vec![accepted.clone(), dispatched(1)],
+            dispatched(2),
             RecordError::DispatchNotAllowed(DispatchError::InFlight),
         ),
         (
-            vec![taken.clone(), allocated(1), ended(Outcome::Reset)],
-            allocated(2),
+            vec![accepted.clone(), dispatched(1), ended(Outcome::Reset)],
+            dispatched(2),
             RecordError::DispatchNotAllowed(DispatchError::MayHaveRun),
         ),
         (
-            vec![taken.clone(), allocated(7), ended(Outcome::Rejected)],
-            allocated(7),
+            vec![accepted.clone(), dispatched(7), ended(Outcome::Rejected)],
+            dispatched(7),
             RecordError::FenceNotIncreasing,
         ),
         (
-            vec![taken.clone(), allocated(1), ended(Outcome::Rejected)],
+            vec![accepted.clone(), dispatched(1), ended(Outcome::Rejected)],
             ended(Outcome::Rejected),
             RecordError::AttemptEnded,
         ),
         (
-            vec![taken.clone(), allocated(1), Record::Started { request_id: WU, attempt_id: AttemptId(0) }],
-            Record::Fenced { request_id: WU, attempt_id: AttemptId(0) },
+            vec![
+                accepted.clone(),
+                dispatched(1),
+                Record::Started { request_id: REQUEST, attempt_id: AttemptId(0) },
+            ],
+            Record::Fenced { request_id: REQUEST, attempt_id: AttemptId(0) },
             RecordError::AttemptEnded,
         ),
-        (vec![taken.clone(), answered.clone()], allocated(1), RecordError::Answered),
-        (vec![taken.clone()], other("a", "l"), RecordError::DuplicateRequest),
-        (vec![taken.clone()], other("b", "k"), RecordError::DuplicateKey),
-        (vec![taken.clone()], Record::Acknowledged { request_id: WU }, RecordError::NotAnswered),
-        (vec![taken.clone(), answered.clone()], answered, RecordError::Answered),
-        (vec![taken.clone()], Record::Forgotten { request_id: WU }, RecordError::NotAnswered),
+        (vec![accepted.clone(), answered.clone()], dispatched(1), RecordError::Answered),
+        (vec![accepted.clone()], other_request("a", "l"), RecordError::DuplicateRequest),
+        (vec![accepted.clone()], other_request("b", "k"), RecordError::DuplicateKey),
+        (vec![accepted.clone()], Record::Acknowledged { request_id: REQUEST }, RecordError::NotAnswered),
+        (vec![accepted.clone(), answered.clone()], answered, RecordError::Answered),
+        (vec![accepted.clone()], Record::Forgotten { request_id: REQUEST }, RecordError::NotAnswered),
     ];
-    for (before, record, expected) in cases {
-        let mut ledger = Ledger::new(MOST);
-        before.into_iter().for_each(|record| _ = ledger.apply(1.0, record).unwrap());
-        let was = ledger.clone();
+    for (earlier, record, expected) in cases {
+        let mut ledger = Ledger::new(MAX_ATTEMPTS);
+        earlier.into_iter().for_each(|record| _ = ledger.apply(1.0, record).unwrap());
+        let before = ledger.clone();
         assert_eq!(ledger.apply(1.0, record.clone()), Err(expected), "{record:?}");
-        assert_eq!(ledger, was);
+        assert_eq!(ledger, before);
     }
 }
 
+/// A request with a running attempt must not be dispatched again, and one without must not wait for ever.
 #[test]
-fn leases_that_run_out_are_unknown_and_heartbeats_hold_them() {
-    let mut ledger = Ledger::new(MOST);
+fn heartbeats_extend_a_lease_and_an_expired_one_allows_a_retry_of_an_idempotent_request() {
+    let mut ledger = Ledger::new(MAX_ATTEMPTS);
     let attempt_id = AttemptId(0);
     for record in [
-        taken(Effect::Idempotent),
-        Record::Dispatched { request_id: WU, fence: Fence(1), executor: "s".into(), lease_until: 10.0 },
-        Record::Heartbeat { request_id: WU, attempt_id, lease_until: 20.0 },
-        // One that was under way for long does not shorten it.
-        Record::Heartbeat { request_id: WU, attempt_id, lease_until: 15.0 },
+        accepted_record(Effect::Idempotent),
+        Record::Dispatched { request_id: REQUEST, fence: Fence(1), executor: "s".into(), lease_until: 10.0 },
+        Record::Heartbeat { request_id: REQUEST, attempt_id, lease_until: 20.0 },
+        // A heartbeat that arrives late does not shorten the lease.
+        Record::Heartbeat { request_id: REQUEST, attempt_id, lease_until: 15.0 },
     ] {
         ledger.apply(1.0, record).unwrap();
     }
-    let job = ledger.job(WU).unwrap();
+    let job = ledger.job(REQUEST).unwrap();
     assert_eq!(
         [9.0, 19.0, 20.0].map(|now| job.attempts[0].status(now)),
         [AttemptStatus::InFlight, AttemptStatus::InFlight, AttemptStatus::Unknown]
     );
-    assert_eq!(job.next_fence(19.0, MOST), Err(DispatchError::InFlight));
-    assert_eq!(job.next_fence(20.0, MOST), Ok(Fence(2)), "rerunnable work may run again");
+    assert_eq!(job.next_fence(19.0, MAX_ATTEMPTS), Err(DispatchError::InFlight));
+    assert_eq!(job.next_fence(20.0, MAX_ATTEMPTS), Ok(Fence(2)), "an idempotent request may run again");
     assert_eq!(job.next_fence(20.0, 1), Err(DispatchError::MaxAttempts));
     assert_eq!(ledger.open_jobs().count(), 1);
 }
 
+/// A crash can leave any prefix of the records on disk, and each must be recovered. A gap means damage.
 #[test]
-fn every_prefix_of_records_is_a_state_and_a_gap_is_none() {
+fn every_prefix_of_the_records_is_recovered_and_a_gap_is_refused() {
     let attempt_id = AttemptId(0);
-    let mut ledger = Ledger::new(MOST);
+    let mut ledger = Ledger::new(MAX_ATTEMPTS);
     let records = vec![
-        taken(Effect::AtMostOnce),
-        Record::Dispatched { request_id: WU, fence: Fence(1), executor: "s".into(), lease_until: 5.0 },
-        Record::Started { request_id: WU, attempt_id },
-        Record::Ended { request_id: WU, attempt_id, outcome: Outcome::Reset },
-        Record::Answered { request_id: WU, answer: Answer::Completed(b"r".to_vec()) },
-        Record::Acknowledged { request_id: WU },
+        accepted_record(Effect::AtMostOnce),
+        Record::Dispatched { request_id: REQUEST, fence: Fence(1), executor: "s".into(), lease_until: 5.0 },
+        Record::Started { request_id: REQUEST, attempt_id },
+        Record::Ended { request_id: REQUEST, attempt_id, outcome: Outcome::Reset },
+        Record::Answered { request_id: REQUEST, answer: Answer::Completed(b"r".to_vec()) },
+        Record::Acknowledged { request_id: REQUEST },
     ];
     let mut written = Vec::new();
-    for (at, record) in records.into_iter().enumerate() {
-        written.push(ledger.apply(at as f64, record).unwrap());
-        let (again, broken) = Ledger::recover(MOST, &written);
-        assert_eq!((&again, broken), (&ledger, None));
-        assert_eq!(again.latest_time(), at as f64, "time goes on from the last record");
+    for (index, record) in records.into_iter().enumerate() {
+        written.push(ledger.apply(index as f64, record).unwrap());
+        let (recovered, error) = Ledger::recover(MAX_ATTEMPTS, &written);
+        assert_eq!((&recovered, error), (&ledger, None));
+        assert_eq!(recovered.latest_time(), index as f64, "the time of the last record");
     }
     assert_eq!(
         (ledger.next_number(), ledger.find_by_key("k"), ledger.find_by_client_id("a")),
-        (2, Some(WU), Some(WU))
+        (2, Some(REQUEST), Some(REQUEST))
     );
     assert_eq!(ledger.answered_before(4.0, 9), []);
-    assert_eq!(ledger.answered_before(4.1, 9), [WU]);
+    assert_eq!(ledger.answered_before(4.1, 9), [REQUEST]);
     let gap: Vec<Row> = written.iter().filter(|row| row.sequence != 2).cloned().collect();
-    assert_eq!(Ledger::recover(MOST, &gap).1, Some((2, RecordError::MissingRows)));
-    ledger.apply(9.0, Record::Forgotten { request_id: WU }).unwrap();
+    assert_eq!(Ledger::recover(MAX_ATTEMPTS, &gap).1, Some((2, RecordError::MissingRows)));
+    ledger.apply(9.0, Record::Forgotten { request_id: REQUEST }).unwrap();
     assert!(
         ledger.is_empty() && ledger.find_by_key("k").is_none() && ledger.answered_before(1e9, 9).is_empty()
     );
