--- a/crates/consul/examples/health_answer_processing.rs
+++ b/crates/consul/examples/health_answer_processing.rs
@@ -1,36 +1,38 @@
-//! Prints the time that a response takes with one changed entry and if all are decoded, and the effect of flap
-//! damping.
+//! Benchmark of response processing. Prints the time per response with one changed entry and with all entries decoded,
+//! and the effect of flap damping.
 use std::rc::Rc;
 use std::time::Instant;
 use troutknot_consul::catalog::{Catalog, CatalogPolicy, Damping, InstanceState, WatchId};
 use troutknot_consul::health::{Health, HealthDecoder, Incarnation, ResponseBounds, ServiceInstance};
 
-fn body(entries: usize, failing: usize) -> Vec<u8> {
-    let entry = |k: usize| {
-        let status = if k == failing { "critical" } else { "passing" };
+/// A response body with `entry_count` entries, of which the one numbered `failing` is critical.
+fn response_body(entry_count: usize, failing: usize) -> Vec<u8> {
+    let entry = |number: usize| {
+        let status = if number == failing { "critical" } else { "passing" };
         let check = |id: &str, status: &str| {
             format!(
-                r#"{{"Node":"host{k}","CheckID":"{id}","Name":"{id}","Status":"{status}","Notes":"","Output":"HTTP GET http://127.0.0.1:{k}/health: 200 OK Output: fine","ServiceID":"s{k}","ServiceName":"box","ServiceTags":[],"Type":"http","Definition":{{}},"CreateIndex":7,"ModifyIndex":9}}"#
+                r#"{{"Node":"host{number}","CheckID":"{id}","Name":"{id}","Status":"{status}","Notes":"","Output":"HTTP GET http://127.0.0.1:{number}/health: 200 OK Output: fine","ServiceID":"s{number}","ServiceName":"box","ServiceTags":[],"Type":"http","Definition":{{}},"CreateIndex":7,"ModifyIndex":9}}"#
             )
         };
         format!(
-            r#"{{"Node":{{"ID":"","Node":"host{k}","Address":"127.0.0.1","Datacenter":"dc1","TaggedAddresses":{{"lan":"127.0.0.1","wan":"127.0.0.1"}},"Meta":{{"rack":"r{k}"}}}},"Service":{{"ID":"s{k}","Service":"box","Tags":["a","b"],"Address":"127.0.0.1","Port":{},"Meta":{{"kind":"m1","started":"1700000000000"}},"Weights":{{"Passing":1,"Warning":1}},"EnableTagOverride":false,"CreateIndex":7,"ModifyIndex":9}},"Checks":[{},{}]}}"#,
-            1000 + k % 60000,
+            r#"{{"Node":{{"ID":"","Node":"host{number}","Address":"127.0.0.1","Datacenter":"dc1","TaggedAddresses":{{"lan":"127.0.0.1","wan":"127.0.0.1"}},"Meta":{{"rack":"r{number}"}}}},"Service":{{"ID":"s{number}","Service":"box","Tags":["a","b"],"Address":"127.0.0.1","Port":{},"Meta":{{"kind":"m1","started":"1700000000000"}},"Weights":{{"Passing":1,"Warning":1}},"EnableTagOverride":false,"CreateIndex":7,"ModifyIndex":9}},"Checks":[{},{}]}}"#,
+            1000 + number % 60000,
             check("serfHealth", "passing"),
-            check(&format!("service:s{k}"), status)
+            check(&format!("service:s{number}"), status)
         )
     };
-    format!("[{}]", (0..entries).map(entry).collect::<Vec<_>>().join(",")).into_bytes()
+    format!("[{}]", (0..entry_count).map(entry).collect::<Vec<_>>().join(",")).into_bytes()
 }
 
-/// Whether entries that are unchanged since the response before are decoded again.
+/// Whether entries that are unchanged since the previous response are decoded again.
 #[derive(Clone, Copy, PartialEq)]
 enum Decoding {
     Incremental,
     Complete,
 }
 
-/// Processes the responses in turn. Returns the median time of one in milliseconds, and the changes of the last.
+/// Processes the responses in turn. Returns the median time per response in milliseconds, and the number of changes in
+/// the last one.
 fn process(bodies: &[Vec<u8>], decoding: Decoding) -> (f64, usize) {
     let mut decoder = HealthDecoder::default();
     let mut catalog = Catalog::new(CatalogPolicy::default(), 0.0);
@@ -40,13 +42,13 @@
             decoder = HealthDecoder::default();
         }
         let now = number as f64 * 60_000.0;
-        let started = Instant::now();
+        let started_at = Instant::now();
         let instances = decoder.decode(body, &ResponseBounds::default()).expect("a valid body");
         catalog.apply_response(now, WatchId(0), &instances);
         let (changes, _) = catalog.take_changes(now);
         // The first response is decoded completely in either case.
         if number > 0 {
-            times.push(started.elapsed().as_secs_f64() * 1000.0);
+            times.push(started_at.elapsed().as_secs_f64() * 1000.0);
             change_count = changes.len();
         }
     }
@@ -57,12 +59,13 @@
 fn print_response_times() {
     println!("| entries | bytes per response | one entry changed, ms | all decoded, ms | changes |");
     println!("| --- | --- | --- | --- | --- |");
-    for entries in [10, 500, 5000] {
-        let bodies: Vec<Vec<u8>> = (0..20).map(|number| body(entries, number % entries)).collect();
+    for entry_count in [10, 500, 5000] {
+        let bodies: Vec<Vec<u8>> =
+            (0..20).map(|number| response_body(entry_count, number % entry_count)).collect();
         let (incremental_ms, _) = process(&bodies, Decoding::Incremental);
         let (complete_ms, change_count) = process(&bodies, Decoding::Complete);
         let bytes = bodies[0].len();
-        println!("| {entries} | {bytes} | {incremental_ms:.3} | {complete_ms:.3} | {change_count} |");
+        println!("| {entry_count} | {bytes} | {incremental_ms:.3} | {complete_ms:.3} | {change_count} |");
     }
 }
 
--- a/crates/consul/src/catalog/entry.rs
+++ b/crates/consul/src/catalog/entry.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Penalty of one failure.
+/// Penalty that one failure adds.
 const FAILURE_PENALTY: f64 = 1.0;
 
 /// The flap-damping penalty, which decays exponentially.
@@ -15,12 +15,13 @@
 }
 
 impl Penalty {
-    fn at(&self, now: Millis, half_life: Millis) -> f64 {
+    /// Returns the penalty after its decay up to `now`.
+    fn value_at(&self, now: Millis, half_life: Millis) -> f64 {
         self.value * f64::powf(0.5, (now - self.updated_at).max(0.0) / half_life)
     }
 }
 
-/// How an executor changed since it was last looked at.
+/// How an executor changed since the last refresh.
 struct Transition {
     has_restarted: bool,
     was_healthy: bool,
@@ -29,28 +30,29 @@
 /// One executor of a catalog.
 pub(super) struct CatalogEntry {
     id: String,
-    /// The instance that each watch lists, in order of precedence.
+    /// The instance that each watch lists; the first watch takes precedence.
     pub listed_by: BTreeMap<WatchId, Rc<ServiceInstance>>,
     /// The instance as it was last listed.
     instance: Rc<ServiceInstance>,
     incarnation: Incarnation,
     started_at: Option<Millis>,
     is_healthy: bool,
-    /// Since when no watch lists it; minus infinity if an operator removed its service.
+    /// Since when no watch lists it; negative infinity if an operator removed its service.
     pub missing_since: Option<Millis>,
-    /// Missing, but still listed under the removal limit, until the time that follows.
+    /// Whether it is missing, but kept in the list by the removal limit.
     pub is_retained: bool,
+    /// Until when it is retained, if it is.
     retained_until: Millis,
-    /// The time of its timer, if one is set.
+    /// When its timer expires, if one is set.
     pub timer_at: Option<Millis>,
     penalty: Penalty,
     suppressed_until: Option<Millis>,
-    /// The state that the caller was last informed of.
+    /// The state that was last reported to the caller.
     pub reported: Option<InstanceChange>,
 }
 
 impl CatalogEntry {
-    /// An executor that a watch lists for the first time.
+    /// Creates an entry for an executor that a watch lists for the first time.
     pub fn new(
         now: Millis,
         watch: WatchId,
@@ -74,23 +76,23 @@
         }
     }
 
-    /// Whether any watch lists it.
+    /// Returns whether any watch lists it.
     pub fn is_listed(&self) -> bool {
         !self.listed_by.is_empty()
     }
 
-    /// Whether the caller was informed that it is gone.
+    /// Returns whether it was reported to the caller as gone.
     pub fn is_gone(&self) -> bool {
         self.reported.as_ref().is_some_and(|reported| reported.state == InstanceState::Gone)
     }
 
-    /// Whether it is missing, and the caller was not informed of that yet.
+    /// Returns whether it is missing, but not yet reported as gone.
     pub fn is_removal_due(&self) -> bool {
         self.missing_since.is_some() && !self.is_gone()
     }
 
-    /// Updates its health, its incarnation and its suppression from what the watches list. `unix_offset` is added to
-    /// a time for Unix time.
+    /// Updates its health, its incarnation and its suppression from what the watches list. `unix_offset` plus a time is
+    /// Unix time.
     pub fn refresh(
         &mut self,
         now: Millis,
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Returns whether the executor has restarted.
+    /// Updates the incarnation, and returns whether the executor has restarted.
     fn refresh_incarnation(&mut self, unix_now: Millis) -> bool {
         let listed = self.instance.incarnation;
         if !self.is_listed() {
@@ -148,13 +150,13 @@
         events: &mut Vec<CatalogEvent>,
     ) {
         let Transition { has_restarted, was_healthy } = transition;
-        // Maintenance is an operator's decision and no failure.
+        // Maintenance is an operator's decision, not a failure.
         let is_in_maintenance = self.instance.health == Health::Maintenance;
         if was_healthy && !self.is_healthy && !is_in_maintenance {
-            let value = self.penalty.at(now, damping.half_life) + FAILURE_PENALTY;
+            let value = self.penalty.value_at(now, damping.half_life) + FAILURE_PENALTY;
             self.penalty = Penalty { value, updated_at: now };
         }
-        let penalty = self.penalty.at(now, damping.half_life);
+        let penalty = self.penalty.value_at(now, damping.half_life);
         let has_recovered = self.is_healthy && !was_healthy && !has_restarted;
         if has_recovered && penalty > damping.suppress_threshold {
             let decay_time = damping.half_life * (penalty / damping.reuse_threshold).log2();
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Keeps a missing executor listed until then.
+    /// Keeps a missing executor listed until `at`.
     pub fn retain_until(&mut self, at: Millis) {
         self.is_retained = true;
         self.retained_until = at;
@@ -185,19 +187,19 @@
         self.is_retained = false;
     }
 
-    /// The state that the caller should know; returned if it differs from the one that was reported.
+    /// Returns the current state if it differs from the last reported one, and marks it as reported.
     pub fn take_change(&mut self) -> Option<InstanceChange> {
-        let current = self.current();
+        let current = self.current_state();
         if self.reported.as_ref() == Some(&current) {
             return None;
         }
-        // An executor that was gone before it was reported never existed for the caller.
+        // An executor that is gone before it was ever reported needs no report.
         let is_relevant = self.reported.is_some() || current.state != InstanceState::Gone;
         self.reported = Some(current.clone());
         is_relevant.then_some(current)
     }
 
-    fn current(&self) -> InstanceChange {
+    fn current_state(&self) -> InstanceChange {
         let state = if self.is_retained {
             self.reported.as_ref().map_or(InstanceState::Draining, |reported| reported.state)
         } else if !self.is_listed() {
@@ -210,12 +212,12 @@
         InstanceChange { instance: self.instance.clone(), state, started_at: self.started_at }
     }
 
-    /// When it may be forgotten; none unless it is gone.
+    /// Returns when it may be forgotten, or `None` unless it is gone.
     pub fn forgotten_at(&self, removed_retention: Millis) -> Option<Millis> {
         self.missing_since.filter(|_| self.is_gone()).map(|since| since + removed_retention)
     }
 
-    /// When its state may change on its own.
+    /// Returns when its state may change without a response.
     pub fn next_timer(&self, removed_retention: Millis) -> Option<Millis> {
         let retained_until = self.is_retained.then_some(self.retained_until);
         let times = [self.suppressed_until, retained_until, self.forgotten_at(removed_retention)];
--- a/crates/consul/src/catalog/mod.rs
+++ b/crates/consul/src/catalog/mod.rs
@@ -1,12 +1,12 @@
 //! Merges the responses of all watches into one list of executors, and reports how it changes.
 //!
 //! - An executor is *unhealthy* if it is critical, in maintenance, of weight 0, or no longer listed. It is reported as
-//!   draining, or gone, at once.
+//!   draining or gone at once.
 //! - The *removal limit* bounds the share of executors that may be removed within a window because responses no longer
-//!   list them. The others are retained as they were until the window allows their removal, or until they have been
-//!   missing for long enough.
-//! - *Flap damping* adds to an executor's penalty each time that it fails without a restart. The penalty decays
-//!   exponentially; while it is high, an executor that recovers stays suppressed.
+//!   list them. Executors beyond it are retained unchanged until the window allows their removal, or until they have
+//!   been missing for the maximum time.
+//! - *Flap damping* adds to an executor's penalty each time it fails. The penalty decays exponentially; while it is
+//!   high, an executor that recovers without a restart stays suppressed.
 mod entry;
 mod policy;
 mod timers;
@@ -27,11 +27,11 @@
 /// State of an executor for the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum InstanceState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Takes no new requests.
+    /// Accepts no new requests.
     Draining,
-    /// Is no longer listed.
+    /// Is removed from the list.
     Gone,
 }
 
@@ -42,21 +42,21 @@
     pub instance: Rc<ServiceInstance>,
     /// Its state.
     pub state: InstanceState,
-    /// When it started, in Unix time; none if that was long ago.
+    /// When it started, in Unix time; `None` if it started before it was watched.
     pub started_at: Option<Millis>,
 }
 
 /// An event of the catalog, to be logged.
 #[derive(Clone, PartialEq, Debug)]
 pub enum CatalogEvent {
-    /// More executors are missing than may be removed; the excess is retained.
+    /// More executors are missing than the limit allows to remove; the excess is retained.
     RetentionStarted {
         /// Executors that are missing and retained.
         retained: usize,
         /// Executors that are listed or retained.
         listed: usize,
     },
-    /// No missing executor is retained any more.
+    /// The last retained executor was removed or is listed again.
     RetentionEnded,
     /// An executor that recovered is suppressed by flap damping.
     Suppressed {
@@ -72,7 +72,7 @@
         /// The executor.
         id: String,
     },
-    /// Listed executors exceed the bound.
+    /// The responses list more executors than the bound allows.
     Dropped {
         /// Executors that were dropped.
         count: usize,
@@ -82,23 +82,24 @@
 /// All executors that the watches list.
 pub struct Catalog {
     policy: CatalogPolicy,
-    /// Added to a time for Unix time.
+    /// Unix time at the caller's time 0.
     unix_offset: Millis,
     entries: BTreeMap<String, CatalogEntry>,
-    /// Watches with a response. What the first response lists started long ago.
+    /// Watches with a response. Executors in the first response are taken to have started before they were watched.
     answered: BTreeSet<WatchId>,
     /// Executors that may have changed since the last call of [`Catalog::take_changes`].
     dirty: BTreeSet<String>,
-    /// Times of the removals within the window.
+    /// Times of the removals within the current window.
     removals: VecDeque<Millis>,
     timers: TimerSet,
     has_retained: bool,
-    dropped: usize,
+    /// Executors that the last response listed beyond the bound.
+    dropped_count: usize,
     events: Vec<CatalogEvent>,
 }
 
 impl Catalog {
-    /// An empty catalog. `unix_offset` is the Unix time in milliseconds at the caller's time 0.
+    /// Creates an empty catalog. `unix_offset` is the Unix time in milliseconds at the caller's time 0.
     pub fn new(policy: CatalogPolicy, unix_offset: Millis) -> Self {
         Catalog {
             policy,
@@ -109,32 +110,32 @@
             removals: VecDeque::new(),
             timers: TimerSet::default(),
             has_retained: false,
-            dropped: 0,
+            dropped_count: 0,
             events: Vec::new(),
         }
     }
 
-    /// Replaces the policy, also for executors that are suppressed or retained.
+    /// Replaces the policy, which applies to suppressed and retained executors as well.
     pub fn set_policy(&mut self, policy: CatalogPolicy) {
         self.policy = policy;
     }
 
-    /// Number of executors that are listed or retained.
+    /// Returns the number of executors that are listed or retained.
     pub fn listed_count(&self) -> usize {
         self.entries.values().filter(|entry| entry.is_listed() || entry.is_retained).count()
     }
 
-    /// Number of executors that are missing from the responses and retained.
+    /// Returns the number of executors that are missing from the responses and retained.
     pub fn retained_count(&self) -> usize {
         self.entries.values().filter(|entry| entry.is_retained).count()
     }
 
-    /// Whether a watch has a response.
+    /// Returns whether a watch has had a response.
     pub fn has_answered(&self, watch: WatchId) -> bool {
         self.answered.contains(&watch)
     }
 
-    /// When a state changes next without a response.
+    /// Returns when a state may change next without a response.
     pub fn next_timer(&self) -> Option<Millis> {
         self.timers.next_at()
     }
@@ -144,20 +145,20 @@
         let is_first = self.answered.insert(watch);
         let listed: BTreeSet<&str> = instances.iter().map(|instance| instance.id.as_str()).collect();
         self.forget_excess(&listed);
-        let mut dropped = 0;
+        let mut dropped_count = 0;
         for instance in instances {
             if self.entries.contains_key(&instance.id) {
                 self.update_listing(watch, instance);
             } else if self.entries.len() < self.policy.max_executors {
                 self.insert(now, watch, instance, is_first);
             } else {
-                dropped += 1;
+                dropped_count += 1;
             }
         }
-        if dropped > 0 && dropped != self.dropped {
-            self.events.push(CatalogEvent::Dropped { count: dropped });
+        if dropped_count > 0 && dropped_count != self.dropped_count {
+            self.events.push(CatalogEvent::Dropped { count: dropped_count });
         }
-        self.dropped = dropped;
+        self.dropped_count = dropped_count;
         self.unlist_missing(watch, &listed);
     }
 
@@ -173,7 +174,7 @@
     fn insert(&mut self, now: Millis, watch: WatchId, instance: &Rc<ServiceInstance>, is_first: bool) {
         let started_at = match instance.incarnation {
             Incarnation::StartedAt(started_at) => Some(started_at),
-            // An executor that registers while it is watched has just started.
+            // An executor that registers while its service is watched has just started.
             Incarnation::RegisteredAt(_) if !is_first => Some(self.unix_offset + now),
             Incarnation::RegisteredAt(_) | Incarnation::Unknown => None,
         };
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Forgets as many removed executors as there are listed ones beyond the bound, the longest removed first.
+    /// Forgets as many removed executors as listed ones exceed the bound, starting with those removed first.
     fn forget_excess(&mut self, listed: &BTreeSet<&str>) {
         let new = listed.iter().filter(|id| !self.entries.contains_key(**id)).count();
         let excess = (self.entries.len() + new).saturating_sub(self.policy.max_executors);
@@ -217,8 +218,8 @@
         self.dirty.remove(id);
     }
 
-    /// Removes a watch that an operator no longer configures. Executors that it alone lists are removed regardless of
-    /// the removal limit.
+    /// Removes a watch that is no longer configured. Executors that only this watch lists are removed regardless of the
+    /// removal limit.
     pub fn remove_watch(&mut self, watch: WatchId) {
         self.answered.remove(&watch);
         for (id, entry) in &mut self.entries {
@@ -232,7 +233,7 @@
         }
     }
 
-    /// The changes since the last call, and the events to be logged.
+    /// Returns the changes since the last call, and the events to be logged.
     pub fn take_changes(&mut self, now: Millis) -> (Vec<InstanceChange>, Vec<CatalogEvent>) {
         while let Some(id) = self.timers.pop_expired(now) {
             self.dirty.insert(id);
@@ -278,12 +279,13 @@
         }
     }
 
+    /// Returns the number of executors that were listed at the start of the current window.
     fn listed_at_window_start(&self) -> usize {
         let listed = self.entries.values().filter(|entry| !entry.is_gone() && entry.reported.is_some());
         listed.count() + self.removals.len()
     }
 
-    /// The change of one executor, if any; sets its timer, or forgets it.
+    /// Returns the change of one executor, if any, and sets its timer or forgets it.
     fn report(&mut self, now: Millis, id: &str) -> Option<InstanceChange> {
         let removed_retention = self.policy.removed_retention;
         let entry = self.entries.get_mut(id)?;
@@ -302,6 +304,7 @@
         change
     }
 
+    /// Adds an event when the retention of executors starts or ends.
     fn report_retention(&mut self) {
         let retained = self.retained_count();
         let has_retained = retained > 0;
--- a/crates/consul/src/catalog/policy.rs
+++ b/crates/consul/src/catalog/policy.rs
@@ -1,40 +1,41 @@
-//! Policy of a [`super::Catalog`].
+//! Policy of a [`super::Catalog`]: flap damping, the removal limit and bounds.
 use crate::Millis;
 
 /// Flap damping: an executor that fails and recovers repeatedly is suppressed for a while (after RFC 2439).
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Damping {
-    /// Half-life of the penalty, to which each failure adds 1.
+    /// Half-life of the penalty, in milliseconds. Each failure adds 1 to the penalty.
     pub half_life: Millis,
-    /// An executor that recovers with a higher penalty is suppressed...
+    /// An executor that recovers while its penalty is higher than this is suppressed.
     pub suppress_threshold: f64,
-    /// ...until the penalty has decayed to this...
+    /// Suppression ends when the penalty has decayed to this.
     pub reuse_threshold: f64,
-    /// ...but not for longer than this.
+    /// Upper bound on the duration of one suppression, in milliseconds.
     pub max_suppress_time: Millis,
 }
 
-/// Bounds how many executors may be removed at once because the responses no longer list them.
+/// Bounds how many executors may be removed within a window because the responses no longer list them.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct RemovalLimit {
-    /// Share, from 0 to 1, of the executors listed at the window's start; rounded down.
+    /// Share, from 0 to 1, of the executors listed at the start of the window; the resulting count is rounded down.
     pub max_share: f64,
-    /// The window.
+    /// Length of the window, in milliseconds.
     pub window: Millis,
-    /// An executor that has been missing for this long is removed in any case.
+    /// An executor that has been missing for this long, in milliseconds, is removed regardless of the limit.
     pub max_missing_time: Millis,
 }
 
 /// Policy of a catalog.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct CatalogPolicy {
-    /// None disables damping.
+    /// Flap damping; `None` disables it.
     pub damping: Option<Damping>,
-    /// Bounds the removals.
+    /// Bound on the removals.
     pub removal_limit: RemovalLimit,
-    /// A removed executor is remembered for this long, so that its return is recognized.
+    /// How long a removed executor is remembered, in milliseconds, so that its return is recognized.
     pub removed_retention: Millis,
-    /// Executors of all watches together, removed ones included; these give way to listed ones.
+    /// Upper bound on the executors of all watches together, removed ones included. Removed ones are forgotten to make
+    /// room for listed ones.
     pub max_executors: usize,
 }
 
--- a/crates/consul/src/health.rs
+++ b/crates/consul/src/health.rs
@@ -15,7 +15,7 @@
 /// Prefix of the check that marks a service in maintenance.
 const SERVICE_MAINTENANCE: &str = "_service_maintenance";
 
-/// Bounds of one response.
+/// Upper bounds on one response.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct ResponseBounds {
     /// Bytes of the body.
@@ -36,7 +36,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum HealthError {
     /// The body exceeds its bound.
-    #[error("a body of {bytes} bytes, at most {max} are read")]
+    #[error("body of {bytes} bytes exceeds the limit of {max}")]
     BodyTooLarge {
         /// Bytes of the body.
         bytes: usize,
@@ -44,17 +44,17 @@
         max: usize,
     },
     /// The body lists more instances than its bound.
-    #[error("{count} entries, at most {max} are read")]
+    #[error("{count} entries exceed the limit of {max}")]
     TooManyEntries {
         /// Instances in the body.
         count: usize,
         /// The bound.
         max: usize,
     },
-    /// The body is not JSON of this endpoint.
-    #[error("no JSON of the health API: {0}")]
+    /// The body is not valid JSON of this endpoint.
+    #[error("invalid JSON of the health API: {0}")]
     Json(#[from] serde_json::Error),
-    /// A check's status is none of the documented ones.
+    /// A check has a status that is not documented.
     #[error("`{id}` has a check of unknown status `{status}`")]
     UnknownCheckStatus {
         /// The instance.
@@ -74,7 +74,7 @@
     #[error("`{0}` is listed twice")]
     DuplicateId(String),
     /// An instance's id is empty or exceeds its bound.
-    #[error("an id is empty or too long")]
+    #[error("an instance id is empty or too long")]
     InvalidId,
 }
 
@@ -87,37 +87,37 @@
     Warning,
     /// A check is critical.
     Critical,
-    /// An operator put the service or its node into maintenance.
+    /// An operator has put the service or its node into maintenance.
     Maintenance,
 }
 
 /// Distinguishes one start of an executor from another.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Incarnation {
-    /// When the executor started by its service's metadata, in Unix time.
+    /// When the executor started according to the service's metadata, in Unix milliseconds.
     StartedAt(Millis),
     /// The index at which the service was registered.
     RegisteredAt(u64),
-    /// Not known, as in a cached list.
+    /// Unknown, as in a cached list.
     Unknown,
 }
 
 /// One instance of a service.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ServiceInstance {
-    /// The same at every agent: the metadata key `executor`, or else service id, node and datacenter.
+    /// The value of the metadata key `executor`, or else service id, node and datacenter. Every agent reports the same.
     pub id: String,
     /// Where the executor listens.
     pub address: SocketAddr,
     /// The worst status of its checks.
     pub health: Health,
-    /// The weight for this health; an instance of weight 0 takes no requests.
+    /// The weight for this health; an instance of weight 0 gets no requests.
     pub weight: f64,
-    /// The metadata key `zone`, or else the datacenter.
+    /// The value of the metadata key `zone`, or else the datacenter.
     pub zone: String,
-    /// The metadata key `kind`.
+    /// The value of the metadata key `kind`.
     pub machine_type: Option<String>,
-    /// The metadata key `cell`.
+    /// The value of the metadata key `cell`.
     pub deduplication_group: Option<u32>,
     /// Its current start.
     pub incarnation: Incarnation,
@@ -181,7 +181,7 @@
     1.0
 }
 
-/// The API writes null for an empty list or map.
+/// Decodes null, which the API writes for an empty list or map, as an empty one.
 fn null_as_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: serde::Deserializer<'de>,
@@ -195,7 +195,7 @@
         self.id == NODE_MAINTENANCE || self.id.starts_with(SERVICE_MAINTENANCE)
     }
 
-    /// None if the status is not a documented one.
+    /// Returns `None` if the status is not a documented one.
     fn health(&self) -> Option<Health> {
         match self.status.as_str() {
             "critical" if self.is_maintenance() => Some(Health::Maintenance),
@@ -251,7 +251,7 @@
         Ok(worst)
     }
 
-    /// The address of the service, or else that of its node.
+    /// Returns the address of the service, or else that of its node.
     fn address(&self, id: &str) -> Result<SocketAddr, HealthError> {
         let Service { address, port, .. } = &self.service;
         let host = if address.is_empty() { &self.node.address } else { address };
@@ -282,7 +282,7 @@
     }
 }
 
-/// Decodes the responses of one watch. Entries that are unchanged since the response before are not decoded again.
+/// Decodes the responses of one watch. Entries that are unchanged since the previous response are not decoded again.
 #[derive(Default)]
 pub struct HealthDecoder {
     hasher: RandomState,
@@ -291,10 +291,10 @@
 }
 
 impl HealthDecoder {
-    /// Decodes all instances of a body; unchanged ones are the same `Rc` as before.
+    /// Decodes all instances of a body. An unchanged entry yields a clone of the previous `Rc`.
     ///
     /// # Errors
-    /// If any part of the body cannot be used; the decoder is unchanged then.
+    /// If any part of the body is invalid or exceeds `bounds`; the decoder is unchanged then.
     pub fn decode(
         &mut self,
         body: &[u8],
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,8 +1,8 @@
 //! Consul as a source of endpoints, without I/O and without a clock: the blocking queries to send ([`query`]), the
-//! instances that a response lists ([`health`]), and the changes of the endpoint list that follow ([`catalog`]).
+//! instances that a response lists ([`health`]), and the resulting changes of the endpoint list ([`catalog`]).
 //!
-//! Written from the public documentation of the HTTP API: health endpoints, blocking queries, consistency modes.
-//! Times are milliseconds on one clock that the caller chooses.
+//! Implements the public documentation of the HTTP API: health endpoints, blocking queries, consistency modes. Times are
+//! milliseconds on one clock that the caller chooses.
 pub mod catalog;
 pub mod health;
 pub mod query;
--- a/crates/consul/src/query.rs
+++ b/crates/consul/src/query.rs
@@ -1,14 +1,14 @@
-//! Blocking queries: their targets, and what the header fields of a response mean for the next query.
+//! Blocking queries: their request targets, and the effect of a response's header fields on the next query.
 use crate::Millis;
 use std::fmt::Write;
 
-/// Consul adds up to this share of the wait to it, so that not all queries end at once.
+/// Consul prolongs the wait of a blocking query by up to this share of it, so that not all queries end at once.
 const WAIT_JITTER_RATIO: f64 = 1.0 / 16.0;
 
-/// Time for a response, beyond the wait of its query.
+/// Time that a response may take beyond the wait of its query, in milliseconds.
 const RESPONSE_ALLOWANCE: Millis = 3000.0;
 
-/// Backoff after the first failed query, before jitter.
+/// Backoff after the first failed query, before jitter, in milliseconds.
 const INITIAL_BACKOFF: Millis = 250.0;
 /// Upper bound on the doublings of the backoff, which is therefore 64 s at most, also where
 /// [`QueryTiming::max_backoff`] is longer.
@@ -20,9 +20,9 @@
     /// The leader answers without a confirmation of its leadership.
     #[default]
     Default,
-    /// Any server answers, even without a leader.
+    /// Any server answers, even if there is no leader.
     Stale,
-    /// The leader confirms its leadership first.
+    /// The leader confirms its leadership before it answers.
     Consistent,
 }
 
@@ -31,24 +31,24 @@
 pub struct WatchedService {
     /// Name of the service in the catalog.
     pub service: String,
-    /// None for the agent's own datacenter.
+    /// The datacenter; `None` for that of the agent.
     pub datacenter: Option<String>,
-    /// None for the token's namespace.
+    /// The namespace; `None` for that of the token.
     pub namespace: Option<String>,
-    /// A filter expression that the agent applies.
+    /// A filter expression that the agent applies to the instances.
     pub filter: Option<String>,
     /// The consistency mode of the query.
     pub consistency: Consistency,
 }
 
-/// Timing of the queries of one watch.
+/// Timing of the queries of one watch, in milliseconds.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct QueryTiming {
     /// How long an agent may block a query while nothing changes.
     pub wait: Millis,
     /// Upper bound on the backoff between queries that fail.
     pub max_backoff: Millis,
-    /// Pause after a response, which bounds the rate of queries if the service changes all the time.
+    /// Pause after a response, which bounds the rate of queries for a service that changes all the time.
     pub min_interval: Millis,
     /// Upper bound on the age of a stale response.
     pub max_staleness: Millis,
@@ -63,16 +63,16 @@
 /// Why a response must not be used; the endpoints stay as they are.
 #[derive(Clone, PartialEq, Debug, thiserror::Error)]
 pub enum ResponseError {
-    /// The agent or its servers failed.
+    /// The agent or its servers reported an error.
     #[error("status {0}")]
     Status(u16),
-    /// The servers have no leader, so that the response may be out of date.
+    /// The servers have no leader, so the response may be out of date.
     #[error("the cluster has no leader")]
     NoLeader,
-    /// The server has not heard from the leader for too long, in milliseconds.
+    /// The server has had no contact with the leader for this many milliseconds, which is too long.
     #[error("the server was last in contact with the leader {0:.0} ms ago")]
     Stale(Millis),
-    /// The agent is behind another one that answered before.
+    /// The agent is behind another agent, whose response was used earlier.
     #[error("index {index} is behind index {highest}, which was seen before")]
     IndexBehind {
         /// The response's index.
@@ -80,7 +80,7 @@
         /// The highest index whose response was used.
         highest: u64,
     },
-    /// Without an index the next query would not block.
+    /// The index is missing or invalid; without it the next query would not block.
     #[error("X-Consul-Index is missing or not valid")]
     InvalidIndex,
 }
@@ -108,24 +108,24 @@
     }
 }
 
-/// The blocking queries of one watch, one after the other.
+/// The state of the blocking queries of one watch, which are sent one after another.
 #[derive(Clone, PartialEq, Debug)]
 pub struct BlockingQuery {
     watched: WatchedService,
     timing: QueryTiming,
-    /// The index that the next query waits on; 0 does not block.
+    /// The index after which the next query waits for a change; 0 does not block.
     index: u64,
     consecutive_failures: u32,
     /// The highest index whose response was used.
     highest_index: u64,
-    /// Consecutive responses with a lower index.
-    responses_behind: u32,
-    /// Agents that the queries may be sent to.
+    /// Number of consecutive responses with a lower index than the highest.
+    lower_index_responses: u32,
+    /// Number of agents that the queries may be sent to.
     agent_count: u32,
 }
 
 impl BlockingQuery {
-    /// The queries of a watch that may use any of `agent_count` agents.
+    /// Creates the state of a watch whose queries may be sent to any of `agent_count` agents.
     pub fn new(watched: WatchedService, timing: QueryTiming, agent_count: u32) -> Self {
         BlockingQuery {
             watched,
@@ -133,27 +133,27 @@
             index: 0,
             consecutive_failures: 0,
             highest_index: 0,
-            responses_behind: 0,
+            lower_index_responses: 0,
             agent_count,
         }
     }
 
-    /// The service that is watched.
+    /// Returns the service that is watched.
     pub fn watched(&self) -> &WatchedService {
         &self.watched
     }
 
-    /// The index that the next query waits on; 0 before the first response and after a reset.
+    /// Returns the index after which the next query waits for a change; 0 before the first response and after a reset.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Queries that failed since the last response that was used.
+    /// Returns the number of queries that failed since a response was last used.
     pub fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
 
-    /// Path and query string of the next query.
+    /// Returns the path and query string of the next query.
     pub fn target(&self) -> String {
         let watched = &self.watched;
         let service = percent_encode(&watched.service);
@@ -176,7 +176,7 @@
         target
     }
 
-    /// How long the next query may take, the agent's wait and its jitter included.
+    /// Returns how long the next query may take, including the agent's wait and its jitter.
     pub fn timeout(&self) -> Millis {
         let max_wait = if self.index > 0 { self.timing.wait * (1.0 + WAIT_JITTER_RATIO) } else { 0.0 };
         max_wait + RESPONSE_ALLOWANCE
@@ -184,14 +184,14 @@
 
     /// Checks whether a response may be used, before its body is parsed.
     ///
-    /// A response with a lower index than one before comes from an agent that is behind, and could list a draining
-    /// executor as healthy. It is used only once as many responses in a row as there are agents are behind, as
-    /// after the restore of a snapshot.
+    /// A response with a lower index than an earlier one comes from an agent that is behind, and could list a draining
+    /// executor as healthy. It is refused until as many responses in a row as there are agents had a lower index, as
+    /// happens after the restore of a snapshot.
     ///
     /// # Errors
     /// If the response must not be used.
     pub fn check_response(&mut self, headers: &ResponseHeaders) -> Result<(), ResponseError> {
-        // Agents answer 500 without a leader, but the documentation promises no status for that.
+        // Agents answer 500 if there is no leader, but the documentation does not specify a status for that.
         if headers.known_leader == Some("false") {
             return Err(ResponseError::NoLeader);
         }
@@ -203,8 +203,8 @@
             return Err(ResponseError::Stale(staleness));
         }
         let index = headers.parse_index().ok_or(ResponseError::InvalidIndex)?;
-        if index < self.highest_index && self.responses_behind < self.agent_count {
-            self.responses_behind += 1;
+        if index < self.highest_index && self.lower_index_responses < self.agent_count {
+            self.lower_index_responses += 1;
             return Err(ResponseError::IndexBehind { index, highest: self.highest_index });
         }
         Ok(())
@@ -212,14 +212,14 @@
 
     /// Records that a response was used, and returns the pause before the next query.
     ///
-    /// As Consul's documentation asks for, an index that went backwards is reset, and one of 0 counts as 1, so that
-    /// the next query blocks.
+    /// As Consul's documentation requires, an index that decreased is reset to 0, and an index of 0 is replaced by 1 so
+    /// that the next query blocks.
     pub fn record_response(&mut self, headers: &ResponseHeaders) -> Millis {
         let index = headers.parse_index().unwrap_or(0).max(1);
         self.index = if index < self.index { 0 } else { index };
         self.consecutive_failures = 0;
         self.highest_index = index;
-        self.responses_behind = 0;
+        self.lower_index_responses = 0;
         self.timing.min_interval
     }
 
@@ -232,13 +232,13 @@
         backoff.min(self.timing.max_backoff) * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))
     }
 
-    /// Makes the next query return at once; for a change of the agent, whose index may differ.
+    /// Makes the next query return at once. Used when the agent changes, because its index may differ.
     pub fn reset_index(&mut self) {
         self.index = 0;
     }
 }
 
-/// Encodes all but the unreserved characters (RFC 3986, section 2.3).
+/// Percent-encodes all but the unreserved characters (RFC 3986, section 2.3).
 fn percent_encode(text: &str) -> String {
     let mut encoded = String::new();
     for byte in text.bytes() {
--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -156,7 +156,7 @@
         (Fault::Status500, "status 500"),
         (Fault::NoLeader, "the cluster has no leader"),
         (Fault::TruncatedBody, "connection failed: "),
-        (Fault::InvalidJson, "no JSON of the health API"),
+        (Fault::InvalidJson, "invalid JSON of the health API"),
     ];
     thread::scope(|all| {
         for (wrong, said) in wrongs {
