--- a/crates/fake-consul/src/agent.rs
+++ b/crates/fake-consul/src/agent.rs
@@ -1,5 +1,5 @@
-//! One fake agent: serves the catalogue on a loopback address, with a fault if a test sets one.
-use crate::catalogue::{Catalogue, Cluster, Service, ServiceKey, Status, index_of};
+//! A fake agent, which serves the catalog on a loopback address and simulates a fault if a test sets one.
+use crate::catalog::{Catalog, Cluster, Service, ServiceKey, Status, service_index};
 use crate::query::{Query, percent_decode};
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
@@ -16,63 +16,64 @@
 use troutknot_emulator::wire::{self, Cut, Gate, Line, Lines};
 
 const HEALTH_PATH: &str = "/v1/health/service/";
-/// Requests that are remembered for [`Agent::take_requests`], so that a test that never takes them is bounded.
+/// Upper bound on the requests recorded for [`Agent::take_requests`], so that memory is bounded if a test never takes
+/// them.
 const MAX_RECORDED_REQUESTS: usize = 100_000;
-/// How long a half-sent body stays unfinished before its connection is cut.
+/// How long a truncated body stays unfinished before its connection is closed.
 const TRUNCATED_BODY_DELAY: Duration = Duration::from_millis(20);
-/// How long the rest of a half-sent body is held back; longer than [`TRUNCATED_BODY_DELAY`].
+/// How long a truncated body is kept from ending; longer than [`TRUNCATED_BODY_DELAY`].
 const BODY_HOLD_TIME: Duration = Duration::from_secs(1);
-/// Consul adds up to this part of the wait to a blocking query; the fake one always adds all of it.
+/// Consul prolongs the wait of a blocking query by up to its 16th part; the fake agent always adds the whole part.
 const WAIT_JITTER_DIVISOR: u32 = 16;
-/// An answer with a high index and a body that is not valid JSON.
-const INVALID_JSON_ANSWER: &[u8] =
+/// A response with a high index and a body that is not valid JSON.
+const INVALID_JSON_RESPONSE: &[u8] =
     b"HTTP/1.1 200 OK\r\nX-Consul-Index: 99999\r\nContent-Length: 9\r\n\r\n[{\"Node\":";
 
-/// What is wrong with an agent.
+/// A fault that an agent simulates.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Connections are accepted, nothing is answered, and open ones hang.
+    /// Connections are accepted, but no request is answered, on open connections either.
     Silent,
-    /// Every answer is delayed.
+    /// Every response is delayed by this time.
     Delayed(Duration),
-    /// Every answer is status 500.
+    /// Every response has status 500.
     Status500,
-    /// Every answer is status 500 and says that no leader is known.
+    /// Every response has status 500 and reports that the cluster has no leader.
     NoLeader,
-    /// Every answer has the right index and an empty list.
+    /// Every response has the correct index and an empty list.
     Empty,
-    /// The connection ends in the middle of the body.
+    /// The connection is closed in the middle of the body.
     TruncatedBody,
-    /// The catalogue as it was when the fault was set.
+    /// Every response shows the catalog as it was when the fault was set.
     StaleView,
-    /// Every answer has a high index and a body that is not valid JSON.
+    /// Every response has a high index and a body that is not valid JSON.
     InvalidJson,
 }
 
-/// Notified of the instances and statuses in each answer that shows the current catalogue.
-pub type AnswerCallback = Box<dyn Fn(&[(String, Status)])>;
+/// Called with the instances and statuses of each response that shows the current catalog.
+pub type ResponseCallback = Box<dyn Fn(&[(String, Status)])>;
 
 /// One agent of a cluster.
 pub struct Agent {
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
     cluster: Rc<Cluster>,
     fault: watch::Sender<Fault>,
-    stale_view: RefCell<Option<Catalogue>>,
+    stale_view: RefCell<Option<Catalog>>,
     gate: Rc<Gate>,
     connections: RefCell<Vec<Weak<Line>>>,
     token: Option<String>,
-    answer_callback: RefCell<Option<AnswerCallback>>,
+    response_callback: RefCell<Option<ResponseCallback>>,
     requests: RefCell<Vec<String>>,
 }
 
 impl Agent {
-    /// Serves at an address. If a token is given, a request without it is answered with 403.
+    /// Starts an agent at an address. If a token is given, requests without it are answered with status 403.
     ///
     /// # Errors
-    /// If the address cannot be listened at.
+    /// If the agent cannot listen on the address.
     pub fn start(cluster: &Rc<Cluster>, address: SocketAddr, token: Option<&str>) -> io::Result<Rc<Self>> {
         let listener = wire::listen(address)?;
         let agent = Rc::new(Agent {
@@ -83,33 +84,33 @@
             gate: Rc::default(),
             connections: RefCell::default(),
             token: token.map(String::from),
-            answer_callback: RefCell::default(),
+            response_callback: RefCell::default(),
             requests: RefCell::default(),
         });
         spawn_local(agent.clone().accept(listener));
         Ok(agent)
     }
 
-    /// Sets the fault from now on; queries that block now get it too.
+    /// Sets the fault from now on, also for queries that are blocked now.
     pub fn set_fault(&self, fault: Fault) {
-        let view = (fault == Fault::StaleView).then(|| self.cluster.catalogue().clone());
-        *self.stale_view.borrow_mut() = view;
+        let stale_view = (fault == Fault::StaleView).then(|| self.cluster.catalog().clone());
+        *self.stale_view.borrow_mut() = stale_view;
         self.gate.set(fault == Fault::Silent);
         self.fault.send_replace(fault);
     }
 
-    /// Resets all connections.
+    /// Closes all connections with a reset.
     pub fn reset_connections(&self) {
         let connections = std::mem::take(&mut *self.connections.borrow_mut());
         connections.iter().filter_map(Weak::upgrade).for_each(|connection| connection.cut(Cut::Reset));
     }
 
-    /// Sets what is notified of answers.
-    pub fn set_answer_callback(&self, notify: AnswerCallback) {
-        *self.answer_callback.borrow_mut() = Some(notify);
+    /// Sets the callback for responses.
+    pub fn set_response_callback(&self, callback: ResponseCallback) {
+        *self.response_callback.borrow_mut() = Some(callback);
     }
 
-    /// Path and query of every request since the last call.
+    /// Returns path and query of every request since the last call.
     pub fn take_requests(&self) -> Vec<String> {
         std::mem::take(&mut *self.requests.borrow_mut())
     }
@@ -119,10 +120,10 @@
             let Ok((stream, _)) = listener.accept().await else { continue };
             let connection = Rc::new(Line::default());
             self.add_connection(&connection);
-            let (agent, own) = (self.clone(), connection.clone());
+            let (agent, agent_connection) = (self.clone(), connection.clone());
             spawn_local(wire::serve(stream, self.gate.clone(), connection, move |request| {
-                let (agent, connection) = (agent.clone(), own.clone());
-                async move { agent.answer(request, connection).await }
+                let (agent, connection) = (agent.clone(), agent_connection.clone());
+                async move { agent.respond(request, connection).await }
             }));
         }
     }
@@ -140,7 +141,7 @@
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>, connection: Rc<Line>) -> Response<Lines> {
+    async fn respond(&self, request: Request<Incoming>, connection: Rc<Line>) -> Response<Lines> {
         self.record_request(&request);
         let key = match self.authorized_key(&request) {
             Ok(key) => key,
@@ -152,18 +153,18 @@
         let fault = *self.fault.borrow();
         match fault {
             Fault::Delayed(delay) => sleep(delay).await,
-            Fault::Status500 => return error(StatusCode::INTERNAL_SERVER_ERROR, "rpc error"),
-            Fault::NoLeader => return no_leader(),
+            Fault::Status500 => return error_response(StatusCode::INTERNAL_SERVER_ERROR, "rpc error"),
+            Fault::NoLeader => return no_leader_response(),
             Fault::InvalidJson => {
-                connection.cut(Cut::Say(INVALID_JSON_ANSWER));
+                connection.cut(Cut::Say(INVALID_JSON_RESPONSE));
                 return std::future::pending().await;
             }
             _ => {}
         }
-        self.health(&key, fault, &connection)
+        self.health_response(&key, fault, &connection)
     }
 
-    /// The service that a request asks for.
+    /// Checks the token, and returns the service that a request asks for.
     ///
     /// # Errors
     /// If the token, the path or the datacenter is wrong.
@@ -183,40 +184,43 @@
         Ok(ServiceKey { datacenter, service })
     }
 
-    fn health(&self, key: &ServiceKey, fault: Fault, connection: &Rc<Line>) -> Response<Lines> {
+    /// Builds the response of the health API for a service.
+    fn health_response(&self, key: &ServiceKey, fault: Fault, connection: &Rc<Line>) -> Response<Lines> {
         let stale_view = self.stale_view.borrow();
-        let current = self.cluster.catalogue();
-        let catalogue = stale_view.as_ref().unwrap_or(&current);
-        let index = index_of(catalogue, key);
+        let current = self.cluster.catalog();
+        let catalog = stale_view.as_ref().unwrap_or(&current);
+        let index = service_index(catalog, key);
         let empty = Service::default();
-        let service = catalogue.get(key).filter(|_| fault != Fault::Empty).unwrap_or(&empty);
+        let service = catalog.get(key).filter(|_| fault != Fault::Empty).unwrap_or(&empty);
         let body = service.body();
         if fault == Fault::TruncatedBody {
             return with_consul_headers(truncated_response(body, connection), index);
         }
-        if let Some(notify) = &*self.answer_callback.borrow()
+        if let Some(callback) = &*self.response_callback.borrow()
             && !matches!(fault, Fault::Empty | Fault::StaleView)
         {
-            notify(&service.statuses());
+            callback(&service.statuses());
         }
         with_consul_headers(Response::new(Lines::whole(body)), index)
     }
 
-    fn index_of(&self, key: &ServiceKey) -> u64 {
+    /// Returns the index of a service, in the stale catalog if that fault is set.
+    fn service_index(&self, key: &ServiceKey) -> u64 {
         let stale_view = self.stale_view.borrow();
-        index_of(stale_view.as_ref().unwrap_or(&self.cluster.catalogue()), key)
+        service_index(stale_view.as_ref().unwrap_or(&self.cluster.catalog()), key)
     }
 
-    /// Blocks a query until its service has another index than the query's, or its time is up.
+    /// Blocks a query until the index of its service differs from the query's, a fault other than a delay or a stale view
+    /// is set, or `wait` has passed.
     async fn block(&self, key: &ServiceKey, index: u64, wait: Duration) {
         if index == 0 {
             return;
         }
-        let end = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         let (mut changes, mut faults) = (self.cluster.watch(), self.fault.subscribe());
         let _ = faults.borrow_and_update();
-        // A higher index than the service's belongs to another sequence; it is answered at once.
-        while self.index_of(key) == index {
+        // An index higher than the service's is from before a reset; such a query is answered at once.
+        while self.service_index(key) == index {
             tokio::select! {
                 _ = changes.changed() => {}
                 _ = faults.changed() => {
@@ -224,13 +228,13 @@
                         return;
                     }
                 }
-                () = sleep_until(end) => return,
+                () = sleep_until(deadline) => return,
             }
         }
     }
 }
 
-/// Why a request is refused.
+/// Why a request is refused with an error status.
 enum Refusal {
     Forbidden,
     NotFound,
@@ -240,45 +244,47 @@
 impl Refusal {
     fn response(self) -> Response<Lines> {
         match self {
-            Refusal::Forbidden => error(StatusCode::FORBIDDEN, "Permission denied"),
-            Refusal::NotFound => error(StatusCode::NOT_FOUND, ""),
-            Refusal::UnknownDatacenter => error(StatusCode::INTERNAL_SERVER_ERROR, "No path to datacenter"),
+            Refusal::Forbidden => error_response(StatusCode::FORBIDDEN, "Permission denied"),
+            Refusal::NotFound => error_response(StatusCode::NOT_FOUND, ""),
+            Refusal::UnknownDatacenter => {
+                error_response(StatusCode::INTERNAL_SERVER_ERROR, "No path to datacenter")
+            }
         }
     }
 }
 
-fn error(status: StatusCode, body: &'static str) -> Response<Lines> {
-    let mut answer = Response::new(Lines::whole(body));
-    *answer.status_mut() = status;
-    answer
+fn error_response(status: StatusCode, body: &'static str) -> Response<Lines> {
+    let mut response = Response::new(Lines::whole(body));
+    *response.status_mut() = status;
+    response
 }
 
-fn no_leader() -> Response<Lines> {
-    let mut answer = error(StatusCode::INTERNAL_SERVER_ERROR, "No cluster leader");
-    answer.headers_mut().insert("x-consul-knownleader", HeaderValue::from_static("false"));
-    answer
+fn no_leader_response() -> Response<Lines> {
+    let mut response = error_response(StatusCode::INTERNAL_SERVER_ERROR, "No cluster leader");
+    response.headers_mut().insert("x-consul-knownleader", HeaderValue::from_static("false"));
+    response
 }
 
-/// An answer whose connection is cut in the middle of its body.
+/// Returns a response whose connection is closed in the middle of its body.
 fn truncated_response(mut body: String, connection: &Rc<Line>) -> Response<Lines> {
     let half = body.len() / 2;
     body.truncate(half);
     connection.cut_after(TRUNCATED_BODY_DELAY);
-    let (send, lines) = Lines::new(None);
-    let _ = send.send(body.into());
+    let (sender, lines) = Lines::new(None);
+    let _ = sender.send(body.into());
     // The body must not end before the connection does.
     spawn_local(async move {
         sleep(BODY_HOLD_TIME).await;
-        drop(send);
+        drop(sender);
     });
     Response::new(lines)
 }
 
-fn with_consul_headers(mut answer: Response<Lines>, index: u64) -> Response<Lines> {
-    let headers = answer.headers_mut();
+fn with_consul_headers(mut response: Response<Lines>, index: u64) -> Response<Lines> {
+    let headers = response.headers_mut();
     headers.insert("content-type", HeaderValue::from_static("application/json"));
     headers.insert("x-consul-index", HeaderValue::from(index));
     headers.insert("x-consul-knownleader", HeaderValue::from_static("true"));
     headers.insert("x-consul-lastcontact", HeaderValue::from_static("0"));
-    answer
+    response
 }
--- a/crates/fake-consul/src/catalogue.rs
+++ b/crates/fake-consul/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalogue that fake agents serve.
+//! The catalog of services that fake agents serve.
 use serde_json::{Value, json};
 use std::cell::{Ref, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -11,16 +11,16 @@
 /// Index of a new cluster; above [`FIRST_INDEX`], so that each change gives a service a higher index than that.
 const NEW_CLUSTER_INDEX: u64 = 10;
 
-/// The status of an instance, as its checks give it.
+/// The status of an instance that results from its checks.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Status {
     /// All checks pass.
     Passing,
-    /// The worst check is a warning.
+    /// A check warns, and none is critical.
     Warning,
     /// A check is critical.
     Critical,
-    /// An operator put the service into maintenance.
+    /// An operator has put the service into maintenance.
     Maintenance,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl Instance {
-    /// A passing instance of weight 1 without metadata.
+    /// Creates a passing instance of weight 1 without metadata.
     pub fn new(id: &str, addr: SocketAddr) -> Self {
         Instance {
             id: id.into(),
@@ -54,7 +54,8 @@
         }
     }
 
-    fn as_json(&self, service: &str, datacenter: &str, created: u64, modified: u64) -> Value {
+    /// Returns the entry of the health API for this instance, with the given create and modify indices.
+    fn to_json(&self, service: &str, datacenter: &str, create_index: u64, modify_index: u64) -> Value {
         let check = |id: &str, status: &str| {
             json!({"Node": self.node, "CheckID": id, "Name": id, "Status": status, "Notes": "",
                 "Output": "", "ServiceID": self.id, "ServiceName": service, "ServiceTags": []})
@@ -69,21 +70,23 @@
         json!({
             "Node": {"ID": "", "Node": self.node, "Address": self.addr.ip().to_string(),
                 "Datacenter": datacenter, "TaggedAddresses": null, "Meta": null,
-                "CreateIndex": created, "ModifyIndex": created},
+                "CreateIndex": create_index, "ModifyIndex": create_index},
             "Service": {"ID": self.id, "Service": service, "Tags": [], "Address": self.addr.ip().to_string(),
                 "Port": self.addr.port(), "Meta": self.meta, "EnableTagOverride": false,
                 "Weights": {"Passing": self.weights.0, "Warning": self.weights.1},
-                "CreateIndex": created, "ModifyIndex": modified},
+                "CreateIndex": create_index, "ModifyIndex": modify_index},
             "Checks": checks,
         })
     }
 }
 
+/// A registered instance.
 #[derive(Clone)]
-struct Registered {
+struct Registration {
     instance: Instance,
-    created: u64,
-    /// The instance as the health API writes it, serialized once for each change.
+    /// Index at which it was registered.
+    create_index: u64,
+    /// Its entry of the health API, serialized once per change.
     json: String,
 }
 
@@ -91,66 +94,69 @@
 #[derive(Clone, Default)]
 pub(crate) struct Service {
     index: u64,
-    instances: BTreeMap<String, Registered>,
+    instances: BTreeMap<String, Registration>,
 }
 
 impl Service {
-    /// The index of its last change.
+    /// Returns the index of its last change.
     pub(crate) fn index(&self) -> u64 {
         self.index
     }
 
-    /// The ids and statuses of its instances.
+    /// Returns the ids and statuses of its instances.
     pub(crate) fn statuses(&self) -> Vec<(String, Status)> {
-        let registered = self.instances.values();
-        registered.map(|registered| (registered.instance.id.clone(), registered.instance.status)).collect()
+        let registrations = self.instances.values();
+        registrations
+            .map(|registration| (registration.instance.id.clone(), registration.instance.status))
+            .collect()
     }
 
-    /// The body of the health API's answer.
+    /// Returns the body of a response of the health API.
     pub(crate) fn body(&self) -> String {
-        let parts: Vec<&str> = self.instances.values().map(|registered| registered.json.as_str()).collect();
-        format!("[{}]", parts.join(","))
+        let entries: Vec<&str> =
+            self.instances.values().map(|registration| registration.json.as_str()).collect();
+        format!("[{}]", entries.join(","))
     }
 }
 
-/// A service: its datacenter and its name.
+/// Identifies a service by its datacenter and its name.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub(crate) struct ServiceKey {
     pub datacenter: String,
     pub service: String,
 }
 
-/// Services by their keys.
-pub(crate) type Catalogue = HashMap<ServiceKey, Service>;
+/// All services by their keys.
+pub(crate) type Catalog = HashMap<ServiceKey, Service>;
 
-/// The index of a service; one that was never registered has the first index.
-pub(crate) fn index_of(catalogue: &Catalogue, key: &ServiceKey) -> u64 {
-    catalogue.get(key).map_or(FIRST_INDEX, Service::index)
+/// Returns the index of a service; a service that was never registered has [`FIRST_INDEX`].
+pub(crate) fn service_index(catalog: &Catalog, key: &ServiceKey) -> u64 {
+    catalog.get(key).map_or(FIRST_INDEX, Service::index)
 }
 
-/// The catalogue that agents serve.
+/// The catalog that all agents of a cluster serve.
 pub struct Cluster {
-    catalogue: RefCell<Catalogue>,
+    catalog: RefCell<Catalog>,
     index: watch::Sender<u64>,
     /// The datacenter of all services.
     pub datacenter: String,
 }
 
 impl Cluster {
-    /// A cluster without services.
+    /// Creates a cluster without services.
     pub fn new(datacenter: &str) -> Rc<Self> {
         Rc::new(Cluster {
-            catalogue: RefCell::default(),
+            catalog: RefCell::default(),
             index: watch::channel(NEW_CLUSTER_INDEX).0,
             datacenter: datacenter.into(),
         })
     }
 
-    pub(crate) fn catalogue(&self) -> Ref<'_, Catalogue> {
-        self.catalogue.borrow()
+    pub(crate) fn catalog(&self) -> Ref<'_, Catalog> {
+        self.catalog.borrow()
     }
 
-    /// Notifies of each change of the catalogue.
+    /// Returns a receiver that is notified of each change of the catalog.
     pub(crate) fn watch(&self) -> watch::Receiver<u64> {
         self.index.subscribe()
     }
@@ -159,30 +165,31 @@
         ServiceKey { datacenter: self.datacenter.clone(), service: service.into() }
     }
 
+    /// Applies a change to a service, increases the index and notifies agents.
     fn change(&self, service: &str, change: impl FnOnce(&mut Service, u64)) {
         let index = *self.index.borrow() + 1;
-        let mut catalogue = self.catalogue.borrow_mut();
-        let service = catalogue.entry(self.key(service)).or_default();
+        let mut catalog = self.catalog.borrow_mut();
+        let service = catalog.entry(self.key(service)).or_default();
         change(service, index);
         service.index = index;
-        drop(catalogue);
+        drop(catalog);
         self.index.send_replace(index);
     }
 
-    /// Registers an instance, or updates the one of its id.
+    /// Registers an instance, or replaces the one with the same id.
     pub fn register(&self, service: &str, instance: Instance) {
         self.register_all(service, vec![instance]);
     }
 
-    /// Registers many instances in one change.
+    /// Registers or replaces several instances in one change.
     pub fn register_all(&self, service: &str, instances: Vec<Instance>) {
         self.change(service, |registered, index| {
             for instance in instances {
-                let earlier = registered.instances.get(&instance.id);
-                let created = earlier.map_or(index, |earlier| earlier.created);
-                let json = instance.as_json(service, &self.datacenter, created, index).to_string();
+                let previous = registered.instances.get(&instance.id);
+                let create_index = previous.map_or(index, |previous| previous.create_index);
+                let json = instance.to_json(service, &self.datacenter, create_index, index).to_string();
                 let id = instance.id.clone();
-                registered.instances.insert(id, Registered { instance, created, json });
+                registered.instances.insert(id, Registration { instance, create_index, json });
             }
         });
     }
@@ -195,19 +202,19 @@
     /// Sets the status of instances; ids that are not registered are skipped.
     pub fn set_status(&self, service: &str, ids: &[&str], status: Status) {
         let key = self.key(service);
-        let catalogue = self.catalogue.borrow();
+        let catalog = self.catalog.borrow();
         let with_status = |id: &&str| {
-            let instance = catalogue.get(&key)?.instances.get(*id)?.instance.clone();
+            let instance = catalog.get(&key)?.instances.get(*id)?.instance.clone();
             Some(Instance { status, ..instance })
         };
         let instances: Vec<Instance> = ids.iter().filter_map(with_status).collect();
-        drop(catalogue);
+        drop(catalog);
         self.register_all(service, instances);
     }
 
-    /// Restarts the indices, as in a cluster that was restored from a snapshot.
+    /// Resets all indices to the first one, as in a cluster that was restored from a snapshot.
     pub fn reset_index(&self) {
-        for service in self.catalogue.borrow_mut().values_mut() {
+        for service in self.catalog.borrow_mut().values_mut() {
             service.index = FIRST_INDEX;
         }
         self.index.send_replace(FIRST_INDEX);
--- a/crates/fake-consul/src/lib.rs
+++ b/crates/fake-consul/src/lib.rs
@@ -1,10 +1,10 @@
-//! Fake Consul agents on loopback, for tests and rehearsals: the health endpoint with blocking queries, written from
-//! the public documentation of the HTTP API, and with a [`Fault`] if a test sets one.
+//! Fake Consul agents on loopback, for tests and rehearsals. They serve the health endpoint with blocking queries as in
+//! the public documentation of the HTTP API, and simulate a [`Fault`] if a test sets one.
 //!
-//! One [`Cluster`] has the catalogue; each [`Agent`] serves it at an address of its own.
+//! One [`Cluster`] holds the catalog; each [`Agent`] serves it at its own address.
 mod agent;
-mod catalogue;
+mod catalog;
 mod query;
 
-pub use agent::{Agent, AnswerCallback, Fault};
-pub use catalogue::{Cluster, Instance, Status};
+pub use agent::{Agent, Fault, ResponseCallback};
+pub use catalog::{Cluster, Instance, Status};
--- a/crates/rehearsal/src/lists.rs
+++ b/crates/rehearsal/src/lists.rs
@@ -52,7 +52,7 @@
         let agent = fake_consul::Agent::start(cluster, at, None)?;
         let told: RefCell<HashMap<ExecutorNumber, Listed>> = RefCell::default();
         let own = record.clone();
-        agent.set_answer_callback(Box::new(move |instances| {
+        agent.set_response_callback(Box::new(move |instances| {
             let now: HashMap<ExecutorNumber, Listed> =
                 instances.iter().filter_map(|(id, status)| Some((number_of(id)?, listed(*status)))).collect();
             let mut told = told.borrow_mut();
