--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -141,7 +141,7 @@
         self.latest_time
     }
 
-    /// Returns a number higher than that of every request that was ever recorded here.
+    /// Returns a number higher than that of every request that was applied to this ledger, including forgotten ones.
     pub fn next_number(&self) -> u64 {
         self.next_number
     }
--- a/crates/ledger/tests/crashes.rs
+++ b/crates/ledger/tests/crashes.rs
@@ -101,7 +101,7 @@
     assert!(detected > 0, "a store that confirms too early is detected");
 }
 
-/// The same as the test above, at each disk operation.
+/// Like the test above, with a crash at each disk operation.
 #[test]
 #[ignore = "all operations: cargo test --release -p troutknot-ledger --test crashes -- --ignored --nocapture"]
 fn a_crash_at_every_write_and_sync_loses_no_confirmed_row() {
