--- a/crates/daemon/src/discovery/consul/mod.rs
+++ b/crates/daemon/src/discovery/consul/mod.rs
@@ -88,7 +88,7 @@
             cached.iter().filter_map(to_instance).map(Rc::new).collect();
         catalog.apply_response(watcher.clock.now(), CACHED_LIST, &instances);
         // Discarded, because the driver already has the cached list.
-        let _ = catalog.changes(watcher.clock.now());
+        let _ = catalog.take_changes(watcher.clock.now());
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         WatcherState {
             limits: watcher.limits.clone(),
--- a/crates/daemon/src/discovery/consul/query.rs
+++ b/crates/daemon/src/discovery/consul/query.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 use troutknot::Millis;
 use troutknot_consul::health::{HealthDecoder, HealthError, ResponseBounds, ServiceInstance};
-use troutknot_consul::query::{BlockingQuery, ResponseHeaders, ResponseRefused, WatchedService};
+use troutknot_consul::query::{BlockingQuery, ResponseError, ResponseHeaders, WatchedService};
 
 /// Delay in milliseconds before the query to the next agent, unless all agents have failed.
 const FAILOVER_DELAY: Millis = 50.0;
@@ -37,7 +37,7 @@
     Connection(#[source] ReceiveError),
     /// The headers of the response show that it must not be used.
     #[error(transparent)]
-    Refused(#[from] ResponseRefused),
+    Refused(#[from] ResponseError),
     /// The body is not a list of healthy instances.
     #[error(transparent)]
     Unusable(#[from] HealthError),
--- a/crates/daemon/src/discovery/consul/service.rs
+++ b/crates/daemon/src/discovery/consul/service.rs
@@ -80,7 +80,7 @@
 
     fn record_failure(&self, watch_id: WatchId, address: SocketAddr, error: &QueryError) {
         let now = self.clock.now();
-        let count = self.catalog.borrow().listed();
+        let count = self.catalog.borrow().listed_count();
         for watch in self.watches.borrow().iter().filter(|watch| watch.watch_id == watch_id) {
             let service = &watch.watched.service;
             if watch.is_failing.replace(true) {
--- a/crates/daemon/src/durable/mod.rs
+++ b/crates/daemon/src/durable/mod.rs
@@ -29,7 +29,7 @@
 use tokio::time::Instant;
 use troutknot::{Millis, RequestId};
 use troutknot_clock::Clock;
-use troutknot_ledger::committer::{Committer, NotReady, NotWritten, ReadError, StartError, SyncMode};
+use troutknot_ledger::committer::{CommitError, Committer, ReadError, ReadinessError, StartError, SyncMode};
 use troutknot_ledger::store::Store;
 use troutknot_ledger::{Ledger, Record, Row};
 
@@ -54,7 +54,7 @@
 enum Unavailable {
     /// Writes to the disk fail or are slow.
     #[error(transparent)]
-    NotReady(#[from] NotReady),
+    NotReady(#[from] ReadinessError),
     /// The number of recorded requests has reached its limit.
     #[error("the ledger is full")]
     Full,
@@ -176,10 +176,10 @@
     }
 
     /// Writes rows, and returns once they are on disk.
-    async fn write(&self, rows: Vec<Row>) -> Result<(), NotWritten> {
+    async fn write(&self, rows: Vec<Row>) -> Result<(), CommitError> {
         let (done, written) = oneshot::channel();
         self.committer.write(rows, move |result| _ = done.send(result));
-        written.await.unwrap_or_else(|_| Err(NotWritten("the ledger writer has stopped".into())))
+        written.await.unwrap_or_else(|_| Err(CommitError("the ledger thread has ended".into())))
     }
 
     /// Reads all rows of a request from the ledger.
--- a/crates/rehearsal/src/lists.rs
+++ b/crates/rehearsal/src/lists.rs
@@ -58,7 +58,7 @@
         let agent = fake_consul::Agent::start(cluster, at, None)?;
         let told: RefCell<HashMap<ExecutorNumber, ListedState>> = RefCell::default();
         let own = record.clone();
-        agent.on_answer(Box::new(move |instances| {
+        agent.set_response_callback(Box::new(move |instances| {
             let now: HashMap<ExecutorNumber, ListedState> =
                 instances.iter().filter_map(|(id, status)| Some((number_of(id)?, listed(*status)))).collect();
             let mut told = told.borrow_mut();
@@ -94,9 +94,9 @@
             Some(How::Errors) => Fault::Status500,
             Some(How::NoLeader) => Fault::NoLeader,
             Some(How::Empty) => Fault::Empty,
-            Some(How::HalfBody) => Fault::HalfBody,
+            Some(How::HalfBody) => Fault::TruncatedBody,
             Some(How::StaleView) => Fault::StaleView,
-            Some(How::Late) => Fault::Late(Duration::from_millis(500)),
+            Some(How::Late) => Fault::Delayed(Duration::from_millis(500)),
         });
         if how.is_none() {
             for (executor, listed) in self.missed.take() {
@@ -167,7 +167,7 @@
     pub fn restart(&self) {
         match self {
             NodeList::Platform(agent) => agent.reset_watches(),
-            NodeList::Consul(list) => list.agent.reset(),
+            NodeList::Consul(list) => list.agent.reset_connections(),
         }
     }
 
