--- a/crates/daemon/src/downstream/admission.rs
+++ b/crates/daemon/src/downstream/admission.rs
@@ -19,10 +19,10 @@
     OverLimit,
 }
 
-/// A request that is in flight from now on.
+/// A request that was admitted.
 pub(super) struct AdmittedRequest {
     pub in_flight: Rc<InFlightRequest>,
-    /// When the client gets its answer at the latest, whatever became of the request.
+    /// When the client gets an answer even if the request has no outcome yet.
     pub last_answer_at: Instant,
 }
 
@@ -70,14 +70,14 @@
         Ok(AdmittedRequest { in_flight, last_answer_at })
     }
 
-    /// How long a client that waits for `time_left` may go without an answer.
+    /// Time after which a client that waits for `time_left` is answered even if its request has no outcome.
     pub(super) fn last_answer_wait(&self, time_left: Duration) -> Duration {
         let margin = self.limits.downstream.last_answer_margin;
         time_left - bounded_margin(margin, time_left, MAX_LAST_ANSWER_MARGIN_SHARE)
     }
 }
 
-/// The margin before the end of `time_left`, bounded by a share of it.
+/// The margin to leave at the end of `time_left`, bounded by a share of it.
 fn bounded_margin(margin: Duration, time_left: Duration, max_share: f64) -> Duration {
     margin.min(time_left.mul_f64(max_share))
 }
--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! The life of one client connection: waits for requests, has each one handled, and closes.
+//! One client connection: waits for requests, has each one handled, and closes.
 use super::DownstreamServer;
 use super::admission::ConnectionAdmission;
 use super::eviction::{ConnectionEntry, ConnectionState};
@@ -24,7 +24,7 @@
     connection: Connection,
     entry: Rc<ConnectionEntry>,
     admission: ConnectionAdmission,
-    /// When the first request has to be complete.
+    /// When the first request must have arrived completely.
     first_request_due: Instant,
 }
 
@@ -74,7 +74,7 @@
         if has_input { Input::Available } else { Input::None }
     }
 
-    /// Marks the connection as waiting, and returns when it has waited for too long.
+    /// Marks the connection as waiting, and returns the instant at which the wait times out.
     fn start_idle_timeout(&self) -> Instant {
         let (now, limits) = (Instant::now(), &self.server.limits.downstream);
         if self.entry.state().has_served() {
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Ends the sending and waits for the client to close. The connection counts as a new one meanwhile, so that
-    /// others can take its place.
+    /// Shuts down the sending side and waits for the client to close. The connection counts as a new one meanwhile,
+    /// so that it can be evicted.
     async fn close_gracefully(&mut self) {
         self.entry.set_state(ConnectionState::New { since: Instant::now() });
         let limits = &self.server.limits;
--- a/crates/daemon/src/downstream/durable_exchange.rs
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -15,7 +15,7 @@
 /// Retry-After of durable requests that cannot be recorded now.
 const LEDGER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a durable request gets no answer.
+/// Why a durable request is not answered from the ledger.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DurableError {
     #[error("the idempotency key was used for another request")]
@@ -27,7 +27,7 @@
 }
 
 impl DurableError {
-    /// The status of the response; none if nobody is left to receive it.
+    /// The status of the response; none if the client has disconnected.
     pub fn status(&self) -> Option<u16> {
         match self {
             DurableError::KeyMismatch => Some(422),
@@ -45,7 +45,7 @@
 }
 
 impl DurableAnswer {
-    /// Nothing can be recorded at present.
+    /// The answer while no request can be recorded.
     fn retry_later() -> Self {
         DurableAnswer { answer: Answer::Rejected(Some(to_millis(LEDGER_RETRY_AFTER))), acknowledges: None }
     }
@@ -55,11 +55,11 @@
 struct PendingJob {
     job: Rc<PendingAnswer>,
     acknowledges: Option<RequestId>,
-    /// When the client gets its answer at the latest.
+    /// When the client gets an answer even if the job has no outcome yet.
     last_answer_at: Instant,
 }
 
-/// What became of a new durable request.
+/// Result of recording a new durable request.
 enum JobStart {
     Recorded(PendingJob),
     /// It was not recorded, and this is its answer.
@@ -134,7 +134,7 @@
         Ok(JobStart::Recorded(PendingJob { job, acknowledges, last_answer_at }))
     }
 
-    /// Waits for the answer to a job. The job goes on if the client disconnects.
+    /// Waits for the answer to a job. The job continues if the client disconnects.
     async fn wait_for_job(&mut self, pending: PendingJob) -> Result<DurableAnswer, DurableError> {
         let answer = tokio::select! {
             biased;
--- a/crates/daemon/src/downstream/eviction.rs
+++ b/crates/daemon/src/downstream/eviction.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-/// What a client connection does at present.
+/// Current state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ConnectionState {
     /// No request was admitted on it so far, and it waits since this instant: for its first request, or for its
@@ -51,17 +51,17 @@
 }
 
 impl ConnectionEntry {
-    /// What the connection does at present.
+    /// The connection's current state.
     pub fn state(&self) -> ConnectionState {
         self.state.get()
     }
 
-    /// Sets what the connection does from now on.
+    /// Sets the connection's state.
     pub fn set_state(&self, state: ConnectionState) {
         self.state.set(state);
     }
 
-    /// The connection no longer waits for a request.
+    /// Marks the connection as no longer waiting for a request.
     pub fn stop_waiting(&self) {
         self.state.set(self.state.get().without_waiting());
     }
@@ -107,12 +107,12 @@
         self.closed.notify_one();
     }
 
-    /// Completes when a connection is closed, or after `limit`.
-    pub async fn wait_for_close(&self, limit: Duration) {
-        let _ = timeout(limit, self.closed.notified()).await;
+    /// Completes when a connection is closed, or after `max_wait`.
+    pub async fn wait_for_close(&self, max_wait: Duration) {
+        let _ = timeout(max_wait, self.closed.notified()).await;
     }
 
-    /// Whether a connection waits on which no request was admitted.
+    /// Whether any waiting connection has had no request admitted on it.
     pub fn has_waiting_new(&self) -> bool {
         self.entries.borrow().values().any(|entry| entry.state().is_waiting_new())
     }
--- a/crates/daemon/src/downstream/exchange.rs
+++ b/crates/daemon/src/downstream/exchange.rs
@@ -22,12 +22,12 @@
     Close(ResponseSize),
     /// The connection is closed with a part of the request unread.
     CloseGracefully,
-    /// Nothing is left to do before the connection is dropped.
+    /// The connection is dropped at once.
     Drop,
 }
 
 impl ExchangeEnd {
-    /// The end after a response.
+    /// The end that follows from how a response was sent.
     fn after(sent: &Result<(), SendError>, reuse: ConnectionReuse, size: ResponseSize) -> Self {
         match (sent, reuse) {
             (Ok(()), ConnectionReuse::KeepAlive) => ExchangeEnd::KeepAlive,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Rejects a request. The connection is closed, because it is unknown where the next request starts.
+    /// Rejects a request. The connection is closed, because the start of the next request cannot be located.
     pub async fn reject(&mut self, status: u16, reason: &dyn Display) -> ExchangeEnd {
         tracing::debug!(status, %reason, "request not admitted");
         let retry_after = self.server.limits.downstream.malformed_retry_after;
@@ -89,7 +89,7 @@
         ExchangeEnd::after(&sent, ConnectionReuse::Close, ResponseSize::Small)
     }
 
-    /// Answers what the ledger records of a job.
+    /// Answers a query for a job's status from the ledger.
     async fn report_job(&mut self, client_id: &str, reuse: ConnectionReuse) -> ExchangeEnd {
         let response = match self.server.ledger().map(|ledger| ledger.describe_request(client_id)) {
             Some(Some(job)) => Response::text(200, job),
@@ -186,7 +186,7 @@
             biased;
             answer = self.server.dispatch_and_wait(in_flight) => return Some(answer),
             () = self.connection.closed_by_peer() => None,
-            // The client gets an answer before it gives up, even if the driver is late.
+            // The client gets an answer before its own timeout, even if the driver is late.
             () = sleep_until(admitted.last_answer_at) => Some(Answer::Failed),
         };
         in_flight.close();
--- a/crates/daemon/src/downstream/listener.rs
+++ b/crates/daemon/src/downstream/listener.rs
@@ -35,8 +35,8 @@
 impl DownstreamServer {
     /// Accepts connections until the node ends.
     ///
-    /// From an inherited socket nothing is accepted before the node has its endpoint list, nor while the other
-    /// process is to accept, nor once connections are closed for a shutdown.
+    /// On an inherited socket nothing is accepted before the node has its endpoint list, while the node's other
+    /// process accepts, or once connections are closed for a shutdown.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, origin: ListenerOrigin) {
         match origin {
             ListenerOrigin::Inherited => self.accept_inherited(&listener).await,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Accepts a connection once there are descriptors for it. Cancel safe.
+    /// Accepts a connection once descriptors are available for it. Cancel safe.
     async fn accept_one(&self, listener: &TcpListener) -> io::Result<(TcpStream, SocketAddr)> {
         let max_rejected = self.limits.downstream.max_rejected_connections;
         while self.connection_count() >= self.max_connections() + max_rejected {
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Makes way for one more connection by evicting another. As long as a connection without a request can be
-    /// evicted soon, this waits for it rather than rejecting the new one.
+    /// Evicts a connection if the limit is reached, to admit one more. As long as a connection without a request can
+    /// be evicted soon, this waits for it rather than rejecting the new one.
     async fn admit_connection(&self) -> ConnectionAdmission {
         while self.connection_count() >= self.max_connections()
             && !self.connections.evict_one(&self.limits.downstream)
@@ -105,8 +105,8 @@
     }
 
     async fn wait_for_close(&self) {
-        let limit = self.limits.downstream.min_new_connection_age / EVICTION_CHECKS_PER_MIN_AGE;
-        self.connections.wait_for_close(limit).await;
+        let max_wait = self.limits.downstream.min_new_connection_age / EVICTION_CHECKS_PER_MIN_AGE;
+        self.connections.wait_for_close(max_wait).await;
     }
 
     /// Serves a connection in a task of its own.
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -67,7 +67,7 @@
     pub partial_body_bytes: Rc<ByteBudget>,
     request_ids: RequestIds,
     connections: ClientConnections,
-    /// Until then requests wait for the first endpoint list.
+    /// When requests stop waiting for the first endpoint list.
     first_list_due: Instant,
 }
 
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Records durable requests in this ledger from now on. New requests are numbered past those on record.
+    /// Sets the ledger that durable requests are recorded in. New requests get higher numbers than those on record.
     pub fn set_ledger(&self, ledger: Rc<Durable>) {
         self.request_ids.skip_to(ledger.next_request_number());
         self.ledger.replace(Some(ledger));
--- a/crates/daemon/src/downstream/request.rs
+++ b/crates/daemon/src/downstream/request.rs
@@ -12,7 +12,7 @@
 pub(super) enum ParsedRequest {
     /// The health check of a load balancer.
     ReadinessCheck,
-    /// Asks for the state of a durable job, by the client's id of it.
+    /// Queries the status of a durable job by the id that the client gave it.
     JobStatus { client_id: String, reuse: ConnectionReuse },
     /// A request for the executors.
     Submission(Submission),
@@ -37,14 +37,14 @@
     Malformed(#[from] MessageError),
     #[error(transparent)]
     Invalid(#[from] RequestError),
-    #[error("a job's status is read by GET")]
+    #[error("a job's status can only be read by GET")]
     MethodNotAllowed,
-    #[error("too many bodies arrive in parts")]
+    #[error("too many request bodies are being received in parts")]
     TooManyPartialBodies,
 }
 
 impl ReadError {
-    /// The status of the response; none if nobody is left to receive it.
+    /// The status of the response; none if the client has disconnected.
     pub fn status(&self) -> Option<u16> {
         match self {
             ReadError::Disconnected => None,
@@ -67,7 +67,7 @@
 }
 
 impl DownstreamServer {
-    /// Reads a request to its end.
+    /// Reads one complete request.
     ///
     /// # Errors
     /// If the client is gone, or if its request is malformed or too large.
--- a/crates/daemon/src/downstream/request_ids.rs
+++ b/crates/daemon/src/downstream/request_ids.rs
@@ -1,4 +1,4 @@
-//! Ids of requests: which client ids are open or were used recently, and the numbers given to new requests.
+//! Ids of requests: tracks which client ids are open or were used recently, and numbers new requests.
 use crate::config::limits::Limits;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -13,7 +13,7 @@
 }
 
 impl RequestIds {
-    /// Without any request so far.
+    /// Starts without requests, at number 0.
     pub fn new() -> Self {
         RequestIds { open: RefCell::default(), recent: RefCell::new(RecentTokens::new()), next: Cell::new(0) }
     }
@@ -23,7 +23,7 @@
         self.open.borrow().contains(client_id)
     }
 
-    /// Notes that a request with this token was admitted. Returns false if the token was seen within the
+    /// Records that a request with this token was admitted. Returns false if the token was seen within the
     /// deduplication window.
     pub fn record_token(&self, token: u64, limits: &Limits) -> bool {
         self.recent.borrow_mut().insert(token, limits)
@@ -35,7 +35,7 @@
         recent.older.iter().chain(&recent.newer).copied().collect()
     }
 
-    /// The id that the next request gets once it is opened.
+    /// The id of the next request that is opened.
     pub fn next_id(&self) -> RequestId {
         RequestId(self.next.get())
     }
@@ -51,7 +51,7 @@
         self.open.borrow_mut().remove(client_id);
     }
 
-    /// Gives the next request the id `first`, or a higher one that is due anyway.
+    /// Raises the id of the next request to `first`, unless it is higher already.
     pub fn skip_to(&self, first: u64) {
         self.next.set(self.next.get().max(first));
     }
--- a/crates/daemon/src/downstream/response.rs
+++ b/crates/daemon/src/downstream/response.rs
@@ -16,13 +16,13 @@
 }
 
 impl ConnectionReuse {
-    /// What the client asks for by its request.
+    /// The reuse that the client requested.
     pub fn requested_by(head: &RequestHead) -> Self {
         if head.keep_alive { ConnectionReuse::KeepAlive } else { ConnectionReuse::Close }
     }
 }
 
-/// Whether a response may be incomplete at the client when its last byte is written here.
+/// Whether a response may not have arrived completely at the client when its last byte has been written.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ResponseSize {
     Small,
@@ -40,14 +40,14 @@
 /// Why a response was not written.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SendError {
-    #[error("the client did not take the response in time")]
+    #[error("the client did not read the response in time")]
     TimedOut,
     #[error("cannot write the response")]
     Io(#[source] io::Error),
 }
 
 impl Response {
-    /// A response with a text for people.
+    /// A response with a plain-text body.
     pub fn text(status: u16, text: String) -> Self {
         Response { status, headers: Vec::new(), body: text.into() }
     }
--- a/crates/daemon/src/http1/body.rs
+++ b/crates/daemon/src/http1/body.rs
@@ -12,7 +12,7 @@
 
 const CRLF: &[u8] = b"\r\n";
 
-/// Decodes one body; its state says which part of it comes next.
+/// Decodes one body; each variant is the part of the body that is decoded next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyDecoder {
     /// Remaining bytes of a body with a `Content-Length`.
@@ -31,7 +31,7 @@
     Done,
 }
 
-/// Whether a decoder can go on with the input that it has.
+/// Whether a decoding step advanced the state or needs more input.
 #[derive(PartialEq)]
 enum Step {
     Advanced,
@@ -138,11 +138,11 @@
 
     fn read_chunk_end(&mut self, input: &mut RingBuffer) -> Result<Step, MessageError> {
         let bytes = input.bytes();
-        let seen = &bytes[..bytes.len().min(CRLF.len())];
-        if !CRLF.starts_with(seen) {
+        let prefix = &bytes[..bytes.len().min(CRLF.len())];
+        if !CRLF.starts_with(prefix) {
             return Err(MessageError::UnterminatedChunk);
         }
-        if seen.len() < CRLF.len() {
+        if prefix.len() < CRLF.len() {
             return Ok(Step::NeedsInput);
         }
         input.consume(CRLF.len());
--- a/crates/daemon/src/http1/connection.rs
+++ b/crates/daemon/src/http1/connection.rs
@@ -1,4 +1,4 @@
-//! A socket with an input and an output buffer.
+//! Buffered HTTP/1.1 connections.
 use super::body::BodyDecoder;
 use super::error::{MessageError, ReceiveError};
 use super::head::{self, Parsed, RequestHead, ResponseHead};
@@ -12,10 +12,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Bytes that are discarded from a peer without a pause while the end of its stream is awaited.
+/// Bytes of a peer's input that are discarded without a pause while waiting for the end of its stream.
 const DISCARD_BURST_BYTES: usize = 64 * 1024;
 
-/// Pause after each burst of discarded bytes, which bounds the load of a peer that sends at full speed.
+/// Pause after each burst of discarded bytes, which bounds the load that a peer sending at full speed causes.
 const DISCARD_PAUSE: Duration = Duration::from_millis(10);
 
 /// A socket with an input and an output buffer.
@@ -23,7 +23,7 @@
     stream: TcpStream,
     input: RingBuffer,
     output: RingBuffer,
-    /// Input that was discarded, so that no further message can be parsed.
+    /// Bytes of input that were discarded; if there are any, no further message can be parsed.
     discarded_bytes: usize,
 }
 
@@ -187,13 +187,13 @@
         body: &mut BodyDecoder,
         out: &mut BytesMut,
         max_bytes: usize,
-        is_enough: impl Fn(&BytesMut) -> bool,
+        is_sufficient: impl Fn(&BytesMut) -> bool,
     ) -> Result<bool, ReceiveError> {
         loop {
             if body.decode(&mut self.input, out, max_bytes)? {
                 return Ok(true);
             }
-            if is_enough(out) {
+            if is_sufficient(out) {
                 return Ok(false);
             }
             if self.read().await? > 0 {
@@ -224,7 +224,7 @@
             match self.read().await {
                 Ok(0) => return,
                 Ok(_) => {}
-                // The budget of all connections is used up, which says nothing about this one.
+                // The shared budget of all connections is used up; this connection itself is still open.
                 Err(error) if error.kind() == io::ErrorKind::OutOfMemory => sleep(DISCARD_PAUSE).await,
                 Err(_) => return,
             }
@@ -245,10 +245,10 @@
         self.discarded_bytes > 0
     }
 
-    /// Closes the sending side and waits up to `wait` for the peer to close its own, so that a reset does not
-    /// destroy the last response on its way (RFC 9112, section 9.6). Up to `max_bytes` of input are discarded
+    /// Closes the sending side and waits up to `max_wait` for the peer to close its own, so that a reset does not
+    /// destroy the last response in transit (RFC 9112, section 9.6). Up to `max_bytes` of input are discarded
     /// meanwhile.
-    pub async fn lingering_close(&mut self, wait: Duration, max_bytes: usize) {
+    pub async fn lingering_close(&mut self, max_wait: Duration, max_bytes: usize) {
         let _ = socket2::SockRef::from(&self.stream).shutdown(Shutdown::Write);
         let peer_closes = async {
             let mut discarded_bytes = 0;
@@ -261,11 +261,11 @@
             }
             std::future::pending().await
         };
-        let _ = timeout(wait, peer_closes).await;
+        let _ = timeout(max_wait, peer_closes).await;
     }
 
     /// Makes the drop of this connection reset it, so that output in the system's send buffer is not delivered
-    /// any more. Otherwise a slow or unreachable peer could receive a request long after it was given up.
+    /// any more. Otherwise a slow or unreachable peer could receive a request long after its attempt has ended.
     pub fn reset_on_drop(&self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
@@ -280,7 +280,7 @@
     pub fn is_quiet(&self) -> bool {
         let mut byte = [std::mem::MaybeUninit::uninit()];
         let peeked = socket2::SockRef::from(&self.stream).peek(&mut byte);
-        let nothing_arrived = matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
-        nothing_arrived && !self.has_buffered_input()
+        let has_no_input = matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
+        has_no_input && !self.has_buffered_input()
     }
 }
--- a/crates/daemon/src/http1/head.rs
+++ b/crates/daemon/src/http1/head.rs
@@ -3,7 +3,7 @@
 use super::error::MessageError;
 use super::headers::Headers;
 
-/// Fields that a head may have.
+/// Upper bound on the number of fields in a head.
 const MAX_FIELDS: usize = 64;
 
 /// The head of a request.
@@ -36,7 +36,7 @@
     pub keep_alive: bool,
 }
 
-/// A head and the number of bytes that it takes.
+/// A head and its length in bytes.
 pub type Parsed<T> = (T, usize);
 
 /// Whether the sender of this head wants the connection to persist (RFC 9112, section 9.3).
--- a/crates/daemon/src/http1/headers.rs
+++ b/crates/daemon/src/http1/headers.rs
@@ -1,4 +1,4 @@
-//! Header fields.
+//! Header fields of a message.
 use super::error::MessageError;
 use bytes::Bytes;
 
@@ -37,7 +37,7 @@
         Ok(found)
     }
 
-    /// Whether a comma-separated field contains this token, in any case.
+    /// Whether a comma-separated field contains this token, ignoring case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         let texts = self.values(name).filter_map(|value| std::str::from_utf8(value).ok());
         texts.flat_map(|text| text.split(',')).any(|element| element.trim().eq_ignore_ascii_case(token))
--- a/crates/daemon/src/http1/mod.rs
+++ b/crates/daemon/src/http1/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1: parsing and writing of message heads, framing of bodies, and buffered connections. What the messages
-//! mean to the dispatcher is defined in [`crate::protocol`].
+//! HTTP/1.1: parsing and writing of message heads, framing of bodies, and buffered connections. The meaning
+//! of the messages is defined in [`crate::protocol`].
 mod body;
 mod connection;
 mod error;
--- a/crates/daemon/src/http1/write.rs
+++ b/crates/daemon/src/http1/write.rs
@@ -1,10 +1,11 @@
 //! Writing of message heads.
 use bytes::BytesMut;
 
-/// The interim response that asks a client for the body which it holds back (RFC 9110, section 15.2.1).
+/// The interim response that makes a client send the body of a request with `Expect: 100-continue` (RFC 9110,
+/// section 15.2.1).
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Capacity that the head of most responses fits into, in bytes.
+/// Initial capacity of a response head in bytes, enough for common responses.
 const RESPONSE_HEAD_CAPACITY: usize = 128;
 
 /// A header field that this node writes.
--- a/crates/daemon/src/protocol/attempt_events.rs
+++ b/crates/daemon/src/protocol/attempt_events.rs
@@ -1,5 +1,5 @@
-//! What an executor reports about an attempt: the status of its response, one event a line, and the state of an
-//! attempt on request.
+//! What an executor reports about an attempt: the status of its response, the events in its body, one per line, and
+//! the attempt's status in reply to a fence request.
 use super::names;
 use crate::http1::ResponseHead;
 use bytes::{Bytes, BytesMut};
@@ -26,7 +26,8 @@
     /// The line is not a JSON object of an event.
     #[error("invalid event: {0}")]
     Json(#[from] serde_json::Error),
-    /// A late response to an earlier attempt on a reused connection; a line without an id may be one, too.
+    /// The line belongs to a late response to an earlier attempt on a reused connection, or may do so because it has
+    /// no id.
     #[error("the event names another request or none")]
     OtherRequest,
     /// A request completed without a result.
@@ -98,9 +99,9 @@
     text.into()
 }
 
-/// The state of an attempt, as its executor reports it on request.
+/// The status of an attempt, as its executor reports it in reply to a fence request.
 #[derive(Debug, PartialEq)]
-pub enum AttemptFate {
+pub enum AttemptStatus {
     /// It has not run, and the executor will refuse it.
     NeverRan,
     /// It is running.
@@ -112,22 +113,22 @@
 }
 
 #[derive(Deserialize)]
-struct FateBody {
+struct AttemptStatusBody {
     state: String,
     result: Option<String>,
 }
 
-/// Parses the response to a fence request; none if it is not one.
-pub fn parse_attempt_fate(head: &ResponseHead, body: &[u8]) -> Option<AttemptFate> {
+/// Parses the response to a fence request; none if it is not a valid response to one.
+pub fn parse_attempt_status(head: &ResponseHead, body: &[u8]) -> Option<AttemptStatus> {
     if head.status != 200 {
         return None;
     }
-    let fate: FateBody = serde_json::from_slice(body).ok()?;
-    match fate.state.as_str() {
-        "never" => Some(AttemptFate::NeverRan),
-        "running" => Some(AttemptFate::Running),
-        "done" => fate.result.map(|result| AttemptFate::Completed(result.into())),
+    let status: AttemptStatusBody = serde_json::from_slice(body).ok()?;
+    match status.state.as_str() {
+        "never" => Some(AttemptStatus::NeverRan),
+        "running" => Some(AttemptStatus::Running),
+        "done" => status.result.map(|result| AttemptStatus::Completed(result.into())),
         // The safe interpretation of a state that this version does not know.
-        _ => Some(AttemptFate::Unknown),
+        _ => Some(AttemptStatus::Unknown),
     }
 }
--- a/crates/daemon/src/protocol/codec.rs
+++ b/crates/daemon/src/protocol/codec.rs
@@ -1,4 +1,4 @@
-//! The settings' names for the ids of the dispatcher, and what the settings say of the wire.
+//! Maps names in the settings to ids of the dispatcher, and holds the settings that affect messages.
 use super::names;
 use crate::in_flight::ClientRequest;
 use serde_json::{Map, Value};
@@ -57,17 +57,18 @@
         deadlines.max().unwrap_or_default()
     }
 
-    /// What running a request of this class twice does; none if the class is unknown.
+    /// The effect of requests of this class, which determines whether they may run twice; none if the class is
+    /// unknown.
     pub fn effect(&self, class: RequestClassId) -> Option<Effect> {
         self.class_effects.get(class.0 as usize).copied()
     }
 
-    /// Whether an attempt of this class may be cancelled once nobody waits for its request.
+    /// Whether an attempt of this class may be cancelled once its request is closed.
     pub fn is_cancellable(&self, class: RequestClassId) -> bool {
         self.is_cancel_enabled && self.effect(class) == Some(Effect::Idempotent)
     }
 
-    /// Attempts that a new request may have.
+    /// Upper bound on the attempts of a new request.
     pub fn max_attempts(&self) -> usize {
         self.max_attempts
     }
--- a/crates/daemon/src/protocol/current.rs
+++ b/crates/daemon/src/protocol/current.rs
@@ -1,8 +1,8 @@
-//! A value that is replaced while it is in use.
+//! A shared value that a reload replaces while readers hold the previous one.
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The value in force of something that a reload replaces. Readers keep the value that they loaded.
+/// Holds the value in force of something that a reload replaces. Readers keep the value that they loaded.
 pub struct Current<T>(RefCell<Rc<T>>);
 
 impl<T> Current<T> {
--- a/crates/daemon/src/protocol/dispatch.rs
+++ b/crates/daemon/src/protocol/dispatch.rs
@@ -9,24 +9,23 @@
 use troutknot::Millis;
 use troutknot_ledger::Fence;
 
-/// Capacity that the head of most dispatched requests fits into, beyond the forwarded fields, in bytes.
+/// Initial capacity of a dispatched request's head in bytes, besides the forwarded fields.
 const DISPATCH_HEAD_CAPACITY: usize = 256;
 
-/// Capacity that most fence requests fit into, in bytes.
+/// Initial capacity of a fence request in bytes, enough for common requests.
 const FENCE_REQUEST_CAPACITY: usize = 192;
 
-/// What an executor receives of a recorded attempt's lease.
+/// The part of a recorded attempt's lease that is sent to the executor.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LeaseFields {
     /// Orders the attempts of one request.
     pub fence: Fence,
-    /// How long the executor may send no event; none if the lease does not expire.
+    /// Time without an event, in milliseconds, after which the lease expires; none if it does not expire.
     pub duration: Option<Millis>,
 }
 
 impl Codec {
-    /// The head that dispatches a request to an executor. The executor is told how long this node waits for its
-    /// response.
+    /// The head that dispatches a request to an executor. It states how long this node waits for the response.
     pub fn dispatch_head(
         &self,
         request: &ClientRequest,
--- a/crates/daemon/src/protocol/endpoint_list.rs
+++ b/crates/daemon/src/protocol/endpoint_list.rs
@@ -12,7 +12,7 @@
 pub struct EndpointList {
     /// Grows with each change.
     pub version: u64,
-    /// Whether this is a complete list rather than the changes since the version before.
+    /// Whether this is a complete list rather than the changes since the previous version.
     #[serde(default, rename = "full")]
     pub is_snapshot: bool,
     /// The executors, or those of them that changed.
@@ -51,7 +51,7 @@
 }
 
 impl EndpointEntry {
-    /// An executor that is not listed, of which only the name is known.
+    /// The entry of an executor that is not listed and has nothing but a name.
     pub fn gone(id: &str) -> Self {
         EndpointEntry {
             id: id.into(),
@@ -115,5 +115,5 @@
 /// The id of a name: the first id if no name is given, and one that no name has if the settings do not list it.
 fn id_of(name: Option<&str>, names: &[String]) -> u32 {
     let Some(name) = name else { return 0 };
-    names.iter().position(|known| known == name).map_or(u32::MAX, |id| id as u32)
+    names.iter().position(|candidate| candidate == name).map_or(u32::MAX, |id| id as u32)
 }
--- a/crates/daemon/src/protocol/load_report.rs
+++ b/crates/daemon/src/protocol/load_report.rs
@@ -12,7 +12,8 @@
         format!("GET {} HTTP/1.1\r\nHost: {executor}\r\n\r\n", self.probe_path)
     }
 
-    /// The load report of a probe's response: its body if that has `name=value` pairs, else a header field.
+    /// The load report of a probe's response: from its body if that has `name=value` pairs, otherwise from the
+    /// `Server-Load` field.
     pub fn load_report(&self, head: &ResponseHead, body: &[u8]) -> LoadReport {
         let in_body = std::str::from_utf8(body).ok().filter(|text| text.contains('='));
         let in_field = head.headers.single(names::SERVER_LOAD).ok().flatten();
--- a/crates/daemon/src/protocol/mod.rs
+++ b/crates/daemon/src/protocol/mod.rs
@@ -1,5 +1,5 @@
 //! The protocol with clients, executors and discovery: its names on the wire, and how its messages map to the
-//! types of the dispatcher. No other module of the node knows these names.
+//! types of the dispatcher. No other module of the node contains these names.
 mod attempt_events;
 mod codec;
 mod current;
@@ -11,8 +11,8 @@
 mod response;
 
 pub use attempt_events::{
-    AttemptEvent, AttemptFate, EventError, next_line, outcome_of_head, parse_attempt_event,
-    parse_attempt_fate,
+    AttemptEvent, AttemptStatus, EventError, next_line, outcome_of_head, parse_attempt_event,
+    parse_attempt_status,
 };
 pub use codec::Codec;
 pub use current::Current;
--- a/crates/daemon/src/protocol/names.rs
+++ b/crates/daemon/src/protocol/names.rs
@@ -2,7 +2,7 @@
 
 /// Id that the client gives a request.
 pub(super) const REQUEST_ID: &str = "Request-Id";
-/// Class of a request; must agree with its path.
+/// Class of a request; must match the class in its path.
 pub(super) const REQUEST_CLASS: &str = "Request-Class";
 /// Tenant that a request is charged to.
 pub(super) const TENANT: &str = "Tenant";
@@ -16,7 +16,8 @@
 pub(super) const SERVER_LOAD: &str = "Server-Load";
 /// `1` if the executor has not started the request.
 pub(super) const NOT_STARTED: &str = "Not-Started";
-/// Fence of an attempt; an executor refuses attempts of a request with a lower fence than one it knows.
+/// Fence of an attempt; an executor refuses an attempt whose fence is lower than one it has received for the same
+/// request.
 pub(super) const FENCE: &str = "Work-Fence";
 /// Milliseconds since the attempt was recorded.
 pub(super) const FENCE_AGE: &str = "Work-Fence-Age";
--- a/crates/daemon/src/protocol/request.rs
+++ b/crates/daemon/src/protocol/request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients.
+//! Parsing and validation of clients' requests.
 use super::codec::Codec;
 use super::names;
 use crate::http1::{RequestHead, put_field};
@@ -37,7 +37,7 @@
     /// Any method but POST.
     #[error("requests are submitted by POST")]
     MethodNotAllowed,
-    /// The id is missing, too long or not printable.
+    /// The id is missing, longer than 64 bytes or not printable.
     #[error("field `Request-Id` must have 1 to 64 printable ASCII characters")]
     InvalidRequestId,
     /// The tenant is not one of the settings.
@@ -71,7 +71,7 @@
     }
 }
 
-/// A request as its head describes it.
+/// A request that was parsed from its head, and its timeout.
 pub struct RequestWithTimeout {
     /// The request, with an empty body.
     pub request: ClientRequest,
@@ -93,7 +93,7 @@
     pub fn parse_request(&self, head: &RequestHead) -> Result<RequestWithTimeout, RequestError> {
         let class_name = first_path_segment(&head.target)?;
         let class = *self.current_classes.get(class_name).ok_or(RequestError::UnknownPath)?;
-        if field(head, names::REQUEST_CLASS)?.is_some_and(|stated| stated != class_name) {
+        if field(head, names::REQUEST_CLASS)?.is_some_and(|class| class != class_name) {
             return Err(RequestError::ClassMismatch);
         }
         if head.method != "POST" {
@@ -186,7 +186,7 @@
     Ok(resources)
 }
 
-/// The header lines that executors receive as they are.
+/// The header lines that are forwarded to executors unchanged.
 fn forwarded_fields(id: &str, head: &RequestHead) -> Bytes {
     let mut fields = BytesMut::new();
     put_field(&mut fields, names::REQUEST_ID, id);
--- a/crates/daemon/src/protocol/response.rs
+++ b/crates/daemon/src/protocol/response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients.
+//! Maps final answers to responses to clients.
 use super::codec::Codec;
 use super::names;
 use crate::http1::Field;
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -138,10 +138,10 @@
         lease.map_or(Recording::Refused, Recording::Recorded)
     }
 
-    /// Whether the reasons for the dispatch no longer hold.
+    /// Whether the dispatch may no longer be carried out, because the state that it was decided on has changed.
     fn is_outdated(&self, now: Instant) -> bool {
         let limits = &self.pool.limits;
-        // After a stall of the process, events may be queued that rule this dispatch out.
+        // After a stall of the process, queued events may already invalidate this dispatch.
         let has_stalled =
             now - self.order.decided_at > limits.timeouts().connect_timeout + limits.stall_threshold;
         // The warm-up budget that was charged belongs to an earlier incarnation of the executor.
@@ -154,7 +154,7 @@
     }
 
     /// Writes the request; false if its last byte was not written, for an error or because it may no longer be
-    /// sent. An executor that reads slowly can delay that byte for as long as it likes.
+    /// sent. An executor that reads slowly can delay that byte indefinitely.
     async fn send(
         &self,
         connection: &mut PooledConnection,
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Completes when the attempt is cancelled, the request is over, or the executor is closed to requests.
+    /// Completes when the attempt is cancelled, the request is closed, or the executor's gate is closed.
     async fn withdrawn(&self) {
         tokio::select! {
             biased;
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Completes when nobody waits for the request any more, if attempts of its class may be cancelled then.
+    /// Completes when the request is closed, if attempts of its class may be cancelled then.
     async fn abandoned(&self) {
         let in_flight = &self.order.in_flight;
         if self.pool.codec.load().is_cancellable(in_flight.request.class) {
@@ -254,7 +254,7 @@
     }
 }
 
-/// Completes when the executor of a recorded attempt has sent no sign of life for the lease's duration.
+/// Completes when the executor of a recorded attempt has sent no event for the lease's duration.
 async fn lease_expired(lease: Option<&Lease>) {
     match lease {
         Some(lease) => lease.expired().await,
--- a/crates/daemon/src/upstream/attempt_status.rs
+++ b/crates/daemon/src/upstream/attempt_status.rs
@@ -1,9 +1,9 @@
-//! Asks an executor what became of a recorded attempt whose outcome is unknown.
+//! Queries an executor for the status of a recorded attempt whose outcome is unknown.
 use super::executor::{Executor, IdleReuse};
 use super::pool::ExecutorPool;
 use crate::durable::Lease;
 use crate::in_flight::{Answer, InFlightRequest};
-use crate::protocol::{self, AttemptFate};
+use crate::protocol::{self, AttemptStatus};
 use bytes::BytesMut;
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout};
@@ -22,29 +22,30 @@
 
 impl AttemptStatusQuery<'_> {
     /// Repeats the query until the executor reports a final state. None if the executor does not support fences
-    /// or does not know the attempt, or if the request is over first. An expired lease proves nothing.
+    /// or does not recognize the attempt, or if the request is closed first. An expired lease does not prove that the
+    /// attempt has ended.
     pub async fn resolve(&self) -> Option<Outcome> {
         if !self.lease.has_fencing() {
             return None;
         }
         loop {
             let probe_timeout = self.pool.limits.timeouts().probe_timeout;
-            let fate = tokio::select! {
+            let status = tokio::select! {
                 biased;
                 () = self.in_flight.closed() => return None,
                 () = sleep_until(self.in_flight.deadline) => return None,
-                fate = timeout(probe_timeout, self.query()) => fate.ok().flatten(),
+                status = timeout(probe_timeout, self.query()) => status.ok().flatten(),
             };
-            match fate {
-                Some(AttemptFate::NeverRan) if self.lease.record_fenced() => {
+            match status {
+                Some(AttemptStatus::NeverRan) if self.lease.record_fenced() => {
                     return Some(Outcome::NoConnection);
                 }
-                Some(AttemptFate::Completed(result)) => {
+                Some(AttemptStatus::Completed(result)) => {
                     self.in_flight.answer(Answer::Completed(result));
                     return Some(Outcome::Completed);
                 }
-                Some(AttemptFate::NeverRan | AttemptFate::Unknown) => return None,
-                Some(AttemptFate::Running) | None => {}
+                Some(AttemptStatus::NeverRan | AttemptStatus::Unknown) => return None,
+                Some(AttemptStatus::Running) | None => {}
             }
             tokio::select! {
                 () = self.in_flight.closed() => return None,
@@ -53,8 +54,8 @@
         }
     }
 
-    /// One query; none if the executor cannot be reached or its response is not understood.
-    async fn query(&self) -> Option<AttemptFate> {
+    /// Sends one query; none if the executor cannot be reached or its response is not valid.
+    async fn query(&self) -> Option<AttemptStatus> {
         let limits = &self.pool.limits;
         let connection =
             self.pool.connect(self.executor, limits.upstream.max_connections, IdleReuse::Any).await;
@@ -69,10 +70,10 @@
         let mut head = connection.read_response_head().await.ok()?;
         let mut body = BytesMut::new();
         connection.read_body(&mut head.body, &mut body, self.pool.max_response_bytes()).await.ok()?;
-        let fate = protocol::parse_attempt_fate(&head, &body);
+        let status = protocol::parse_attempt_status(&head, &body);
         if head.keep_alive {
             self.pool.put_back(self.executor, connection);
         }
-        fate
+        status
     }
 }
--- a/crates/daemon/src/upstream/connection.rs
+++ b/crates/daemon/src/upstream/connection.rs
@@ -12,7 +12,7 @@
 pub(super) struct ConnectionCounter(Rc<Cell<usize>>);
 
 impl ConnectionCounter {
-    /// The present count.
+    /// The current count.
     pub fn get(&self) -> usize {
         self.0.get()
     }
--- a/crates/daemon/src/upstream/dispatch.rs
+++ b/crates/daemon/src/upstream/dispatch.rs
@@ -1,4 +1,4 @@
-//! The order by which the driver has an attempt carried out.
+//! The driver's order to carry out an attempt.
 use crate::in_flight::{CancelSignal, InFlightRequest};
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -12,7 +12,7 @@
     pub executor: ExecutorId,
     /// The executor's name in the endpoint list; set if the attempt is recorded in the ledger.
     pub executor_name: Option<String>,
-    /// Counts the attempts of the request.
+    /// Number of this attempt among those of the request.
     pub attempt_id: AttemptId,
     /// When the driver decided the dispatch.
     pub decided_at: Instant,
--- a/crates/daemon/src/upstream/executor.rs
+++ b/crates/daemon/src/upstream/executor.rs
@@ -1,4 +1,4 @@
-//! What the pool knows of one executor: its endpoint, whether it may be sent requests, its idle connections.
+//! The pool's state of one executor: its endpoint, whether it may be sent requests, and its idle connections.
 use super::connection::PooledConnection;
 use super::gate::DispatchGate;
 use crate::config::limits::Limits;
@@ -8,11 +8,11 @@
 use tokio::time::Instant;
 use troutknot::Millis;
 
-/// What the endpoint list says of one executor.
+/// The fields of an endpoint list entry that the pool uses.
 pub struct ExecutorEndpoint {
     /// None if the list gives no usable address.
     pub address: Option<SocketAddr>,
-    /// When the executor started, if the list says so.
+    /// When the executor started, if the list states it.
     pub started_at: Option<Millis>,
     /// Whether it takes requests; an executor that drains or is gone does not.
     pub is_ready: bool,
@@ -29,7 +29,7 @@
 }
 
 impl Executor {
-    /// Takes over what the list says now. A new start or address begins a new incarnation. An executor that is
+    /// Applies an update of the endpoint list. A new start or address begins a new incarnation. An executor that is
     /// not ready is sent nothing more after `dispatch_grace`.
     pub fn set_endpoint(&self, endpoint: ExecutorEndpoint, dispatch_grace: Duration) {
         let has_moved = endpoint.address.is_some() && endpoint.address != self.address.get();
@@ -51,7 +51,7 @@
         self.address.get()
     }
 
-    /// Counts the executor's starts and moves.
+    /// The number of starts and address changes of the executor so far.
     pub fn incarnation(&self) -> u64 {
         self.incarnation.get()
     }
@@ -65,13 +65,13 @@
 /// Which idle connections may be used for a new message.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum IdleReuse {
-    /// Each one.
+    /// Any idle connection.
     Any,
-    /// Only one on which no duplicate response to its previous attempt can arrive any more.
+    /// Only connections on which a duplicate response to the previous attempt can no longer arrive.
     WithoutLateResponse,
 }
 
-/// Connections that wait for their next message, the one that is idle the longest first.
+/// Connections without a message in progress, ordered by how long they have been idle, longest first.
 #[derive(Default)]
 pub(super) struct IdleConnections(RefCell<Vec<IdleConnection>>);
 
@@ -81,7 +81,7 @@
 }
 
 impl IdleConnection {
-    /// An executor may close a connection that is idle for longer, while a request is sent on it.
+    /// A connection that has been idle for longer may be closed by the executor while a request is sent on it.
     fn is_usable(&self, limits: &Limits) -> bool {
         self.since.elapsed() < limits.timeouts().max_pooled_idle && self.connection.is_quiet()
     }
@@ -109,17 +109,17 @@
         self.0.borrow_mut().retain(|idle| idle.is_usable(limits));
     }
 
-    /// Closes all of them.
+    /// Closes all idle connections.
     pub fn clear(&self) {
         self.0.borrow_mut().clear();
     }
 
-    /// Since when the longest idle one is idle.
+    /// When the connection that has been idle the longest became idle.
     pub fn oldest_since(&self) -> Option<Instant> {
         self.0.borrow().first().map(|idle| idle.since)
     }
 
-    /// Closes the longest idle one, if there is any.
+    /// Closes the connection that has been idle the longest, if there is one.
     pub fn close_oldest(&self) {
         let mut idle = self.0.borrow_mut();
         if !idle.is_empty() {
--- a/crates/daemon/src/upstream/gate.rs
+++ b/crates/daemon/src/upstream/gate.rs
@@ -1,4 +1,5 @@
-//! Whether an executor may be sent requests. It closes some time after the executor began to drain.
+//! A gate that decides whether an executor may be sent requests. It closes some time after the executor starts to
+//! drain.
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -12,19 +13,19 @@
 }
 
 impl DispatchGate {
-    /// Opens it again, or cancels a close that is yet to come.
+    /// Opens the gate again, or cancels a scheduled close.
     pub fn reopen(&self) {
         self.set(None);
     }
 
-    /// Closes it after `wait`, unless it is closed or closes already.
-    pub fn close_after(&self, wait: Duration) {
+    /// Closes the gate after `delay`, unless it is closed or a close is scheduled.
+    pub fn close_after(&self, delay: Duration) {
         if self.closes_at.get().is_none() {
-            self.set(Some(Instant::now() + wait));
+            self.set(Some(Instant::now() + delay));
         }
     }
 
-    /// Closes it at once.
+    /// Closes the gate immediately.
     pub fn close(&self) {
         self.set(Some(Instant::now()));
     }
@@ -34,12 +35,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Whether it is closed.
+    /// Whether the gate is closed.
     pub fn is_closed(&self) -> bool {
         self.closes_at.get().is_some_and(|at| Instant::now() >= at)
     }
 
-    /// Completes once it is closed.
+    /// Completes once the gate is closed.
     pub async fn closed(&self) {
         loop {
             let changed = self.changed.notified();
@@ -47,7 +48,7 @@
                 changed.await;
                 continue;
             };
-            // The executor may become ready again during the wait, and drain once more: the latest change counts.
+            // The executor may become ready again and drain once more during the delay, so the latest change applies.
             tokio::select! {
                 biased;
                 () = changed => {}
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! The upstream side of a node: pooled connections to executors, attempts and load probes.
 //!
-//! It carries out what the driver decides and reports one outcome for each attempt. The result of a request goes
-//! to its [`InFlightRequest`].
+//! It carries out the driver's decisions and reports one outcome for each attempt. The result of a request is stored
+//! in its [`InFlightRequest`].
 mod attempt;
 mod attempt_status;
 mod connection;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Finds out what became of an attempt of an earlier process and reports its outcome to the driver.
+    /// Queries the status of an attempt that an earlier process made, and reports its outcome to the driver.
     pub async fn recover_attempt(
         self: Rc<Self>,
         in_flight: Rc<InFlightRequest>,
--- a/crates/daemon/src/upstream/pool.rs
+++ b/crates/daemon/src/upstream/pool.rs
@@ -25,24 +25,24 @@
 /// How often expired connections are searched for within the idle timeout.
 const EXPIRY_CHECKS_PER_TIMEOUT: u32 = 8;
 
-/// One in this number of connections is reserved for load probes and attempt status queries.
+/// One out of this many connections is reserved for load probes and attempt status queries.
 const CONNECTIONS_PER_RESERVED: usize = 16;
 
 /// Why there is no connection to an executor.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
-    #[error("every connection that the node may have is in use")]
+    #[error("the limit on connections to executors is reached and none is idle")]
     Exhausted,
-    #[error("the endpoint list gives no address")]
+    #[error("the endpoint list has no address for the executor")]
     NoAddress,
-    #[error("connecting timed out")]
+    #[error("connection attempt timed out")]
     TimedOut,
     #[error("cannot connect")]
     Failed(#[source] io::Error),
 }
 
 impl ConnectError {
-    /// What it means for an attempt.
+    /// The outcome of an attempt that failed with this error.
     pub fn outcome(&self) -> Outcome {
         match self {
             ConnectError::Exhausted => Outcome::NotSent,
@@ -92,8 +92,8 @@
         })
     }
 
-    /// Takes over what the endpoint list says of an executor, which is registered if it is new. An executor that
-    /// is not ready is sent nothing more after the drained-dispatch grace.
+    /// Applies an endpoint list entry to its executor, which is registered if it is new. An executor that is not
+    /// ready is sent nothing more after the drained-dispatch grace.
     pub fn set_endpoint(&self, executor: ExecutorId, endpoint: ExecutorEndpoint) {
         self.executor_or_insert(executor)
             .set_endpoint(endpoint, self.limits.timeouts().drained_dispatch_grace);
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Counts the starts and moves of an executor that the endpoint list has reported; 0 if it is not registered.
+    /// The number of starts and address changes of an executor that the endpoint list has reported; 0 if the executor
+    /// is not registered.
     pub fn incarnation(&self, executor: ExecutorId) -> u64 {
         self.executor(executor).map_or(0, |executor| executor.incarnation())
     }
@@ -142,7 +143,7 @@
         self.executors.borrow().len()
     }
 
-    /// The limit on open connections past which no attempt opens another one.
+    /// The number of open connections from which on attempts open no further ones.
     pub(super) fn max_connections_for_attempts(&self) -> usize {
         let limit = self.limits.upstream.max_connections;
         limit - (limit / CONNECTIONS_PER_RESERVED).max(1)
@@ -203,7 +204,7 @@
         Ok(PooledConnection::new(connection, address, incarnation, permit))
     }
 
-    /// Closes the connection that is idle the longest, of all executors; false if none is idle.
+    /// Closes the connection that has been idle the longest across all executors; false if none is idle.
     fn close_longest_idle(&self) -> bool {
         let executors = self.executors.borrow();
         let longest_idle = executors
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Keeps a connection whose last message is complete for the next one.
+    /// Returns a connection whose last message is complete to the pool.
     pub(super) fn put_back(&self, executor: &Executor, mut connection: PooledConnection) {
         if executor.accepts(&connection) {
             connection.release_buffers();
--- a/crates/daemon/src/upstream/probe.rs
+++ b/crates/daemon/src/upstream/probe.rs
@@ -1,4 +1,4 @@
-//! Load probes: asks an executor for its load report.
+//! Load probes: requests an executor's load report.
 use super::executor::{Executor, IdleReuse};
 use super::pool::ExecutorPool;
 use crate::units::to_millis;
@@ -15,11 +15,11 @@
         None => Ok(None),
     };
     if report.is_err() {
-        // Connections to a machine that is cut off stay open without an error.
+        // Connections to a machine behind a network partition stay open without an error.
         pool.close_idle_connections(executor);
     }
     let latency = started_at.elapsed();
-    // After a stall of the process the report is out of date.
+    // After a stall of this process the report is out of date.
     if latency > probe_timeout + pool.limits.stall_threshold {
         return None;
     }
--- a/crates/daemon/src/upstream/response.rs
+++ b/crates/daemon/src/upstream/response.rs
@@ -39,12 +39,12 @@
 }
 
 impl<'a> ResponseReader<'a> {
-    /// A reader of the response to `order`; signs of life extend the lease.
+    /// A reader of the response to `order`; each event extends the lease.
     pub fn new(pool: &'a ExecutorPool, order: &'a DispatchOrder, lease: Option<&'a Lease>) -> Self {
         ResponseReader { pool, order, lease, has_started: false }
     }
 
-    /// Reads up to the outcome. The head tells how the rest of the response is framed.
+    /// Reads up to the outcome. The returned head holds the framing of the rest of the response.
     ///
     /// # Errors
     /// If the connection ends before the outcome, or the response breaks the protocol.
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Progress may be lost if the driver is behind; the outcome may not, and is not reported here.
+    /// Reports progress, which is dropped if the driver's queue is full. Outcomes must not be lost, so they are not
+    /// reported here.
     fn report(&self, event: CoreEvent) {
         let _ = self.pool.events.try_send(NodeEvent::Core(event));
     }
