--- a/crates/daemon/tests/capacity.rs
+++ b/crates/daemon/tests/capacity.rs
@@ -36,14 +36,14 @@
         let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.addr.to_string(),
             "management": management.to_string(), "seed": "8c1f30d27a5be964",
             "limits": {"memory_mb": memory_mb, "sockets": 1024}, "settings": settings(), "known": known});
-        let node = Node::start_from(config, |path| launch(path, "info"));
-        until("it is ready", || node.ask(HEALTH).0 == 200);
+        let node = Node::start_from_config(config, |path| spawn_node(path, "info"));
+        wait_until("it is ready", || node.send_request(HEALTH_CHECK).0 == 200);
         Called { node, management }
     }
 
     fn call(&self, call: &str) -> (u16, String) {
         let mut connection = std::io::BufReader::new(TcpStream::connect(self.management).unwrap());
-        let (status, (_, body)) = ask(&mut connection, call);
+        let (status, (_, body)) = send_request(&mut connection, call);
         (status, String::from_utf8(body).unwrap())
     }
 
@@ -61,7 +61,7 @@
 
     /// Once so many are listed.
     fn figures_of(&self, listed: usize) -> Figures {
-        until("the list is taken", || self.figures().listed == listed);
+        wait_until("the list is taken", || self.figures().listed == listed);
         self.figures()
     }
 
@@ -69,7 +69,10 @@
     fn serves(&self, requests: usize) {
         let mut connection = self.node.connect();
         for _ in 0..requests {
-            assert_eq!(ask(&mut connection, work("render", &new_id(), 3.0, "")).0, 200);
+            assert_eq!(
+                send_request(&mut connection, build_request("render", &next_request_id(), 3.0, "")).0,
+                200
+            );
         }
     }
 
@@ -79,8 +82,8 @@
             self.call("PUT /v1/node/activate HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n").0,
             200
         );
-        self.node.logged("admin call call=Drain(Resume) status=200");
-        let lines = std::mem::take(&mut *self.node.before.lock().unwrap());
+        self.node.wait_for_log("admin call call=Drain(Resume) status=200");
+        let lines = std::mem::take(&mut *self.node.skipped_lines.lock().unwrap());
         lines.into_iter().filter(|line| line.contains(part)).collect()
     }
 
@@ -147,11 +150,11 @@
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.addr.to_string(),
         "management": management.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"memory_mb": 16, "sockets": 1024}, "settings": settings(), "known": known});
-    let node = Node::start_from(config, |path| launch(path, "info"));
+    let node = Node::start_from_config(config, |path| spawn_node(path, "info"));
     let called = Called { node, management };
     let figures = called.figures_of(over - left);
     assert_eq!(figures, Figures { listed: over - left, kept: over - left, left_out: 0, bound });
-    assert!(discovery.asked.recv_timeout(PATIENCE).unwrap().contains("index=7"));
+    assert!(discovery.asked.recv_timeout(WAIT_TIMEOUT).unwrap().contains("index=7"));
     // The list swells over its bound by changes alone, and most of the first ones go: what is held is used up.
     let changes = |version: u64, numbers: std::ops::Range<usize>, state: &str| {
         discovery.lines.send(list(version, false, &fleet(numbers, &executor, state))).unwrap();
@@ -159,9 +162,12 @@
     let step = bound / 2;
     changes(10, over..over + step, "Ready");
     changes(11, over + step..over + 2 * step, "Ready");
-    until("there are more than are held", || called.figures().left_out > bound / 4);
+    wait_until("there are more than are held", || called.figures().left_out > bound / 4);
     changes(12, left..over, "Gone");
-    assert!(discovery.asked.recv_timeout(PATIENCE).unwrap().ends_with("?stream=1 HTTP/1.1"), "with no index");
+    assert!(
+        discovery.asked.recv_timeout(WAIT_TIMEOUT).unwrap().ends_with("?stream=1 HTTP/1.1"),
+        "with no index"
+    );
     called.serves(20);
 }
 
@@ -184,7 +190,7 @@
         ),
     ] {
         discovery.lines.send(text.clone()).unwrap();
-        called.node.logged(part);
+        called.node.wait_for_log(part);
         called.serves(3);
         assert_eq!(called.figures(), figures, "{what}");
         assert_eq!(called.lines(part), [""; 0], "{what}: it is said once");
@@ -193,7 +199,7 @@
     let mut repeated = fleet(0..10, &executor, "Ready");
     repeated.extend(fleet(0..3, &executor, "Terminating"));
     discovery.lines.send(list(20, true, &repeated)).unwrap();
-    called.node.logged("duplicate entries, the last of each counts count=3");
+    called.node.wait_for_log("duplicate entries, the last of each counts count=3");
     called.serves(3);
     assert_eq!(called.figures(), figures);
 }
@@ -234,7 +240,7 @@
     let bound = called.figures_of(1).bound;
     slow.acts.lock().unwrap().push_back(Act::Wait);
     let mut client = called.node.connect();
-    client.get_mut().write_all(work("publish", &new_id(), 10.0, "").as_bytes()).unwrap();
+    client.get_mut().write_all(build_request("publish", &next_request_id(), 10.0, "").as_bytes()).unwrap();
     slow.wait_for(1);
     let mut over = fleet(0..bound + 10, &others, "Ready");
     over.push(entry("slow", &slow, "Terminating"));
@@ -250,7 +256,7 @@
     };
     assert_eq!((suspend("slow"), suspend("never-listed")), (200, 404));
     slow.go_on.send(()).unwrap();
-    assert_eq!(answer(&mut client).0, 200, "its work is seen through");
+    assert_eq!(read_response(&mut client).0, 200, "its work is seen through");
     called.serves(20);
     assert_eq!(slow.seen.lock().unwrap().len(), 1, "and it got nothing new");
 }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by the tests that run a node as a process.
+//! Helpers for the tests that run a node as a process.
 #![allow(dead_code)]
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
@@ -11,27 +11,30 @@
 use std::time::{Duration, Instant};
 use troutknot_emulator::scripted::{Discovery, Executor, Message};
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound on each wait of a test for the node or a scripted peer.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !done() {
-        assert!(Instant::now() < end, "{what} in time");
+/// Polls a condition until it holds.
+pub fn wait_until(description: &str, mut is_met: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !is_met() {
+        assert!(Instant::now() < deadline, "timed out waiting until {description}");
         thread::yield_now();
     }
 }
 
-pub fn message(from: &mut impl BufRead) -> Option<Message> {
-    let (mut head, mut length) = (String::new(), 0);
+/// Reads one message with a `Content-Length`, after any interim responses; none if the connection ends first.
+pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
+    let (mut head, mut content_length) = (String::new(), 0);
     loop {
         let mut line = String::new();
-        if from.read_line(&mut line).ok()? == 0 {
+        if reader.read_line(&mut line).ok()? == 0 {
             return None;
         }
         if let Some((name, value)) = line.split_once(':')
             && name.eq_ignore_ascii_case("content-length")
         {
-            length = value.trim().parse().unwrap();
+            content_length = value.trim().parse().unwrap();
         }
         if line == "\r\n" && head.starts_with("HTTP/1.1 1") {
             head.clear();
@@ -41,31 +44,36 @@
             head += &line;
         }
     }
-    let mut body = vec![0; length];
-    from.read_exact(&mut body).ok()?;
+    let mut body = vec![0; content_length];
+    reader.read_exact(&mut body).ok()?;
     Some((head, body))
 }
 
+/// The value of a header field, by its name in any case.
 pub fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().filter_map(|line| line.split_once(':'));
-    lines.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
+    lines.find(|(field_name, _)| field_name.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
 }
 
+/// An entry of the endpoint list at the address of a scripted executor.
 pub fn entry(name: &str, executor: &Executor, state: &str) -> Value {
     entry_at(name, executor.addr, state)
 }
 
+/// An entry of the endpoint list.
 pub fn entry_at(name: &str, addr: SocketAddr, state: &str) -> Value {
     let addr = addr.to_string();
     json!({"id": name, "addr": addr, "zone": "z", "kind": "k", "cell": 0, "state": state})
 }
 
-pub fn list(version: u64, full: bool, entries: &[Value]) -> String {
-    json!({"version": version, "full": full, "servers": entries}).to_string()
+/// An endpoint list as discovery sends it: a snapshot, or the changes since the previous version.
+pub fn list(version: u64, is_snapshot: bool, entries: &[Value]) -> String {
+    json!({"version": version, "full": is_snapshot, "servers": entries}).to_string()
 }
 
+/// Settings with an idempotent class, `render`, and an at-most-once class, `publish`.
 pub fn settings() -> Value {
-    let of = |name: &str, effect: &str| {
+    let request_class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "key_scope": "all", "hard_limit": 30_000_000,
             "promised_turnaround": 500_000, "credit": 1.0, "window": 1_000_000})
     };
@@ -73,108 +81,134 @@
         "limits": {"max_allocations": 3, "connect_timeout": 250_000, "conn_idle": 5_000_000,
             "retry_after": true},
         "contract": {"drain_grace": 500_000}, "load_info": {"fields": ["depth", "x0"], "source": "pull"},
-        "project_types": [of("render", "safe"), of("publish", "unsafe")]})
+        "project_types": [request_class("render", "safe"), request_class("publish", "unsafe")]})
 }
 
-pub fn config_file(config: &str) -> String {
+/// Writes a file under a name that no other test uses, and returns its path.
+pub fn write_config_file(text: &str) -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = format!("{}/config-{}-{number}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-    std::fs::write(&path, config).unwrap();
+    std::fs::write(&path, text).unwrap();
     path
 }
 
-pub fn launch(path: &str, log: &str) -> Child {
-    launch_by(path, log, "")
+/// Starts a node's process with this configuration file and log filter.
+pub fn spawn_node(config_path: &str, log_filter: &str) -> Child {
+    spawn_node_with_operator_file(config_path, log_filter, "")
 }
 
-pub fn launch_by(path: &str, log: &str, own: &str) -> Child {
-    launch_with(path, log, own, |_| ())
+/// As [`spawn_node`], with an operator's file unless its path is empty.
+pub fn spawn_node_with_operator_file(config_path: &str, log_filter: &str, operator_file: &str) -> Child {
+    spawn_customized_node(config_path, log_filter, operator_file, |_| ())
 }
 
-pub fn launch_with(path: &str, log: &str, own: &str, how: impl FnOnce(&mut Command)) -> Child {
+/// As [`spawn_node_with_operator_file`], after `customize` has changed the command.
+pub fn spawn_customized_node(
+    config_path: &str,
+    log_filter: &str,
+    operator_file: &str,
+    customize: impl FnOnce(&mut Command),
+) -> Child {
     let mut program = Command::new(env!("CARGO_BIN_EXE_troutknotd"));
     program
-        .env("ROUTER_CONFIG", path)
-        .env("TROUTKNOT_FILE", own)
-        .env("TROUTKNOT_LOG", log)
+        .env("ROUTER_CONFIG", config_path)
+        .env("TROUTKNOT_FILE", operator_file)
+        .env("TROUTKNOT_LOG", log_filter)
         .stdout(Stdio::piped())
         .stderr(Stdio::piped());
-    how(&mut program);
+    customize(&mut program);
     program.spawn().unwrap()
 }
 
+/// A node's process, which is killed when this is dropped.
 pub struct Node {
     pub process: Child,
     pub addr: SocketAddr,
+    /// Lines of the log that no test has read yet.
     pub log: Receiver<String>,
-    /// Log lines that `logged` skipped.
-    pub before: Mutex<Vec<String>>,
+    /// Log lines that [`Node::wait_for_log`] read before those that it returned.
+    pub skipped_lines: Mutex<Vec<String>>,
     pub config: Value,
     pub path: String,
 }
 
 impl Node {
+    /// Starts a node with the default settings, and returns once it is ready.
     pub fn start(discovery: &Discovery) -> Self {
-        Node::start_with(discovery, (256, 64), settings(), "info")
+        Node::start_with_limits(discovery, (256, 64), settings(), "info")
     }
 
-    pub fn start_with(discovery: &Discovery, limits: (u64, u64), settings: Value, log: &str) -> Self {
-        Node::start_by(discovery.addr, limits, settings, log, Value::Null, "")
+    /// As [`Node::start_with_operator_file`], without a cached list and an operator's file.
+    pub fn start_with_limits(
+        discovery: &Discovery,
+        limits: (u64, u64),
+        settings: Value,
+        log_filter: &str,
+    ) -> Self {
+        Node::start_with_operator_file(discovery.addr, limits, settings, log_filter, Value::Null, "")
     }
 
-    /// Starts a node with a cached endpoint list, and with the operator's file unless its path is empty.
-    pub fn start_by(
+    /// Starts a node with a cached endpoint list, and with an operator's file unless its path is empty. The limits
+    /// are the number of sockets and the memory in MB. Returns once the node is ready.
+    pub fn start_with_operator_file(
         discovery: SocketAddr,
         limits: (u64, u64),
         settings: Value,
-        log: &str,
-        known: Value,
-        own: &str,
+        log_filter: &str,
+        cached_list: Value,
+        operator_file: &str,
     ) -> Self {
         let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": limits.1, "sockets": limits.0},
-            "settings": settings, "known": known});
-        let node = Node::start_from(config, |path| launch_by(path, log, own));
-        until("it is ready", || node.ask(HEALTH).0 == 200);
+            "settings": settings, "known": cached_list});
+        let node = Node::start_from_config(config, |path| {
+            spawn_node_with_operator_file(path, log_filter, operator_file)
+        });
+        wait_until("the node is ready", || node.send_request(HEALTH_CHECK).0 == 200);
         node
     }
 
     /// Starts a node with this configuration, and returns once it listens.
-    pub fn start_from(config: Value, launch: impl FnOnce(&str) -> Child) -> Self {
-        let path = config_file(&config.to_string());
-        let mut process = launch(&path);
+    pub fn start_from_config(config: Value, spawn: impl FnOnce(&str) -> Child) -> Self {
+        let path = write_config_file(&config.to_string());
+        let mut process = spawn(&path);
         // A test that does not read the log lets the pipe fill up.
-        let (send, log) = mpsc::sync_channel(64);
+        let (sender, log) = mpsc::sync_channel(64);
         let lines = BufReader::new(process.stdout.take().unwrap()).lines();
-        thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| send.send(line)));
-        let (addr, before) = (([127, 0, 0, 1], 0).into(), Mutex::default());
-        let mut node = Node { process, addr, log, before, config, path };
-        node.addr = address(&node.logged("node listening"));
+        thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
+        let (addr, skipped_lines) = (([127, 0, 0, 1], 0).into(), Mutex::default());
+        let mut node = Node { process, addr, log, skipped_lines, config, path };
+        node.addr = parse_address_field(&node.wait_for_log("node listening"));
         node
     }
 
-    pub fn logged(&self, part: &str) -> String {
-        let end = Instant::now() + PATIENCE;
+    /// Reads the log up to the next line that contains this text, and returns that line.
+    pub fn wait_for_log(&self, text: &str) -> String {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let line = self.log.recv_timeout(end - Instant::now()).expect("the log says it in time");
-            if line.contains(part) {
+            let line =
+                self.log.recv_timeout(deadline - Instant::now()).expect("the log line is written in time");
+            if line.contains(text) {
                 return line;
             }
-            self.before.lock().unwrap().push(line);
+            self.skipped_lines.lock().unwrap().push(line);
         }
     }
 
+    /// Opens a connection of a client.
     pub fn connect(&self) -> BufReader<TcpStream> {
         let stream = TcpStream::connect(self.addr).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 
-    pub fn ask(&self, request: impl AsRef<[u8]>) -> (u16, Message) {
-        ask(&mut self.connect(), request)
+    /// Sends a request on a new connection, and returns the status and the response.
+    pub fn send_request(&self, request: impl AsRef<[u8]>) -> (u16, Message) {
+        send_request(&mut self.connect(), request)
     }
 
+    /// Sends the node's process a signal.
     pub fn signal(&self, name: &str) {
         let mut kill = Command::new("kill");
         assert!(kill.args(["-s", name, &self.process.id().to_string()]).status().unwrap().success());
@@ -186,7 +220,7 @@
     }
 
     /// Replaces the configuration and sends SIGHUP.
-    pub fn reread(&self, config: &str) {
+    pub fn reload(&self, config: &str) {
         std::fs::write(&self.path, config).unwrap();
         self.signal("HUP");
     }
@@ -199,41 +233,46 @@
     }
 }
 
-/// The field `address` of a log line.
-pub fn address(line: &str) -> SocketAddr {
+/// Parses the field `address` of a log line.
+pub fn parse_address_field(line: &str) -> SocketAddr {
     let field = line.split_whitespace().find_map(|field| field.strip_prefix("address="));
     field.expect("the line has an address").parse().unwrap()
 }
 
-pub const HEALTH: &str = "GET /_health HTTP/1.1\r\nHost: n\r\n\r\n";
+/// A health check of a load balancer.
+pub const HEALTH_CHECK: &str = "GET /_health HTTP/1.1\r\nHost: n\r\n\r\n";
 
-pub fn answer(connection: &mut BufReader<TcpStream>) -> (u16, Message) {
-    let (head, body) = message(connection).expect("the node answers");
+/// Reads a response, and returns its status and the message.
+pub fn read_response(connection: &mut BufReader<TcpStream>) -> (u16, Message) {
+    let (head, body) = read_message(connection).expect("the node responds");
     (head.split(' ').nth(1).unwrap().parse().unwrap(), (head, body))
 }
 
-pub fn ask(connection: &mut BufReader<TcpStream>, request: impl AsRef<[u8]>) -> (u16, Message) {
-    // The node may answer and close before it has read the whole request.
+/// Sends a request on an open connection, and returns the status and the response.
+pub fn send_request(connection: &mut BufReader<TcpStream>, request: impl AsRef<[u8]>) -> (u16, Message) {
+    // The node may respond and close before it has read the complete request.
     let _ = connection.get_mut().write_all(request.as_ref());
-    answer(connection)
+    read_response(connection)
 }
 
-pub fn work(project_type: &str, id: &str, wait: f64, body: &str) -> String {
+/// A request of a class with this id, timeout in seconds and body.
+pub fn build_request(class: &str, id: &str, timeout: f64, body: &str) -> String {
     format!(
-        "POST /{project_type}/a?b=c HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: {id}\r\n\
-         Request-Class: {project_type}\r\nRequest-Timeout: {wait}\r\nX-Other: kept\r\n\
+        "POST /{class}/a?b=c HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: {id}\r\n\
+         Request-Class: {class}\r\nRequest-Timeout: {timeout}\r\nX-Other: kept\r\n\
          Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// A request id that no test has used yet.
-pub fn new_id() -> String {
+/// A request id that no test of this process has used yet.
+pub fn next_request_id() -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     format!("new-{}", NUMBER.fetch_add(1, Ordering::Relaxed))
 }
 
-pub fn one_executor() -> (Executor, Discovery) {
+/// Starts a scripted executor and a discovery that lists it as `s-1`.
+pub fn start_executor_and_discovery() -> (Executor, Discovery) {
     let executor = Executor::start();
     let discovery = Discovery::start(list(7, true, &[entry("s-1", &executor, "Ready")]));
     (executor, discovery)
--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -92,20 +92,20 @@
 }
 
 fn follow(own: &str) -> Node {
-    Node::start_by(nowhere(), (256, 64), settings(), "debug", Value::Null, own)
+    Node::start_with_operator_file(nowhere(), (256, 64), settings(), "debug", Value::Null, own)
 }
 
 /// How many of so many work units each executor got.
 fn used(node: &Node, times: usize, executors: &[&Executor]) -> Vec<usize> {
     for _ in 0..times {
-        assert_eq!(node.ask(work("render", &new_id(), 3.0, "")).0, 200);
+        assert_eq!(node.send_request(build_request("render", &next_request_id(), 3.0, "")).0, 200);
     }
     executors.iter().map(|e| std::mem::take(&mut *e.seen.lock().unwrap()).len()).collect()
 }
 
 fn wait_until_used(node: &Node, what: &str, executors: &[&Executor], expected: &[bool]) {
     // Enough that none which is used is missed by chance.
-    until(what, || used(node, 24, executors).iter().map(|n| *n > 0).eq(expected.iter().copied()));
+    wait_until(what, || used(node, 24, executors).iter().map(|n| *n > 0).eq(expected.iter().copied()));
 }
 
 #[test]
@@ -119,32 +119,35 @@
     // Work that is out goes on.
     one.acts.lock().unwrap().push_back(Act::Wait);
     let mut taken = node.connect();
-    taken.get_mut().write_all(work("publish", &new_id(), 30.0, "").as_bytes()).unwrap();
-    until("it goes to the one that waits", || {
+    taken.get_mut().write_all(build_request("publish", &next_request_id(), 30.0, "").as_bytes()).unwrap();
+    wait_until("it goes to the one that waits", || {
         taken.get_ref().set_nonblocking(true).unwrap();
         let answered = taken.get_ref().peek(&mut [0]).is_ok_and(|n| n > 0);
         taken.get_ref().set_nonblocking(false).unwrap();
         if answered {
             // It went to another; then one more is sent.
-            assert_eq!(answer(&mut taken).0, 200);
-            taken.get_mut().write_all(work("publish", &new_id(), 30.0, "").as_bytes()).unwrap();
+            assert_eq!(read_response(&mut taken).0, 200);
+            taken
+                .get_mut()
+                .write_all(build_request("publish", &next_request_id(), 30.0, "").as_bytes())
+                .unwrap();
         }
         !one.seen.lock().unwrap().is_empty()
     });
     standins.set("s0", Status::Critical);
     wait_until_used(&node, "the failing one is left out", &all, &[false, true, true]);
     one.go_on.send(()).unwrap();
-    assert_eq!(answer(&mut taken).0, 200, "what was out is answered");
+    assert_eq!(read_response(&mut taken).0, 200, "what was out is answered");
     standins.set("s1", Status::Maintenance);
     wait_until_used(&node, "so is the maintained one", &all, &[false, false, true]);
     standins.set("s1", Status::Warning);
     standins.with(|cluster, _| cluster.deregister("box", "s2"));
     wait_until_used(&node, "and the deregistered one", &all, &[false, true, false]);
-    let said = node.ask(HEALTH).1;
+    let said = node.send_request(HEALTH_CHECK).1;
     assert!(String::from_utf8_lossy(&said.1).contains("list from consul: 2 listed"), "{said:?}");
     // A change that comes while the node ends.
     node.terminate();
-    node.logged("shutdown requested");
+    node.wait_for_log("shutdown requested");
     standins.set("s0", Status::Passing);
     assert!(node.process.wait().unwrap().success());
 }
@@ -167,12 +170,12 @@
                 let node = follow(&own_file(None, &standins.agents, ""));
                 wait_until_used(&node, "both are used", &[&one, &two], &[true, true]);
                 standins.script(0, wrong);
-                let line = node.logged("consul query failed, keeping the last list service=box");
+                let line = node.wait_for_log("consul query failed, keeping the last list service=box");
                 assert!(line.contains(said) && line.contains("count=2"), "{wrong:?}: {line}");
                 wait_until_used(&node, "both are used still", &[&one, &two], &[true, true]);
                 standins.set("s0", Status::Critical);
                 standins.script(0, Fault::None);
-                node.logged("consul query recovered service=box");
+                node.wait_for_log("consul query recovered service=box");
                 wait_until_used(&node, "what it missed counts", &[&one, &two], &[false, true]);
             });
         }
@@ -190,12 +193,12 @@
     (0..2).for_each(|agent| standins.script(agent, Fault::Empty));
     // A new index, so that those that wait are answered.
     standins.set("s0", Status::Passing);
-    let line = node.logged("too many executors missing in consul");
+    let line = node.wait_for_log("too many executors missing in consul");
     assert!(line.contains("they stay listed missing=2 count=2"), "{line}");
     assert_eq!(used(&node, 20, &all).iter().sum::<usize>(), 20, "the rest is served by");
     (0..2).for_each(|agent| standins.script(agent, Fault::None));
     standins.set("s0", Status::Passing);
-    node.logged("no executor missing in consul stays listed");
+    node.wait_for_log("no executor missing in consul stays listed");
 }
 
 #[test]
@@ -211,9 +214,9 @@
     wait_until_used(&node, "the first agent says so", &all, &[false, true]);
     // The first one fails, the second shows the cluster as it was.
     standins.script(0, Fault::Status500);
-    node.logged("is behind index");
+    node.wait_for_log("is behind index");
     assert_eq!(used(&node, 30, &all), [0, 30], "an older view brings nothing back");
-    until("the third is asked", || {
+    wait_until("the third is asked", || {
         standins.with(|_, agents| agents[2].take_requests().iter().any(|a| a.ends_with("&stale")))
     });
     standins.set("s0", Status::Passing);
@@ -238,7 +241,7 @@
     for bad in ["agents = []", "[lists", "[lists]\nsources = [\"dns\"]"] {
         std::fs::write(&own, bad).unwrap();
         node.signal("HUP");
-        node.logged("new operator's file rejected");
+        node.wait_for_log("new operator's file rejected");
     }
     let token = format!("{own}.token");
     std::fs::write(&token, "wrong").unwrap();
@@ -246,7 +249,7 @@
     let panic = "[lists.consul.panic]\nshare = 1.0";
     own_file(Some(&own), &second.agents, &format!("token_file = \"{token}\"\n{panic}"));
     node.signal("HUP");
-    let line = node.logged("consul query failed, keeping the last list service=box");
+    let line = node.wait_for_log("consul query failed, keeping the last list service=box");
     assert!(line.contains("status 403"), "{line}");
     assert_eq!(used(&node, 5, &[&one, &two]), [5, 0], "the list is kept meanwhile");
     std::fs::write(&token, "secret\n").unwrap();
@@ -264,7 +267,7 @@
     saved["started_ms"] = json!(0);
     let known = json!({"version": 3, "full": true, "servers": [saved, entry("gone", &two, "Ready")]});
     let own = own_file(None, &standins.agents, "[lists.consul.panic]\nshare = 0.5\nspan = \"200ms\"");
-    let node = Node::start_by(nowhere(), (256, 64), settings(), "info", known, &own);
+    let node = Node::start_with_operator_file(nowhere(), (256, 64), settings(), "info", known, &own);
     wait_until_used(&node, "the list held before", &[&one, &two], &[true, true]);
     // Then Consul answers: one is the same, elsewhere now, and the other is no more.
     standins.script(0, Fault::None);
@@ -281,7 +284,8 @@
     let own = own_file(None, &standins.agents, "");
     let text = std::fs::read_to_string(&own).unwrap().replace("[\"consul\"]", "[\"platform\", \"consul\"]");
     std::fs::write(&own, text).unwrap();
-    let node = Node::start_by(discovery.addr, (256, 64), settings(), "info", Value::Null, &own);
+    let node =
+        Node::start_with_operator_file(discovery.addr, (256, 64), settings(), "info", Value::Null, &own);
     wait_until_used(&node, "both lists", &all, &[true, true]);
     let drained = list(8, false, &[entry("s0@host-s0.dc1", &two, "Terminating")]);
     discovery.lines.send(drained).unwrap();
@@ -298,7 +302,7 @@
         cluster.register_all("box", (0..2000).map(of).collect());
     });
     let own = own_file(None, &standins.agents, "");
-    let node = Node::start_by(nowhere(), (256, 48), settings(), "info", Value::Null, &own);
+    let node = Node::start_with_operator_file(nowhere(), (256, 48), settings(), "info", Value::Null, &own);
     let end = Instant::now() + Duration::from_secs(3);
     let (mut failing, mut served) = (false, 0);
     while Instant::now() < end {
@@ -310,7 +314,7 @@
             cluster.set("box", &ids, status);
         });
         for _ in 0..20 {
-            assert_eq!(node.ask(work("render", &new_id(), 3.0, "")).0, 200);
+            assert_eq!(node.send_request(build_request("render", &next_request_id(), 3.0, "")).0, 200);
             served += 1;
         }
     }
@@ -325,7 +329,7 @@
     let good = own_file(None, &[nowhere()], "");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c",
         "limits": {"memory_mb": 64, "sockets": 64}, "settings": settings()});
-    let config = config_file(&config.to_string());
+    let config = write_config_file(&config.to_string());
     let text = std::fs::read_to_string(&good).unwrap();
     for (from, to, part) in [
         ("[lists]", "[list]", "line 1: unknown field `list`, expected one of `lists`"),
@@ -343,7 +347,7 @@
     ] {
         let path = format!("{good}.bad");
         std::fs::write(&path, text.replace(from, to)).unwrap();
-        let out = launch_by(&config, "info", &path).wait_with_output().unwrap();
+        let out = spawn_node_with_operator_file(&config, "info", &path).wait_with_output().unwrap();
         let said = String::from_utf8(out.stderr).unwrap();
         assert!(!out.status.success() && said.lines().count() == 1 && said.contains(part), "{to}: {said}");
     }
@@ -366,7 +370,8 @@
         });
         let more = "[lists.consul.damping]\non = false";
         let own = own_file(None, &standins.agents, more);
-        let node = Node::start_by(nowhere(), (256, 48), settings(), "debug", Value::Null, &own);
+        let node =
+            Node::start_with_operator_file(nowhere(), (256, 48), settings(), "debug", Value::Null, &own);
         let of_process =
             |what: &str| std::fs::read_to_string(format!("/proc/{}/{what}", node.process.id())).unwrap();
         let cpu = || {
@@ -381,10 +386,10 @@
             while node.log.try_recv().is_ok() {}
             // Where the answer before is only just in, the next question is not out yet.
             let asked = Instant::now() + Duration::from_millis(80);
-            until("the next question is out", || Instant::now() > asked);
+            wait_until("the next question is out", || Instant::now() > asked);
             let start = Instant::now();
             standins.with(move |cluster, _| cluster.set("box", &["s0003"], status));
-            node.logged("consul changes sent count=1");
+            node.wait_for_log("consul changes sent count=1");
             took.push(start.elapsed().as_secs_f64() * 1000.0);
         }
         took.sort_by(f64::total_cmp);
@@ -422,6 +427,6 @@
     wait_until_used(&node, "both again", &all, &[true, true]);
     std::fs::write(&own, text).unwrap();
     node.signal("HUP");
-    node.logged("consul service no longer watched service=cart");
+    node.wait_for_log("consul service no longer watched service=cart");
     wait_until_used(&node, "the one that is left", &all, &[true, false]);
 }
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -159,9 +159,9 @@
 /// The node's answer; none where it shuts the connection unread.
 fn status(node: &Node, request: &str) -> Option<u16> {
     let mut connection = BufReader::new(TcpStream::connect(node.addr).ok()?);
-    connection.get_ref().set_read_timeout(Some(PATIENCE)).ok()?;
+    connection.get_ref().set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     connection.get_mut().write_all(request.as_bytes()).ok()?;
-    let (head, _) = message(&mut connection)?;
+    let (head, _) = read_message(&mut connection)?;
     head.split(' ').nth(1)?.parse().ok()
 }
 
@@ -177,8 +177,8 @@
 fn start_patient_node(discovery: &FailingDiscovery, settings: Value) -> Node {
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.addr.to_string(),
         "seed": PATIENT_SEED, "limits": {"memory_mb": 64, "sockets": 256}, "settings": settings});
-    let node = Node::start_from(config, |path| launch(path, "info"));
-    until("it is ready", || status(&node, HEALTH) == Some(200));
+    let node = Node::start_from_config(config, |path| spawn_node(path, "info"));
+    wait_until("it is ready", || status(&node, HEALTH_CHECK) == Some(200));
     node
 }
 
@@ -187,12 +187,15 @@
     let discovery = FailingDiscovery::start(failure, first, second);
     let node = start_patient_node(&discovery, settings);
     if failure == Refused {
-        (0..FAILED_CALLS).for_each(|_| _ = node.logged("watch of the endpoint list lost"));
+        (0..FAILED_CALLS).for_each(|_| _ = node.wait_for_log("watch of the endpoint list lost"));
         discovery.reachable.send(()).unwrap();
     }
-    let told_after = discovery.told_after.recv_timeout(2 * PATIENCE).expect("the list is asked for again");
+    let told_after =
+        discovery.told_after.recv_timeout(2 * WAIT_TIMEOUT).expect("the list is asked for again");
     assert!(told_after <= TOLD_WITHIN, "{failure:?}: {told_after:?}");
-    until("the change is in use", || status(&node, &work("render", &new_id(), 3.0, "")) == Some(200));
+    wait_until("the change is in use", || {
+        status(&node, &build_request("render", &next_request_id(), 3.0, "")) == Some(200)
+    });
 }
 
 #[test]
@@ -250,20 +253,23 @@
         let (first, second) = changes_from_nowhere_to(&executor);
         let discovery = FailingDiscovery::start(failure, first, second);
         let settings = fleet("automatic", Duration::from_millis(500));
-        let node = Node::start_by(discovery.addr, (SOCKETS, 64), settings, "info", Value::Null, "");
+        let node =
+            Node::start_with_operator_file(discovery.addr, (SOCKETS, 64), settings, "info", Value::Null, "");
         limit_descriptors(&node, SOCKETS);
         let over = AtomicBool::new(false);
         thread::scope(|all| {
             let _ends = SetAtEnd(&over);
             all.spawn(|| hold_connections(node.addr, 2 * SOCKETS as usize, &over));
             if failure == Refused {
-                (0..FAILED_CALLS).for_each(|_| _ = node.logged("watch of the endpoint list lost"));
+                (0..FAILED_CALLS).for_each(|_| _ = node.wait_for_log("watch of the endpoint list lost"));
                 discovery.reachable.send(()).unwrap();
             }
             let told_after =
-                discovery.told_after.recv_timeout(PATIENCE).expect("the list is asked for again");
+                discovery.told_after.recv_timeout(WAIT_TIMEOUT).expect("the list is asked for again");
             assert!(told_after <= TOLD_WITHIN, "{failure:?}: {told_after:?}");
-            until("it serves", || status(&node, &work("render", &new_id(), 3.0, "")) == Some(200));
+            wait_until("it serves", || {
+                status(&node, &build_request("render", &next_request_id(), 3.0, "")) == Some(200)
+            });
             let descriptors = std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count();
             assert!(descriptors <= SOCKETS as usize, "{failure:?}: {descriptors} descriptors");
         });
@@ -285,13 +291,15 @@
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.addr.to_string(),
         "seed": "8c", "limits": {"memory_mb": 512, "sockets": 256}, "settings": settings(), "known": held});
     let mut started = None;
-    let node = Node::start_from(config, |path| {
+    let node = Node::start_from_config(config, |path| {
         started = Some(Instant::now());
-        launch(path, "info")
+        spawn_node(path, "info")
     });
-    until("it is ready", || status(&node, HEALTH) == Some(200));
+    wait_until("it is ready", || status(&node, HEALTH_CHECK) == Some(200));
     let ready_after = started.unwrap().elapsed();
-    until("the list is in use", || status(&node, &work("render", &new_id(), 3.0, "")) == Some(200));
+    wait_until("the list is in use", || {
+        status(&node, &build_request("render", &next_request_id(), 3.0, "")) == Some(200)
+    });
     let served_after = started.unwrap().elapsed();
     assert!(
         served_after <= READY_WITHIN,
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -15,7 +15,7 @@
 #[test]
 fn answers_follow_from_outcomes_and_effects() {
     use Act::*;
-    let (executor, discovery) = one_executor();
+    let (executor, discovery) = start_executor_and_discovery();
     let node = Node::start(&discovery);
     let mut connection = node.connect();
     // Project type, what the executor does, the wait, status, allocations.
@@ -47,7 +47,8 @@
         executor.acts.lock().unwrap().extend(acts.iter());
         let body = format!("{k}").repeat(20_000);
         let (start, id) = (Instant::now(), format!("{k:016x}"));
-        let (got, (_, result)) = ask(&mut connection, work(project_type, &id, *wait, &body));
+        let (got, (_, result)) =
+            send_request(&mut connection, build_request(project_type, &id, *wait, &body));
         assert!(start.elapsed().as_secs_f64() < *wait, "{acts:?}: answered before its hard limit");
         let seen = std::mem::take(&mut *executor.seen.lock().unwrap());
         assert_eq!((got, seen.len()), (*status, *allocations), "{project_type} {acts:?}");
@@ -64,9 +65,9 @@
 
 #[test]
 fn bad_input_gets_its_status_and_the_node_continues() {
-    let (executor, discovery) = one_executor();
+    let (executor, discovery) = start_executor_and_discovery();
     let node = Node::start(&discovery);
-    let good = work("render", "1", 3.0, "");
+    let good = build_request("render", "1", 3.0, "");
     let large = "x".repeat(64 * 1024 + 1);
     let chunked = "Transfer-Encoding: chunked";
     for (what, request, status) in [
@@ -81,7 +82,7 @@
         ("length and coding", good.replace("Length: 0", &format!("Length: 0\r\n{chunked}")), 400),
         ("unknown coding", good.replace("Content-Length: 0", "Transfer-Encoding: gzip"), 501),
         ("odd chunk", good.replace("Content-Length: 0", chunked) + "xyz\r\n", 400),
-        ("large", work("render", "1", 3.0, &large), 413),
+        ("large", build_request("render", "1", 3.0, &large), 413),
         ("large chunk", good.replace("Content-Length: 0", chunked) + "fffffff\r\n", 413),
         ("large head", good.replace("kept", &large), 431),
         ("many headers", good.replace("kept", &"x\r\nY: y".repeat(80)), 431),
@@ -102,7 +103,7 @@
         // A good id is new each time.
         let request =
             request.replace("Request-Id: 1\r", &format!("Request-Id: {}\r", what.replace(' ', "-")));
-        let (got, (head, _)) = node.ask(&request);
+        let (got, (head, _)) = node.send_request(&request);
         assert_eq!(got, status, "{what}");
         let come_back = field(&head, "retry-after").and_then(|text| text.parse::<f64>().ok());
         assert_eq!(come_back.is_some(), status != 200, "{what}: a time to come back");
@@ -111,24 +112,32 @@
     half.get_mut().write_all(&good.as_bytes()[..40]).unwrap();
     let mut pair = node.connect();
     pair.get_mut().write_all((good.clone() + &good.replace("Id: 1", "Id: 2")).as_bytes()).unwrap();
-    assert_eq!((answer(&mut pair).0, answer(&mut pair).0), (200, 200), "one after the other");
+    assert_eq!((read_response(&mut pair).0, read_response(&mut pair).0), (200, 200), "one after the other");
     executor.acts.lock().unwrap().push_back(Act::Wait);
     let mut first = node.connect();
     let before = executor.seen.lock().unwrap().len();
-    first.get_mut().write_all(work("publish", "9", 3.0, "").as_bytes()).unwrap();
+    first.get_mut().write_all(build_request("publish", "9", 3.0, "").as_bytes()).unwrap();
     executor.wait_for(before + 1);
-    assert_eq!(node.ask(work("publish", "9", 3.0, "")).0, 409, "an id that is open is not run twice");
+    assert_eq!(
+        node.send_request(build_request("publish", "9", 3.0, "")).0,
+        409,
+        "an id that is open is not run twice"
+    );
     executor.go_on.send(()).unwrap();
-    assert_eq!(answer(&mut first).0, 200);
-    assert_eq!(node.ask(work("publish", "9", 3.0, "")).0, 409, "nor one that was taken before");
+    assert_eq!(read_response(&mut first).0, 200);
+    assert_eq!(
+        node.send_request(build_request("publish", "9", 3.0, "")).0,
+        409,
+        "nor one that was taken before"
+    );
     assert_eq!(executor.seen.lock().unwrap().len(), before + 1);
 }
 
 #[test]
 fn connections_without_a_complete_request_are_closed_in_time() {
-    let (_executor, discovery) = one_executor();
+    let (_executor, discovery) = start_executor_and_discovery();
     let node = Node::start(&discovery);
-    let good = work("render", "1", 3.0, "ab");
+    let good = build_request("render", "1", 3.0, "ab");
     let huge = good.replace("Content-Length: 2", "Content-Length: 60000000");
     // What is sent at once, what drips then without end, and the status, if one is owed.
     let cases: &[(&str, &str, &str)] = &[
@@ -166,20 +175,28 @@
 
 #[test]
 fn idle_connections_do_not_keep_other_clients_out() {
-    let (_executor, discovery) = one_executor();
-    let node = Node::start_with(&discovery, (64, 64), settings(), "info");
+    let (_executor, discovery) = start_executor_and_discovery();
+    let node = Node::start_with_limits(&discovery, (64, 64), settings(), "info");
     // Before each crowd one that works, so that it is known; then more than the node may hold.
     let mut usual = node.connect();
-    for (round, said) in ["", HEALTH, "POST /render HT"].into_iter().enumerate() {
-        assert_eq!(ask(&mut usual, work("render", &format!("a{round}"), 3.0, "")).0, 200);
+    for (round, said) in ["", HEALTH_CHECK, "POST /render HT"].into_iter().enumerate() {
+        assert_eq!(send_request(&mut usual, build_request("render", &format!("a{round}"), 3.0, "")).0, 200);
         let crowd: Vec<_> = (0..100).map(|_| node.connect()).collect();
         crowd.iter().for_each(|c| c.get_ref().write_all(said.as_bytes()).unwrap());
         let start = Instant::now();
         for k in 0..5 {
-            assert_eq!(node.ask(work("render", &format!("b{round}-{k}"), 3.0, "")).0, 200, "{said}");
+            assert_eq!(
+                node.send_request(build_request("render", &format!("b{round}-{k}"), 3.0, "")).0,
+                200,
+                "{said}"
+            );
         }
         assert!(start.elapsed() < Duration::from_secs(2), "{said}: before the crowd's own time is over");
-        assert_eq!(ask(&mut usual, work("render", &format!("c{round}"), 3.0, "")).0, 200, "{said}");
+        assert_eq!(
+            send_request(&mut usual, build_request("render", &format!("c{round}"), 3.0, "")).0,
+            200,
+            "{said}"
+        );
     }
 }
 
@@ -189,12 +206,12 @@
     let both = list(7, true, &[entry("s-1", &one, "Ready"), entry("s-2", &two, "Ready")]);
     let discovery = Discovery::start(both.clone());
     let node = Node::start(&discovery);
-    assert!(discovery.asked.recv_timeout(PATIENCE).unwrap().ends_with("?stream=1 HTTP/1.1"));
+    assert!(discovery.asked.recv_timeout(WAIT_TIMEOUT).unwrap().ends_with("?stream=1 HTTP/1.1"));
     let mut id = 0;
     let mut used = |times: usize| {
         for _ in 0..times {
             id += 1;
-            assert_eq!(node.ask(work("render", &id.to_string(), 3.0, "")).0, 200);
+            assert_eq!(node.send_request(build_request("render", &id.to_string(), 3.0, "")).0, 200);
         }
         let seen = |executor: &Executor| std::mem::take(&mut *executor.seen.lock().unwrap()).len();
         (seen(&one), seen(&two))
@@ -202,16 +219,16 @@
     discovery.lines.send(list(8, false, &[entry("s-1", &one, "Terminating")])).unwrap();
     // An older list after the drain must not bring the executor back.
     discovery.lines.send(both).unwrap();
-    node.logged("endpoint list is not new, ignored version=7");
+    node.wait_for_log("endpoint list is not new, ignored version=7");
     assert_eq!(used(20), (0, 20), "nothing to one that drains");
     for broken in ["", "{\"version\": what"] {
         discovery.lines.send(broken.into()).unwrap();
-        node.logged("watch of the endpoint list lost");
-        assert!(discovery.asked.recv_timeout(PATIENCE).unwrap().ends_with("&index=8 HTTP/1.1"));
+        node.wait_for_log("watch of the endpoint list lost");
+        assert!(discovery.asked.recv_timeout(WAIT_TIMEOUT).unwrap().ends_with("&index=8 HTTP/1.1"));
         assert_eq!(used(5), (0, 5), "the list stays in use meanwhile");
     }
     discovery.lines.send(list(9, true, &[entry("s-1", &one, "Ready")])).unwrap();
-    until("the new list is used", || used(1) == (1, 0));
+    wait_until("the new list is used", || used(1) == (1, 0));
     assert_eq!(used(20), (20, 0), "who is missing from a whole list is gone");
 }
 
@@ -221,44 +238,44 @@
     let first = Discovery::start(list(7, true, &[entry("s-1", &old, "Ready")]));
     let second = Discovery::start(list(8, false, &[entry("s-2", &new, "Ready")]));
     let mut node = Node::start(&first);
-    first.asked.recv_timeout(PATIENCE).unwrap();
+    first.asked.recv_timeout(WAIT_TIMEOUT).unwrap();
     old.acts.lock().unwrap().push_back(Act::Wait);
     let mut taken = node.connect();
-    taken.get_mut().write_all(work("publish", "1", 30.0, "").as_bytes()).unwrap();
+    taken.get_mut().write_all(build_request("publish", "1", 30.0, "").as_bytes()).unwrap();
     old.wait_for(1);
     for bad in ["", "{\"name\": 5}", &node.config.to_string().replace("render", "").replace("30000000", "0")]
     {
-        node.reread(bad);
-        node.logged("new configuration rejected");
+        node.reload(bad);
+        node.wait_for_log("new configuration rejected");
     }
     let mut config = node.config.clone();
     config["discovery"] = json!(second.addr.to_string());
     config["limits"]["sockets"] = json!(512);
     // One after the other, so that some come while the last is still being taken.
     for _ in 0..20 {
-        node.reread(&config.to_string());
+        node.reload(&config.to_string());
     }
-    assert!(node.logged("address_changed=true").ends_with(" restart_required=limits"));
+    assert!(node.wait_for_log("address_changed=true").ends_with(" restart_required=limits"));
     let asked = second.asked.recv_timeout(Duration::from_secs(4)).expect("it is asked at once");
     assert!(asked.ends_with("&index=7 HTTP/1.1"), "the list is kept: {asked}");
     second.lines.send(list(9, false, &[entry("s-1", &old, "Terminating")])).unwrap();
-    until("the new list is used", || {
-        assert_eq!(node.ask(work("render", &new_id(), 3.0, "")).0, 200);
+    wait_until("the new list is used", || {
+        assert_eq!(node.send_request(build_request("render", &next_request_id(), 3.0, "")).0, 200);
         !new.seen.lock().unwrap().is_empty()
     });
     let newest = Executor::start();
     let third = Discovery::start(list(3, true, &[entry("s-3", &newest, "Ready")]));
     config["discovery"] = json!(third.addr.to_string());
-    node.reread(&config.to_string());
-    until("a list that counts its versions anew is used", || {
-        assert_eq!(node.ask(work("render", &new_id(), 3.0, "")).0, 200);
+    node.reload(&config.to_string());
+    wait_until("a list that counts its versions anew is used", || {
+        assert_eq!(node.send_request(build_request("render", &next_request_id(), 3.0, "")).0, 200);
         !newest.seen.lock().unwrap().is_empty()
     });
     node.terminate();
-    node.logged("shutdown requested");
+    node.wait_for_log("shutdown requested");
     node.signal("HUP");
     old.go_on.send(()).unwrap();
-    assert_eq!(answer(&mut taken).0, 200, "work that was taken goes on");
+    assert_eq!(read_response(&mut taken).0, 200, "work that was taken goes on");
     assert!(node.process.wait().unwrap().success());
 }
 
@@ -270,35 +287,41 @@
     dead["addr"] = json!(nowhere.to_string());
     let discovery = Discovery::start(list(7, true, &[entry("s-1", &one, "Ready")]));
     let node = Node::start(&discovery);
-    assert_eq!(node.ask(work("publish", "1", 3.0, "")).0, 200);
+    assert_eq!(node.send_request(build_request("publish", "1", 3.0, "")).0, 200);
     one.mute.store(true, Ordering::Relaxed);
     // A silent machine may have run what it was sent over the connection that it had.
-    assert_eq!(node.ask(work("publish", "2", 0.5, "")).0, 502);
+    assert_eq!(node.send_request(build_request("publish", "2", 0.5, "")).0, 502);
     one.mute.store(false, Ordering::Relaxed);
-    until("it is back", || node.ask(work("publish", &new_id(), 3.0, "")).0 == 200);
+    wait_until("it is back", || {
+        node.send_request(build_request("publish", &next_request_id(), 3.0, "")).0 == 200
+    });
     discovery.lines.send(list(8, true, &[dead.clone()])).unwrap();
     // Nothing ever ran, so even exclusive work is deferred, and in time.
-    until("it is deferred", || node.ask(work("publish", &new_id(), 3.0, "")).0 == 503);
+    wait_until("it is deferred", || {
+        node.send_request(build_request("publish", &next_request_id(), 3.0, "")).0 == 503
+    });
     discovery.lines.send(list(9, true, &[entry("s-1", &one, "Ready"), dead])).unwrap();
-    until("it is back", || node.ask(work("publish", &new_id(), 3.0, "")).0 == 200);
+    wait_until("it is back", || {
+        node.send_request(build_request("publish", &next_request_id(), 3.0, "")).0 == 200
+    });
 }
 
 #[test]
 fn requests_of_clients_that_disconnect_are_withdrawn_and_not_dispatched_again() {
-    let (executor, discovery) = one_executor();
+    let (executor, discovery) = start_executor_and_discovery();
     let mut node = Node::start(&discovery);
     // The first act loses the work unit once the client has left: it would be sent again for one that waits.
     executor.acts.lock().unwrap().extend([Act::WaitAndLose]);
     let mut leaves = node.connect();
-    leaves.get_mut().write_all(work("render", "1", 30.0, "").as_bytes()).unwrap();
+    leaves.get_mut().write_all(build_request("render", "1", 30.0, "").as_bytes()).unwrap();
     executor.wait_for(1);
     let descriptors = || std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count();
     let with_it = descriptors();
     drop(leaves);
-    until("the node sees that the client left", || descriptors() < with_it);
+    wait_until("the node sees that the client left", || descriptors() < with_it);
     let before = executor.seen.lock().unwrap().len();
     executor.go_on.send(()).unwrap();
-    assert_eq!(node.ask(work("render", "2", 30.0, "")).0, 200);
+    assert_eq!(node.send_request(build_request("render", "2", 30.0, "")).0, 200);
     node.terminate();
     assert!(node.process.wait().unwrap().success());
     assert_eq!(executor.seen.lock().unwrap().len(), before + 1);
@@ -308,13 +331,13 @@
 #[test]
 fn the_deadline_sent_to_an_executor_is_what_the_client_has_left() {
     const SLACK: f64 = 0.15;
-    let (executor, discovery) = one_executor();
+    let (executor, discovery) = start_executor_and_discovery();
     let node = Node::start(&discovery);
     executor.acts.lock().unwrap().extend([Act::WaitAndTurnAway, Act::WaitAndTurnAway]);
     let wait = 20.0;
     let sent = Instant::now();
     let mut client = node.connect();
-    client.get_mut().write_all(work("render", &new_id(), wait, "").as_bytes()).unwrap();
+    client.get_mut().write_all(build_request("render", &next_request_id(), wait, "").as_bytes()).unwrap();
     let mut least_spent = 0.0;
     for attempt in 1..=3 {
         executor.wait_for(attempt);
@@ -323,61 +346,64 @@
         assert!(told <= wait - least_spent + SLACK, "attempt {attempt}: {told} s, {least_spent} s are spent");
         if attempt < 3 {
             let next = sent.elapsed() + Duration::from_millis(300);
-            until("time passes", || sent.elapsed() >= next);
+            wait_until("time passes", || sent.elapsed() >= next);
             least_spent = sent.elapsed().as_secs_f64();
             executor.go_on.send(()).unwrap();
         }
     }
-    assert_eq!(answer(&mut client).0, 200);
+    assert_eq!(read_response(&mut client).0, 200);
 }
 
 #[test]
 fn idempotent_attempts_of_a_client_that_left_are_cancelled() {
-    let (executor, discovery) = one_executor();
+    let (executor, discovery) = start_executor_and_discovery();
     let mut settings = settings();
     settings["limits"]["cancel"] = json!(true);
-    let node = Node::start_with(&discovery, (256, 64), settings, "info");
+    let node = Node::start_with_limits(&discovery, (256, 64), settings, "info");
     let descriptors = || std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count();
     // A connection to the executor, to be used again, and none from a client.
     let before = descriptors();
-    node.ask(work("render", &new_id(), 3.0, ""));
-    until("the client has gone", || descriptors() == before + 1);
+    node.send_request(build_request("render", &next_request_id(), 3.0, ""));
+    wait_until("the client has gone", || descriptors() == before + 1);
     for (k, (project_type, kept)) in [("render", 0), ("publish", 1)].into_iter().enumerate() {
         executor.acts.lock().unwrap().push_back(Act::Wait);
         let mut leaves = node.connect();
-        leaves.get_mut().write_all(work(project_type, &new_id(), 30.0, "").as_bytes()).unwrap();
+        leaves
+            .get_mut()
+            .write_all(build_request(project_type, &next_request_id(), 30.0, "").as_bytes())
+            .unwrap();
         executor.wait_for(k + 2);
         let with_both = descriptors();
         drop(leaves);
-        until("only what may not run again is waited for", || descriptors() == with_both - 2 + kept);
+        wait_until("only what may not run again is waited for", || descriptors() == with_both - 2 + kept);
         executor.go_on.send(()).unwrap();
     }
-    assert_eq!(node.ask(work("render", &new_id(), 30.0, "")).0, 200);
+    assert_eq!(node.send_request(build_request("render", &next_request_id(), 30.0, "")).0, 200);
 }
 
 #[test]
 fn a_graceful_shutdown_answers_open_and_late_requests() {
-    let (executor, discovery) = one_executor();
+    let (executor, discovery) = start_executor_and_discovery();
     let mut node = Node::start(&discovery);
     executor.acts.lock().unwrap().push_back(Act::Wait);
     let mut taken = node.connect();
-    taken.get_mut().write_all(work("publish", "1", 30.0, "").as_bytes()).unwrap();
+    taken.get_mut().write_all(build_request("publish", "1", 30.0, "").as_bytes()).unwrap();
     executor.wait_for(1);
     let mut idle = node.connect();
     node.terminate();
-    node.logged("shutdown requested");
-    assert_eq!(node.ask(HEALTH).0, 503, "no front takes it in");
-    assert_eq!(node.ask(work("render", "2", 3.0, "")).0, 200, "on a new connection");
+    node.wait_for_log("shutdown requested");
+    assert_eq!(node.send_request(HEALTH_CHECK).0, 503, "no front takes it in");
+    assert_eq!(node.send_request(build_request("render", "2", 3.0, "")).0, 200, "on a new connection");
     let asked = Instant::now();
     while asked.elapsed() < Duration::from_secs(2) {
         assert_eq!(
-            ask(&mut idle, work("render", &new_id(), 3.0, "")).0,
+            send_request(&mut idle, build_request("render", &next_request_id(), 3.0, "")).0,
             200,
             "on one that it had, all along"
         );
     }
     executor.go_on.send(()).unwrap();
-    assert_eq!(answer(&mut taken).0, 200, "what was taken before");
+    assert_eq!(read_response(&mut taken).0, 200, "what was taken before");
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "idle connections are closed");
     assert!(node.process.wait().unwrap().success());
 }
@@ -386,22 +412,25 @@
 fn requests_in_flight_at_the_end_of_a_shutdown_are_answered() {
     // With limits that are longer than a node has to end, and with ones that are over before it closes.
     for hard_limit in [30_000_000, 200_000] {
-        let (executor, discovery) = one_executor();
+        let (executor, discovery) = start_executor_and_discovery();
         let mut given = settings();
         for k in 0..2 {
             given["project_types"][k]["hard_limit"] = json!(hard_limit);
         }
-        let mut node = Node::start_with(&discovery, (256, 64), given, "info");
+        let mut node = Node::start_with_limits(&discovery, (256, 64), given, "info");
         executor.acts.lock().unwrap().extend([Act::Silent, Act::Silent]);
         let mut connections = ["render", "publish"].map(|project_type| {
             let mut connection = node.connect();
-            connection.get_mut().write_all(work(project_type, project_type, 60.0, "").as_bytes()).unwrap();
+            connection
+                .get_mut()
+                .write_all(build_request(project_type, project_type, 60.0, "").as_bytes())
+                .unwrap();
             connection
         });
         executor.wait_for(2);
         let asked = Instant::now();
         node.terminate();
-        let statuses = connections.each_mut().map(|connection| answer(connection).0);
+        let statuses = connections.each_mut().map(|connection| read_response(connection).0);
         assert_eq!(statuses, [503, 502], "deferred where a retry is harmless, else aborted");
         assert!(node.process.wait().unwrap().success());
         assert!(asked.elapsed() < Duration::from_millis(3700), "before it is killed");
@@ -412,12 +441,12 @@
 fn a_full_node_rejects_and_stays_within_its_limits() {
     // Descriptors and megabytes it may have, connections and the size of a body.
     for (sockets, memory_mb, count, size) in [(64, 64, 60, 0), (300, 16, 150, 60_000)] {
-        let (executor, discovery) = one_executor();
-        let node = Node::start_with(&discovery, (sockets, memory_mb), settings(), "info");
+        let (executor, discovery) = start_executor_and_discovery();
+        let node = Node::start_with_limits(&discovery, (sockets, memory_mb), settings(), "info");
         executor.acts.lock().unwrap().extend(vec![Act::Wait; count]);
         let connect_and_send = |k: usize| {
             let connection = node.connect();
-            let request = work("publish", &k.to_string(), 20.0, &"x".repeat(size));
+            let request = build_request("publish", &k.to_string(), 20.0, &"x".repeat(size));
             let mut stream = connection.get_ref().try_clone().unwrap();
             thread::spawn(move || stream.write_all(request.as_bytes()));
             connection
@@ -430,7 +459,7 @@
         (0..count).for_each(|_| executor.go_on.send(()).unwrap());
         let mut counts = BTreeMap::new();
         for connection in &mut connections {
-            *counts.entry(answer(connection).0).or_insert(0) += 1;
+            *counts.entry(read_response(connection).0).or_insert(0) += 1;
         }
         assert!(counts.keys().all(|status| [200, 503].contains(status)), "{counts:?}");
         assert!(counts[&200] >= 8 && counts[&503] >= 1, "{counts:?}");
@@ -440,18 +469,20 @@
         assert!(most <= memory_mb * 1024, "{most} kB of {memory_mb} MB");
         drop(connections);
         // It serves on once it has seen that they are gone; until then it may say that it is full.
-        until("it serves on", || node.ask(work("render", &new_id(), 3.0, "")).0 == 200);
+        wait_until("it serves on", || {
+            node.send_request(build_request("render", &next_request_id(), 3.0, "")).0 == 200
+        });
     }
 }
 
 #[test]
 fn an_unread_log_does_not_block_the_node() {
-    let (_executor, discovery) = one_executor();
-    let node = Node::start_with(&discovery, (256, 64), settings(), "debug");
+    let (_executor, discovery) = start_executor_and_discovery();
+    let node = Node::start_with_limits(&discovery, (256, 64), settings(), "debug");
     for _ in 0..3000 {
-        assert_eq!(node.ask("GET /nowhere HTTP/1.1\r\nHost: n\r\n\r\n").0, 404);
+        assert_eq!(node.send_request("GET /nowhere HTTP/1.1\r\nHost: n\r\n\r\n").0, 404);
     }
-    assert_eq!(node.ask(work("render", "1", 3.0, "")).0, 200);
+    assert_eq!(node.send_request(build_request("render", "1", 3.0, "")).0, 200);
 }
 
 #[test]
@@ -474,7 +505,7 @@
         (with("/settings/project_types/0/hard_limit", json!("long")), "wrong type"),
         (with("/settings/project_types/0/hard_limit", json!(0)), "not a positive number"),
     ] {
-        let out = launch(&config_file(&config), "info").wait_with_output().unwrap();
+        let out = spawn_node(&write_config_file(&config), "info").wait_with_output().unwrap();
         let said = String::from_utf8(out.stderr).unwrap();
         assert!(!out.status.success() && said.lines().count() == 1 && said.contains(part), "{said}");
     }
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -31,11 +31,11 @@
 impl Operated {
     fn start(discovery: &Discovery, how: impl FnOnce(&mut std::process::Command)) -> Self {
         let config = config(discovery, settings());
-        let node = Node::start_from(config, |path| launch_with(path, "info", "", how));
-        let line = node.logged("admin listening");
-        let calls = address(&line);
+        let node = Node::start_from_config(config, |path| spawn_customized_node(path, "info", "", how));
+        let line = node.wait_for_log("admin listening");
+        let calls = parse_address_field(&line);
         let operated = Operated { node, calls };
-        until("it is ready", || operated.call("GET", "/v1/readyz") == 200);
+        wait_until("it is ready", || operated.call("GET", "/v1/readyz") == 200);
         operated
     }
 
@@ -47,11 +47,11 @@
         let stream = TcpStream::connect(self.calls).unwrap();
         // A caller waits a second.
         stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
-        ask(&mut BufReader::new(stream), request).0
+        send_request(&mut BufReader::new(stream), request).0
     }
 
     fn health(&self) -> u16 {
-        self.node.ask(HEALTH).0
+        self.node.send_request(HEALTH_CHECK).0
     }
 }
 
@@ -65,7 +65,10 @@
 fn used(operated: &Operated, executors: &[Executor; 2], count: usize) -> BTreeSet<usize> {
     let mut connection = operated.node.connect();
     for _ in 0..count {
-        assert_eq!(ask(&mut connection, work("render", &new_id(), 3.0, "")).0, 200);
+        assert_eq!(
+            send_request(&mut connection, build_request("render", &next_request_id(), 3.0, "")).0,
+            200
+        );
     }
     let seen = |k: &usize| !std::mem::take(&mut *executors[*k].seen.lock().unwrap()).is_empty();
     (0..2).filter(seen).collect()
@@ -129,16 +132,16 @@
             while !done.load(Ordering::Relaxed) {
                 let Ok(stream) = TcpStream::connect(addr) else { continue };
                 let mut connection = BufReader::new(stream);
-                let request = work("render", &new_id(), 3.0, "");
+                let request = build_request("render", &next_request_id(), 3.0, "");
                 while connection.get_mut().write_all(request.as_bytes()).is_ok()
-                    && message(&mut connection).is_some_and(|(head, _)| !head.contains("close"))
+                    && read_message(&mut connection).is_some_and(|(head, _)| !head.contains("close"))
                     && worked.send(()).is_ok()
                     && !done.load(Ordering::Relaxed)
                 {}
             }
         }));
     }
-    served.recv_timeout(PATIENCE).expect("clients are served");
+    served.recv_timeout(WAIT_TIMEOUT).expect("clients are served");
     let _silent: Vec<_> = (0..40).map(|_| TcpStream::connect(operated.calls).unwrap()).collect();
     let mut slowest = Duration::ZERO;
     for (method, path) in [
@@ -169,20 +172,20 @@
     let mut config = config(&discovery, settings());
     // A connection may take longer than the grace; its first try is repeated after a second.
     config["settings"]["limits"]["connect_timeout"] = json!(10_000_000);
-    let node = Node::start_from(config, |path| launch_with(path, "debug", "", |_| ()));
-    let line = node.logged("admin listening");
-    let calls = address(&line);
+    let node = Node::start_from_config(config, |path| spawn_customized_node(path, "debug", "", |_| ()));
+    let line = node.wait_for_log("admin listening");
+    let calls = parse_address_field(&line);
     let operated = Operated { node, calls };
-    until("it is ready", || operated.call("GET", "/v1/readyz") == 200);
+    wait_until("it is ready", || operated.call("GET", "/v1/readyz") == 200);
     let mut client = operated.node.connect();
-    client.get_mut().write_all(work("render", &new_id(), 9.0, "").as_bytes()).unwrap();
-    operated.node.logged("attempt dispatched executor=s-1 attempt=0 ");
+    client.get_mut().write_all(build_request("render", &next_request_id(), 9.0, "").as_bytes()).unwrap();
+    operated.node.wait_for_log("attempt dispatched executor=s-1 attempt=0 ");
     discovery.lines.send(list(8, false, &[named("s-2", executor.addr)])).unwrap();
-    operated.node.logged("endpoint updated executor=s-2 ");
+    operated.node.wait_for_log("endpoint updated executor=s-2 ");
     assert_eq!(operated.call("PUT", "/v1/executors/s-1/suspend"), 200);
     // It was never sent, so it goes elsewhere once the grace nears its end.
-    operated.node.logged("outcome=NotSent");
-    assert_eq!(answer(&mut client).0, 200);
+    operated.node.wait_for_log("outcome=NotSent");
+    assert_eq!(read_response(&mut client).0, 200);
     assert_eq!(executor.seen.lock().unwrap().len(), 1);
     crowded.go_on.send(()).unwrap();
     let came = crowded.came.join().unwrap();
@@ -203,7 +206,8 @@
     assert_eq!(used(&operated, &executors, 30), [1].into(), "out though it is back in the list");
     assert_eq!(operated.call("PUT", "/v1/executors/s-2/suspend"), 200);
     let asked = Instant::now();
-    let (status, (head, _)) = operated.node.ask(work("render", &new_id(), 3.0, ""));
+    let (status, (head, _)) =
+        operated.node.send_request(build_request("render", &next_request_id(), 3.0, ""));
     assert_eq!(status, 503, "all are out");
     assert!(field(&head, "retry-after").is_some() && asked.elapsed() < Duration::from_secs(1), "{head}");
     assert_eq!(operated.call("PUT", "/v1/executors/s-1/resume"), 200);
@@ -216,17 +220,18 @@
     let operated = Operated::start(&discovery, |_| ());
     let (mut idle, mut busy) = (operated.node.connect(), operated.node.connect());
     for connection in [&mut idle, &mut busy] {
-        assert_eq!(ask(connection, work("render", &new_id(), 3.0, "")).0, 200);
+        assert_eq!(send_request(connection, build_request("render", &next_request_id(), 3.0, "")).0, 200);
     }
     let asked = Instant::now();
     assert_eq!(operated.call("PUT", "/v1/node/drain"), 200);
     assert_eq!(operated.call("PUT", "/v1/node/drain"), 200);
     assert_eq!((operated.health(), operated.call("GET", "/v1/readyz")), (503, 503));
-    let (status, (head, _)) = ask(&mut busy, work("render", &new_id(), 3.0, ""));
+    let (status, (head, _)) = send_request(&mut busy, build_request("render", &next_request_id(), 3.0, ""));
     assert_eq!((status, field(&head, "connection")), (200, Some("close")), "early work is served: {head}");
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "an idle connection closes");
     assert!(asked.elapsed() < Duration::from_secs(2));
-    let (status, (head, _)) = operated.node.ask(work("render", &new_id(), 3.0, ""));
+    let (status, (head, _)) =
+        operated.node.send_request(build_request("render", &next_request_id(), 3.0, ""));
     assert_eq!((status, field(&head, "connection")), (503, Some("close")), "late work is deferred: {head}");
     // Nothing keeps a connection to an empty node open.
     assert_eq!(operated.node.connect().read(&mut [0]).unwrap(), 0);
@@ -238,10 +243,14 @@
     for path in ["drain", "activate", "drain"] {
         assert_eq!(operated.call("PUT", &format!("/v1/node/{path}")), 200);
     }
-    assert_eq!(operated.node.ask(work("render", &new_id(), 3.0, "")).0, 200, "in the middle of emptying");
+    assert_eq!(
+        operated.node.send_request(build_request("render", &next_request_id(), 3.0, "")).0,
+        200,
+        "in the middle of emptying"
+    );
     operated.node.terminate();
-    operated.node.logged("shutdown requested");
-    assert!(operated.node.logged("shutdown complete").ends_with("connections=0"));
+    operated.node.wait_for_log("shutdown requested");
+    assert!(operated.node.wait_for_log("shutdown complete").ends_with("connections=0"));
 }
 
 /// Project types by name, effect and limit in seconds.
@@ -261,17 +270,17 @@
 
 #[test]
 fn new_settings_apply_to_new_requests_and_a_broken_file_changes_nothing() {
-    let (executor, discovery) = one_executor();
+    let (executor, discovery) = start_executor_and_discovery();
     let operated = Operated::start(&discovery, |_| ());
     let node = &operated.node;
     let mut config = node.config.clone();
     let retune = |config: &Value, logged: &str| {
-        node.reread(&config.to_string());
-        node.logged(logged)
+        node.reload(&config.to_string());
+        node.wait_for_log(logged)
     };
     let post = |name: &str, acts: &[Act]| {
         executor.acts.lock().unwrap().extend(acts.iter());
-        let status = node.ask(work(name, &new_id(), 3.0, "")).0;
+        let status = node.send_request(build_request(name, &next_request_id(), 3.0, "")).0;
         executor.acts.lock().unwrap().clear();
         status
     };
@@ -281,12 +290,12 @@
     executor.acts.lock().unwrap().extend([Act::WaitAndLose, Act::Lost, Act::Done]);
     let mut under_way = node.connect();
     executor.seen.lock().unwrap().clear();
-    under_way.get_mut().write_all(work("render", &new_id(), 9.0, "").as_bytes()).unwrap();
+    under_way.get_mut().write_all(build_request("render", &next_request_id(), 9.0, "").as_bytes()).unwrap();
     executor.wait_for(1);
     config["settings"] = types(&[("render", "unsafe", 20), ("thumb", "safe", 2)], 2);
     retune(&config, "settings_changed=true");
     executor.go_on.send(()).unwrap();
-    assert_eq!(answer(&mut under_way).0, 200, "it is sent three times, as when it came");
+    assert_eq!(read_response(&mut under_way).0, 200, "it is sent three times, as when it came");
     for (name, acts, status) in [
         ("render", &loses[..], 502),
         ("publish", &[][..], 404),
@@ -312,8 +321,8 @@
         assert!(line.contains(&node.path) && line.contains(said), "{line}");
         assert_eq!((post("other", &[]), post("render", &[]), post("thumb", &[])), (404, 200, 200), "{at}");
     }
-    node.reread(&good.to_string()[..500]);
-    node.logged("new configuration rejected");
+    node.reload(&good.to_string()[..500]);
+    node.wait_for_log("new configuration rejected");
     // Two files within a second: the last one holds.
     config["settings"] = types(&[("thumb", "safe", 2)], 3);
     retune(&config, "settings_changed=true");
@@ -353,12 +362,12 @@
 
     fn connect(&self) -> BufReader<TcpStream> {
         let stream = TcpStream::connect(self.socket.local_addr().unwrap()).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 
     fn post(&self, id: &str) -> u16 {
-        ask(&mut self.connect(), work("render", id, 3.0, "")).0
+        send_request(&mut self.connect(), build_request("render", id, 3.0, "")).0
     }
 
     /// The file under which processes meet.
@@ -375,7 +384,7 @@
 
 /// Which executors get work over connections of their own.
 fn used_by(platform: &Platform, executors: &[Executor; 2]) -> BTreeSet<usize> {
-    (0..30).for_each(|_| assert_eq!(platform.post(&new_id()), 200));
+    (0..30).for_each(|_| assert_eq!(platform.post(&next_request_id()), 200));
     let seen = |k: &usize| !std::mem::take(&mut *executors[*k].seen.lock().unwrap()).is_empty();
     (0..2).filter(seen).collect()
 }
@@ -387,23 +396,23 @@
     let old = platform.start(&discovery);
     assert_eq!(old.node.addr, platform.socket.local_addr().unwrap());
     let mut kept = platform.connect();
-    assert_eq!(ask(&mut kept, work("render", &new_id(), 3.0, "")).0, 200);
+    assert_eq!(send_request(&mut kept, build_request("render", &next_request_id(), 3.0, "")).0, 200);
     // Out there when the old process is asked to end.
     executors.iter().for_each(|e| e.acts.lock().unwrap().push_back(Act::Silent));
     let mut under_way = platform.connect();
-    under_way.get_mut().write_all(work("render", &new_id(), 0.6, "").as_bytes()).unwrap();
+    under_way.get_mut().write_all(build_request("render", &next_request_id(), 0.6, "").as_bytes()).unwrap();
     let taken = || executors.iter().any(|e| e.acts.lock().unwrap().is_empty());
-    until("it is out there", taken);
+    wait_until("it is out there", taken);
     executors.iter().for_each(|e| e.acts.lock().unwrap().clear());
     let new = platform.start(&discovery);
     old.node.terminate();
-    old.node.logged("shutdown requested");
-    let (status, (head, _)) = ask(&mut kept, work("render", &new_id(), 3.0, ""));
+    old.node.wait_for_log("shutdown requested");
+    let (status, (head, _)) = send_request(&mut kept, build_request("render", &next_request_id(), 3.0, ""));
     assert_eq!((status, field(&head, "connection")), (200, Some("close")), "the old one's connection");
     used_by(&platform, &executors);
-    assert_eq!(answer(&mut under_way).0, 503, "what was under way has its answer");
+    assert_eq!(read_response(&mut under_way).0, 503, "what was under way has its answer");
     drop(under_way);
-    assert!(old.node.logged("shutdown complete").ends_with("connections=0"));
+    assert!(old.node.wait_for_log("shutdown complete").ends_with("connections=0"));
     assert_eq!(new.health(), 200);
 }
 
@@ -413,15 +422,15 @@
     let platform = Platform::new();
     let first = platform.start(&discovery);
     assert_eq!(first.call("PUT", "/v1/executors/s-1/suspend"), 200);
-    let id = new_id();
+    let id = next_request_id();
     assert_eq!(platform.post(&id), 200);
     let second = platform.start(&discovery);
-    first.node.logged("hot restart: the new process takes clients");
+    first.node.wait_for_log("hot restart: the new process takes clients");
     assert_eq!(platform.post(&id), 409, "taken by the process before");
     assert_eq!(used_by(&platform, &executors), [1].into(), "out over the upgrade");
     // Calls to either while both run.
     assert_eq!(first.call("PUT", "/v1/executors/s-2/suspend"), 200);
-    assert_eq!(platform.post(&new_id()), 503, "all are out");
+    assert_eq!(platform.post(&next_request_id()), 503, "all are out");
     assert_eq!(second.call("PUT", "/v1/executors/s-2/resume"), 200);
     assert_eq!(second.call("PUT", "/v1/executors/s-1/resume"), 200);
     assert_eq!(first.call("PUT", "/v1/executors/s-1/suspend"), 200);
@@ -431,12 +440,12 @@
     assert_eq!(first.call("PUT", "/v1/node/activate"), 200);
     assert_eq!(second.health(), 200);
     first.node.terminate();
-    assert!(first.node.logged("shutdown complete").ends_with("connections=0"));
+    assert!(first.node.wait_for_log("shutdown complete").ends_with("connections=0"));
     // The next upgrade at once, while the node is drained.
     assert_eq!(second.call("PUT", "/v1/node/drain"), 200);
     let third = platform.start(&discovery);
     second.node.terminate();
-    assert!(second.node.logged("shutdown complete").ends_with("connections=0"));
+    assert!(second.node.wait_for_log("shutdown complete").ends_with("connections=0"));
     assert_eq!(third.health(), 503, "still drained");
     assert_eq!(third.call("PUT", "/v1/node/activate"), 200);
     assert_eq!(used_by(&platform, &executors), [1].into(), "still out");
@@ -451,9 +460,9 @@
     let mut first = platform.start(&discovery);
     // The newer one dies, and the older serves on.
     let mut dies = platform.start(&discovery);
-    first.node.logged("hot restart: the new process takes clients");
+    first.node.wait_for_log("hot restart: the new process takes clients");
     dies.node.process.kill().unwrap();
-    first.node.logged("hot restart: the new process has ended, this process continues");
+    first.node.wait_for_log("hot restart: the new process has ended, this process continues");
     used_by(&platform, &executors);
     assert_eq!(first.call("PUT", "/v1/executors/s-1/suspend"), 200, "nobody else is waited for");
     // The older one dies, and the newer has all it was told; then so has the next one.
@@ -461,12 +470,12 @@
     first.node.process.kill().unwrap();
     first.node.process.wait().unwrap();
     assert_eq!(used_by(&platform, &executors), [1].into());
-    until("it waits for a next", || {
+    wait_until("it waits for a next", || {
         platform.meeting_place().is_some_and(|at| UnixStream::connect(at).is_ok())
     });
     let third = platform.start(&discovery);
     second.node.terminate();
-    assert!(second.node.logged("shutdown complete").ends_with("connections=0"));
+    assert!(second.node.wait_for_log("shutdown complete").ends_with("connections=0"));
     assert_eq!(used_by(&platform, &executors), [1].into());
     assert_eq!(third.health(), 200);
 }
@@ -502,26 +511,30 @@
 
 fn used_by_a_start(platform: &Platform, discovery: &Discovery, executors: &[Executor; 2], logged: &str) {
     let fd = platform.socket.try_clone().unwrap().into();
-    let node = Node::start_from(config(discovery, settings()), |path| {
-        launch_with(path, "info", "", |program| {
+    let node = Node::start_from_config(config(discovery, settings()), |path| {
+        spawn_customized_node(path, "info", "", |program| {
             program.env("ROUTER_PASSED_SOCKET", "5").env("TMPDIR", &platform.folder);
             program.fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: 5 }]).unwrap();
         })
     });
-    let before = node.before.lock().unwrap().join("\n");
+    let before = node.skipped_lines.lock().unwrap().join("\n");
     assert!(before.contains(logged), "{before}");
     assert_eq!(used_by(platform, executors), [0, 1].into());
 }
 
 #[test]
 fn one_process_at_a_time_has_the_ledger_open() {
-    let (executor, discovery) = one_executor();
+    let (executor, discovery) = start_executor_and_discovery();
     let platform = Platform::new();
     let file = |end: &str| format!("{}.{end}", platform.folder.display());
     let (own, ledger) = (file("toml"), file("ledger"));
     std::fs::write(&own, format!("[durable]\npath = \"{ledger}\"\n")).unwrap();
     let keyed = |key: &str| {
-        work("publish", &new_id(), 9.0, "b").replacen("X-Other: kept", &format!("Idempotency-Key: {key}"), 1)
+        build_request("publish", &next_request_id(), 9.0, "b").replacen(
+            "X-Other: kept",
+            &format!("Idempotency-Key: {key}"),
+            1,
+        )
     };
     let old = platform.start_by(&discovery, &own);
     executor.acts.lock().unwrap().push_back(Act::Wait);
@@ -529,18 +542,20 @@
     under_way.get_mut().write_all(keyed("k1").as_bytes()).unwrap();
     executor.wait_for(1);
     let new = platform.start_by(&discovery, &own);
-    old.node.logged("hot restart: the new process takes clients");
-    assert_eq!(ask(&mut platform.connect(), keyed("k1")).0, 503, "it is open in the process before");
-    assert_eq!(ask(&mut platform.connect(), keyed("k2")).0, 503);
-    assert_eq!(platform.post(&new_id()), 200, "other work is served");
+    old.node.wait_for_log("hot restart: the new process takes clients");
+    assert_eq!(send_request(&mut platform.connect(), keyed("k1")).0, 503, "it is open in the process before");
+    assert_eq!(send_request(&mut platform.connect(), keyed("k2")).0, 503);
+    assert_eq!(platform.post(&next_request_id()), 200, "other work is served");
     old.node.terminate();
-    old.node.logged("shutdown requested");
+    old.node.wait_for_log("shutdown requested");
     executor.go_on.send(()).unwrap();
-    assert_eq!(answer(&mut under_way).0, 200);
+    assert_eq!(read_response(&mut under_way).0, 200);
     drop(under_way);
-    assert!(old.node.logged("shutdown complete").ends_with("connections=0"));
-    until("the new process has the ledger", || ask(&mut platform.connect(), keyed("k1")).0 == 200);
-    assert_eq!(ask(&mut platform.connect(), keyed("k2")).0, 200);
+    assert!(old.node.wait_for_log("shutdown complete").ends_with("connections=0"));
+    wait_until("the new process has the ledger", || {
+        send_request(&mut platform.connect(), keyed("k1")).0 == 200
+    });
+    assert_eq!(send_request(&mut platform.connect(), keyed("k2")).0, 200);
     assert_eq!(executor.seen.lock().unwrap().len(), 3, "each ran once");
     drop(new);
     [own, ledger].iter().for_each(|file| std::fs::remove_file(file).unwrap());
@@ -558,7 +573,8 @@
     let mut held = Vec::new();
     for _ in 0..256 {
         let mut connection = platform.connect();
-        let (status, (head, _)) = ask(&mut connection, work("render", &new_id(), 9.0, ""));
+        let (status, (head, _)) =
+            send_request(&mut connection, build_request("render", &next_request_id(), 9.0, ""));
         if status != 200 || field(&head, "connection").is_some() {
             break;
         }
@@ -571,9 +587,10 @@
         assert!(sum <= 256, "{sum} descriptors {what}");
     };
     most("beside each other");
-    old.node.logged("hot restart: the new process takes clients");
+    old.node.wait_for_log("hot restart: the new process takes clients");
     for connection in &mut held {
-        let (status, (head, _)) = ask(connection, work("render", &new_id(), 9.0, ""));
+        let (status, (head, _)) =
+            send_request(connection, build_request("render", &next_request_id(), 9.0, ""));
         assert_eq!((status, field(&head, "connection")), (200, Some("close")));
         most("while clients move");
     }
@@ -581,7 +598,7 @@
     used_by(&platform, &executors);
     most("after they moved");
     old.node.terminate();
-    assert!(old.node.logged("shutdown complete").ends_with("connections=0"));
+    assert!(old.node.wait_for_log("shutdown complete").ends_with("connections=0"));
 }
 
 #[test]
@@ -591,21 +608,21 @@
     let old = platform.start(&discovery);
     let mut kept: Vec<_> = (0..80).map(|_| platform.connect()).collect();
     for connection in &mut kept {
-        assert_eq!(ask(connection, work("render", &new_id(), 9.0, "")).0, 200);
+        assert_eq!(send_request(connection, build_request("render", &next_request_id(), 9.0, "")).0, 200);
     }
     let new = platform.start(&discovery);
-    old.node.logged("hot restart: the new process takes clients");
+    old.node.wait_for_log("hot restart: the new process takes clients");
     // Of each body half comes, which is waited for; where there are too many the node says so at once.
     let drip = |connection: &mut BufReader<TcpStream>| {
-        let request = work("render", &new_id(), 9.0, "half");
+        let request = build_request("render", &next_request_id(), 9.0, "half");
         connection.get_mut().write_all(&request.as_bytes()[..request.len() - 2]).unwrap();
         connection.get_ref().set_read_timeout(Some(Duration::from_millis(5))).unwrap();
     };
     let turned_away = |connection: &mut BufReader<TcpStream>| {
-        message(connection).is_some_and(|(head, _)| head.starts_with("HTTP/1.1 503"))
+        read_message(connection).is_some_and(|(head, _)| head.starts_with("HTTP/1.1 503"))
     };
     kept.iter_mut().for_each(drip);
-    until("the new one counts what the old one holds", || {
+    wait_until("the new one counts what the old one holds", || {
         let mut connection = platform.connect();
         drip(&mut connection);
         turned_away(&mut connection)
@@ -614,7 +631,7 @@
     assert!((10..70).contains(&away), "{away} of 80 were turned away by the old one");
     used_by(&platform, &executors);
     drop(kept);
-    until("they are gone from the old one", || {
+    wait_until("they are gone from the old one", || {
         let mut connection = platform.connect();
         drip(&mut connection);
         !turned_away(&mut connection)
@@ -628,35 +645,41 @@
     // Nobody is there to tell the list, so the start takes a second.
     let mut silent = config(&discovery, settings());
     silent["discovery"] = json!("127.0.0.1:9");
-    let node = Node::start_from(silent, |path| launch_with(path, "info", "", |_| ()));
-    let line = node.logged("admin listening");
-    let calls = address(&line);
+    let node = Node::start_from_config(silent, |path| spawn_customized_node(path, "info", "", |_| ()));
+    let line = node.wait_for_log("admin listening");
+    let calls = parse_address_field(&line);
     let starting = Operated { node, calls };
     assert_eq!((starting.call("GET", "/v1/readyz"), starting.call("PUT", "/v1/node/drain")), (503, 200));
-    starting.node.logged("no endpoint list received yet");
+    starting.node.wait_for_log("no endpoint list received yet");
     assert_eq!(starting.health(), 503, "drained since before it was ready");
     assert_eq!(starting.call("PUT", "/v1/node/activate"), 200);
-    until("it takes clients", || starting.health() == 200);
+    wait_until("it takes clients", || starting.health() == 200);
 
     let platform = Platform::new();
     let (old, new) = (platform.start(&discovery), platform.start(&discovery));
-    old.node.logged("hot restart: the new process takes clients");
+    old.node.wait_for_log("hot restart: the new process takes clients");
     for process in [&old, &new] {
         let mut config = process.node.config.clone();
         config["settings"] = types(&[("render", "safe", 20), ("thumb", "safe", 2)], 2);
-        process.node.reread(&config.to_string());
-        process.node.logged("settings_changed=true");
+        process.node.reload(&config.to_string());
+        process.node.wait_for_log("settings_changed=true");
     }
-    assert_eq!(ask(&mut platform.connect(), work("thumb", &new_id(), 1.0, "")).0, 200);
-    assert_eq!(ask(&mut platform.connect(), work("publish", &new_id(), 1.0, "")).0, 404);
+    assert_eq!(
+        send_request(&mut platform.connect(), build_request("thumb", &next_request_id(), 1.0, "")).0,
+        200
+    );
+    assert_eq!(
+        send_request(&mut platform.connect(), build_request("publish", &next_request_id(), 1.0, "")).0,
+        404
+    );
     old.node.terminate();
-    assert!(old.node.logged("shutdown complete").ends_with("connections=0"));
+    assert!(old.node.wait_for_log("shutdown complete").ends_with("connections=0"));
     used_by(&platform, &executors);
 }
 
 #[test]
 fn a_drain_closes_slow_connections_and_completes_durable_requests() {
-    let (executor, discovery) = one_executor();
+    let (executor, discovery) = start_executor_and_discovery();
     let folder = Platform::new();
     let file = |end: &str| format!("{}.{end}", folder.folder.display());
     let (own, ledger) = (file("toml"), file("ledger"));
@@ -664,22 +687,22 @@
     let operated = Operated::start(&discovery, |program| _ = program.env("TROUTKNOT_FILE", &own));
     let (mut idle, mut drips, mut open) =
         (operated.node.connect(), operated.node.connect(), operated.node.connect());
-    assert_eq!(ask(&mut idle, work("render", &new_id(), 3.0, "")).0, 200);
+    assert_eq!(send_request(&mut idle, build_request("render", &next_request_id(), 3.0, "")).0, 200);
     executor.acts.lock().unwrap().push_back(Act::Wait);
-    open.get_mut().write_all(work("publish", &new_id(), 20.0, "").as_bytes()).unwrap();
+    open.get_mut().write_all(build_request("publish", &next_request_id(), 20.0, "").as_bytes()).unwrap();
     executor.wait_for(2);
-    let request = work("render", &new_id(), 3.0, "abc");
+    let request = build_request("render", &next_request_id(), 3.0, "abc");
     let (first, rest) = request.split_at(request.len() - 1);
     assert_eq!(operated.call("PUT", "/v1/node/drain"), 200);
     drips.get_mut().write_all(first.as_bytes()).unwrap();
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "what is idle closes once the drain has settled");
-    let (status, (head, _)) = ask(&mut drips, rest);
+    let (status, (head, _)) = send_request(&mut drips, rest);
     assert_eq!((status, field(&head, "connection")), (503, Some("close")), "it came too late: {head}");
     executor.go_on.send(()).unwrap();
-    let (status, (head, _)) = answer(&mut open);
+    let (status, (head, _)) = read_response(&mut open);
     assert_eq!((status, field(&head, "connection")), (200, Some("close")), "what was taken is seen through");
     assert_eq!(operated.call("PUT", "/v1/node/activate"), 200);
-    assert_eq!(operated.node.ask(work("publish", &new_id(), 3.0, "")).0, 200);
+    assert_eq!(operated.node.send_request(build_request("publish", &next_request_id(), 3.0, "")).0, 200);
     drop(operated);
     [own, ledger].iter().for_each(|file| std::fs::remove_file(file).unwrap());
 }
--- a/crates/daemon/tests/shape.rs
+++ b/crates/daemon/tests/shape.rs
@@ -19,17 +19,17 @@
 /// A socket of a peer that is played by the test, a free address for the node, and its file.
 fn peer() -> (UdpSocket, SocketAddr, String) {
     let [other, free] = [0; 2].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
-    other.set_read_timeout(Some(PATIENCE)).unwrap();
+    other.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let (there, at) = (other.local_addr().unwrap(), free.local_addr().unwrap());
-    (other, at, config_file(&format!("[peers]\nlisten = \"{at}\"\nnodes = [\"{there}\"]\n")))
+    (other, at, write_config_file(&format!("[peers]\nlisten = \"{at}\"\nnodes = [\"{there}\"]\n")))
 }
 
 /// One plain line that names the key, at the start; at SIGHUP the old settings go on.
 #[test]
 fn settings_that_mix_two_shapes_are_refused() {
     let (_other, _, talks) = peer();
-    let ledger = config_file("").replace(".json", ".ledger");
-    let durable = config_file(&format!("[durable]\npath = \"{ledger}\"\n"));
+    let ledger = write_config_file("").replace(".json", ".ledger");
+    let durable = write_config_file(&format!("[durable]\npath = \"{ledger}\"\n"));
     let limits = |key, value| ("limits", key, value);
     let (talk, copies) = (limits("peers", json!(true)), limits("second_copies", json!(true)));
     let cases: &[(Value, &str, &str)] = &[
@@ -40,18 +40,24 @@
         (with(&[("", "weight_source", json!("loud"))]), "", "`weight_source`: `loud`; silent"),
         (with(&[talk, ("", "me", json!(4))]), &talks, "`me`: 4 is not under `balancers`"),
     ];
-    let (_executor, discovery) = one_executor();
+    let (_executor, discovery) = start_executor_and_discovery();
     let old = Node::start(&discovery);
     for (settings, own, part) in cases {
         let mut config = old.config.clone();
         config["settings"] = settings.clone();
-        let out = launch_by(&config_file(&config.to_string()), "info", own).wait_with_output().unwrap();
+        let out = spawn_node_with_operator_file(&write_config_file(&config.to_string()), "info", own)
+            .wait_with_output()
+            .unwrap();
         let said = String::from_utf8(out.stderr).unwrap();
         assert!(!out.status.success() && said.lines().count() == 1 && said.contains(part), "{said}");
         if own.is_empty() {
-            old.reread(&config.to_string());
-            assert!(old.logged("new configuration rejected").contains(part), "{part}");
-            assert_eq!(old.ask(work("render", &new_id(), 3.0, "")).0, 200, "the old ones go on");
+            old.reload(&config.to_string());
+            assert!(old.wait_for_log("new configuration rejected").contains(part), "{part}");
+            assert_eq!(
+                old.send_request(build_request("render", &next_request_id(), 3.0, "")).0,
+                200,
+                "the old ones go on"
+            );
         }
     }
 }
@@ -61,25 +67,33 @@
 #[test]
 fn nodes_tell_each_other_of_idle_connections_that_are_gone() {
     let settings = with(&[("limits", "peers", json!(true)), ("", "balancers", json!(2))]);
-    let (executor, discovery) = one_executor();
+    let (executor, discovery) = start_executor_and_discovery();
     let start = || {
         let (other, at, own) = peer();
         let settings = settings.clone();
-        (Node::start_by(discovery.addr, (256, 64), settings, "info", Value::Null, &own), other, at)
+        (
+            Node::start_with_operator_file(discovery.addr, (256, 64), settings, "info", Value::Null, &own),
+            other,
+            at,
+        )
     };
     let (node, other, at) = start();
     UdpSocket::bind("127.0.0.1:0").unwrap().send_to(&[1, 1], at).unwrap();
-    node.logged("gossip datagrams dropped");
+    node.wait_for_log("gossip datagrams dropped");
     other.send_to(&[1; 1000], at).unwrap();
     other.send_to(&[1, 1], at).unwrap();
-    node.logged("idle connections were lost");
-    let before = node.before.lock().unwrap().join("\n");
+    node.wait_for_log("idle connections were lost");
+    let before = node.skipped_lines.lock().unwrap().join("\n");
     assert!(!before.contains("idle connections were lost"), "only a peer's word counts: {before}");
 
     let (node, other, at) = start();
-    assert_eq!(node.ask(work("publish", &new_id(), 3.0, "")).0, 200);
+    assert_eq!(node.send_request(build_request("publish", &next_request_id(), 3.0, "")).0, 200);
     executor.acts.lock().unwrap().push_back(Act::Break);
-    assert_eq!(node.ask(work("publish", &new_id(), 3.0, "")).0, 502, "it may have run");
+    assert_eq!(
+        node.send_request(build_request("publish", &next_request_id(), 3.0, "")).0,
+        502,
+        "it may have run"
+    );
     let mut bytes = [0; 300];
     let (length, from) = other.recv_from(&mut bytes).expect("the node tells in time");
     assert_eq!((&bytes[..length], from), (&[1, 1][..], at));
--- a/crates/daemon/tests/wire_format.rs
+++ b/crates/daemon/tests/wire_format.rs
@@ -14,7 +14,7 @@
 #![allow(clippy::unwrap_used)]
 mod common;
 
-use common::{PATIENCE, entry_at, list, settings, until};
+use common::{WAIT_TIMEOUT, entry_at, list, settings, wait_until};
 use serde_json::{Value, json};
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt::Write as _;
@@ -111,7 +111,7 @@
 
 fn connect(addr: SocketAddr) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(addr).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     BufReader::new(stream)
 }
 
@@ -232,7 +232,7 @@
     }
 
     fn wait_for(&self, count: usize) {
-        until("requests come", || self.script.requests.lock().unwrap().len() >= count);
+        wait_until("requests come", || self.script.requests.lock().unwrap().len() >= count);
     }
 
     fn take_requests(&self) -> Vec<Vec<u8>> {
@@ -396,7 +396,7 @@
 fn start_node(discovery: SocketAddr, admin: SocketAddr, config: SiteConfig) -> Node {
     let own = match config.operator_file.as_str() {
         "" => String::new(),
-        text => common::config_file(text),
+        text => common::write_config_file(text),
     };
     let addr = free_address();
     let document = json!({"name": "n0", "listen": addr.to_string(), "discovery": discovery.to_string(),
@@ -405,10 +405,10 @@
         "settings": config.settings, "known": null});
     let program = std::env::var_os("TROUTKNOT_WIRE_PROGRAM").filter(|_| is_recording());
     let mut command = Command::new(program.unwrap_or_else(|| env!("CARGO_BIN_EXE_troutknotd").into()));
-    command.env("ROUTER_CONFIG", common::config_file(&document.to_string())).env("TROUTKNOT_FILE", own);
+    command.env("ROUTER_CONFIG", common::write_config_file(&document.to_string())).env("TROUTKNOT_FILE", own);
     let node = Node { process: command.stdout(Stdio::null()).spawn().unwrap(), addr };
-    until("the node listens", || TcpStream::connect(addr).is_ok());
-    until("the node is ready", || status(&exchange(addr, common::HEALTH)) == "200");
+    wait_until("the node listens", || TcpStream::connect(addr).is_ok());
+    wait_until("the node is ready", || status(&exchange(addr, common::HEALTH_CHECK)) == "200");
     node
 }
 
@@ -446,8 +446,8 @@
 
 fn answered_requests(record: &mut Record) {
     let Site { node, executor, .. } = &Site::start(SiteConfig::default());
-    record.exchange(node, "health", common::HEALTH);
-    record.exchange(node, "health, by another method", common::HEALTH.replace("GET", "PUT"));
+    record.exchange(node, "health", common::HEALTH_CHECK);
+    record.exchange(node, "health, by another method", common::HEALTH_CHECK.replace("GET", "PUT"));
     record.exchange(node, "result", good("render"));
     record.exchange(node, "result, path of the class alone", good("render").replace("/a?b=c", ""));
     record.exchange(node, "result, HTTP/1.0", good("render").replace("HTTP/1.1", "HTTP/1.0"));
@@ -701,9 +701,9 @@
     let Site { node, admin, .. } = &Site::start(SiteConfig::default());
     let drain = "PUT /v1/node/drain HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(status(&exchange(*admin, drain)), "200");
-    record.exchange(node, "health", common::HEALTH);
+    record.exchange(node, "health", common::HEALTH_CHECK);
     let mut last = None;
-    until("requests are rejected", || {
+    wait_until("requests are rejected", || {
         let answer = exchange(node.addr, good("render"));
         let is_rejected = status(&answer) == "503";
         last = Some(answer);
@@ -726,7 +726,7 @@
     let Site { node, executor, .. } = &Site::start(durable_config(""));
     let keyed = |key: &str| with_field(&good("publish"), &format!("Idempotency-Key: {key}"));
     let ask = |id: &str| format!("GET /_work/{id} HTTP/1.1\r\nHost: n\r\n\r\n");
-    record.exchange(node, "health", common::HEALTH);
+    record.exchange(node, "health", common::HEALTH_CHECK);
     let first = keyed("k1").replace("Request-Id: ", "Request-Id: first-");
     record.exchange(node, "result", &first);
     record.exchange(node, "the same key", keyed("k1"));
@@ -875,7 +875,7 @@
         [("settings with load fields", SiteConfig::default()), ("settings without", without_fields)]
     {
         let Site { node, executor, .. } = &Site::start(config);
-        until("probes come", || {
+        wait_until("probes come", || {
             assert_eq!(status(&exchange(node.addr, good("render"))), "200", "{name}");
             executor.script.probes.lock().unwrap().len() >= 2
         });
@@ -888,7 +888,8 @@
 
 fn watches(record: &mut Record) {
     let Site { node: _node, discovery, .. } = &Site::start(SiteConfig::default());
-    let seen = |count: usize| until("watches come", || discovery.requests.lock().unwrap().len() >= count);
+    let seen =
+        |count: usize| wait_until("watches come", || discovery.requests.lock().unwrap().len() >= count);
     seen(1);
     discovery.break_off.send(()).unwrap();
     seen(2);
@@ -929,7 +930,7 @@
 fn consul_queries(record: &mut Record) {
     let executor = Executor::start();
     let (agent, requests) = start_consul_agent(executor.addr);
-    let token = common::config_file("secret\n");
+    let token = common::write_config_file("secret\n");
     let operator_file = format!(
         "[lists]\nsources = [\"consul\"]\n[lists.consul]\nagents = [\"{agent}\"]\ntoken_file = \"{token}\"\n\
          wait = \"300ms\"\nconsistency = \"stale\"\n[[lists.consul.services]]\nname = \"box one\"\n\
@@ -938,7 +939,7 @@
     let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let config = SiteConfig { operator_file, ..SiteConfig::default() };
     let _node = start_node(nobody, free_address(), config);
-    until("queries come", || requests.lock().unwrap().len() >= 2);
+    wait_until("queries come", || requests.lock().unwrap().len() >= 2);
     let requests: Vec<_> = requests.lock().unwrap()[..2].to_vec();
     record_requests(record, "query", &requests);
 }
