--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -1,4 +1,4 @@
-//! One node as a process between raw clients and scripted peers, on free loopback ports.
+//! A node's process between raw clients and scripted executors and discovery, on free loopback ports.
 #![allow(clippy::unwrap_used)]
 mod common;
 
@@ -13,12 +13,12 @@
 use troutknot_emulator::scripted::{Act, Discovery, Executor};
 
 #[test]
-fn answers_follow_from_outcomes_and_effects() {
+fn final_answers_follow_from_attempt_outcomes_and_the_effect_of_the_class() {
     use Act::*;
     let (executor, discovery) = start_executor_and_discovery();
     let node = Node::start(&discovery);
     let mut connection = node.connect();
-    // Project type, what the executor does, the wait, status, allocations.
+    // Class, what the executor does, timeout in seconds, expected status, expected attempts.
     let cases: &[(&str, &[Act], f64, u16, usize)] = &[
         ("render", &[Done], 3.0, 200, 1),
         ("render", &[Large(60_000)], 3.0, 200, 1),
@@ -35,7 +35,7 @@
         ("publish", &[OtherId], 3.0, 502, 1),
         ("publish", &[NoId], 3.0, 502, 1),
         ("render", &[NoId, Done], 3.0, 200, 2),
-        // A contradiction may have run, and a first result counts whatever follows it.
+        // A request whose events contradict each other may have run. The first result counts, whatever follows it.
         ("publish", &[StartedAndReturned], 3.0, 502, 1),
         ("render", &[StartedAndReturned, Done], 3.0, 200, 2),
         ("publish", &[Endless], 3.0, 200, 1),
@@ -43,76 +43,80 @@
         ("publish", &[Returned, Returned, Returned], 3.0, 503, 3),
         ("publish", &[Silent], 0.3, 502, 1),
     ];
-    for (k, (project_type, acts, wait, status, allocations)) in cases.iter().enumerate() {
+    for (number, (class, acts, timeout, status, attempts)) in cases.iter().enumerate() {
         executor.acts.lock().unwrap().extend(acts.iter());
-        let body = format!("{k}").repeat(20_000);
-        let (start, id) = (Instant::now(), format!("{k:016x}"));
-        let (got, (_, result)) =
-            send_request(&mut connection, build_request(project_type, &id, *wait, &body));
-        assert!(start.elapsed().as_secs_f64() < *wait, "{acts:?}: answered before its hard limit");
-        let seen = std::mem::take(&mut *executor.seen.lock().unwrap());
-        assert_eq!((got, seen.len()), (*status, *allocations), "{project_type} {acts:?}");
+        let body = format!("{number}").repeat(20_000);
+        let (sent_at, id) = (Instant::now(), format!("{number:016x}"));
+        let (actual_status, (_, result)) =
+            send_request(&mut connection, build_request(class, &id, *timeout, &body));
+        assert!(sent_at.elapsed().as_secs_f64() < *timeout, "{acts:?}: answered before its timeout");
+        let received = std::mem::take(&mut *executor.seen.lock().unwrap());
+        assert_eq!((actual_status, received.len()), (*status, *attempts), "{class} {acts:?}");
         let expected = acts.iter().map(|act| if let Large(size) = act { *size } else { 3 }).next_back();
-        assert_eq!(result.len(), if got == 200 { expected.unwrap() } else { 0 }, "{acts:?}");
-        for (head, sent) in seen {
-            assert!(head.starts_with(&format!("POST /{project_type}/a?b=c HTTP/1.1\r\n")), "{head}");
+        assert_eq!(result.len(), if actual_status == 200 { expected.unwrap() } else { 0 }, "{acts:?}");
+        for (head, received_body) in received {
+            assert!(head.starts_with(&format!("POST /{class}/a?b=c HTTP/1.1\r\n")), "{head}");
             assert_eq!((field(&head, "request-id"), field(&head, "x-other")), (Some(&*id), Some("kept")));
-            assert!(field(&head, "request-timeout").unwrap().parse::<f64>().unwrap() <= *wait);
-            assert_eq!(sent, body.as_bytes());
+            assert!(field(&head, "request-timeout").unwrap().parse::<f64>().unwrap() <= *timeout);
+            assert_eq!(received_body, body.as_bytes());
         }
     }
 }
 
 #[test]
-fn bad_input_gets_its_status_and_the_node_continues() {
+fn malformed_requests_are_rejected_with_their_status_and_the_node_continues() {
     let (executor, discovery) = start_executor_and_discovery();
     let node = Node::start(&discovery);
-    let good = build_request("render", "1", 3.0, "");
+    let valid = build_request("render", "1", 3.0, "");
     let large = "x".repeat(64 * 1024 + 1);
     let chunked = "Transfer-Encoding: chunked";
-    for (what, request, status) in [
-        ("good", good.clone(), 200),
-        ("chunked", good.replace("Content-Length: 0", chunked) + "3\r\nabc\r\n0\r\n\r\n", 200),
-        ("asks first", good.replace("Length: 0", "Length: 2\r\nExpect: 100-continue") + "ab", 200),
-        ("no length", good.replace("Content-Length: 0\r\n", ""), 200),
+    for (case, request, status) in [
+        ("valid", valid.clone(), 200),
+        ("chunked", valid.replace("Content-Length: 0", chunked) + "3\r\nabc\r\n0\r\n\r\n", 200),
+        ("Expect: 100-continue", valid.replace("Length: 0", "Length: 2\r\nExpect: 100-continue") + "ab", 200),
+        ("no length", valid.replace("Content-Length: 0\r\n", ""), 200),
         ("not HTTP", "\x01\x02 what\r\n\r\n".into(), 400),
-        ("no host", good.replace("Host: app.svc\r\n", ""), 400),
-        ("two lengths", good.replace("Length: 0", "Length: 0\r\nContent-Length: 5"), 400),
-        ("odd length", good.replace("Length: 0", "Length: -1"), 400),
-        ("length and coding", good.replace("Length: 0", &format!("Length: 0\r\n{chunked}")), 400),
-        ("unknown coding", good.replace("Content-Length: 0", "Transfer-Encoding: gzip"), 501),
-        ("odd chunk", good.replace("Content-Length: 0", chunked) + "xyz\r\n", 400),
-        ("large", build_request("render", "1", 3.0, &large), 413),
-        ("large chunk", good.replace("Content-Length: 0", chunked) + "fffffff\r\n", 413),
-        ("large head", good.replace("kept", &large), 431),
-        ("many headers", good.replace("kept", &"x\r\nY: y".repeat(80)), 431),
-        ("no id", good.replace("Request-Id: 1\r\n", ""), 400),
-        ("two ids", good.replace("Request-Id: 1", "Request-Id: 1\r\nRequest-Id: 2"), 400),
-        ("odd id", good.replace("Request-Id: 1", "Request-Id: 1 2"), 400),
-        ("odd wait", good.replace("Timeout: 3", "Timeout: soon"), 400),
-        ("endless wait", good.replace("Timeout: 3", "Timeout: inf"), 400),
-        ("absurd wait", good.replace("Timeout: 3", "Timeout: 99999999999999999999999"), 400),
-        ("no decimal wait", good.replace("Timeout: 3", "Timeout: 1e3"), 400),
-        ("negative wait", good.replace("Timeout: 3", "Timeout: -3"), 400),
-        ("odd figures", good.replace("X-Other", "Request-Info: slots=NaN\r\nX-Other"), 400),
-        ("unknown path", good.replace("/render/a", "/elsewhere"), 404),
-        ("unknown type", good.replace("render", "sing"), 404),
-        ("two types", good.replace("Class: render", "Class: publish"), 400),
-        ("no POST", good.replace("POST", "PUT"), 405),
+        ("no host", valid.replace("Host: app.svc\r\n", ""), 400),
+        ("two lengths", valid.replace("Length: 0", "Length: 0\r\nContent-Length: 5"), 400),
+        ("negative length", valid.replace("Length: 0", "Length: -1"), 400),
+        ("length and coding", valid.replace("Length: 0", &format!("Length: 0\r\n{chunked}")), 400),
+        ("unknown coding", valid.replace("Content-Length: 0", "Transfer-Encoding: gzip"), 501),
+        ("chunk size that is no number", valid.replace("Content-Length: 0", chunked) + "xyz\r\n", 400),
+        ("large body", build_request("render", "1", 3.0, &large), 413),
+        ("large chunk", valid.replace("Content-Length: 0", chunked) + "fffffff\r\n", 413),
+        ("large head", valid.replace("kept", &large), 431),
+        ("many headers", valid.replace("kept", &"x\r\nY: y".repeat(80)), 431),
+        ("no id", valid.replace("Request-Id: 1\r\n", ""), 400),
+        ("two ids", valid.replace("Request-Id: 1", "Request-Id: 1\r\nRequest-Id: 2"), 400),
+        ("id with a space", valid.replace("Request-Id: 1", "Request-Id: 1 2"), 400),
+        ("timeout that is no number", valid.replace("Timeout: 3", "Timeout: soon"), 400),
+        ("infinite timeout", valid.replace("Timeout: 3", "Timeout: inf"), 400),
+        ("timeout out of range", valid.replace("Timeout: 3", "Timeout: 99999999999999999999999"), 400),
+        ("timeout with an exponent", valid.replace("Timeout: 3", "Timeout: 1e3"), 400),
+        ("negative timeout", valid.replace("Timeout: 3", "Timeout: -3"), 400),
+        ("slots that are no number", valid.replace("X-Other", "Request-Info: slots=NaN\r\nX-Other"), 400),
+        ("unknown path", valid.replace("/render/a", "/unlisted"), 404),
+        ("unknown class", valid.replace("render", "sing"), 404),
+        ("two classes", valid.replace("Class: render", "Class: publish"), 400),
+        ("method other than POST", valid.replace("POST", "PUT"), 405),
     ] {
-        // A good id is new each time.
+        // Each request has an id of its own, so that none is a duplicate.
         let request =
-            request.replace("Request-Id: 1\r", &format!("Request-Id: {}\r", what.replace(' ', "-")));
-        let (got, (head, _)) = node.send_request(&request);
-        assert_eq!(got, status, "{what}");
-        let come_back = field(&head, "retry-after").and_then(|text| text.parse::<f64>().ok());
-        assert_eq!(come_back.is_some(), status != 200, "{what}: a time to come back");
+            request.replace("Request-Id: 1\r", &format!("Request-Id: {}\r", case.replace([' ', ':'], "-")));
+        let (actual_status, (head, _)) = node.send_request(&request);
+        assert_eq!(actual_status, status, "{case}");
+        let retry_after = field(&head, "retry-after").and_then(|text| text.parse::<f64>().ok());
+        assert_eq!(retry_after.is_some(), status != 200, "{case}: Retry-After");
     }
-    let mut half = node.connect();
-    half.get_mut().write_all(&good.as_bytes()[..40]).unwrap();
-    let mut pair = node.connect();
-    pair.get_mut().write_all((good.clone() + &good.replace("Id: 1", "Id: 2")).as_bytes()).unwrap();
-    assert_eq!((read_response(&mut pair).0, read_response(&mut pair).0), (200, 200), "one after the other");
+    let mut incomplete = node.connect();
+    incomplete.get_mut().write_all(&valid.as_bytes()[..40]).unwrap();
+    let mut pipelined = node.connect();
+    pipelined.get_mut().write_all((valid.clone() + &valid.replace("Id: 1", "Id: 2")).as_bytes()).unwrap();
+    assert_eq!(
+        (read_response(&mut pipelined).0, read_response(&mut pipelined).0),
+        (200, 200),
+        "pipelined requests"
+    );
     executor.acts.lock().unwrap().push_back(Act::Wait);
     let mut first = node.connect();
     let before = executor.seen.lock().unwrap().len();
@@ -121,153 +125,158 @@
     assert_eq!(
         node.send_request(build_request("publish", "9", 3.0, "")).0,
         409,
-        "an id that is open is not run twice"
+        "a request with the id of an open one is a duplicate"
     );
     executor.go_on.send(()).unwrap();
     assert_eq!(read_response(&mut first).0, 200);
     assert_eq!(
         node.send_request(build_request("publish", "9", 3.0, "")).0,
         409,
-        "nor one that was taken before"
+        "a request with the id of an answered one is a duplicate"
     );
     assert_eq!(executor.seen.lock().unwrap().len(), before + 1);
 }
 
 #[test]
-fn connections_without_a_complete_request_are_closed_in_time() {
+fn connections_that_send_no_complete_request_time_out() {
     let (_executor, discovery) = start_executor_and_discovery();
     let node = Node::start(&discovery);
-    let good = build_request("render", "1", 3.0, "ab");
-    let huge = good.replace("Content-Length: 2", "Content-Length: 60000000");
-    // What is sent at once, what drips then without end, and the status, if one is owed.
+    let valid = build_request("render", "1", 3.0, "ab");
+    let huge = valid.replace("Content-Length: 2", "Content-Length: 60000000");
+    // What is sent at once, what is sent repeatedly after that, and the start of the response, if there is one.
     let cases: &[(&str, &str, &str)] = &[
         ("", "", ""),
         ("", "\r\n", ""),
         ("POST /render HTTP/1.1\r\n", "X: y\r\n", "HTTP/1.1 408"),
-        (&good[..good.len() - 2], "", "HTTP/1.1 408"),
+        (&valid[..valid.len() - 2], "", "HTTP/1.1 408"),
         (
-            &good.replace("Content-Length: 2", "Transfer-Encoding: chunked")[..good.len() - 2],
+            &valid.replace("Content-Length: 2", "Transfer-Encoding: chunked")[..valid.len() - 2],
             "1\r\na\r\n",
             "HTTP/1.1 4",
         ),
         (&huge, "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx", "HTTP/1.1 413"),
     ];
     let addr = node.addr;
-    let drip = |(at_once, then, status): &(&str, &str, &str)| {
-        let (start, stream) = (Instant::now(), TcpStream::connect(addr).unwrap());
+    let send_slowly = |(at_once, repeated, status): &(&str, &str, &str)| {
+        let (connected_at, stream) = (Instant::now(), TcpStream::connect(addr).unwrap());
         let mut connection = BufReader::new(stream);
         let _ = connection.get_mut().write_all(at_once.as_bytes());
-        let mut got = Vec::new();
+        let mut response = Vec::new();
         connection.get_mut().set_read_timeout(Some(Duration::from_millis(50))).unwrap();
-        // Until it is closed; while nothing comes, one more piece is sent.
-        while let Err(e) = connection.read_to_end(&mut got) {
-            if e.kind() != std::io::ErrorKind::WouldBlock {
+        // Sends one more piece whenever nothing arrives, until the connection is closed.
+        while let Err(error) = connection.read_to_end(&mut response) {
+            if error.kind() != std::io::ErrorKind::WouldBlock {
                 break;
             }
-            let _ = connection.get_mut().write_all(then.as_bytes());
+            let _ = connection.get_mut().write_all(repeated.as_bytes());
         }
-        assert!(start.elapsed() < Duration::from_secs(3), "{at_once:?} {then:?}");
-        let got = String::from_utf8(got).unwrap();
-        assert!(got.starts_with(status), "{at_once:?} {then:?}: {got}");
+        assert!(connected_at.elapsed() < Duration::from_secs(3), "{at_once:?} {repeated:?}");
+        let response = String::from_utf8(response).unwrap();
+        assert!(response.starts_with(status), "{at_once:?} {repeated:?}: {response}");
     };
-    thread::scope(|all| cases.iter().for_each(|case| _ = all.spawn(|| drip(case))));
+    thread::scope(|scope| cases.iter().for_each(|case| _ = scope.spawn(|| send_slowly(case))));
 }
 
 #[test]
-fn idle_connections_do_not_keep_other_clients_out() {
+fn idle_connections_do_not_block_other_clients() {
     let (_executor, discovery) = start_executor_and_discovery();
     let node = Node::start_with_limits(&discovery, (64, 64), settings(), "info");
-    // Before each crowd one that works, so that it is known; then more than the node may hold.
-    let mut usual = node.connect();
-    for (round, said) in ["", HEALTH_CHECK, "POST /render HT"].into_iter().enumerate() {
-        assert_eq!(send_request(&mut usual, build_request("render", &format!("a{round}"), 3.0, "")).0, 200);
-        let crowd: Vec<_> = (0..100).map(|_| node.connect()).collect();
-        crowd.iter().for_each(|c| c.get_ref().write_all(said.as_bytes()).unwrap());
-        let start = Instant::now();
-        for k in 0..5 {
+    // A connection with an answered request, and then more connections than the node may hold, which send no
+    // complete request.
+    let mut active = node.connect();
+    for (round, partial_request) in ["", HEALTH_CHECK, "POST /render HT"].into_iter().enumerate() {
+        assert_eq!(send_request(&mut active, build_request("render", &format!("a{round}"), 3.0, "")).0, 200);
+        let idle: Vec<_> = (0..100).map(|_| node.connect()).collect();
+        idle.iter().for_each(|client| client.get_ref().write_all(partial_request.as_bytes()).unwrap());
+        let started_at = Instant::now();
+        for number in 0..5 {
             assert_eq!(
-                node.send_request(build_request("render", &format!("b{round}-{k}"), 3.0, "")).0,
+                node.send_request(build_request("render", &format!("b{round}-{number}"), 3.0, "")).0,
                 200,
-                "{said}"
+                "{partial_request}"
             );
         }
-        assert!(start.elapsed() < Duration::from_secs(2), "{said}: before the crowd's own time is over");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(2),
+            "{partial_request}: before the idle connections time out"
+        );
         assert_eq!(
-            send_request(&mut usual, build_request("render", &format!("c{round}"), 3.0, "")).0,
+            send_request(&mut active, build_request("render", &format!("c{round}"), 3.0, "")).0,
             200,
-            "{said}"
+            "{partial_request}"
         );
     }
 }
 
 #[test]
-fn the_endpoint_list_is_watched_through_drains_failures_repeats_and_garbage() {
-    let (one, two) = (Executor::start(), Executor::start());
-    let both = list(7, true, &[entry("s-1", &one, "Ready"), entry("s-2", &two, "Ready")]);
+fn the_endpoint_list_stays_in_use_through_outdated_lists_and_failed_watches() {
+    let (first, second) = (Executor::start(), Executor::start());
+    let both = list(7, true, &[entry("s-1", &first, "Ready"), entry("s-2", &second, "Ready")]);
     let discovery = Discovery::start(both.clone());
     let node = Node::start(&discovery);
     assert!(discovery.asked.recv_timeout(WAIT_TIMEOUT).unwrap().ends_with("?stream=1 HTTP/1.1"));
     let mut id = 0;
-    let mut used = |times: usize| {
-        for _ in 0..times {
+    let mut send_requests = |count: usize| {
+        for _ in 0..count {
             id += 1;
             assert_eq!(node.send_request(build_request("render", &id.to_string(), 3.0, "")).0, 200);
         }
-        let seen = |executor: &Executor| std::mem::take(&mut *executor.seen.lock().unwrap()).len();
-        (seen(&one), seen(&two))
+        let take_count = |executor: &Executor| std::mem::take(&mut *executor.seen.lock().unwrap()).len();
+        (take_count(&first), take_count(&second))
     };
-    discovery.lines.send(list(8, false, &[entry("s-1", &one, "Terminating")])).unwrap();
+    discovery.lines.send(list(8, false, &[entry("s-1", &first, "Terminating")])).unwrap();
     // An older list after the drain must not bring the executor back.
     discovery.lines.send(both).unwrap();
     node.wait_for_log("endpoint list is not new, ignored version=7");
-    assert_eq!(used(20), (0, 20), "nothing to one that drains");
-    for broken in ["", "{\"version\": what"] {
-        discovery.lines.send(broken.into()).unwrap();
+    assert_eq!(send_requests(20), (0, 20), "a draining executor gets nothing");
+    for malformed in ["", "{\"version\": what"] {
+        discovery.lines.send(malformed.into()).unwrap();
         node.wait_for_log("watch of the endpoint list lost");
         assert!(discovery.asked.recv_timeout(WAIT_TIMEOUT).unwrap().ends_with("&index=8 HTTP/1.1"));
-        assert_eq!(used(5), (0, 5), "the list stays in use meanwhile");
+        assert_eq!(send_requests(5), (0, 5), "the current list stays in use");
     }
-    discovery.lines.send(list(9, true, &[entry("s-1", &one, "Ready")])).unwrap();
-    wait_until("the new list is used", || used(1) == (1, 0));
-    assert_eq!(used(20), (20, 0), "who is missing from a whole list is gone");
+    discovery.lines.send(list(9, true, &[entry("s-1", &first, "Ready")])).unwrap();
+    wait_until("the new list is in use", || send_requests(1) == (1, 0));
+    assert_eq!(send_requests(20), (20, 0), "an executor that a snapshot omits is gone");
 }
 
 #[test]
-fn a_new_configuration_is_applied_at_once_and_a_bad_one_is_rejected() {
+fn a_reload_applies_at_once_and_an_invalid_configuration_changes_nothing() {
     let (old, new) = (Executor::start(), Executor::start());
-    let first = Discovery::start(list(7, true, &[entry("s-1", &old, "Ready")]));
-    let second = Discovery::start(list(8, false, &[entry("s-2", &new, "Ready")]));
-    let mut node = Node::start(&first);
-    first.asked.recv_timeout(WAIT_TIMEOUT).unwrap();
+    let first_discovery = Discovery::start(list(7, true, &[entry("s-1", &old, "Ready")]));
+    let second_discovery = Discovery::start(list(8, false, &[entry("s-2", &new, "Ready")]));
+    let mut node = Node::start(&first_discovery);
+    first_discovery.asked.recv_timeout(WAIT_TIMEOUT).unwrap();
     old.acts.lock().unwrap().push_back(Act::Wait);
-    let mut taken = node.connect();
-    taken.get_mut().write_all(build_request("publish", "1", 30.0, "").as_bytes()).unwrap();
+    let mut open = node.connect();
+    open.get_mut().write_all(build_request("publish", "1", 30.0, "").as_bytes()).unwrap();
     old.wait_for(1);
-    for bad in ["", "{\"name\": 5}", &node.config.to_string().replace("render", "").replace("30000000", "0")]
+    for invalid in
+        ["", "{\"name\": 5}", &node.config.to_string().replace("render", "").replace("30000000", "0")]
     {
-        node.reload(bad);
+        node.reload(invalid);
         node.wait_for_log("new configuration rejected");
     }
     let mut config = node.config.clone();
-    config["discovery"] = json!(second.addr.to_string());
+    config["discovery"] = json!(second_discovery.addr.to_string());
     config["limits"]["sockets"] = json!(512);
-    // One after the other, so that some come while the last is still being taken.
+    // Repeated signals, so that some arrive while a reload is in progress.
     for _ in 0..20 {
         node.reload(&config.to_string());
     }
     assert!(node.wait_for_log("address_changed=true").ends_with(" restart_required=limits"));
-    let asked = second.asked.recv_timeout(Duration::from_secs(4)).expect("it is asked at once");
-    assert!(asked.ends_with("&index=7 HTTP/1.1"), "the list is kept: {asked}");
-    second.lines.send(list(9, false, &[entry("s-1", &old, "Terminating")])).unwrap();
-    wait_until("the new list is used", || {
+    let watch = second_discovery.asked.recv_timeout(Duration::from_secs(4)).expect("it is watched at once");
+    assert!(watch.ends_with("&index=7 HTTP/1.1"), "the watch continues from the current list: {watch}");
+    second_discovery.lines.send(list(9, false, &[entry("s-1", &old, "Terminating")])).unwrap();
+    wait_until("the new list is in use", || {
         assert_eq!(node.send_request(build_request("render", &next_request_id(), 3.0, "")).0, 200);
         !new.seen.lock().unwrap().is_empty()
     });
     let newest = Executor::start();
-    let third = Discovery::start(list(3, true, &[entry("s-3", &newest, "Ready")]));
-    config["discovery"] = json!(third.addr.to_string());
+    let third_discovery = Discovery::start(list(3, true, &[entry("s-3", &newest, "Ready")]));
+    config["discovery"] = json!(third_discovery.addr.to_string());
     node.reload(&config.to_string());
-    wait_until("a list that counts its versions anew is used", || {
+    wait_until("a list with restarted version numbers is in use", || {
         assert_eq!(node.send_request(build_request("render", &next_request_id(), 3.0, "")).0, 200);
         !newest.seen.lock().unwrap().is_empty()
     });
@@ -275,33 +284,33 @@
     node.wait_for_log("shutdown requested");
     node.signal("HUP");
     old.go_on.send(()).unwrap();
-    assert_eq!(read_response(&mut taken).0, 200, "work that was taken goes on");
+    assert_eq!(read_response(&mut open).0, 200, "an open request is answered");
     assert!(node.process.wait().unwrap().success());
 }
 
 #[test]
-fn unreachable_executors_cost_no_effect_and_no_answer() {
-    let (one, two) = (Executor::start(), Executor::start());
-    let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let mut dead = entry("s-2", &two, "Ready");
-    dead["addr"] = json!(nowhere.to_string());
-    let discovery = Discovery::start(list(7, true, &[entry("s-1", &one, "Ready")]));
+fn an_unreachable_executor_neither_loses_an_answer_nor_hides_a_possible_effect() {
+    let (reachable, other) = (Executor::start(), Executor::start());
+    let unbound = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let mut unreachable = entry("s-2", &other, "Ready");
+    unreachable["addr"] = json!(unbound.to_string());
+    let discovery = Discovery::start(list(7, true, &[entry("s-1", &reachable, "Ready")]));
     let node = Node::start(&discovery);
     assert_eq!(node.send_request(build_request("publish", "1", 3.0, "")).0, 200);
-    one.mute.store(true, Ordering::Relaxed);
-    // A silent machine may have run what it was sent over the connection that it had.
+    reachable.mute.store(true, Ordering::Relaxed);
+    // An executor that does not respond may have run the request that was sent on its open connection.
     assert_eq!(node.send_request(build_request("publish", "2", 0.5, "")).0, 502);
-    one.mute.store(false, Ordering::Relaxed);
-    wait_until("it is back", || {
+    reachable.mute.store(false, Ordering::Relaxed);
+    wait_until("the executor serves again", || {
         node.send_request(build_request("publish", &next_request_id(), 3.0, "")).0 == 200
     });
-    discovery.lines.send(list(8, true, &[dead.clone()])).unwrap();
-    // Nothing ever ran, so even exclusive work is deferred, and in time.
-    wait_until("it is deferred", || {
+    discovery.lines.send(list(8, true, &[unreachable.clone()])).unwrap();
+    // The request is never sent, so even one of an at-most-once class is rejected rather than failed, in time.
+    wait_until("the request is rejected", || {
         node.send_request(build_request("publish", &next_request_id(), 3.0, "")).0 == 503
     });
-    discovery.lines.send(list(9, true, &[entry("s-1", &one, "Ready"), dead])).unwrap();
-    wait_until("it is back", || {
+    discovery.lines.send(list(9, true, &[entry("s-1", &reachable, "Ready"), unreachable])).unwrap();
+    wait_until("the executor serves again", || {
         node.send_request(build_request("publish", &next_request_id(), 3.0, "")).0 == 200
     });
 }
@@ -310,15 +319,15 @@
 fn requests_of_clients_that_disconnect_are_withdrawn_and_not_dispatched_again() {
     let (executor, discovery) = start_executor_and_discovery();
     let mut node = Node::start(&discovery);
-    // The first act loses the work unit once the client has left: it would be sent again for one that waits.
+    // The executor loses the request once the client has disconnected; for a waiting client it would be retried.
     executor.acts.lock().unwrap().extend([Act::WaitAndLose]);
-    let mut leaves = node.connect();
-    leaves.get_mut().write_all(build_request("render", "1", 30.0, "").as_bytes()).unwrap();
+    let mut client = node.connect();
+    client.get_mut().write_all(build_request("render", "1", 30.0, "").as_bytes()).unwrap();
     executor.wait_for(1);
     let descriptors = || std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count();
-    let with_it = descriptors();
-    drop(leaves);
-    wait_until("the node sees that the client left", || descriptors() < with_it);
+    let count_before = descriptors();
+    drop(client);
+    wait_until("the node closes the client's connection", || descriptors() < count_before);
     let before = executor.seen.lock().unwrap().len();
     executor.go_on.send(()).unwrap();
     assert_eq!(node.send_request(build_request("render", "2", 30.0, "")).0, 200);
@@ -327,27 +336,31 @@
     assert_eq!(executor.seen.lock().unwrap().len(), before + 1);
 }
 
-/// Every attempt tells its executor at most what the client has left.
+/// Each attempt must be sent with no more than the rest of the client's timeout.
 #[test]
-fn the_deadline_sent_to_an_executor_is_what_the_client_has_left() {
+fn each_attempt_is_sent_with_at_most_the_rest_of_the_clients_timeout() {
+    /// Tolerance in seconds.
     const SLACK: f64 = 0.15;
     let (executor, discovery) = start_executor_and_discovery();
     let node = Node::start(&discovery);
     executor.acts.lock().unwrap().extend([Act::WaitAndTurnAway, Act::WaitAndTurnAway]);
-    let wait = 20.0;
-    let sent = Instant::now();
+    let timeout = 20.0;
+    let sent_at = Instant::now();
     let mut client = node.connect();
-    client.get_mut().write_all(build_request("render", &next_request_id(), wait, "").as_bytes()).unwrap();
-    let mut least_spent = 0.0;
+    client.get_mut().write_all(build_request("render", &next_request_id(), timeout, "").as_bytes()).unwrap();
+    let mut min_elapsed = 0.0;
     for attempt in 1..=3 {
         executor.wait_for(attempt);
         let (head, _) = executor.seen.lock().unwrap()[attempt - 1].clone();
-        let told: f64 = field(&head, "request-timeout").unwrap().parse().unwrap();
-        assert!(told <= wait - least_spent + SLACK, "attempt {attempt}: {told} s, {least_spent} s are spent");
+        let attempt_timeout: f64 = field(&head, "request-timeout").unwrap().parse().unwrap();
+        assert!(
+            attempt_timeout <= timeout - min_elapsed + SLACK,
+            "attempt {attempt}: {attempt_timeout} s, {min_elapsed} s have passed"
+        );
         if attempt < 3 {
-            let next = sent.elapsed() + Duration::from_millis(300);
-            wait_until("time passes", || sent.elapsed() >= next);
-            least_spent = sent.elapsed().as_secs_f64();
+            let next_attempt_after = sent_at.elapsed() + Duration::from_millis(300);
+            wait_until("300 ms have passed", || sent_at.elapsed() >= next_attempt_after);
+            min_elapsed = sent_at.elapsed().as_secs_f64();
             executor.go_on.send(()).unwrap();
         }
     }
@@ -355,27 +368,26 @@
 }
 
 #[test]
-fn idempotent_attempts_of_a_client_that_left_are_cancelled() {
+fn only_idempotent_attempts_are_cancelled_when_the_client_disconnects() {
     let (executor, discovery) = start_executor_and_discovery();
     let mut settings = settings();
     settings["limits"]["cancel"] = json!(true);
     let node = Node::start_with_limits(&discovery, (256, 64), settings, "info");
     let descriptors = || std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count();
-    // A connection to the executor, to be used again, and none from a client.
+    // One pooled connection to the executor is opened, and none of a client stays open.
     let before = descriptors();
     node.send_request(build_request("render", &next_request_id(), 3.0, ""));
-    wait_until("the client has gone", || descriptors() == before + 1);
-    for (k, (project_type, kept)) in [("render", 0), ("publish", 1)].into_iter().enumerate() {
+    wait_until("the client's connection is closed", || descriptors() == before + 1);
+    for (number, (class, kept_connections)) in [("render", 0), ("publish", 1)].into_iter().enumerate() {
         executor.acts.lock().unwrap().push_back(Act::Wait);
-        let mut leaves = node.connect();
-        leaves
-            .get_mut()
-            .write_all(build_request(project_type, &next_request_id(), 30.0, "").as_bytes())
-            .unwrap();
-        executor.wait_for(k + 2);
-        let with_both = descriptors();
-        drop(leaves);
-        wait_until("only what may not run again is waited for", || descriptors() == with_both - 2 + kept);
+        let mut client = node.connect();
+        client.get_mut().write_all(build_request(class, &next_request_id(), 30.0, "").as_bytes()).unwrap();
+        executor.wait_for(number + 2);
+        let count_before = descriptors();
+        drop(client);
+        wait_until("only attempts that may not be repeated keep their connection", || {
+            descriptors() == count_before - 2 + kept_connections
+        });
         executor.go_on.send(()).unwrap();
     }
     assert_eq!(node.send_request(build_request("render", &next_request_id(), 30.0, "")).0, 200);
@@ -386,76 +398,77 @@
     let (executor, discovery) = start_executor_and_discovery();
     let mut node = Node::start(&discovery);
     executor.acts.lock().unwrap().push_back(Act::Wait);
-    let mut taken = node.connect();
-    taken.get_mut().write_all(build_request("publish", "1", 30.0, "").as_bytes()).unwrap();
+    let mut open = node.connect();
+    open.get_mut().write_all(build_request("publish", "1", 30.0, "").as_bytes()).unwrap();
     executor.wait_for(1);
     let mut idle = node.connect();
     node.terminate();
     node.wait_for_log("shutdown requested");
-    assert_eq!(node.send_request(HEALTH_CHECK).0, 503, "no front takes it in");
-    assert_eq!(node.send_request(build_request("render", "2", 3.0, "")).0, 200, "on a new connection");
-    let asked = Instant::now();
-    while asked.elapsed() < Duration::from_secs(2) {
+    assert_eq!(node.send_request(HEALTH_CHECK).0, 503, "load balancers see that it is not ready");
+    assert_eq!(
+        node.send_request(build_request("render", "2", 3.0, "")).0,
+        200,
+        "a request on a new connection"
+    );
+    let requested_at = Instant::now();
+    while requested_at.elapsed() < Duration::from_secs(2) {
         assert_eq!(
             send_request(&mut idle, build_request("render", &next_request_id(), 3.0, "")).0,
             200,
-            "on one that it had, all along"
+            "a request on an existing connection"
         );
     }
     executor.go_on.send(()).unwrap();
-    assert_eq!(read_response(&mut taken).0, 200, "what was taken before");
+    assert_eq!(read_response(&mut open).0, 200, "an open request");
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "idle connections are closed");
     assert!(node.process.wait().unwrap().success());
 }
 
 #[test]
 fn requests_in_flight_at_the_end_of_a_shutdown_are_answered() {
-    // With limits that are longer than a node has to end, and with ones that are over before it closes.
-    for hard_limit in [30_000_000, 200_000] {
+    // In microseconds: a deadline longer than the time for a shutdown, and one that passes before the node closes.
+    for deadline_us in [30_000_000, 200_000] {
         let (executor, discovery) = start_executor_and_discovery();
-        let mut given = settings();
-        for k in 0..2 {
-            given["project_types"][k]["hard_limit"] = json!(hard_limit);
+        let mut settings = settings();
+        for class in 0..2 {
+            settings["project_types"][class]["hard_limit"] = json!(deadline_us);
         }
-        let mut node = Node::start_with_limits(&discovery, (256, 64), given, "info");
+        let mut node = Node::start_with_limits(&discovery, (256, 64), settings, "info");
         executor.acts.lock().unwrap().extend([Act::Silent, Act::Silent]);
-        let mut connections = ["render", "publish"].map(|project_type| {
+        let mut connections = ["render", "publish"].map(|class| {
             let mut connection = node.connect();
-            connection
-                .get_mut()
-                .write_all(build_request(project_type, project_type, 60.0, "").as_bytes())
-                .unwrap();
+            connection.get_mut().write_all(build_request(class, class, 60.0, "").as_bytes()).unwrap();
             connection
         });
         executor.wait_for(2);
-        let asked = Instant::now();
+        let terminated_at = Instant::now();
         node.terminate();
         let statuses = connections.each_mut().map(|connection| read_response(connection).0);
-        assert_eq!(statuses, [503, 502], "deferred where a retry is harmless, else aborted");
+        assert_eq!(statuses, [503, 502], "rejected if a retry has no second effect, else failed");
         assert!(node.process.wait().unwrap().success());
-        assert!(asked.elapsed() < Duration::from_millis(3700), "before it is killed");
+        assert!(terminated_at.elapsed() < Duration::from_millis(3700), "before the platform kills it");
     }
 }
 
 #[test]
 fn a_full_node_rejects_and_stays_within_its_limits() {
-    // Descriptors and megabytes it may have, connections and the size of a body.
-    for (sockets, memory_mb, count, size) in [(64, 64, 60, 0), (300, 16, 150, 60_000)] {
+    // Limits of descriptors and of memory in MB, the number of connections, and the size of a body in bytes.
+    for (sockets, memory_mb, count, body_bytes) in [(64, 64, 60, 0), (300, 16, 150, 60_000)] {
         let (executor, discovery) = start_executor_and_discovery();
         let node = Node::start_with_limits(&discovery, (sockets, memory_mb), settings(), "info");
         executor.acts.lock().unwrap().extend(vec![Act::Wait; count]);
-        let connect_and_send = |k: usize| {
+        let connect_and_send = |id: usize| {
             let connection = node.connect();
-            let request = build_request("publish", &k.to_string(), 20.0, &"x".repeat(size));
+            let request = build_request("publish", &id.to_string(), 20.0, &"x".repeat(body_bytes));
             let mut stream = connection.get_ref().try_clone().unwrap();
             thread::spawn(move || stream.write_all(request.as_bytes()));
             connection
         };
         let mut connections: Vec<_> = (0..count).map(connect_and_send).collect();
         executor.wait_for(8);
-        let of_process = |what: &str| format!("/proc/{}/{what}", node.process.id());
-        let open = std::fs::read_dir(of_process("fd")).unwrap().count();
-        assert!(open <= sockets as usize, "{open} descriptors of {sockets}");
+        let proc_path = |name: &str| format!("/proc/{}/{name}", node.process.id());
+        let open = std::fs::read_dir(proc_path("fd")).unwrap().count();
+        assert!(open <= sockets as usize, "{open} descriptors, limit {sockets}");
         (0..count).for_each(|_| executor.go_on.send(()).unwrap());
         let mut counts = BTreeMap::new();
         for connection in &mut connections {
@@ -463,13 +476,13 @@
         }
         assert!(counts.keys().all(|status| [200, 503].contains(status)), "{counts:?}");
         assert!(counts[&200] >= 8 && counts[&503] >= 1, "{counts:?}");
-        let status = std::fs::read_to_string(of_process("status")).unwrap();
-        let most = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap().trim();
-        let most: u64 = most.split(' ').next().unwrap().parse().unwrap();
-        assert!(most <= memory_mb * 1024, "{most} kB of {memory_mb} MB");
+        let status = std::fs::read_to_string(proc_path("status")).unwrap();
+        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap().trim();
+        let peak_kb: u64 = peak.split(' ').next().unwrap().parse().unwrap();
+        assert!(peak_kb <= memory_mb * 1024, "{peak_kb} kB, limit {memory_mb} MB");
         drop(connections);
-        // It serves on once it has seen that they are gone; until then it may say that it is full.
-        wait_until("it serves on", || {
+        // Until the node has noticed that the clients have disconnected, it may reject for lack of capacity.
+        wait_until("the node serves again", || {
             node.send_request(build_request("render", &next_request_id(), 3.0, "")).0 == 200
         });
     }
@@ -480,21 +493,21 @@
     let (_executor, discovery) = start_executor_and_discovery();
     let node = Node::start_with_limits(&discovery, (256, 64), settings(), "debug");
     for _ in 0..3000 {
-        assert_eq!(node.send_request("GET /nowhere HTTP/1.1\r\nHost: n\r\n\r\n").0, 404);
+        assert_eq!(node.send_request("GET /unlisted HTTP/1.1\r\nHost: n\r\n\r\n").0, 404);
     }
     assert_eq!(node.send_request(build_request("render", "1", 3.0, "")).0, 200);
 }
 
 #[test]
-fn a_bad_configuration_is_one_error_line() {
-    let good = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c",
+fn an_invalid_configuration_is_reported_in_one_line_and_ends_the_process() {
+    let valid = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c",
         "limits": {"memory_mb": 64, "sockets": 64}, "settings": settings()});
     let with = |path: &str, value: Value| {
-        let mut config = good.clone();
+        let mut config = valid.clone();
         *config.pointer_mut(path).unwrap() = value;
         config.to_string()
     };
-    for (config, part) in [
+    for (config, expected) in [
         (String::new(), "EOF"),
         ("{\"name\": 5}".into(), "string"),
         (with("/listen", json!("here")), "socket address"),
@@ -505,8 +518,11 @@
         (with("/settings/project_types/0/hard_limit", json!("long")), "wrong type"),
         (with("/settings/project_types/0/hard_limit", json!(0)), "not a positive number"),
     ] {
-        let out = spawn_node(&write_config_file(&config), "info").wait_with_output().unwrap();
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success() && said.lines().count() == 1 && said.contains(part), "{said}");
+        let output = spawn_node(&write_config_file(&config), "info").wait_with_output().unwrap();
+        let error = String::from_utf8(output.stderr).unwrap();
+        assert!(
+            !output.status.success() && error.lines().count() == 1 && error.contains(expected),
+            "{error}"
+        );
     }
 }
