--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -1,4 +1,4 @@
-//! What operators' staff do to a node that runs: calls, executors out by hand, drains, the next process.
+//! Operation of a running node: admin calls, excluded executors, drains, reloads and hot restarts.
 #![allow(clippy::unwrap_used)]
 mod common;
 
@@ -17,71 +17,79 @@
 use std::time::{Duration, Instant};
 use troutknot_emulator::scripted::{Act, Crowded, Discovery, Executor};
 
-struct Operated {
+/// A node with an admin address.
+struct AdminNode {
     node: Node,
-    calls: SocketAddr,
+    admin_address: SocketAddr,
 }
 
+/// A configuration of a node with an admin address.
 fn config(discovery: &Discovery, settings: Value) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "management": "127.0.0.1:0",
         "discovery": discovery.addr.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "settings": settings})
 }
 
-impl Operated {
-    fn start(discovery: &Discovery, how: impl FnOnce(&mut std::process::Command)) -> Self {
+impl AdminNode {
+    /// Starts a node whose command is changed by `customize`.
+    fn start_customized(discovery: &Discovery, customize: impl FnOnce(&mut std::process::Command)) -> Self {
         let config = config(discovery, settings());
-        let node = Node::start_from_config(config, |path| spawn_customized_node(path, "info", "", how));
+        let node = Node::start_from_config(config, |path| spawn_customized_node(path, "info", "", customize));
         let line = node.wait_for_log("admin listening");
-        let calls = parse_address_field(&line);
-        let operated = Operated { node, calls };
-        wait_until("it is ready", || operated.call("GET", "/v1/readyz") == 200);
-        operated
+        let admin_address = parse_address_field(&line);
+        let admin_node = AdminNode { node, admin_address };
+        wait_until("the node is ready", || admin_node.call("GET", "/v1/readyz") == 200);
+        admin_node
     }
 
+    /// Makes an admin call and returns its status.
     fn call(&self, method: &str, path: &str) -> u16 {
-        self.say(&format!("{method} {path} HTTP/1.1\r\nHost: n\r\n\r\n"))
+        self.send(&format!("{method} {path} HTTP/1.1\r\nHost: n\r\n\r\n"))
     }
 
-    fn say(&self, request: &str) -> u16 {
-        let stream = TcpStream::connect(self.calls).unwrap();
-        // A caller waits a second.
+    /// Sends a request to the admin address and returns the status of its response.
+    fn send(&self, request: &str) -> u16 {
+        let stream = TcpStream::connect(self.admin_address).unwrap();
+        // An admin call has to be answered within a second.
         stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
         send_request(&mut BufReader::new(stream), request).0
     }
 
+    /// The status of a health check.
     fn health(&self) -> u16 {
         self.node.send_request(HEALTH_CHECK).0
     }
 }
 
-fn two_executors() -> ([Executor; 2], Discovery) {
+/// Starts two scripted executors and a discovery that lists them as `s-1` and `s-2`.
+fn start_executors_and_discovery() -> ([Executor; 2], Discovery) {
     let executors = [Executor::start(), Executor::start()];
     let entries = [entry("s-1", &executors[0], "Ready"), entry("s-2", &executors[1], "Ready")];
     (executors, Discovery::start(list(7, true, &entries)))
 }
 
-/// Which of the executors get work.
-fn used(operated: &Operated, executors: &[Executor; 2], count: usize) -> BTreeSet<usize> {
-    let mut connection = operated.node.connect();
+/// Sends requests over one connection, and returns the indices of the executors that received any.
+fn used_executors(admin_node: &AdminNode, executors: &[Executor; 2], count: usize) -> BTreeSet<usize> {
+    let mut connection = admin_node.node.connect();
     for _ in 0..count {
         assert_eq!(
             send_request(&mut connection, build_request("render", &next_request_id(), 3.0, "")).0,
             200
         );
     }
-    let seen = |k: &usize| !std::mem::take(&mut *executors[*k].seen.lock().unwrap()).is_empty();
-    (0..2).filter(seen).collect()
+    let has_received =
+        |index: &usize| !std::mem::take(&mut *executors[*index].seen.lock().unwrap()).is_empty();
+    (0..2).filter(has_received).collect()
 }
 
 #[test]
 fn admin_calls_are_routed_and_unfinished_ones_do_not_block_others() {
-    let (_executors, discovery) = two_executors();
-    let operated = Operated::start(&discovery, |_| ());
-    let _crowd: Vec<_> = (0..40)
-        .map(|k| {
-            let mut silent = TcpStream::connect(operated.calls).unwrap();
-            silent.write_all(&b"GET /v1"[..k % 8]).unwrap();
+    let (_executors, discovery) = start_executors_and_discovery();
+    let admin_node = AdminNode::start_customized(&discovery, |_| ());
+    let _incomplete_calls: Vec<_> = (0..40)
+        .map(|number| {
+            let mut silent = TcpStream::connect(admin_node.admin_address).unwrap();
+            silent.write_all(&b"GET /v1"[..number % 8]).unwrap();
             silent
         })
         .collect();
@@ -96,16 +104,16 @@
         ("PUT /v1/executors/s-9/resume", 404),
         ("PUT /v1/node/activate", 200),
     ] {
-        assert_eq!(operated.say(&format!("{request} HTTP/1.1\r\nHost: n\r\n\r\n")), status, "{request}");
+        assert_eq!(admin_node.send(&format!("{request} HTTP/1.1\r\nHost: n\r\n\r\n")), status, "{request}");
     }
-    assert_eq!(operated.say("what\r\n\r\n"), 400);
+    assert_eq!(admin_node.send("what\r\n\r\n"), 400);
 }
 
-/// Keeps one processor busy beside what else runs there.
-fn spin(on: CpuSet, until: Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
+/// Starts a thread that keeps one processor busy until the flag is set.
+fn spin(processor: CpuSet, is_done: Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
     std::thread::spawn(move || {
-        sched_setaffinity(None, &on).unwrap();
-        while !until.load(Ordering::Relaxed) {
+        sched_setaffinity(None, &processor).unwrap();
+        while !is_done.load(Ordering::Relaxed) {
             std::hint::spin_loop();
         }
     })
@@ -113,36 +121,37 @@
 
 #[test]
 fn an_admin_call_is_answered_within_a_second_on_an_overloaded_node() {
-    let (_executors, discovery) = two_executors();
-    let operated = Operated::start(&discovery, |_| ());
-    // A fifth of a processor at most, and as many connections as there may be.
-    let all = sched_getaffinity(None).unwrap();
-    let first = (0..CpuSet::MAX_CPU).find(|&cpu| all.is_set(cpu)).unwrap();
-    let mut one = CpuSet::new();
-    one.set(first);
-    sched_setaffinity(Pid::from_raw(operated.node.process.id() as i32), &one).unwrap();
-    let done: Arc<AtomicBool> = Arc::default();
-    let mut busy: Vec<_> = (0..4).map(|_| spin(one, done.clone())).collect();
-    let addr = operated.node.addr;
-    let _crowd: Vec<_> = (0..256).filter_map(|_| TcpStream::connect(addr).ok()).collect();
-    let (worked, served) = mpsc::channel();
+    let (_executors, discovery) = start_executors_and_discovery();
+    let admin_node = AdminNode::start_customized(&discovery, |_| ());
+    // The node gets at most a fifth of a processor, and as many connections as its limit allows.
+    let available = sched_getaffinity(None).unwrap();
+    let first = (0..CpuSet::MAX_CPU).find(|&cpu| available.is_set(cpu)).unwrap();
+    let mut processor = CpuSet::new();
+    processor.set(first);
+    sched_setaffinity(Pid::from_raw(admin_node.node.process.id() as i32), &processor).unwrap();
+    let is_done: Arc<AtomicBool> = Arc::default();
+    let mut threads: Vec<_> = (0..4).map(|_| spin(processor, is_done.clone())).collect();
+    let addr = admin_node.node.addr;
+    let _idle_clients: Vec<_> = (0..256).filter_map(|_| TcpStream::connect(addr).ok()).collect();
+    let (report_served, served) = mpsc::channel();
     for _ in 0..8 {
-        let (done, worked) = (done.clone(), worked.clone());
-        busy.push(std::thread::spawn(move || {
-            while !done.load(Ordering::Relaxed) {
+        let (is_done, report_served) = (is_done.clone(), report_served.clone());
+        threads.push(std::thread::spawn(move || {
+            while !is_done.load(Ordering::Relaxed) {
                 let Ok(stream) = TcpStream::connect(addr) else { continue };
                 let mut connection = BufReader::new(stream);
                 let request = build_request("render", &next_request_id(), 3.0, "");
                 while connection.get_mut().write_all(request.as_bytes()).is_ok()
                     && read_message(&mut connection).is_some_and(|(head, _)| !head.contains("close"))
-                    && worked.send(()).is_ok()
-                    && !done.load(Ordering::Relaxed)
+                    && report_served.send(()).is_ok()
+                    && !is_done.load(Ordering::Relaxed)
                 {}
             }
         }));
     }
     served.recv_timeout(WAIT_TIMEOUT).expect("clients are served");
-    let _silent: Vec<_> = (0..40).map(|_| TcpStream::connect(operated.calls).unwrap()).collect();
+    let _silent_calls: Vec<_> =
+        (0..40).map(|_| TcpStream::connect(admin_node.admin_address).unwrap()).collect();
     let mut slowest = Duration::ZERO;
     for (method, path) in [
         ("GET", "/v1/readyz"),
@@ -152,160 +161,180 @@
     ]
     .repeat(5)
     {
-        let asked = Instant::now();
-        assert_eq!(operated.call(method, path), 200, "{path}");
-        slowest = slowest.max(asked.elapsed());
+        let called_at = Instant::now();
+        assert_eq!(admin_node.call(method, path), 200, "{path}");
+        slowest = slowest.max(called_at.elapsed());
     }
-    done.store(true, Ordering::Relaxed);
-    assert!(slowest < Duration::from_secs(1), "a caller waited {slowest:?}");
-    busy.into_iter().for_each(|thread| thread.join().unwrap());
+    is_done.store(true, Ordering::Relaxed);
+    assert!(slowest < Duration::from_secs(1), "the slowest call took {slowest:?}");
+    threads.into_iter().for_each(|thread| thread.join().unwrap());
 }
 
 #[test]
-fn an_exclusion_reaches_an_attempt_that_is_connecting() {
-    let (executor, crowded) = (Executor::start(), Crowded::start());
-    let named = |name: &str, addr: SocketAddr| {
+fn an_exclusion_withdraws_an_attempt_that_is_connecting() {
+    let (executor, unaccepting) = (Executor::start(), Crowded::start());
+    let ready_entry = |name: &str, addr: SocketAddr| {
         let addr = addr.to_string();
         json!({"id": name, "addr": addr, "zone": "z", "kind": "k", "cell": 0, "state": "Ready"})
     };
-    let discovery = Discovery::start(list(7, true, &[named("s-1", crowded.addr)]));
+    let discovery = Discovery::start(list(7, true, &[ready_entry("s-1", unaccepting.addr)]));
     let mut config = config(&discovery, settings());
-    // A connection may take longer than the grace; its first try is repeated after a second.
+    // A connection attempt may take longer than the drain grace; the system repeats its first SYN after a second.
     config["settings"]["limits"]["connect_timeout"] = json!(10_000_000);
     let node = Node::start_from_config(config, |path| spawn_customized_node(path, "debug", "", |_| ()));
     let line = node.wait_for_log("admin listening");
-    let calls = parse_address_field(&line);
-    let operated = Operated { node, calls };
-    wait_until("it is ready", || operated.call("GET", "/v1/readyz") == 200);
-    let mut client = operated.node.connect();
+    let admin_address = parse_address_field(&line);
+    let admin_node = AdminNode { node, admin_address };
+    wait_until("the node is ready", || admin_node.call("GET", "/v1/readyz") == 200);
+    let mut client = admin_node.node.connect();
     client.get_mut().write_all(build_request("render", &next_request_id(), 9.0, "").as_bytes()).unwrap();
-    operated.node.wait_for_log("attempt dispatched executor=s-1 attempt=0 ");
-    discovery.lines.send(list(8, false, &[named("s-2", executor.addr)])).unwrap();
-    operated.node.wait_for_log("endpoint updated executor=s-2 ");
-    assert_eq!(operated.call("PUT", "/v1/executors/s-1/suspend"), 200);
-    // It was never sent, so it goes elsewhere once the grace nears its end.
-    operated.node.wait_for_log("outcome=NotSent");
+    admin_node.node.wait_for_log("attempt dispatched executor=s-1 attempt=0 ");
+    discovery.lines.send(list(8, false, &[ready_entry("s-2", executor.addr)])).unwrap();
+    admin_node.node.wait_for_log("endpoint updated executor=s-2 ");
+    assert_eq!(admin_node.call("PUT", "/v1/executors/s-1/suspend"), 200);
+    // The request was never sent, so it is dispatched to the other executor when the drain grace ends.
+    admin_node.node.wait_for_log("outcome=NotSent");
     assert_eq!(read_response(&mut client).0, 200);
     assert_eq!(executor.seen.lock().unwrap().len(), 1);
-    crowded.go_on.send(()).unwrap();
-    let came = crowded.came.join().unwrap();
-    assert!(came.is_empty(), "it is out: {}", String::from_utf8_lossy(&came));
+    unaccepting.go_on.send(()).unwrap();
+    let received = unaccepting.came.join().unwrap();
+    assert!(received.is_empty(), "the executor is excluded: {}", String::from_utf8_lossy(&received));
 }
 
 #[test]
-fn an_excluded_executor_gets_nothing_whatever_the_list_says() {
-    let (executors, discovery) = two_executors();
-    let operated = Operated::start(&discovery, |_| ());
-    assert_eq!(used(&operated, &executors, 60), [0, 1].into());
-    assert_eq!(operated.call("PUT", "/v1/executors/s-1/suspend"), 200);
-    assert_eq!(operated.call("PUT", "/v1/executors/s-1/suspend"), 200);
-    assert_eq!(used(&operated, &executors, 30), [1].into(), "out");
-    // Gone and back in the list, and so started anew.
+fn an_excluded_executor_gets_no_requests_in_any_listed_state() {
+    let (executors, discovery) = start_executors_and_discovery();
+    let admin_node = AdminNode::start_customized(&discovery, |_| ());
+    assert_eq!(used_executors(&admin_node, &executors, 60), [0, 1].into());
+    assert_eq!(admin_node.call("PUT", "/v1/executors/s-1/suspend"), 200);
+    assert_eq!(admin_node.call("PUT", "/v1/executors/s-1/suspend"), 200);
+    assert_eq!(used_executors(&admin_node, &executors, 30), [1].into(), "excluded");
+    // The executor is removed from the list and added again, as after a restart.
     discovery.lines.send(list(8, false, &[json!({"id": "s-1", "state": "Gone"})])).unwrap();
     discovery.lines.send(list(9, false, &[entry("s-1", &executors[0], "Ready")])).unwrap();
-    assert_eq!(used(&operated, &executors, 30), [1].into(), "out though it is back in the list");
-    assert_eq!(operated.call("PUT", "/v1/executors/s-2/suspend"), 200);
-    let asked = Instant::now();
+    assert_eq!(
+        used_executors(&admin_node, &executors, 30),
+        [1].into(),
+        "still excluded when it is listed again"
+    );
+    assert_eq!(admin_node.call("PUT", "/v1/executors/s-2/suspend"), 200);
+    let sent_at = Instant::now();
     let (status, (head, _)) =
-        operated.node.send_request(build_request("render", &next_request_id(), 3.0, ""));
-    assert_eq!(status, 503, "all are out");
-    assert!(field(&head, "retry-after").is_some() && asked.elapsed() < Duration::from_secs(1), "{head}");
-    assert_eq!(operated.call("PUT", "/v1/executors/s-1/resume"), 200);
-    assert_eq!(used(&operated, &executors, 10), [0].into(), "one call back undoes two out");
+        admin_node.node.send_request(build_request("render", &next_request_id(), 3.0, ""));
+    assert_eq!(status, 503, "all executors are excluded");
+    assert!(field(&head, "retry-after").is_some() && sent_at.elapsed() < Duration::from_secs(1), "{head}");
+    assert_eq!(admin_node.call("PUT", "/v1/executors/s-1/resume"), 200);
+    assert_eq!(used_executors(&admin_node, &executors, 10), [0].into(), "one resume reverts two suspends");
 }
 
 #[test]
-fn a_drained_node_is_empty_in_time_and_serves_again_once_activated() {
-    let (executors, discovery) = two_executors();
-    let operated = Operated::start(&discovery, |_| ());
-    let (mut idle, mut busy) = (operated.node.connect(), operated.node.connect());
+fn a_drained_node_closes_its_connections_in_time_and_serves_again_once_activated() {
+    let (executors, discovery) = start_executors_and_discovery();
+    let admin_node = AdminNode::start_customized(&discovery, |_| ());
+    let (mut idle, mut busy) = (admin_node.node.connect(), admin_node.node.connect());
     for connection in [&mut idle, &mut busy] {
         assert_eq!(send_request(connection, build_request("render", &next_request_id(), 3.0, "")).0, 200);
     }
-    let asked = Instant::now();
-    assert_eq!(operated.call("PUT", "/v1/node/drain"), 200);
-    assert_eq!(operated.call("PUT", "/v1/node/drain"), 200);
-    assert_eq!((operated.health(), operated.call("GET", "/v1/readyz")), (503, 503));
+    let drained_at = Instant::now();
+    assert_eq!(admin_node.call("PUT", "/v1/node/drain"), 200);
+    assert_eq!(admin_node.call("PUT", "/v1/node/drain"), 200);
+    assert_eq!((admin_node.health(), admin_node.call("GET", "/v1/readyz")), (503, 503));
     let (status, (head, _)) = send_request(&mut busy, build_request("render", &next_request_id(), 3.0, ""));
-    assert_eq!((status, field(&head, "connection")), (200, Some("close")), "early work is served: {head}");
+    assert_eq!(
+        (status, field(&head, "connection")),
+        (200, Some("close")),
+        "a request before the drain has settled is served: {head}"
+    );
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "an idle connection closes");
-    assert!(asked.elapsed() < Duration::from_secs(2));
+    assert!(drained_at.elapsed() < Duration::from_secs(2));
     let (status, (head, _)) =
-        operated.node.send_request(build_request("render", &next_request_id(), 3.0, ""));
-    assert_eq!((status, field(&head, "connection")), (503, Some("close")), "late work is deferred: {head}");
-    // Nothing keeps a connection to an empty node open.
-    assert_eq!(operated.node.connect().read(&mut [0]).unwrap(), 0);
-    assert_eq!(operated.call("PUT", "/v1/node/activate"), 200);
-    assert_eq!((operated.health(), operated.call("GET", "/v1/readyz")), (200, 200));
-    assert_eq!(used(&operated, &executors, 60), [0, 1].into());
-    assert_eq!(operated.call("PUT", "/v1/node/activate"), 200);
-    // Again at once: the settling of the first drain is not this one's.
+        admin_node.node.send_request(build_request("render", &next_request_id(), 3.0, ""));
+    assert_eq!(
+        (status, field(&head, "connection")),
+        (503, Some("close")),
+        "a request after the drain has settled is rejected: {head}"
+    );
+    // A drained node closes new connections.
+    assert_eq!(admin_node.node.connect().read(&mut [0]).unwrap(), 0);
+    assert_eq!(admin_node.call("PUT", "/v1/node/activate"), 200);
+    assert_eq!((admin_node.health(), admin_node.call("GET", "/v1/readyz")), (200, 200));
+    assert_eq!(used_executors(&admin_node, &executors, 60), [0, 1].into());
+    assert_eq!(admin_node.call("PUT", "/v1/node/activate"), 200);
+    // A second drain right after the first: the timer of the first one must not settle it.
     for path in ["drain", "activate", "drain"] {
-        assert_eq!(operated.call("PUT", &format!("/v1/node/{path}")), 200);
+        assert_eq!(admin_node.call("PUT", &format!("/v1/node/{path}")), 200);
     }
     assert_eq!(
-        operated.node.send_request(build_request("render", &next_request_id(), 3.0, "")).0,
+        admin_node.node.send_request(build_request("render", &next_request_id(), 3.0, "")).0,
         200,
-        "in the middle of emptying"
+        "the second drain has not settled"
     );
-    operated.node.terminate();
-    operated.node.wait_for_log("shutdown requested");
-    assert!(operated.node.wait_for_log("shutdown complete").ends_with("connections=0"));
+    admin_node.node.terminate();
+    admin_node.node.wait_for_log("shutdown requested");
+    assert!(admin_node.node.wait_for_log("shutdown complete").ends_with("connections=0"));
 }
 
-/// Project types by name, effect and limit in seconds.
-fn types(of: &[(&str, &str, u64)], attempts: u64) -> Value {
+/// Settings with these classes, by name, effect and deadline in seconds, and this number of attempts.
+fn settings_with_classes(classes: &[(&str, &str, u64)], max_attempts: u64) -> Value {
     let mut settings = settings();
-    let like = settings["project_types"][0].clone();
-    let kind = |(name, effect, limit): &(&str, &str, u64)| {
-        let mut kind = like.clone();
-        (kind["name"], kind["effect"]) = (json!(name), json!(effect));
-        kind["hard_limit"] = json!(limit * 1_000_000);
-        kind
+    let template = settings["project_types"][0].clone();
+    let build_class = |(name, effect, deadline): &(&str, &str, u64)| {
+        let mut class = template.clone();
+        (class["name"], class["effect"]) = (json!(name), json!(effect));
+        class["hard_limit"] = json!(deadline * 1_000_000);
+        class
     };
-    settings["project_types"] = of.iter().map(kind).collect();
-    settings["limits"]["max_allocations"] = json!(attempts);
+    settings["project_types"] = classes.iter().map(build_class).collect();
+    settings["limits"]["max_allocations"] = json!(max_attempts);
     settings
 }
 
 #[test]
-fn new_settings_apply_to_new_requests_and_a_broken_file_changes_nothing() {
+fn a_reload_applies_to_new_requests_and_an_invalid_file_changes_nothing() {
     let (executor, discovery) = start_executor_and_discovery();
-    let operated = Operated::start(&discovery, |_| ());
-    let node = &operated.node;
+    let admin_node = AdminNode::start_customized(&discovery, |_| ());
+    let node = &admin_node.node;
     let mut config = node.config.clone();
-    let retune = |config: &Value, logged: &str| {
+    let reload = |config: &Value, expected_log: &str| {
         node.reload(&config.to_string());
-        node.wait_for_log(logged)
+        node.wait_for_log(expected_log)
     };
-    let post = |name: &str, acts: &[Act]| {
+    let submit = |class: &str, acts: &[Act]| {
         executor.acts.lock().unwrap().extend(acts.iter());
-        let status = node.send_request(build_request(name, &next_request_id(), 3.0, "")).0;
+        let status = node.send_request(build_request(class, &next_request_id(), 3.0, "")).0;
         executor.acts.lock().unwrap().clear();
         status
     };
-    let loses = [Act::Lost, Act::Lost, Act::Done];
-    assert_eq!((post("render", &loses), post("publish", &loses)), (200, 502));
-    // Out under the terms of its arrival while render gets stricter, publish vanishes and attempts get fewer.
+    let lost_twice = [Act::Lost, Act::Lost, Act::Done];
+    assert_eq!((submit("render", &lost_twice), submit("publish", &lost_twice)), (200, 502));
+    // A request keeps the settings of its arrival while render becomes at-most-once, publish is removed and the limit on
+    // attempts is lowered.
     executor.acts.lock().unwrap().extend([Act::WaitAndLose, Act::Lost, Act::Done]);
-    let mut under_way = node.connect();
+    let mut open_request = node.connect();
     executor.seen.lock().unwrap().clear();
-    under_way.get_mut().write_all(build_request("render", &next_request_id(), 9.0, "").as_bytes()).unwrap();
+    open_request
+        .get_mut()
+        .write_all(build_request("render", &next_request_id(), 9.0, "").as_bytes())
+        .unwrap();
     executor.wait_for(1);
-    config["settings"] = types(&[("render", "unsafe", 20), ("thumb", "safe", 2)], 2);
-    retune(&config, "settings_changed=true");
+    config["settings"] = settings_with_classes(&[("render", "unsafe", 20), ("thumb", "safe", 2)], 2);
+    reload(&config, "settings_changed=true");
     executor.go_on.send(()).unwrap();
-    assert_eq!(read_response(&mut under_way).0, 200, "it is sent three times, as when it came");
+    assert_eq!(
+        read_response(&mut open_request).0,
+        200,
+        "it has three attempts, by the settings of its arrival"
+    );
     for (name, acts, status) in [
-        ("render", &loses[..], 502),
+        ("render", &lost_twice[..], 502),
         ("publish", &[][..], 404),
-        ("thumb", &loses[1..], 200),
+        ("thumb", &lost_twice[1..], 200),
         ("thumb", &[Act::TurnedAway, Act::TurnedAway, Act::Done], 503),
     ] {
-        assert_eq!(post(name, acts), status, "{name} {acts:?}");
+        assert_eq!(submit(name, acts), status, "{name} {acts:?}");
     }
-    let good = config.clone();
-    for (at, value, said) in [
+    let valid = config.clone();
+    for (pointer, value, expected) in [
         ("/settings/project_types/1/hard_limit", json!(0), "`thumb`: `hard_limit` is not a positive number"),
         ("/settings/project_types/1/name", json!("other"), "`other` stands there twice"),
         ("/settings/limits/max_allocations", json!(-1), "`limits.max_allocations` is not a positive number"),
@@ -313,49 +342,59 @@
         ("/settings", json!({}), "names none"),
         ("/seed", json!("zz"), "`seed` must be a hexadecimal number of at most 64 bits"),
     ] {
-        let mut bad = good.clone();
-        // What comes before the fault must not be taken either.
-        bad["settings"]["project_types"][0]["name"] = json!("other");
-        *bad.pointer_mut(at).unwrap() = value;
-        let line = retune(&bad, "new configuration rejected");
-        assert!(line.contains(&node.path) && line.contains(said), "{line}");
-        assert_eq!((post("other", &[]), post("render", &[]), post("thumb", &[])), (404, 200, 200), "{at}");
+        let mut invalid = valid.clone();
+        // Changes in front of the fault must not be applied either.
+        invalid["settings"]["project_types"][0]["name"] = json!("other");
+        *invalid.pointer_mut(pointer).unwrap() = value;
+        let line = reload(&invalid, "new configuration rejected");
+        assert!(line.contains(&node.path) && line.contains(expected), "{line}");
+        assert_eq!(
+            (submit("other", &[]), submit("render", &[]), submit("thumb", &[])),
+            (404, 200, 200),
+            "{pointer}"
+        );
     }
-    node.reload(&good.to_string()[..500]);
+    node.reload(&valid.to_string()[..500]);
     node.wait_for_log("new configuration rejected");
-    // Two files within a second: the last one holds.
-    config["settings"] = types(&[("thumb", "safe", 2)], 3);
-    retune(&config, "settings_changed=true");
-    config["settings"] = types(&[("publish", "unsafe", 2), ("render", "safe", 2)], 3);
-    retune(&config, "settings_changed=true");
-    assert_eq!((post("publish", &loses), post("render", &loses), post("thumb", &[])), (502, 200, 404));
+    // Two reloads within a second: the last file applies.
+    config["settings"] = settings_with_classes(&[("thumb", "safe", 2)], 3);
+    reload(&config, "settings_changed=true");
+    config["settings"] = settings_with_classes(&[("publish", "unsafe", 2), ("render", "safe", 2)], 3);
+    reload(&config, "settings_changed=true");
+    assert_eq!(
+        (submit("publish", &lost_twice), submit("render", &lost_twice), submit("thumb", &[])),
+        (502, 200, 404)
+    );
 }
 
-/// A clients' socket and a folder that processes of one node share.
+/// What a platform passes to the processes of one node: a listening socket and a directory for hot restarts.
 struct Platform {
     socket: TcpListener,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl Platform {
     fn new() -> Self {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("troutknot-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        Platform { socket: TcpListener::bind("127.0.0.1:0").unwrap(), folder }
+        let directory = std::env::temp_dir().join(format!("troutknot-{}-{number}", std::process::id()));
+        std::fs::create_dir_all(&directory).unwrap();
+        Platform { socket: TcpListener::bind("127.0.0.1:0").unwrap(), directory }
     }
 
-    /// Starts one more process.
-    fn start(&self, discovery: &Discovery) -> Operated {
-        self.start_by(discovery, "")
+    /// Starts another process of the node.
+    fn start(&self, discovery: &Discovery) -> AdminNode {
+        self.start_with_operator_file(discovery, "")
     }
 
-    /// With the operator's own file.
-    fn start_by(&self, discovery: &Discovery, own: &str) -> Operated {
+    /// As [`Platform::start`], with an operator's file unless its path is empty.
+    fn start_with_operator_file(&self, discovery: &Discovery, operator_file: &str) -> AdminNode {
         let fd = self.socket.try_clone().unwrap().into();
-        Operated::start(discovery, |program| {
-            program.env("ROUTER_PASSED_SOCKET", "5").env("TMPDIR", &self.folder).env("TROUTKNOT_FILE", own);
+        AdminNode::start_customized(discovery, |program| {
+            program
+                .env("ROUTER_PASSED_SOCKET", "5")
+                .env("TMPDIR", &self.directory)
+                .env("TROUTKNOT_FILE", operator_file);
             program.fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: 5 }]).unwrap();
         })
     }
@@ -366,128 +405,143 @@
         BufReader::new(stream)
     }
 
-    fn post(&self, id: &str) -> u16 {
+    /// Sends a request on a new connection and returns its status.
+    fn submit(&self, id: &str) -> u16 {
         send_request(&mut self.connect(), build_request("render", id, 3.0, "")).0
     }
 
-    /// The file under which processes meet.
-    fn meeting_place(&self) -> Option<PathBuf> {
-        std::fs::read_dir(&self.folder).unwrap().map(|entry| entry.unwrap().path()).next()
+    /// The path of the socket that the processes use for a hot restart.
+    fn hot_restart_socket_path(&self) -> Option<PathBuf> {
+        std::fs::read_dir(&self.directory).unwrap().map(|entry| entry.unwrap().path()).next()
     }
 }
 
 impl Drop for Platform {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-/// Which executors get work over connections of their own.
-fn used_by(platform: &Platform, executors: &[Executor; 2]) -> BTreeSet<usize> {
-    (0..30).for_each(|_| assert_eq!(platform.post(&next_request_id()), 200));
-    let seen = |k: &usize| !std::mem::take(&mut *executors[*k].seen.lock().unwrap()).is_empty();
-    (0..2).filter(seen).collect()
+/// Sends 30 requests, each on a new connection, and returns the indices of the executors that received any.
+fn used_executors_by_platform(platform: &Platform, executors: &[Executor; 2]) -> BTreeSet<usize> {
+    (0..30).for_each(|_| assert_eq!(platform.submit(&next_request_id()), 200));
+    let has_received =
+        |index: &usize| !std::mem::take(&mut *executors[*index].seen.lock().unwrap()).is_empty();
+    (0..2).filter(has_received).collect()
 }
 
 #[test]
-fn clients_see_no_gap_during_a_hot_restart() {
-    let (executors, discovery) = two_executors();
+fn no_request_fails_during_a_hot_restart() {
+    let (executors, discovery) = start_executors_and_discovery();
     let platform = Platform::new();
     let old = platform.start(&discovery);
     assert_eq!(old.node.addr, platform.socket.local_addr().unwrap());
-    let mut kept = platform.connect();
-    assert_eq!(send_request(&mut kept, build_request("render", &next_request_id(), 3.0, "")).0, 200);
-    // Out there when the old process is asked to end.
-    executors.iter().for_each(|e| e.acts.lock().unwrap().push_back(Act::Silent));
-    let mut under_way = platform.connect();
-    under_way.get_mut().write_all(build_request("render", &next_request_id(), 0.6, "").as_bytes()).unwrap();
-    let taken = || executors.iter().any(|e| e.acts.lock().unwrap().is_empty());
-    wait_until("it is out there", taken);
-    executors.iter().for_each(|e| e.acts.lock().unwrap().clear());
+    let mut existing = platform.connect();
+    assert_eq!(send_request(&mut existing, build_request("render", &next_request_id(), 3.0, "")).0, 200);
+    // This request is at an executor when the old process is asked to end.
+    executors.iter().for_each(|executor| executor.acts.lock().unwrap().push_back(Act::Silent));
+    let mut open_request = platform.connect();
+    open_request
+        .get_mut()
+        .write_all(build_request("render", &next_request_id(), 0.6, "").as_bytes())
+        .unwrap();
+    let is_dispatched = || executors.iter().any(|executor| executor.acts.lock().unwrap().is_empty());
+    wait_until("the request is dispatched", is_dispatched);
+    executors.iter().for_each(|executor| executor.acts.lock().unwrap().clear());
     let new = platform.start(&discovery);
     old.node.terminate();
     old.node.wait_for_log("shutdown requested");
-    let (status, (head, _)) = send_request(&mut kept, build_request("render", &next_request_id(), 3.0, ""));
-    assert_eq!((status, field(&head, "connection")), (200, Some("close")), "the old one's connection");
-    used_by(&platform, &executors);
-    assert_eq!(read_response(&mut under_way).0, 503, "what was under way has its answer");
-    drop(under_way);
+    let (status, (head, _)) =
+        send_request(&mut existing, build_request("render", &next_request_id(), 3.0, ""));
+    assert_eq!((status, field(&head, "connection")), (200, Some("close")), "a connection to the old process");
+    used_executors_by_platform(&platform, &executors);
+    assert_eq!(read_response(&mut open_request).0, 503, "the open request is answered");
+    drop(open_request);
     assert!(old.node.wait_for_log("shutdown complete").ends_with("connections=0"));
     assert_eq!(new.health(), 200);
 }
 
 #[test]
 fn state_is_handed_over_and_admin_calls_apply_to_both_processes() {
-    let (executors, discovery) = two_executors();
+    let (executors, discovery) = start_executors_and_discovery();
     let platform = Platform::new();
     let first = platform.start(&discovery);
     assert_eq!(first.call("PUT", "/v1/executors/s-1/suspend"), 200);
     let id = next_request_id();
-    assert_eq!(platform.post(&id), 200);
+    assert_eq!(platform.submit(&id), 200);
     let second = platform.start(&discovery);
     first.node.wait_for_log("hot restart: the new process takes clients");
-    assert_eq!(platform.post(&id), 409, "taken by the process before");
-    assert_eq!(used_by(&platform, &executors), [1].into(), "out over the upgrade");
-    // Calls to either while both run.
+    assert_eq!(platform.submit(&id), 409, "an id that the previous process admitted");
+    assert_eq!(used_executors_by_platform(&platform, &executors), [1].into(), "the exclusion is handed over");
+    // Admin calls to either process while both run.
     assert_eq!(first.call("PUT", "/v1/executors/s-2/suspend"), 200);
-    assert_eq!(platform.post(&next_request_id()), 503, "all are out");
+    assert_eq!(platform.submit(&next_request_id()), 503, "all executors are excluded");
     assert_eq!(second.call("PUT", "/v1/executors/s-2/resume"), 200);
     assert_eq!(second.call("PUT", "/v1/executors/s-1/resume"), 200);
     assert_eq!(first.call("PUT", "/v1/executors/s-1/suspend"), 200);
-    assert_eq!(used_by(&platform, &executors), [1].into());
+    assert_eq!(used_executors_by_platform(&platform, &executors), [1].into());
     assert_eq!(first.call("PUT", "/v1/node/drain"), 200);
     assert_eq!(second.health(), 503);
     assert_eq!(first.call("PUT", "/v1/node/activate"), 200);
     assert_eq!(second.health(), 200);
     first.node.terminate();
     assert!(first.node.wait_for_log("shutdown complete").ends_with("connections=0"));
-    // The next upgrade at once, while the node is drained.
+    // Another hot restart right after, while the node is drained.
     assert_eq!(second.call("PUT", "/v1/node/drain"), 200);
     let third = platform.start(&discovery);
     second.node.terminate();
     assert!(second.node.wait_for_log("shutdown complete").ends_with("connections=0"));
     assert_eq!(third.health(), 503, "still drained");
     assert_eq!(third.call("PUT", "/v1/node/activate"), 200);
-    assert_eq!(used_by(&platform, &executors), [1].into(), "still out");
+    assert_eq!(used_executors_by_platform(&platform, &executors), [1].into(), "still excluded");
     assert_eq!(third.call("PUT", "/v1/executors/s-1/resume"), 200);
-    assert_eq!(used_by(&platform, &executors), [0, 1].into());
+    assert_eq!(used_executors_by_platform(&platform, &executors), [0, 1].into());
 }
 
 #[test]
 fn a_process_that_dies_leaves_the_other_one_serving() {
-    let (executors, discovery) = two_executors();
+    let (executors, discovery) = start_executors_and_discovery();
     let platform = Platform::new();
     let mut first = platform.start(&discovery);
-    // The newer one dies, and the older serves on.
-    let mut dies = platform.start(&discovery);
+    // The newer process dies, and the older one continues to serve.
+    let mut killed = platform.start(&discovery);
     first.node.wait_for_log("hot restart: the new process takes clients");
-    dies.node.process.kill().unwrap();
+    killed.node.process.kill().unwrap();
     first.node.wait_for_log("hot restart: the new process has ended, this process continues");
-    used_by(&platform, &executors);
-    assert_eq!(first.call("PUT", "/v1/executors/s-1/suspend"), 200, "nobody else is waited for");
-    // The older one dies, and the newer has all it was told; then so has the next one.
+    used_executors_by_platform(&platform, &executors);
+    assert_eq!(
+        first.call("PUT", "/v1/executors/s-1/suspend"),
+        200,
+        "the call does not wait for the dead process"
+    );
+    // The older process dies, and the newer one keeps the state that it received, and hands it over to the next one.
     let second = platform.start(&discovery);
     first.node.process.kill().unwrap();
     first.node.process.wait().unwrap();
-    assert_eq!(used_by(&platform, &executors), [1].into());
-    wait_until("it waits for a next", || {
-        platform.meeting_place().is_some_and(|at| UnixStream::connect(at).is_ok())
+    assert_eq!(used_executors_by_platform(&platform, &executors), [1].into());
+    wait_until("the newer process accepts a hot restart", || {
+        platform.hot_restart_socket_path().is_some_and(|path| UnixStream::connect(path).is_ok())
     });
     let third = platform.start(&discovery);
     second.node.terminate();
     assert!(second.node.wait_for_log("shutdown complete").ends_with("connections=0"));
-    assert_eq!(used_by(&platform, &executors), [1].into());
+    assert_eq!(used_executors_by_platform(&platform, &executors), [1].into());
     assert_eq!(third.health(), 200);
 }
 
 #[test]
-fn a_failed_takeover_is_one_line_and_the_node_starts() {
-    let (executors, discovery) = two_executors();
+fn a_failed_handover_is_logged_in_one_line_and_the_node_starts() {
+    let (executors, discovery) = start_executors_and_discovery();
     let platform = Platform::new();
     drop(platform.start(&discovery));
-    let place = platform.meeting_place().expect("it is left behind by a process that was killed");
-    used_by_a_start(&platform, &discovery, &executors, "hot restart: no other process of this node runs");
-    for (said, logged) in [
+    let socket_path = platform.hot_restart_socket_path().expect("a killed process leaves its socket");
+    start_and_assert_log(
+        &platform,
+        &discovery,
+        &executors,
+        "hot restart: no other process of this node runs",
+    );
+    for (message, expected_log) in [
         ("", "from the configuration error=connection closed"),
         ("what\n", "from the configuration error=malformed message"),
         ("{\"say\":\"hello\",\"form\":99,\"name\":\"n0\"}\n", "unsupported protocol version 99"),
@@ -496,39 +550,45 @@
             "error=connection closed",
         ),
     ] {
-        let _ = std::fs::remove_file(&place);
-        let odd = UnixListener::bind(&place).unwrap();
-        let says = std::thread::spawn(move || {
-            let (mut stream, _) = odd.accept().unwrap();
-            // Its question is read, so that the answer is not lost under it.
+        let _ = std::fs::remove_file(&socket_path);
+        let listener = UnixListener::bind(&socket_path).unwrap();
+        let sender = std::thread::spawn(move || {
+            let (mut stream, _) = listener.accept().unwrap();
+            // Reads the node's message first, as a close with unread input could discard the reply.
             BufReader::new(stream.try_clone().unwrap()).read_line(&mut String::new()).unwrap();
-            stream.write_all(said.as_bytes()).unwrap();
+            stream.write_all(message.as_bytes()).unwrap();
         });
-        used_by_a_start(&platform, &discovery, &executors, logged);
-        says.join().unwrap();
+        start_and_assert_log(&platform, &discovery, &executors, expected_log);
+        sender.join().unwrap();
     }
 }
 
-fn used_by_a_start(platform: &Platform, discovery: &Discovery, executors: &[Executor; 2], logged: &str) {
+/// Starts a process, and asserts that it logs this text before it listens and serves with all executors.
+fn start_and_assert_log(
+    platform: &Platform,
+    discovery: &Discovery,
+    executors: &[Executor; 2],
+    expected_log: &str,
+) {
     let fd = platform.socket.try_clone().unwrap().into();
     let node = Node::start_from_config(config(discovery, settings()), |path| {
         spawn_customized_node(path, "info", "", |program| {
-            program.env("ROUTER_PASSED_SOCKET", "5").env("TMPDIR", &platform.folder);
+            program.env("ROUTER_PASSED_SOCKET", "5").env("TMPDIR", &platform.directory);
             program.fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: 5 }]).unwrap();
         })
     });
-    let before = node.skipped_lines.lock().unwrap().join("\n");
-    assert!(before.contains(logged), "{before}");
-    assert_eq!(used_by(platform, executors), [0, 1].into());
+    let log = node.skipped_lines.lock().unwrap().join("\n");
+    assert!(log.contains(expected_log), "{log}");
+    assert_eq!(used_executors_by_platform(platform, executors), [0, 1].into());
 }
 
 #[test]
 fn one_process_at_a_time_has_the_ledger_open() {
     let (executor, discovery) = start_executor_and_discovery();
     let platform = Platform::new();
-    let file = |end: &str| format!("{}.{end}", platform.folder.display());
-    let (own, ledger) = (file("toml"), file("ledger"));
-    std::fs::write(&own, format!("[durable]\npath = \"{ledger}\"\n")).unwrap();
+    let file = |extension: &str| format!("{}.{extension}", platform.directory.display());
+    let (operator_file, ledger) = (file("toml"), file("ledger"));
+    std::fs::write(&operator_file, format!("[durable]\npath = \"{ledger}\"\n")).unwrap();
     let keyed = |key: &str| {
         build_request("publish", &next_request_id(), 9.0, "b").replacen(
             "X-Other: kept",
@@ -536,41 +596,46 @@
             1,
         )
     };
-    let old = platform.start_by(&discovery, &own);
+    let old = platform.start_with_operator_file(&discovery, &operator_file);
     executor.acts.lock().unwrap().push_back(Act::Wait);
-    let mut under_way = platform.connect();
-    under_way.get_mut().write_all(keyed("k1").as_bytes()).unwrap();
+    let mut open_request = platform.connect();
+    open_request.get_mut().write_all(keyed("k1").as_bytes()).unwrap();
     executor.wait_for(1);
-    let new = platform.start_by(&discovery, &own);
+    let new = platform.start_with_operator_file(&discovery, &operator_file);
     old.node.wait_for_log("hot restart: the new process takes clients");
-    assert_eq!(send_request(&mut platform.connect(), keyed("k1")).0, 503, "it is open in the process before");
+    assert_eq!(
+        send_request(&mut platform.connect(), keyed("k1")).0,
+        503,
+        "the previous process has the ledger open"
+    );
     assert_eq!(send_request(&mut platform.connect(), keyed("k2")).0, 503);
-    assert_eq!(platform.post(&next_request_id()), 200, "other work is served");
+    assert_eq!(platform.submit(&next_request_id()), 200, "requests that are not durable are served");
     old.node.terminate();
     old.node.wait_for_log("shutdown requested");
     executor.go_on.send(()).unwrap();
-    assert_eq!(read_response(&mut under_way).0, 200);
-    drop(under_way);
+    assert_eq!(read_response(&mut open_request).0, 200);
+    drop(open_request);
     assert!(old.node.wait_for_log("shutdown complete").ends_with("connections=0"));
     wait_until("the new process has the ledger", || {
         send_request(&mut platform.connect(), keyed("k1")).0 == 200
     });
     assert_eq!(send_request(&mut platform.connect(), keyed("k2")).0, 200);
-    assert_eq!(executor.seen.lock().unwrap().len(), 3, "each ran once");
+    assert_eq!(executor.seen.lock().unwrap().len(), 3, "each request ran once");
     drop(new);
-    [own, ledger].iter().for_each(|file| std::fs::remove_file(file).unwrap());
+    [operator_file, ledger].iter().for_each(|file| std::fs::remove_file(file).unwrap());
 }
 
 #[test]
 fn both_processes_together_stay_within_the_descriptor_limit() {
-    let (executors, discovery) = two_executors();
+    let (executors, discovery) = start_executors_and_discovery();
     let platform = Platform::new();
     let old = platform.start(&discovery);
-    let descriptors = |of: &Operated| {
-        std::fs::read_dir(format!("/proc/{}/fd", of.node.process.id())).map_or(0, |all| all.count())
+    let count_descriptors = |process: &AdminNode| {
+        std::fs::read_dir(format!("/proc/{}/fd", process.node.process.id()))
+            .map_or(0, |entries| entries.count())
     };
-    // As many clients as it takes, each of which has been served.
-    let mut held = Vec::new();
+    // Opens connections with one answered request each, up to the limit.
+    let mut clients = Vec::new();
     for _ in 0..256 {
         let mut connection = platform.connect();
         let (status, (head, _)) =
@@ -578,89 +643,89 @@
         if status != 200 || field(&head, "connection").is_some() {
             break;
         }
-        held.push(connection);
+        clients.push(connection);
     }
-    assert!(held.len() > 50, "{} are held", held.len());
+    assert!(clients.len() > 50, "{} connections are open", clients.len());
     let new = platform.start(&discovery);
-    let most = |what: &str| {
-        let sum = descriptors(&old) + descriptors(&new);
-        assert!(sum <= 256, "{sum} descriptors {what}");
+    let assert_within_limit = |phase: &str| {
+        let sum = count_descriptors(&old) + count_descriptors(&new);
+        assert!(sum <= 256, "{sum} descriptors {phase}");
     };
-    most("beside each other");
+    assert_within_limit("while both processes run");
     old.node.wait_for_log("hot restart: the new process takes clients");
-    for connection in &mut held {
+    for connection in &mut clients {
         let (status, (head, _)) =
             send_request(connection, build_request("render", &next_request_id(), 9.0, ""));
         assert_eq!((status, field(&head, "connection")), (200, Some("close")));
-        most("while clients move");
+        assert_within_limit("while clients reconnect");
     }
-    drop(held);
-    used_by(&platform, &executors);
-    most("after they moved");
+    drop(clients);
+    used_executors_by_platform(&platform, &executors);
+    assert_within_limit("after clients have reconnected");
     old.node.terminate();
     assert!(old.node.wait_for_log("shutdown complete").ends_with("connections=0"));
 }
 
 #[test]
 fn both_processes_together_stay_within_the_limit_of_slow_bodies() {
-    let (executors, discovery) = two_executors();
+    let (executors, discovery) = start_executors_and_discovery();
     let platform = Platform::new();
     let old = platform.start(&discovery);
-    let mut kept: Vec<_> = (0..80).map(|_| platform.connect()).collect();
-    for connection in &mut kept {
+    let mut clients: Vec<_> = (0..80).map(|_| platform.connect()).collect();
+    for connection in &mut clients {
         assert_eq!(send_request(connection, build_request("render", &next_request_id(), 9.0, "")).0, 200);
     }
     let new = platform.start(&discovery);
     old.node.wait_for_log("hot restart: the new process takes clients");
-    // Of each body half comes, which is waited for; where there are too many the node says so at once.
-    let drip = |connection: &mut BufReader<TcpStream>| {
+    // Sends half of a body. The node waits for the rest, or rejects at once if too many bodies are incomplete.
+    let send_half_body = |connection: &mut BufReader<TcpStream>| {
         let request = build_request("render", &next_request_id(), 9.0, "half");
         connection.get_mut().write_all(&request.as_bytes()[..request.len() - 2]).unwrap();
         connection.get_ref().set_read_timeout(Some(Duration::from_millis(5))).unwrap();
     };
-    let turned_away = |connection: &mut BufReader<TcpStream>| {
+    let is_rejected = |connection: &mut BufReader<TcpStream>| {
         read_message(connection).is_some_and(|(head, _)| head.starts_with("HTTP/1.1 503"))
     };
-    kept.iter_mut().for_each(drip);
-    wait_until("the new one counts what the old one holds", || {
+    clients.iter_mut().for_each(send_half_body);
+    wait_until("the new process counts the bodies of the old one", || {
         let mut connection = platform.connect();
-        drip(&mut connection);
-        turned_away(&mut connection)
+        send_half_body(&mut connection);
+        is_rejected(&mut connection)
     });
-    let away = kept.iter_mut().filter_map(|c| turned_away(c).then_some(())).count();
-    assert!((10..70).contains(&away), "{away} of 80 were turned away by the old one");
-    used_by(&platform, &executors);
-    drop(kept);
-    wait_until("they are gone from the old one", || {
+    let rejected = clients.iter_mut().filter_map(|client| is_rejected(client).then_some(())).count();
+    assert!((10..70).contains(&rejected), "the old process rejected {rejected} of 80");
+    used_executors_by_platform(&platform, &executors);
+    drop(clients);
+    wait_until("the old process has closed its connections", || {
         let mut connection = platform.connect();
-        drip(&mut connection);
-        !turned_away(&mut connection)
+        send_half_body(&mut connection);
+        !is_rejected(&mut connection)
     });
     assert_eq!((old.call("GET", "/v1/readyz"), new.health()), (200, 200));
 }
 
 #[test]
 fn a_drain_during_the_start_applies_and_sighup_reaches_both_processes() {
-    let (executors, discovery) = two_executors();
-    // Nobody is there to tell the list, so the start takes a second.
-    let mut silent = config(&discovery, settings());
-    silent["discovery"] = json!("127.0.0.1:9");
-    let node = Node::start_from_config(silent, |path| spawn_customized_node(path, "info", "", |_| ()));
+    let (executors, discovery) = start_executors_and_discovery();
+    // Discovery cannot be reached, so the start takes a second.
+    let mut unreachable = config(&discovery, settings());
+    unreachable["discovery"] = json!("127.0.0.1:9");
+    let node = Node::start_from_config(unreachable, |path| spawn_customized_node(path, "info", "", |_| ()));
     let line = node.wait_for_log("admin listening");
-    let calls = parse_address_field(&line);
-    let starting = Operated { node, calls };
+    let admin_address = parse_address_field(&line);
+    let starting = AdminNode { node, admin_address };
     assert_eq!((starting.call("GET", "/v1/readyz"), starting.call("PUT", "/v1/node/drain")), (503, 200));
     starting.node.wait_for_log("no endpoint list received yet");
-    assert_eq!(starting.health(), 503, "drained since before it was ready");
+    assert_eq!(starting.health(), 503, "the drain that was requested before it was ready applies");
     assert_eq!(starting.call("PUT", "/v1/node/activate"), 200);
-    wait_until("it takes clients", || starting.health() == 200);
+    wait_until("the node serves", || starting.health() == 200);
 
     let platform = Platform::new();
     let (old, new) = (platform.start(&discovery), platform.start(&discovery));
     old.node.wait_for_log("hot restart: the new process takes clients");
     for process in [&old, &new] {
         let mut config = process.node.config.clone();
-        config["settings"] = types(&[("render", "safe", 20), ("thumb", "safe", 2)], 2);
+        config["settings"] = settings_with_classes(&[("render", "safe", 20), ("thumb", "safe", 2)], 2);
         process.node.reload(&config.to_string());
         process.node.wait_for_log("settings_changed=true");
     }
@@ -674,35 +739,40 @@
     );
     old.node.terminate();
     assert!(old.node.wait_for_log("shutdown complete").ends_with("connections=0"));
-    used_by(&platform, &executors);
+    used_executors_by_platform(&platform, &executors);
 }
 
 #[test]
 fn a_drain_closes_slow_connections_and_completes_durable_requests() {
     let (executor, discovery) = start_executor_and_discovery();
-    let folder = Platform::new();
-    let file = |end: &str| format!("{}.{end}", folder.folder.display());
-    let (own, ledger) = (file("toml"), file("ledger"));
-    std::fs::write(&own, format!("[durable]\npath = \"{ledger}\"\n")).unwrap();
-    let operated = Operated::start(&discovery, |program| _ = program.env("TROUTKNOT_FILE", &own));
-    let (mut idle, mut drips, mut open) =
-        (operated.node.connect(), operated.node.connect(), operated.node.connect());
+    let platform = Platform::new();
+    let file = |extension: &str| format!("{}.{extension}", platform.directory.display());
+    let (operator_file, ledger) = (file("toml"), file("ledger"));
+    std::fs::write(&operator_file, format!("[durable]\npath = \"{ledger}\"\n")).unwrap();
+    let admin_node =
+        AdminNode::start_customized(&discovery, |program| _ = program.env("TROUTKNOT_FILE", &operator_file));
+    let (mut idle, mut slow, mut open) =
+        (admin_node.node.connect(), admin_node.node.connect(), admin_node.node.connect());
     assert_eq!(send_request(&mut idle, build_request("render", &next_request_id(), 3.0, "")).0, 200);
     executor.acts.lock().unwrap().push_back(Act::Wait);
     open.get_mut().write_all(build_request("publish", &next_request_id(), 20.0, "").as_bytes()).unwrap();
     executor.wait_for(2);
     let request = build_request("render", &next_request_id(), 3.0, "abc");
-    let (first, rest) = request.split_at(request.len() - 1);
-    assert_eq!(operated.call("PUT", "/v1/node/drain"), 200);
-    drips.get_mut().write_all(first.as_bytes()).unwrap();
-    assert_eq!(idle.read(&mut [0]).unwrap(), 0, "what is idle closes once the drain has settled");
-    let (status, (head, _)) = send_request(&mut drips, rest);
-    assert_eq!((status, field(&head, "connection")), (503, Some("close")), "it came too late: {head}");
+    let (first_part, rest) = request.split_at(request.len() - 1);
+    assert_eq!(admin_node.call("PUT", "/v1/node/drain"), 200);
+    slow.get_mut().write_all(first_part.as_bytes()).unwrap();
+    assert_eq!(idle.read(&mut [0]).unwrap(), 0, "an idle connection closes once the drain has settled");
+    let (status, (head, _)) = send_request(&mut slow, rest);
+    assert_eq!(
+        (status, field(&head, "connection")),
+        (503, Some("close")),
+        "the request was complete too late: {head}"
+    );
     executor.go_on.send(()).unwrap();
     let (status, (head, _)) = read_response(&mut open);
-    assert_eq!((status, field(&head, "connection")), (200, Some("close")), "what was taken is seen through");
-    assert_eq!(operated.call("PUT", "/v1/node/activate"), 200);
-    assert_eq!(operated.node.send_request(build_request("publish", &next_request_id(), 3.0, "")).0, 200);
-    drop(operated);
-    [own, ledger].iter().for_each(|file| std::fs::remove_file(file).unwrap());
+    assert_eq!((status, field(&head, "connection")), (200, Some("close")), "the open request is completed");
+    assert_eq!(admin_node.call("PUT", "/v1/node/activate"), 200);
+    assert_eq!(admin_node.node.send_request(build_request("publish", &next_request_id(), 3.0, "")).0, 200);
+    drop(admin_node);
+    [operator_file, ledger].iter().for_each(|file| std::fs::remove_file(file).unwrap());
 }
