--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -1,4 +1,4 @@
-//! A node that follows Consul, as a process between scripted executors and stand-ins of agents.
+//! A node's process that discovers scripted executors from fake agents of Consul.
 #![allow(clippy::unwrap_used)]
 mod common;
 
@@ -16,300 +16,372 @@
 use troutknot_emulator::scripted::{Act, Discovery, Executor};
 use troutknot_fake_consul::{Agent, Cluster, Fault, Instance, Status};
 
-/// The stand-ins on a thread of their own.
-struct Standins {
-    jobs: UnboundedSender<Job>,
+/// A fake cluster of Consul and its agents, on a thread of their own.
+struct FakeConsul {
+    tasks: UnboundedSender<Task>,
     agents: Vec<SocketAddr>,
 }
 
-type Job = Box<dyn FnOnce(&Rc<Cluster>, &[Rc<Agent>]) + Send>;
+type Task = Box<dyn FnOnce(&Rc<Cluster>, &[Rc<Agent>]) + Send>;
 
-impl Standins {
+impl FakeConsul {
     fn start(agents: usize, token: Option<&'static str>) -> Self {
-        let (jobs, mut to_do) = unbounded_channel::<Job>();
-        let (told, addrs) = mpsc::channel();
+        let (tasks, mut received_tasks) = unbounded_channel::<Task>();
+        let (sender, addrs) = mpsc::channel();
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             LocalSet::new().block_on(&runtime, async move {
                 let cluster = Cluster::new("dc1");
                 let start = |_| Agent::start(&cluster, ([127, 0, 0, 1], 0).into(), token).unwrap();
                 let agents: Vec<Rc<Agent>> = (0..agents).map(start).collect();
-                told.send(agents.iter().map(|agent| agent.addr).collect()).unwrap();
-                while let Some(job) = to_do.recv().await {
-                    job(&cluster, &agents);
+                sender.send(agents.iter().map(|agent| agent.addr).collect()).unwrap();
+                while let Some(task) = received_tasks.recv().await {
+                    task(&cluster, &agents);
                 }
             });
         });
-        Standins { jobs, agents: addrs.recv().unwrap() }
+        FakeConsul { tasks, agents: addrs.recv().unwrap() }
     }
 
-    /// Does something on that thread, and waits for what comes of it.
-    fn with<R: Send + 'static>(
+    /// Runs a task on the thread of the cluster, and returns its result.
+    fn run<R: Send + 'static>(
         &self,
-        job: impl FnOnce(&Rc<Cluster>, &[Rc<Agent>]) -> R + Send + 'static,
+        task: impl FnOnce(&Rc<Cluster>, &[Rc<Agent>]) -> R + Send + 'static,
     ) -> R {
         let (done, result) = mpsc::channel();
-        let job: Job = Box::new(move |cluster, agents| _ = done.send(job(cluster, agents)));
-        assert!(self.jobs.send(job).is_ok());
+        let task: Task = Box::new(move |cluster, agents| _ = done.send(task(cluster, agents)));
+        assert!(self.tasks.send(task).is_ok());
         result.recv().unwrap()
     }
 
-    fn script(&self, agent: usize, wrong: Fault) {
-        self.with(move |_, agents| agents[agent].set_fault(wrong));
+    fn set_fault(&self, agent: usize, fault: Fault) {
+        self.run(move |_, agents| agents[agent].set_fault(fault));
     }
 
+    /// Registers executors as `s0`, `s1` and so on.
     fn register(&self, executors: &[&Executor]) {
-        let addrs: Vec<SocketAddr> = executors.iter().map(|e| e.addr).collect();
-        self.with(move |cluster, _| {
-            let of = |(k, addr): (usize, &SocketAddr)| Instance::new(&format!("s{k}"), *addr);
-            cluster.register_all("box", addrs.iter().enumerate().map(of).collect());
+        let addrs: Vec<SocketAddr> = executors.iter().map(|executor| executor.addr).collect();
+        self.run(move |cluster, _| {
+            let instance = |(number, addr): (usize, &SocketAddr)| Instance::new(&format!("s{number}"), *addr);
+            cluster.register_all("box", addrs.iter().enumerate().map(instance).collect());
         });
     }
 
-    fn set(&self, id: &'static str, status: Status) {
-        self.with(move |cluster, _| cluster.set("box", &[id], status));
+    fn set_status(&self, id: &'static str, status: Status) {
+        self.run(move |cluster, _| cluster.set("box", &[id], status));
     }
 }
 
-fn own_file(path: Option<&str>, agents: &[SocketAddr], more: &str) -> String {
+/// Writes an operator's file that watches the service `box`, with additional lines, and returns its path.
+fn write_operator_file(path: Option<&str>, agents: &[SocketAddr], extra_lines: &str) -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let path = path.map(String::from).unwrap_or_else(|| {
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        format!("{}/own-{}-{number}.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id())
+        format!("{}/operator-file-{}-{number}.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id())
     });
-    let agents: Vec<String> = agents.iter().map(|a| format!("\"{a}\"")).collect();
+    let agents: Vec<String> = agents.iter().map(|agent| format!("\"{agent}\"")).collect();
     let text = format!(
         "[lists]\nsources = [\"consul\"]\n[lists.consul]\nagents = [{}]\nwait = \"300ms\"\n\
-         longest_retry = \"250ms\"\n{more}\n[[lists.consul.services]]\nname = \"box\"\n",
+         longest_retry = \"250ms\"\n{extra_lines}\n[[lists.consul.services]]\nname = \"box\"\n",
         agents.join(", ")
     );
     std::fs::write(&path, text).unwrap();
     path
 }
 
-fn nowhere() -> SocketAddr {
+/// An address that nothing listens on.
+fn unused_address() -> SocketAddr {
     ([127, 0, 0, 1], 9).into()
 }
 
-fn follow(own: &str) -> Node {
-    Node::start_with_operator_file(nowhere(), (256, 64), settings(), "debug", Value::Null, own)
+/// Starts a node that discovers executors as the operator's file states.
+fn start_node(operator_file: &str) -> Node {
+    Node::start_with_operator_file(
+        unused_address(),
+        (256, 64),
+        settings(),
+        "debug",
+        Value::Null,
+        operator_file,
+    )
 }
 
-/// How many of so many work units each executor got.
-fn used(node: &Node, times: usize, executors: &[&Executor]) -> Vec<usize> {
-    for _ in 0..times {
+/// Sends this number of requests, and returns how many of them each executor received.
+fn count_requests_by_executor(node: &Node, count: usize, executors: &[&Executor]) -> Vec<usize> {
+    for _ in 0..count {
         assert_eq!(node.send_request(build_request("render", &next_request_id(), 3.0, "")).0, 200);
     }
-    executors.iter().map(|e| std::mem::take(&mut *e.seen.lock().unwrap()).len()).collect()
+    executors.iter().map(|executor| std::mem::take(&mut *executor.seen.lock().unwrap()).len()).collect()
 }
 
-fn wait_until_used(node: &Node, what: &str, executors: &[&Executor], expected: &[bool]) {
-    // Enough that none which is used is missed by chance.
-    wait_until(what, || used(node, 24, executors).iter().map(|n| *n > 0).eq(expected.iter().copied()));
+/// Waits until exactly the executors marked in `expected` receive requests.
+fn wait_until_requests_reach(node: &Node, description: &str, executors: &[&Executor], expected: &[bool]) {
+    // With 24 requests, an executor in use is practically never missed by chance.
+    wait_until(description, || {
+        count_requests_by_executor(node, 24, executors)
+            .iter()
+            .map(|count| *count > 0)
+            .eq(expected.iter().copied())
+    });
 }
 
 #[test]
-fn failing_maintained_and_deregistered_executors_get_nothing_new() {
-    let (one, two, three) = (Executor::start(), Executor::start(), Executor::start());
-    let all = [&one, &two, &three];
-    let standins = Standins::start(1, None);
-    standins.register(&all);
-    let mut node = follow(&own_file(None, &standins.agents, ""));
-    wait_until_used(&node, "all are used", &all, &[true, true, true]);
-    // Work that is out goes on.
-    one.acts.lock().unwrap().push_back(Act::Wait);
-    let mut taken = node.connect();
-    taken.get_mut().write_all(build_request("publish", &next_request_id(), 30.0, "").as_bytes()).unwrap();
-    wait_until("it goes to the one that waits", || {
-        taken.get_ref().set_nonblocking(true).unwrap();
-        let answered = taken.get_ref().peek(&mut [0]).is_ok_and(|n| n > 0);
-        taken.get_ref().set_nonblocking(false).unwrap();
-        if answered {
-            // It went to another; then one more is sent.
-            assert_eq!(read_response(&mut taken).0, 200);
-            taken
+fn failing_maintained_and_deregistered_executors_get_no_new_requests() {
+    let (first, second, third) = (Executor::start(), Executor::start(), Executor::start());
+    let all = [&first, &second, &third];
+    let consul = FakeConsul::start(1, None);
+    consul.register(&all);
+    let mut node = start_node(&write_operator_file(None, &consul.agents, ""));
+    wait_until_requests_reach(&node, "all are used", &all, &[true, true, true]);
+    // A request that is open at an executor is completed.
+    first.acts.lock().unwrap().push_back(Act::Wait);
+    let mut open_request = node.connect();
+    open_request
+        .get_mut()
+        .write_all(build_request("publish", &next_request_id(), 30.0, "").as_bytes())
+        .unwrap();
+    wait_until("the request is dispatched to the executor that waits", || {
+        open_request.get_ref().set_nonblocking(true).unwrap();
+        let is_answered = open_request.get_ref().peek(&mut [0]).is_ok_and(|length| length > 0);
+        open_request.get_ref().set_nonblocking(false).unwrap();
+        if is_answered {
+            // Another executor received the request, so another one is sent.
+            assert_eq!(read_response(&mut open_request).0, 200);
+            open_request
                 .get_mut()
                 .write_all(build_request("publish", &next_request_id(), 30.0, "").as_bytes())
                 .unwrap();
         }
-        !one.seen.lock().unwrap().is_empty()
+        !first.seen.lock().unwrap().is_empty()
     });
-    standins.set("s0", Status::Critical);
-    wait_until_used(&node, "the failing one is left out", &all, &[false, true, true]);
-    one.go_on.send(()).unwrap();
-    assert_eq!(read_response(&mut taken).0, 200, "what was out is answered");
-    standins.set("s1", Status::Maintenance);
-    wait_until_used(&node, "so is the maintained one", &all, &[false, false, true]);
-    standins.set("s1", Status::Warning);
-    standins.with(|cluster, _| cluster.deregister("box", "s2"));
-    wait_until_used(&node, "and the deregistered one", &all, &[false, true, false]);
-    let said = node.send_request(HEALTH_CHECK).1;
-    assert!(String::from_utf8_lossy(&said.1).contains("list from consul: 2 listed"), "{said:?}");
-    // A change that comes while the node ends.
+    consul.set_status("s0", Status::Critical);
+    wait_until_requests_reach(&node, "the failing executor gets no requests", &all, &[false, true, true]);
+    first.go_on.send(()).unwrap();
+    assert_eq!(read_response(&mut open_request).0, 200, "the open request is answered");
+    consul.set_status("s1", Status::Maintenance);
+    wait_until_requests_reach(
+        &node,
+        "the executor in maintenance gets no requests",
+        &all,
+        &[false, false, true],
+    );
+    consul.set_status("s1", Status::Warning);
+    consul.run(|cluster, _| cluster.deregister("box", "s2"));
+    wait_until_requests_reach(
+        &node,
+        "the deregistered executor gets no requests",
+        &all,
+        &[false, true, false],
+    );
+    let health = node.send_request(HEALTH_CHECK).1;
+    assert!(String::from_utf8_lossy(&health.1).contains("list from consul: 2 listed"), "{health:?}");
+    // A change during the shutdown.
     node.terminate();
     node.wait_for_log("shutdown requested");
-    standins.set("s0", Status::Passing);
+    consul.set_status("s0", Status::Passing);
     assert!(node.process.wait().unwrap().success());
 }
 
 #[test]
-fn any_faulty_answer_of_an_agent_keeps_the_last_list() {
-    let wrongs = [
+fn the_last_list_is_kept_through_any_fault_of_an_agent() {
+    let faults = [
         (Fault::Silent, "no answer in time"),
         (Fault::Status500, "status 500"),
         (Fault::NoLeader, "the cluster has no leader"),
         (Fault::HalfBody, "connection failed: "),
         (Fault::Garbage, "no JSON of the health API"),
     ];
-    thread::scope(|all| {
-        for (wrong, said) in wrongs {
-            all.spawn(move || {
-                let (one, two) = (Executor::start(), Executor::start());
-                let standins = Standins::start(1, None);
-                standins.register(&[&one, &two]);
-                let node = follow(&own_file(None, &standins.agents, ""));
-                wait_until_used(&node, "both are used", &[&one, &two], &[true, true]);
-                standins.script(0, wrong);
+    thread::scope(|scope| {
+        for (fault, expected) in faults {
+            scope.spawn(move || {
+                let (first, second) = (Executor::start(), Executor::start());
+                let consul = FakeConsul::start(1, None);
+                consul.register(&[&first, &second]);
+                let node = start_node(&write_operator_file(None, &consul.agents, ""));
+                wait_until_requests_reach(&node, "both are used", &[&first, &second], &[true, true]);
+                consul.set_fault(0, fault);
                 let line = node.wait_for_log("consul query failed, keeping the last list service=box");
-                assert!(line.contains(said) && line.contains("count=2"), "{wrong:?}: {line}");
-                wait_until_used(&node, "both are used still", &[&one, &two], &[true, true]);
-                standins.set("s0", Status::Critical);
-                standins.script(0, Fault::None);
+                assert!(line.contains(expected) && line.contains("count=2"), "{fault:?}: {line}");
+                wait_until_requests_reach(&node, "both are still used", &[&first, &second], &[true, true]);
+                consul.set_status("s0", Status::Critical);
+                consul.set_fault(0, Fault::None);
                 node.wait_for_log("consul query recovered service=box");
-                wait_until_used(&node, "what it missed counts", &[&one, &two], &[false, true]);
+                wait_until_requests_reach(
+                    &node,
+                    "the change during the fault is applied",
+                    &[&first, &second],
+                    &[false, true],
+                );
             });
         }
     });
 }
 
 #[test]
-fn an_emptied_list_is_not_accepted_and_logged() {
+fn a_suddenly_empty_list_is_logged_and_not_applied() {
     let executors: Vec<Executor> = (0..4).map(|_| Executor::start()).collect();
     let all: Vec<&Executor> = executors.iter().collect();
-    let standins = Standins::start(2, None);
-    standins.register(&all);
-    let node = follow(&own_file(None, &standins.agents, ""));
-    wait_until_used(&node, "all are used", &all, &[true; 4]);
-    (0..2).for_each(|agent| standins.script(agent, Fault::Empty));
-    // A new index, so that those that wait are answered.
-    standins.set("s0", Status::Passing);
+    let consul = FakeConsul::start(2, None);
+    consul.register(&all);
+    let node = start_node(&write_operator_file(None, &consul.agents, ""));
+    wait_until_requests_reach(&node, "all are used", &all, &[true; 4]);
+    (0..2).for_each(|agent| consul.set_fault(agent, Fault::Empty));
+    // A new index, so that pending blocking queries are answered.
+    consul.set_status("s0", Status::Passing);
     let line = node.wait_for_log("too many executors missing in consul");
     assert!(line.contains("they stay listed missing=2 count=2"), "{line}");
-    assert_eq!(used(&node, 20, &all).iter().sum::<usize>(), 20, "the rest is served by");
-    (0..2).for_each(|agent| standins.script(agent, Fault::None));
-    standins.set("s0", Status::Passing);
+    assert_eq!(
+        count_requests_by_executor(&node, 20, &all).iter().sum::<usize>(),
+        20,
+        "the remaining executors serve"
+    );
+    (0..2).for_each(|agent| consul.set_fault(agent, Fault::None));
+    consul.set_status("s0", Status::Passing);
     node.wait_for_log("no executor missing in consul stays listed");
 }
 
 #[test]
-fn agents_that_disagree_bring_no_executor_back_and_the_next_one_is_queried() {
-    let (one, two) = (Executor::start(), Executor::start());
-    let all = [&one, &two];
-    let standins = Standins::start(3, None);
-    standins.register(&all);
-    let node = follow(&own_file(None, &standins.agents, "consistency = \"stale\""));
-    wait_until_used(&node, "both are used", &all, &[true, true]);
-    standins.script(1, Fault::StaleView);
-    standins.set("s0", Status::Maintenance);
-    wait_until_used(&node, "the first agent says so", &all, &[false, true]);
-    // The first one fails, the second shows the cluster as it was.
-    standins.script(0, Fault::Status500);
+fn an_outdated_agent_brings_no_executor_back_and_the_next_agent_is_queried() {
+    let (first, second) = (Executor::start(), Executor::start());
+    let all = [&first, &second];
+    let consul = FakeConsul::start(3, None);
+    consul.register(&all);
+    let node = start_node(&write_operator_file(None, &consul.agents, "consistency = \"stale\""));
+    wait_until_requests_reach(&node, "both are used", &all, &[true, true]);
+    consul.set_fault(1, Fault::StaleView);
+    consul.set_status("s0", Status::Maintenance);
+    wait_until_requests_reach(&node, "the state of the first agent is applied", &all, &[false, true]);
+    // The first agent fails, and the second one has an outdated view of the cluster.
+    consul.set_fault(0, Fault::Status500);
     node.wait_for_log("is behind index");
-    assert_eq!(used(&node, 30, &all), [0, 30], "an older view brings nothing back");
-    wait_until("the third is asked", || {
-        standins.with(|_, agents| agents[2].take_requests().iter().any(|a| a.ends_with("&stale")))
+    assert_eq!(
+        count_requests_by_executor(&node, 30, &all),
+        [0, 30],
+        "an outdated view brings no executor back"
+    );
+    wait_until("the third agent is queried", || {
+        consul.run(|_, agents| agents[2].take_requests().iter().any(|query| query.ends_with("&stale")))
     });
-    standins.set("s0", Status::Passing);
-    wait_until_used(&node, "what it says counts", &all, &[true, true]);
-    // A cluster that was restored counts its indices anew.
-    (0..3).for_each(|agent| standins.script(agent, Fault::None));
-    standins.with(|cluster, _| cluster.reset_index());
-    standins.set("s1", Status::Critical);
-    wait_until_used(&node, "the new count is taken", &all, &[true, false]);
+    consul.set_status("s0", Status::Passing);
+    wait_until_requests_reach(&node, "the state of the third agent is applied", &all, &[true, true]);
+    // The indices of a restored cluster start again from a low value.
+    (0..3).for_each(|agent| consul.set_fault(agent, Fault::None));
+    consul.run(|cluster, _| cluster.reset_index());
+    consul.set_status("s1", Status::Critical);
+    wait_until_requests_reach(&node, "a list with a restarted index is applied", &all, &[true, false]);
 }
 
 #[test]
 fn sighup_changes_agents_services_and_token_during_a_query() {
-    let (one, two) = (Executor::start(), Executor::start());
-    let (first, second) = (Standins::start(1, None), Standins::start(1, Some("secret")));
-    first.register(&[&one]);
-    let addr = two.addr;
-    second.with(move |cluster, _| cluster.register("box", Instance::new("other", addr)));
-    let own = own_file(None, &first.agents, "");
-    let node = follow(&own);
-    wait_until_used(&node, "the first one's list", &[&one, &two], &[true, false]);
-    for bad in ["agents = []", "[lists", "[lists]\nsources = [\"dns\"]"] {
-        std::fs::write(&own, bad).unwrap();
+    let (first, second) = (Executor::start(), Executor::start());
+    let (old_cluster, new_cluster) = (FakeConsul::start(1, None), FakeConsul::start(1, Some("secret")));
+    old_cluster.register(&[&first]);
+    let addr = second.addr;
+    new_cluster.run(move |cluster, _| cluster.register("box", Instance::new("other", addr)));
+    let operator_file = write_operator_file(None, &old_cluster.agents, "");
+    let node = start_node(&operator_file);
+    wait_until_requests_reach(&node, "the list of the old cluster", &[&first, &second], &[true, false]);
+    for invalid in ["agents = []", "[lists", "[lists]\nsources = [\"dns\"]"] {
+        std::fs::write(&operator_file, invalid).unwrap();
         node.signal("HUP");
         node.wait_for_log("new operator's file rejected");
     }
-    let token = format!("{own}.token");
+    let token = format!("{operator_file}.token");
     std::fs::write(&token, "wrong").unwrap();
-    // Another cluster lists others: by default half of what was listed would stay until it is believed gone.
+    // The new cluster lists another executor. By default, up to half of the executors that are missing would stay
+    // listed for some time, so the share is set to 1.
     let panic = "[lists.consul.panic]\nshare = 1.0";
-    own_file(Some(&own), &second.agents, &format!("token_file = \"{token}\"\n{panic}"));
+    write_operator_file(
+        Some(&operator_file),
+        &new_cluster.agents,
+        &format!("token_file = \"{token}\"\n{panic}"),
+    );
     node.signal("HUP");
     let line = node.wait_for_log("consul query failed, keeping the last list service=box");
     assert!(line.contains("status 403"), "{line}");
-    assert_eq!(used(&node, 5, &[&one, &two]), [5, 0], "the list is kept meanwhile");
+    assert_eq!(count_requests_by_executor(&node, 5, &[&first, &second]), [5, 0], "the last list is kept");
     std::fs::write(&token, "secret\n").unwrap();
     node.signal("HUP");
-    wait_until_used(&node, "the second one's list", &[&one, &two], &[false, true]);
+    wait_until_requests_reach(&node, "the list of the new cluster", &[&first, &second], &[false, true]);
 }
 
 #[test]
-fn a_node_that_starts_with_consul_silent_serves_by_its_last_list() {
-    let (one, two) = (Executor::start(), Executor::start());
-    let standins = Standins::start(1, None);
-    standins.script(0, Fault::Silent);
-    standins.register(&[&two]);
-    let mut saved = entry("s0@host-s0.dc1", &one, "Ready");
-    saved["started_ms"] = json!(0);
-    let known = json!({"version": 3, "full": true, "servers": [saved, entry("gone", &two, "Ready")]});
-    let own = own_file(None, &standins.agents, "[lists.consul.panic]\nshare = 0.5\nspan = \"200ms\"");
-    let node = Node::start_with_operator_file(nowhere(), (256, 64), settings(), "info", known, &own);
-    wait_until_used(&node, "the list held before", &[&one, &two], &[true, true]);
-    // Then Consul answers: one is the same, elsewhere now, and the other is no more.
-    standins.script(0, Fault::None);
-    wait_until_used(&node, "the new list", &[&one, &two], &[false, true]);
+fn a_node_that_starts_while_consul_is_silent_serves_by_its_cached_list() {
+    let (first, second) = (Executor::start(), Executor::start());
+    let consul = FakeConsul::start(1, None);
+    consul.set_fault(0, Fault::Silent);
+    consul.register(&[&second]);
+    let mut cached = entry("s0@host-s0.dc1", &first, "Ready");
+    cached["started_ms"] = json!(0);
+    let cached_list =
+        json!({"version": 3, "full": true, "servers": [cached, entry("gone", &second, "Ready")]});
+    let operator_file =
+        write_operator_file(None, &consul.agents, "[lists.consul.panic]\nshare = 0.5\nspan = \"200ms\"");
+    let node = Node::start_with_operator_file(
+        unused_address(),
+        (256, 64),
+        settings(),
+        "info",
+        cached_list,
+        &operator_file,
+    );
+    wait_until_requests_reach(&node, "the cached list", &[&first, &second], &[true, true]);
+    // Consul answers: one executor has another address now, and the other one is gone.
+    consul.set_fault(0, Fault::None);
+    wait_until_requests_reach(&node, "the new list", &[&first, &second], &[false, true]);
 }
 
 #[test]
-fn with_the_platforms_list_the_strictest_state_counts() {
-    let (one, two) = (Executor::start(), Executor::start());
-    let all = [&one, &two];
-    let standins = Standins::start(1, None);
-    standins.register(&[&two]);
-    let discovery = Discovery::start(list(7, true, &[entry("s-1", &one, "Ready")]));
-    let own = own_file(None, &standins.agents, "");
-    let text = std::fs::read_to_string(&own).unwrap().replace("[\"consul\"]", "[\"platform\", \"consul\"]");
-    std::fs::write(&own, text).unwrap();
-    let node =
-        Node::start_with_operator_file(discovery.addr, (256, 64), settings(), "info", Value::Null, &own);
-    wait_until_used(&node, "both lists", &all, &[true, true]);
-    let drained = list(8, false, &[entry("s0@host-s0.dc1", &two, "Terminating")]);
+fn of_the_platforms_and_consuls_states_of_an_executor_the_strictest_applies() {
+    let (first, second) = (Executor::start(), Executor::start());
+    let all = [&first, &second];
+    let consul = FakeConsul::start(1, None);
+    consul.register(&[&second]);
+    let discovery = Discovery::start(list(7, true, &[entry("s-1", &first, "Ready")]));
+    let operator_file = write_operator_file(None, &consul.agents, "");
+    let text = std::fs::read_to_string(&operator_file)
+        .unwrap()
+        .replace("[\"consul\"]", "[\"platform\", \"consul\"]");
+    std::fs::write(&operator_file, text).unwrap();
+    let node = Node::start_with_operator_file(
+        discovery.addr,
+        (256, 64),
+        settings(),
+        "info",
+        Value::Null,
+        &operator_file,
+    );
+    wait_until_requests_reach(&node, "both lists", &all, &[true, true]);
+    let drained = list(8, false, &[entry("s0@host-s0.dc1", &second, "Terminating")]);
     discovery.lines.send(drained).unwrap();
-    wait_until_used(&node, "the platform's word on Consul's executor", &all, &[true, false]);
+    wait_until_requests_reach(&node, "the platform drains an executor of Consul", &all, &[true, false]);
 }
 
 #[test]
-fn two_thousand_instances_of_which_a_tenth_flaps_stay_within_the_nodes_memory() {
+fn a_node_of_48_mb_serves_2000_instances_of_which_a_tenth_flaps() {
     let executors: Vec<Executor> = (0..4).map(|_| Executor::start()).collect();
-    let addrs: Vec<SocketAddr> = executors.iter().map(|e| e.addr).collect();
-    let standins = Standins::start(1, None);
-    standins.with(move |cluster, _| {
-        let of = |k: usize| Instance::new(&format!("s{k:04}"), addrs[k % 4]);
-        cluster.register_all("box", (0..2000).map(of).collect());
+    let addrs: Vec<SocketAddr> = executors.iter().map(|executor| executor.addr).collect();
+    let consul = FakeConsul::start(1, None);
+    consul.run(move |cluster, _| {
+        let instance = |number: usize| Instance::new(&format!("s{number:04}"), addrs[number % 4]);
+        cluster.register_all("box", (0..2000).map(instance).collect());
     });
-    let own = own_file(None, &standins.agents, "");
-    let node = Node::start_with_operator_file(nowhere(), (256, 48), settings(), "info", Value::Null, &own);
-    let end = Instant::now() + Duration::from_secs(3);
-    let (mut failing, mut served) = (false, 0);
-    while Instant::now() < end {
-        failing = !failing;
-        let status = if failing { Status::Critical } else { Status::Passing };
-        standins.with(move |cluster, _| {
-            let ids: Vec<String> = (0..200).map(|k| format!("s{k:04}")).collect();
+    let operator_file = write_operator_file(None, &consul.agents, "");
+    let node = Node::start_with_operator_file(
+        unused_address(),
+        (256, 48),
+        settings(),
+        "info",
+        Value::Null,
+        &operator_file,
+    );
+    let end_at = Instant::now() + Duration::from_secs(3);
+    let (mut is_failing, mut served) = (false, 0);
+    while Instant::now() < end_at {
+        is_failing = !is_failing;
+        let status = if is_failing { Status::Critical } else { Status::Passing };
+        consul.run(move |cluster, _| {
+            let ids: Vec<String> = (0..200).map(|number| format!("s{number:04}")).collect();
             let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
             cluster.set("box", &ids, status);
         });
@@ -319,19 +391,19 @@
         }
     }
     let line = std::fs::read_to_string(format!("/proc/{}/status", node.process.id())).unwrap();
-    let most = line.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap().trim();
-    let most: u64 = most.split(' ').next().unwrap().parse().unwrap();
-    assert!(most <= 48 * 1024 && served > 100, "{most} kB, {served} served");
+    let peak = line.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap().trim();
+    let peak_kb: u64 = peak.split(' ').next().unwrap().parse().unwrap();
+    assert!(peak_kb <= 48 * 1024 && served > 100, "{peak_kb} kB, {served} served");
 }
 
 #[test]
-fn an_invalid_operators_file_is_reported_in_plain_lines() {
-    let good = own_file(None, &[nowhere()], "");
+fn each_fault_of_an_operators_file_is_reported_in_one_line() {
+    let valid = write_operator_file(None, &[unused_address()], "");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c",
         "limits": {"memory_mb": 64, "sockets": 64}, "settings": settings()});
     let config = write_config_file(&config.to_string());
-    let text = std::fs::read_to_string(&good).unwrap();
-    for (from, to, part) in [
+    let text = std::fs::read_to_string(&valid).unwrap();
+    for (from, to, expected) in [
         ("[lists]", "[list]", "line 1: unknown field `list`, expected one of `lists`"),
         ("\"consul\"", "\"dns\"", "line 2: unknown variant `dns`, expected `platform` or `consul`"),
         ("127.0.0.1:9", "here", "line 4: invalid socket address syntax"),
@@ -345,88 +417,102 @@
             "`reuse` <= `cutoff`",
         ),
     ] {
-        let path = format!("{good}.bad");
+        let path = format!("{valid}.bad");
         std::fs::write(&path, text.replace(from, to)).unwrap();
-        let out = spawn_node_with_operator_file(&config, "info", &path).wait_with_output().unwrap();
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success() && said.lines().count() == 1 && said.contains(part), "{to}: {said}");
+        let output = spawn_node_with_operator_file(&config, "info", &path).wait_with_output().unwrap();
+        let error = String::from_utf8(output.stderr).unwrap();
+        assert!(
+            !output.status.success() && error.lines().count() == 1 && error.contains(expected),
+            "{to}: {error}"
+        );
     }
 }
 
-/// Prints how long a change at the agent takes to the dispatcher, and what it costs the node.
+/// Prints the time from a change at the agent until the dispatcher receives it, and the CPU time and memory of the node.
 #[test]
 #[ignore = "a measurement: cargo test --release -p troutknotd --test consul -- --ignored --nocapture"]
-fn time_and_cost_of_a_change() {
+fn latency_and_cost_of_a_change() {
     println!(
         "| entries | p50, ms | p99, ms | node CPU a change, ms | node memory, MB |\n| --- | --- | --- | --- | --- |"
     );
     for entries in [10, 500, 5000] {
         let executor = Executor::start();
         let addr = executor.addr;
-        let standins = Standins::start(1, None);
-        standins.with(move |cluster, _| {
-            let of = |k: usize| Instance::new(&format!("s{k:04}"), addr);
-            cluster.register_all("box", (0..entries).map(of).collect());
+        let consul = FakeConsul::start(1, None);
+        consul.run(move |cluster, _| {
+            let instance = |number: usize| Instance::new(&format!("s{number:04}"), addr);
+            cluster.register_all("box", (0..entries).map(instance).collect());
         });
-        let more = "[lists.consul.damping]\non = false";
-        let own = own_file(None, &standins.agents, more);
-        let node =
-            Node::start_with_operator_file(nowhere(), (256, 48), settings(), "debug", Value::Null, &own);
-        let of_process =
-            |what: &str| std::fs::read_to_string(format!("/proc/{}/{what}", node.process.id())).unwrap();
+        let extra_lines = "[lists.consul.damping]\non = false";
+        let operator_file = write_operator_file(None, &consul.agents, extra_lines);
+        let node = Node::start_with_operator_file(
+            unused_address(),
+            (256, 48),
+            settings(),
+            "debug",
+            Value::Null,
+            &operator_file,
+        );
+        let read_proc =
+            |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", node.process.id())).unwrap();
         let cpu = || {
-            let stat = of_process("stat");
+            let stat = read_proc("stat");
             let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
             (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) * 10.0
         };
-        let (before, mut took) = (cpu(), Vec::new());
+        let (cpu_before, mut latencies) = (cpu(), Vec::new());
         let rounds = 200;
         for round in 0..rounds {
             let status = if round % 2 == 0 { Status::Critical } else { Status::Passing };
             while node.log.try_recv().is_ok() {}
-            // Where the answer before is only just in, the next question is not out yet.
-            let asked = Instant::now() + Duration::from_millis(80);
-            wait_until("the next question is out", || Instant::now() > asked);
-            let start = Instant::now();
-            standins.with(move |cluster, _| cluster.set("box", &["s0003"], status));
+            // Right after an answer, the next blocking query has not been sent yet.
+            let query_sent_at = Instant::now() + Duration::from_millis(80);
+            wait_until("the next query is sent", || Instant::now() > query_sent_at);
+            let changed_at = Instant::now();
+            consul.run(move |cluster, _| cluster.set("box", &["s0003"], status));
             node.wait_for_log("consul changes sent count=1");
-            took.push(start.elapsed().as_secs_f64() * 1000.0);
+            latencies.push(changed_at.elapsed().as_secs_f64() * 1000.0);
         }
-        took.sort_by(f64::total_cmp);
-        let memory = of_process("status");
-        let most = memory.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap().trim();
-        let most: f64 = most.split(' ').next().unwrap().parse().unwrap();
+        latencies.sort_by(f64::total_cmp);
+        let memory = read_proc("status");
+        let peak = memory.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap().trim();
+        let peak_kb: f64 = peak.split(' ').next().unwrap().parse().unwrap();
         println!(
             "| {entries} | {:.2} | {:.2} | {:.2} | {:.1} |",
-            took[took.len() / 2],
-            took[took.len() * 99 / 100],
-            (cpu() - before) / f64::from(rounds),
-            most / 1024.0
+            latencies[latencies.len() / 2],
+            latencies[latencies.len() * 99 / 100],
+            (cpu() - cpu_before) / f64::from(rounds),
+            peak_kb / 1024.0
         );
     }
 }
 
 #[test]
-fn several_services_are_one_list_also_if_answers_are_late() {
-    let (one, two) = (Executor::start(), Executor::start());
-    let all = [&one, &two];
-    let standins = Standins::start(1, None);
-    standins.register(&[&one]);
-    let addr = two.addr;
-    standins.with(move |cluster, _| cluster.register("cart", Instance::new("c0", addr)));
-    let own = own_file(None, &standins.agents, "");
-    let text = std::fs::read_to_string(&own).unwrap();
-    std::fs::write(&own, format!("{text}[[lists.consul.services]]\nname = \"cart\"\n")).unwrap();
-    let node = follow(&own);
-    wait_until_used(&node, "both services", &all, &[true, true]);
-    standins.script(0, Fault::Late(Duration::from_millis(200)));
-    standins.with(|cluster, _| cluster.set("cart", &["c0"], Status::Critical));
-    wait_until_used(&node, "a late word counts when it comes", &all, &[true, false]);
-    // The operator takes a service out.
-    standins.with(|cluster, _| cluster.set("cart", &["c0"], Status::Passing));
-    wait_until_used(&node, "both again", &all, &[true, true]);
-    std::fs::write(&own, text).unwrap();
+fn the_executors_of_several_services_are_merged_even_if_answers_are_late() {
+    let (first, second) = (Executor::start(), Executor::start());
+    let all = [&first, &second];
+    let consul = FakeConsul::start(1, None);
+    consul.register(&[&first]);
+    let addr = second.addr;
+    consul.run(move |cluster, _| cluster.register("cart", Instance::new("c0", addr)));
+    let operator_file = write_operator_file(None, &consul.agents, "");
+    let text = std::fs::read_to_string(&operator_file).unwrap();
+    std::fs::write(&operator_file, format!("{text}[[lists.consul.services]]\nname = \"cart\"\n")).unwrap();
+    let node = start_node(&operator_file);
+    wait_until_requests_reach(&node, "both services", &all, &[true, true]);
+    consul.set_fault(0, Fault::Late(Duration::from_millis(200)));
+    consul.run(|cluster, _| cluster.set("cart", &["c0"], Status::Critical));
+    wait_until_requests_reach(&node, "a late answer is applied when it arrives", &all, &[true, false]);
+    // The operator removes a service from the file.
+    consul.run(|cluster, _| cluster.set("cart", &["c0"], Status::Passing));
+    wait_until_requests_reach(&node, "both are used again", &all, &[true, true]);
+    std::fs::write(&operator_file, text).unwrap();
     node.signal("HUP");
     node.wait_for_log("consul service no longer watched service=cart");
-    wait_until_used(&node, "the one that is left", &all, &[true, false]);
+    wait_until_requests_reach(
+        &node,
+        "only the executor of the remaining service is used",
+        &all,
+        &[true, false],
+    );
 }
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -26,7 +26,7 @@
     HalfBody,
     /// The response is 503.
     Unavailable,
-    /// The response is 503, just before the node's timeout.
+    /// The response is 503 after 2 s, as late as the node waits for one.
     LateUnavailable,
     /// The connection is closed after the request.
     Closed,
