--- a/crates/daemon/tests/unit/compatibility.rs
+++ b/crates/daemon/tests/unit/compatibility.rs
@@ -1,5 +1,5 @@
-//! Files and lines that an earlier release wrote (commit cc67128): the lines between two processes of a node are
-//! read and written as before, and an operator's file has the same meaning.
+//! Compatibility with files and messages of an earlier release (commit cc67128): messages between two processes of a
+//! node are read and written as before, and an operator's file has the same meaning.
 use crate::config::consul::ConsistencyMode;
 use crate::config::durable::{DurableEffect, LedgerSync};
 use crate::config::operator::{DiscoveryConfig, DiscoverySource, OperatorFile};
@@ -10,7 +10,7 @@
 const BOUNDS: Bounds = Bounds { executors: 10, ids: 10 };
 
 #[test]
-fn each_line_between_two_processes_is_read_and_written_as_before() {
+fn hot_restart_messages_of_an_earlier_release_are_read_and_written_unchanged() {
     let lines = include_str!("../fixtures/hot_restart.jsonl");
     let mut inherited = Inherited::default();
     let mut last = 0;
@@ -23,7 +23,11 @@
     }
     assert_eq!((lines.lines().count(), last), (14, 9), "the state is complete with the tenth line");
     assert_eq!((inherited.version, inherited.entries.len(), inherited.ids.len()), (None, 2, 2));
-    assert_eq!(inherited.excluded.iter().collect::<Vec<_>>(), ["s-1"], "the other one serves again");
+    assert_eq!(
+        inherited.excluded.iter().collect::<Vec<_>>(),
+        ["s-1"],
+        "the other executor is included again"
+    );
     let entry = &inherited.entries[0];
     assert_eq!((entry.id.as_str(), entry.weight, entry.started_at), ("s-1", Some(1.5), Some(5.0)));
     let executor = &inherited.executors[0];
@@ -37,7 +41,7 @@
 }
 
 #[test]
-fn an_earlier_operators_file_has_the_same_meaning() {
+fn an_operators_file_of_an_earlier_release_has_the_same_meaning() {
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/operator.toml"));
     let OperatorFile { discovery: DiscoveryConfig { sources, consul }, durable, gossip } =
         OperatorFile::read(path).unwrap();
--- a/crates/daemon/tests/unit/downstream.rs
+++ b/crates/daemon/tests/unit/downstream.rs
@@ -1,4 +1,4 @@
-//! The downstream side against clients on loopback sockets; the tests play the driver.
+//! The downstream side against clients on loopback sockets; the tests take the place of the driver.
 use super::admission::ConnectionAdmission;
 use super::*;
 use crate::config::limits::LimitInputs;
@@ -10,7 +10,7 @@
 
 /// A server without durable requests, and the events that its driver receives.
 fn new_server(lifecycle: &Lifecycle) -> (Rc<DownstreamServer>, mpsc::Receiver<NodeEvent>) {
-    let (_, codec) = Codec::of_one_type(5_000_000);
+    let (_, codec) = Codec::with_deadline_us(5_000_000);
     let inputs = LimitInputs { memory_mb: 64, max_sockets: 128, ..LimitInputs::default() };
     let (events, received) = mpsc::channel(16);
     let server = DownstreamServer::new(DownstreamContext {
@@ -26,9 +26,9 @@
     (server, received)
 }
 
-/// The paused clock advances whenever nothing else is left to do, so that long waits take no time.
+/// The clock is paused and advances whenever all tasks wait, so that long timeouts take no time.
 #[tokio::test(start_paused = true)]
-async fn half_sent_requests_time_out_and_idle_connections_end() {
+async fn incomplete_and_unanswered_requests_and_idle_connections_time_out() {
     let lifecycle = Lifecycle::new();
     lifecycle.update(|facts| facts.is_listed = true);
     let (server, mut received) = new_server(&lifecycle);
@@ -39,7 +39,7 @@
         ("", ""),
         (&complete[..9], "HTTP/1.1 408"),
         (&complete[..complete.len() - 1], "HTTP/1.1 408"),
-        // The driver does not answer, so the session does, before the client gives up.
+        // The driver does not answer, so the session answers before the client's timeout.
         (complete, "HTTP/1.1 502"),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -55,9 +55,9 @@
         };
         let test_timeout = Duration::from_secs(300);
         timeout(test_timeout, local.run_until(serve)).await.expect("the connection ends");
-        let mut got = vec![0; expected.len()];
-        client.read_exact(&mut got).unwrap();
-        assert_eq!(String::from_utf8(got).unwrap(), expected, "{sent}");
+        let mut response = vec![0; expected.len()];
+        client.read_exact(&mut response).unwrap();
+        assert_eq!(String::from_utf8(response).unwrap(), expected, "{sent}");
     }
     assert!(matches!(received.try_recv(), Ok(NodeEvent::RequestArrived(in_flight)) if in_flight.is_closed()));
     assert!(matches!(received.try_recv(), Ok(NodeEvent::ClientLeft(_))));
@@ -66,13 +66,13 @@
 /// Requests that arrive before the first endpoint list wait for it, for a bounded time. The driver never receives
 /// the request of a client that disconnects meanwhile.
 #[tokio::test(start_paused = true)]
-async fn requests_that_arrive_before_the_list_wait_for_it() {
+async fn requests_wait_for_the_first_endpoint_list_for_a_bounded_time() {
     for list_arrives in [true, false] {
-        before_the_list(list_arrives).await;
+        assert_request_waits_for_list(list_arrives).await;
     }
 }
 
-async fn before_the_list(list_arrives: bool) {
+async fn assert_request_waits_for_list(list_arrives: bool) {
     let lifecycle = Lifecycle::new();
     let (server, mut received) = new_server(&lifecycle);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -82,8 +82,8 @@
             .unwrap();
         client
     };
-    let play = async {
-        let (_stays, leaves) = (send("stays"), send("leaves"));
+    let test = async {
+        let (_connected, disconnects) = (send("stays"), send("leaves"));
         for _ in 0..2 {
             let (stream, _) = listener.accept().await.unwrap();
             server.spawn_session(stream, ConnectionAdmission::Admitted);
@@ -91,7 +91,7 @@
         sleep(Duration::from_millis(50)).await;
         assert_eq!(server.request_ids.open_count(), 2, "both are admitted");
         assert!(received.try_recv().is_err(), "the driver receives nothing before the list");
-        drop(leaves);
+        drop(disconnects);
         while server.connection_count() > 1 {
             sleep(Duration::from_millis(10)).await;
         }
@@ -106,5 +106,5 @@
         }
         assert_eq!(arrived, ["stays"], "the list arrives: {list_arrives}");
     };
-    tokio::task::LocalSet::new().run_until(play).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -1,4 +1,4 @@
-//! The driver, with events handled one after another.
+//! The driver, which handles events that the tests pass to it one after another.
 use super::*;
 use crate::byte_budget::ByteBudget;
 use crate::config::limits::{LimitInputs, Limits};
@@ -21,7 +21,7 @@
 const ID_FIELD: &str = "Request-Id: ";
 
 fn driver(memory_mb: u64, max_sockets: u64) -> Driver {
-    let (settings, codec) = Codec::of_one_type(MAX_DEADLINE.as_micros() as u64);
+    let (settings, codec) = Codec::with_deadline_us(MAX_DEADLINE.as_micros() as u64);
     let limits = Rc::new(Limits::new(&LimitInputs { memory_mb, max_sockets, ..LimitInputs::default() }));
     let bounds = &limits.executor_bounds;
     let retention = EndpointRetention::new("", bounds.max_retained, bounds.max_unretained_entries);
@@ -45,11 +45,11 @@
     })
 }
 
-/// A driver that the test hands events to, at times of the test's own.
+/// A driver that handles the test's events, with a clock that the test can advance.
 struct TestDriver {
     driver: Driver,
-    /// How far its time is ahead of the clock.
-    ahead: Millis,
+    /// Difference between the driver's time and the clock.
+    time_offset: Millis,
     budget: Rc<ByteBudget>,
     next_request: u64,
 }
@@ -57,11 +57,11 @@
 impl TestDriver {
     fn new(memory_mb: u64) -> Self {
         let driver = driver(memory_mb, 1024);
-        TestDriver { driver, ahead: 0.0, budget: ByteBudget::new(1 << 20), next_request: 0 }
+        TestDriver { driver, time_offset: 0.0, budget: ByteBudget::new(1 << 20), next_request: 0 }
     }
 
     fn handle(&mut self, event: NodeEvent) {
-        let (now, mut actions) = (self.driver.clock.now() + self.ahead, Vec::new());
+        let (now, mut actions) = (self.driver.clock.now() + self.time_offset, Vec::new());
         self.driver.handle_event(now, event);
         self.driver.dispatcher.poll_actions(now, &mut actions);
         actions.into_iter().for_each(|action| self.driver.perform(action));
@@ -78,15 +78,17 @@
 
     /// Advances the time past the next reclaim of executors that are gone.
     fn reclaim(&mut self) {
-        self.ahead += 1100.0;
+        self.time_offset += 1100.0;
         self.handle(NodeEvent::Core(CoreEvent::TimerFired));
     }
 
     fn submit(&mut self) -> Rc<InFlightRequest> {
         self.next_request += 1;
         let id = self.next_request.to_string();
-        let request =
-            ClientRequest { fields: format!("{ID_FIELD}{id}\r\n").into(), ..ClientRequest::of(&id, 0) };
+        let request = ClientRequest {
+            fields: format!("{ID_FIELD}{id}\r\n").into(),
+            ..ClientRequest::with_body_size(&id, 0)
+        };
         let deadline = Instant::now() + MAX_DEADLINE;
         let in_flight =
             InFlightRequest::new(RequestId(self.next_request), request, deadline, &self.budget).unwrap();
@@ -94,7 +96,7 @@
         in_flight
     }
 
-    /// Handles the events of the sides until these requests are answered; returns how many were completed.
+    /// Handles received events until these requests are answered; returns the number of completed ones.
     async fn serve(&mut self, in_flight_requests: &[Rc<InFlightRequest>]) -> usize {
         while !in_flight_requests.iter().all(|in_flight| in_flight.is_closed()) {
             let event = timeout(MAX_DEADLINE, self.driver.events.recv()).await;
@@ -108,7 +110,7 @@
     }
 
     /// The number of executors that are registered, which is the same in all parts of the node.
-    fn registered(&self) -> usize {
+    fn registered_count(&self) -> usize {
         let count = self.driver.registry.len();
         assert_eq!(self.driver.executors.executor_count(), count, "upstream");
         assert_eq!(self.driver.membership.len(), count, "membership");
@@ -117,13 +119,13 @@
     }
 
     async fn set_excluded(&mut self, name: &str, is_excluded: bool) -> bool {
-        let (done, known) = oneshot::channel();
+        let (sender, is_known) = oneshot::channel();
         self.handle(NodeEvent::SetExcluded {
             executor: name.into(),
             is_excluded,
-            origin: CallOrigin::Operator(done),
+            origin: CallOrigin::Operator(sender),
         });
-        known.await.unwrap()
+        is_known.await.unwrap()
     }
 }
 
@@ -157,94 +159,95 @@
 }
 
 fn ready(name: &str, addr: SocketAddr) -> EndpointEntry {
-    EndpointEntry::of(name, &addr.to_string(), "Ready")
+    EndpointEntry::new(name, &addr.to_string(), "Ready")
 }
 
-/// A fleet of 1,000 is replaced twenty times, with new names throughout, in a node of 48 MB: each is served like the
-/// first, and only executors of the current one stay registered.
+/// A fleet of 1,000 executors is replaced 20 times by one with other names, in a node of 48 MB. Each fleet has to serve
+/// all requests, and only executors of the current one may stay registered.
 #[tokio::test]
-async fn a_fleet_replaced_twenty_times_is_served_like_the_first() {
+async fn executors_of_replaced_fleets_are_released() {
     const FLEET: usize = 1000;
     const REQUESTS: usize = 30;
     let local = LocalSet::new();
-    let all = async {
+    let test = async {
         let addr = start_executors(Rc::default()).await;
-        let mut rig = TestDriver::new(48);
-        for replaced in 0..=20 {
-            let names = (0..FLEET).map(|number| ready(&format!("fleet-{replaced}-{number}"), addr));
-            rig.update_list(ListUpdate::Snapshot, names.collect());
-            assert!(rig.registered() <= 2 * FLEET, "{replaced}: before the reclaim");
+        let mut test_driver = TestDriver::new(48);
+        for generation in 0..=20 {
+            let names = (0..FLEET).map(|number| ready(&format!("fleet-{generation}-{number}"), addr));
+            test_driver.update_list(ListUpdate::Snapshot, names.collect());
+            assert!(test_driver.registered_count() <= 2 * FLEET, "{generation}: before the reclaim");
             let mut completed = 0;
             for _ in 0..REQUESTS {
-                let in_flight = rig.submit();
-                completed += rig.serve(&[in_flight]).await;
+                let in_flight = test_driver.submit();
+                completed += test_driver.serve(&[in_flight]).await;
             }
-            assert_eq!(completed, REQUESTS, "{replaced}");
-            rig.reclaim();
-            assert_eq!(rig.registered(), FLEET, "{replaced}");
+            assert_eq!(completed, REQUESTS, "{generation}");
+            test_driver.reclaim();
+            assert_eq!(test_driver.registered_count(), FLEET, "{generation}");
         }
-        rig.update_list(ListUpdate::Snapshot, Vec::new());
-        rig.reclaim();
-        assert_eq!((rig.registered(), rig.driver.executors.connection_count()), (0, 0));
+        test_driver.update_list(ListUpdate::Snapshot, Vec::new());
+        test_driver.reclaim();
+        assert_eq!((test_driver.registered_count(), test_driver.driver.executors.connection_count()), (0, 0));
     };
-    local.run_until(all).await;
+    local.run_until(test).await;
 }
 
-/// An executor that is gone and listed again at another address gets requests only there, under another handle once
-/// it was released.
+/// An executor that is gone and listed again gets requests only at its new address, and has another handle if it was
+/// released in between.
 #[tokio::test]
 async fn an_executor_that_returns_at_another_address_gets_requests_there() {
     let local = LocalSet::new();
-    let all = async {
-        let done: [Rc<std::cell::Cell<usize>>; 2] = Default::default();
-        let first = start_executors(done[0].clone()).await;
-        let second = start_executors(done[1].clone()).await;
+    let test = async {
+        let completed: [Rc<std::cell::Cell<usize>>; 2] = Default::default();
+        let first = start_executors(completed[0].clone()).await;
+        let second = start_executors(completed[1].clone()).await;
         for is_released in [false, true] {
-            done.iter().for_each(|done| done.set(0));
-            let mut rig = TestDriver::new(48);
-            rig.update_list(ListUpdate::Snapshot, vec![ready("a", first)]);
-            let before = rig.driver.registry.get("a");
-            let in_flight = rig.submit();
-            assert_eq!(rig.serve(&[in_flight]).await, 1);
-            rig.update_list(ListUpdate::Snapshot, Vec::new());
+            completed.iter().for_each(|count| count.set(0));
+            let mut test_driver = TestDriver::new(48);
+            test_driver.update_list(ListUpdate::Snapshot, vec![ready("a", first)]);
+            let handle = test_driver.driver.registry.get("a");
+            let in_flight = test_driver.submit();
+            assert_eq!(test_driver.serve(&[in_flight]).await, 1);
+            test_driver.update_list(ListUpdate::Snapshot, Vec::new());
             if is_released {
-                rig.reclaim();
-                assert_eq!(rig.registered(), 0);
+                test_driver.reclaim();
+                assert_eq!(test_driver.registered_count(), 0);
             }
-            rig.update_list(ListUpdate::Delta, vec![ready("a", second)]);
-            assert_eq!(rig.driver.registry.get("a") == before, !is_released);
-            let in_flight = rig.submit();
-            assert_eq!(rig.serve(&[in_flight]).await, 1);
-            assert_eq!((done[0].get(), done[1].get()), (1, 1), "{is_released}");
+            test_driver.update_list(ListUpdate::Delta, vec![ready("a", second)]);
+            assert_eq!(test_driver.driver.registry.get("a") == handle, !is_released);
+            let in_flight = test_driver.submit();
+            assert_eq!(test_driver.serve(&[in_flight]).await, 1);
+            assert_eq!((completed[0].get(), completed[1].get()), (1, 1), "{is_released}");
         }
     };
-    local.run_until(all).await;
+    local.run_until(test).await;
 }
 
-/// Events and actions for a released executor are dropped and counted.
+/// Events for a released executor must not affect another one that reuses its slot; they are counted.
 #[tokio::test]
-async fn events_for_a_released_executor_are_harmless() {
+async fn events_and_actions_for_a_released_executor_are_dropped() {
     let local = LocalSet::new();
-    let all = async {
+    let test = async {
         let addr = start_executors(Rc::default()).await;
-        let mut rig = TestDriver::new(48);
-        rig.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
-        let released = rig.driver.registry.get("a").unwrap();
-        rig.update_list(ListUpdate::Delta, vec![EndpointEntry::gone("a"), ready("b", addr)]);
-        rig.reclaim();
-        rig.update_list(ListUpdate::Delta, vec![ready("c", addr)]);
-        let (reused, executors) = (rig.driver.registry.get("c").unwrap(), rig.driver.executors.clone());
-        assert!(reused != released && rig.registered() == 2);
+        let mut test_driver = TestDriver::new(48);
+        test_driver.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
+        let released = test_driver.driver.registry.get("a").unwrap();
+        test_driver.update_list(ListUpdate::Delta, vec![EndpointEntry::gone("a"), ready("b", addr)]);
+        test_driver.reclaim();
+        test_driver.update_list(ListUpdate::Delta, vec![ready("c", addr)]);
+        let (reused, executors) =
+            (test_driver.driver.registry.get("c").unwrap(), test_driver.driver.executors.clone());
+        assert!(reused != released && test_driver.registered_count() == 2);
         // "c" has the slot that "a" had.
         executors.clone().probe(released).await;
-        let event = rig.driver.events.recv().await.unwrap();
+        let event = test_driver.driver.events.recv().await.unwrap();
         assert!(matches!(event, NodeEvent::Core(CoreEvent::ProbeCompleted { reply: None, .. })));
-        rig.handle(event);
-        assert_eq!(rig.driver.dispatcher.stale_events(), 1);
+        test_driver.handle(event);
+        assert_eq!(test_driver.driver.dispatcher.stale_events(), 1);
         executors.close_idle_connections(released);
         executors.start_draining(released);
         executors.release(released);
-        let in_flight = rig.submit();
+        let in_flight = test_driver.submit();
         let deadline = Instant::now() + MAX_DEADLINE;
         let order = DispatchOrder {
             in_flight: in_flight.clone(),
@@ -263,64 +266,64 @@
             Action::CloseIdleConnections { executor: released },
             Action::ReleaseExecutor { executor: released },
         ] {
-            rig.driver.perform(action);
+            test_driver.driver.perform(action);
         }
-        assert_eq!(rig.serve(&[in_flight]).await, 1, "another executor serves it");
-        assert_eq!(rig.registered(), 2);
+        assert_eq!(test_driver.serve(&[in_flight]).await, 1, "another executor serves it");
+        assert_eq!(test_driver.registered_count(), 2);
     };
-    local.run_until(all).await;
+    local.run_until(test).await;
 }
 
 /// An executor that operators excluded stays excluded when it is released and listed again, until it is included.
 #[tokio::test]
 async fn an_excluded_executor_stays_excluded_after_its_release() {
     let local = LocalSet::new();
-    let all = async {
-        let done: Rc<std::cell::Cell<usize>> = Rc::default();
-        let addr = start_executors(done.clone()).await;
-        let mut rig = TestDriver::new(48);
-        rig.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
-        assert!(rig.set_excluded("a", true).await);
-        rig.update_list(ListUpdate::Snapshot, Vec::new());
-        rig.reclaim();
-        assert_eq!(rig.registered(), 0);
-        assert!(!rig.set_excluded("b", true).await, "it is not known");
-        rig.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
-        let in_flight = rig.submit();
-        assert_eq!(rig.serve(&[in_flight]).await, 0, "the request is rejected");
-        assert_eq!(done.get(), 0, "and never sent");
-        rig.update_list(ListUpdate::Snapshot, Vec::new());
-        rig.reclaim();
-        assert!(rig.set_excluded("a", false).await, "it is included while it is gone");
-        assert!(rig.driver.membership.excluded().is_empty());
-        rig.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
-        let in_flight = rig.submit();
-        assert_eq!((rig.serve(&[in_flight]).await, done.get()), (1, 1));
+    let test = async {
+        let completed: Rc<std::cell::Cell<usize>> = Rc::default();
+        let addr = start_executors(completed.clone()).await;
+        let mut test_driver = TestDriver::new(48);
+        test_driver.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
+        assert!(test_driver.set_excluded("a", true).await);
+        test_driver.update_list(ListUpdate::Snapshot, Vec::new());
+        test_driver.reclaim();
+        assert_eq!(test_driver.registered_count(), 0);
+        assert!(!test_driver.set_excluded("b", true).await, "it was never listed");
+        test_driver.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
+        let in_flight = test_driver.submit();
+        assert_eq!(test_driver.serve(&[in_flight]).await, 0, "the request is rejected");
+        assert_eq!(completed.get(), 0, "and never sent");
+        test_driver.update_list(ListUpdate::Snapshot, Vec::new());
+        test_driver.reclaim();
+        assert!(test_driver.set_excluded("a", false).await, "it is included while it is gone");
+        assert!(test_driver.driver.membership.excluded().is_empty());
+        test_driver.update_list(ListUpdate::Snapshot, vec![ready("a", addr)]);
+        let in_flight = test_driver.submit();
+        assert_eq!((test_driver.serve(&[in_flight]).await, completed.get()), (1, 1));
     };
-    local.run_until(all).await;
+    local.run_until(test).await;
 }
 
-/// Exclusions by the sibling process of names that are not listed register no executors.
+/// Exclusions by the sibling process are kept by name, so those of executors that are not listed register none.
 #[tokio::test]
 async fn an_exclusion_from_the_sibling_applies_by_name() {
-    let mut rig = TestDriver::new(48);
+    let mut test_driver = TestDriver::new(48);
     for number in 0..5000 {
         let (executor, origin) = (format!("s-{number}"), CallOrigin::Sibling(number));
-        rig.handle(NodeEvent::SetExcluded { executor, is_excluded: true, origin });
+        test_driver.handle(NodeEvent::SetExcluded { executor, is_excluded: true, origin });
     }
     assert_eq!(
-        (rig.registered(), rig.driver.membership.excluded().len()),
+        (test_driver.registered_count(), test_driver.driver.membership.excluded().len()),
         (0, crate::membership::MAX_EXCLUDED_ABSENT)
     );
-    assert!(rig.driver.membership.excluded().contains("s-4999"));
+    assert!(test_driver.driver.membership.excluded().contains("s-4999"));
 }
 
-/// The state of an old process is taken of executors that are listed, and of others only as long as what they used of
-/// a warm-up budget counts.
+/// The state of an old process is imported for listed executors, and for others only as long as their use of a warm-up
+/// budget counts.
 #[tokio::test]
-async fn a_new_process_takes_over_the_listed_executors() {
-    let mut rig = TestDriver::new(48);
-    let now = rig.driver.clock.now();
+async fn a_new_process_imports_the_state_of_listed_executors() {
+    let mut test_driver = TestDriver::new(48);
+    let now = test_driver.driver.clock.now();
     let state = |id: &str| codec::ExecutorState {
         id: id.into(),
         failure_score: (1.0, 0.0).into(),
@@ -329,23 +332,23 @@
         warm_up_spent: if id == "d" { vec![(now, 50.0).into()] } else { Vec::new() },
     };
     let addr = "127.0.0.1:1".parse().unwrap();
-    rig.update_list(ListUpdate::Cached, vec![ready("a", addr), EndpointEntry::gone("b")]);
+    test_driver.update_list(ListUpdate::Cached, vec![ready("a", addr), EndpointEntry::gone("b")]);
     let mut inherited = Inherited::default();
     inherited.executors = ["a", "b", "c", "d"].map(state).into();
-    rig.driver.import_state(now, inherited);
-    assert_eq!((rig.registered(), rig.driver.dispatcher.stale_events()), (2, 0));
-    rig.reclaim();
-    assert_eq!(rig.registered(), 1);
+    test_driver.driver.import_state(now, inherited);
+    assert_eq!((test_driver.registered_count(), test_driver.driver.dispatcher.stale_events()), (2, 0));
+    test_driver.reclaim();
+    assert_eq!(test_driver.registered_count(), 1);
 }
 
-/// Requests that arrive before or after the event to shut down are answered at once.
+/// Requests that arrive before or after the shutdown event are answered immediately.
 #[tokio::test]
-async fn requests_after_the_shutdown_are_answered_at_once() {
+async fn requests_around_the_shutdown_event_are_answered_immediately() {
     let mut driver = driver(64, 128);
     let clock = driver.clock;
     let budget = ByteBudget::new(100);
     let in_flight = |request_id: u64| {
-        let request = ClientRequest::of(&request_id.to_string(), 0);
+        let request = ClientRequest::with_body_size(&request_id.to_string(), 0);
         let deadline = Instant::now() + MAX_DEADLINE;
         InFlightRequest::new(RequestId(request_id), request, deadline, &budget).unwrap()
     };
@@ -355,10 +358,10 @@
     driver.requests.get_mut(&sent.request_id).unwrap().attempts = 1;
     driver.handle_event(clock.now(), NodeEvent::ShutDown);
     driver.handle_event(clock.now(), NodeEvent::RequestArrived(after.clone()));
-    for (what, in_flight, expected) in
+    for (arrival, in_flight, expected) in
         [("before", before, "Rejected"), ("after", after, "Rejected"), ("sent", sent, "Failed")]
     {
-        assert!(in_flight.is_closed(), "{what}: it is answered");
-        assert!(format!("{:?}", in_flight.answered().await).starts_with(expected), "{what}");
+        assert!(in_flight.is_closed(), "{arrival}: it is answered");
+        assert!(format!("{:?}", in_flight.answered().await).starts_with(expected), "{arrival}");
     }
 }
--- a/crates/daemon/tests/unit/endpoint_list_parser.rs
+++ b/crates/daemon/tests/unit/endpoint_list_parser.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists in pieces of any size, over their bounds, and invalid.
+//! Parsing of endpoint lists in pieces of any size, and of lists over their bounds or invalid.
 use super::*;
 
 const BOUNDS: ParseBounds = ParseBounds { max_list_bytes: 4096, max_buffered_bytes: 1024, max_entries: 8 };
@@ -7,8 +7,8 @@
     EndpointListParser::new(bounds, Retention::of_node("n0"))
 }
 
-/// Parses a text in pieces of this size: the lists, the error, and whether the end is inside a list.
-fn read(bounds: ParseBounds, text: &str, step: usize) -> (Vec<EndpointList>, Option<String>, bool) {
+/// Parses a text in pieces of this size. Returns the lists, the error, and whether the text ends inside a list.
+fn parse(bounds: ParseBounds, text: &str, step: usize) -> (Vec<EndpointList>, Option<String>, bool) {
     let (mut parser, mut lists) = (parser(bounds), Vec::new());
     for piece in text.as_bytes().chunks(step) {
         parser.push(BytesMut::from(piece));
@@ -27,53 +27,53 @@
     format!("{{\"id\":\"{name}\",\"addr\":\"x\",\"state\":\"Ready\"}}")
 }
 
-fn list(version: u64, full: bool, entries: &[String]) -> String {
-    format!("{{\"version\":{version},\"full\":{full},\"servers\":[{}]}}\n", entries.join(","))
+fn list(version: u64, is_snapshot: bool, entries: &[String]) -> String {
+    format!("{{\"version\":{version},\"full\":{is_snapshot},\"servers\":[{}]}}\n", entries.join(","))
 }
 
 #[test]
 fn lists_over_one_or_several_lines_are_parsed_in_pieces_of_any_size() {
-    let one = "{\"version\":1,\"servers\":[]}";
+    let single_line = "{\"version\":1,\"servers\":[]}";
     let nested = "{\"version\":2,\"more\":{\"a\":{}},\"servers\":[{\"id\":\"{\",\"state\":\"}\",\"b\":{}}]}";
     let indented = "{\n  \"servers\": [\n    {\"id\":\"a\",\n\"state\":\"Gone\"}\n  ],\n \"version\":3\n}\n";
     let quoted = "\t{\r\n\t\"a\": \"}\\\"{\\\\\",\r\n\"version\":4,\"full\":true,\r\n\"servers\":[]}\r\n";
     // Version, whether it is a snapshot, and the names of the entries.
     type Expected<'a> = (u64, bool, &'a [&'a str]);
     let cases: &[(String, &[Expected], bool)] = &[
-        (format!("{one}\n"), &[(1, false, &[])], true),
+        (format!("{single_line}\n"), &[(1, false, &[])], true),
         (
-            format!("\n\n {one}\n\n{nested}{one}\n"),
+            format!("\n\n {single_line}\n\n{nested}{single_line}\n"),
             &[(1, false, &[]), (2, false, &["{"]), (1, false, &[])],
             true,
         ),
         (indented.into(), &[(3, false, &["a"])], true),
         (quoted.into(), &[(4, true, &[])], true),
-        (format!("{one}\nwhat\n"), &[(1, false, &[])], false),
-        (format!("{one}}}\n"), &[(1, false, &[])], false),
+        (format!("{single_line}\nwhat\n"), &[(1, false, &[])], false),
+        (format!("{single_line}}}\n"), &[(1, false, &[])], false),
         ("{\"version\":\n\n".into(), &[], false),
         ("{\"servers\":[{\"id\":\n \n".into(), &[], false),
         ("{\"a\n \n".into(), &[], false),
         ("[]".into(), &[], false),
     ];
-    for (text, expected, ends_well) in cases {
+    for (text, expected, is_valid) in cases {
         for step in 1..=text.len() {
-            let (got, why, is_inside) = read(BOUNDS, text, step);
+            let (lists, error, is_inside) = parse(BOUNDS, text, step);
             let names = |list: &EndpointList| list.entries.iter().map(|entry| entry.id.to_string()).collect();
-            let got: Vec<(u64, bool, Vec<String>)> =
-                got.iter().map(|list| (list.version, list.is_snapshot, names(list))).collect();
+            let actual: Vec<(u64, bool, Vec<String>)> =
+                lists.iter().map(|list| (list.version, list.is_snapshot, names(list))).collect();
             let expected: Vec<(u64, bool, Vec<String>)> = expected
                 .iter()
-                .map(|(version, full, names)| {
-                    (*version, *full, names.iter().map(|n| n.to_string()).collect())
+                .map(|(version, is_snapshot, names)| {
+                    (*version, *is_snapshot, names.iter().map(|name| name.to_string()).collect())
                 })
                 .collect();
-            assert_eq!((&got, why.is_none()), (&expected, *ends_well), "{text:?} by {step}: {why:?}");
-            assert!(why.is_some() || !is_inside, "{text:?} by {step}");
+            assert_eq!((&actual, error.is_none()), (&expected, *is_valid), "{text:?} by {step}: {error:?}");
+            assert!(error.is_some() || !is_inside, "{text:?} by {step}");
         }
     }
 }
 
-/// Entries equal those of a parser that has the complete text.
+/// Entries that arrive in pieces have to equal those that are parsed from their complete text.
 #[test]
 fn entries_are_parsed_with_all_their_fields() {
     let full = r#"{"id":"s-1","addr":"10.1.0.18:3000","zone":"a","kind":"m2","cell":3,"state":"Ready","weight":0.5,"started_ms":7}"#;
@@ -82,9 +82,9 @@
     let expected: Vec<EndpointEntry> =
         [full, escaped].iter().map(|text| serde_json::from_str(text).unwrap()).collect();
     for step in 1..=text.len() {
-        let (got, why, _) = read(BOUNDS, &text, step);
-        assert!(why.is_none() && got.len() == 1, "{why:?}");
-        assert_eq!((got[0].version, got[0].is_snapshot, &got[0].entries), (9, true, &expected));
+        let (lists, error, _) = parse(BOUNDS, &text, step);
+        assert!(error.is_none() && lists.len() == 1, "{error:?}");
+        assert_eq!((lists[0].version, lists[0].is_snapshot, &lists[0].entries), (9, true, &expected));
     }
 }
 
@@ -92,7 +92,7 @@
 fn lists_that_are_truncated_invalid_or_over_the_bounds_are_errors() {
     let names = |count: usize| (0..count).map(|number| entry(&format!("s-{number}"))).collect::<Vec<_>>();
     let long = "x".repeat(1100);
-    for (what, text, part) in [
+    for (case, text, expected) in [
         ("no version", "{\"servers\":[]}".to_string(), "missing field `version`"),
         ("no entries", "{\"version\":1}".into(), "missing field `servers`"),
         (
@@ -103,7 +103,7 @@
         ("an entry without a name", list(1, true, &["{\"state\":\"Ready\"}".into()]), "missing field `id`"),
         ("an item that is no entry", list(1, true, &["7".into()]), "in an entry"),
         (
-            "a figure like the mark of an entry",
+            "a number like the placeholder of an entry",
             list(1, true, &["0".into()]),
             "the entries and the items of `servers` differ",
         ),
@@ -129,27 +129,27 @@
         ("a delta over the bound", list(1, false, &names(9)), "9 changes at once, at most 8"),
     ] {
         for step in [1, 7, 500] {
-            let (got, why, _) = read(BOUNDS, &text, step);
-            let why = why.unwrap_or_else(|| panic!("{what} by {step} is accepted: {got:?}"));
+            let (lists, error, _) = parse(BOUNDS, &text, step);
+            let error = error.unwrap_or_else(|| panic!("{case} by {step} is accepted: {lists:?}"));
             assert!(
-                got.is_empty() && why.starts_with("invalid endpoint list: ") && why.contains(part),
-                "{what}: {why}"
+                lists.is_empty() && error.starts_with("invalid endpoint list: ") && error.contains(expected),
+                "{case}: {error}"
             );
         }
     }
 }
 
-/// The others are counted.
+/// The other entries are only counted, so that a list over the bound needs no more memory.
 #[test]
 fn of_a_snapshot_over_the_bound_the_entries_that_the_node_prefers_are_returned() {
     let texts: Vec<String> = (0..40).map(|number| entry(&format!("s-{number}"))).collect();
-    let (got, why, _) = read(BOUNDS, &list(1, true, &texts), 100);
-    assert!(why.is_none(), "{why:?}");
+    let (lists, error, _) = parse(BOUNDS, &list(1, true, &texts), 100);
+    assert!(error.is_none(), "{error:?}");
     let retention = Retention::of_node("n0");
     let all: Vec<EndpointEntry> = texts.iter().map(|text| serde_json::from_str(text).unwrap()).collect();
     let ranks: Vec<Rank> = all.iter().map(|entry| retention::rank(&retention, entry)).collect();
     let chosen = Retention::choose(&ranks, BOUNDS.max_entries);
     let expected: Vec<EndpointEntry> =
         all.into_iter().zip(chosen).filter_map(|(entry, is_chosen)| is_chosen.then_some(entry)).collect();
-    assert_eq!((&got[0].entries, got[0].dropped_entries), (&expected, 32));
+    assert_eq!((&lists[0].entries, lists[0].dropped_entries), (&expected, 32));
 }
--- a/crates/daemon/tests/unit/hot_restart_codec.rs
+++ b/crates/daemon/tests/unit/hot_restart_codec.rs
@@ -1,4 +1,4 @@
-//! Messages between two processes of a node: which are accepted, and which are errors.
+//! Messages between two processes of a node: accepted messages, and those that are errors.
 use super::*;
 
 const BOUNDS: Bounds = Bounds { executors: 3, ids: 1000 };
@@ -16,7 +16,7 @@
 const HELLO: &str = r#"{"say":"hello","form":1,"name":"n0"}"#;
 const COMPLETE: &str = r#"{"say":"told"}"#;
 
-/// As this release writes it; later ones must be able to read it.
+/// The messages as this release writes them. Later releases must be able to read them.
 const FROZEN: &[&str] = &[
     HELLO,
     r#"{"say":"out","executors":["s-1","s-2"]}"#,
@@ -63,8 +63,8 @@
         (&[HELLO, &negative], "-1 is not a finite number"),
         (&[HELLO, many], "list of 4 items, at most 3"),
     ] {
-        let why = apply_all(lines).expect_err(part).to_string();
-        assert!(why.contains(part), "{why}");
+        let error = apply_all(lines).expect_err(part).to_string();
+        assert!(error.contains(part), "{error}");
     }
 }
 
--- a/crates/daemon/tests/unit/in_flight.rs
+++ b/crates/daemon/tests/unit/in_flight.rs
@@ -1,9 +1,9 @@
-//! A request has one final answer, and none once its client has left.
+//! A request has one final answer, and none once its client has disconnected.
 use super::*;
 
 impl ClientRequest {
-    /// A request of class 0 with a body of this size; other tests use it as well.
-    pub fn of(id: &str, size: usize) -> Self {
+    /// A request of class 0 with a body of this size in bytes, for tests of this and other modules.
+    pub fn with_body_size(id: &str, size: usize) -> Self {
         ClientRequest {
             id: id.into(),
             key: None,
@@ -21,18 +21,18 @@
 }
 
 #[tokio::test]
-async fn only_the_first_answer_counts_and_none_once_the_client_has_left() {
+async fn only_the_first_answer_is_used_and_none_after_the_client_disconnected() {
     let budget = ByteBudget::new(10);
-    let make = |bytes: usize| {
-        InFlightRequest::new(RequestId(1), ClientRequest::of("1", bytes), Instant::now(), &budget)
+    let new_request = |bytes: usize| {
+        InFlightRequest::new(RequestId(1), ClientRequest::with_body_size("1", bytes), Instant::now(), &budget)
     };
-    let request = make(8).unwrap();
-    assert!(make(3).is_none(), "the budget is exhausted");
+    let request = new_request(8).unwrap();
+    assert!(new_request(3).is_none(), "the budget is exhausted");
     assert!(request.answer(Answer::Failed) && !request.answer(Answer::Rejected(None)));
     assert_eq!(request.answered().await, Answer::Failed);
     request.closed().await;
     drop(request);
-    let left = make(10).unwrap();
-    assert!(left.close() && left.is_closed() && !left.answer(Answer::Failed));
-    left.closed().await;
+    let disconnected = new_request(10).unwrap();
+    assert!(disconnected.close() && disconnected.is_closed() && !disconnected.answer(Answer::Failed));
+    disconnected.closed().await;
 }
--- a/crates/daemon/tests/unit/inherited_socket.rs
+++ b/crates/daemon/tests/unit/inherited_socket.rs
@@ -1,4 +1,4 @@
-//! Descriptors that are not a listening socket.
+//! Validation of an inherited descriptor.
 use super::*;
 
 #[test]
--- a/crates/daemon/tests/unit/lifecycle.rs
+++ b/crates/daemon/tests/unit/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The state that follows from the facts.
+//! The lifecycle state for each combination of facts.
 use super::*;
 
 #[test]
--- a/crates/daemon/tests/unit/limits.rs
+++ b/crates/daemon/tests/unit/limits.rs
@@ -1,8 +1,8 @@
-//! Limits for several deployments: memory, the steps of a shutdown, and the time until a list update is applied.
+//! Limits for several deployments: memory, steps of a shutdown, and the time until a list update is applied.
 use super::*;
 
 #[test]
-fn connections_and_memory_stay_within_the_deployment() {
+fn connections_and_memory_stay_within_the_limits_of_the_deployment() {
     let sizes = [(192, 1024), (16, 64), (64, 100_000), (2048, 4096), (32, 1024), (48, 1024), (0, 0)];
     let variants = |size| (0..8).map(move |bits| (size, [1, 2, 4].map(|bit| bits & bit != 0)));
     for ((memory_mb, max_sockets), [has_consul, has_ledger, has_inherited_socket]) in
@@ -50,16 +50,17 @@
     }
 }
 
-/// 19,000 executors with half as many to spare, entries of 171 bytes, and a list of one and a half times the bound.
+/// The bound allows half as many executors again as the fleet of 19,000, so that a third of it is spare. A list of one
+/// and a half times the bound, with entries of 171 bytes, can be received.
 #[test]
 fn a_node_of_128_mb_retains_19_000_executors_with_a_third_to_spare() {
     const FLEET: usize = 19_000;
-    const ENTRY: usize = 171;
+    const ENTRY_BYTES: usize = 171;
     let inputs = LimitInputs { memory_mb: 128, max_sockets: 1024, ..LimitInputs::default() };
     let limits = Limits::new(&inputs);
     let max_retained = limits.executor_bounds.max_retained;
     assert!(max_retained >= FLEET * 3 / 2, "{limits:?}");
-    assert!(limits.discovery.max_list_bytes >= max_retained * 3 / 2 * ENTRY, "{limits:?}");
+    assert!(limits.discovery.max_list_bytes >= max_retained * 3 / 2 * ENTRY_BYTES, "{limits:?}");
     // With more sockets and with a ledger as well.
     for (max_sockets, has_ledger) in [(100_000, false), (1024, true), (100_000, true)] {
         let limits = Limits::new(&LimitInputs { max_sockets, has_ledger, ..inputs.clone() });
@@ -70,26 +71,26 @@
 /// The platform kills a node 700 ms after the longest deadline, of which 3 s count at most.
 #[test]
 fn the_steps_of_a_shutdown_keep_their_order_with_any_deadline() {
-    let ms = Duration::from_millis;
+    let millis = Duration::from_millis;
     for deadline in
-        [0, 50, 100, 200, 300, 350, 400, 449, 450, 500, 649, 650, 1000, 2999, 3000, 20_000].map(ms)
+        [0, 50, 100, 200, 300, 350, 400, 449, 450, 500, 649, 650, 1000, 2999, 3000, 20_000].map(millis)
     {
         let limits = Limits::new(&LimitInputs { max_deadline: deadline, ..LimitInputs::default() });
         let timeouts = limits.timeouts();
         let Timeouts { close_idle_after, cancel_after, answer_open_after, .. } = timeouts;
-        assert!(close_idle_after >= ms(300), "{deadline:?}: {timeouts:?}");
-        assert!(close_idle_after >= deadline.min(ms(650)), "{deadline:?}: {timeouts:?}");
+        assert!(close_idle_after >= millis(300), "{deadline:?}: {timeouts:?}");
+        assert!(close_idle_after >= deadline.min(millis(650)), "{deadline:?}: {timeouts:?}");
         // The last requests and the cancelled attempts each have 100 ms to be answered.
-        assert!(cancel_after >= close_idle_after + ms(100), "{deadline:?}: {timeouts:?}");
-        assert!(answer_open_after >= cancel_after + ms(100), "{deadline:?}: {timeouts:?}");
-        let killed_after = deadline.min(ms(3000)) + ms(700);
+        assert!(cancel_after >= close_idle_after + millis(100), "{deadline:?}: {timeouts:?}");
+        assert!(answer_open_after >= cancel_after + millis(100), "{deadline:?}: {timeouts:?}");
+        let killed_after = deadline.min(millis(3000)) + millis(700);
         let written_after = answer_open_after + limits.last_write_timeout;
-        assert!(written_after + ms(100) <= killed_after, "{deadline:?}: {timeouts:?}");
+        assert!(written_after + millis(100) <= killed_after, "{deadline:?}: {timeouts:?}");
     }
 }
 
 /// Discovery may become reachable again during a poll that still fails: the rest of that poll, the wait before the
-/// next one and its answer have to fit. `docs/design/crossings.md` has the sums.
+/// next one and its answer have to fit into 5.9 s. `docs/design/crossings.md` has the sums.
 #[test]
 fn a_list_update_is_applied_in_time_whichever_poll_fails() {
     let limits = Limits::new(&LimitInputs::default());
--- a/crates/daemon/tests/unit/membership.rs
+++ b/crates/daemon/tests/unit/membership.rs
@@ -6,21 +6,23 @@
 #[test]
 fn an_excluded_executor_drains_in_any_listed_state_until_it_is_admitted_again() {
     let mut membership = Membership::default();
-    let a = ExecutorRegistry::default().register("a");
+    let executor = ExecutorRegistry::default().register("a");
     let update = |membership: &mut Membership, state: &str| {
-        membership.update(a, EndpointEntry::of("a", "x", state)).state
+        membership.update(executor, EndpointEntry::new("a", "x", state)).state
     };
     assert_eq!(update(&mut membership, READY), READY);
-    let excluded = membership.set_excluded(Some(a), "a", true).expect("it changes");
-    assert_eq!(membership.update(a, excluded).state, DRAINING);
-    assert!(membership.set_excluded(Some(a), "a", true).is_none(), "it is excluded already");
+    let excluded = membership.set_excluded(Some(executor), "a", true).expect("the entry changes");
+    assert_eq!(membership.update(executor, excluded).state, DRAINING);
+    assert!(membership.set_excluded(Some(executor), "a", true).is_none(), "it is excluded already");
     for (state, effective) in [(GONE, GONE), (READY, DRAINING), (DRAINING, DRAINING), (READY, DRAINING)] {
         assert_eq!(update(&mut membership, state), effective, "{state}");
     }
-    membership.mark_gone(a);
-    let admitted = membership.set_excluded(Some(a), "a", false).expect("one call reverts both");
+    membership.mark_gone(executor);
+    let admitted = membership.set_excluded(Some(executor), "a", false).expect("one call reverts both");
     assert_eq!(admitted.state, "Gone", "the state that is listed by then");
-    assert!(membership.set_excluded(Some(a), "a", false).is_none() && membership.excluded().is_empty());
+    assert!(
+        membership.set_excluded(Some(executor), "a", false).is_none() && membership.excluded().is_empty()
+    );
     assert_eq!(update(&mut membership, READY), READY);
     // An exclusion of an earlier process, of an executor that is not listed yet.
     let mut next = Membership::default();
@@ -34,7 +36,7 @@
     for is_excluded_while_gone in [false, true] {
         let (mut registry, mut membership) = (ExecutorRegistry::default(), Membership::default());
         let first = registry.register("a");
-        membership.update(first, EndpointEntry::of("a", "x", READY));
+        membership.update(first, EndpointEntry::new("a", "x", READY));
         if !is_excluded_while_gone {
             membership.set_excluded(Some(first), "a", true);
         }
@@ -48,7 +50,7 @@
         let second = registry.register("a");
         assert_ne!(first, second);
         assert_eq!(
-            membership.update(second, EndpointEntry::of("a", "x", READY)).state,
+            membership.update(second, EndpointEntry::new("a", "x", READY)).state,
             DRAINING,
             "{is_excluded_while_gone}"
         );
@@ -62,12 +64,12 @@
 fn excluded_names_that_are_not_listed_are_bounded() {
     let (mut registry, mut membership) = (ExecutorRegistry::default(), Membership::default());
     let listed = registry.register("listed");
-    membership.update(listed, EndpointEntry::of("listed", "x", READY));
+    membership.update(listed, EndpointEntry::new("listed", "x", READY));
     membership.set_excluded(Some(listed), "listed", true);
     for number in 0..3 * MAX_EXCLUDED_ABSENT {
         let name = format!("s-{number}");
         let executor = registry.register(&name);
-        membership.update(executor, EndpointEntry::of(&name, "x", READY));
+        membership.update(executor, EndpointEntry::new(&name, "x", READY));
         membership.set_excluded(Some(executor), &name, true);
         membership.release(executor);
         registry.release(executor);
@@ -79,7 +81,7 @@
     assert!(membership.excluded().contains("listed"), "the exclusion of a listed executor is never dropped");
     assert!(
         membership.excluded().contains(&format!("s-{}", 3 * MAX_EXCLUDED_ABSENT - 1)),
-        "nor the latest one"
+        "the latest exclusion is kept"
     );
     let names = (0..3 * MAX_EXCLUDED_ABSENT).map(|number| format!("t-{number}"));
     membership.import_excluded(names.collect());
--- a/crates/daemon/tests/unit/merge.rs
+++ b/crates/daemon/tests/unit/merge.rs
@@ -1,11 +1,11 @@
-//! Lists of several sources that disagree.
+//! Merging of lists from several sources that contradict each other.
 use super::*;
 
 #[test]
 fn the_strictest_state_and_the_entry_with_the_highest_precedence_are_used() {
     let mut merge = EndpointMerge::new(3);
     let mut apply = |precedence, kind, entries: &[(&str, &str, &str)]| {
-        let entries = entries.iter().map(|(id, addr, state)| EndpointEntry::of(id, addr, state)).collect();
+        let entries = entries.iter().map(|(id, addr, state)| EndpointEntry::new(id, addr, state)).collect();
         let changes: Vec<String> = merge
             .apply(precedence, kind, entries)
             .into_iter()
--- a/crates/daemon/tests/unit/node_file.rs
+++ b/crates/daemon/tests/unit/node_file.rs
@@ -1,4 +1,4 @@
-//! Values of the node file: the seed, durations in the settings, and what a reload does not apply.
+//! Values of the node file: the seed, durations in the settings, and keys that a reload does not apply.
 use super::*;
 use serde_json::json;
 
--- a/crates/daemon/tests/unit/operator_file.rs
+++ b/crates/daemon/tests/unit/operator_file.rs
@@ -1,4 +1,4 @@
-//! Faults of an operator's file: all of them are listed, each with its key and what is allowed.
+//! Validation of an operator's file: all faults are listed, each with its key and the allowed values.
 use super::*;
 
 #[test]
--- a/crates/daemon/tests/unit/platform.rs
+++ b/crates/daemon/tests/unit/platform.rs
@@ -1,4 +1,4 @@
-//! The watch of the platform's discovery service: in what time a source that stops responding is noticed.
+//! The watch of the platform's discovery service: how soon a source that stops responding is noticed.
 use super::*;
 use crate::config::limits::{LimitInputs, Limits};
 use std::time::Duration;
@@ -7,13 +7,14 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-fn watcher(at: SocketAddr) -> (PlatformWatcher, mpsc::Receiver<NodeEvent>, watch::Sender<SocketAddr>) {
-    let (_, codec) = Codec::of_one_type(5_000_000);
-    let wait = Some(Duration::from_secs(3));
-    let inputs =
-        LimitInputs { memory_mb: 64, max_sockets: 128, connect_timeout: wait, ..LimitInputs::default() };
+fn new_watcher(
+    discovery: SocketAddr,
+) -> (PlatformWatcher, mpsc::Receiver<NodeEvent>, watch::Sender<SocketAddr>) {
+    let (_, codec) = Codec::with_deadline_us(5_000_000);
+    let connect_timeout = Some(Duration::from_secs(3));
+    let inputs = LimitInputs { memory_mb: 64, max_sockets: 128, connect_timeout, ..LimitInputs::default() };
     let (events, received) = mpsc::channel(16);
-    let (address_sender, address) = watch::channel(at);
+    let (address_sender, address) = watch::channel(discovery);
     let limits = Rc::new(Limits::new(&inputs));
     let updates = EndpointUpdateSender::unmerged(events);
     let retention = Retention::of_node("n0");
@@ -21,7 +22,7 @@
     (watcher, received, address_sender)
 }
 
-/// How a source serves one watch.
+/// How a source responds to one watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Source {
     /// Answers 503.
@@ -32,7 +33,7 @@
     Silent,
     /// Sends the head and no more.
     HeadOnly,
-    /// Sends the begin of an object, then a line of it every two seconds.
+    /// Sends the start of an object, then a line of it every two seconds.
     Drips,
     /// Sends an indented list, then keep-alives.
     Indented,
@@ -43,7 +44,7 @@
 }
 use Source::*;
 
-/// Serves one watch in the way of `source`, and never returns.
+/// Serves one watch as `source` states, and never returns.
 async fn serve(source: Source, listener: &TcpListener) {
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut request = [0; 1024];
@@ -93,7 +94,7 @@
         (Indented, 1, 60.0),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (watcher, mut received, _address) = watcher(listener.local_addr().unwrap());
+        let (watcher, mut received, _address) = new_watcher(listener.local_addr().unwrap());
         let cached_version = (source == Older).then_some(100);
         let (start, mut versions) = (Instant::now(), VersionFilter::new(cached_version));
         let watched = async {
--- a/crates/daemon/tests/unit/protocol.rs
+++ b/crates/daemon/tests/unit/protocol.rs
@@ -1,4 +1,4 @@
-//! Events and response heads of executors, and codecs for the tests of other modules.
+//! Parsing of executors' events and response heads; also constructors that tests of other modules use.
 use super::*;
 use crate::http1;
 use bytes::BytesMut;
@@ -7,13 +7,13 @@
 use troutknot::{Outcome, Settings};
 
 impl Codec {
-    /// A codec of one class, `render`, and its settings.
-    pub fn of_one_type(hard_limit_us: u64) -> (Settings, Rc<Current<Codec>>) {
-        Self::with_class(serde_json::json!({"name": "render", "hard_limit": hard_limit_us}))
+    /// The settings and the codec of one class, `render`, with a deadline in microseconds.
+    pub fn with_deadline_us(deadline_us: u64) -> (Settings, Rc<Current<Codec>>) {
+        Self::with_class(serde_json::json!({"name": "render", "hard_limit": deadline_us}))
     }
 
     /// A codec of one class, `render`, with this effect.
-    pub fn of_effect(effect: &str) -> Rc<Current<Codec>> {
+    pub fn with_effect(effect: &str) -> Rc<Current<Codec>> {
         Self::with_class(serde_json::json!({"name": "render", "hard_limit": 5_000_000, "effect": effect})).1
     }
 
@@ -26,14 +26,15 @@
 }
 
 impl EndpointEntry {
-    pub fn of(id: &str, address: &str, state: &str) -> Self {
+    /// An entry with these fields and no others.
+    pub fn new(id: &str, address: &str, state: &str) -> Self {
         EndpointEntry { address: address.into(), state: state.into(), ..EndpointEntry::gone(id) }
     }
 }
 
 #[test]
-fn lines_of_executors_are_parsed_as_events() {
-    let of = |text: &str| parse_attempt_event(text.as_bytes(), "a1");
+fn events_are_parsed_and_those_that_are_malformed_or_of_another_request_are_errors() {
+    let parse = |text: &str| parse_attempt_event(text.as_bytes(), "a1");
     for (text, expected) in [
         (r#"{"id":"a1","from":"s","state":"started"}"#, Some(AttemptEvent::Started)),
         (r#"{"id":"a1","state":"running","share":0.4}"#, Some(AttemptEvent::Progress(0.4))),
@@ -49,10 +50,10 @@
         (r#"{"id":"a1","state":"paused"}"#, None),
         ("done", None),
     ] {
-        assert_eq!(of(text).ok(), expected, "{text}");
+        assert_eq!(parse(text).ok(), expected, "{text}");
     }
     let mut text = BytesMut::from("\n a\r\n\nb\nc");
-    let mut next = |ended| next_line(&mut text, ended).map(|l| l.trim_ascii().to_vec());
+    let mut next = |is_complete| next_line(&mut text, is_complete).map(|line| line.trim_ascii().to_vec());
     assert_eq!([next(false), next(false), next(false)], [Some(b"a".into()), Some(b"b".into()), None]);
     assert_eq!([next(true), next(true)], [Some(b"c".into()), None]);
 }
--- a/crates/daemon/tests/unit/request_ids.rs
+++ b/crates/daemon/tests/unit/request_ids.rs
@@ -22,12 +22,12 @@
     let (ids, limits) = (RequestIds::new(), limits());
     advance(MAX_DEADLINE - Duration::from_millis(1)).await;
     assert!(ids.record_token(1, &limits));
-    assert!(!ids.record_token(1, &limits), "at once");
+    assert!(!ids.record_token(1, &limits), "immediately");
     advance(MAX_DEADLINE).await;
-    assert!(!ids.record_token(1, &limits), "a deadline later, in the older generation");
+    assert!(!ids.record_token(1, &limits), "one deadline later, in the older generation");
     assert_eq!(ids.recent_tokens(), [1]);
     advance(MAX_DEADLINE).await;
-    assert!(ids.record_token(1, &limits), "two deadlines later it is forgotten");
+    assert!(ids.record_token(1, &limits), "two deadlines later it is dropped");
 }
 
 #[tokio::test(start_paused = true)]
@@ -41,7 +41,7 @@
         }
     }
     assert!(!ids.record_token(2 * max_tokens - max_tokens / 2, &limits), "the latest half is retained");
-    assert!(ids.record_token(0, &limits), "the oldest is forgotten");
+    assert!(ids.record_token(0, &limits), "the oldest is dropped");
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/unit/retention.rs
+++ b/crates/daemon/tests/unit/retention.rs
@@ -1,4 +1,4 @@
-//! Which executors are retained and which are not, update after update.
+//! The choice of the executors to retain, over successive updates of the list.
 use super::*;
 use std::collections::BTreeMap;
 
@@ -57,7 +57,7 @@
 }
 
 fn entry(name: &str, state: &str) -> EndpointEntry {
-    EndpointEntry::of(name, "10.0.0.1:1", state)
+    EndpointEntry::new(name, "10.0.0.1:1", state)
 }
 
 fn ready(names: &[&str]) -> Vec<EndpointEntry> {
@@ -68,7 +68,7 @@
     (0..count).map(|number| entry(&format!("s-{number:04}"), "Ready")).collect()
 }
 
-/// The names that the node would retain of all that are listed.
+/// The names that the node would choose to retain out of all listed ones.
 fn preferred(listed: &BTreeMap<CompactString, EndpointEntry>, bound: usize) -> Vec<&str> {
     let retention = Retention::of_node(NODE);
     let mut ranked: Vec<&EndpointEntry> = listed.values().collect();
@@ -102,12 +102,12 @@
         RetentionChange { entries: changes, ..RetentionChange::default() }
     );
     assert_eq!(node.delta(vec![entry("f", "Gone")]), RetentionChange::default(), "it was never listed");
-    let figures = RetentionStatistics { listed: 4, retained: 4, unretained: 0, bound: 4 };
-    assert_eq!((node.retention.statistics(), node.names()), (figures, vec!["a", "b", "d", "e"]));
+    let statistics = RetentionStatistics { listed: 4, retained: 4, unretained: 0, bound: 4 };
+    assert_eq!((node.retention.statistics(), node.names()), (statistics, vec!["a", "b", "d", "e"]));
 }
 
-/// After each update the executors are retained that a choice among all of them would retain, and only the
-/// difference is returned.
+/// After each update, the retained executors have to be those that a choice among all listed ones gives, and only the
+/// changes may be returned.
 #[test]
 fn the_preferred_executors_are_retained_after_any_change() {
     const BOUND: usize = 20;
@@ -139,10 +139,10 @@
             let expected = preferred(&listed, BOUND);
             assert_eq!(node.names(), expected, "seed {seed} step {step}");
             assert!(node.store.0.iter().all(|(name, entry)| listed.get(name) == Some(entry)));
-            let (retained, all) = (expected.len(), listed.len());
-            let figures =
-                RetentionStatistics { listed: all, retained, unretained: all - retained, bound: BOUND };
-            assert_eq!(node.retention.statistics(), figures, "seed {seed} step {step}");
+            let (retained, total) = (expected.len(), listed.len());
+            let statistics =
+                RetentionStatistics { listed: total, retained, unretained: total - retained, bound: BOUND };
+            assert_eq!(node.retention.statistics(), statistics, "seed {seed} step {step}");
             let lost = before.iter().filter(|name| !expected.contains(&name.as_str())).count();
             let gone = change.entries.iter().filter(|entry| entry.is_gone()).count();
             assert!(is_snapshot || gone == lost, "seed {seed} step {step}: {gone} of {lost} are gone");
@@ -179,7 +179,7 @@
     assert!(change.iter().any(|entry| entry.is_gone()), "an executor is displaced: {change:?}");
 }
 
-/// The entry of a displaced executor retains its start, its address and its cell.
+/// The entry of a displaced executor has to keep its start, its address and its deduplication group.
 #[test]
 fn an_executor_that_is_displaced_and_retained_again_has_the_entry_that_was_listed() {
     let mut node = Node::new(2, 9);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn of_repeated_entries_of_one_executor_the_last_one_is_used() {
+fn of_duplicate_entries_of_one_executor_the_last_one_is_used() {
     let mut node = Node::new(2, 2);
     let list = vec![entry("a", "Ready"), entry("b", "Ready"), entry("a", "Terminating"), entry("a", "Ready")];
     let change = node.snapshot(list, 0);
--- a/crates/daemon/tests/unit/shutdown.rs
+++ b/crates/daemon/tests/unit/shutdown.rs
@@ -9,11 +9,12 @@
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
-/// A client that connects just when connections are counted for the last time.
+/// A client connects just before the shutdown counts the open connections for the last time; its request must still be
+/// served.
 #[tokio::test]
 async fn a_connection_accepted_while_the_last_one_closes_is_served() {
     use std::io::{Read, Write};
-    let (_, codec) = Codec::of_one_type(100_000);
+    let (_, codec) = Codec::with_deadline_us(100_000);
     let max_deadline = Duration::from_millis(100);
     let limits = Rc::new(Limits::new(&LimitInputs {
         memory_mb: 64,
@@ -24,7 +25,7 @@
     let (events, mut received_events) = mpsc::channel(16);
     let lifecycle = Rc::new(Lifecycle::new());
     lifecycle.update(|facts| facts.is_listed = true);
-    let clients = DownstreamServer::new(DownstreamContext {
+    let downstream = DownstreamServer::new(DownstreamContext {
         limits: limits.clone(),
         codec,
         events: events.clone(),
@@ -37,8 +38,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let mut state = lifecycle.watch();
-    let ended = async {
-        spawn_local(clients.clone().accept(listener, ListenerOrigin::Bound));
+    let test = async {
+        spawn_local(downstream.clone().accept(listener, ListenerOrigin::Bound));
         let client = async {
             state.wait_for(|state| *state == LifecycleState::Closing).await.unwrap();
             let mut client = std::net::TcpStream::connect(addr).unwrap();
@@ -52,17 +53,17 @@
         };
         let shutdown = GracefulShutdown {
             limits: limits.clone(),
-            downstream: clients.clone(),
+            downstream: downstream.clone(),
             lifecycle: lifecycle.clone(),
             events: events.clone(),
             listener_origin: ListenerOrigin::Bound,
         };
-        let ended = shutdown.run();
-        let both = async { tokio::join!(client, ended).0 };
+        let shutdown = shutdown.run();
+        let both = async { tokio::join!(client, shutdown).0 };
         timeout(Duration::from_secs(4), both).await.expect("the request is served and the node ends")
     };
-    let mut client = LocalSet::new().run_until(ended).await;
-    let mut got = String::new();
-    client.read_to_string(&mut got).unwrap();
-    assert!(got.starts_with("HTTP/1.1 200") && got.ends_with("done"), "{got}");
+    let mut client = LocalSet::new().run_until(test).await;
+    let mut response = String::new();
+    client.read_to_string(&mut response).unwrap();
+    assert!(response.starts_with("HTTP/1.1 200") && response.ends_with("done"), "{response}");
 }
--- a/crates/daemon/tests/unit/startup.rs
+++ b/crates/daemon/tests/unit/startup.rs
@@ -1,4 +1,4 @@
-//! The listening socket.
+//! The backlog of the listening socket.
 use super::*;
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 async fn a_burst_of_connections_waits_to_be_accepted() {
     let listener = listen(([127, 0, 0, 1], 0).into(), 1024).unwrap();
     let address = listener.local_addr().unwrap();
-    // Nothing accepts meanwhile; a connection beyond the backlog is established a second late, or never.
+    // No connection is accepted meanwhile. One beyond the backlog would be established a second late, or never.
     let connect_timeout = Duration::from_millis(900);
     let connect = |_| std::net::TcpStream::connect_timeout(&address, connect_timeout).unwrap();
     let _burst: Vec<_> = (0..300).map(connect).collect();
--- a/crates/daemon/tests/unit/upstream.rs
+++ b/crates/daemon/tests/unit/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream side against executors that the tests play on loopback sockets.
+//! The upstream side against executors that the tests simulate on loopback sockets.
 use super::executor::IdleReuse;
 use super::pool::ConnectError;
 use super::*;
@@ -28,7 +28,7 @@
 }
 
 fn pool_for_effect(effect: &str, drain_grace: Duration) -> (Rc<ExecutorPool>, mpsc::Receiver<NodeEvent>) {
-    let codec = Codec::of_effect(effect);
+    let codec = Codec::with_effect(effect);
     let wait = Duration::from_secs(5);
     let mut limits = Limits::new(&crate::config::limits::LimitInputs {
         memory_mb: 64,
@@ -53,8 +53,8 @@
 }
 
 fn request_with_body(size: usize) -> Rc<InFlightRequest> {
-    let work = ClientRequest::of("1", size);
-    InFlightRequest::new(RequestId(1), work, Instant::now(), &ByteBudget::new(1 << 20)).unwrap()
+    let request = ClientRequest::with_body_size("1", size);
+    InFlightRequest::new(RequestId(1), request, Instant::now(), &ByteBudget::new(1 << 20)).unwrap()
 }
 
 fn dispatch_order(
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum AcceptQueue {
     Free,
-    /// Further connections hang until the fillers are dropped.
+    /// Further connections hang until the connections that fill the queue are dropped.
     Full,
 }
 
@@ -95,57 +95,59 @@
     (socket.into(), fillers.collect())
 }
 
+/// Why an attempt may no longer be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Overtaken {
-    RequestOver,
-    DrainWaitEnded,
+enum Invalidation {
+    RequestClosed,
+    DrainGraceEnded,
     DeadlinePassed,
-    /// The executor may not deduplicate it any more, though the attempt deadline is far off.
+    /// The executor may no longer deduplicate the request, although the attempt's deadline is not near.
     SendDeadlinePassed,
     Cancelled,
     ProcessStalled,
-    /// The list reports a restart after the dispatch was decided, before it is carried out.
+    /// The list reports a restart of the executor between the decision and the dispatch.
     ExecutorRestarted,
-    /// The same while the attempt connects.
+    /// The list reports a restart of the executor while the attempt connects.
     ExecutorRestartedWhileConnecting,
 }
-use Overtaken::*;
+use Invalidation::*;
 
-/// One attempt that an event overtakes.
-struct OvertakenAttempt {
-    by: Overtaken,
+/// One attempt that an event invalidates before it is sent completely.
+struct InvalidatedAttempt {
+    cause: Invalidation,
     pool: Rc<ExecutorPool>,
     in_flight: Rc<InFlightRequest>,
     cancel_signal: Rc<CancelSignal>,
     now: Instant,
 }
 
-impl OvertakenAttempt {
+impl InvalidatedAttempt {
     fn new(
-        by: Overtaken,
+        cause: Invalidation,
         address: SocketAddr,
         in_flight: Rc<InFlightRequest>,
     ) -> (Self, mpsc::Receiver<NodeEvent>) {
         let (pool, events) = new_pool();
         pool.set_endpoint(executor(), endpoint(Some(address), None, true));
         let (cancel_signal, now) = (Rc::default(), Instant::now());
-        (OvertakenAttempt { by, pool, in_flight, cancel_signal, now }, events)
+        (InvalidatedAttempt { cause, pool, in_flight, cancel_signal, now }, events)
     }
 
-    /// The deadline that overtakes the attempt is near; the other one is not.
+    /// The order, in which the deadline that invalidates the attempt is near and the other one is not.
     fn order(&self) -> DispatchOrder {
-        let at = |what| self.now + Duration::from_millis(if self.by == what { 800 } else { 60_000 });
-        let has_stalled = self.by == ProcessStalled;
+        let at =
+            |deadline| self.now + Duration::from_millis(if self.cause == deadline { 800 } else { 60_000 });
+        let has_stalled = self.cause == ProcessStalled;
         let decided_at = if has_stalled { self.now - Duration::from_secs(6) } else { self.now };
         let deadlines = [DeadlinePassed, SendDeadlinePassed].map(at);
         dispatch_order(&self.pool, &self.in_flight, &self.cancel_signal, decided_at, deadlines)
     }
 
-    /// Has the event happen, unless time or the test brings it.
-    fn overtake(&self) {
-        match self.by {
-            RequestOver => _ = self.in_flight.close(),
-            DrainWaitEnded => self.pool.start_draining(executor()),
+    /// Triggers the event, unless it is a deadline or the test triggers it.
+    fn invalidate(&self) {
+        match self.cause {
+            RequestClosed => _ = self.in_flight.close(),
+            DrainGraceEnded => self.pool.start_draining(executor()),
             Cancelled => self.cancel_signal.cancel(Outcome::Cancelled),
             _ => {}
         }
@@ -153,7 +155,7 @@
 
     /// Asserts that the attempt has no outcome for this time.
     async fn assert_pending(&self, events: &mut mpsc::Receiver<NodeEvent>, time: Duration) {
-        assert!(timeout(time, events.recv()).await.is_err(), "{:?}", self.by);
+        assert!(timeout(time, events.recv()).await.is_err(), "{:?}", self.cause);
     }
 }
 
@@ -166,11 +168,11 @@
 }
 
 #[tokio::test]
-async fn an_attempt_that_is_overtaken_while_connecting_is_never_sent() {
+async fn an_attempt_that_is_invalidated_while_it_connects_is_never_sent() {
     let local = LocalSet::new();
-    for (by, expected) in [
-        (RequestOver, Outcome::NotSent),
-        (DrainWaitEnded, Outcome::NotSent),
+    for (cause, expected) in [
+        (RequestClosed, Outcome::NotSent),
+        (DrainGraceEnded, Outcome::NotSent),
         (DeadlinePassed, Outcome::NoConnection),
         (SendDeadlinePassed, Outcome::NotSent),
         (Cancelled, Outcome::NotSent),
@@ -178,27 +180,27 @@
         (ExecutorRestarted, Outcome::NotSent),
         (ExecutorRestartedWhileConnecting, Outcome::NotSent),
     ] {
-        let overtaken = overtake_while_connecting(by);
-        let event = local.run_until(timeout(Duration::from_secs(4), overtaken)).await.unwrap();
-        assert_eq!(outcome_of(event), Some(expected), "{by:?}");
+        let invalidated = invalidate_while_connecting(cause);
+        let event = local.run_until(timeout(Duration::from_secs(4), invalidated)).await.unwrap();
+        assert_eq!(outcome_of(event), Some(expected), "{cause:?}");
     }
 }
 
 /// The event that the driver receives; no byte is sent.
-async fn overtake_while_connecting(by: Overtaken) -> Option<NodeEvent> {
-    let hangs = !matches!(by, ProcessStalled | ExecutorRestarted);
+async fn invalidate_while_connecting(cause: Invalidation) -> Option<NodeEvent> {
+    let hangs = !matches!(cause, ProcessStalled | ExecutorRestarted);
     let (listener, mut fillers) = listener(if hangs { AcceptQueue::Full } else { AcceptQueue::Free });
     let address = listener.local_addr().unwrap();
-    let (attempt, mut events) = OvertakenAttempt::new(by, address, in_flight_request());
+    let (attempt, mut events) = InvalidatedAttempt::new(cause, address, in_flight_request());
     let restart = || attempt.pool.set_endpoint(executor(), endpoint(Some(address), Some(2.0), true));
     let order = attempt.order();
-    let overtake = async {
+    let invalidate = async {
         if hangs {
             // The attempt hangs in its connect by now.
             attempt.assert_pending(&mut events, Duration::from_millis(30)).await;
         }
-        attempt.overtake();
-        if by == ExecutorRestartedWhileConnecting {
+        attempt.invalidate();
+        if cause == ExecutorRestartedWhileConnecting {
             restart();
             // The accept queue has space again, so the connection is established.
             fillers.clear();
@@ -206,11 +208,11 @@
         }
         events.recv().await
     };
-    if by == ExecutorRestarted {
+    if cause == ExecutorRestarted {
         restart();
     }
-    let event = tokio::join!(overtake, attempt.pool.clone().dispatch(order)).0;
-    if !hangs || by == ExecutorRestartedWhileConnecting {
+    let event = tokio::join!(invalidate, attempt.pool.clone().dispatch(order)).0;
+    if !hangs || cause == ExecutorRestartedWhileConnecting {
         assert_nothing_received(&listener);
     }
     event
@@ -220,73 +222,77 @@
 fn assert_nothing_received(listener: &std::net::TcpListener) {
     let stream = Socket::from(listener.accept().unwrap().0);
     stream.set_nonblocking(true).unwrap();
-    let mut one = [std::mem::MaybeUninit::uninit()];
-    assert!(!matches!(stream.recv(&mut one), Ok(n) if n > 0), "no byte is sent");
+    let mut byte = [std::mem::MaybeUninit::uninit()];
+    assert!(!matches!(stream.recv(&mut byte), Ok(length) if length > 0), "no byte is sent");
 }
 
-/// The executor accepts the connection and reads little or nothing. It never receives more of a request than it
-/// has read by then, even if the node has written it completely and the rest is in the kernel's send buffer.
+/// The executor accepts the connection and reads little or nothing. After the invalidation it must receive nothing more,
+/// even if the node has written the request completely and the rest is in the kernel's send buffer.
 #[tokio::test]
-async fn an_attempt_that_is_overtaken_while_being_written_never_arrives_complete() {
+async fn an_attempt_that_is_invalidated_while_it_is_written_never_arrives_complete() {
     let local = LocalSet::new();
-    // The largest body that a node accepts, and one that fits into the socket buffers of both ends.
+    // The largest body that a node accepts, and one that fits into the socket buffers of both sides.
     let (large, small) = (64 * 1024, 12 * 1024);
-    let each =
-        [RequestOver, DrainWaitEnded, DeadlinePassed, SendDeadlinePassed, Cancelled].map(|by| (by, large));
-    for (by, size) in each.into_iter().chain([(Cancelled, small)]) {
-        let overtaken = overtake_while_writing(by, size);
-        let waited = local.run_until(timeout(Duration::from_secs(4), overtaken)).await;
-        let (event, mut there) = waited.unwrap_or_else(|_| panic!("{by:?}: still writing"));
-        let outcome = outcome_of(event).unwrap_or_else(|| panic!("{by:?}"));
-        assert_eq!(outcome.never_ran(), size == large, "{by:?}: {outcome:?}");
+    let large_cases = [RequestClosed, DrainGraceEnded, DeadlinePassed, SendDeadlinePassed, Cancelled]
+        .map(|cause| (cause, large));
+    for (cause, size) in large_cases.into_iter().chain([(Cancelled, small)]) {
+        let invalidated = invalidate_while_writing(cause, size);
+        let waited = local.run_until(timeout(Duration::from_secs(4), invalidated)).await;
+        let (event, mut executor_end) = waited.unwrap_or_else(|_| panic!("{cause:?}: still writing"));
+        let outcome = outcome_of(event).unwrap_or_else(|| panic!("{cause:?}"));
+        assert_eq!(outcome.never_ran(), size == large, "{cause:?}: {outcome:?}");
         let mut rest = Vec::new();
-        let _ = std::io::Read::read_to_end(&mut there, &mut rest);
+        let _ = std::io::Read::read_to_end(&mut executor_end, &mut rest);
         let received = FIRST_BYTES + rest.len();
-        assert!(received < size, "{by:?}: {received} of {size} bytes arrived");
+        assert!(received < size, "{cause:?}: {received} of {size} bytes arrived");
     }
 }
 
-/// Bytes that the executor reads before the attempt is overtaken.
+/// Bytes that the executor reads before the attempt is invalidated.
 const FIRST_BYTES: usize = 100;
 
 /// The event that the driver receives, and the executor's end of the connection.
-async fn overtake_while_writing(by: Overtaken, size: usize) -> (Option<NodeEvent>, std::net::TcpStream) {
+async fn invalidate_while_writing(
+    cause: Invalidation,
+    size: usize,
+) -> (Option<NodeEvent>, std::net::TcpStream) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     // A small receive buffer, so that most of the body stays on the node's end.
     socket.set_recv_buffer_size(4096).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     socket.listen(8).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
-    let (attempt, mut events) = OvertakenAttempt::new(by, address, request_with_body(size));
+    let (attempt, mut events) = InvalidatedAttempt::new(cause, address, request_with_body(size));
     let order = attempt.order();
-    let overtake = async {
+    let invalidate = async {
         // The request is being written by now: its first bytes arrive, and there is no outcome.
         attempt.assert_pending(&mut events, Duration::from_millis(100)).await;
-        let (mut there, _) = std::net::TcpListener::from(socket.try_clone().unwrap()).accept().unwrap();
-        std::io::Read::read_exact(&mut there, &mut [0; FIRST_BYTES]).unwrap();
-        attempt.overtake();
-        (events.recv().await, there)
+        let (mut executor_end, _) =
+            std::net::TcpListener::from(socket.try_clone().unwrap()).accept().unwrap();
+        std::io::Read::read_exact(&mut executor_end, &mut [0; FIRST_BYTES]).unwrap();
+        attempt.invalidate();
+        (events.recv().await, executor_end)
     };
-    tokio::join!(overtake, attempt.pool.clone().dispatch(order)).0
+    tokio::join!(invalidate, attempt.pool.clone().dispatch(order)).0
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_latest_drain_wait_counts() {
-    let ms = Duration::from_millis;
-    let (pool, _events) = pool_with_drain_grace(ms(1000));
+async fn an_executor_that_drains_twice_is_closed_after_the_second_drain_grace() {
+    let millis = Duration::from_millis;
+    let (pool, _events) = pool_with_drain_grace(millis(1000));
     let (entry, address) = (pool.executor_or_insert(executor()), Some(([127, 0, 0, 1], 1).into()));
     pool.set_endpoint(executor(), endpoint(address, None, false));
     let closed = entry.gate.closed();
     tokio::pin!(closed);
-    assert!(timeout(ms(400), &mut closed).await.is_err(), "during the drain wait");
+    assert!(timeout(millis(400), &mut closed).await.is_err(), "during the drain grace");
     pool.set_endpoint(executor(), endpoint(address, None, true));
     assert!(
-        timeout(ms(400), &mut closed).await.is_err(),
-        "ready again, past the end of the first drain wait"
+        timeout(millis(400), &mut closed).await.is_err(),
+        "ready again, past the end of the first drain grace"
     );
     pool.set_endpoint(executor(), endpoint(address, None, false));
-    assert!(timeout(ms(400), &mut closed).await.is_err(), "during the second drain wait");
-    assert!(timeout(ms(200), &mut closed).await.is_ok(), "after the second drain wait");
+    assert!(timeout(millis(400), &mut closed).await.is_err(), "during the second drain grace");
+    assert!(timeout(millis(200), &mut closed).await.is_ok(), "after the second drain grace");
 }
 
 #[tokio::test]
@@ -294,29 +300,29 @@
     let (pool, _events) = new_pool();
     let (first, _) = listener(AcceptQueue::Free);
     let (second, _) = listener(AcceptQueue::Free);
-    let [first_address, second_address] = [&first, &second].map(|l| l.local_addr().unwrap());
+    let [first_address, second_address] = [&first, &second].map(|listener| listener.local_addr().unwrap());
     let max_connections = pool.limits.upstream.max_connections;
     pool.set_endpoint(executor(), endpoint(Some(first_address), Some(1.0), true));
     let entry = pool.executor_or_insert(executor());
     // What happens while the connection is idle, and whether it is reused.
-    for (what, is_reused) in
-        [("nothing", true), ("closed", false), ("spoke", false), ("restarted", false), ("moved", false)]
+    for (event, is_reused) in
+        [("nothing", true), ("closed", false), ("sent bytes", false), ("restarted", false), ("moved", false)]
     {
         let connection = pool.connect(&entry, max_connections, IdleReuse::Any).await.ok().unwrap();
-        let (mut there, _) =
+        let (mut executor_end, _) =
             if entry.address() == Some(first_address) { &first } else { &second }.accept().unwrap();
         pool.put_back(&entry, connection);
         assert_eq!((entry.idle.len(), pool.connection_count()), (1, 1));
-        match what {
-            "closed" => drop(there),
+        match event {
+            "closed" => drop(executor_end),
             // Such as a duplicate response.
-            "spoke" => std::io::Write::write_all(&mut there, b"HTTP/1.1 200 OK\r\n\r\n").unwrap(),
+            "sent bytes" => std::io::Write::write_all(&mut executor_end, b"HTTP/1.1 200 OK\r\n\r\n").unwrap(),
             "restarted" => pool.set_endpoint(executor(), endpoint(Some(first_address), Some(2.0), true)),
             "moved" => pool.set_endpoint(executor(), endpoint(Some(second_address), Some(2.0), true)),
             _ => {}
         }
-        assert_eq!(entry.idle.take(&pool.limits, IdleReuse::Any).is_some(), is_reused, "{what}");
-        assert_eq!(pool.connection_count(), 0, "{what}");
+        assert_eq!(entry.idle.take(&pool.limits, IdleReuse::Any).is_some(), is_reused, "{event}");
+        assert_eq!(pool.connection_count(), 0, "{event}");
     }
     let old = pool.connect(&entry, max_connections, IdleReuse::Any).await.ok().unwrap();
     pool.set_endpoint(executor(), endpoint(Some(first_address), Some(3.0), true));
@@ -356,7 +362,7 @@
             if effect == "safe" {
                 receive_request(&mut first).await;
                 first.write_all(NOT_STARTED).await.unwrap();
-                // The connection is closed, which cancels what may still run there.
+                // The connection is closed, which cancels an attempt that may still be running.
                 return assert_eq!(first.read(&mut [0]).await.unwrap_or(0), 0);
             }
             let (mut second, _) = listener.accept().await.unwrap();
--- a/crates/daemon/tests/unit/versions.rs
+++ b/crates/daemon/tests/unit/versions.rs
@@ -1,4 +1,4 @@
-//! Which versions of a list are accepted.
+//! Acceptance of lists by their versions.
 use super::*;
 
 fn list(version: u64, is_snapshot: bool) -> EndpointList {
@@ -10,7 +10,7 @@
     use ListPosition::{First, Later};
     use ListUpdate::{Delta, Snapshot};
     let mut versions = VersionFilter::new(Some(10));
-    for (version, full, position, expected) in [
+    for (version, is_snapshot, position, expected) in [
         (10, true, First, Some(Snapshot)),
         (9, true, Later, None),
         (10, false, Later, None),
@@ -23,14 +23,14 @@
         (5, false, Later, Some(Delta)),
     ] {
         assert_eq!(
-            versions.accept(&list(version, full), position),
+            versions.accept(&list(version, is_snapshot), position),
             expected,
-            "{version} {full} {position:?}"
+            "{version} {is_snapshot} {position:?}"
         );
     }
 }
 
-/// A snapshot that is needed is requested in each watch until one is accepted.
+/// A snapshot is requested in each watch until one is accepted.
 #[test]
 fn a_snapshot_is_needed_until_one_is_accepted() {
     let mut versions = VersionFilter { is_snapshot_needed: true, ..VersionFilter::new(Some(10)) };
--- a/crates/daemon/tests/wire_format.rs
+++ b/crates/daemon/tests/wire_format.rs
@@ -4,8 +4,8 @@
 //! the fixture anew, run this test with `TROUTKNOT_WIRE_RECORD` set to the file to write and
 //! `TROUTKNOT_WIRE_PROGRAM` to the program that writes it; neither is set in an ordinary run.
 //!
-//! Every line of a message stands on a line of its own, escaped, so that its line end shows. Only these parts
-//! of a message are blanked:
+//! Each line of a message is on a line of its own, escaped, so that its line end is visible. Only these parts of a
+//! message are blanked:
 //! - the port in `Host: 127.0.0.1:PORT` of a request that the node writes, chosen by the system;
 //! - the digits of `Request-Timeout` and `Work-Fence-Age` in a request that the node writes, as they depend on
 //!   the time that has passed; the number of decimals stays (`#.###`);
@@ -32,7 +32,7 @@
 const WATCH_HEARTBEAT: Duration = Duration::from_millis(500);
 
 #[test]
-fn a_node_writes_what_the_fixture_holds() {
+fn the_bytes_that_a_node_writes_equal_the_fixture() {
     type Section = (&'static str, fn(&mut Record));
     let sections: &[Section] = &[
         ("clients: answered requests", answered_requests),
@@ -49,7 +49,7 @@
         ("executors: probes", probes),
         ("discovery: watches", watches),
         ("discovery: blocking queries of Consul", consul_queries),
-        ("operators: calls", operators_calls),
+        ("operators: calls", admin_calls),
     ];
     let records: Vec<String> = thread::scope(|scope| {
         let run = |section: fn(&mut Record)| {
@@ -103,7 +103,7 @@
     }
 }
 
-/// All that came for a request, interim answers included.
+/// Everything that a connection received for a request, including interim responses.
 struct Answer {
     bytes: Vec<u8>,
     is_closed: bool,
@@ -122,7 +122,7 @@
 }
 
 fn send(connection: &mut BufReader<TcpStream>, bytes: impl AsRef<[u8]>) {
-    // The node may answer and close before it has read everything.
+    // The node may respond and close before it has read everything.
     let _ = connection.get_mut().write_all(bytes.as_ref());
 }
 
@@ -141,11 +141,12 @@
     let _ = connection.read_to_end(&mut next);
     let is_closed = next.is_empty();
     let follows = next.starts_with(b"HTTP/1.1 404 Not Found\r\n");
-    assert!(is_closed || follows, "only an answer follows: {}", next.escape_ascii());
+    assert!(is_closed || follows, "only a response follows: {}", next.escape_ascii());
     Answer { bytes, is_closed }
 }
 
-/// Appends one message as it came, its body by `Content-Length`, and returns its head; none at the end.
+/// Appends one message as it was received, its body by `Content-Length`, and returns its head; none at the end of the
+/// stream.
 fn read_message(connection: &mut impl BufRead, bytes: &mut Vec<u8>) -> Option<String> {
     let (mut head, mut length) = (Vec::new(), 0);
     while !head.ends_with(b"\r\n\r\n") {
@@ -191,13 +192,13 @@
 const STATUS_500: &str = "HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n";
 const NOT_STARTED: &str = "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// What an executor does, and what it has received.
+/// The replies of an executor, and the requests that it has received.
 #[derive(Default)]
 struct ExecutorScript {
     /// Replies to the next dispatched requests; after that every request completes.
     replies: Mutex<VecDeque<Reply>>,
     /// Bodies of the next responses to fence requests; after that no attempt has started.
-    fates: Mutex<VecDeque<&'static str>>,
+    attempt_states: Mutex<VecDeque<&'static str>>,
     /// Dispatched requests and fence requests.
     requests: Mutex<Vec<Vec<u8>>>,
     probes: Mutex<Vec<Vec<u8>>>,
@@ -227,12 +228,12 @@
         executor
     }
 
-    fn will(&self, replies: impl IntoIterator<Item = Reply>) {
+    fn queue_replies(&self, replies: impl IntoIterator<Item = Reply>) {
         self.script.replies.lock().unwrap().extend(replies);
     }
 
     fn wait_for(&self, count: usize) {
-        wait_until("requests come", || self.script.requests.lock().unwrap().len() >= count);
+        wait_until("requests arrive", || self.script.requests.lock().unwrap().len() >= count);
     }
 
     fn take_requests(&self) -> Vec<Vec<u8>> {
@@ -241,7 +242,7 @@
 }
 
 impl ExecutorScript {
-    /// Serves one request; none once the connection is over.
+    /// Serves one request; none once the connection is closed.
     fn serve(&self, connection: &mut BufReader<TcpStream>) -> Option<()> {
         let mut bytes = Vec::new();
         let head = read_message(connection, &mut bytes)?;
@@ -250,9 +251,10 @@
             return connection.get_mut().write_all(&ok_with_body("queue=0,x0=8")).ok();
         }
         if head.starts_with("POST /_fence ") {
-            let fate = self.fates.lock().unwrap().pop_front().unwrap_or("{\"state\":\"never\"}");
+            let attempt_state =
+                self.attempt_states.lock().unwrap().pop_front().unwrap_or("{\"state\":\"never\"}");
             self.requests.lock().unwrap().push(bytes);
-            return connection.get_mut().write_all(&ok_with_body(fate)).ok();
+            return connection.get_mut().write_all(&ok_with_body(attempt_state)).ok();
         }
         let id = head.lines().find_map(|line| line.strip_prefix("Request-Id: ")).unwrap_or("");
         // The reply is chosen before the test can see the request, so that it may list the next one.
@@ -276,7 +278,7 @@
 }
 
 impl Reply {
-    /// Carries the reply out; none if the connection is over then.
+    /// Writes the reply; none if the connection is closed after it.
     fn write(self, connection: &mut BufReader<TcpStream>, id: &str) -> Option<()> {
         let raw = match self {
             Reply::Close => return None,
@@ -295,11 +297,11 @@
     }
 }
 
-/// Discovery on raw sockets: a watch gets the list at once and then empty lines, until the test breaks it off.
+/// Discovery on raw sockets: a watch gets the list at once and then empty lines, until the test ends it.
 struct Discovery {
     addr: SocketAddr,
     requests: Arc<Mutex<Vec<Vec<u8>>>>,
-    break_off: mpsc::Sender<()>,
+    end_watch: mpsc::Sender<()>,
 }
 
 impl Discovery {
@@ -307,7 +309,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let requests: Arc<Mutex<Vec<Vec<u8>>>> = Arc::default();
-        let (break_off, to_break_off) = mpsc::channel();
+        let (end_watch, watch_ended) = mpsc::channel();
         let seen = requests.clone();
         thread::spawn(move || {
             let mut lists = lists.into_iter().cycle();
@@ -321,14 +323,14 @@
                 let mut stream = connection.into_inner();
                 let mut text = format!("HTTP/1.1 200 OK\r\n\r\n{}\n", lists.next().unwrap());
                 while stream.write_all(text.as_bytes()).is_ok() {
-                    if to_break_off.recv_timeout(WATCH_HEARTBEAT) != Err(mpsc::RecvTimeoutError::Timeout) {
+                    if watch_ended.recv_timeout(WATCH_HEARTBEAT) != Err(mpsc::RecvTimeoutError::Timeout) {
                         break;
                     }
                     text = "\n".into();
                 }
             }
         });
-        Discovery { addr, requests, break_off }
+        Discovery { addr, requests, end_watch }
     }
 }
 
@@ -346,7 +348,7 @@
     }
 }
 
-/// A node between these two.
+/// A node with its executor and its discovery.
 struct Site {
     node: Node,
     executor: Executor,
@@ -354,12 +356,12 @@
     admin: SocketAddr,
 }
 
-/// How a site differs from the usual one.
+/// Configuration of a site.
 struct SiteConfig {
     settings: Value,
     memory_mb: u64,
     sockets: u64,
-    /// The operator's own file, as text.
+    /// The text of the operator's file; none is written if it is empty.
     operator_file: String,
 }
 
@@ -385,7 +387,8 @@
 
 /// An address that no other node has: a loopback host of this process, and a port that the system never chooses.
 ///
-/// It is not probed by a listener: a process that is being started at that moment would hold that open.
+/// Whether it is free is not tested by listening on it, as a process that is started at that moment would inherit the
+/// listener and keep it open.
 fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(20_000);
     let [_, high, middle, low] = std::process::id().to_be_bytes();
@@ -394,7 +397,7 @@
 }
 
 fn start_node(discovery: SocketAddr, admin: SocketAddr, config: SiteConfig) -> Node {
-    let own = match config.operator_file.as_str() {
+    let operator_file = match config.operator_file.as_str() {
         "" => String::new(),
         text => common::write_config_file(text),
     };
@@ -405,7 +408,9 @@
         "settings": config.settings, "known": null});
     let program = std::env::var_os("TROUTKNOT_WIRE_PROGRAM").filter(|_| is_recording());
     let mut command = Command::new(program.unwrap_or_else(|| env!("CARGO_BIN_EXE_troutknotd").into()));
-    command.env("ROUTER_CONFIG", common::write_config_file(&document.to_string())).env("TROUTKNOT_FILE", own);
+    command
+        .env("ROUTER_CONFIG", common::write_config_file(&document.to_string()))
+        .env("TROUTKNOT_FILE", operator_file);
     let node = Node { process: command.stdout(Stdio::null()).spawn().unwrap(), addr };
     wait_until("the node listens", || TcpStream::connect(addr).is_ok());
     wait_until("the node is ready", || status(&exchange(addr, common::HEALTH_CHECK)) == "200");
@@ -420,26 +425,26 @@
     String::from_utf8_lossy(answer.bytes.get(9..12).unwrap_or(b"")).into_owned()
 }
 
-/// A good request with an id that no other has.
-fn good(class: &str) -> String {
+/// A valid request with an id that no other request has.
+fn valid_request(class: &str) -> String {
     format!(
         "POST /{class}/a?b=c HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: {}\r\nRequest-Timeout: 5\r\n\
          Content-Length: 0\r\n\r\n",
-        next_id()
+        next_request_id()
     )
 }
 
-fn next_id() -> String {
+fn next_request_id() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     format!("id-{}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// The same with other fields in place of its `Content-Length`, and a body.
+/// The request with other fields in place of its `Content-Length`, and a body.
 fn with_body(request: &str, framing: &str, body: &str) -> String {
     request.replace("Content-Length: 0", framing) + body
 }
 
-/// The same with one more field.
+/// The request with one more field.
 fn with_field(request: &str, line: &str) -> String {
     request.replace("Content-Length", &format!("{line}\r\nContent-Length"))
 }
@@ -448,16 +453,23 @@
     let Site { node, executor, .. } = &Site::start(SiteConfig::default());
     record.exchange(node, "health", common::HEALTH_CHECK);
     record.exchange(node, "health, by another method", common::HEALTH_CHECK.replace("GET", "PUT"));
-    record.exchange(node, "result", good("render"));
-    record.exchange(node, "result, path of the class alone", good("render").replace("/a?b=c", ""));
-    record.exchange(node, "result, HTTP/1.0", good("render").replace("HTTP/1.1", "HTTP/1.0"));
-    let keep_alive = with_field(&good("render"), "Connection: keep-alive");
+    record.exchange(node, "result", valid_request("render"));
+    record.exchange(node, "result, path of the class alone", valid_request("render").replace("/a?b=c", ""));
+    record.exchange(node, "result, HTTP/1.0", valid_request("render").replace("HTTP/1.1", "HTTP/1.0"));
+    let keep_alive = with_field(&valid_request("render"), "Connection: keep-alive");
     record.exchange(node, "result, HTTP/1.0 that stays open", keep_alive.replace("HTTP/1.1", "HTTP/1.0"));
-    record.exchange(node, "result, the client closes", with_field(&good("render"), "Connection: close"));
-    let chunked =
-        with_body(&good("render"), "Transfer-Encoding: chunked", "3;x=y\r\nabc\r\n0\r\nT: u\r\n\r\n");
+    record.exchange(
+        node,
+        "result, the client closes",
+        with_field(&valid_request("render"), "Connection: close"),
+    );
+    let chunked = with_body(
+        &valid_request("render"),
+        "Transfer-Encoding: chunked",
+        "3;x=y\r\nabc\r\n0\r\nT: u\r\n\r\n",
+    );
     record.exchange(node, "result, chunked request", chunked);
-    let expects = with_body(&good("render"), "Expect: 100-continue\r\nContent-Length: 2", "");
+    let expects = with_body(&valid_request("render"), "Expect: 100-continue\r\nContent-Length: 2", "");
     let mut connection = connect(node.addr);
     send(&mut connection, expects);
     let mut interim = Vec::new();
@@ -468,43 +480,47 @@
     for (name, reply) in
         [("JSON result", JSON_RESULT), ("escaped result", ESCAPED_RESULT), ("empty result", EMPTY_RESULT)]
     {
-        executor.will([Reply::Raw(reply)]);
-        record.exchange(node, name, good("render"));
+        executor.queue_replies([Reply::Raw(reply)]);
+        record.exchange(node, name, valid_request("render"));
     }
-    executor.will([Reply::Raw(LOST)]);
-    record.exchange(node, "result of a second attempt", good("render"));
-    executor.will([Reply::Raw("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")]);
-    record.exchange(node, "result after an empty answer", good("render"));
+    executor.queue_replies([Reply::Raw(LOST)]);
+    record.exchange(node, "result of a second attempt", valid_request("render"));
+    executor.queue_replies([Reply::Raw("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")]);
+    record.exchange(node, "result after an empty answer", valid_request("render"));
 }
 
 fn rejected_and_failed_requests(record: &mut Record) {
     let Site { node, executor, .. } = &Site::start(SiteConfig::default());
-    executor.will([NOT_STARTED; 3].map(Reply::Raw));
-    record.exchange(node, "idempotent, rejected by executors", good("render"));
-    executor.will([NOT_STARTED; 3].map(Reply::Raw));
-    record.exchange(node, "not idempotent, rejected by executors", good("publish"));
-    executor.will([STATUS_500; 3].map(Reply::Raw));
-    record.exchange(node, "idempotent, failed by executors", good("render"));
-    executor.will([Reply::Raw(FAILED)]);
-    record.exchange(node, "not idempotent, failed by the executor", good("publish"));
-    executor.will([Reply::Raw(STATUS_500)]);
-    record.exchange(node, "not idempotent, status 500", good("publish"));
-    executor.will([Reply::Close]);
-    record.exchange(node, "not idempotent, connection lost", good("publish"));
-    // An idempotent request could have either answer here, as its node is close to the client's deadline.
-    executor.will([Reply::Silent]);
-    let soon = good("publish").replace("Request-Timeout: 5", "Request-Timeout: 1");
-    record.exchange(node, "not idempotent, timed out", soon);
+    executor.queue_replies([NOT_STARTED; 3].map(Reply::Raw));
+    record.exchange(node, "idempotent, rejected by executors", valid_request("render"));
+    executor.queue_replies([NOT_STARTED; 3].map(Reply::Raw));
+    record.exchange(node, "not idempotent, rejected by executors", valid_request("publish"));
+    executor.queue_replies([STATUS_500; 3].map(Reply::Raw));
+    record.exchange(node, "idempotent, failed by executors", valid_request("render"));
+    executor.queue_replies([Reply::Raw(FAILED)]);
+    record.exchange(node, "not idempotent, failed by the executor", valid_request("publish"));
+    executor.queue_replies([Reply::Raw(STATUS_500)]);
+    record.exchange(node, "not idempotent, status 500", valid_request("publish"));
+    executor.queue_replies([Reply::Close]);
+    record.exchange(node, "not idempotent, connection lost", valid_request("publish"));
+    // Only the request that is not idempotent has one possible answer: this close to the client's deadline, an
+    // idempotent one could have either.
+    executor.queue_replies([Reply::Silent]);
+    let short_timeout = valid_request("publish").replace("Request-Timeout: 5", "Request-Timeout: 1");
+    record.exchange(node, "not idempotent, timed out", short_timeout);
 }
 
 fn bad_requests(record: &mut Record) {
     let Site { node, executor, .. } = &Site::start(SiteConfig::default());
     let mut slow: Vec<_> = [
-        ("head without its end", good("render").trim_end().to_string()),
-        ("body without its end", with_body(&good("render"), "Content-Length: 2", "a")),
-        ("chunk without its end", with_body(&good("render"), "Transfer-Encoding: chunked", "5\r\nab")),
+        ("head without its end", valid_request("render").trim_end().to_string()),
+        ("body without its end", with_body(&valid_request("render"), "Content-Length: 2", "a")),
+        (
+            "chunk without its end",
+            with_body(&valid_request("render"), "Transfer-Encoding: chunked", "5\r\nab"),
+        ),
         ("a wait for 100 Continue without a body", {
-            with_body(&good("render"), "Expect: 100-continue\r\nContent-Length: 2", "")
+            with_body(&valid_request("render"), "Expect: 100-continue\r\nContent-Length: 2", "")
         }),
     ]
     .map(|(name, request)| {
@@ -516,16 +532,16 @@
     for (name, request) in bad_heads().into_iter().chain(bad_bodies()) {
         record.exchange(node, name, request);
     }
-    let seen = executor.script.requests.lock().unwrap().len();
-    let repeated = good("render");
+    let received = executor.script.requests.lock().unwrap().len();
+    let repeated = valid_request("render");
     assert_eq!(status(&exchange(node.addr, &repeated)), "200");
     record.exchange(node, "repeated id", &repeated);
     let (release, wait) = mpsc::channel();
-    executor.will([Reply::Hold(Arc::new(Mutex::new(wait)), STATUS_500)]);
+    executor.queue_replies([Reply::Hold(Arc::new(Mutex::new(wait)), STATUS_500)]);
     let mut open = connect(node.addr);
-    let request = good("publish");
+    let request = valid_request("publish");
     send(&mut open, &request);
-    executor.wait_for(seen + 2);
+    executor.wait_for(received + 2);
     record.exchange(node, "id of an open request", &request);
     release.send(()).unwrap();
     assert_eq!(status(&read_answer(open)), "502");
@@ -535,10 +551,10 @@
 }
 
 fn bad_heads() -> Vec<(&'static str, String)> {
-    let request = || good("render");
+    let request = || valid_request("render");
     let replaced = |from: &str, to: &str| request().replace(from, to);
     let added = |line: &str| with_field(&request(), line);
-    let odd_id = |id: &str| {
+    let with_id_line = |id: &str| {
         let request = request();
         let line = request.lines().find(|line| line.starts_with("Request-Id")).unwrap().to_string();
         request.replace(&format!("{line}\r\n"), id)
@@ -569,12 +585,12 @@
         ("class of another path", added("Request-Class: publish")),
         ("two classes", added("Request-Class: render\r\nRequest-Class: render")),
         ("class that is no text", added("Request-Class: render").replace("s: render", "s: \u{7f}")),
-        ("no id", odd_id("")),
-        ("empty id", odd_id("Request-Id: \r\n")),
-        ("two ids", odd_id("Request-Id: a\r\nRequest-Id: b\r\n")),
-        ("id with a space", odd_id("Request-Id: a b\r\n")),
-        ("id that is not ASCII", odd_id("Request-Id: \u{e9}\r\n")),
-        ("id too long", odd_id(&format!("Request-Id: {}\r\n", "a".repeat(65)))),
+        ("no id", with_id_line("")),
+        ("empty id", with_id_line("Request-Id: \r\n")),
+        ("two ids", with_id_line("Request-Id: a\r\nRequest-Id: b\r\n")),
+        ("id with a space", with_id_line("Request-Id: a b\r\n")),
+        ("id that is not ASCII", with_id_line("Request-Id: \u{e9}\r\n")),
+        ("id too long", with_id_line(&format!("Request-Id: {}\r\n", "a".repeat(65)))),
         ("unknown tenant", added("Tenant: orchestra")),
         ("two tenants", added("Tenant: choir\r\nTenant: band")),
         ("word as time to wait", replaced("Timeout: 5", "Timeout: soon")),
@@ -596,7 +612,7 @@
 }
 
 fn bad_bodies() -> Vec<(&'static str, String)> {
-    let framed = |framing: &str, body: &str| with_body(&good("render"), framing, body);
+    let framed = |framing: &str, body: &str| with_body(&valid_request("render"), framing, body);
     let chunked = |body: &str| framed("Transfer-Encoding: chunked", body);
     vec![
         ("negative length", framed("Content-Length: -1", "")),
@@ -624,8 +640,8 @@
     for (name, sent) in [
         ("end before a request", String::new()),
         ("end in a head", "POST /render HTTP/1.1\r\n".into()),
-        ("end in a body", with_body(&good("render"), "Content-Length: 5", "ab")),
-        ("end in a chunk", with_body(&good("render"), "Transfer-Encoding: chunked", "5\r\nab")),
+        ("end in a body", with_body(&valid_request("render"), "Content-Length: 5", "ab")),
+        ("end in a chunk", with_body(&valid_request("render"), "Transfer-Encoding: chunked", "5\r\nab")),
     ] {
         let mut connection = connect(node.addr);
         send(&mut connection, sent);
@@ -634,16 +650,22 @@
         let _ = connection.read_to_end(&mut bytes);
         record.answer(name, &Answer { bytes, is_closed: true });
     }
-    executor.will([Reply::Silent]);
+    executor.queue_replies([Reply::Silent]);
     let mut connection = connect(node.addr);
-    send(&mut connection, good("render"));
+    send(&mut connection, valid_request("render"));
     executor.wait_for(1);
     connection.get_ref().shutdown(Shutdown::Write).unwrap();
     let mut bytes = Vec::new();
     let _ = connection.read_to_end(&mut bytes);
     record.answer("end before the answer", &Answer { bytes, is_closed: true });
     let mut connection = connect(node.addr);
-    send(&mut connection, good("render") + &good("render") + &good("unknown") + &good("render"));
+    send(
+        &mut connection,
+        valid_request("render")
+            + &valid_request("render")
+            + &valid_request("unknown")
+            + &valid_request("render"),
+    );
     let mut bytes = Vec::new();
     let _ = connection.read_to_end(&mut bytes);
     record.answer("four requests at once, the third one bad", &Answer { bytes, is_closed: true });
@@ -653,21 +675,24 @@
     let mut config = SiteConfig::default();
     config.settings["limits"]["retry_after"] = json!(false);
     let Site { node, executor, .. } = &Site::start(config);
-    executor.will([NOT_STARTED; 3].map(Reply::Raw));
-    record.exchange(node, "rejected by executors", good("render"));
-    record.exchange(node, "unknown path", good("unknown"));
-    record.exchange(node, "no id", good("render").replace("Request-Id", "X-Id"));
+    executor.queue_replies([NOT_STARTED; 3].map(Reply::Raw));
+    record.exchange(node, "rejected by executors", valid_request("render"));
+    record.exchange(node, "unknown path", valid_request("unknown"));
+    record.exchange(node, "no id", valid_request("render").replace("Request-Id", "X-Id"));
 }
 
 fn too_many_slow_bodies(record: &mut Record) {
     let Site { node, .. } = &Site::start(SiteConfig { memory_mb: 16, ..SiteConfig::default() });
     let mut waiting = Vec::new();
-    // Each interim answer says that a body is waited for.
+    // Each interim response shows that the node waits for a body.
     while waiting.len() < 64 {
         let mut connection = connect(node.addr);
-        send(&mut connection, with_body(&good("render"), "Expect: 100-continue\r\nContent-Length: 2", ""));
+        send(
+            &mut connection,
+            with_body(&valid_request("render"), "Expect: 100-continue\r\nContent-Length: 2", ""),
+        );
         let mut bytes = Vec::new();
-        let head = read_message(&mut connection, &mut bytes).expect("an answer");
+        let head = read_message(&mut connection, &mut bytes).expect("a response");
         if !head.starts_with("HTTP/1.1 100 ") {
             record.message("body that would be one too many", &bytes);
             return;
@@ -679,20 +704,20 @@
 
 fn too_many_connections(record: &mut Record) {
     let Site { node, .. } = &Site::start(SiteConfig { sockets: 64, ..SiteConfig::default() });
-    // Each has had an answer and has begun a second request, so that none of them is closed for the next one.
-    let mut others = Vec::new();
-    while others.len() < 256 {
+    // Each connection has had an answer and has started a second request, so that none of them is evicted.
+    let mut open = Vec::new();
+    while open.len() < 256 {
         let mut connection = connect(node.addr);
-        send(&mut connection, good("render"));
+        send(&mut connection, valid_request("render"));
         let mut bytes = Vec::new();
-        let head = read_message(&mut connection, &mut bytes).expect("an answer");
+        let head = read_message(&mut connection, &mut bytes).expect("a response");
         if head.starts_with("HTTP/1.1 503 ") {
             let is_closed = connection.read_to_end(&mut bytes).is_ok();
             record.answer("one client too many", &Answer { bytes, is_closed });
             return;
         }
         send(&mut connection, "POST");
-        others.push(connection);
+        open.push(connection);
     }
     panic!("the node serves 256 clients at once");
 }
@@ -704,7 +729,7 @@
     record.exchange(node, "health", common::HEALTH_CHECK);
     let mut last = None;
     wait_until("requests are rejected", || {
-        let answer = exchange(node.addr, good("render"));
+        let answer = exchange(node.addr, valid_request("render"));
         let is_rejected = status(&answer) == "503";
         last = Some(answer);
         is_rejected
@@ -712,20 +737,20 @@
     record.answer("request", &last.unwrap());
 }
 
-/// An operator's file that has every request of the class `publish` recorded.
-fn durable_config(more: &str) -> SiteConfig {
+/// A site with a ledger, which records each request of the class `publish`.
+fn durable_config(extra_lines: &str) -> SiteConfig {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = format!("{}/wire-{}-{number}.ledger", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     let _ = std::fs::remove_file(&path);
-    let operator_file = format!("[durable]\npath = \"{path}\"\n{more}\n");
+    let operator_file = format!("[durable]\npath = \"{path}\"\n{extra_lines}\n");
     SiteConfig { operator_file, ..SiteConfig::default() }
 }
 
 fn durable_requests(record: &mut Record) {
     let Site { node, executor, .. } = &Site::start(durable_config(""));
-    let keyed = |key: &str| with_field(&good("publish"), &format!("Idempotency-Key: {key}"));
-    let ask = |id: &str| format!("GET /_work/{id} HTTP/1.1\r\nHost: n\r\n\r\n");
+    let keyed = |key: &str| with_field(&valid_request("publish"), &format!("Idempotency-Key: {key}"));
+    let status_query = |id: &str| format!("GET /_work/{id} HTTP/1.1\r\nHost: n\r\n\r\n");
     record.exchange(node, "health", common::HEALTH_CHECK);
     let first = keyed("k1").replace("Request-Id: ", "Request-Id: first-");
     record.exchange(node, "result", &first);
@@ -735,14 +760,14 @@
     record.exchange(node, "empty key", keyed(""));
     record.exchange(node, "key too long", keyed(&"k".repeat(256)));
     record.exchange(node, "two keys", with_field(&keyed("k2"), "Idempotency-Key: k2"));
-    executor.will([Reply::Raw(STATUS_500)]);
+    executor.queue_replies([Reply::Raw(STATUS_500)]);
     record.exchange(node, "failed", keyed("k3"));
-    record.exchange(node, "unknown request", ask("unknown"));
+    record.exchange(node, "unknown request", status_query("unknown"));
     let id = first.lines().find_map(|line| line.strip_prefix("Request-Id: ")).unwrap();
-    let mut answer = exchange(node.addr, ask(id));
+    let mut answer = exchange(node.addr, status_query(id));
     answer.bytes = blank_instants(&answer.bytes, id);
     record.answer("known request", &answer);
-    record.exchange(node, "known request by another method", ask(id).replace("GET", "PUT"));
+    record.exchange(node, "known request by another method", status_query(id).replace("GET", "PUT"));
 }
 
 /// Blanks the instants of an answer about a request, and the request's id, whose number is the test's.
@@ -756,14 +781,14 @@
         write!(blanked, "{before}{}", if after_digits.len() < after.len() { "#" } else { "" }).unwrap();
         rest = after_digits;
     }
-    // Its length varies with the digits.
+    // The body's length varies with the digits.
     let blanked = blanked + rest;
     let head = blanked.find("Content-Length: ").expect("a length") + "Content-Length: ".len();
     let (before, after) = blanked.split_at(head);
     format!("{before}#{}", after.trim_start_matches(|c: char| c.is_ascii_digit())).into_bytes()
 }
 
-/// Blanks what varies in a request that a node writes, after the rule at the top of this file.
+/// Blanks the parts that vary in a request that a node writes, as the head of this file states.
 fn blank_request(bytes: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(bytes);
     let (head, body) = text.split_once("\r\n\r\n").expect("a complete head");
@@ -798,7 +823,7 @@
 
 fn dispatched_requests(record: &mut Record) {
     let Site { node, executor, .. } = &Site::start(SiteConfig::default());
-    // Fields of odd case and order, those of the connection, and those that the node writes itself.
+    // Fields of unusual case and order, those of the connection, and those that the node writes itself.
     let all_fields = "POST /render/a?b=c&d HTTP/1.1\r\nhost: app.svc\r\nX-First:  a  b \r\nREQUEST-ID: all\r\n\
         request-class: render\r\ntenant: band\r\nrequest-timeout: 5.0\r\nclient-retry: 1\r\n\
         Request-Info: slots=2, memory=3,other=x\r\nConnection: X-Hop, keep-alive\r\nx-hop: a\r\nKeep-Alive: a\r\n\
@@ -806,38 +831,41 @@
         Work-Fence-Age: 9\r\nWork-Lease: 9\r\nX-Twice: a\r\nX-Twice: b\r\nX-Empty:\r\nX-Utf8: \u{e9}\r\n\
         Idempotency-Key: k\r\nCookie: a=b\r\nAuthorization: c\r\ncontent-length: 4\r\n\r\nbody";
     let cases: Vec<(&str, String)> = vec![
-        ("no body", good_with_id("plain")),
+        ("no body", valid_request_with_id("plain")),
         ("all fields", all_fields.into()),
-        ("class in a field", with_field(&good_with_id("class"), "Request-Class: render")),
-        ("no time to wait", good_with_id("endless").replace("Request-Timeout: 5\r\n", "")),
-        ("no length", good_with_id("no-length").replace("Content-Length: 0\r\n", "")),
-        ("length with zeros", with_body(&good_with_id("zeros"), "Content-Length: 0003", "abc")),
+        ("class in a field", with_field(&valid_request_with_id("class"), "Request-Class: render")),
+        ("no time to wait", valid_request_with_id("endless").replace("Request-Timeout: 5\r\n", "")),
+        ("no length", valid_request_with_id("no-length").replace("Content-Length: 0\r\n", "")),
+        ("length with zeros", with_body(&valid_request_with_id("zeros"), "Content-Length: 0003", "abc")),
         (
             "two equal lengths",
-            with_body(&good_with_id("equal"), "Content-Length: 1\r\nContent-Length: 1", "a"),
+            with_body(&valid_request_with_id("equal"), "Content-Length: 1\r\nContent-Length: 1", "a"),
         ),
         ("chunked", {
             let body = "3;x=y\r\nabc\r\n1\r\nd\r\n0\r\nX-Trailer: a\r\n\r\n";
-            with_body(&good_with_id("chunked"), "Transfer-Encoding: chunked", body)
+            with_body(&valid_request_with_id("chunked"), "Transfer-Encoding: chunked", body)
         }),
-        ("lower-case coding", with_body(&good_with_id("coding"), "transfer-encoding: CHUNKED", "0\r\n\r\n")),
-        ("HTTP/1.0 without a host", good_with_id("old").replace("1.1\r\nHost: app.svc", "1.0")),
-        ("line feeds alone", good_with_id("feeds").replace("\r\n", "\n")),
-        ("path of the class alone", good_with_id("path").replace("/a?b=c", "")),
-        ("escapes in the path", good_with_id("escapes").replace("/a?b=c", "/%2F/../x;y?q=%20#f")),
+        (
+            "lower-case coding",
+            with_body(&valid_request_with_id("coding"), "transfer-encoding: CHUNKED", "0\r\n\r\n"),
+        ),
+        ("HTTP/1.0 without a host", valid_request_with_id("old").replace("1.1\r\nHost: app.svc", "1.0")),
+        ("line feeds alone", valid_request_with_id("feeds").replace("\r\n", "\n")),
+        ("path of the class alone", valid_request_with_id("path").replace("/a?b=c", "")),
+        ("escapes in the path", valid_request_with_id("escapes").replace("/a?b=c", "/%2F/../x;y?q=%20#f")),
     ];
     for (name, request) in cases {
         assert_eq!(status(&exchange(node.addr, &request)), "200", "{name}");
         record_requests(record, name, &executor.take_requests());
     }
-    executor.will([Reply::Raw(LOST), Reply::Raw(NOT_STARTED)]);
-    let request = with_body(&good_with_id("retried"), "Content-Length: 1", "x");
+    executor.queue_replies([Reply::Raw(LOST), Reply::Raw(NOT_STARTED)]);
+    let request = with_body(&valid_request_with_id("retried"), "Content-Length: 1", "x");
     assert_eq!(status(&exchange(node.addr, request)), "200");
     record_requests(record, "attempts", &executor.take_requests());
 }
 
-/// A good request with an id that shows in the record.
-fn good_with_id(id: &str) -> String {
+/// A valid request with an id that is visible in the record.
+fn valid_request_with_id(id: &str) -> String {
     format!(
         "POST /render/a?b=c HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: {id}\r\nRequest-Timeout: 5\r\n\
          Content-Length: 0\r\n\r\n"
@@ -845,19 +873,19 @@
 }
 
 fn dispatched_durable_requests(record: &mut Record) {
-    let request = |id: &str| good_with_id(id).replace("/render", "/publish");
+    let request = |id: &str| valid_request_with_id(id).replace("/render", "/publish");
     let Site { node, executor, .. } = &Site::start(durable_config("fences = true"));
     assert_eq!(status(&exchange(node.addr, request("recorded"))), "200");
     record_requests(record, "recorded", &executor.take_requests());
-    executor.will([Reply::Raw(LOST)]);
+    executor.queue_replies([Reply::Raw(LOST)]);
     assert_eq!(status(&exchange(node.addr, request("lost"))), "200");
     record_requests(record, "lost, never started", &executor.take_requests());
-    executor.will([Reply::Close]);
-    executor.script.fates.lock().unwrap().push_back("{\"state\":\"done\",\"result\":\"late\"}");
+    executor.queue_replies([Reply::Close]);
+    executor.script.attempt_states.lock().unwrap().push_back("{\"state\":\"done\",\"result\":\"late\"}");
     record.exchange(node, "connection lost, completed", request("done"));
     record_requests(record, "connection lost, completed", &executor.take_requests());
-    executor.will([Reply::Raw(LOST)]);
-    executor.script.fates.lock().unwrap().push_back("{\"state\":\"lost\"}");
+    executor.queue_replies([Reply::Raw(LOST)]);
+    executor.script.attempt_states.lock().unwrap().push_back("{\"state\":\"lost\"}");
     record.exchange(node, "lost", request("unknown"));
     record_requests(record, "lost", &executor.take_requests());
     let leased = Site::start(durable_config("fences = true\nlease = \"900ms\""));
@@ -875,8 +903,8 @@
         [("settings with load fields", SiteConfig::default()), ("settings without", without_fields)]
     {
         let Site { node, executor, .. } = &Site::start(config);
-        wait_until("probes come", || {
-            assert_eq!(status(&exchange(node.addr, good("render"))), "200", "{name}");
+        wait_until("probes arrive", || {
+            assert_eq!(status(&exchange(node.addr, valid_request("render"))), "200", "{name}");
             executor.script.probes.lock().unwrap().len() >= 2
         });
         let probes: BTreeSet<_> =
@@ -888,11 +916,11 @@
 
 fn watches(record: &mut Record) {
     let Site { node: _node, discovery, .. } = &Site::start(SiteConfig::default());
-    let seen =
-        |count: usize| wait_until("watches come", || discovery.requests.lock().unwrap().len() >= count);
-    seen(1);
-    discovery.break_off.send(()).unwrap();
-    seen(2);
+    let wait_for =
+        |count: usize| wait_until("watches arrive", || discovery.requests.lock().unwrap().len() >= count);
+    wait_for(1);
+    discovery.end_watch.send(()).unwrap();
+    wait_for(2);
     let requests: Vec<_> = discovery.requests.lock().unwrap()[..2].to_vec();
     record_requests(record, "watch", &requests);
 }
@@ -936,15 +964,15 @@
          wait = \"300ms\"\nconsistency = \"stale\"\n[[lists.consul.services]]\nname = \"box one\"\n\
          datacenter = \"dc1\"\nnamespace = \"ns\"\nfilter = \"Service.Meta.a == \\\"b\\\"\"\n"
     );
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let unbound = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let config = SiteConfig { operator_file, ..SiteConfig::default() };
-    let _node = start_node(nobody, free_address(), config);
-    wait_until("queries come", || requests.lock().unwrap().len() >= 2);
+    let _node = start_node(unbound, free_address(), config);
+    wait_until("queries arrive", || requests.lock().unwrap().len() >= 2);
     let requests: Vec<_> = requests.lock().unwrap()[..2].to_vec();
     record_requests(record, "query", &requests);
 }
 
-fn operators_calls(record: &mut Record) {
+fn admin_calls(record: &mut Record) {
     let Site { admin, .. } = &Site::start(SiteConfig::default());
     let call = |method: &str, path: &str| {
         exchange(*admin, format!("{method} {path} HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n"))
