--- a/crates/daemon/src/downstream/eviction.rs
+++ b/crates/daemon/src/downstream/eviction.rs
@@ -118,7 +118,7 @@
     }
 
     /// Evicts the connection that has waited the longest. Connections without an admitted request go first, so
-    /// that clients that send nothing cannot displace others. A request may be on its way on a connection that
+    /// that clients that send nothing cannot displace others. A request may be in transit on a connection that
     /// has not waited for the minimum time. Returns false if there is none to evict.
     pub fn evict_one(&self, limits: &DownstreamLimits) -> bool {
         let evicts_new = self.has_waiting_new();
--- a/crates/daemon/src/downstream/exchange.rs
+++ b/crates/daemon/src/downstream/exchange.rs
@@ -22,7 +22,7 @@
     Close(ResponseSize),
     /// The connection is closed with a part of the request unread.
     CloseGracefully,
-    /// The connection is dropped at once.
+    /// The connection is dropped immediately.
     Drop,
 }
 
--- a/crates/daemon/src/downstream/request_ids.rs
+++ b/crates/daemon/src/downstream/request_ids.rs
@@ -23,13 +23,13 @@
         self.open.borrow().contains(client_id)
     }
 
-    /// Records that a request with this token was admitted. Returns false if the token was seen within the
+    /// Records that a request with this token was admitted. Returns false if the token was recorded within the
     /// deduplication window.
     pub fn record_token(&self, token: u64, limits: &Limits) -> bool {
         self.recent.borrow_mut().insert(token, limits)
     }
 
-    /// Tokens seen within the deduplication window.
+    /// Tokens that were recorded within the deduplication window.
     pub fn recent_tokens(&self) -> Vec<u64> {
         let recent = self.recent.borrow();
         recent.older.iter().chain(&recent.newer).copied().collect()
@@ -40,7 +40,7 @@
         RequestId(self.next.get())
     }
 
-    /// Opens a request under the id that [`next_id`](Self::next_id) gave.
+    /// Opens a request under the id that [`next_id`](Self::next_id) returns.
     pub fn open(&self, client_id: String) {
         self.next.set(self.next.get() + 1);
         self.open.borrow_mut().insert(client_id);
--- a/crates/daemon/src/http1/connection.rs
+++ b/crates/daemon/src/http1/connection.rs
@@ -214,7 +214,7 @@
 
     /// Completes when the peer closes its sending side or the connection breaks.
     ///
-    /// Input that arrives meanwhile is buffered for the next message. The end of the stream can only be seen
+    /// Input that arrives meanwhile is buffered for the next message. The end of the stream can only be detected
     /// behind that input, so if the buffer is full, it is discarded, and the connection cannot be reused.
     pub async fn closed_by_peer(&mut self) {
         loop {
--- a/crates/daemon/src/http1/head.rs
+++ b/crates/daemon/src/http1/head.rs
@@ -48,7 +48,7 @@
 /// Parses the request head at the start of `bytes`; none if it is incomplete.
 ///
 /// # Errors
-/// If the head is malformed, has too many fields, or does not say where its body ends.
+/// If the head is malformed, has too many fields, or does not determine where its body ends.
 pub fn parse_request_head(bytes: &[u8]) -> Result<Option<Parsed<RequestHead>>, MessageError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
@@ -73,7 +73,7 @@
 /// Parses the response head at the start of `bytes`; none if it is incomplete.
 ///
 /// # Errors
-/// If the head is malformed, has too many fields, or does not say where its body ends.
+/// If the head is malformed, has too many fields, or does not determine where its body ends.
 pub fn parse_response_head(bytes: &[u8]) -> Result<Option<Parsed<ResponseHead>>, MessageError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Response::new(&mut fields);
--- a/crates/daemon/src/protocol/codec.rs
+++ b/crates/daemon/src/protocol/codec.rs
@@ -31,7 +31,7 @@
 }
 
 impl Codec {
-    /// The codec for a settings document and what it was resolved to.
+    /// The codec for a settings document and the settings that were resolved from it.
     pub fn new(document: &Map<String, Value>, resolved: ResolvedSettings) -> Self {
         let ResolvedSettings { settings, classes, tenants, zones, machine_types, .. } = resolved;
         Codec {
--- a/crates/daemon/src/protocol/response.rs
+++ b/crates/daemon/src/protocol/response.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The field that says when a client may retry; empty if the settings disable it. Its value is in seconds, with
+    /// The `Retry-After` field; empty if the settings disable it. Its value is in seconds, with
     /// milliseconds as decimals.
     pub fn retry_after_field(&self, retry_after: Option<Millis>) -> Vec<Field> {
         let Some(retry_after) = retry_after.filter(|_| self.is_retry_after_enabled) else {
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -57,8 +57,8 @@
 enum Received {
     /// The response decided the outcome.
     Response { outcome: Outcome, head: ResponseHead },
-    /// The attempt was given up before that.
-    GaveUp(Outcome),
+    /// The attempt timed out or was cancelled before the response decided it.
+    Interrupted(Outcome),
 }
 
 /// An attempt that is being carried out.
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Reads the response up to the attempt's outcome, or gives up on it.
+    /// Reads the response up to the attempt's outcome, unless the attempt times out or is cancelled first.
     async fn receive(
         &self,
         connection: &mut PooledConnection,
@@ -186,10 +186,10 @@
         tokio::select! {
             biased;
             read = reader.read(connection) => read.map(|(outcome, head)| Received::Response { outcome, head }),
-            () = lease_expired(lease) => Ok(Received::GaveUp(Outcome::TimedOut)),
-            outcome = self.order.cancel_signal.cancelled() => Ok(Received::GaveUp(outcome)),
-            () = self.abandoned() => Ok(Received::GaveUp(Outcome::Cancelled)),
-            () = sleep_until(self.order.attempt_deadline) => Ok(Received::GaveUp(Outcome::TimedOut)),
+            () = lease_expired(lease) => Ok(Received::Interrupted(Outcome::TimedOut)),
+            outcome = self.order.cancel_signal.cancelled() => Ok(Received::Interrupted(outcome)),
+            () = self.abandoned() => Ok(Received::Interrupted(Outcome::Cancelled)),
+            () = sleep_until(self.order.attempt_deadline) => Ok(Received::Interrupted(Outcome::TimedOut)),
         }
     }
 
@@ -209,7 +209,7 @@
                 connection.last_response_at = Some(Instant::now());
                 AttemptEnd { outcome, lease, unread: Some(UnreadResponse { connection, head }) }
             }
-            Ok(Received::GaveUp(outcome)) => {
+            Ok(Received::Interrupted(outcome)) => {
                 connection.reset_on_drop();
                 AttemptEnd::without_response(outcome, lease)
             }
--- a/crates/daemon/src/upstream/dispatch.rs
+++ b/crates/daemon/src/upstream/dispatch.rs
@@ -6,7 +6,7 @@
 
 /// An attempt that the driver wants carried out.
 pub struct DispatchOrder {
-    /// The request, and where its result goes.
+    /// The request, which receives the result.
     pub in_flight: Rc<InFlightRequest>,
     /// Where the request is sent.
     pub executor: ExecutorId,
--- a/crates/daemon/src/upstream/executor.rs
+++ b/crates/daemon/src/upstream/executor.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The latest address that the list gave.
+    /// The executor's latest address in the list.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address.get()
     }
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -26,7 +26,7 @@
 
 impl ExecutorPool {
     /// Carries out a dispatch and reports its outcome to the driver. Completes once the response is read to its
-    /// end, or given up.
+    /// end, or once reading it times out.
     pub async fn dispatch(self: Rc<Self>, order: DispatchOrder) {
         let (request_id, attempt_id) = (order.in_flight.request_id, order.attempt_id);
         let Some(executor) = self.executor(order.executor) else {
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -112,28 +112,16 @@
     incomplete.get_mut().write_all(&valid.as_bytes()[..40]).unwrap();
     let mut pipelined = node.connect();
     pipelined.get_mut().write_all((valid.clone() + &valid.replace("Id: 1", "Id: 2")).as_bytes()).unwrap();
-    assert_eq!(
-        (read_response(&mut pipelined).0, read_response(&mut pipelined).0),
-        (200, 200),
-        "pipelined requests"
-    );
+    assert_eq!((read_response(&mut pipelined).0, read_response(&mut pipelined).0), (200, 200), "pipelined");
     executor.acts.lock().unwrap().push_back(Act::Wait);
     let mut first = node.connect();
     let before = executor.seen.lock().unwrap().len();
     first.get_mut().write_all(build_request("publish", "9", 3.0, "").as_bytes()).unwrap();
     executor.wait_for(before + 1);
-    assert_eq!(
-        node.send_request(build_request("publish", "9", 3.0, "")).0,
-        409,
-        "a request with the id of an open one is a duplicate"
-    );
+    assert_eq!(node.send_request(build_request("publish", "9", 3.0, "")).0, 409, "id of an open request");
     executor.go_on.send(()).unwrap();
     assert_eq!(read_response(&mut first).0, 200);
-    assert_eq!(
-        node.send_request(build_request("publish", "9", 3.0, "")).0,
-        409,
-        "a request with the id of an answered one is a duplicate"
-    );
+    assert_eq!(node.send_request(build_request("publish", "9", 3.0, "")).0, 409, "id of a past request");
     assert_eq!(executor.seen.lock().unwrap().len(), before + 1);
 }
 
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -299,39 +299,32 @@
         node.reload(&config.to_string());
         node.wait_for_log(expected_log)
     };
-    let submit = |class: &str, acts: &[Act]| {
+    let post = |class: &str, acts: &[Act]| {
         executor.acts.lock().unwrap().extend(acts.iter());
         let status = node.send_request(build_request(class, &next_request_id(), 3.0, "")).0;
         executor.acts.lock().unwrap().clear();
         status
     };
     let lost_twice = [Act::Lost, Act::Lost, Act::Done];
-    assert_eq!((submit("render", &lost_twice), submit("publish", &lost_twice)), (200, 502));
+    assert_eq!((post("render", &lost_twice), post("publish", &lost_twice)), (200, 502));
     // A request keeps the settings of its arrival while render becomes at-most-once, publish is removed and the limit on
     // attempts is lowered.
     executor.acts.lock().unwrap().extend([Act::WaitAndLose, Act::Lost, Act::Done]);
-    let mut open_request = node.connect();
+    let mut client = node.connect();
     executor.seen.lock().unwrap().clear();
-    open_request
-        .get_mut()
-        .write_all(build_request("render", &next_request_id(), 9.0, "").as_bytes())
-        .unwrap();
+    client.get_mut().write_all(build_request("render", &next_request_id(), 9.0, "").as_bytes()).unwrap();
     executor.wait_for(1);
     config["settings"] = settings_with_classes(&[("render", "unsafe", 20), ("thumb", "safe", 2)], 2);
     reload(&config, "settings_changed=true");
     executor.go_on.send(()).unwrap();
-    assert_eq!(
-        read_response(&mut open_request).0,
-        200,
-        "it has three attempts, by the settings of its arrival"
-    );
+    assert_eq!(read_response(&mut client).0, 200, "three attempts by the settings of its arrival");
     for (name, acts, status) in [
         ("render", &lost_twice[..], 502),
         ("publish", &[][..], 404),
         ("thumb", &lost_twice[1..], 200),
         ("thumb", &[Act::TurnedAway, Act::TurnedAway, Act::Done], 503),
     ] {
-        assert_eq!(submit(name, acts), status, "{name} {acts:?}");
+        assert_eq!(post(name, acts), status, "{name} {acts:?}");
     }
     let valid = config.clone();
     for (pointer, value, expected) in [
@@ -348,11 +341,8 @@
         *invalid.pointer_mut(pointer).unwrap() = value;
         let line = reload(&invalid, "new configuration rejected");
         assert!(line.contains(&node.path) && line.contains(expected), "{line}");
-        assert_eq!(
-            (submit("other", &[]), submit("render", &[]), submit("thumb", &[])),
-            (404, 200, 200),
-            "{pointer}"
-        );
+        let statuses = (post("other", &[]), post("render", &[]), post("thumb", &[]));
+        assert_eq!(statuses, (404, 200, 200), "{pointer}");
     }
     node.reload(&valid.to_string()[..500]);
     node.wait_for_log("new configuration rejected");
@@ -362,7 +352,7 @@
     config["settings"] = settings_with_classes(&[("publish", "unsafe", 2), ("render", "safe", 2)], 3);
     reload(&config, "settings_changed=true");
     assert_eq!(
-        (submit("publish", &lost_twice), submit("render", &lost_twice), submit("thumb", &[])),
+        (post("publish", &lost_twice), post("render", &lost_twice), post("thumb", &[])),
         (502, 200, 404)
     );
 }
