--- a/crates/daemon/src/upstream/pool.rs
+++ b/crates/daemon/src/upstream/pool.rs
@@ -149,8 +149,8 @@
         limit - (limit / CONNECTIONS_PER_RESERVED).max(1)
     }
 
-    /// Upper bound on the bytes of a response with a result. JSON escapes can make it longer than the result, which is
-    /// bounded like a body.
+    /// Upper bound on the bytes of a response with a result. JSON escapes can make it longer than the result, which
+    /// is bounded like a body.
     pub(super) fn max_response_bytes(&self) -> usize {
         2 * self.limits.max_body_bytes
     }
--- a/crates/daemon/tests/capacity.rs
+++ b/crates/daemon/tests/capacity.rs
@@ -103,6 +103,8 @@
     numbers.map(|number| entry(&format!("s-{number:08x}"), executor, state)).collect()
 }
 
+/// A list that exceeds the bound on retained executors must neither stop the service nor fill the log, and an
+/// executor that fits after others are gone must not stay unused.
 #[test]
 fn a_list_over_the_bound_is_served_by_the_retained_executors_and_others_return_when_they_fit() {
     let executor = Executor::start();
@@ -138,8 +140,8 @@
     assert!(logged[0].contains(" unretained=0 "), "{logged:?}");
 }
 
-/// A node caches a bounded number of entries that it does not retain. Once these are used up and executors are gone, it
-/// requests a snapshot to fill the free places.
+/// A node caches a bounded number of entries that it does not retain. Once these are used up and executors are gone,
+/// it requests a snapshot to fill the free places.
 #[test]
 fn a_snapshot_is_requested_when_a_list_far_over_the_bound_shrinks() {
     let executor = Executor::start();
@@ -178,6 +180,7 @@
     admin_node.serve_requests(20);
 }
 
+/// An invalid list from discovery must not replace the current one, even in part.
 #[test]
 fn lists_that_are_too_long_truncated_or_malformed_change_nothing() {
     let executor = Executor::start();
--- a/crates/daemon/tests/consul.rs
+++ b/crates/daemon/tests/consul.rs
@@ -125,6 +125,8 @@
     });
 }
 
+/// Executors that Consul reports as critical, in maintenance or no longer at all must get no new requests, and a
+/// request that is open at one must still be answered.
 #[test]
 fn failing_maintained_and_deregistered_executors_get_no_new_requests() {
     let (first, second, third) = (Executor::start(), Executor::start(), Executor::start());
@@ -182,6 +184,7 @@
     assert!(node.process.wait().unwrap().success());
 }
 
+/// An agent that fails must not remove executors, and changes during the fault must be applied once it has recovered.
 #[test]
 fn the_last_list_is_kept_through_any_fault_of_an_agent() {
     let faults = [
@@ -217,6 +220,7 @@
     });
 }
 
+/// An agent that loses its state answers with an empty list, which must not remove all executors at once.
 #[test]
 fn a_suddenly_empty_list_is_logged_and_not_applied() {
     let executors: Vec<Executor> = (0..4).map(|_| Executor::start()).collect();
@@ -240,6 +244,7 @@
     node.wait_for_log("no executor missing in consul stays listed");
 }
 
+/// After a failover to an agent with an outdated view, an executor in maintenance must not be used again.
 #[test]
 fn an_outdated_agent_brings_no_executor_back_and_the_next_agent_is_queried() {
     let (first, second) = (Executor::start(), Executor::start());
@@ -271,6 +276,8 @@
     wait_until_requests_reach(&node, "a list with a restarted index is applied", &all, &[true, false]);
 }
 
+/// A reload arrives while a blocking query is pending. It must apply at once, and an invalid file or a rejected token
+/// must keep the last list.
 #[test]
 fn sighup_changes_agents_services_and_token_during_a_query() {
     let (first, second) = (Executor::start(), Executor::start());
@@ -305,6 +312,7 @@
     wait_until_requests_reach(&node, "the list of the new cluster", &[&first, &second], &[false, true]);
 }
 
+/// A node that starts while no agent answers must serve by its cached list rather than reject all requests.
 #[test]
 fn a_node_that_starts_while_consul_is_silent_serves_by_its_cached_list() {
     let (first, second) = (Executor::start(), Executor::start());
@@ -331,6 +339,8 @@
     wait_until_requests_reach(&node, "the new list", &[&first, &second], &[false, true]);
 }
 
+/// With two sources, an executor that one of them drains must get no requests although the other one lists it as
+/// ready.
 #[test]
 fn of_the_platforms_and_consuls_states_of_an_executor_the_strictest_applies() {
     let (first, second) = (Executor::start(), Executor::start());
@@ -357,6 +367,7 @@
     wait_until_requests_reach(&node, "the platform drains an executor of Consul", &all, &[true, false]);
 }
 
+/// Frequent changes of a long list must not exhaust the memory of the node or stall its requests.
 #[test]
 fn a_node_of_48_mb_serves_2000_instances_of_which_a_tenth_flaps() {
     let executors: Vec<Executor> = (0..4).map(|_| Executor::start()).collect();
@@ -396,6 +407,7 @@
     assert!(peak_kb <= 48 * 1024 && served > 100, "{peak_kb} kB, {served} served");
 }
 
+/// A fault in the operator's file must end the start with one line that names the key, not with a default or a panic.
 #[test]
 fn each_fault_of_an_operators_file_is_reported_in_one_line() {
     let valid = write_operator_file(None, &[unused_address()], "");
@@ -428,7 +440,8 @@
     }
 }
 
-/// Prints the time from a change at the agent until the dispatcher receives it, and the CPU time and memory of the node.
+/// Prints the time from a change at the agent until the dispatcher receives it, and the CPU time and memory of the
+/// node.
 #[test]
 #[ignore = "a measurement: cargo test --release -p troutknotd --test consul -- --ignored --nocapture"]
 fn latency_and_cost_of_a_change() {
@@ -487,6 +500,7 @@
     }
 }
 
+/// The list of one service must not replace that of another one, and a late answer must still be applied.
 #[test]
 fn the_executors_of_several_services_are_merged_even_if_answers_are_late() {
     let (first, second) = (Executor::start(), Executor::start());
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -74,8 +74,8 @@
     }
 }
 
-/// Serves the first list, then fails. Returns the listener, when it can be reached again, and the connections that stay
-/// open.
+/// Serves the first list, then fails. Returns the listener, when it can be reached again, and the connections that
+/// stay open.
 fn fail_watches(
     failure: Failure,
     listener: TcpListener,
@@ -201,6 +201,8 @@
     });
 }
 
+/// Delays between retries and timeouts of a watch add up: if discovery recovers right after a failed watch, a change
+/// must still reach the node in time.
 #[test]
 fn a_change_is_received_in_time_after_any_failure_of_discovery() {
     let executor = Executor::start();
@@ -248,6 +250,7 @@
     }
 }
 
+/// Idle clients that use up the descriptors of a node must not keep it from opening a connection to discovery.
 #[test]
 fn a_node_at_its_descriptor_limit_reaches_discovery_again_and_serves() {
     const SOCKETS: u64 = 64;
--- a/crates/daemon/tests/durable.rs
+++ b/crates/daemon/tests/durable.rs
@@ -72,6 +72,8 @@
     field(&executor.seen.lock().unwrap()[index].0, "work-fence").map(String::from)
 }
 
+/// A retry with its idempotency key must not run the request a second time, whether it is open, answered or recorded
+/// by an earlier process, and a key must not be accepted for another request.
 #[test]
 fn a_repeated_idempotency_key_gets_the_recorded_answer_or_joins_the_open_request() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -114,6 +116,7 @@
     assert_eq!(executor.seen.lock().unwrap().len(), 3);
 }
 
+/// Operators query the status of a durable request by its id while it is open and after its answer.
 #[test]
 fn the_status_of_a_recorded_request_is_served() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -139,6 +142,7 @@
     assert!(health.contains("ledger: ready; 1 on record, 0 open"), "{health}");
 }
 
+/// A node without a ledger must ignore idempotency keys, send no fences and start no ledger thread.
 #[test]
 fn without_a_durable_section_no_request_is_recorded() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -157,6 +161,8 @@
     assert!(names.into_iter().all(|name| name.trim() != "ledger"));
 }
 
+/// After a crash the outcome of an open attempt is unknown to the node. Its executor decides whether the request has
+/// a result, may be retried, or has failed.
 #[test]
 fn attempts_open_at_a_crash_are_resolved_by_querying_their_executors() {
     let done = json!({"state": "done", "result": "late"});
@@ -199,6 +205,7 @@
     }
 }
 
+/// A crash between the record of an attempt's completion and that of the answer must not lose the result.
 #[test]
 fn a_completed_attempt_without_a_recorded_answer_is_queried() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -226,6 +233,8 @@
     assert_eq!(executor.seen.lock().unwrap().len(), 1);
 }
 
+/// Without fencing, nothing proves that an attempt from before a crash has not run, so only idempotent requests may
+/// be retried.
 #[test]
 fn at_most_once_requests_are_not_retried_without_fencing() {
     for (class, status, attempts) in [("publish", 502, 1), ("render", 200, 2)] {
@@ -245,6 +254,7 @@
     }
 }
 
+/// A restart must not give a request new attempts beyond its limit.
 #[test]
 fn the_limit_on_attempts_counts_those_of_earlier_processes() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -269,6 +279,8 @@
     assert_eq!(executor.seen.lock().unwrap().len(), 4);
 }
 
+/// An executor that stalls for longer than its lease may still be running the request, so a retry needs its
+/// confirmation that the attempt never ran.
 #[test]
 fn an_expired_lease_does_not_permit_a_retry() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -282,14 +294,15 @@
     assert_eq!((status, body.as_slice()), (200, &b"woke up"[..]));
     assert_eq!(executor.seen.lock().unwrap().len(), 1);
     assert!(field(&executor.seen.lock().unwrap()[0].0, "work-lease") == Some("200"));
-    // After a lost connection the executor reports that the attempt never ran, so the request is retried with the next
-    // fence.
+    // After a lost connection the executor reports that the attempt never ran, so the request is retried with the
+    // next fence.
     executor.fates.lock().unwrap().clear();
     executor.acts.lock().unwrap().push_back(Act::Break);
     assert_eq!(node.send_request(build_request("publish", "a2", 20.0, "")).0, 200);
     assert_eq!(received_fence(&executor, 2).as_deref(), Some("2"));
 }
 
+/// One ledger must not be written by two processes, and a path that cannot be used must be reported at the start.
 #[test]
 fn a_node_does_not_start_with_a_ledger_that_is_in_use_or_unusable() {
     let (_executor, discovery) = start_executor_and_discovery();
@@ -326,6 +339,7 @@
     store.commit(&rows).unwrap();
 }
 
+/// Records from the future, as after the clock was set back by an hour, must not keep requests open for that hour.
 #[test]
 fn a_clock_that_is_set_back_before_a_restart_extends_no_deadline() {
     const HOUR_MS: f64 = 3_600_000.0;
@@ -353,6 +367,8 @@
     assert_eq!(executor.seen.lock().unwrap().len(), 1);
 }
 
+/// A request whose deadline passed while the node was down must not be dispatched. It is rejected if it has no
+/// attempt, and failed if it may have run.
 #[test]
 fn requests_past_their_deadline_at_a_restart_are_answered_and_not_dispatched() {
     for (has_attempt, status, attempts) in [(false, 200, 2), (true, 502, 1)] {
@@ -382,8 +398,8 @@
             String::from_utf8(node.send_request(HEALTH_CHECK).1.1).unwrap().contains(" 0 open")
         });
         assert_eq!(executor.seen.lock().unwrap().len(), 1, "nothing is sent past the deadline");
-        // A rejected request is a new one when it is retried with its key, and one that may have run stays failed. Until
-        // that is recorded, a retry may be answered 503.
+        // A rejected request is a new one when it is retried with its key, and one that may have run stays failed.
+        // Until that is recorded, a retry may be answered 503.
         wait_until("a retry with the key is answered", || {
             node.send_request(build_keyed_request("publish", &next_request_id(), "k", "b")).0 == status
         });
@@ -391,6 +407,7 @@
     }
 }
 
+/// A full ledger must reject durable requests only, and records past their retention must free its space.
 #[test]
 fn a_full_ledger_rejects_until_expired_records_are_removed() {
     let (executor, discovery) = start_executor_and_discovery();
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -12,6 +12,8 @@
 use std::time::{Duration, Instant};
 use troutknot_emulator::scripted::{Act, Discovery, Executor};
 
+/// A request of an at-most-once class that may have run must be failed and not retried, and one that never ran must
+/// be retried or rejected. Idempotent ones are retried up to the limit.
 #[test]
 fn final_answers_follow_from_attempt_outcomes_and_the_effect_of_the_class() {
     use Act::*;
@@ -63,6 +65,7 @@
     }
 }
 
+/// A malformed request must not be dispatched, block its node or affect other clients.
 #[test]
 fn malformed_requests_are_rejected_with_their_status_and_the_node_continues() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -125,6 +128,7 @@
     assert_eq!(executor.seen.lock().unwrap().len(), before + 1);
 }
 
+/// Clients that send a request slowly or not at all must not hold connections indefinitely.
 #[test]
 fn connections_that_send_no_complete_request_time_out() {
     let (_executor, discovery) = start_executor_and_discovery();
@@ -165,6 +169,8 @@
     thread::scope(|scope| cases.iter().for_each(|case| _ = scope.spawn(|| send_slowly(case))));
 }
 
+/// More connections than the node may hold are opened and send no complete request. Other clients must be served
+/// without waiting for those to time out.
 #[test]
 fn idle_connections_do_not_block_other_clients() {
     let (_executor, discovery) = start_executor_and_discovery();
@@ -196,6 +202,7 @@
     }
 }
 
+/// An outdated list must not bring a drained executor back, and a failed watch must not empty the list.
 #[test]
 fn the_endpoint_list_stays_in_use_through_outdated_lists_and_failed_watches() {
     let (first, second) = (Executor::start(), Executor::start());
@@ -228,6 +235,8 @@
     assert_eq!(send_requests(20), (20, 0), "an executor that a snapshot omits is gone");
 }
 
+/// An invalid file at SIGHUP must change nothing, and a new discovery address must be used at once and without losing
+/// the current list or open requests.
 #[test]
 fn a_reload_applies_at_once_and_an_invalid_configuration_changes_nothing() {
     let (old, new) = (Executor::start(), Executor::start());
@@ -276,6 +285,8 @@
     assert!(node.process.wait().unwrap().success());
 }
 
+/// A request of an at-most-once class may be rejected only if it was never sent: one that was sent to an executor
+/// that stops responding must be failed.
 #[test]
 fn an_unreachable_executor_neither_loses_an_answer_nor_hides_a_possible_effect() {
     let (reachable, other) = (Executor::start(), Executor::start());
@@ -303,6 +314,7 @@
     });
 }
 
+/// A request that its executor loses after the client has disconnected must not be dispatched again.
 #[test]
 fn requests_of_clients_that_disconnect_are_withdrawn_and_not_dispatched_again() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -355,6 +367,8 @@
     assert_eq!(read_response(&mut client).0, 200);
 }
 
+/// With cancellation enabled, an attempt of an at-most-once class must not be cancelled, as its outcome would be
+/// unknown.
 #[test]
 fn only_idempotent_attempts_are_cancelled_when_the_client_disconnects() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -381,6 +395,7 @@
     assert_eq!(node.send_request(build_request("render", &next_request_id(), 30.0, "")).0, 200);
 }
 
+/// Requests that arrive while a node shuts down must be served until the node closes its connections.
 #[test]
 fn a_graceful_shutdown_answers_open_and_late_requests() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -412,6 +427,7 @@
     assert!(node.process.wait().unwrap().success());
 }
 
+/// Requests whose executor does not respond must be answered before the platform kills the process.
 #[test]
 fn requests_in_flight_at_the_end_of_a_shutdown_are_answered() {
     // In microseconds: a deadline longer than the time for a shutdown, and one that passes before the node closes.
@@ -438,6 +454,7 @@
     }
 }
 
+/// More clients than the limits of descriptors or memory allow must be rejected and not exhaust the process.
 #[test]
 fn a_full_node_rejects_and_stays_within_its_limits() {
     // Limits of descriptors and of memory in MB, the number of connections, and the size of a body in bytes.
@@ -476,6 +493,7 @@
     }
 }
 
+/// If nothing reads the log, its pipe fills up, and a blocking write would stall the node.
 #[test]
 fn an_unread_log_does_not_block_the_node() {
     let (_executor, discovery) = start_executor_and_discovery();
@@ -486,6 +504,7 @@
     assert_eq!(node.send_request(build_request("render", "1", 3.0, "")).0, 200);
 }
 
+/// A fault in the configuration must end the start with one line that names it.
 #[test]
 fn an_invalid_configuration_is_reported_in_one_line_and_ends_the_process() {
     let valid = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c",
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -69,7 +69,7 @@
 }
 
 /// Sends requests over one connection, and returns the indices of the executors that received any.
-fn used_executors(admin_node: &AdminNode, executors: &[Executor; 2], count: usize) -> BTreeSet<usize> {
+fn find_used_executors(admin_node: &AdminNode, executors: &[Executor; 2], count: usize) -> BTreeSet<usize> {
     let mut connection = admin_node.node.connect();
     for _ in 0..count {
         assert_eq!(
@@ -82,6 +82,7 @@
     (0..2).filter(has_received).collect()
 }
 
+/// Admin connections that never send a complete call must not keep others from being answered.
 #[test]
 fn admin_calls_are_routed_and_unfinished_ones_do_not_block_others() {
     let (_executors, discovery) = start_executors_and_discovery();
@@ -119,6 +120,7 @@
     })
 }
 
+/// Operators have to reach a node that is short of processor time and has all its connections in use.
 #[test]
 fn an_admin_call_is_answered_within_a_second_on_an_overloaded_node() {
     let (_executors, discovery) = start_executors_and_discovery();
@@ -170,6 +172,8 @@
     threads.into_iter().for_each(|thread| thread.join().unwrap());
 }
 
+/// An attempt that is still connecting when its executor is excluded must not be sent there, and is dispatched to
+/// another.
 #[test]
 fn an_exclusion_withdraws_an_attempt_that_is_connecting() {
     let (executor, unaccepting) = (Executor::start(), Crowded::start());
@@ -201,19 +205,20 @@
     assert!(received.is_empty(), "the executor is excluded: {}", String::from_utf8_lossy(&received));
 }
 
+/// An exclusion must survive that the executor disappears from the endpoint list and returns.
 #[test]
 fn an_excluded_executor_gets_no_requests_in_any_listed_state() {
     let (executors, discovery) = start_executors_and_discovery();
     let admin_node = AdminNode::start_customized(&discovery, |_| ());
-    assert_eq!(used_executors(&admin_node, &executors, 60), [0, 1].into());
+    assert_eq!(find_used_executors(&admin_node, &executors, 60), [0, 1].into());
     assert_eq!(admin_node.call("PUT", "/v1/executors/s-1/suspend"), 200);
     assert_eq!(admin_node.call("PUT", "/v1/executors/s-1/suspend"), 200);
-    assert_eq!(used_executors(&admin_node, &executors, 30), [1].into(), "excluded");
+    assert_eq!(find_used_executors(&admin_node, &executors, 30), [1].into(), "excluded");
     // The executor is removed from the list and added again, as after a restart.
     discovery.lines.send(list(8, false, &[json!({"id": "s-1", "state": "Gone"})])).unwrap();
     discovery.lines.send(list(9, false, &[entry("s-1", &executors[0], "Ready")])).unwrap();
     assert_eq!(
-        used_executors(&admin_node, &executors, 30),
+        find_used_executors(&admin_node, &executors, 30),
         [1].into(),
         "still excluded when it is listed again"
     );
@@ -224,9 +229,15 @@
     assert_eq!(status, 503, "all executors are excluded");
     assert!(field(&head, "retry-after").is_some() && sent_at.elapsed() < Duration::from_secs(1), "{head}");
     assert_eq!(admin_node.call("PUT", "/v1/executors/s-1/resume"), 200);
-    assert_eq!(used_executors(&admin_node, &executors, 10), [0].into(), "one resume reverts two suspends");
+    assert_eq!(
+        find_used_executors(&admin_node, &executors, 10),
+        [0].into(),
+        "one resume reverts two suspends"
+    );
 }
 
+/// A drain must close connections in time without losing a request, and the timer of an earlier drain must not settle
+/// a later one.
 #[test]
 fn a_drained_node_closes_its_connections_in_time_and_serves_again_once_activated() {
     let (executors, discovery) = start_executors_and_discovery();
@@ -258,7 +269,7 @@
     assert_eq!(admin_node.node.connect().read(&mut [0]).unwrap(), 0);
     assert_eq!(admin_node.call("PUT", "/v1/node/activate"), 200);
     assert_eq!((admin_node.health(), admin_node.call("GET", "/v1/readyz")), (200, 200));
-    assert_eq!(used_executors(&admin_node, &executors, 60), [0, 1].into());
+    assert_eq!(find_used_executors(&admin_node, &executors, 60), [0, 1].into());
     assert_eq!(admin_node.call("PUT", "/v1/node/activate"), 200);
     // A second drain right after the first: the timer of the first one must not settle it.
     for path in ["drain", "activate", "drain"] {
@@ -289,6 +300,7 @@
     settings
 }
 
+/// Changed settings must not apply to open requests, and a file with one fault must not be applied in part.
 #[test]
 fn a_reload_applies_to_new_requests_and_an_invalid_file_changes_nothing() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -307,8 +319,8 @@
     };
     let lost_twice = [Act::Lost, Act::Lost, Act::Done];
     assert_eq!((post("render", &lost_twice), post("publish", &lost_twice)), (200, 502));
-    // A request keeps the settings of its arrival while render becomes at-most-once, publish is removed and the limit on
-    // attempts is lowered.
+    // A request keeps the settings of its arrival while render becomes at-most-once, publish is removed and the limit
+    // on attempts is lowered.
     executor.acts.lock().unwrap().extend([Act::WaitAndLose, Act::Lost, Act::Done]);
     let mut client = node.connect();
     executor.seen.lock().unwrap().clear();
@@ -413,13 +425,14 @@
 }
 
 /// Sends 30 requests, each on a new connection, and returns the indices of the executors that received any.
-fn used_executors_by_platform(platform: &Platform, executors: &[Executor; 2]) -> BTreeSet<usize> {
+fn find_used_via_platform(platform: &Platform, executors: &[Executor; 2]) -> BTreeSet<usize> {
     (0..30).for_each(|_| assert_eq!(platform.submit(&next_request_id()), 200));
     let has_received =
         |index: &usize| !std::mem::take(&mut *executors[*index].seen.lock().unwrap()).is_empty();
     (0..2).filter(has_received).collect()
 }
 
+/// Clients must get an answer to each request while a new process takes over the listening socket.
 #[test]
 fn no_request_fails_during_a_hot_restart() {
     let (executors, discovery) = start_executors_and_discovery();
@@ -444,13 +457,15 @@
     let (status, (head, _)) =
         send_request(&mut existing, build_request("render", &next_request_id(), 3.0, ""));
     assert_eq!((status, field(&head, "connection")), (200, Some("close")), "a connection to the old process");
-    used_executors_by_platform(&platform, &executors);
+    find_used_via_platform(&platform, &executors);
     assert_eq!(read_response(&mut open_request).0, 503, "the open request is answered");
     drop(open_request);
     assert!(old.node.wait_for_log("shutdown complete").ends_with("connections=0"));
     assert_eq!(new.health(), 200);
 }
 
+/// Exclusions, drains and recent request ids must not be lost in a hot restart, and an admin call to one of the two
+/// processes must apply to both.
 #[test]
 fn state_is_handed_over_and_admin_calls_apply_to_both_processes() {
     let (executors, discovery) = start_executors_and_discovery();
@@ -462,14 +477,14 @@
     let second = platform.start(&discovery);
     first.node.wait_for_log("hot restart: the new process takes clients");
     assert_eq!(platform.submit(&id), 409, "an id that the previous process admitted");
-    assert_eq!(used_executors_by_platform(&platform, &executors), [1].into(), "the exclusion is handed over");
+    assert_eq!(find_used_via_platform(&platform, &executors), [1].into(), "the exclusion is handed over");
     // Admin calls to either process while both run.
     assert_eq!(first.call("PUT", "/v1/executors/s-2/suspend"), 200);
     assert_eq!(platform.submit(&next_request_id()), 503, "all executors are excluded");
     assert_eq!(second.call("PUT", "/v1/executors/s-2/resume"), 200);
     assert_eq!(second.call("PUT", "/v1/executors/s-1/resume"), 200);
     assert_eq!(first.call("PUT", "/v1/executors/s-1/suspend"), 200);
-    assert_eq!(used_executors_by_platform(&platform, &executors), [1].into());
+    assert_eq!(find_used_via_platform(&platform, &executors), [1].into());
     assert_eq!(first.call("PUT", "/v1/node/drain"), 200);
     assert_eq!(second.health(), 503);
     assert_eq!(first.call("PUT", "/v1/node/activate"), 200);
@@ -483,11 +498,12 @@
     assert!(second.node.wait_for_log("shutdown complete").ends_with("connections=0"));
     assert_eq!(third.health(), 503, "still drained");
     assert_eq!(third.call("PUT", "/v1/node/activate"), 200);
-    assert_eq!(used_executors_by_platform(&platform, &executors), [1].into(), "still excluded");
+    assert_eq!(find_used_via_platform(&platform, &executors), [1].into(), "still excluded");
     assert_eq!(third.call("PUT", "/v1/executors/s-1/resume"), 200);
-    assert_eq!(used_executors_by_platform(&platform, &executors), [0, 1].into());
+    assert_eq!(find_used_via_platform(&platform, &executors), [0, 1].into());
 }
 
+/// If one of two processes is killed during a hot restart, the other one must serve with the complete state.
 #[test]
 fn a_process_that_dies_leaves_the_other_one_serving() {
     let (executors, discovery) = start_executors_and_discovery();
@@ -498,7 +514,7 @@
     first.node.wait_for_log("hot restart: the new process takes clients");
     killed.node.process.kill().unwrap();
     first.node.wait_for_log("hot restart: the new process has ended, this process continues");
-    used_executors_by_platform(&platform, &executors);
+    find_used_via_platform(&platform, &executors);
     assert_eq!(
         first.call("PUT", "/v1/executors/s-1/suspend"),
         200,
@@ -508,17 +524,19 @@
     let second = platform.start(&discovery);
     first.node.process.kill().unwrap();
     first.node.process.wait().unwrap();
-    assert_eq!(used_executors_by_platform(&platform, &executors), [1].into());
+    assert_eq!(find_used_via_platform(&platform, &executors), [1].into());
     wait_until("the newer process accepts a hot restart", || {
         platform.hot_restart_socket_path().is_some_and(|path| UnixStream::connect(path).is_ok())
     });
     let third = platform.start(&discovery);
     second.node.terminate();
     assert!(second.node.wait_for_log("shutdown complete").ends_with("connections=0"));
-    assert_eq!(used_executors_by_platform(&platform, &executors), [1].into());
+    assert_eq!(find_used_via_platform(&platform, &executors), [1].into());
     assert_eq!(third.health(), 200);
 }
 
+/// A new process must start from its configuration if the old one is gone, is incompatible or sends malformed
+/// messages.
 #[test]
 fn a_failed_handover_is_logged_in_one_line_and_the_node_starts() {
     let (executors, discovery) = start_executors_and_discovery();
@@ -569,9 +587,11 @@
     });
     let log = node.skipped_lines.lock().unwrap().join("\n");
     assert!(log.contains(expected_log), "{log}");
-    assert_eq!(used_executors_by_platform(platform, executors), [0, 1].into());
+    assert_eq!(find_used_via_platform(platform, executors), [0, 1].into());
 }
 
+/// During a hot restart the new process must reject durable requests until the old one has released the ledger, so
+/// that none runs twice.
 #[test]
 fn one_process_at_a_time_has_the_ledger_open() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -615,6 +635,7 @@
     [operator_file, ledger].iter().for_each(|file| std::fs::remove_file(file).unwrap());
 }
 
+/// The limit on descriptors applies to the node, so that two processes during a hot restart must share it.
 #[test]
 fn both_processes_together_stay_within_the_descriptor_limit() {
     let (executors, discovery) = start_executors_and_discovery();
@@ -650,12 +671,13 @@
         assert_within_limit("while clients reconnect");
     }
     drop(clients);
-    used_executors_by_platform(&platform, &executors);
+    find_used_via_platform(&platform, &executors);
     assert_within_limit("after clients have reconnected");
     old.node.terminate();
     assert!(old.node.wait_for_log("shutdown complete").ends_with("connections=0"));
 }
 
+/// The memory for bodies that arrive in parts is a limit of the node, which two processes must share.
 #[test]
 fn both_processes_together_stay_within_the_limit_of_slow_bodies() {
     let (executors, discovery) = start_executors_and_discovery();
@@ -684,7 +706,7 @@
     });
     let rejected = clients.iter_mut().filter_map(|client| is_rejected(client).then_some(())).count();
     assert!((10..70).contains(&rejected), "the old process rejected {rejected} of 80");
-    used_executors_by_platform(&platform, &executors);
+    find_used_via_platform(&platform, &executors);
     drop(clients);
     wait_until("the old process has closed its connections", || {
         let mut connection = platform.connect();
@@ -694,6 +716,7 @@
     assert_eq!((old.call("GET", "/v1/readyz"), new.health()), (200, 200));
 }
 
+/// A drain that is requested before the node is ready must not be lost, nor a reload during a hot restart.
 #[test]
 fn a_drain_during_the_start_applies_and_sighup_reaches_both_processes() {
     let (executors, discovery) = start_executors_and_discovery();
@@ -729,9 +752,10 @@
     );
     old.node.terminate();
     assert!(old.node.wait_for_log("shutdown complete").ends_with("connections=0"));
-    used_executors_by_platform(&platform, &executors);
+    find_used_via_platform(&platform, &executors);
 }
 
+/// A client that sends its request slowly must not delay a drain, and an open durable request must be completed.
 #[test]
 fn a_drain_closes_slow_connections_and_completes_durable_requests() {
     let (executor, discovery) = start_executor_and_discovery();
--- a/crates/daemon/tests/races.rs
+++ b/crates/daemon/tests/races.rs
@@ -149,6 +149,7 @@
     last_probe.is_some_and(|line| line.contains("probe completed") && line.contains("queue_length=Some(5.0)"))
 }
 
+/// A queued request must be dropped when its client disconnects: dispatching it later would run it for nobody.
 #[test]
 fn a_queued_request_whose_client_disconnected_is_never_dispatched() {
     run_while_serving_and_shutting_down(|is_shutting_down, cases| {
@@ -199,7 +200,8 @@
         }
         for (disconnect, class) in cases {
             let (id, client) = dispatch_and_wait(&node, &executor, Act::WaitAndTurnAway, class);
-            // From now on each probe's reply shows a queue, so that the request is probed for once more and then queued.
+            // From now on each probe's reply shows a queue, so that the request is probed for once more and then
+            // queued.
             *executor.load.lock().unwrap() = "queue=5,x0=0".into();
             executor.go_on.send(()).unwrap();
             wait_until("the request is queued", || is_queued(&node));
@@ -249,6 +251,8 @@
     }
 }
 
+/// The connection to the executor is established only after the client has disconnected; the request must not be sent
+/// then.
 #[test]
 fn an_attempt_whose_client_disconnected_while_it_connects_is_never_sent() {
     let test = |is_shutting_down: bool, disconnect: Disconnect, class: &str| {
@@ -277,6 +281,8 @@
     });
 }
 
+/// The executor reads slowly. A request whose client disconnects before the last byte is written must not be
+/// completed.
 #[test]
 fn an_attempt_whose_client_disconnected_while_it_is_written_never_arrives_complete() {
     const BODY_BYTES: usize = 64 * 1024;
@@ -323,6 +329,7 @@
     wait_until("everything is read", || queues(node.addr, addr).is_some_and(|(_, unread)| unread == 0));
 }
 
+/// While a request is open, the node discards input that exceeds its buffer, and so cannot read the next request.
 #[test]
 fn a_client_that_pipelines_more_than_the_buffer_is_answered_and_its_connection_closes() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -386,8 +393,8 @@
     assert!(node.process.wait().unwrap().success());
 }
 
-/// 10,000 clients disconnect at a pseudo-random byte of a request or right after it. A body or a connection that stays
-/// reserved would exhaust the node.
+/// 10,000 clients disconnect at a pseudo-random byte of a request or right after it. A body or a connection that
+/// stays reserved would exhaust the node.
 #[test]
 fn clients_that_disconnect_at_any_byte_leak_nothing() {
     let (_executor, discovery) = start_executor_and_discovery();
@@ -456,6 +463,7 @@
     }
 }
 
+/// Repeated SIGTERM and a SIGHUP around it must neither end the process early nor lose an open request.
 #[test]
 fn concurrent_signals_shut_the_node_down_once_and_in_order() {
     let (executor, discovery) = start_executor_and_discovery();
--- a/crates/daemon/tests/settings_and_gossip.rs
+++ b/crates/daemon/tests/settings_and_gossip.rs
@@ -27,8 +27,8 @@
     (peer, node_address, write_config_file(&operator_file))
 }
 
-/// Contradicting settings are reported in one line that names the key: at the start the process ends, and at SIGHUP the
-/// settings in force stay.
+/// Contradicting settings are reported in one line that names the key: at the start the process ends, and at SIGHUP
+/// the settings in force stay.
 #[test]
 fn contradicting_settings_are_rejected_at_the_start_and_at_sighup() {
     let (_peer, _, gossips) = open_peer_socket();
@@ -75,7 +75,8 @@
 }
 
 /// A notice of a peer that idle connections were lost is applied. Malformed datagrams and those of senders that the
-/// operator's file does not name are dropped. The node sends its peers a notice when it loses an idle connection itself.
+/// operator's file does not name are dropped. The node sends its peers a notice when it loses an idle connection
+/// itself.
 #[test]
 fn nodes_notify_each_other_of_lost_idle_connections() {
     let settings = settings_with(&[("limits", "peers", json!(true)), ("", "balancers", json!(2))]);
--- a/crates/daemon/tests/unit/driver.rs
+++ b/crates/daemon/tests/unit/driver.rs
@@ -162,8 +162,8 @@
     EndpointEntry::new(name, &addr.to_string(), "Ready")
 }
 
-/// A fleet of 1,000 executors is replaced 20 times by one with other names, in a node of 48 MB. Each fleet has to serve
-/// all requests, and only executors of the current one may stay registered.
+/// A fleet of 1,000 executors is replaced 20 times by one with other names, in a node of 48 MB. Each fleet has to
+/// serve all requests, and only executors of the current one may stay registered.
 #[tokio::test]
 async fn executors_of_replaced_fleets_are_released() {
     const FLEET: usize = 1000;
@@ -318,8 +318,8 @@
     assert!(test_driver.driver.membership.excluded().contains("s-4999"));
 }
 
-/// The state of an old process is imported for listed executors, and for others only as long as their use of a warm-up
-/// budget counts.
+/// The state of an old process is imported for listed executors, and for others only as long as their use of a
+/// warm-up budget counts.
 #[tokio::test]
 async fn a_new_process_imports_the_state_of_listed_executors() {
     let mut test_driver = TestDriver::new(48);
--- a/crates/daemon/tests/unit/http1.rs
+++ b/crates/daemon/tests/unit/http1.rs
@@ -63,7 +63,8 @@
     assert!(parse_response_head(b"SSH-2.0-x\r\n\r\n").is_err());
 }
 
-/// The node must notice a disconnect even if the input in front of it exceeds its buffer, or the system's receive buffer.
+/// The node must notice a disconnect even if the input in front of it exceeds its buffer, or the system's receive
+/// buffer.
 #[tokio::test]
 async fn the_end_of_a_stream_is_seen_behind_pipelined_input() {
     for (pipelined_bytes, is_reset) in
--- a/crates/daemon/tests/unit/limits.rs
+++ b/crates/daemon/tests/unit/limits.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// The bound allows half as many executors again as the fleet of 19,000, so that a third of it is spare. A list of one
-/// and a half times the bound, with entries of 171 bytes, can be received.
+/// The bound allows half as many executors again as the fleet of 19,000, so that a third of it is spare. A list of
+/// one and a half times the bound, with entries of 171 bytes, can be received.
 #[test]
 fn a_node_of_128_mb_retains_19_000_executors_with_a_third_to_spare() {
     const FLEET: usize = 19_000;
--- a/crates/daemon/tests/unit/shutdown.rs
+++ b/crates/daemon/tests/unit/shutdown.rs
@@ -9,8 +9,8 @@
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
-/// A client connects just before the shutdown counts the open connections for the last time; its request must still be
-/// served.
+/// A client connects just before the shutdown counts the open connections for the last time; its request must still
+/// be served.
 #[tokio::test]
 async fn a_connection_accepted_while_the_last_one_closes_is_served() {
     use std::io::{Read, Write};
--- a/crates/daemon/tests/unit/upstream.rs
+++ b/crates/daemon/tests/unit/upstream.rs
@@ -226,8 +226,8 @@
     assert!(!matches!(stream.recv(&mut byte), Ok(length) if length > 0), "no byte is sent");
 }
 
-/// The executor accepts the connection and reads little or nothing. After the invalidation it must receive nothing more,
-/// even if the node has written the request completely and the rest is in the kernel's send buffer.
+/// The executor accepts the connection and reads little or nothing. After the invalidation it must receive nothing
+/// more, even if the node has written the request completely and the rest is in the kernel's send buffer.
 #[tokio::test]
 async fn an_attempt_that_is_invalidated_while_it_is_written_never_arrives_complete() {
     let local = LocalSet::new();
--- a/crates/daemon/tests/wire_format.rs
+++ b/crates/daemon/tests/wire_format.rs
@@ -31,6 +31,7 @@
 /// Interval of the empty lines that keep a watch alive.
 const WATCH_HEARTBEAT: Duration = Duration::from_millis(500);
 
+/// A change of the bytes on the wire would break clients, executors and operators' tools.
 #[test]
 fn the_bytes_that_a_node_writes_equal_the_fixture() {
     type Section = (&'static str, fn(&mut Record));
