--- a/crates/daemon/tests/races.rs
+++ b/crates/daemon/tests/races.rs
@@ -314,7 +314,7 @@
 
 /// The send and receive queues of one side of an open connection, in bytes, from the system's table of connections:
 /// sent and not acknowledged by the other side, and received and not read.
-fn queues(local: SocketAddr, remote: SocketAddr) -> Option<(u64, u64)> {
+fn read_queue_lengths(local: SocketAddr, remote: SocketAddr) -> Option<(u64, u64)> {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let key = format!(":{:04X} 0100007F:{:04X} 01 ", local.port(), remote.port());
     let (_, rest) = table.split_once(&key)?;
@@ -325,8 +325,12 @@
 /// Waits until the node has read everything that this client sent.
 fn wait_until_read(node: &Node, client: &TcpStream) {
     let addr = client.local_addr().unwrap();
-    wait_until("everything has arrived", || queues(addr, node.addr).is_some_and(|(unsent, _)| unsent == 0));
-    wait_until("everything is read", || queues(node.addr, addr).is_some_and(|(_, unread)| unread == 0));
+    wait_until("everything has arrived", || {
+        read_queue_lengths(addr, node.addr).is_some_and(|(unsent, _)| unsent == 0)
+    });
+    wait_until("everything is read", || {
+        read_queue_lengths(node.addr, addr).is_some_and(|(_, unread)| unread == 0)
+    });
 }
 
 /// While a request is open, the node discards input that exceeds its buffer, and so cannot read the next request.
