--- a/crates/daemon/src/http1/head.rs
+++ b/crates/daemon/src/http1/head.rs
@@ -3,7 +3,7 @@
 use super::error::MessageError;
 use super::headers::Headers;
 
-/// Fields that a head may have.
+/// Upper bound on the number of fields in a head.
 const MAX_FIELDS: usize = 64;
 
 /// The head of a request.
@@ -36,7 +36,7 @@
     pub keep_alive: bool,
 }
 
-/// A head and the number of bytes that it takes.
+/// A head and its length in bytes.
 pub type Parsed<T> = (T, usize);
 
 /// Whether the sender of this head wants the connection to persist (RFC 9112, section 9.3).
@@ -48,7 +48,7 @@
 /// Parses the request head at the start of `bytes`; none if it is incomplete.
 ///
 /// # Errors
-/// If the head is malformed, has too many fields, or does not say where its body ends.
+/// If the head is malformed, has too many fields, or does not determine where its body ends.
 pub fn parse_request_head(bytes: &[u8]) -> Result<Option<Parsed<RequestHead>>, MessageError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
@@ -73,7 +73,7 @@
 /// Parses the response head at the start of `bytes`; none if it is incomplete.
 ///
 /// # Errors
-/// If the head is malformed, has too many fields, or does not say where its body ends.
+/// If the head is malformed, has too many fields, or does not determine where its body ends.
 pub fn parse_response_head(bytes: &[u8]) -> Result<Option<Parsed<ResponseHead>>, MessageError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Response::new(&mut fields);
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! The upstream side of a node: pooled connections to executors, attempts and load probes.
 //!
-//! It carries out what the driver decides and reports one outcome for each attempt. The result of a request goes
-//! to its [`InFlightRequest`].
+//! It carries out the driver's decisions and reports one outcome for each attempt. The result of a request is stored
+//! in its [`InFlightRequest`].
 mod attempt;
 mod attempt_status;
 mod connection;
@@ -26,7 +26,7 @@
 
 impl ExecutorPool {
     /// Carries out a dispatch and reports its outcome to the driver. Completes once the response is read to its
-    /// end, or given up.
+    /// end, or once reading it times out.
     pub async fn dispatch(self: Rc<Self>, order: DispatchOrder) {
         let (request_id, attempt_id) = (order.in_flight.request_id, order.attempt_id);
         let Some(executor) = self.executor(order.executor) else {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Finds out what became of an attempt of an earlier process and reports its outcome to the driver.
+    /// Queries the status of an attempt that an earlier process made, and reports its outcome to the driver.
     pub async fn recover_attempt(
         self: Rc<Self>,
         in_flight: Rc<InFlightRequest>,
--- a/crates/daemon/tests/unit/lifecycle.rs
+++ b/crates/daemon/tests/unit/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The state that follows from the conditions.
+//! The lifecycle state for each combination of conditions.
 use super::*;
 
 #[test]
