--- a/crates/scale/src/campaign.rs
+++ b/crates/scale/src/campaign.rs
@@ -10,8 +10,8 @@
 mod troubles;
 
 use crate::bounds::Bounds;
-use crate::executor_counts::Report;
-use crate::executor_terms::ExecutorTerms;
+use crate::executor_config::ExecutorConfig;
+use crate::executor_counts::ExecutorReport;
 use crate::executor_worker::WorkerProgram;
 use crate::file::ScaleFile;
 use crate::fleet::Fleet;
@@ -129,7 +129,7 @@
     placement: &Placement,
     sink: &mut dyn FnMut(Row),
 ) -> Result<(), RunError> {
-    let executors = HollowExecutors::start(file.largest_fleet(), executor_terms(file), placement).await;
+    let executors = HollowExecutors::start(file.largest_fleet(), executor_config(file), placement).await;
     let campaign = Campaign {
         file,
         program: &programs.node,
@@ -148,19 +148,19 @@
     campaign.play_troubles().await
 }
 
-fn executor_terms(file: &ScaleFile) -> ExecutorTerms {
-    ExecutorTerms {
+fn executor_config(file: &ScaleFile) -> ExecutorConfig {
+    ExecutorConfig {
         seed: file.seed,
         slots: (file.fleet.slots as usize).max(1),
         queue_capacity: file.fleet.queue_capacity,
-        mean_service: file.requests.work,
-        told_at_latest: file.rules.told_at_latest,
+        mean_service_time: file.requests.work,
+        max_notification_delay: file.rules.told_at_latest,
         drain_grace: file.rules.drain_grace,
         slack: file.rules.slack,
-        cold_share: file.rules.cold_share,
-        ramp: file.rules.ramp,
-        fall_multiple: file.rules.fall_multiple,
-        fall_window: file.rules.fall_window,
+        initial_capacity: file.rules.cold_share,
+        ramp_duration: file.rules.ramp,
+        budget_multiple: file.rules.fall_multiple,
+        budget_window: file.rules.fall_window,
     }
 }
 
@@ -292,9 +292,9 @@
     }
 
     /// Emits the breaches that the executors reported, and how many there were of each rule.
-    fn emit_breaches(&self, point: Point, report: &Report) {
+    fn emit_breaches(&self, point: Point, report: &ExecutorReport) {
         let campaign = self.campaign;
-        let breaches = &report.breaches;
+        let breaches = &report.violations;
         let rules = [
             (2, "repeated-effect", Measurement::RepeatedEffects),
             (3, "sent-after-grace", Measurement::SentAfterGrace),
--- a/crates/scale/src/campaign/loads.rs
+++ b/crates/scale/src/campaign/loads.rs
@@ -3,7 +3,7 @@
 use crate::catalog::State;
 use crate::clients::Outcome;
 use crate::discovery::ListTraffic;
-use crate::executor_counts::{Report, Traffic};
+use crate::executor_counts::{ExecutorReport, Traffic};
 use crate::node_process::Usage;
 use crate::row::{Measurement, NodeKind, Phase, Point};
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
     at: Instant,
     usage: Vec<Usage>,
     executors: Traffic,
-    report: Report,
+    report: ExecutorReport,
     lists: Vec<ListTraffic>,
 }
 
@@ -30,7 +30,7 @@
     cpu_share: f64,
     cpu: Duration,
     /// What the executors reported at the end; its traffic is that since the start of the run.
-    pub(super) report: Report,
+    pub(super) report: ExecutorReport,
     executors: Traffic,
     list_bytes: u64,
     list_lines: u64,
@@ -127,7 +127,7 @@
         self.emit_outcome(point, outcome);
         self.emit_breaches(point, &interval.report);
         self.emit_delays(point);
-        figure(Measurement::ReachedExecutors, interval.report.reached as f64);
+        figure(Measurement::ReachedExecutors, interval.report.reached_executors as f64);
         Ok(())
     }
 
--- a/crates/scale/src/clients.rs
+++ b/crates/scale/src/clients.rs
@@ -1,6 +1,6 @@
 //! Open-loop clients: requests are sent when they are due, whatever becomes of those before, over a bounded number
 //! of kept connections. Each request's answers are counted.
-use crate::executor_terms::{AT_MOST_ONCE, IDEMPOTENT, result_of};
+use crate::executor_config::{AT_MOST_ONCE, IDEMPOTENT, result_of};
 use crate::request_id::RequestId;
 use crate::wire::{Connection, Message};
 use rand::{RngExt, SeedableRng};
--- a/crates/scale/src/departures.rs
+++ b/crates/scale/src/departures.rs
@@ -1,58 +1,58 @@
-//! Executors that leave the list: when discovery knew, and when it told each node. Executors look at each attempt
-//! whether it came too late (rule 3).
+//! Departures of executors from the list: when discovery found each one, and when it notified each node. Executors use
+//! them to detect attempts that arrive too late (rule 3).
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// When an executor left the list.
+/// Departure of one executor.
 struct Departure {
-    known: Instant,
-    /// By node.
-    told: HashMap<usize, Instant>,
+    discovered_at: Instant,
+    /// Time of the notification, by node.
+    notified_at: HashMap<usize, Instant>,
 }
 
-/// All executors that have left and not come back.
+/// Departures of all executors that have not returned.
 pub struct Departures {
-    /// A node counts as told so long after discovery knew, whether or not it could tell.
-    told_at_latest: Duration,
+    /// Time after which a node counts as notified, whether or not discovery could send the change.
+    max_notification_delay: Duration,
     by_executor: RefCell<HashMap<usize, Departure>>,
 }
 
 impl Departures {
-    pub fn new(told_at_latest: Duration) -> Self {
-        Departures { told_at_latest, by_executor: RefCell::default() }
+    pub fn new(max_notification_delay: Duration) -> Self {
+        Departures { max_notification_delay, by_executor: RefCell::default() }
     }
 
-    /// Discovery knows that an executor drains or is gone. One that drained before keeps its first time.
-    pub fn left(&self, executor: usize, known: Instant) {
+    /// Records that discovery found an executor draining or gone. An executor that drained before keeps its first time.
+    pub fn record_departure(&self, executor: usize, discovered_at: Instant) {
         self.by_executor
             .borrow_mut()
             .entry(executor)
-            .or_insert_with(|| Departure { known, told: HashMap::new() });
+            .or_insert_with(|| Departure { discovered_at, notified_at: HashMap::new() });
     }
 
-    /// It is ready again, perhaps under another name.
-    pub fn returned(&self, executor: usize) {
+    /// Removes the departure of an executor that is ready again, possibly under another name.
+    pub fn record_return(&self, executor: usize) {
         self.by_executor.borrow_mut().remove(&executor);
     }
 
-    /// Forgets all of them: another fleet is listed.
+    /// Removes all departures, since another fleet is listed.
     pub fn clear(&self) {
         self.by_executor.borrow_mut().clear();
     }
 
-    /// It was written to a node.
-    pub fn told(&self, node: usize, executor: usize, at: Instant) {
+    /// Records that a node was sent the departure of an executor; the first time counts.
+    pub fn record_notification(&self, node: usize, executor: usize, at: Instant) {
         if let Some(departure) = self.by_executor.borrow_mut().get_mut(&executor) {
-            departure.told.entry(node).or_insert(at);
+            departure.notified_at.entry(node).or_insert(at);
         }
     }
 
-    /// From when on a node counts as told that an executor has left; none where it is listed.
-    pub fn counts_as_told(&self, node: usize, executor: usize) -> Option<Instant> {
+    /// Returns since when a node counts as notified of an executor's departure; none if the executor has not departed.
+    pub fn notified_at(&self, node: usize, executor: usize) -> Option<Instant> {
         let departures = self.by_executor.borrow();
         let departure = departures.get(&executor)?;
-        let at_latest = departure.known + self.told_at_latest;
-        Some(departure.told.get(&node).map_or(at_latest, |told| at_latest.min(*told)))
+        let latest = departure.discovered_at + self.max_notification_delay;
+        Some(departure.notified_at.get(&node).map_or(latest, |notified_at| latest.min(*notified_at)))
     }
 }
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -78,10 +78,10 @@
             catalog.put(member, now);
         }
         if !returned.is_empty() {
-            self.executors.returned(&returned);
+            self.executors.record_returns(&returned);
         }
         if !left.is_empty() {
-            self.executors.left(&left);
+            self.executors.record_departures(&left);
         }
         self.version.send_replace(catalog.version());
     }
@@ -261,7 +261,7 @@
             }
         }
         if self.is_held_to_rules && !left.is_empty() {
-            self.discovery.executors.told(self.node, &left);
+            self.discovery.executors.record_notifications(self.node, &left);
         }
         self.told.send_replace(line.version);
     }
--- a/crates/scale/src/executor_shard.rs
+++ b/crates/scale/src/executor_shard.rs
@@ -1,8 +1,8 @@
-//! The sockets of hollow executors that share one thread.
+//! A shard: the hollow executors that share one thread, with their sockets.
 use crate::departures::Departures;
-use crate::executor_counts::{Event, ExecutorBreach, ExecutorCounts, Sender};
-use crate::executor_orders::{Order, Ordered, Reply};
-use crate::executor_terms::{AT_MOST_ONCE, ExecutorTerms, REAL_NODES_ADDRESS, result_of};
+use crate::executor_commands::{Command, PendingCommand, Reply};
+use crate::executor_config::{AT_MOST_ONCE, ExecutorConfig, REAL_NODES_ADDRESS, result_of};
+use crate::executor_counts::{ExecutorCounts, ExecutorViolation, Sender, TrafficEvent};
 use crate::request_id::RequestId;
 use crate::wire::{self, Connection, Message};
 use rand::{RngExt, SeedableRng};
@@ -19,42 +19,43 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The executors' addresses start at 127.64.0.1.
+/// 127.64.0.1, the address of the first executor.
 const FIRST_ADDRESS: u32 = 0x7f40_0001;
-/// Lets the system choose a port.
+/// Port 0: the operating system assigns a port.
 const ANY_PORT: u16 = 0;
-/// A service time is no longer than so many mean ones.
-const LONGEST_SERVICE: f64 = 10.0;
-/// A restarted executor that finds its port in use tries again after so long.
-const LISTEN_AGAIN: Duration = Duration::from_millis(20);
+/// Upper bound of a service time, as a multiple of the mean.
+const MAX_SERVICE_TIME_FACTOR: f64 = 10.0;
+/// Delay before a restarted executor tries again to listen, while its port is in use.
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-impl ExecutorTerms {
-    /// How long the work of a request takes on a warm executor; the same everywhere.
+impl ExecutorConfig {
+    /// Returns the service time of a request on an executor that has warmed up. It is drawn from the seed and the request
+    /// id, hence the same on every executor.
     fn service_time(&self, request: RequestId) -> Duration {
         let mut random = ChaCha8Rng::seed_from_u64(self.seed ^ request.0.rotate_left(17));
         let uniform: f64 = random.random();
         let drawn = -(1.0 - uniform).ln();
-        self.mean_service.mul_f64(drawn.min(LONGEST_SERVICE))
+        self.mean_service_time.mul_f64(drawn.min(MAX_SERVICE_TIME_FACTOR))
     }
 
-    /// The share of its capacity that an executor of this age has.
-    fn speed(&self, age: Duration) -> f64 {
-        let way = age.as_secs_f64() / self.ramp.as_secs_f64().max(1e-9);
-        (self.cold_share + (1.0 - self.cold_share) * way).min(1.0)
+    /// Returns the share of its capacity that an executor has at this age.
+    fn capacity_share(&self, age: Duration) -> f64 {
+        let progress = age.as_secs_f64() / self.ramp_duration.as_secs_f64().max(1e-9);
+        (self.initial_capacity + (1.0 - self.initial_capacity) * progress).min(1.0)
     }
 }
 
-/// What all executors of a shard have in common.
+/// State that all executors of a shard share.
 struct Shared {
-    terms: ExecutorTerms,
+    config: ExecutorConfig,
     counts: ExecutorCounts,
     departures: Departures,
 }
 
-/// Whether an executor runs; each start is told by another number.
+/// Whether an executor runs. Each start has a generation of its own, so that a restart is seen as a change.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Life {
-    Up(u32),
+enum RunState {
+    Running(u32),
     Down,
 }
 
@@ -62,28 +63,28 @@
     number: usize,
     address: SocketAddr,
     shared: Rc<Shared>,
-    life: watch::Sender<Life>,
-    starts: Cell<u32>,
-    /// None where it started long ago.
-    started: Cell<Option<Instant>>,
+    run_state: watch::Sender<RunState>,
+    generation: Cell<u32>,
+    /// None if the executor counts as warmed up.
+    started_at: Cell<Option<Instant>>,
     slots: Semaphore,
     running: Cell<usize>,
     waiting: Cell<usize>,
-    /// Work that came while it was cold, and when.
-    cold_work: RefCell<VecDeque<(Instant, Duration)>>,
+    /// Arrival time and service time of the work received during warm-up within the budget window.
+    recent_work: RefCell<VecDeque<(Instant, Duration)>>,
 }
 
-/// One that counts in a cell for as long as it lives.
-struct Counted<'a>(&'a Cell<usize>);
+/// Counts one up in a cell until it is dropped.
+struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Counted<'a> {
-    fn in_cell(cell: &'a Cell<usize>) -> Self {
+impl<'a> CountGuard<'a> {
+    fn increment(cell: &'a Cell<usize>) -> Self {
         cell.set(cell.get() + 1);
-        Counted(cell)
+        CountGuard(cell)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -91,40 +92,40 @@
 
 /// The executors of one shard.
 struct Shard {
-    /// The number of the first one in the whole fleet.
+    /// Number of the shard's first executor within the fleet.
     first: usize,
     executors: Vec<Rc<Executor>>,
     shared: Rc<Shared>,
 }
 
-/// Carries out orders until nobody can give one any more; the first has to be [`Order::Open`].
-pub async fn serve_orders(mut orders: mpsc::UnboundedReceiver<Ordered>) {
+/// Carries out commands until all senders are dropped; the first command must be [`Command::Open`].
+pub async fn serve_commands(mut commands: mpsc::UnboundedReceiver<PendingCommand>) {
     let mut shard = None;
-    while let Some(Ordered { order, reply }) = orders.recv().await {
-        let answer = match (order, &shard) {
-            (Order::Open { first, count, terms }, None) => match Shard::open(first, count, terms) {
+    while let Some(PendingCommand { command, reply }) = commands.recv().await {
+        let result = match (command, &shard) {
+            (Command::Open { first, count, config }, None) => match Shard::open(first, count, config) {
                 Ok(opened) => Reply::Opened(shard.insert(opened).addresses()),
                 Err(error) => Reply::Failed(error.to_string()),
             },
-            (order, Some(shard)) => shard.obey(order),
-            (order, None) => Reply::Failed(format!("no executors are open: {order:?}")),
+            (command, Some(shard)) => shard.execute(command),
+            (command, None) => Reply::Failed(format!("the executors are not open yet: {command:?}")),
         };
-        // What executors were told is seen through before the order counts as done.
+        // Lets the executors' tasks handle a change of their state before the command is acknowledged.
         tokio::task::yield_now().await;
-        let _ = reply.send(answer);
+        let _ = reply.send(result);
     }
 }
 
 impl Shard {
-    fn open(first: usize, count: usize, terms: ExecutorTerms) -> io::Result<Self> {
+    fn open(first: usize, count: usize, config: ExecutorConfig) -> io::Result<Self> {
         let shared = Rc::new(Shared {
-            terms,
+            config,
             counts: ExecutorCounts::default(),
-            departures: Departures::new(terms.told_at_latest),
+            departures: Departures::new(config.max_notification_delay),
         });
         let mut executors: Vec<Rc<Executor>> = Vec::with_capacity(count);
         for number in first..first + count {
-            // The port of the first one serves for all, so fleets of other runs do not meet this one.
+            // All executors use the port of the first one, which keeps fleets of concurrent runs apart.
             let port = executors.first().map_or(ANY_PORT, |executor| executor.address.port());
             executors.push(Executor::open(number, port, &shared)?);
         }
@@ -135,36 +136,44 @@
         self.executors.iter().map(|executor| executor.address).collect()
     }
 
-    /// Those of a range that are in this shard.
-    fn own(&self, range: &Range<usize>) -> &[Rc<Executor>] {
+    /// Returns the executors of this shard whose numbers are in the range.
+    fn members_in(&self, range: &Range<usize>) -> &[Rc<Executor>] {
         let count = self.executors.len();
         let start = range.start.saturating_sub(self.first).min(count);
         let end = range.end.saturating_sub(self.first).min(count);
         &self.executors[start..end.max(start)]
     }
 
-    fn obey(&self, order: Order) -> Reply {
+    fn execute(&self, command: Command) -> Reply {
         let Shared { departures, counts, .. } = &*self.shared;
         let now = Instant::now();
-        match order {
-            Order::Open { .. } => return Reply::Failed("executors are open already".into()),
-            Order::Kill(range) => self.own(&range).iter().for_each(|executor| executor.kill()),
-            Order::Restart(range) => self.own(&range).iter().for_each(|executor| executor.restart()),
-            Order::Warm(range) => self.own(&range).iter().for_each(|executor| executor.started.set(None)),
-            Order::Left(executors) => executors.into_iter().for_each(|e| departures.left(e, now)),
-            Order::Returned(executors) => executors.into_iter().for_each(|e| departures.returned(e)),
-            Order::Told { node, executors } => {
-                executors.into_iter().for_each(|executor| departures.told(node, executor, now));
+        match command {
+            Command::Open { .. } => return Reply::Failed("the executors are already open".into()),
+            Command::Kill(range) => self.members_in(&range).iter().for_each(|executor| executor.kill()),
+            Command::Restart(range) => self.members_in(&range).iter().for_each(|executor| executor.restart()),
+            Command::MarkWarm(range) => {
+                self.members_in(&range).iter().for_each(|executor| executor.started_at.set(None))
             }
-            Order::Listed => departures.clear(),
-            Order::Report => return Reply::Report(counts.take_report()),
+            Command::RecordDepartures(executors) => {
+                executors.into_iter().for_each(|executor| departures.record_departure(executor, now))
+            }
+            Command::RecordReturns(executors) => {
+                executors.into_iter().for_each(|executor| departures.record_return(executor))
+            }
+            Command::RecordNotifications { node, executors } => {
+                executors
+                    .into_iter()
+                    .for_each(|executor| departures.record_notification(node, executor, now));
+            }
+            Command::ClearDepartures => departures.clear(),
+            Command::Report => return Reply::Report(counts.take_report()),
         }
         Reply::Done
     }
 }
 
 impl Executor {
-    /// Listens at this port, or at a free one where it is taken at the executor's address.
+    /// Listens at this port, or at a free one if the port is in use at the executor's address.
     fn open(number: usize, port: u16, shared: &Rc<Shared>) -> io::Result<Rc<Self>> {
         let ip = IpAddr::V4(Ipv4Addr::from(FIRST_ADDRESS + number as u32));
         let listener = match wire::listen(SocketAddr::new(ip, port)) {
@@ -177,40 +186,40 @@
             number,
             address: listener.local_addr()?,
             shared: shared.clone(),
-            life: watch::channel(Life::Up(0)).0,
-            starts: Cell::new(0),
-            started: Cell::new(None),
-            slots: Semaphore::new(shared.terms.slots),
+            run_state: watch::channel(RunState::Running(0)).0,
+            generation: Cell::new(0),
+            started_at: Cell::new(None),
+            slots: Semaphore::new(shared.config.slots),
             running: Cell::new(0),
             waiting: Cell::new(0),
-            cold_work: RefCell::default(),
+            recent_work: RefCell::default(),
         });
         spawn_local(executor.clone().accept(listener));
         Ok(executor)
     }
 
     fn kill(&self) {
-        self.life.send_replace(Life::Down);
+        self.run_state.send_replace(RunState::Down);
     }
 
     fn restart(&self) {
-        self.starts.set(self.starts.get() + 1);
-        self.started.set(Some(Instant::now()));
-        self.cold_work.borrow_mut().clear();
-        self.life.send_replace(Life::Up(self.starts.get()));
+        self.generation.set(self.generation.get() + 1);
+        self.started_at.set(Some(Instant::now()));
+        self.recent_work.borrow_mut().clear();
+        self.run_state.send_replace(RunState::Running(self.generation.get()));
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let mut life = self.life.subscribe();
+        let mut run_state = self.run_state.subscribe();
         let mut listener = Some(listener);
         loop {
-            let up = *life.borrow_and_update() != Life::Down;
-            if !up {
+            let is_running = *run_state.borrow_and_update() != RunState::Down;
+            if !is_running {
                 listener = None;
             } else if listener.is_none() {
                 listener = wire::listen(self.address).ok();
                 if listener.is_none() {
-                    sleep(LISTEN_AGAIN).await;
+                    sleep(LISTEN_RETRY_DELAY).await;
                     continue;
                 }
             }
@@ -221,7 +230,7 @@
                 }
             };
             tokio::select! {
-                changed = life.changed() => if changed.is_err() { return },
+                changed = run_state.changed() => if changed.is_err() { return },
                 accepted = accepted => if let Ok((stream, peer)) = accepted {
                     spawn_local(self.clone().serve(stream, peer));
                 }
@@ -230,51 +239,52 @@
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream, peer: SocketAddr) {
-        let real = peer.ip() == IpAddr::V4(REAL_NODES_ADDRESS);
-        let sender = if real { Sender::RealNode } else { Sender::HollowNode };
-        self.shared.counts.count(sender, Event::Connection);
+        let is_real_node = peer.ip() == IpAddr::V4(REAL_NODES_ADDRESS);
+        let sender = if is_real_node { Sender::RealNode } else { Sender::HollowNode };
+        self.shared.counts.count(sender, TrafficEvent::Connection);
         let mut connection = Connection::new(stream);
-        let mut life = self.life.subscribe();
-        life.borrow_and_update();
-        let killed = tokio::select! {
-            _ = life.changed() => true,
+        let mut run_state = self.run_state.subscribe();
+        run_state.borrow_and_update();
+        let is_killed = tokio::select! {
+            _ = run_state.changed() => true,
             _ = self.exchange(&mut connection, sender) => false,
         };
-        self.shared.counts.count(sender, Event::BytesIn(connection.bytes_read));
-        self.shared.counts.count(sender, Event::BytesOut(connection.bytes_written));
-        if killed {
+        self.shared.counts.count(sender, TrafficEvent::BytesIn(connection.bytes_read));
+        self.shared.counts.count(sender, TrafficEvent::BytesOut(connection.bytes_written));
+        if is_killed {
             connection.reset();
         }
     }
 
-    /// Serves one connection until it ends.
+    /// Serves requests on one connection until it ends.
     async fn exchange(&self, connection: &mut Connection, sender: Sender) -> io::Result<()> {
         while let Some(request) = connection.request().await? {
-            let closes = request.asks_to_close();
+            let is_last = request.asks_to_close();
             if request.method == "GET" {
                 self.answer_probe(&request, connection, sender).await?;
             } else {
                 self.answer_attempt(&request, connection, sender).await?;
             }
-            self.hand_over_bytes(connection, sender);
-            if closes {
+            self.flush_byte_counts(connection, sender);
+            if is_last {
                 break;
             }
         }
         Ok(())
     }
 
-    /// Counts what a connection has carried so far, so that long connections count while they live.
-    fn hand_over_bytes(&self, connection: &mut Connection, sender: Sender) {
+    /// Counts the bytes that a connection has carried since the last call, so that a long-lived connection is counted
+    /// while it is open.
+    fn flush_byte_counts(&self, connection: &mut Connection, sender: Sender) {
         let read = std::mem::take(&mut connection.bytes_read);
         let written = std::mem::take(&mut connection.bytes_written);
-        self.shared.counts.count(sender, Event::BytesIn(read));
-        self.shared.counts.count(sender, Event::BytesOut(written));
+        self.shared.counts.count(sender, TrafficEvent::BytesIn(read));
+        self.shared.counts.count(sender, TrafficEvent::BytesOut(written));
     }
 
     fn load_report(&self) -> String {
         let (running, waiting) = (self.running.get(), self.waiting.get());
-        let slots = self.shared.terms.slots;
+        let slots = self.shared.config.slots;
         let free = slots.saturating_sub(running);
         let utilization = running as f64 / slots.max(1) as f64;
         format!("inflight={running},queue={waiting},util={utilization:.3},x0={free}")
@@ -286,14 +296,14 @@
         connection: &mut Connection,
         sender: Sender,
     ) -> io::Result<()> {
-        let answer = match request.target.as_str() {
+        let response = match request.target.as_str() {
             "/ping" | "/_load" => {
-                self.shared.counts.count(sender, Event::Probe);
+                self.shared.counts.count(sender, TrafficEvent::Probe);
                 wire::answer_bytes(200, "", &self.load_report())
             }
             _ => wire::answer_bytes(404, "", ""),
         };
-        connection.write(&answer).await
+        connection.write(&response).await
     }
 
     async fn answer_attempt(
@@ -308,62 +318,65 @@
         let Some(id) = RequestId::parse(id) else {
             return connection.write(&wire::answer_bytes(400, "", "")).await;
         };
-        self.shared.counts.count(sender, Event::Attempt);
-        let work = self.shared.terms.service_time(id);
-        // Hollow nodes are load: what they send is held to no rule.
-        let is_real = sender == Sender::RealNode;
-        if is_real {
-            self.shared.counts.reached(self.number);
+        self.shared.counts.count(sender, TrafficEvent::Attempt);
+        let work = self.shared.config.service_time(id);
+        // Rules apply to real nodes only; hollow nodes merely produce load.
+        let is_real_node = sender == Sender::RealNode;
+        if is_real_node {
+            self.shared.counts.record_reached(self.number);
             self.check_grace(id, request.first_byte);
         }
-        if is_real && self.is_pushed_over(id, work) {
-            // It falls over: whoever started it starts it again.
+        if is_real_node && self.exceeds_warm_up_budget(id, work) {
+            // Overloaded during warm-up: the executor fails and is restarted.
             self.restart();
             return std::future::pending().await;
         }
-        if self.running.get() >= self.shared.terms.slots
-            && self.waiting.get() >= self.shared.terms.queue_capacity
+        if self.running.get() >= self.shared.config.slots
+            && self.waiting.get() >= self.shared.config.queue_capacity
         {
-            self.shared.counts.count(sender, Event::TurnedAway);
+            self.shared.counts.count(sender, TrafficEvent::Rejected);
             return connection.write(&wire::answer_bytes(503, "Not-Started: 1\r\n", "")).await;
         }
         let is_at_most_once = request.target.trim_start_matches('/').split('/').next() == Some(AT_MOST_ONCE);
-        self.run(id, work, is_real && is_at_most_once, connection).await
+        self.run(id, work, is_real_node && is_at_most_once, connection).await
     }
 
-    /// Takes the job, and answers in chunks until it is done. A peer that goes away meanwhile cancels it. Starts of
-    /// what may run at most once are counted.
+    /// Runs an attempt: queues it for a slot and streams its states as chunks until it is done. The attempt is cancelled
+    /// if its peer closes the connection. Records the start if `is_start_recorded`.
     async fn run(
         &self,
         id: RequestId,
         work: Duration,
-        counts_starts: bool,
+        is_start_recorded: bool,
         connection: &mut Connection,
     ) -> io::Result<()> {
-        let name = self.number;
+        let number = self.number;
         connection.write(wire::CHUNKED_HEAD).await?;
         let permit = {
-            let _waits = Counted::in_cell(&self.waiting);
+            let _waiting = CountGuard::increment(&self.waiting);
             tokio::select! {
                 biased;
                 permit = self.slots.acquire() => permit.map_err(io::Error::other)?,
                 () = connection.ended() => return Err(io::ErrorKind::ConnectionAborted.into()),
             }
         };
-        let _runs = Counted::in_cell(&self.running);
-        if counts_starts {
-            self.shared.counts.started_at_most_once(id, self.number);
+        let _running = CountGuard::increment(&self.running);
+        if is_start_recorded {
+            self.shared.counts.record_at_most_once_start(id, self.number);
         }
-        let line = format!("{{\"id\":\"{id}\",\"from\":\"{name}\",\"state\":\"started\"}}\n");
+        let line = format!("{{\"id\":\"{id}\",\"from\":\"{number}\",\"state\":\"started\"}}\n");
         connection.write(&wire::chunk(&line)).await?;
-        let speed = self.started.get().map_or(1.0, |started| self.shared.terms.speed(started.elapsed()));
+        let capacity = self
+            .started_at
+            .get()
+            .map_or(1.0, |started_at| self.shared.config.capacity_share(started_at.elapsed()));
         tokio::select! {
-            () = sleep(work.div_f64(speed.max(0.01))) => {}
+            () = sleep(work.div_f64(capacity.max(0.01))) => {}
             () = connection.ended() => return Err(io::ErrorKind::ConnectionAborted.into()),
         }
         drop(permit);
         let line = format!(
-            "{{\"id\":\"{id}\",\"from\":\"{name}\",\"state\":\"done\",\"result\":\"{}\"}}\n",
+            "{{\"id\":\"{id}\",\"from\":\"{number}\",\"state\":\"done\",\"result\":\"{}\"}}\n",
             result_of(id)
         );
         let mut last = wire::chunk(&line);
@@ -371,38 +384,48 @@
         connection.write(&last).await
     }
 
-    /// Rule 3.
+    /// Checks rule 3: an attempt must not arrive after the drain grace.
     fn check_grace(&self, request: RequestId, first_byte: Option<Instant>) {
-        let Shared { terms, counts, departures } = &*self.shared;
-        let Some(told) = departures.counts_as_told(request.node(), self.number) else { return };
-        let allowed = told + terms.drain_grace + terms.slack;
+        let Shared { config, counts, departures } = &*self.shared;
+        let Some(notified_at) = departures.notified_at(request.node(), self.number) else { return };
+        let allowed = notified_at + config.drain_grace + config.slack;
         let late = first_byte.unwrap_or_else(Instant::now).saturating_duration_since(allowed);
         if !late.is_zero() {
             let late_ms = late.as_secs_f64() * 1000.0;
-            counts.breach(ExecutorBreach::SentAfterGrace { request, executor: self.number, late_ms });
+            counts.record_violation(ExecutorViolation::SentAfterGrace {
+                request,
+                executor: self.number,
+                late_ms,
+            });
         }
     }
 
-    /// Rule 4: whether this work is more than a cold executor takes within the window.
-    fn is_pushed_over(&self, request: RequestId, work: Duration) -> bool {
-        let Shared { terms, counts, .. } = &*self.shared;
-        let Some(started) = self.started.get() else { return false };
-        let age = started.elapsed();
-        if age >= terms.ramp {
+    /// Checks rule 4: returns whether an executor that warms up has been sent more work within the budget window than its
+    /// warm-up budget.
+    fn exceeds_warm_up_budget(&self, request: RequestId, work: Duration) -> bool {
+        let Shared { config, counts, .. } = &*self.shared;
+        let Some(started_at) = self.started_at.get() else { return false };
+        let age = started_at.elapsed();
+        if age >= config.ramp_duration {
             return false;
         }
         let now = Instant::now();
-        let mut cold_work = self.cold_work.borrow_mut();
-        cold_work.push_back((now, work));
-        cold_work.retain(|(at, _)| now.duration_since(*at) < terms.fall_window);
-        let sent: Duration = cold_work.iter().map(|(_, work)| *work).sum();
-        let capacity = terms.slots as f64 * terms.speed(age);
-        let stands = terms.fall_window.mul_f64(terms.fall_multiple * capacity);
-        let over = sent > stands;
-        if over {
-            let (sent_ms, stands_ms) = (sent.as_secs_f64() * 1000.0, stands.as_secs_f64() * 1000.0);
-            counts.breach(ExecutorBreach::PushedOver { request, executor: self.number, sent_ms, stands_ms });
+        let mut recent_work = self.recent_work.borrow_mut();
+        recent_work.push_back((now, work));
+        recent_work.retain(|(at, _)| now.duration_since(*at) < config.budget_window);
+        let sent: Duration = recent_work.iter().map(|(_, work)| *work).sum();
+        let capacity = config.slots as f64 * config.capacity_share(age);
+        let budget = config.budget_window.mul_f64(config.budget_multiple * capacity);
+        let is_exceeded = sent > budget;
+        if is_exceeded {
+            let (sent_ms, stands_ms) = (sent.as_secs_f64() * 1000.0, budget.as_secs_f64() * 1000.0);
+            counts.record_violation(ExecutorViolation::PushedOver {
+                request,
+                executor: self.number,
+                sent_ms,
+                stands_ms,
+            });
         }
-        over
+        is_exceeded
     }
 }
--- a/crates/scale/src/executor_worker.rs
+++ b/crates/scale/src/executor_worker.rs
@@ -1,23 +1,23 @@
-//! Worker processes that hold a part of the hollow executors. Orders come as JSON lines on standard input, answers go
-//! as JSON lines to standard output, in the same order. A worker ends when its standard input does, so it never
-//! outlives whoever started it.
-use crate::executor_orders::{Order, Ordered, Reply};
-use crate::executor_shard::serve_orders;
+//! Worker processes that hold a part of the hollow executors. A worker reads commands as JSON lines from standard
+//! input and writes replies as JSON lines, in the same order, to standard output. It exits at the end of its standard
+//! input, so it never outlives its parent process.
+use crate::executor_commands::{Command, PendingCommand, Reply};
+use crate::executor_shard::serve_commands;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::PathBuf;
-use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
-use std::sync::mpsc as waiting;
+use std::process::{self, Child, ChildStdin, ChildStdout, Stdio};
+use std::sync::mpsc as std_mpsc;
 use std::thread::{self, JoinHandle};
 use tokio::sync::{mpsc, oneshot};
 
-/// A program that calls [`run`] when it is given these arguments.
+/// A program that calls [`run`] when started with these arguments.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerProgram {
     pub path: PathBuf,
     pub arguments: Vec<String>,
 }
 
-/// A worker process, seen from whoever started it; it is ended when this is dropped.
+/// Handle of a worker process; dropping it ends the process.
 pub struct Worker {
     child: Child,
     writer: Option<JoinHandle<()>>,
@@ -25,12 +25,15 @@
 }
 
 impl Worker {
-    /// Starts a worker that carries out these orders.
+    /// Starts a worker process that carries out the commands of the channel.
     ///
     /// # Errors
-    /// Where the process or a thread cannot be started.
-    pub fn start(program: &WorkerProgram, orders: mpsc::UnboundedReceiver<Ordered>) -> io::Result<Self> {
-        let mut child = Command::new(&program.path)
+    /// If the process or one of its threads cannot be started.
+    pub fn start(
+        program: &WorkerProgram,
+        commands: mpsc::UnboundedReceiver<PendingCommand>,
+    ) -> io::Result<Self> {
+        let mut child = process::Command::new(&program.path)
             .args(&program.arguments)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
@@ -38,19 +41,20 @@
         let (input, output) = (child.stdin.take(), child.stdout.take());
         let mut worker = Worker { child, writer: None, reader: None };
         let (Some(input), Some(output)) = (input, output) else {
-            return Err(io::Error::other("the worker has no pipes"));
+            return Err(io::Error::other("the worker process has no standard input or output pipe"));
         };
-        let (sent, answered) = waiting::channel();
-        let name = |of: &str| thread::Builder::new().name(format!("worker-{of}"));
-        worker.writer = Some(name("orders").spawn(move || write_orders(input, orders, &sent))?);
-        worker.reader = Some(name("answers").spawn(move || read_replies(output, &answered))?);
+        let (reply_senders, reply_receivers) = std_mpsc::channel();
+        let named_thread = |role: &str| thread::Builder::new().name(format!("worker-{role}"));
+        worker.writer =
+            Some(named_thread("orders").spawn(move || write_commands(input, commands, &reply_senders))?);
+        worker.reader = Some(named_thread("answers").spawn(move || read_replies(output, &reply_receivers))?);
         Ok(worker)
     }
 }
 
 impl Drop for Worker {
     fn drop(&mut self) {
-        // It holds nothing that would be lost. Nobody gives orders any more, so both threads end.
+        // The process holds no state to save. All command senders are dropped by now, so both threads end.
         let _ = self.child.kill();
         for thread in [self.writer.take(), self.reader.take()].into_iter().flatten() {
             let _ = thread.join();
@@ -59,58 +63,58 @@
     }
 }
 
-/// Ends with the orders, or with the worker.
-fn write_orders(
+/// Writes commands until their channel is closed or the worker ends.
+fn write_commands(
     input: ChildStdin,
-    mut orders: mpsc::UnboundedReceiver<Ordered>,
-    sent: &waiting::Sender<oneshot::Sender<Reply>>,
+    mut commands: mpsc::UnboundedReceiver<PendingCommand>,
+    reply_senders: &std_mpsc::Sender<oneshot::Sender<Reply>>,
 ) {
     let mut input = BufWriter::new(input);
-    while let Some(Ordered { order, reply }) = orders.blocking_recv() {
-        if sent.send(reply).is_err() || write_line(&mut input, &order).is_err() {
+    while let Some(PendingCommand { command, reply }) = commands.blocking_recv() {
+        if reply_senders.send(reply).is_err() || write_line(&mut input, &command).is_err() {
             return;
         }
     }
 }
 
-/// Hands each answer to whoever gave the order; ends with the worker's standard output.
-fn read_replies(output: ChildStdout, answered: &waiting::Receiver<oneshot::Sender<Reply>>) {
+/// Passes each reply to the sender of its command until the worker closes its standard output.
+fn read_replies(output: ChildStdout, reply_receivers: &std_mpsc::Receiver<oneshot::Sender<Reply>>) {
     for line in BufReader::new(output).lines() {
-        let (Ok(line), Ok(waits)) = (line, answered.recv()) else { return };
+        let (Ok(line), Ok(reply_sender)) = (line, reply_receivers.recv()) else { return };
         let reply = serde_json::from_str(&line)
-            .unwrap_or_else(|error| Reply::Failed(format!("an odd answer of a worker: {error}")));
-        let _ = waits.send(reply);
+            .unwrap_or_else(|error| Reply::Failed(format!("invalid reply from a worker: {error}")));
+        let _ = reply_sender.send(reply);
     }
 }
 
-fn write_line(to: &mut impl Write, what: &impl serde::Serialize) -> io::Result<()> {
-    serde_json::to_writer(&mut *to, what)?;
-    to.write_all(b"\n")?;
-    to.flush()
+fn write_line(writer: &mut impl Write, message: &impl serde::Serialize) -> io::Result<()> {
+    serde_json::to_writer(&mut *writer, message)?;
+    writer.write_all(b"\n")?;
+    writer.flush()
 }
 
-/// The worker's side: serves the orders on standard input until it ends.
+/// Serves the commands on standard input until its end; the main function of a worker process.
 ///
 /// # Errors
-/// Where there is no runtime, or answers cannot be written.
+/// If the runtime cannot be built or replies cannot be written.
 pub fn run() -> io::Result<()> {
     serve(io::stdin(), io::stdout())
 }
 
-/// The same on any pair of pipes.
+/// Serves commands from any input and writes the replies to any output, until the input ends.
 ///
 /// # Errors
-/// Where there is no runtime, or answers cannot be written.
+/// If the runtime cannot be built or replies cannot be written.
 pub fn serve(input: impl io::Read + Send + 'static, mut output: impl Write) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let (orders, given) = mpsc::unbounded_channel();
-    let (answers, mut answered) = mpsc::unbounded_channel();
-    thread::Builder::new().name("orders".into()).spawn(move || read_orders(input, &orders, &answers))?;
+    let (commands, received) = mpsc::unbounded_channel();
+    let (replies, mut reply_receivers) = mpsc::unbounded_channel();
+    thread::Builder::new().name("orders".into()).spawn(move || read_commands(input, &commands, &replies))?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let shard = tokio::task::spawn_local(serve_orders(given));
-        while let Some(answer) = answered.recv().await {
-            let answer: oneshot::Receiver<Reply> = answer;
-            let Ok(reply) = answer.await else { break };
+        let shard = tokio::task::spawn_local(serve_commands(received));
+        while let Some(reply_receiver) = reply_receivers.recv().await {
+            let reply_receiver: oneshot::Receiver<Reply> = reply_receiver;
+            let Ok(reply) = reply_receiver.await else { break };
             write_line(&mut output, &reply)?;
         }
         shard.abort();
@@ -118,15 +122,16 @@
     })
 }
 
-fn read_orders(
+fn read_commands(
     input: impl io::Read,
-    orders: &mpsc::UnboundedSender<Ordered>,
-    answers: &mpsc::UnboundedSender<oneshot::Receiver<Reply>>,
+    commands: &mpsc::UnboundedSender<PendingCommand>,
+    replies: &mpsc::UnboundedSender<oneshot::Receiver<Reply>>,
 ) {
     for line in BufReader::new(input).lines() {
-        let Ok(order) = line.and_then(|line| Ok(serde_json::from_str::<Order>(&line)?)) else { return };
-        let (reply, answer) = oneshot::channel();
-        if answers.send(answer).is_err() || orders.send(Ordered { order, reply }).is_err() {
+        let Ok(command) = line.and_then(|line| Ok(serde_json::from_str::<Command>(&line)?)) else { return };
+        let (reply, reply_receiver) = oneshot::channel();
+        if replies.send(reply_receiver).is_err() || commands.send(PendingCommand { command, reply }).is_err()
+        {
             return;
         }
     }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -26,7 +26,7 @@
 impl Fleet {
     /// Lists the first `size` executors as started long ago. Agents of its discovery tell them.
     pub async fn list(executors: &Rc<HollowExecutors>, size: usize, zone_size: usize) -> Self {
-        executors.begin_anew().await;
+        executors.reset().await;
         let fleet = Fleet {
             executors: executors.clone(),
             discovery: Discovery::new(executors.clone()),
--- a/crates/scale/src/hollow_executors.rs
+++ b/crates/scale/src/hollow_executors.rs
@@ -1,13 +1,13 @@
-//! Hollow executors: each listens at an address of its own and answers probes and attempts by the protocol, but
-//! only sleeps in place of working.
+//! Hollow executors: each one listens at its own address and answers probes and attempts as the protocol demands, but
+//! sleeps instead of working.
 //!
-//! [`HollowExecutors::start`] opens all listeners; the fleet is ready when it returns, and ends when it is dropped.
-//! A process may hold only so many descriptors, so a large fleet is spread over several processes, see
+//! [`HollowExecutors::start`] returns when all listeners are open; dropping the value ends the fleet. The number of file
+//! descriptors of a process is limited, so a large fleet is spread over several processes, see
 //! [`crate::executor_worker`].
-use crate::executor_counts::{ExecutorBreach, Report};
-use crate::executor_orders::{Order, Ordered, Reply};
-use crate::executor_shard::serve_orders;
-use crate::executor_terms::ExecutorTerms;
+use crate::executor_commands::{Command, PendingCommand, Reply};
+use crate::executor_config::ExecutorConfig;
+use crate::executor_counts::{ExecutorReport, ExecutorViolation};
+use crate::executor_shard::serve_commands;
 use crate::executor_worker::{Worker, WorkerProgram};
 use crate::request_id::RequestId;
 use std::cell::RefCell;
@@ -17,159 +17,162 @@
 use std::ops::Range;
 use tokio::sync::{mpsc, oneshot};
 
-/// Where the executors live.
+/// Where the executors run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// All in a thread of this process.
+    /// On one thread of this process.
     ThisProcess,
-    /// Spread evenly over so many worker processes.
+    /// Spread evenly over `count` worker processes.
     Workers { count: usize, program: WorkerProgram },
 }
 
-/// A thread or a process that holds some of the executors; both end once no order can come any more.
+/// The thread or process of a shard; it ends when its command channel is closed.
 enum Host {
     Thread(std::thread::JoinHandle<()>),
     Process(Worker),
 }
 
 struct ShardHandle {
-    orders: Option<mpsc::UnboundedSender<Ordered>>,
+    commands: Option<mpsc::UnboundedSender<PendingCommand>>,
     host: Option<Host>,
 }
 
-/// A fleet that listens.
+/// A fleet of listening executors.
 pub struct HollowExecutors {
     addresses: Vec<SocketAddr>,
     shards: Vec<ShardHandle>,
-    /// Requests that may run at most once and were started, over all shards.
-    started: RefCell<HashSet<RequestId>>,
+    /// Requests that may run at most once and have been started on any shard.
+    started_at_most_once: RefCell<HashSet<RequestId>>,
 }
 
 impl HollowExecutors {
-    /// Starts so many executors, all warm. Each needs one descriptor, and one more for each open connection.
+    /// Starts `count` executors, all warmed up. Each one needs one file descriptor, plus one per open connection.
     ///
     /// # Errors
-    /// Where one cannot listen, or a worker not start.
-    pub async fn start(count: usize, terms: ExecutorTerms, placement: &Placement) -> io::Result<Self> {
+    /// If an executor cannot listen or a worker cannot be started.
+    pub async fn start(count: usize, config: ExecutorConfig, placement: &Placement) -> io::Result<Self> {
         let shards = match placement {
             Placement::ThisProcess => 1,
             Placement::Workers { count, .. } => (*count).max(1),
         };
-        let each = count.div_ceil(shards);
-        let mut executors =
-            HollowExecutors { addresses: Vec::new(), shards: Vec::new(), started: RefCell::default() };
-        for first in (0..shards).map(|shard| (shard * each).min(count)) {
+        let shard_size = count.div_ceil(shards);
+        let mut executors = HollowExecutors {
+            addresses: Vec::new(),
+            shards: Vec::new(),
+            started_at_most_once: RefCell::default(),
+        };
+        for first in (0..shards).map(|shard| (shard * shard_size).min(count)) {
             let shard = ShardHandle::start(placement)?;
-            let order = Order::Open { first, count: each.min(count - first), terms };
-            match shard.order(order).await {
+            let command = Command::Open { first, count: shard_size.min(count - first), config };
+            match shard.execute(command).await {
                 Reply::Opened(addresses) => executors.addresses.extend(addresses),
-                Reply::Failed(why) => return Err(io::Error::other(why)),
-                reply => return Err(io::Error::other(format!("an odd answer: {reply:?}"))),
+                Reply::Failed(reason) => return Err(io::Error::other(reason)),
+                reply => return Err(io::Error::other(format!("unexpected reply: {reply:?}"))),
             }
             executors.shards.push(shard);
         }
         Ok(executors)
     }
 
-    /// By number.
+    /// Addresses of the executors, indexed by their numbers.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Their connections are reset and new ones refused, from when this returns on.
+    /// Resets the connections of the executors and refuses new ones; complete when it returns.
     pub async fn kill(&self, executors: Range<usize>) {
-        self.order_all(&Order::Kill(executors)).await;
+        self.execute_on_all(&Command::Kill(executors)).await;
     }
 
-    /// They start anew, cold; connections that were open are reset.
+    /// Restarts the executors with an empty warm-up; open connections are reset.
     pub async fn restart(&self, executors: Range<usize>) {
-        self.order_all(&Order::Restart(executors)).await;
+        self.execute_on_all(&Command::Restart(executors)).await;
     }
 
-    /// All count as started long ago, and nobody has left.
-    pub async fn begin_anew(&self) {
-        self.order_all(&Order::Warm(0..self.addresses.len())).await;
-        self.order_all(&Order::Listed).await;
+    /// Marks all executors as warmed up and discards all departures.
+    pub async fn reset(&self) {
+        self.execute_on_all(&Command::MarkWarm(0..self.addresses.len())).await;
+        self.execute_on_all(&Command::ClearDepartures).await;
     }
 
-    /// Discovery knows that they drain or are gone. Orders are carried out in the order in which they are given.
-    pub fn left(&self, executors: &[usize]) {
-        self.tell(&Order::Left(executors.to_vec()));
+    /// Records that discovery found the executors draining or gone. Commands are carried out in the order of the calls.
+    pub fn record_departures(&self, executors: &[usize]) {
+        self.notify(&Command::RecordDepartures(executors.to_vec()));
     }
 
-    /// Discovery lists them as ready again.
-    pub fn returned(&self, executors: &[usize]) {
-        self.tell(&Order::Returned(executors.to_vec()));
+    /// Records that discovery lists the executors as ready again.
+    pub fn record_returns(&self, executors: &[usize]) {
+        self.notify(&Command::RecordReturns(executors.to_vec()));
     }
 
-    /// It was written to a node that they left.
-    pub fn told(&self, node: usize, executors: &[usize]) {
-        self.tell(&Order::Told { node, executors: executors.to_vec() });
+    /// Records that a node was sent the departure of the executors.
+    pub fn record_notifications(&self, node: usize, executors: &[usize]) {
+        self.notify(&Command::RecordNotifications { node, executors: executors.to_vec() });
     }
 
-    /// What was counted by all; lists hold what came since the last call. A request that was started again is
-    /// found here, as its executors may live in different processes.
-    pub async fn report(&self) -> Report {
-        let mut sum = Report::default();
-        for reply in self.order_all(&Order::Report).await {
+    /// Returns the counts of all shards; its lists contain what was added since the last call. Repeated starts of a request
+    /// are detected here, because its executors may be in different processes.
+    pub async fn report(&self) -> ExecutorReport {
+        let mut total = ExecutorReport::default();
+        for reply in self.execute_on_all(&Command::Report).await {
             if let Reply::Report(report) = reply {
-                sum.add(report);
+                total.add(report);
             }
         }
-        let mut started = self.started.borrow_mut();
-        for (request, executor) in std::mem::take(&mut sum.started_at_most_once) {
+        let mut started = self.started_at_most_once.borrow_mut();
+        for (request, executor) in std::mem::take(&mut total.started_at_most_once) {
             if !started.insert(request) {
-                sum.breaches.push(ExecutorBreach::RepeatedEffect { request, executor });
+                total.violations.push(ExecutorViolation::RepeatedEffect { request, executor });
             }
         }
-        sum
+        total
     }
 
-    fn tell(&self, order: &Order) {
-        self.shards.iter().for_each(|shard| drop(shard.give(order.clone())));
+    fn notify(&self, command: &Command) {
+        self.shards.iter().for_each(|shard| drop(shard.send(command.clone())));
     }
 
-    async fn order_all(&self, order: &Order) -> Vec<Reply> {
-        let given: Vec<_> = self.shards.iter().map(|shard| shard.give(order.clone())).collect();
-        let mut replies = Vec::with_capacity(given.len());
-        for reply in given {
-            replies.push(reply.await.unwrap_or_else(|_| ended()));
+    async fn execute_on_all(&self, command: &Command) -> Vec<Reply> {
+        let pending: Vec<_> = self.shards.iter().map(|shard| shard.send(command.clone())).collect();
+        let mut replies = Vec::with_capacity(pending.len());
+        for reply in pending {
+            replies.push(reply.await.unwrap_or_else(|_| ended_reply()));
         }
         replies
     }
 }
 
-fn ended() -> Reply {
-    Reply::Failed("the executors have ended".into())
+fn ended_reply() -> Reply {
+    Reply::Failed("the executors' thread or process has ended".into())
 }
 
 impl ShardHandle {
     fn start(placement: &Placement) -> io::Result<Self> {
-        let (orders, given) = mpsc::unbounded_channel();
+        let (commands, received) = mpsc::unbounded_channel();
         let host = match placement {
-            Placement::ThisProcess => Host::Thread(start_thread(given)?),
-            Placement::Workers { program, .. } => Host::Process(Worker::start(program, given)?),
+            Placement::ThisProcess => Host::Thread(start_thread(received)?),
+            Placement::Workers { program, .. } => Host::Process(Worker::start(program, received)?),
         };
-        Ok(ShardHandle { orders: Some(orders), host: Some(host) })
+        Ok(ShardHandle { commands: Some(commands), host: Some(host) })
     }
 
-    fn give(&self, order: Order) -> oneshot::Receiver<Reply> {
+    fn send(&self, command: Command) -> oneshot::Receiver<Reply> {
         let (reply, answer) = oneshot::channel();
-        if let Some(orders) = &self.orders {
-            // Where the shard has ended, the answer's sender is dropped.
-            let _ = orders.send(Ordered { order, reply });
+        if let Some(commands) = &self.commands {
+            // If the shard has ended, the reply's sender is dropped and the receiver returns an error.
+            let _ = commands.send(PendingCommand { command, reply });
         }
         answer
     }
 
-    async fn order(&self, order: Order) -> Reply {
-        self.give(order).await.unwrap_or_else(|_| ended())
+    async fn execute(&self, command: Command) -> Reply {
+        self.send(command).await.unwrap_or_else(|_| ended_reply())
     }
 }
 
 impl Drop for ShardHandle {
     fn drop(&mut self) {
-        drop(self.orders.take());
+        drop(self.commands.take());
         match self.host.take() {
             Some(Host::Thread(thread)) => drop(thread.join()),
             Some(Host::Process(worker)) => drop(worker),
@@ -178,9 +181,11 @@
     }
 }
 
-fn start_thread(orders: mpsc::UnboundedReceiver<Ordered>) -> io::Result<std::thread::JoinHandle<()>> {
+fn start_thread(
+    commands: mpsc::UnboundedReceiver<PendingCommand>,
+) -> io::Result<std::thread::JoinHandle<()>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("hollow-executors".into()).spawn(move || {
-        tokio::task::LocalSet::new().block_on(&runtime, serve_orders(orders));
+        tokio::task::LocalSet::new().block_on(&runtime, serve_commands(commands));
     })
 }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,18 +1,18 @@
-//! Scale runs: some real nodes beside thousands of hollow executors and hollow nodes, on loopback sockets.
+//! Scale runs: a few real nodes and thousands of hollow executors and hollow nodes, on loopback sockets.
 //!
-//! A [`file::ScaleFile`] says what is measured. [`campaign::run`] measures it and emits [`row::Row`]s, which
-//! [`judge`] holds against the bounds and [`fit`] lays a line through, over the size of the fleet. [`table`] prints
-//! both, for rows that have just been measured as for those of an earlier run.
+//! A [`file::ScaleFile`] defines the measurements. [`campaign::run`] makes them and emits [`row::Row`]s, which [`judge`]
+//! compares with the bounds; [`fit`] fits a straight line to them over the size of the fleet. [`table`] prints both, for
+//! the rows of the current run as well as for those of an earlier one.
 pub mod bounds;
 pub mod campaign;
 pub mod catalog;
 pub mod clients;
 mod departures;
 pub mod discovery;
+pub mod executor_commands;
+pub mod executor_config;
 pub mod executor_counts;
-pub mod executor_orders;
 pub mod executor_shard;
-pub mod executor_terms;
 pub mod executor_worker;
 pub mod file;
 pub mod fit;
--- a/crates/scale/src/node_config.rs
+++ b/crates/scale/src/node_config.rs
@@ -1,7 +1,7 @@
 //! What a real node is told at its start: its `ROUTER_CONFIG` file.
 use crate::catalog::{MACHINE_TYPE, zone_name};
 use crate::clients::tenant_name;
-use crate::executor_terms::{AT_MOST_ONCE, IDEMPOTENT};
+use crate::executor_config::{AT_MOST_ONCE, IDEMPOTENT};
 use crate::file::ScaleFile;
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
--- a/crates/scale/tests/discovery.rs
+++ b/crates/scale/tests/discovery.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 use troutknot_scale::catalog::{Catalog, Member, State};
 use troutknot_scale::discovery::{Agent, Discovery};
-use troutknot_scale::executor_terms::ExecutorTerms;
+use troutknot_scale::executor_config::ExecutorConfig;
 use troutknot_scale::hollow_executors::{HollowExecutors, Placement};
 
 const LONG: Duration = Duration::from_secs(20);
@@ -90,20 +90,20 @@
 fn with_agent<F: Future<Output = ()>>(test: impl FnOnce(Rc<Discovery>, Rc<Agent>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let terms = ExecutorTerms {
+        let config = ExecutorConfig {
             seed: 0,
             slots: 1,
             queue_capacity: 1,
-            mean_service: Duration::ZERO,
-            told_at_latest: LONG,
+            mean_service_time: Duration::ZERO,
+            max_notification_delay: LONG,
             drain_grace: LONG,
             slack: Duration::ZERO,
-            cold_share: 1.0,
-            ramp: LONG,
-            fall_multiple: 1.0,
-            fall_window: LONG,
+            initial_capacity: 1.0,
+            ramp_duration: LONG,
+            budget_multiple: 1.0,
+            budget_window: LONG,
         };
-        let executors = HollowExecutors::start(0, terms, &Placement::ThisProcess).await.unwrap();
+        let executors = HollowExecutors::start(0, config, &Placement::ThisProcess).await.unwrap();
         let discovery = Discovery::new(Rc::new(executors));
         discovery.publish([member(0, State::Ready), member(1, State::Ready)]);
         let agent = Agent::start(&discovery, 0).unwrap();
--- a/crates/scale/tests/executor_worker.rs
+++ b/crates/scale/tests/executor_worker.rs
@@ -1,75 +1,75 @@
-//! A worker's side of the pipes: JSON lines in, JSON lines out, in order, until the input ends.
+//! The worker's side of the pipes: commands and replies as JSON lines, in the same order, until the input ends.
 use std::io::{BufRead, BufReader, Write, pipe};
 use std::thread;
 use std::time::Duration;
-use troutknot_scale::executor_orders::{Order, Reply};
-use troutknot_scale::executor_terms::ExecutorTerms;
+use troutknot_scale::executor_commands::{Command, Reply};
+use troutknot_scale::executor_config::ExecutorConfig;
 use troutknot_scale::executor_worker::serve;
 
-fn terms() -> ExecutorTerms {
-    ExecutorTerms {
+fn config() -> ExecutorConfig {
+    ExecutorConfig {
         seed: 1,
         slots: 1,
         queue_capacity: 1,
-        mean_service: Duration::from_millis(1),
-        told_at_latest: Duration::from_secs(6),
+        mean_service_time: Duration::from_millis(1),
+        max_notification_delay: Duration::from_secs(6),
         drain_grace: Duration::from_secs(2),
         slack: Duration::ZERO,
-        cold_share: 0.25,
-        ramp: Duration::from_secs(10),
-        fall_multiple: 4.0,
-        fall_window: Duration::from_secs(1),
+        initial_capacity: 0.25,
+        ramp_duration: Duration::from_secs(10),
+        budget_multiple: 4.0,
+        budget_window: Duration::from_secs(1),
     }
 }
 
-/// What a worker answers to these orders; it has ended when this returns.
-fn answers(orders: &[String]) -> Vec<Reply> {
+/// Returns the replies of a worker to these lines; the worker has ended on return.
+fn replies_to(lines: &[String]) -> Vec<Reply> {
     let (input, mut to_worker) = pipe().unwrap();
     let (from_worker, output) = pipe().unwrap();
     let worker = thread::spawn(move || serve(input, output));
     let mut replies = BufReader::new(from_worker).lines();
-    let mut given = Vec::new();
-    for order in orders {
-        writeln!(to_worker, "{order}").unwrap();
-        let Some(Ok(line)) = replies.next() else { break };
-        given.push(serde_json::from_str(&line).unwrap());
+    let mut received = Vec::new();
+    for line in lines {
+        writeln!(to_worker, "{line}").unwrap();
+        let Some(Ok(reply)) = replies.next() else { break };
+        received.push(serde_json::from_str(&reply).unwrap());
     }
     drop(to_worker);
-    assert!(replies.next().is_none(), "it says no more");
+    assert!(replies.next().is_none(), "the worker writes nothing after its last reply");
     worker.join().unwrap().unwrap();
-    given
+    received
 }
 
-fn line(order: &Order) -> String {
-    serde_json::to_string(order).unwrap()
+fn to_line(command: &Command) -> String {
+    serde_json::to_string(command).unwrap()
 }
 
 #[test]
-fn a_worker_opens_its_part_of_the_fleet_and_answers_each_order() {
-    let orders = [
-        Order::Open { first: 40, count: 3, terms: terms() },
-        Order::Kill(0..100),
-        Order::Restart(41..42),
-        Order::Told { node: 1, executors: vec![41] },
-        Order::Report,
+fn a_worker_opens_its_part_of_the_fleet_and_replies_to_each_command() {
+    let commands = [
+        Command::Open { first: 40, count: 3, config: config() },
+        Command::Kill(0..100),
+        Command::Restart(41..42),
+        Command::RecordNotifications { node: 1, executors: vec![41] },
+        Command::Report,
     ];
-    let replies = answers(&orders.iter().map(line).collect::<Vec<_>>());
+    let replies = replies_to(&commands.iter().map(to_line).collect::<Vec<_>>());
     let Reply::Opened(addresses) = &replies[0] else { panic!("{replies:?}") };
     assert_eq!(addresses.len(), 3);
     assert_eq!(replies[1..4], [Reply::Done, Reply::Done, Reply::Done]);
-    assert!(matches!(&replies[4], Reply::Report(report) if report.breaches.is_empty()));
+    assert!(matches!(&replies[4], Reply::Report(report) if report.violations.is_empty()));
 }
 
 #[test]
-fn an_order_before_the_executors_are_open_fails_and_so_does_a_second_opening() {
-    let open = Order::Open { first: 50, count: 1, terms: terms() };
-    let replies = answers(&[line(&Order::Report), line(&open), line(&open)]);
+fn a_command_before_open_fails_and_so_does_a_second_open() {
+    let open = Command::Open { first: 50, count: 1, config: config() };
+    let replies = replies_to(&[to_line(&Command::Report), to_line(&open), to_line(&open)]);
     assert!(matches!(replies[0], Reply::Failed(_)));
     assert!(matches!(replies[1], Reply::Opened(_)));
     assert!(matches!(replies[2], Reply::Failed(_)));
 }
 
 #[test]
-fn a_worker_ends_at_a_line_that_is_no_order() {
-    assert_eq!(answers(&["nonsense".into(), line(&Order::Report)]), []);
+fn a_worker_ends_at_a_line_that_is_not_a_command() {
+    assert_eq!(replies_to(&["nonsense".into(), to_line(&Command::Report)]), []);
 }
--- a/crates/scale/tests/hollow_executors.rs
+++ b/crates/scale/tests/hollow_executors.rs
@@ -1,38 +1,39 @@
-//! Hollow executors on real sockets: what they answer, what they count, and which breaches they find.
+//! Hollow executors on real sockets: responses, counts and detected rule violations.
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
-use troutknot_scale::executor_counts::{ExecutorBreach, Traffic};
-use troutknot_scale::executor_terms::{AT_MOST_ONCE, ExecutorTerms, IDEMPOTENT, result_of};
+use troutknot_scale::executor_config::{AT_MOST_ONCE, ExecutorConfig, IDEMPOTENT, result_of};
+use troutknot_scale::executor_counts::{ExecutorViolation, Traffic};
 use troutknot_scale::hollow_executors::{HollowExecutors, Placement};
 use troutknot_scale::request_id::RequestId;
 use troutknot_scale::wire::{Connection, Message};
 
-const COUNT: usize = 20;
+const EXECUTOR_COUNT: usize = 20;
 const NODE: u8 = 3;
 
-fn terms() -> ExecutorTerms {
-    ExecutorTerms {
+fn config() -> ExecutorConfig {
+    ExecutorConfig {
         seed: 1,
         slots: 2,
         queue_capacity: 1,
-        mean_service: Duration::from_millis(1),
-        told_at_latest: Duration::from_secs(600),
+        mean_service_time: Duration::from_millis(1),
+        max_notification_delay: Duration::from_secs(600),
         drain_grace: Duration::ZERO,
         slack: Duration::ZERO,
-        cold_share: 0.25,
-        ramp: Duration::from_secs(600),
-        fall_multiple: 4.0,
-        fall_window: Duration::from_secs(600),
+        initial_capacity: 0.25,
+        ramp_duration: Duration::from_secs(600),
+        budget_multiple: 4.0,
+        budget_window: Duration::from_secs(600),
     }
 }
 
-fn with_executors<F: Future<Output = ()>>(terms: ExecutorTerms, test: impl FnOnce(HollowExecutors) -> F) {
+fn with_executors<F: Future<Output = ()>>(config: ExecutorConfig, test: impl FnOnce(HollowExecutors) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let executors = HollowExecutors::start(COUNT, terms, &Placement::ThisProcess).await.unwrap();
+        let executors =
+            HollowExecutors::start(EXECUTOR_COUNT, config, &Placement::ThisProcess).await.unwrap();
         test(executors).await;
     });
 }
@@ -56,10 +57,10 @@
 }
 
 #[test]
-fn each_executor_answers_at_an_address_of_its_own() {
-    with_executors(terms(), |executors| async move {
+fn each_executor_answers_probes_at_its_own_address() {
+    with_executors(config(), |executors| async move {
         let distinct: BTreeSet<SocketAddr> = executors.addresses().iter().copied().collect();
-        assert_eq!(distinct.len(), COUNT);
+        assert_eq!(distinct.len(), EXECUTOR_COUNT);
         for address in &distinct {
             assert!(address.ip().is_loopback());
             for path in ["/ping", "/_load"] {
@@ -72,8 +73,8 @@
 }
 
 #[test]
-fn an_attempt_is_answered_line_by_line_up_to_its_result() {
-    with_executors(terms(), |executors| async move {
+fn an_attempt_reports_its_start_and_its_result_line_by_line() {
+    with_executors(config(), |executors| async move {
         let answer = ask(executors.addresses()[4], &attempt(IDEMPOTENT, id(7))).await.unwrap();
         assert_eq!(answer.status, 200);
         let text = String::from_utf8(answer.body).unwrap();
@@ -88,20 +89,20 @@
 }
 
 #[test]
-fn an_attempt_without_an_id_or_with_an_odd_one_is_refused() {
-    with_executors(terms(), |executors| async move {
+fn an_attempt_with_a_missing_or_invalid_request_id_is_refused() {
+    with_executors(config(), |executors| async move {
         let address = executors.addresses()[0];
-        let none = ask(address, "POST /render HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").await;
-        assert_eq!(none.unwrap().status, 404);
-        let odd = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 12\r\nContent-Length: 0\r\n\r\n";
-        assert_eq!(ask(address, odd).await.unwrap().status, 400);
+        let missing = ask(address, "POST /render HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").await;
+        assert_eq!(missing.unwrap().status, 404);
+        let invalid = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 12\r\nContent-Length: 0\r\n\r\n";
+        assert_eq!(ask(address, invalid).await.unwrap().status, 400);
         assert_eq!(executors.report().await.real_nodes.attempts, 0);
     });
 }
 
 #[test]
-fn what_comes_is_counted_and_lists_are_taken_once() {
-    with_executors(terms(), |executors| async move {
+fn traffic_is_cumulative_while_reached_executors_are_reported_once() {
+    with_executors(config(), |executors| async move {
         let (first, second) = (executors.addresses()[0], executors.addresses()[19]);
         let probe = "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n";
         let mut connection = connect(first).await;
@@ -112,23 +113,23 @@
         let request = attempt(IDEMPOTENT, id(1));
         ask(second, &request).await.unwrap();
         let report = executors.report().await;
-        let Traffic { connections, probes, attempts, turned_away, bytes_in, .. } = report.real_nodes;
-        assert_eq!((connections, probes, attempts, turned_away), (2, 3, 1, 0));
+        let Traffic { connections, probes, attempts, rejected, bytes_in, .. } = report.real_nodes;
+        assert_eq!((connections, probes, attempts, rejected), (2, 3, 1, 0));
         assert_eq!(bytes_in as usize, 3 * probe.len() + request.len());
         assert_eq!(report.hollow_nodes, Traffic::default());
-        assert_eq!(report.reached, 1);
+        assert_eq!(report.reached_executors, 1);
         let next = executors.report().await;
-        assert_eq!((next.real_nodes.probes, next.reached), (3, 0));
+        assert_eq!((next.real_nodes.probes, next.reached_executors), (3, 0));
     });
 }
 
 #[test]
-fn one_that_is_full_turns_away() {
-    let slow = ExecutorTerms { mean_service: Duration::from_secs(600), ..terms() };
-    with_executors(slow, |executors| async move {
+fn an_executor_with_full_slots_and_queue_rejects_an_attempt() {
+    let slow_config = ExecutorConfig { mean_service_time: Duration::from_secs(600), ..config() };
+    with_executors(slow_config, |executors| async move {
         let address = executors.addresses()[0];
         let mut open = Vec::new();
-        // Two slots and room for one that waits.
+        // Two slots, and room for one attempt in the queue.
         for sequence in 0..3 {
             let mut connection = connect(address).await;
             connection.write(attempt(IDEMPOTENT, id(sequence)).as_bytes()).await.unwrap();
@@ -143,7 +144,7 @@
         }
         let answer = ask(address, &attempt(IDEMPOTENT, id(9))).await.unwrap();
         assert_eq!((answer.status, answer.field("not-started")), (503, Some("1")));
-        // One that goes away makes room.
+        // An attempt whose client disconnects leaves the queue.
         open.pop();
         loop {
             let load = ask(address, "GET /_load HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
@@ -151,13 +152,13 @@
                 break;
             }
         }
-        assert_eq!(executors.report().await.real_nodes.turned_away, 1);
+        assert_eq!(executors.report().await.real_nodes.rejected, 1);
     });
 }
 
 #[test]
-fn a_killed_one_resets_its_connections_and_refuses_new_ones_until_it_starts_again() {
-    with_executors(terms(), |executors| async move {
+fn a_killed_executor_resets_connections_and_refuses_new_ones_until_its_restart() {
+    with_executors(config(), |executors| async move {
         let address = executors.addresses()[5];
         let mut open = connect(address).await;
         open.write(b"GET /ping HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
@@ -165,8 +166,8 @@
         executors.kill(5..6).await;
         open.ended().await;
         while TcpStream::connect(address).await.is_ok() {}
-        let neighbour = ask(executors.addresses()[6], "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n").await;
-        assert_eq!(neighbour.unwrap().status, 200);
+        let other_executor = ask(executors.addresses()[6], "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n").await;
+        assert_eq!(other_executor.unwrap().status, 200);
         executors.restart(5..6).await;
         while TcpStream::connect(address).await.is_err() {}
         let answer = ask(address, "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n").await;
@@ -175,67 +176,70 @@
 }
 
 #[test]
-fn only_a_request_that_may_run_once_breaks_rule_2_where_it_starts_again() {
-    with_executors(terms(), |executors| async move {
+fn a_second_start_violates_rule_2_only_for_an_at_most_once_request() {
+    with_executors(config(), |executors| async move {
         for executor in [2, 9] {
             for (class, sequence) in [(IDEMPOTENT, 1), (AT_MOST_ONCE, 2)] {
                 let answer = ask(executors.addresses()[executor], &attempt(class, id(sequence))).await;
                 assert_eq!(answer.unwrap().status, 200);
             }
         }
-        let breaches = executors.report().await.breaches;
-        assert_eq!(breaches, [ExecutorBreach::RepeatedEffect { request: id(2), executor: 9 }]);
+        let violations = executors.report().await.violations;
+        assert_eq!(violations, [ExecutorViolation::RepeatedEffect { request: id(2), executor: 9 }]);
     });
 }
 
 #[test]
-fn an_attempt_past_the_grace_breaks_rule_3_for_the_node_that_was_told() {
-    with_executors(terms(), |executors| async move {
-        executors.left(&[3]);
-        executors.told(usize::from(NODE), &[3]);
-        // Orders are carried out one after the other: after this one, what was told is known.
+fn an_attempt_after_the_drain_grace_violates_rule_3_for_a_notified_node() {
+    with_executors(config(), |executors| async move {
+        executors.record_departures(&[3]);
+        executors.record_notifications(usize::from(NODE), &[3]);
+        // Commands are carried out in order: after this report the notification has been recorded.
         executors.report().await;
-        let untold = RequestId::new(NODE + 1, 0);
-        for request in [id(0), untold] {
+        let unnotified_node = RequestId::new(NODE + 1, 0);
+        for request in [id(0), unnotified_node] {
             ask(executors.addresses()[3], &attempt(IDEMPOTENT, request)).await.unwrap();
         }
-        executors.returned(&[3]);
-        let breaches = executors.report().await.breaches;
+        executors.record_returns(&[3]);
+        let violations = executors.report().await.violations;
         ask(executors.addresses()[3], &attempt(IDEMPOTENT, id(1))).await.unwrap();
-        assert_eq!(executors.report().await.breaches, [], "it is back");
+        assert_eq!(executors.report().await.violations, [], "no violation after the executor returned");
         assert!(
-            matches!(&breaches[..], [ExecutorBreach::SentAfterGrace { request, executor: 3, .. }]
+            matches!(&violations[..], [ExecutorViolation::SentAfterGrace { request, executor: 3, .. }]
                 if *request == id(0)),
-            "{breaches:?}"
+            "{violations:?}"
         );
     });
 }
 
 #[test]
-fn what_discovery_knows_counts_as_told_in_time_though_it_was_not() {
-    let at_once = ExecutorTerms { told_at_latest: Duration::ZERO, ..terms() };
-    with_executors(at_once, |executors| async move {
-        executors.left(&[3]);
+fn a_node_counts_as_notified_after_the_maximum_delay() {
+    let no_delay = ExecutorConfig { max_notification_delay: Duration::ZERO, ..config() };
+    with_executors(no_delay, |executors| async move {
+        executors.record_departures(&[3]);
         executors.report().await;
         ask(executors.addresses()[3], &attempt(IDEMPOTENT, id(0))).await.unwrap();
-        assert_eq!(executors.report().await.breaches.len(), 1);
+        assert_eq!(executors.report().await.violations.len(), 1);
     });
 }
 
 #[test]
-fn a_cold_one_that_is_sent_more_than_it_stands_breaks_rule_4_and_falls_over() {
-    // It stands 4 x 2 slots x 0.25 x 1 ms.
-    let brittle = ExecutorTerms {
-        fall_window: Duration::from_millis(1),
-        mean_service: Duration::from_secs(600),
-        ..terms()
+fn work_beyond_the_warm_up_budget_violates_rule_4_and_restarts_the_executor() {
+    // The warm-up budget is 4 x 2 slots x 0.25 x 1 ms.
+    let small_budget = ExecutorConfig {
+        budget_window: Duration::from_millis(1),
+        mean_service_time: Duration::from_secs(600),
+        ..config()
     };
-    with_executors(brittle, |executors| async move {
+    with_executors(small_budget, |executors| async move {
         executors.restart(0..1).await;
         while TcpStream::connect(executors.addresses()[0]).await.is_err() {}
         let answer = ask(executors.addresses()[0], &attempt(IDEMPOTENT, id(0))).await;
         assert!(answer.is_none(), "its connections are reset: {answer:?}");
-        let breaches = executors.report().await.breaches;
-        assert!(matches!(&breaches[..], [ExecutorBreach::PushedOver { executor: 0, .. }]), "{breaches:?}");
+        let violations = executors.report().await.violations;
+        assert!(
+            matches!(&violations[..], [ExecutorViolation::PushedOver { executor: 0, .. }]),
+            "{violations:?}"
+        );
     });
 }
