--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -3,7 +3,7 @@
 #[path = "../../scale/tests/common/mod.rs"]
 mod common;
 
-use common::{figure, good_rows};
+use common::{figure, rows_within_bounds};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use troutknot_scale::row::{Measurement, NodeKind, Phase, Row, figures, read_rows, start_of};
@@ -69,7 +69,7 @@
 #[test]
 fn a_bad_file_leaves_the_rows_of_an_earlier_run_alone() {
     let bad = file("bad-again.toml", "colour = 2\n");
-    let rows = rows_file("kept.jsonl", &good_rows());
+    let rows = rows_file("kept.jsonl", &rows_within_bounds());
     let before = std::fs::read(&rows).unwrap();
     assert_eq!(scale(&[&bad, "--json", &rows]).status.code(), Some(2));
     assert_eq!(std::fs::read(&rows).unwrap(), before);
@@ -77,7 +77,7 @@
 
 #[test]
 fn rows_that_are_read_again_give_their_table_and_their_exit_status() {
-    let good = good_rows();
+    let good = rows_within_bounds();
     let mut missed = good.clone();
     missed.insert(1, Row::Figure(figure(100, Measurement::CpuShare, 0.5)));
     let mut unended = good.clone();
--- a/crates/scale/src/campaign.rs
+++ b/crates/scale/src/campaign.rs
@@ -17,7 +17,7 @@
 use crate::fleet::Fleet;
 use crate::hollow_executors::{HollowExecutors, Placement};
 use crate::node_process::{NodeProgram, Usage};
-use crate::real_node::{RealNode, Surroundings};
+use crate::real_node::{NodeContext, RealNode};
 use crate::row::{Breach, Figure, Measurement, NodeKind, Point, Row, Start};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -224,10 +224,10 @@
         for number in 0..count {
             let node = RealNode::start(&step.surroundings(), number);
             let node = node.doing(format!("starting real node {number}"))?;
-            let took = node.ready(LONGEST_START).await.ok_or_else(|| RunError::NotReady {
+            let took = node.wait_ready(LONGEST_START).await.ok_or_else(|| RunError::NotReady {
                 node: number,
                 within: LONGEST_START,
-                why: node.last_words(),
+                why: node.last_log_lines(),
             })?;
             ready.push(took);
             step.nodes.push(node);
@@ -238,8 +238,8 @@
 }
 
 impl Step<'_, '_> {
-    fn surroundings(&self) -> Surroundings<'_> {
-        Surroundings {
+    fn surroundings(&self) -> NodeContext<'_> {
+        NodeContext {
             file: self.campaign.file,
             program: self.campaign.program,
             folder: self.campaign.folder.path(),
@@ -264,7 +264,7 @@
     /// Where a node has ended by itself.
     fn check_nodes(&self) -> Result<(), RunError> {
         match self.nodes.iter().find(|node| node.has_ended()) {
-            Some(node) => Err(RunError::NodeEnded { node: node.number(), why: node.last_words() }),
+            Some(node) => Err(RunError::NodeEnded { node: node.number(), why: node.last_log_lines() }),
             None => Ok(()),
         }
     }
--- a/crates/scale/src/campaign/config_changes.rs
+++ b/crates/scale/src/campaign/config_changes.rs
@@ -53,7 +53,7 @@
         self.reload(node, true)?;
         loop {
             let asked = began.elapsed();
-            let status = node.clients.ask(ADDED_CLASS).await;
+            let status = node.clients.send_request(ADDED_CLASS).await;
             if status.is_some_and(|status| status != UNKNOWN_CLASS) {
                 return Ok(millis(asked));
             }
--- a/crates/scale/src/campaign/hollow_load.rs
+++ b/crates/scale/src/campaign/hollow_load.rs
@@ -79,7 +79,7 @@
             rates: hollow.measured,
             connections: hollow.connections,
             discovery,
-            node_settings: self.surroundings().settings_of(first_number),
+            node_settings: self.surroundings().settings(first_number),
             request_rate: 0.0,
             work: file.requests.work,
             deadline: file.requests.deadline,
--- a/crates/scale/src/campaign/loads.rs
+++ b/crates/scale/src/campaign/loads.rs
@@ -1,7 +1,7 @@
 //! The fleet is replaced under new names some times over, and after each turnover clients send at each rate.
 use super::{RunError, Step, TOLD_SHARE, quantile};
 use crate::catalog::State;
-use crate::clients::Outcome;
+use crate::clients::RequestCounts;
 use crate::discovery::ListTraffic;
 use crate::executor_counts::{ExecutorReport, Traffic};
 use crate::node_process::Usage;
@@ -132,13 +132,13 @@
     }
 
     /// Clients send at each node; what became of the requests, and the most sockets that a node had open.
-    pub(super) async fn play_clients(&self, rate: f64, length: Duration) -> (Outcome, usize) {
+    pub(super) async fn play_clients(&self, rate: f64, length: Duration) -> (RequestCounts, usize) {
         let mut playing = JoinSet::new();
         for node in &self.nodes {
             let clients = node.clients.clone();
-            playing.spawn_local(async move { clients.play(rate, length).await });
+            playing.spawn_local(async move { clients.run(rate, length).await });
         }
-        let (mut sum, mut sockets) = (Outcome::default(), 0);
+        let (mut sum, mut sockets) = (RequestCounts::default(), 0);
         while !playing.is_empty() {
             tokio::select! {
                 ended = playing.join_next() => if let Some(Ok(outcome)) = ended {
@@ -153,7 +153,7 @@
         (sum, sockets)
     }
 
-    pub(super) fn emit_interval(&self, point: Point, interval: &Interval, outcome: &Outcome) {
+    pub(super) fn emit_interval(&self, point: Point, interval: &Interval, outcome: &RequestCounts) {
         let figure = |measurement, value| {
             self.campaign.figure(point, measurement, NodeKind::Real, value);
         };
@@ -169,12 +169,12 @@
         figure(Measurement::ExecutorBytes, interval.executors.bytes_in as f64 / interval.seconds);
     }
 
-    pub(super) fn emit_outcome(&self, point: Point, mut outcome: Outcome) {
+    pub(super) fn emit_outcome(&self, point: Point, mut outcome: RequestCounts) {
         let figure = |measurement, value| {
             self.campaign.figure(point, measurement, NodeKind::Real, value);
         };
         figure(Measurement::LateOrMissingAnswers, outcome.late_or_missing as f64);
-        figure(Measurement::DoubledAnswers, outcome.doubled as f64);
+        figure(Measurement::DoubledAnswers, outcome.duplicate_responses as f64);
         if !outcome.latencies.is_empty() {
             figure(Measurement::LatencyMedian, quantile(&mut outcome.latencies, 0.5));
             figure(Measurement::LatencyP99, quantile(&mut outcome.latencies, TOLD_SHARE));
--- a/crates/scale/src/campaign/starts.rs
+++ b/crates/scale/src/campaign/starts.rs
@@ -93,15 +93,16 @@
         Ok(())
     }
 
-    /// How many of the listed executors a node leaves out at most, as it tells operators; no figure where a node tells
-    /// none.
+    /// How many of the listed executors a node leaves out at most, as it tells operators; no figure where a node
+    /// tells none.
     pub(super) async fn emit_left_out(&self, point: Point) {
         let mut most = 0;
         for node in &self.nodes {
-            let Ok(figures) = node.registry_figures().await else { return };
+            let Ok(figures) = node.fetch_registry_counts().await else { return };
             // Whoever is listed and not kept gets no work, whatever the node calls it.
-            most =
-                most.max(self.fleet.discovery().listed().saturating_sub(figures.kept)).max(figures.left_out);
+            most = most
+                .max(self.fleet.discovery().listed().saturating_sub(figures.retained))
+                .max(figures.unretained);
         }
         let point = Point { rate: 0.0, ..point };
         self.campaign.figure(point, Measurement::LeftOut, NodeKind::Real, most as f64);
--- a/crates/scale/src/campaign/troubles.rs
+++ b/crates/scale/src/campaign/troubles.rs
@@ -155,7 +155,7 @@
             RunError::Io { doing: format!("restarting real node {}", node.number()), source }
         })?;
         let not_ready =
-            || RunError::NotReady { node: node.number(), within: LONGEST_START, why: node.last_words() };
+            || RunError::NotReady { node: node.number(), within: LONGEST_START, why: node.last_log_lines() };
         ready.borrow_mut().push(millis(took.ok_or_else(not_ready)?));
         Ok(())
     }
--- a/crates/scale/src/clients.rs
+++ b/crates/scale/src/clients.rs
@@ -1,5 +1,5 @@
-//! Open-loop clients: requests are sent when they are due, whatever becomes of those before, over a bounded number
-//! of kept connections. Each request's answers are counted.
+//! Open-loop clients: they send requests at scheduled times, regardless of earlier responses, over a bounded number
+//! of reused connections, and count the responses to each request.
 use crate::executor_config::{AT_MOST_ONCE, IDEMPOTENT, result_of};
 use crate::request_id::RequestId;
 use crate::wire::{Connection, Message};
@@ -14,55 +14,55 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// An answer is waited for so long beyond the deadline, so that a late one is told from none.
-const BEYOND_DEADLINE: Duration = Duration::from_millis(300);
-/// A refused connection is tried again after so long, as a front tries another node.
-const CONNECT_AGAIN: Duration = Duration::from_millis(5);
-/// Answers that say the node did not take the request.
-const REJECTIONS: [u16; 2] = [429, 503];
+/// How long a response is awaited beyond the deadline, which separates late responses from missing ones.
+const LATE_RESPONSE_WINDOW: Duration = Duration::from_millis(300);
+/// Delay before a refused connection is retried; a front would try another node meanwhile.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Status codes of a node that rejected the request.
+const REJECTION_STATUSES: [u16; 2] = [429, 503];
 
-/// What clients send.
+/// Configuration of the clients of one node.
 #[derive(Clone, Copy, Debug)]
-pub struct ClientTerms {
+pub struct ClientConfig {
     pub seed: u64,
     pub tenants: usize,
     pub deadline: Duration,
-    /// Beside the deadline, for what the sockets take.
+    /// Added to the deadline to allow for the delay of the sockets.
     pub slack: Duration,
     /// Share of requests that may run at most once.
-    pub at_most_once: f64,
-    /// Open connections to one node.
-    pub connections: usize,
-    /// The number of the first request; others of a run have other numbers.
+    pub at_most_once_share: f64,
+    /// Maximum number of open connections to the node.
+    pub max_connections: usize,
+    /// Sequence number of the first request; it must not overlap with other requests of the run.
     pub first_sequence: u64,
 }
 
-/// What became of the requests.
+/// Counts of requests by their result.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Outcome {
+pub struct RequestCounts {
     pub sent: usize,
-    /// Answered 200 with the result of this very request.
+    /// Answered with 200 and the result of this request.
     pub completed: usize,
-    /// Answered that trying again is harmless.
+    /// Answered with a status that permits a retry.
     pub rejected: usize,
-    /// Any other whole answer.
+    /// Answered with any other complete response.
     pub failed: usize,
-    /// No whole answer, or one past the deadline.
+    /// Without a complete response before the deadline.
     pub late_or_missing: usize,
-    /// More came than one answer.
-    pub doubled: usize,
-    /// Of the completed ones, in milliseconds.
+    /// Connections with bytes beyond the one expected response.
+    pub duplicate_responses: usize,
+    /// Latencies of the completed requests, in milliseconds.
     pub latencies: Vec<f64>,
 }
 
-impl Outcome {
-    pub fn add(&mut self, other: &Outcome) {
+impl RequestCounts {
+    pub fn add(&mut self, other: &RequestCounts) {
         self.sent += other.sent;
         self.completed += other.completed;
         self.rejected += other.rejected;
         self.failed += other.failed;
         self.late_or_missing += other.late_or_missing;
-        self.doubled += other.doubled;
+        self.duplicate_responses += other.duplicate_responses;
         self.latencies.extend_from_slice(&other.latencies);
     }
 }
@@ -71,80 +71,80 @@
 pub struct Clients {
     node: u8,
     address: Cell<SocketAddr>,
-    /// Whether new requests are sent to this node: a front passes over one that is being restarted.
-    open: Cell<bool>,
-    terms: ClientTerms,
+    /// Whether new requests are sent to this node; a front skips a node that is being restarted.
+    is_enabled: Cell<bool>,
+    config: ClientConfig,
     sequence: Cell<u64>,
     idle: RefCell<Vec<Connection>>,
-    free: Semaphore,
-    outcome: RefCell<Outcome>,
+    free_connections: Semaphore,
+    counts: RefCell<RequestCounts>,
 }
 
-/// A request that is ready to be sent.
-struct Draft {
+/// A request that has not been sent yet.
+struct RequestDraft {
     id: RequestId,
     class: &'static str,
     tenant: usize,
 }
 
-/// The name of a tenant, as nodes are told it.
+/// Returns the name of a tenant, as in the settings of nodes.
 pub fn tenant_name(tenant: usize) -> String {
     format!("team-{tenant:03}")
 }
 
 impl Clients {
-    pub fn new(node: u8, address: SocketAddr, terms: ClientTerms) -> Rc<Self> {
+    pub fn new(node: u8, address: SocketAddr, config: ClientConfig) -> Rc<Self> {
         Rc::new(Clients {
             node,
             address: Cell::new(address),
-            open: Cell::new(true),
-            terms,
-            sequence: Cell::new(terms.first_sequence),
+            is_enabled: Cell::new(true),
+            config,
+            sequence: Cell::new(config.first_sequence),
             idle: RefCell::default(),
-            free: Semaphore::new(terms.connections),
-            outcome: RefCell::default(),
+            free_connections: Semaphore::new(config.max_connections),
+            counts: RefCell::default(),
         })
     }
 
-    /// While it is not open, requests that are due are not sent.
-    pub fn set_open(&self, open: bool) {
-        self.open.set(open);
-        if !open {
+    /// Enables or disables sending. While disabled, requests that fall due are skipped.
+    pub fn set_enabled(&self, is_enabled: bool) {
+        self.is_enabled.set(is_enabled);
+        if !is_enabled {
             self.idle.borrow_mut().clear();
         }
     }
 
-    /// Sends so many requests a second for a while, and waits until the last one is over.
-    pub async fn play(self: &Rc<Self>, rate: f64, length: Duration) -> Outcome {
+    /// Sends `rate` requests per second for the duration, and waits until the last one has ended.
+    pub async fn run(self: &Rc<Self>, rate: f64, duration: Duration) -> RequestCounts {
         let mut random =
-            ChaCha8Rng::seed_from_u64(self.terms.seed ^ self.sequence.get() ^ u64::from(self.node));
-        let (began, mut due) = (Instant::now(), Duration::ZERO);
-        let mut open = JoinSet::new();
+            ChaCha8Rng::seed_from_u64(self.config.seed ^ self.sequence.get() ^ u64::from(self.node));
+        let (started_at, mut due) = (Instant::now(), Duration::ZERO);
+        let mut in_flight = JoinSet::new();
         loop {
             let uniform: f64 = random.random();
             due += Duration::from_secs_f64(-(1.0 - uniform).ln() / rate);
-            if due > length {
+            if due > duration {
                 break;
             }
-            let draft = self.draft(&mut random);
-            sleep_until(began + due).await;
-            if self.open.get() {
+            let draft = self.draw_request(&mut random);
+            sleep_until(started_at + due).await;
+            if self.is_enabled.get() {
                 let clients = self.clone();
-                open.spawn_local(async move { clients.request(&draft).await });
+                in_flight.spawn_local(async move { clients.send_and_count(&draft).await });
             }
-            while open.try_join_next().is_some() {}
+            while in_flight.try_join_next().is_some() {}
         }
-        while open.join_next().await.is_some() {}
-        self.count_unexpected();
-        self.outcome.take()
+        while in_flight.join_next().await.is_some() {}
+        self.count_unexpected_responses();
+        self.counts.take()
     }
 
-    /// Sends one request of a class; the status of its answer.
-    pub async fn ask(&self, class: &'static str) -> Option<u16> {
-        let draft = Draft { id: self.next_id(), class, tenant: 0 };
-        let until = Instant::now() + self.terms.deadline;
-        let answer = timeout_at(until, self.exchange(&draft)).await.ok()?;
-        answer.map(|answer| answer.status)
+    /// Sends one request of the class; returns the status of its response, or `None` without one before the deadline.
+    pub async fn send_request(&self, class: &'static str) -> Option<u16> {
+        let draft = RequestDraft { id: self.next_id(), class, tenant: 0 };
+        let deadline = Instant::now() + self.config.deadline;
+        let response = timeout_at(deadline, self.exchange(&draft)).await.ok()?;
+        response.map(|response| response.status)
     }
 
     fn next_id(&self) -> RequestId {
@@ -153,93 +153,95 @@
         RequestId::new(self.node, sequence)
     }
 
-    fn draft(&self, random: &mut ChaCha8Rng) -> Draft {
-        let at_most_once = random.random::<f64>() < self.terms.at_most_once;
-        let class = if at_most_once { AT_MOST_ONCE } else { IDEMPOTENT };
-        Draft { id: self.next_id(), class, tenant: random.random_range(0..self.terms.tenants.max(1)) }
+    fn draw_request(&self, random: &mut ChaCha8Rng) -> RequestDraft {
+        let is_at_most_once = random.random::<f64>() < self.config.at_most_once_share;
+        let class = if is_at_most_once { AT_MOST_ONCE } else { IDEMPOTENT };
+        RequestDraft { id: self.next_id(), class, tenant: random.random_range(0..self.config.tenants.max(1)) }
     }
 
-    async fn request(&self, draft: &Draft) {
-        let sent = Instant::now();
-        let deadline = sent + self.terms.deadline + self.terms.slack;
-        let answer = timeout_at(deadline + BEYOND_DEADLINE, self.exchange(draft)).await;
-        let latency = sent.elapsed();
-        let mut outcome = self.outcome.borrow_mut();
-        outcome.sent += 1;
-        match answer {
-            Ok(Some(answer)) if Instant::now() <= deadline => {
-                if answer.status == 200 && answer.body == result_of(draft.id).as_bytes() {
-                    outcome.completed += 1;
-                    outcome.latencies.push(latency.as_secs_f64() * 1000.0);
-                } else if REJECTIONS.contains(&answer.status) {
-                    outcome.rejected += 1;
+    async fn send_and_count(&self, draft: &RequestDraft) {
+        let sent_at = Instant::now();
+        let deadline = sent_at + self.config.deadline + self.config.slack;
+        let response = timeout_at(deadline + LATE_RESPONSE_WINDOW, self.exchange(draft)).await;
+        let latency = sent_at.elapsed();
+        let mut counts = self.counts.borrow_mut();
+        counts.sent += 1;
+        match response {
+            Ok(Some(response)) if Instant::now() <= deadline => {
+                if response.status == 200 && response.body == result_of(draft.id).as_bytes() {
+                    counts.completed += 1;
+                    counts.latencies.push(latency.as_secs_f64() * 1000.0);
+                } else if REJECTION_STATUSES.contains(&response.status) {
+                    counts.rejected += 1;
                 } else {
-                    outcome.failed += 1;
+                    counts.failed += 1;
                 }
             }
-            _ => outcome.late_or_missing += 1,
+            _ => counts.late_or_missing += 1,
         }
     }
 
-    /// Sends a request and reads its answer; none where the connection ended before.
-    async fn exchange(&self, draft: &Draft) -> Option<Message> {
-        let _permit = self.free.acquire().await.ok()?;
-        let bytes = self.head(draft);
+    /// Sends a request and reads its response; returns `None` if the connection fails before the response is
+    /// complete.
+    async fn exchange(&self, draft: &RequestDraft) -> Option<Message> {
+        let _permit = self.free_connections.acquire().await.ok()?;
+        let bytes = self.encode_request(draft);
         loop {
-            let (mut connection, reused) = self.connection().await;
-            if connection.write(bytes.as_bytes()).await.is_err() && reused {
+            let (mut connection, is_reused) = self.acquire_connection().await;
+            if connection.write(bytes.as_bytes()).await.is_err() && is_reused {
                 continue;
             }
-            match connection.answer().await {
-                Ok(Some(answer)) => {
-                    if !answer.asks_to_close() {
+            match connection.read_response().await {
+                Ok(Some(response)) => {
+                    if !response.has_connection_close() {
                         self.idle.borrow_mut().push(connection);
                     }
-                    return Some(answer);
+                    return Some(response);
                 }
-                // The node closed it between requests, which crossed this one.
-                Ok(None) if reused => {}
+                // The node closed the idle connection while the request was on its way.
+                Ok(None) if is_reused => {}
                 _ => return None,
             }
         }
     }
 
-    fn head(&self, draft: &Draft) -> String {
-        let Draft { id, class, tenant } = draft;
+    fn encode_request(&self, draft: &RequestDraft) -> String {
+        let RequestDraft { id, class, tenant } = draft;
         let body = format!("work of {id}");
         format!(
             "POST /{class} HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n\
              Tenant: {}\r\nRequest-Timeout: {:.3}\r\nContent-Length: {}\r\n\r\n{body}",
             tenant_name(*tenant),
-            self.terms.deadline.as_secs_f64(),
+            self.config.deadline.as_secs_f64(),
             body.len()
         )
     }
 
-    /// A kept connection, or a new one; its caller bounds the time.
-    async fn connection(&self) -> (Connection, bool) {
+    /// Returns an idle connection and true, or a new connection and false. It retries without limit, so the caller
+    /// needs a timeout.
+    async fn acquire_connection(&self) -> (Connection, bool) {
         loop {
-            let kept = self.idle.borrow_mut().pop();
-            let Some(mut kept) = kept else { break };
-            if kept.has_unexpected_bytes() {
-                self.outcome.borrow_mut().doubled += 1;
+            let idle_connection = self.idle.borrow_mut().pop();
+            let Some(mut idle_connection) = idle_connection else { break };
+            if idle_connection.has_unexpected_bytes() {
+                self.counts.borrow_mut().duplicate_responses += 1;
                 continue;
             }
-            return (kept, true);
+            return (idle_connection, true);
         }
         loop {
             match TcpStream::connect(self.address.get()).await {
                 Ok(stream) => return (Connection::new(stream), false),
-                Err(_) => sleep(CONNECT_AGAIN).await,
+                Err(_) => sleep(CONNECT_RETRY_DELAY).await,
             }
         }
     }
 
-    /// Counts kept connections on which more came than was asked for.
-    fn count_unexpected(&self) {
+    /// Counts the idle connections that received bytes beyond their expected responses.
+    fn count_unexpected_responses(&self) {
         let mut idle = self.idle.borrow_mut();
-        let before = idle.len();
+        let idle_count = idle.len();
         idle.retain_mut(|connection| !connection.has_unexpected_bytes());
-        self.outcome.borrow_mut().doubled += before - idle.len();
+        self.counts.borrow_mut().duplicate_responses += idle_count - idle.len();
     }
 }
--- a/crates/scale/src/departures.rs
+++ b/crates/scale/src/departures.rs
@@ -1,5 +1,5 @@
-//! Departures of executors from the list: when discovery found each one, and when it notified each node. Executors use
-//! them to detect attempts that arrive too late (rule 3).
+//! Departures of executors from the list: when discovery found each one, and when it notified each node. Executors
+//! use them to detect attempts that arrive too late (rule 3).
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -23,7 +23,8 @@
         Departures { max_notification_delay, by_executor: RefCell::default() }
     }
 
-    /// Records that discovery found an executor draining or gone. An executor that drained before keeps its first time.
+    /// Records that discovery found an executor draining or gone. An executor that drained before keeps its first
+    /// time.
     pub fn record_departure(&self, executor: usize, discovered_at: Instant) {
         self.by_executor
             .borrow_mut()
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Returns since when a node counts as notified of an executor's departure; none if the executor has not departed.
+    /// Returns since when a node counts as notified of an executor's departure; none if the executor has not
+    /// departed.
     pub fn notified_at(&self, node: usize, executor: usize) -> Option<Instant> {
         let departures = self.by_executor.borrow();
         let departure = departures.get(&executor)?;
--- a/crates/scale/src/discovery.rs
+++ b/crates/scale/src/discovery.rs
@@ -187,16 +187,16 @@
     }
 
     async fn exchange(&self, connection: &mut Connection) -> io::Result<()> {
-        while let Some(request) = connection.request().await? {
+        while let Some(request) = connection.read_request().await? {
             self.discovery.speaks().await;
             let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
             if path != MEMBERS {
-                connection.write(&wire::answer_bytes(404, "", "")).await?;
+                connection.write(&wire::encode_response(404, "", "")).await?;
                 continue;
             }
             if !query.split('&').any(|pair| pair == "stream=1") {
                 let line = self.discovery.catalog.borrow().line(None);
-                connection.write(&wire::answer_bytes(200, "", &line.text)).await?;
+                connection.write(&wire::encode_response(200, "", &line.text)).await?;
                 self.has_told(&line);
                 continue;
             }
@@ -216,7 +216,7 @@
             version.borrow_and_update();
             self.discovery.speaks().await;
             let line = self.discovery.catalog.borrow().line(after);
-            connection.write(&wire::chunk(&line.text)).await?;
+            connection.write(&wire::encode_chunk(&line.text)).await?;
             self.has_told(&line);
             after = Some(line.version);
             loop {
@@ -227,10 +227,10 @@
                     },
                     () = sleep(KEEP_ALIVE) => {
                         self.discovery.speaks().await;
-                        connection.write(&wire::chunk("\n")).await?;
+                        connection.write(&wire::encode_chunk("\n")).await?;
                         self.count(0, 1);
                     }
-                    () = connection.ended() => return Ok(()),
+                    () = connection.wait_closed() => return Ok(()),
                 }
             }
         }
--- a/crates/scale/src/executor_config.rs
+++ b/crates/scale/src/executor_config.rs
@@ -31,15 +31,16 @@
     pub initial_capacity: f64,
     #[serde(rename = "ramp")]
     pub ramp_duration: Duration,
-    /// An executor that warms up takes `budget_multiple` times its capacity of work within `budget_window`; beyond that it
-    /// fails.
+    /// An executor that warms up takes `budget_multiple` times its capacity of work within `budget_window`; beyond
+    /// that it fails.
     #[serde(rename = "fall_multiple")]
     pub budget_multiple: f64,
     #[serde(rename = "fall_window")]
     pub budget_window: Duration,
 }
 
-/// Returns the result of a request; it contains the request id, so that a client detects the result of another request.
+/// Returns the result of a request; it contains the request id, so that a client detects the result of another
+/// request.
 pub fn result_of(id: RequestId) -> String {
     format!("result of {id}")
 }
--- a/crates/scale/src/executor_counts.rs
+++ b/crates/scale/src/executor_counts.rs
@@ -57,8 +57,8 @@
 pub enum ExecutorViolation {
     /// Rule 2: a request that may run at most once was started again.
     RepeatedEffect { request: RequestId, executor: usize },
-    /// Rule 3: an attempt arrived after the drain grace of a node that had been notified of the drain or the loss of the
-    /// executor.
+    /// Rule 3: an attempt arrived after the drain grace of a node that had been notified of the drain or the loss of
+    /// the executor.
     SentAfterGrace { request: RequestId, executor: usize, late_ms: f64 },
     /// Rule 4: an executor that warms up was sent more work within the budget window than its warm-up budget allows.
     /// `sent_ms` is the work that it was sent, `stands_ms` the budget.
--- a/crates/scale/src/executor_shard.rs
+++ b/crates/scale/src/executor_shard.rs
@@ -29,8 +29,8 @@
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl ExecutorConfig {
-    /// Returns the service time of a request on an executor that has warmed up. It is drawn from the seed and the request
-    /// id, hence the same on every executor.
+    /// Returns the service time of a request on an executor that has warmed up. It is drawn from the seed and the
+    /// request id, hence the same on every executor.
     fn service_time(&self, request: RequestId) -> Duration {
         let mut random = ChaCha8Rng::seed_from_u64(self.seed ^ request.0.rotate_left(17));
         let uniform: f64 = random.random();
@@ -258,8 +258,8 @@
 
     /// Serves requests on one connection until it ends.
     async fn exchange(&self, connection: &mut Connection, sender: Sender) -> io::Result<()> {
-        while let Some(request) = connection.request().await? {
-            let is_last = request.asks_to_close();
+        while let Some(request) = connection.read_request().await? {
+            let is_last = request.has_connection_close();
             if request.method == "GET" {
                 self.answer_probe(&request, connection, sender).await?;
             } else {
@@ -299,9 +299,9 @@
         let response = match request.target.as_str() {
             "/ping" | "/_load" => {
                 self.shared.counts.count(sender, TrafficEvent::Probe);
-                wire::answer_bytes(200, "", &self.load_report())
+                wire::encode_response(200, "", &self.load_report())
             }
-            _ => wire::answer_bytes(404, "", ""),
+            _ => wire::encode_response(404, "", ""),
         };
         connection.write(&response).await
     }
@@ -313,10 +313,10 @@
         sender: Sender,
     ) -> io::Result<()> {
         let Some(id) = request.field("request-id") else {
-            return connection.write(&wire::answer_bytes(404, "", "")).await;
+            return connection.write(&wire::encode_response(404, "", "")).await;
         };
         let Some(id) = RequestId::parse(id) else {
-            return connection.write(&wire::answer_bytes(400, "", "")).await;
+            return connection.write(&wire::encode_response(400, "", "")).await;
         };
         self.shared.counts.count(sender, TrafficEvent::Attempt);
         let work = self.shared.config.service_time(id);
@@ -324,7 +324,7 @@
         let is_real_node = sender == Sender::RealNode;
         if is_real_node {
             self.shared.counts.record_reached(self.number);
-            self.check_grace(id, request.first_byte);
+            self.check_grace(id, request.first_byte_at);
         }
         if is_real_node && self.exceeds_warm_up_budget(id, work) {
             // Overloaded during warm-up: the executor fails and is restarted.
@@ -335,14 +335,14 @@
             && self.waiting.get() >= self.shared.config.queue_capacity
         {
             self.shared.counts.count(sender, TrafficEvent::Rejected);
-            return connection.write(&wire::answer_bytes(503, "Not-Started: 1\r\n", "")).await;
+            return connection.write(&wire::encode_response(503, "Not-Started: 1\r\n", "")).await;
         }
         let is_at_most_once = request.target.trim_start_matches('/').split('/').next() == Some(AT_MOST_ONCE);
         self.run(id, work, is_real_node && is_at_most_once, connection).await
     }
 
-    /// Runs an attempt: queues it for a slot and streams its states as chunks until it is done. The attempt is cancelled
-    /// if its peer closes the connection. Records the start if `is_start_recorded`.
+    /// Runs an attempt: queues it for a slot and streams its states as chunks until it is done. The attempt is
+    /// cancelled if its peer closes the connection. Records the start if `is_start_recorded`.
     async fn run(
         &self,
         id: RequestId,
@@ -357,7 +357,7 @@
             tokio::select! {
                 biased;
                 permit = self.slots.acquire() => permit.map_err(io::Error::other)?,
-                () = connection.ended() => return Err(io::ErrorKind::ConnectionAborted.into()),
+                () = connection.wait_closed() => return Err(io::ErrorKind::ConnectionAborted.into()),
             }
         };
         let _running = CountGuard::increment(&self.running);
@@ -365,31 +365,31 @@
             self.shared.counts.record_at_most_once_start(id, self.number);
         }
         let line = format!("{{\"id\":\"{id}\",\"from\":\"{number}\",\"state\":\"started\"}}\n");
-        connection.write(&wire::chunk(&line)).await?;
+        connection.write(&wire::encode_chunk(&line)).await?;
         let capacity = self
             .started_at
             .get()
             .map_or(1.0, |started_at| self.shared.config.capacity_share(started_at.elapsed()));
         tokio::select! {
             () = sleep(work.div_f64(capacity.max(0.01))) => {}
-            () = connection.ended() => return Err(io::ErrorKind::ConnectionAborted.into()),
+            () = connection.wait_closed() => return Err(io::ErrorKind::ConnectionAborted.into()),
         }
         drop(permit);
         let line = format!(
             "{{\"id\":\"{id}\",\"from\":\"{number}\",\"state\":\"done\",\"result\":\"{}\"}}\n",
             result_of(id)
         );
-        let mut last = wire::chunk(&line);
+        let mut last = wire::encode_chunk(&line);
         last.extend_from_slice(wire::LAST_CHUNK);
         connection.write(&last).await
     }
 
     /// Checks rule 3: an attempt must not arrive after the drain grace.
-    fn check_grace(&self, request: RequestId, first_byte: Option<Instant>) {
+    fn check_grace(&self, request: RequestId, first_byte_at: Option<Instant>) {
         let Shared { config, counts, departures } = &*self.shared;
         let Some(notified_at) = departures.notified_at(request.node(), self.number) else { return };
         let allowed = notified_at + config.drain_grace + config.slack;
-        let late = first_byte.unwrap_or_else(Instant::now).saturating_duration_since(allowed);
+        let late = first_byte_at.unwrap_or_else(Instant::now).saturating_duration_since(allowed);
         if !late.is_zero() {
             let late_ms = late.as_secs_f64() * 1000.0;
             counts.record_violation(ExecutorViolation::SentAfterGrace {
@@ -400,8 +400,8 @@
         }
     }
 
-    /// Checks rule 4: returns whether an executor that warms up has been sent more work within the budget window than its
-    /// warm-up budget.
+    /// Checks rule 4: returns whether an executor that warms up has been sent more work within the budget window than
+    /// its warm-up budget.
     fn exceeds_warm_up_budget(&self, request: RequestId, work: Duration) -> bool {
         let Shared { config, counts, .. } = &*self.shared;
         let Some(started_at) = self.started_at.get() else { return false };
--- a/crates/scale/src/hollow_executors.rs
+++ b/crates/scale/src/hollow_executors.rs
@@ -1,8 +1,8 @@
 //! Hollow executors: each one listens at its own address and answers probes and attempts as the protocol demands, but
 //! sleeps instead of working.
 //!
-//! [`HollowExecutors::start`] returns when all listeners are open; dropping the value ends the fleet. The number of file
-//! descriptors of a process is limited, so a large fleet is spread over several processes, see
+//! [`HollowExecutors::start`] returns when all listeners are open; dropping the value ends the fleet. The number of
+//! file descriptors of a process is limited, so a large fleet is spread over several processes, see
 //! [`crate::executor_worker`].
 use crate::executor_commands::{Command, PendingCommand, Reply};
 use crate::executor_config::ExecutorConfig;
@@ -95,7 +95,8 @@
         self.execute_on_all(&Command::ClearDepartures).await;
     }
 
-    /// Records that discovery found the executors draining or gone. Commands are carried out in the order of the calls.
+    /// Records that discovery found the executors draining or gone. Commands are carried out in the order of the
+    /// calls.
     pub fn record_departures(&self, executors: &[usize]) {
         self.notify(&Command::RecordDepartures(executors.to_vec()));
     }
@@ -110,8 +111,8 @@
         self.notify(&Command::RecordNotifications { node, executors: executors.to_vec() });
     }
 
-    /// Returns the counts of all shards; its lists contain what was added since the last call. Repeated starts of a request
-    /// are detected here, because its executors may be in different processes.
+    /// Returns the counts of all shards; its lists contain what was added since the last call. Repeated starts of a
+    /// request are detected here, because its executors may be in different processes.
     pub async fn report(&self) -> ExecutorReport {
         let mut total = ExecutorReport::default();
         for reply in self.execute_on_all(&Command::Report).await {
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,8 +1,8 @@
 //! Scale runs: a few real nodes and thousands of hollow executors and hollow nodes, on loopback sockets.
 //!
-//! A [`file::ScaleFile`] defines the measurements. [`campaign::run`] makes them and emits [`row::Row`]s, which [`judge`]
-//! compares with the bounds; [`fit`] fits a straight line to them over the size of the fleet. [`table`] prints both, for
-//! the rows of the current run as well as for those of an earlier one.
+//! A [`file::ScaleFile`] defines the measurements. [`campaign::run`] makes them and emits [`row::Row`]s, which
+//! [`judge`] compares with the bounds; [`fit`] fits a straight line to them over the size of the fleet. [`table`]
+//! prints both, for the rows of the current run as well as for those of an earlier one.
 pub mod bounds;
 pub mod campaign;
 pub mod catalog;
@@ -24,7 +24,7 @@
 mod node_config;
 pub mod node_process;
 mod real_node;
-pub mod registry_figures;
+pub mod registry_counts;
 pub mod request_id;
 pub mod row;
 pub mod table;
--- a/crates/scale/src/node_process.rs
+++ b/crates/scale/src/node_process.rs
@@ -1,4 +1,5 @@
-//! Real nodes: processes of `troutknotd` as the platform starts them, and what the kernel says they used.
+//! Processes of real nodes, started as the platform starts `troutknotd`, and the kernel's accounting of their
+//! resources.
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::{self, File};
 use std::io;
@@ -11,14 +12,14 @@
 
 use crate::wire::Connection;
 
-/// How often a node is asked whether it is ready.
-const ASK_EVERY: Duration = Duration::from_millis(2);
-/// `utime` and `stime` of `/proc/PID/stat` count these, where there is nothing finer.
+/// Interval of health checks and of checks for the end of the process.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Unit of `utime` and `stime` in `/proc/PID/stat`, the fallback where the kernel has no finer accounting.
 const TICK: Duration = Duration::from_millis(10);
-/// Written to `/proc/PID/clear_refs`, it sets the peak of the resident memory back to what is resident.
+/// Written to `/proc/PID/clear_refs`, this resets the peak resident memory to the current resident memory.
 const RESET_PEAK: &str = "5";
 
-/// The program of a node: its path, and arguments that make it run a node where it can do more.
+/// Path of a node's program, and the arguments that select the node among its functions.
 #[derive(Clone, Debug)]
 pub struct NodeProgram {
     pub path: PathBuf,
@@ -26,22 +27,22 @@
 }
 
 impl NodeProgram {
-    /// `troutknotd` needs no arguments; `troutknot` runs a node as `troutknot node`.
+    /// Returns the program at a path: `troutknotd` needs no arguments; `troutknot` runs a node as `troutknot node`.
     pub fn at(path: &Path) -> Self {
-        let runs_nodes_only = path.file_stem().is_some_and(|name| name == "troutknotd");
-        let arguments = if runs_nodes_only { Vec::new() } else { vec!["node".into()] };
+        let is_node_daemon = path.file_stem().is_some_and(|name| name == "troutknotd");
+        let arguments = if is_node_daemon { Vec::new() } else { vec!["node".into()] };
         NodeProgram { path: path.to_owned(), arguments }
     }
 }
 
-/// A process of a node; it is killed when this is dropped.
+/// Process of a node; it is killed on drop.
 pub struct NodeProcess {
     child: Child,
-    listen: SocketAddr,
-    started: Instant,
+    listen_address: SocketAddr,
+    started_at: Instant,
 }
 
-/// What a process has used.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     pub cpu: Duration,
@@ -50,11 +51,16 @@
 }
 
 impl NodeProcess {
-    /// Starts a process; `config` is its `ROUTER_CONFIG` file, and what it says goes to the end of `log`.
+    /// Starts a process with `config` as its `ROUTER_CONFIG` file; its output is appended to `log`.
     ///
     /// # Errors
-    /// Where it cannot be started.
-    pub fn start(program: &NodeProgram, config: &Path, log: &Path, listen: SocketAddr) -> io::Result<Self> {
+    /// If the log cannot be opened or the process cannot be started.
+    pub fn start(
+        program: &NodeProgram,
+        config: &Path,
+        log: &Path,
+        listen_address: SocketAddr,
+    ) -> io::Result<Self> {
         let output = File::options().create(true).append(true).open(log)?;
         let errors = output.try_clone()?;
         let child = Command::new(&program.path)
@@ -67,29 +73,29 @@
             .stdout(output)
             .stderr(errors)
             .spawn()?;
-        Ok(NodeProcess { child, listen, started: Instant::now() })
+        Ok(NodeProcess { child, listen_address, started_at: Instant::now() })
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.listen
+        self.listen_address
     }
 
-    /// How long ago it was started.
+    /// Time since the start of the process.
     pub fn age(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Waits for the first 200 on `/_health`; the time from its start, none where it takes longer than `at_most`
-    /// or the process has ended.
-    pub async fn ready(&mut self, at_most: Duration) -> Option<Duration> {
-        while self.age() < at_most {
-            if is_healthy(self.listen).await {
+    /// Waits for the first 200 on `/_health`. Returns the time since the start, or `None` after the timeout or if the
+    /// process has ended.
+    pub async fn wait_ready(&mut self, timeout: Duration) -> Option<Duration> {
+        while self.age() < timeout {
+            if is_healthy(self.listen_address).await {
                 return Some(self.age());
             }
             if self.has_ended() {
                 return None;
             }
-            sleep(ASK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         None
     }
@@ -98,30 +104,30 @@
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// SIGHUP: it reads its configuration again.
+    /// Sends SIGHUP, on which the node rereads its configuration.
     ///
     /// # Errors
-    /// Where it cannot be signalled.
+    /// If the signal cannot be sent.
     pub fn reload(&self) -> io::Result<()> {
         Ok(kill_process(Pid::from_child(&self.child), Signal::HUP)?)
     }
 
-    /// SIGTERM: it answers what it has taken, and ends.
+    /// Sends SIGTERM, on which the node answers its accepted requests and exits.
     ///
     /// # Errors
-    /// Where it cannot be signalled.
+    /// If the signal cannot be sent.
     pub fn terminate(&self) -> io::Result<()> {
         Ok(kill_process(Pid::from_child(&self.child), Signal::TERM)?)
     }
 
-    /// Waits until it has ended; false where that takes longer.
-    pub async fn ended(&mut self, at_most: Duration) -> bool {
-        let until = Instant::now() + at_most;
+    /// Waits until the process has ended; returns false after the timeout.
+    pub async fn wait_ended(&mut self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         while !self.has_ended() {
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return false;
             }
-            sleep(ASK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         true
     }
@@ -131,72 +137,74 @@
     }
 
     /// # Errors
-    /// Where the process has ended.
+    /// If the process has ended.
     pub fn usage(&self) -> io::Result<Usage> {
         let status = fs::read_to_string(self.proc_file("status"))?;
-        let bytes = |field: &str| kilobytes(&status, field).unwrap_or(0) * 1024;
-        let cpu = match scheduled(&self.proc_file("task")) {
+        let bytes = |field: &str| status_kilobytes(&status, field).unwrap_or(0) * 1024;
+        let cpu = match scheduler_cpu_time(&self.proc_file("task")) {
             Some(cpu) => cpu,
-            None => ticks(&fs::read_to_string(self.proc_file("stat"))?).unwrap_or_default(),
+            None => tick_cpu_time(&fs::read_to_string(self.proc_file("stat"))?).unwrap_or_default(),
         };
         Ok(Usage { cpu, resident_bytes: bytes("VmRSS:"), peak_resident_bytes: bytes("VmHWM:") })
     }
 
-    /// From now on the peak counts from what is resident now. Where the kernel does not let it, the peak is that
+    /// Resets the peak resident memory to the current one. If the kernel does not permit it, the peak remains that
     /// since the start.
     pub fn reset_peak(&self) {
         let _ = fs::write(self.proc_file("clear_refs"), RESET_PEAK);
     }
 
-    /// Sockets that it has open.
+    /// Returns the number of open sockets.
     ///
     /// # Errors
-    /// Where the process has ended.
+    /// If the process has ended.
     pub fn open_sockets(&self) -> io::Result<usize> {
         let is_socket = |entry: io::Result<fs::DirEntry>| {
             entry
                 .and_then(|entry| fs::read_link(entry.path()))
                 .is_ok_and(|target| target.to_string_lossy().starts_with("socket:"))
         };
-        Ok(fs::read_dir(self.proc_file("fd"))?.map(is_socket).filter(|is| *is).count())
+        Ok(fs::read_dir(self.proc_file("fd"))?.map(is_socket).filter(|is_socket| *is_socket).count())
     }
 }
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // What has ended by itself cannot be killed, and is collected all the same.
+        // Killing fails if the process has already ended; waiting reaps it in any case.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 async fn is_healthy(address: SocketAddr) -> bool {
-    let ask = async {
+    let exchange = async {
         let mut connection = Connection::new(TcpStream::connect(address).await?);
         connection.write(b"GET /_health HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n").await?;
-        connection.answer().await
+        connection.read_response().await
     };
-    matches!(ask.await, Ok(Some(answer)) if answer.status == 200)
+    matches!(exchange.await, Ok(Some(response)) if response.status == 200)
 }
 
-fn kilobytes(status: &str, field: &str) -> Option<u64> {
+fn status_kilobytes(status: &str, field: &str) -> Option<u64> {
     let value = status.lines().find_map(|line| line.strip_prefix(field))?;
     value.split_whitespace().next()?.parse().ok()
 }
 
-/// The time that all threads of a process ran, in nanoseconds, where the kernel says it.
-fn scheduled(tasks: &Path) -> Option<Duration> {
-    let mut sum = Duration::ZERO;
-    for task in fs::read_dir(tasks).ok()? {
+/// Sum of the CPU time of all threads from `schedstat`, which counts nanoseconds; `None` if the kernel does not
+/// report it.
+fn scheduler_cpu_time(task_directory: &Path) -> Option<Duration> {
+    let mut total = Duration::ZERO;
+    for task in fs::read_dir(task_directory).ok()? {
         let text = fs::read_to_string(task.ok()?.path().join("schedstat")).ok()?;
-        sum += Duration::from_nanos(text.split_whitespace().next()?.parse().ok()?);
+        total += Duration::from_nanos(text.split_whitespace().next()?.parse().ok()?);
     }
-    (sum > Duration::ZERO).then_some(sum)
+    (total > Duration::ZERO).then_some(total)
 }
 
-/// The same from `/proc/PID/stat`: fields 14 and 15, counted behind the name in parentheses.
-fn ticks(stat: &str) -> Option<Duration> {
+/// CPU time from fields 14 and 15 of `/proc/PID/stat`; the fields are counted after the process name in parentheses,
+/// which may contain spaces.
+fn tick_cpu_time(stat: &str) -> Option<Duration> {
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
-    let count = |at: usize| fields.get(at)?.parse::<u32>().ok();
+    let count = |index: usize| fields.get(index)?.parse::<u32>().ok();
     Some(TICK * (count(11)? + count(12)?))
 }
--- a/crates/scale/src/real_node.rs
+++ b/crates/scale/src/real_node.rs
@@ -1,10 +1,10 @@
-//! A real node with all that stands round it: its agent of discovery, its clients, its files.
-use crate::clients::{ClientTerms, Clients};
+//! A real node with its discovery agent, its clients and its files.
+use crate::clients::{ClientConfig, Clients};
 use crate::discovery::{Agent, Discovery};
 use crate::file::ScaleFile;
 use crate::node_config::NodeConfig;
 use crate::node_process::{NodeProcess, NodeProgram, Usage};
-use crate::registry_figures::RegistryFigures;
+use crate::registry_counts::RegistryCounts;
 use std::cell::RefCell;
 use std::fs;
 use std::io;
@@ -13,78 +13,92 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Client connections to one node at once.
+/// Maximum number of concurrent client connections to one node.
 const CLIENT_CONNECTIONS: usize = 128;
-/// So long after SIGTERM the front still lets new requests through.
-const FRONT_NOTICES: Duration = Duration::from_millis(300);
-/// A node is given so long to end after SIGTERM, beside the longest deadline.
-const END_BESIDE_DEADLINE: Duration = Duration::from_millis(700);
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-
-/// What all real nodes of a step have in common.
-pub struct Surroundings<'a> {
+/// How long after SIGTERM the front continues to send new requests to a node.
+const FRONT_REMOVAL_DELAY: Duration = Duration::from_millis(300);
+/// Time beyond the longest deadline that a node has to exit after SIGTERM.
+const EXIT_MARGIN: Duration = Duration::from_millis(700);
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+
+/// Parameters that all real nodes of a step share.
+pub struct NodeContext<'a> {
     pub file: &'a ScaleFile,
     pub program: &'a NodeProgram,
     pub folder: &'a Path,
     pub discovery: &'a Rc<Discovery>,
     pub zones: usize,
-    /// Of the requests of each node's clients.
+    /// First sequence number of the requests of each node's clients.
     pub first_sequence: u64,
 }
 
-impl Surroundings<'_> {
-    fn config<'a>(&'a self, node: usize, addresses: &Addresses, discovery: SocketAddr) -> NodeConfig<'a> {
+impl NodeContext<'_> {
+    fn config<'a>(
+        &'a self,
+        node: usize,
+        addresses: &Addresses,
+        discovery_address: SocketAddr,
+    ) -> NodeConfig<'a> {
         let (file, zones) = (self.file, self.zones);
-        let Addresses { listen, management } = *addresses;
-        NodeConfig { file, node, listen, discovery, management, zones, known: None, added_class: false }
+        let Addresses { listen_address, admin_address } = *addresses;
+        NodeConfig {
+            file,
+            node,
+            listen_address,
+            discovery_address,
+            admin_address,
+            zones,
+            cached_list: None,
+            has_added_class: false,
+        }
     }
 
-    /// The settings that a node is told, for one that has no file of its own.
-    pub fn settings_of(&self, node: usize) -> serde_json::Map<String, serde_json::Value> {
-        let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        self.config(node, &Addresses { listen: nowhere, management: nowhere }, nowhere).settings()
+    /// Returns the settings of a node, for use by a node without a configuration file.
+    pub fn settings(&self, node: usize) -> serde_json::Map<String, serde_json::Value> {
+        let unused = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        self.config(node, &Addresses { listen_address: unused, admin_address: unused }, unused).to_settings()
     }
 }
 
-/// Where a node listens.
+/// Addresses of a node's listeners.
 struct Addresses {
-    listen: SocketAddr,
-    /// For operators.
-    management: SocketAddr,
+    listen_address: SocketAddr,
+    /// Address of the admin server.
+    admin_address: SocketAddr,
 }
 
-/// One node and who it talks to.
+/// A node process with its agent and its clients.
 pub struct RealNode {
     number: usize,
     addresses: Addresses,
     pub agent: Rc<Agent>,
     pub clients: Rc<Clients>,
-    config: PathBuf,
-    log: PathBuf,
-    /// None while somebody waits for it: it starts, or is being restarted.
+    config_path: PathBuf,
+    log_path: PathBuf,
+    /// None while the process is being awaited, that is during a start or restart.
     process: RefCell<Option<NodeProcess>>,
 }
 
 impl RealNode {
-    /// Starts a node that knows no list yet.
+    /// Starts a node without a cached list.
     ///
     /// # Errors
-    /// Where files cannot be written, or the process not be started.
-    pub fn start(surroundings: &Surroundings, number: usize) -> io::Result<Rc<Self>> {
-        let agent = Agent::start(surroundings.discovery, number)?;
-        let addresses = Addresses { listen: free_address()?, management: free_address()? };
-        let config = surroundings.folder.join(format!("node-{number}.json"));
-        let log = surroundings.folder.join(format!("node-{number}.log"));
-        write_config(surroundings, number, &addresses, &agent, None, false, &config)?;
-        let process = NodeProcess::start(surroundings.program, &config, &log, addresses.listen)?;
-        let clients = Clients::new(number as u8, addresses.listen, client_terms(surroundings));
+    /// If a file cannot be written or the process cannot be started.
+    pub fn start(context: &NodeContext, number: usize) -> io::Result<Rc<Self>> {
+        let agent = Agent::start(context.discovery, number)?;
+        let addresses = Addresses { listen_address: free_address()?, admin_address: free_address()? };
+        let config = context.folder.join(format!("node-{number}.json"));
+        let log = context.folder.join(format!("node-{number}.log"));
+        write_config(context, number, &addresses, &agent, None, false, &config)?;
+        let process = NodeProcess::start(context.program, &config, &log, addresses.listen_address)?;
+        let clients = Clients::new(number as u8, addresses.listen_address, client_config(context));
         Ok(Rc::new(RealNode {
             number,
             addresses,
             agent,
             clients,
-            config,
-            log,
+            config_path: config,
+            log_path: log,
             process: RefCell::new(Some(process)),
         }))
     }
@@ -93,143 +107,148 @@
         self.number
     }
 
-    /// The time from its start to its first 200 on `/_health`; none where that takes longer.
-    pub async fn ready(&self, at_most: Duration) -> Option<Duration> {
+    /// Waits for the first 200 on `/_health`; returns the time since the start, or `None` after the timeout.
+    pub async fn wait_ready(&self, timeout: Duration) -> Option<Duration> {
         let mut process = self.process.take()?;
-        let ready = process.ready(at_most).await;
+        let start_time = process.wait_ready(timeout).await;
         self.process.replace(Some(process));
-        ready
+        start_time
     }
 
-    fn ask<T>(&self, what: impl FnOnce(&NodeProcess) -> io::Result<T>) -> io::Result<T> {
+    fn with_process<T>(&self, read: impl FnOnce(&NodeProcess) -> io::Result<T>) -> io::Result<T> {
         match &*self.process.borrow() {
-            Some(process) => what(process),
-            None => Err(io::Error::new(io::ErrorKind::NotConnected, "the node is being started")),
+            Some(process) => read(process),
+            None => Err(io::Error::new(io::ErrorKind::NotConnected, "the node process is being started")),
         }
     }
 
     /// # Errors
-    /// Where the process has ended, or is being restarted.
+    /// If the process has ended or is being restarted.
     pub fn usage(&self) -> io::Result<Usage> {
-        self.ask(NodeProcess::usage)
+        self.with_process(NodeProcess::usage)
     }
 
     pub fn reset_peak(&self) {
-        let _ = self.ask(|process| {
+        let _ = self.with_process(|process| {
             process.reset_peak();
             Ok(())
         });
     }
 
     /// # Errors
-    /// Where the process has ended, or is being restarted.
+    /// If the process has ended or is being restarted.
     pub fn open_sockets(&self) -> io::Result<usize> {
-        self.ask(NodeProcess::open_sockets)
+        self.with_process(NodeProcess::open_sockets)
     }
 
-    /// The last lines that it said, for an error message.
-    pub fn last_words(&self) -> String {
-        let log = fs::read_to_string(&self.log).unwrap_or_default();
+    /// Returns the last 3 lines of the node's log, for an error message.
+    pub fn last_log_lines(&self) -> String {
+        let log = fs::read_to_string(&self.log_path).unwrap_or_default();
         let lines: Vec<&str> = log.lines().rev().take(3).collect();
         lines.into_iter().rev().collect::<Vec<_>>().join("; ")
     }
 
-    /// What it tells operators of its executors now.
+    /// Fetches the registry counts from the node's admin server.
     ///
     /// # Errors
-    /// Where it does not answer.
-    pub async fn registry_figures(&self) -> io::Result<RegistryFigures> {
-        RegistryFigures::ask(self.addresses.management).await
+    /// If the node does not respond with the counts.
+    pub async fn fetch_registry_counts(&self) -> io::Result<RegistryCounts> {
+        RegistryCounts::fetch(self.addresses.admin_address).await
     }
 
-    /// Has it read its configuration again, with or without [`crate::node_config::ADDED_CLASS`].
+    /// Makes the node reread its configuration, with or without [`crate::node_config::ADDED_CLASS`].
     ///
     /// # Errors
-    /// Where the file cannot be written, or the process not be signalled.
-    pub fn reload(&self, surroundings: &Surroundings, added_class: bool) -> io::Result<()> {
+    /// If the file cannot be written or the process cannot be signalled.
+    pub fn reload(&self, context: &NodeContext, has_added_class: bool) -> io::Result<()> {
         write_config(
-            surroundings,
+            context,
             self.number,
             &self.addresses,
             &self.agent,
             None,
-            added_class,
-            &self.config,
+            has_added_class,
+            &self.config_path,
         )?;
-        self.ask(NodeProcess::reload)
+        self.with_process(NodeProcess::reload)
     }
 
-    /// SIGTERM, its end, and a new start from the list as it is told now; the time from the new start to ready,
-    /// none where that takes longer than `at_most`.
+    /// Ends the node with SIGTERM and starts it again with the current list as its cached list. Returns the time from
+    /// the new start until it is ready, or `None` after the timeout.
     ///
     /// # Errors
-    /// Where it cannot be signalled or started.
+    /// If the process cannot be signalled or started.
     pub async fn restart(
         &self,
-        surroundings: &Surroundings<'_>,
-        at_most: Duration,
+        context: &NodeContext<'_>,
+        timeout: Duration,
     ) -> io::Result<Option<Duration>> {
-        let known = surroundings.discovery.whole_list();
+        let cached_list = context.discovery.whole_list();
         let Some(mut process) = self.process.take() else { return Ok(None) };
         process.terminate()?;
-        tokio::time::sleep(FRONT_NOTICES).await;
-        self.clients.set_open(false);
-        let deadline = surroundings.file.requests.deadline.min(LONGEST_DEADLINE);
-        process.ended(deadline + END_BESIDE_DEADLINE - FRONT_NOTICES).await;
+        tokio::time::sleep(FRONT_REMOVAL_DELAY).await;
+        self.clients.set_enabled(false);
+        let deadline = context.file.requests.deadline.min(MAX_DEADLINE);
+        process.wait_ended(deadline + EXIT_MARGIN - FRONT_REMOVAL_DELAY).await;
         write_config(
-            surroundings,
+            context,
             self.number,
             &self.addresses,
             &self.agent,
-            Some(&known),
+            Some(&cached_list),
             false,
-            &self.config,
+            &self.config_path,
         )?;
         drop(process);
-        let process =
-            NodeProcess::start(surroundings.program, &self.config, &self.log, self.addresses.listen)?;
+        let process = NodeProcess::start(
+            context.program,
+            &self.config_path,
+            &self.log_path,
+            self.addresses.listen_address,
+        )?;
         self.process.replace(Some(process));
-        let ready = self.ready(at_most).await;
-        self.clients.set_open(true);
-        Ok(ready)
+        let start_time = self.wait_ready(timeout).await;
+        self.clients.set_enabled(true);
+        Ok(start_time)
     }
 
-    /// Whether it has ended by itself.
+    /// Returns whether the process ended unasked.
     pub fn has_ended(&self) -> bool {
         self.process.borrow_mut().as_mut().is_some_and(NodeProcess::has_ended)
     }
 }
 
-fn client_terms(surroundings: &Surroundings) -> ClientTerms {
-    let file = surroundings.file;
-    ClientTerms {
+fn client_config(context: &NodeContext) -> ClientConfig {
+    let file = context.file;
+    ClientConfig {
         seed: file.seed,
         tenants: file.requests.teams,
         deadline: file.requests.deadline,
         slack: file.rules.slack,
-        at_most_once: file.requests.at_most_once,
-        connections: CLIENT_CONNECTIONS,
-        first_sequence: surroundings.first_sequence,
+        at_most_once_share: file.requests.at_most_once,
+        max_connections: CLIENT_CONNECTIONS,
+        first_sequence: context.first_sequence,
     }
 }
 
-/// An address that nobody listens at now.
+/// Returns a local address that is currently unused.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()
 }
 
 fn write_config(
-    surroundings: &Surroundings,
+    context: &NodeContext,
     node: usize,
     addresses: &Addresses,
     agent: &Agent,
-    known: Option<&str>,
-    added_class: bool,
+    cached_list: Option<&str>,
+    has_added_class: bool,
     path: &Path,
 ) -> io::Result<()> {
-    let config = NodeConfig { known, added_class, ..surroundings.config(node, addresses, agent.address()) };
-    // Renamed into place: a node never reads half a file.
-    let written = path.with_extension("new");
-    fs::write(&written, config.to_json().to_string())?;
-    fs::rename(&written, path)
+    let config =
+        NodeConfig { cached_list, has_added_class, ..context.config(node, addresses, agent.address()) };
+    // Renaming replaces the file atomically, so that a node never reads an incomplete one.
+    let temporary = path.with_extension("new");
+    fs::write(&temporary, config.to_json().to_string())?;
+    fs::rename(&temporary, path)
 }
--- a/crates/scale/tests/common/mod.rs
+++ b/crates/scale/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Rows of a run in which all held.
+//! Rows of a run in which all bounds are met.
 use troutknot_scale::bounds::Bounds;
 use troutknot_scale::file::ScaleFile;
 use troutknot_scale::judge::JUDGED;
@@ -28,14 +28,14 @@
     Figure::new(point, measurement, NodeKind::Real, value, 1.5, &bounds())
 }
 
-/// Each bounded measurement at each size, just within its bound.
-pub fn good_rows() -> Vec<Row> {
+/// Returns every bounded measurement at every size, with a value equal to its bound.
+pub fn rows_within_bounds() -> Vec<Row> {
     let mut rows = vec![Row::Start(start())];
     for size in SIZES {
         rows.push(Row::Figure(figure(size, Measurement::Requests, 600.0)));
         rows.push(Row::Figure(figure(size, Measurement::Completed, 590.0)));
         for measurement in JUDGED {
-            let bound = bounds().of(measurement).expect("it is judged");
+            let bound = bounds().of(measurement).expect("every judged measurement has a bound");
             rows.push(Row::Figure(figure(size, measurement, bound)));
         }
     }
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -87,7 +87,7 @@
 
 #[test]
 fn series_hold_what_differs_in_size_alone() {
-    let rows = common::good_rows();
+    let rows = common::rows_within_bounds();
     let all = series(figures(&rows));
     assert_eq!(all.len(), troutknot_scale::judge::JUDGED.len() + 2);
     let (of, samples) = all.iter().find(|(of, _)| of.measurement == Measurement::CpuShare).unwrap();
--- a/crates/scale/tests/hollow_executors.rs
+++ b/crates/scale/tests/hollow_executors.rs
@@ -45,7 +45,7 @@
 async fn ask(address: SocketAddr, request: &str) -> Option<Message> {
     let mut connection = connect(address).await;
     connection.write(request.as_bytes()).await.ok()?;
-    connection.answer().await.ok()?
+    connection.read_response().await.ok()?
 }
 
 fn attempt(class: &str, id: RequestId) -> String {
@@ -108,7 +108,7 @@
         let mut connection = connect(first).await;
         for _ in 0..3 {
             connection.write(probe.as_bytes()).await.unwrap();
-            connection.answer().await.unwrap().unwrap();
+            connection.read_response().await.unwrap().unwrap();
         }
         let request = attempt(IDEMPOTENT, id(1));
         ask(second, &request).await.unwrap();
@@ -162,9 +162,9 @@
         let address = executors.addresses()[5];
         let mut open = connect(address).await;
         open.write(b"GET /ping HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
-        open.answer().await.unwrap().unwrap();
+        open.read_response().await.unwrap().unwrap();
         executors.kill(5..6).await;
-        open.ended().await;
+        open.wait_closed().await;
         while TcpStream::connect(address).await.is_ok() {}
         let other_executor = ask(executors.addresses()[6], "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n").await;
         assert_eq!(other_executor.unwrap().status, 200);
--- a/crates/scale/tests/judge.rs
+++ b/crates/scale/tests/judge.rs
@@ -1,7 +1,7 @@
 //! Judgements, each of which a row that is wrong on purpose must turn.
 mod common;
 
-use common::{SIZES, bounds, figure, good_rows, start};
+use common::{SIZES, bounds, figure, rows_within_bounds, start};
 use troutknot_scale::judge::{JUDGED, Judgement, Verdict, judge};
 use troutknot_scale::row::{Breach, Measurement, NodeKind, Phase, Row};
 
@@ -13,7 +13,7 @@
 
 /// Changes the figure of a measurement at the largest size.
 fn mutate(measurement: Measurement, change: impl Fn(&mut f64)) -> Vec<Row> {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     let figures = rows.iter_mut().filter_map(|row| match row {
         Row::Figure(figure) if figure.measurement == measurement => Some(figure),
         _ => None,
@@ -24,7 +24,7 @@
 
 #[test]
 fn rows_at_their_bounds_hold() {
-    let judgements = judge(&good_rows()).unwrap();
+    let judgements = judge(&rows_within_bounds()).unwrap();
     assert!(judgements.all_held(), "{judgements:#?}");
     assert_eq!(judgements.each.len(), JUDGED.len());
     assert!(judgements.each.iter().all(|judgement| judgement.judged == SIZES.len()));
@@ -56,7 +56,7 @@
 #[test]
 fn a_measurement_that_was_never_made_does_not_hold() {
     for measurement in JUDGED {
-        let mut rows = good_rows();
+        let mut rows = rows_within_bounds();
         rows.retain(|row| !matches!(row, Row::Figure(figure) if figure.measurement == measurement));
         let turned = turned(&rows);
         assert_eq!(turned.len(), 1, "{measurement}: {turned:#?}");
@@ -71,7 +71,7 @@
     let everywhere =
         JUDGED.into_iter().filter(|of| !matches!(of, Measurement::Told | Measurement::ReadyAgain));
     for measurement in everywhere {
-        let mut rows = good_rows();
+        let mut rows = rows_within_bounds();
         rows.retain(|row| {
             !matches!(row, Row::Figure(figure) if figure.measurement == measurement && figure.executors == 5000)
         });
@@ -84,7 +84,7 @@
 
 #[test]
 fn nothing_holds_where_no_request_was_sent() {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     for row in &mut rows {
         if let Row::Figure(figure) = row
             && figure.measurement == Measurement::Requests
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_measurement_that_is_missing_at_one_turnover_does_not_hold() {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     for measurement in [Measurement::Requests, Measurement::Completed] {
         let mut other = figure(5000, measurement, 600.0);
         other.turnover = 8.0;
@@ -129,7 +129,7 @@
         (4, vec![Measurement::PushedOver]),
     ];
     for (rule, expected) in counts {
-        let mut rows = good_rows();
+        let mut rows = rows_within_bounds();
         let breach = Breach {
             rule,
             name: "wrong-on-purpose".into(),
@@ -157,7 +157,7 @@
 
 #[test]
 fn hollow_nodes_are_not_judged_and_are_no_evidence() {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     let mut hollow = figure(19_000, Measurement::CpuShare, 7.0);
     hollow.node = NodeKind::HollowByDispatcher;
     rows.insert(1, Row::Figure(hollow));
@@ -174,7 +174,7 @@
 
 #[test]
 fn a_run_that_was_not_played_to_its_end_does_not_hold() {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     rows.pop();
     let judgements = judge(&rows).unwrap();
     assert!(turned(&rows).is_empty() && !judgements.ended && !judgements.all_held());
@@ -182,6 +182,6 @@
 
 #[test]
 fn rows_without_a_start_are_not_judged() {
-    assert_eq!(judge(&good_rows()[1..]), None);
+    assert_eq!(judge(&rows_within_bounds()[1..]), None);
     assert!(!judge(&[Row::Start(start())]).unwrap().all_held());
 }
--- a/crates/scale/tests/row.rs
+++ b/crates/scale/tests/row.rs
@@ -1,7 +1,7 @@
 //! Rows as JSON lines: what is written is read again, and what is no run is refused.
 mod common;
 
-use common::{figure, good_rows, start};
+use common::{figure, rows_within_bounds, start};
 use troutknot_scale::row::{Breach, End, Measurement, Phase, ReadError, Row, Unit, figures, read_rows};
 use troutknot_scale::table::{Style, table};
 
@@ -15,7 +15,7 @@
 
 #[test]
 fn what_is_written_is_read_again() {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     let breach = Breach {
         rule: 3,
         name: "sent-after-grace".into(),
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_figure_has_the_unit_and_the_bound_of_its_measurement() {
-    let rows = good_rows();
+    let rows = rows_within_bounds();
     let memory = figures(&rows).find(|figure| figure.measurement == Measurement::Memory).unwrap();
     assert_eq!((memory.unit, memory.bound), (Unit::Bytes, Some(128.0 * 1024.0 * 1024.0)));
     let requests = figures(&rows).find(|figure| figure.measurement == Measurement::Requests).unwrap();
--- a/crates/scale/tests/table.rs
+++ b/crates/scale/tests/table.rs
@@ -1,7 +1,7 @@
 //! The table: bounds beside figures, what missed them, lines over the size of the fleet.
 mod common;
 
-use common::{figure, good_rows};
+use common::{figure, rows_within_bounds};
 use troutknot_scale::row::{Breach, Figure, Measurement, NodeKind, Phase, Row};
 use troutknot_scale::table::{Style, table};
 
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_run_that_held_says_so_with_each_bound() {
-    let table = table(&good_rows(), Style::Plain);
+    let table = table(&rows_within_bounds(), Style::Plain);
     assert!(
         table.starts_with("test with seed 7: version 0.1.0, commit abc1234\nmachine: 8 cores, 16384 MiB\n")
     );
@@ -32,7 +32,7 @@
 
 #[test]
 fn what_missed_its_bound_is_marked_and_placed() {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     rows.insert(1, Row::Figure(figure(19_000, Measurement::ListBytes, 12_345.0)));
     let table = table(&rows, Style::Plain);
     let missed = line(&table, "list-bytes ");
@@ -44,7 +44,7 @@
 
 #[test]
 fn breaches_are_named_and_turn_their_rule() {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     for number in 0..25 {
         let breach = Breach {
             rule: 4,
@@ -64,7 +64,7 @@
 
 #[test]
 fn what_was_not_measured_and_what_was_not_ended_is_said() {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     rows.pop();
     rows.retain(|row| !matches!(row, Row::Figure(figure) if figure.measurement == Measurement::Told));
     let table = table(&rows, Style::Plain);
@@ -75,7 +75,7 @@
 
 #[test]
 fn each_series_has_its_values_by_size_and_its_line() {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     let hollow = |executors: usize| {
         let probes = figure(executors, Measurement::Probes, 2.0 + executors as f64 / 1000.0);
         Row::Figure(Figure { node: NodeKind::HollowByRates, ..probes })
@@ -100,7 +100,7 @@
 
 #[test]
 fn where_values_leave_their_line_is_said() {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     for size in common::SIZES {
         let value = if size == 19_000 { 900.0 } else { size as f64 / 100.0 };
         rows.insert(1, Row::Figure(figure(size, Measurement::LatencyP99, value)));
@@ -111,7 +111,7 @@
 
 #[test]
 fn colours_come_only_where_they_are_asked_for() {
-    let mut rows = good_rows();
+    let mut rows = rows_within_bounds();
     assert!(table(&rows, Style::Coloured).contains("\u{1b}[32mall held\u{1b}[0m"));
     rows.insert(1, Row::Figure(figure(100, Measurement::Told, 1e9)));
     assert!(table(&rows, Style::Coloured).contains("\u{1b}[31mNOT all held\u{1b}[0m"));
@@ -120,5 +120,5 @@
 
 #[test]
 fn rows_without_a_start_have_no_table() {
-    assert_eq!(table(&good_rows()[1..], Style::Plain), "");
+    assert_eq!(table(&rows_within_bounds()[1..], Style::Plain), "");
 }
