--- a/crates/scale/src/campaign.rs
+++ b/crates/scale/src/campaign.rs
@@ -244,7 +244,7 @@
             program: self.campaign.program,
             folder: self.campaign.folder.path(),
             discovery: self.fleet.discovery(),
-            zones: self.fleet.zones(),
+            zones: self.fleet.zone_count(),
             first_sequence: self.number * REQUESTS_OF_STEP,
         }
     }
@@ -252,7 +252,7 @@
     /// Waits until each node has been told the list as it is.
     async fn wait_told(&self) -> Result<(), RunError> {
         for node in &self.nodes {
-            if !node.agent.has_told_all(LONGEST_TELLING).await {
+            if !node.agent.wait_until_notified(LONGEST_TELLING).await {
                 self.check_nodes()?;
                 return Err(RunError::NotTold { node: node.number(), within: LONGEST_TELLING });
             }
@@ -317,7 +317,8 @@
 
     /// Emits what the nodes were told since the last call took, where anything was told.
     fn emit_delays(&self, point: Point) {
-        let mut delays: Vec<f64> = self.nodes.iter().flat_map(|node| node.agent.take_delays()).collect();
+        let mut delays: Vec<f64> =
+            self.nodes.iter().flat_map(|node| node.agent.take_notification_delays()).collect();
         if !delays.is_empty() {
             let value = quantile(&mut delays, TOLD_SHARE);
             self.campaign.figure(point, Measurement::Told, NodeKind::Real, value);
--- a/crates/scale/src/campaign/hollow_load.rs
+++ b/crates/scale/src/campaign/hollow_load.rs
@@ -69,7 +69,7 @@
         }
         let first_number = file.real_nodes.count;
         let agents =
-            (0..hollow.count).map(|n| Agent::of_hollow_node(self.fleet.discovery(), first_number + n));
+            (0..hollow.count).map(|n| Agent::start_for_hollow_node(self.fleet.discovery(), first_number + n));
         let agents = agents.collect::<Result<Vec<_>, _>>().doing("listening for hollow nodes")?;
         let discovery: Vec<SocketAddr> = agents.iter().map(|agent| agent.address()).collect();
         let settings = Settings {
@@ -88,7 +88,7 @@
         let nodes =
             HollowNodes::start(settings).map_err(|error| RunError::HollowNodes { why: error.to_string() })?;
         for agent in &agents {
-            if !agent.has_told_all(LONGEST_TELLING).await {
+            if !agent.wait_until_notified(LONGEST_TELLING).await {
                 return Err(RunError::HollowNodes { why: format!("not told within {LONGEST_TELLING:?}") });
             }
         }
--- a/crates/scale/src/campaign/loads.rs
+++ b/crates/scale/src/campaign/loads.rs
@@ -98,12 +98,12 @@
         let size = self.fleet.size();
         let goal = (turnover * size as f64).round() as usize;
         let point = Point { turnover, ..self.point(Phase::Steady) };
-        while self.fleet.replaced() < goal {
-            let first = self.fleet.replaced() % size;
-            let last = (first + ROLLOUT_STEP).min(size).min(first + goal - self.fleet.replaced());
+        while self.fleet.replaced_count() < goal {
+            let first = self.fleet.replaced_count() % size;
+            let last = (first + ROLLOUT_STEP).min(size).min(first + goal - self.fleet.replaced_count());
             self.fleet.publish(first..last, State::Gone);
             self.wait_told().await?;
-            self.fleet.return_renamed(first..last).await;
+            self.fleet.restart_renamed(first..last).await;
             self.wait_told().await?;
         }
         self.emit_delays(point);
--- a/crates/scale/src/campaign/starts.rs
+++ b/crates/scale/src/campaign/starts.rs
@@ -36,7 +36,7 @@
         step.measure_burst(Phase::ZoneBurst, self.file.bursts.zone).await?;
         step.measure_burst(Phase::RegionBurst, self.file.bursts.region).await?;
         step.measure_loads().await?;
-        if step.fleet.replaced() > 0 {
+        if step.fleet.replaced_count() > 0 {
             // After all loads: a whole list may mend what changes alone left behind.
             step.measure_repeated_list(step.point(Phase::Steady)).await?;
         }
@@ -46,7 +46,7 @@
 
 impl Step<'_, '_> {
     pub(super) fn point(&self, phase: Phase) -> Point {
-        let turnover = self.fleet.replaced() as f64 / self.fleet.size().max(1) as f64;
+        let turnover = self.fleet.replaced_count() as f64 / self.fleet.size().max(1) as f64;
         Point { phase, executors: self.fleet.size(), turnover, rate: 0.0 }
     }
 
@@ -85,7 +85,7 @@
     pub(super) async fn measure_repeated_list(&self, point: Point) -> Result<(), RunError> {
         let idle = self.idle_cpu(self.campaign.file.load.settle).await?;
         let (before, began) = (self.cpu()?, Instant::now());
-        self.nodes.iter().for_each(|node| node.agent.restart_with_whole_list());
+        self.nodes.iter().for_each(|node| node.agent.restart_with_snapshot());
         self.wait_told().await?;
         sleep(AFTER_CHANGE).await;
         let cost = self.cost_since(began, before, idle)?;
@@ -101,7 +101,7 @@
             let Ok(figures) = node.fetch_registry_counts().await else { return };
             // Whoever is listed and not kept gets no work, whatever the node calls it.
             most = most
-                .max(self.fleet.discovery().listed().saturating_sub(figures.retained))
+                .max(self.fleet.discovery().listed_count().saturating_sub(figures.retained))
                 .max(figures.unretained);
         }
         let point = Point { rate: 0.0, ..point };
@@ -139,7 +139,7 @@
         self.fleet.publish(0..executors, State::Gone);
         self.wait_told().await?;
         sleep(AFTER_CHANGE).await;
-        self.fleet.return_cold(0..executors).await;
+        self.fleet.restart(0..executors).await;
         self.wait_told().await?;
         sleep(AFTER_CHANGE).await;
         let cost = self.cost_since(began, before, idle)?;
--- a/crates/scale/src/campaign/troubles.rs
+++ b/crates/scale/src/campaign/troubles.rs
@@ -114,7 +114,7 @@
             Change::Replace(executor) => self.replace(executor).await,
             Change::Fail(executor) => self.fail(executor).await,
             Change::LoseZone(zone) => self.lose(zone).await,
-            Change::ReturnZone(zone) => self.fleet.return_cold(zone).await,
+            Change::ReturnZone(zone) => self.fleet.restart(zone).await,
             Change::SilenceDiscovery => {
                 self.fleet.discovery().set_silent(true);
                 let drained = DRAINED_IN_SILENCE.min(self.fleet.size() / 2);
@@ -133,14 +133,14 @@
         sleep(rules.drain_grace + self.campaign.file.requests.deadline).await;
         self.fleet.publish(one.clone(), State::Gone);
         self.fleet.kill(one.clone()).await;
-        self.fleet.return_renamed(one).await;
+        self.fleet.restart_renamed(one).await;
     }
 
     async fn fail(&self, executor: usize) {
         let one = executor..executor + 1;
         self.lose(one.clone()).await;
         sleep(SUCCESSOR_STARTS).await;
-        self.fleet.return_renamed(one).await;
+        self.fleet.restart_renamed(one).await;
     }
 
     async fn lose(&self, executors: Range<usize>) {
--- a/crates/scale/src/catalog.rs
+++ b/crates/scale/src/catalog.rs
@@ -1,10 +1,10 @@
-//! The list of executors as discovery keeps it, with a version for each change. Without I/O.
+//! The endpoint list of discovery, in which each change has a version. It does no I/O.
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// What the list says of an executor.
+/// State of an executor in the list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
 pub enum State {
     Ready,
@@ -12,22 +12,22 @@
     Gone,
 }
 
-/// Where an executor stands and since when it runs.
+/// An executor as a member of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The number of its address; a successor under another name may have it again.
+    /// Number of the executor's address; a replacement under another id has the same one.
     pub executor: usize,
     pub id: String,
     pub address: SocketAddr,
     pub zone: usize,
     pub state: State,
-    /// Unix time; 0 for long ago.
+    /// Start time in milliseconds since the Unix epoch; 0 if it started long ago.
     pub started_ms: u64,
 }
 
-/// The protocol's form of an entry.
+/// Entry in the format of the protocol.
 #[derive(Serialize)]
-struct Entry<'a> {
+struct WireEntry<'a> {
     id: &'a str,
     addr: SocketAddr,
     zone: String,
@@ -38,16 +38,16 @@
     started_ms: u64,
 }
 
-/// All executors are of one machine type.
+/// Machine type of all executors.
 pub const MACHINE_TYPE: &str = "m1";
-/// Executors with numbers in a row share a cell.
+/// Number of executors per cell; their numbers are consecutive.
 const CELL_SIZE: usize = 64;
-/// Entries that are gone and kept, for nodes that follow the changes.
-const GONE_KEPT: usize = 65_536;
+/// Maximum number of gone executors that are retained, for nodes that receive deltas.
+const MAX_GONE_ENTRIES: usize = 65_536;
 
 impl Member {
-    fn as_entry(&self) -> Entry<'_> {
-        Entry {
+    fn to_wire_entry(&self) -> WireEntry<'_> {
+        WireEntry {
             id: &self.id,
             addr: self.address,
             zone: zone_name(self.zone),
@@ -64,41 +64,41 @@
     format!("z{zone}")
 }
 
-/// One entry as it was last changed.
-struct Record {
+/// Last state of an entry.
+struct CatalogEntry {
     member: Member,
-    changed: Instant,
-    /// In the protocol's form.
-    text: String,
+    changed_at: Instant,
+    /// The entry in the format of the protocol.
+    json: String,
 }
 
-/// An entry of a line, for whoever notes what was told.
+/// A change within a message, used to record when it was sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Told {
+pub struct ListedChange {
     pub executor: usize,
     pub state: State,
-    pub changed: Instant,
+    pub changed_at: Instant,
 }
 
-/// A line of the list, ready to be written.
+/// A message with a snapshot or a delta of the list, encoded as one line.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct ListMessage {
     pub text: String,
     pub version: u64,
-    pub told: Vec<Told>,
-    pub full: bool,
+    pub changes: Vec<ListedChange>,
+    pub is_snapshot: bool,
 }
 
-/// The list with its versions.
+/// The endpoint list with its versions.
 #[derive(Default)]
 pub struct Catalog {
     version: u64,
-    /// By the version of the last change of each.
-    by_version: BTreeMap<u64, Record>,
-    versions: std::collections::HashMap<String, u64>,
-    gone: usize,
-    /// Changes up to this version are not all kept any more.
-    forgotten: u64,
+    /// Entries by the version of their last change.
+    by_version: BTreeMap<u64, CatalogEntry>,
+    version_by_id: std::collections::HashMap<String, u64>,
+    gone_count: usize,
+    /// Up to this version, changes may have been discarded, so that no delta can start before it.
+    compacted_version: u64,
 }
 
 impl Catalog {
@@ -106,69 +106,72 @@
         self.version
     }
 
-    /// Executors that are listed and not gone.
-    pub fn listed(&self) -> usize {
-        self.by_version.len() - self.gone
+    /// Returns the number of listed executors without those that are gone.
+    pub fn listed_count(&self) -> usize {
+        self.by_version.len() - self.gone_count
     }
 
-    /// Takes a changed or new entry.
-    pub fn put(&mut self, member: Member, changed: Instant) {
+    /// Inserts an entry, or replaces the entry with the same id.
+    pub fn upsert(&mut self, member: Member, changed_at: Instant) {
         self.version += 1;
-        if let Some(before) = self.versions.insert(member.id.clone(), self.version) {
-            self.remove(before);
+        if let Some(previous) = self.version_by_id.insert(member.id.clone(), self.version) {
+            self.remove(previous);
         }
-        self.gone += usize::from(member.state == State::Gone);
-        let text = serde_json::to_string(&member.as_entry()).unwrap_or_default();
-        self.by_version.insert(self.version, Record { member, changed, text });
-        if self.gone > GONE_KEPT {
-            self.forget_gone();
+        self.gone_count += usize::from(member.state == State::Gone);
+        let json = serde_json::to_string(&member.to_wire_entry()).unwrap_or_default();
+        self.by_version.insert(self.version, CatalogEntry { member, changed_at, json });
+        if self.gone_count > MAX_GONE_ENTRIES {
+            self.compact_gone();
         }
     }
 
-    fn remove(&mut self, version: u64) -> Option<Record> {
-        let record = self.by_version.remove(&version)?;
-        self.gone -= usize::from(record.member.state == State::Gone);
-        Some(record)
+    fn remove(&mut self, version: u64) -> Option<CatalogEntry> {
+        let entry = self.by_version.remove(&version)?;
+        self.gone_count -= usize::from(entry.member.state == State::Gone);
+        Some(entry)
     }
 
-    /// Forgets the older half of those that are gone.
-    fn forget_gone(&mut self) {
-        let gone = self.by_version.iter().filter(|(_, record)| record.member.state == State::Gone);
-        let oldest: Vec<u64> = gone.map(|(version, _)| *version).take(GONE_KEPT / 2).collect();
+    /// Discards the older half of the gone entries.
+    fn compact_gone(&mut self) {
+        let gone = self.by_version.iter().filter(|(_, entry)| entry.member.state == State::Gone);
+        let oldest: Vec<u64> = gone.map(|(version, _)| *version).take(MAX_GONE_ENTRIES / 2).collect();
         for version in &oldest {
-            if let Some(record) = self.remove(*version) {
-                self.versions.remove(&record.member.id);
+            if let Some(entry) = self.remove(*version) {
+                self.version_by_id.remove(&entry.member.id);
             }
         }
-        self.forgotten = oldest.last().copied().unwrap_or(self.forgotten);
+        self.compacted_version = oldest.last().copied().unwrap_or(self.compacted_version);
     }
 
-    /// What changed after a version, or the whole list where there is none, or too much was forgotten since.
-    pub fn line(&self, after: Option<u64>) -> Line {
-        let after = after.filter(|after| (self.forgotten..=self.version).contains(after));
-        let full = after.is_none();
+    /// Returns the changes after a version, or a snapshot if there is none or changes since then have been discarded.
+    pub fn message_after(&self, after: Option<u64>) -> ListMessage {
+        let after = after.filter(|after| (self.compacted_version..=self.version).contains(after));
+        let is_snapshot = after.is_none();
         let changed = self.by_version.range(after.map_or(0, |after| after + 1)..);
-        let records: Vec<&Record> = changed
-            .map(|(_, record)| record)
-            .filter(|record| !full || record.member.state != State::Gone)
+        let entries: Vec<&CatalogEntry> = changed
+            .map(|(_, entry)| entry)
+            .filter(|entry| !is_snapshot || entry.member.state != State::Gone)
             .collect();
-        let entries: Vec<&str> = records.iter().map(|record| record.text.as_str()).collect();
-        let text =
-            format!("{{\"version\":{},\"full\":{full},\"servers\":[{}]}}\n", self.version, entries.join(","));
-        let told = records
+        let items: Vec<&str> = entries.iter().map(|entry| entry.json.as_str()).collect();
+        let text = format!(
+            "{{\"version\":{},\"full\":{is_snapshot},\"servers\":[{}]}}\n",
+            self.version,
+            items.join(",")
+        );
+        let changes = entries
             .iter()
-            .map(|Record { member, changed, .. }| Told {
+            .map(|CatalogEntry { member, changed_at, .. }| ListedChange {
                 executor: member.executor,
                 state: member.state,
-                changed: *changed,
+                changed_at: *changed_at,
             })
             .collect();
-        Line { text, version: self.version, told, full }
+        ListMessage { text, version: self.version, changes, is_snapshot }
     }
 
-    /// Entries that left and are kept: a whole list tells them by their absence.
-    pub fn left(&self) -> impl Iterator<Item = usize> {
-        let gone = self.by_version.values().filter(|record| record.member.state == State::Gone);
-        gone.map(|record| record.member.executor)
+    /// Returns the retained gone executors; a snapshot conveys them by their absence.
+    pub fn gone_executors(&self) -> impl Iterator<Item = usize> {
+        let gone = self.by_version.values().filter(|entry| entry.member.state == State::Gone);
+        gone.map(|entry| entry.member.executor)
     }
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet as discovery lists it: executors with names, which are replaced, lost and back.
+//! A fleet of executors as discovery lists it; its executors can be replaced, killed and restarted.
 use crate::catalog::{Member, State};
 use crate::discovery::Discovery;
 use crate::hollow_executors::HollowExecutors;
@@ -7,35 +7,35 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The first executors of all that listen, under names of their own.
+/// The first `size` of all hollow executors, listed under ids of their own.
 pub struct Fleet {
     executors: Rc<HollowExecutors>,
     discovery: Rc<Discovery>,
     size: usize,
     zone_size: usize,
-    /// By executor, which of its names it has.
+    /// Number of replacements of each executor, which is part of its id.
     generations: RefCell<Vec<u32>>,
     started_ms: RefCell<Vec<u64>>,
-    replaced: Cell<usize>,
+    replaced_count: Cell<usize>,
 }
 
 fn unix_now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
 impl Fleet {
-    /// Lists the first `size` executors as started long ago. Agents of its discovery tell them.
+    /// Lists the first `size` executors as started long ago, in a new discovery.
     pub async fn list(executors: &Rc<HollowExecutors>, size: usize, zone_size: usize) -> Self {
         executors.reset().await;
         let fleet = Fleet {
             executors: executors.clone(),
             discovery: Discovery::new(executors.clone()),
             size,
-            // Without a size all are in one zone: nodes keep a bounded number of zones in mind.
+            // By default all executors are in one zone, because nodes store a bounded number of zones.
             zone_size: if zone_size == 0 { size.max(1) } else { zone_size },
             generations: RefCell::new(vec![0; size]),
             started_ms: RefCell::new(vec![0; size]),
-            replaced: Cell::new(0),
+            replaced_count: Cell::new(0),
         };
         fleet.publish(0..size, State::Ready);
         fleet
@@ -49,14 +49,14 @@
         self.size
     }
 
-    /// Zones that the fleet is spread over.
-    pub fn zones(&self) -> usize {
+    /// Returns the number of zones of the fleet.
+    pub fn zone_count(&self) -> usize {
         self.size.div_ceil(self.zone_size).max(1)
     }
 
-    /// Executors that were replaced under new names since the fleet was listed.
-    pub fn replaced(&self) -> usize {
-        self.replaced.get()
+    /// Returns the number of executors replaced under new ids since the fleet was listed.
+    pub fn replaced_count(&self) -> usize {
+        self.replaced_count.get()
     }
 
     fn member(&self, executor: usize, state: State) -> Member {
@@ -70,30 +70,31 @@
         }
     }
 
-    /// Discovery says so from now on, in one line for all of them.
+    /// Publishes a state of the executors in one message.
     pub fn publish(&self, executors: Range<usize>, state: State) {
         self.discovery.publish(executors.map(|executor| self.member(executor, state)));
     }
 
-    /// The processes die; discovery does not know yet.
+    /// Kills the executors without a change of the list.
     pub async fn kill(&self, executors: Range<usize>) {
         self.executors.kill(executors).await;
     }
 
-    /// They start anew, cold, under the names that they had, and are listed.
-    pub async fn return_cold(&self, executors: Range<usize>) {
+    /// Restarts the executors with an empty warm-up, under their previous ids, and lists them.
+    pub async fn restart(&self, executors: Range<usize>) {
         self.executors.restart(executors.clone()).await;
         let now = unix_now_ms();
         self.started_ms.borrow_mut()[executors.clone()].fill(now);
         self.publish(executors, State::Ready);
     }
 
-    /// They start anew, cold, under new names, and are listed. Before, discovery has said that they are gone.
-    pub async fn return_renamed(&self, executors: Range<usize>) {
+    /// Restarts the executors with an empty warm-up, under new ids, and lists them. The previous ids must have been
+    /// published as gone.
+    pub async fn restart_renamed(&self, executors: Range<usize>) {
         for generation in &mut self.generations.borrow_mut()[executors.clone()] {
             *generation += 1;
         }
-        self.replaced.set(self.replaced.get() + executors.len());
-        self.return_cold(executors).await;
+        self.replaced_count.set(self.replaced_count.get() + executors.len());
+        self.restart(executors).await;
     }
 }
--- a/crates/scale/src/real_node.rs
+++ b/crates/scale/src/real_node.rs
@@ -183,7 +183,7 @@
         context: &NodeContext<'_>,
         timeout: Duration,
     ) -> io::Result<Option<Duration>> {
-        let cached_list = context.discovery.whole_list();
+        let cached_list = context.discovery.snapshot_json();
         let Some(mut process) = self.process.take() else { return Ok(None) };
         process.terminate()?;
         tokio::time::sleep(FRONT_REMOVAL_DELAY).await;
