--- a/crates/scale/src/campaign/hollow_load.rs
+++ b/crates/scale/src/campaign/hollow_load.rs
@@ -74,14 +74,14 @@
         let discovery: Vec<SocketAddr> = agents.iter().map(|agent| agent.address()).collect();
         let settings = Settings {
             first_number,
-            by_dispatcher: hollow.by_dispatcher.min(hollow.count),
-            by_rates: hollow.count.saturating_sub(hollow.by_dispatcher),
+            dispatcher_nodes: hollow.by_dispatcher.min(hollow.count),
+            rate_nodes: hollow.count.saturating_sub(hollow.by_dispatcher),
             rates: hollow.measured,
-            connections: hollow.connections,
-            discovery,
+            max_connections: hollow.connections,
+            discovery_addresses: discovery,
             node_settings: self.surroundings().settings(first_number),
             request_rate: 0.0,
-            work: file.requests.work,
+            mean_work: file.requests.work,
             deadline: file.requests.deadline,
             seed: file.seed.wrapping_add(self.number),
         };
@@ -115,7 +115,7 @@
             let figure = |measurement, value| self.campaign.figure(point, measurement, kind, value);
             figure(Measurement::Drivers, count as f64);
             figure(Measurement::Probes, per_node_second(now.probes, before.probes));
-            figure(Measurement::Pushes, per_node_second(now.pushes, before.pushes));
+            figure(Measurement::Pushes, per_node_second(now.attempts, before.attempts));
         }
     }
 }
--- a/crates/scale/src/executor_shard.rs
+++ b/crates/scale/src/executor_shard.rs
@@ -247,7 +247,7 @@
         run_state.borrow_and_update();
         let is_killed = tokio::select! {
             _ = run_state.changed() => true,
-            _ = self.exchange(&mut connection, sender) => false,
+            _ = self.serve_requests(&mut connection, sender) => false,
         };
         self.shared.counts.count(sender, TrafficEvent::BytesIn(connection.bytes_read));
         self.shared.counts.count(sender, TrafficEvent::BytesOut(connection.bytes_written));
@@ -257,13 +257,13 @@
     }
 
     /// Serves requests on one connection until it ends.
-    async fn exchange(&self, connection: &mut Connection, sender: Sender) -> io::Result<()> {
+    async fn serve_requests(&self, connection: &mut Connection, sender: Sender) -> io::Result<()> {
         while let Some(request) = connection.read_request().await? {
             let is_last = request.has_connection_close();
             if request.method == "GET" {
-                self.answer_probe(&request, connection, sender).await?;
+                self.respond_to_probe(&request, connection, sender).await?;
             } else {
-                self.answer_attempt(&request, connection, sender).await?;
+                self.handle_attempt(&request, connection, sender).await?;
             }
             self.flush_byte_counts(connection, sender);
             if is_last {
@@ -290,7 +290,7 @@
         format!("inflight={running},queue={waiting},util={utilization:.3},x0={free}")
     }
 
-    async fn answer_probe(
+    async fn respond_to_probe(
         &self,
         request: &Message,
         connection: &mut Connection,
@@ -306,7 +306,7 @@
         connection.write(&response).await
     }
 
-    async fn answer_attempt(
+    async fn handle_attempt(
         &self,
         request: &Message,
         connection: &mut Connection,
--- a/crates/scale/src/executor_worker.rs
+++ b/crates/scale/src/executor_worker.rs
@@ -107,11 +107,11 @@
 /// If the runtime cannot be built or replies cannot be written.
 pub fn serve(input: impl io::Read + Send + 'static, mut output: impl Write) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let (commands, received) = mpsc::unbounded_channel();
+    let (commands, command_receiver) = mpsc::unbounded_channel();
     let (replies, mut reply_receivers) = mpsc::unbounded_channel();
     thread::Builder::new().name("orders".into()).spawn(move || read_commands(input, &commands, &replies))?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let shard = tokio::task::spawn_local(serve_commands(received));
+        let shard = tokio::task::spawn_local(serve_commands(command_receiver));
         while let Some(reply_receiver) = reply_receivers.recv().await {
             let reply_receiver: oneshot::Receiver<Reply> = reply_receiver;
             let Ok(reply) = reply_receiver.await else { break };
--- a/crates/scale/src/hollow_executors.rs
+++ b/crates/scale/src/hollow_executors.rs
@@ -149,21 +149,21 @@
 
 impl ShardHandle {
     fn start(placement: &Placement) -> io::Result<Self> {
-        let (commands, received) = mpsc::unbounded_channel();
+        let (commands, command_receiver) = mpsc::unbounded_channel();
         let host = match placement {
-            Placement::ThisProcess => Host::Thread(start_thread(received)?),
-            Placement::Workers { program, .. } => Host::Process(Worker::start(program, received)?),
+            Placement::ThisProcess => Host::Thread(start_thread(command_receiver)?),
+            Placement::Workers { program, .. } => Host::Process(Worker::start(program, command_receiver)?),
         };
         Ok(ShardHandle { commands: Some(commands), host: Some(host) })
     }
 
     fn send(&self, command: Command) -> oneshot::Receiver<Reply> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, reply_receiver) = oneshot::channel();
         if let Some(commands) = &self.commands {
             // If the shard has ended, the reply's sender is dropped and the receiver returns an error.
             let _ = commands.send(PendingCommand { command, reply });
         }
-        answer
+        reply_receiver
     }
 
     async fn execute(&self, command: Command) -> Reply {
--- a/crates/scale/src/hollow_nodes.rs
+++ b/crates/scale/src/hollow_nodes.rs
@@ -1,30 +1,31 @@
-//! Hollow nodes: many in one process, each of which puts on executors and discovery the load of one node.
+//! Hollow nodes: many in one process, each of which puts the load of one node on executors and on discovery.
 //!
-//! Some are driven by the decision module itself: requests come at random times, and what [`troutknot::Dispatcher`]
-//! asks for (probes, pushes, watches of the list) goes over real sockets. The others play rates that a real node was
-//! measured to have; they cost a small part of it. Rows say which ones they come from, by
+//! Dispatcher nodes run the decision module: requests arrive at random times, and the actions of
+//! [`troutknot::Dispatcher`] (probes, attempts, watches of the list) use real sockets. Rate nodes only reproduce the
+//! rates measured on a real node, at a small part of the cost. Rows state which of them they describe, by
 //! [`crate::row::NodeKind`].
 //!
-//! Each connects from a loopback address of its own, the one after [`FIRST_SOURCE`] and so on, by which executors tell
-//! it from real nodes. No client waits for its requests. `Work-Millis` says how long each one works, where executors
-//! take that from the request.
-mod address_book;
-mod by_dispatcher;
-mod by_rates;
+//! Each hollow node connects from its own loopback address, counted from [`FIRST_SOURCE`], by which executors
+//! distinguish it from real nodes. No client waits for its requests. The field `Work-Millis` contains the work of a
+//! request, for executors that take it from there.
 mod connections;
+mod dispatcher_node;
+mod endpoint_list;
 mod exchange;
 mod http;
-mod list;
-mod vocabulary;
+mod rate_node;
+mod ready_executors;
+mod resolved_settings;
 
 use crate::file::MeasuredRates;
 use crate::request_id::RequestId;
 use crate::row::NodeKind;
-use address_book::AddressBook;
-use by_dispatcher::DispatcherNode;
-use by_rates::RatesNode;
+use dispatcher_node::DispatcherNode;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
+use rate_node::RateNode;
+use ready_executors::ReadyExecutors;
+use resolved_settings::ResolvedSettings;
 use serde_json::{Map, Value};
 use std::cell::RefCell;
 use std::io;
@@ -36,78 +37,79 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
-use vocabulary::Vocabulary;
 
-/// The source address of the first hollow node.
+/// Source address of the first hollow node.
 pub const FIRST_SOURCE: Ipv4Addr = Ipv4Addr::new(127, 32, 0, 1);
-/// Request ids have room for so many starts of one node, and so many requests of a start.
-const START_SHIFT: u32 = 40;
-const MOST_STARTS: u64 = 1 << 16;
+/// Position of the generation in a request's sequence number: each of up to [`MAX_GENERATIONS`] starts of a node has
+/// room for 2^40 requests.
+const GENERATION_SHIFT: u32 = 40;
+const MAX_GENERATIONS: u64 = 1 << 16;
 
-/// What hollow nodes are told at their start.
+/// Settings of the hollow nodes of a run.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The number of the first of them among all nodes.
+    /// Number of the first hollow node among all nodes of the run.
     pub first_number: usize,
-    /// So many are driven by the decision module, and so many play rates.
-    pub by_dispatcher: usize,
-    pub by_rates: usize,
+    /// Number of dispatcher nodes.
+    pub dispatcher_nodes: usize,
+    pub rate_nodes: usize,
     pub rates: MeasuredRates,
-    /// Connections to executors that each holds open, at most.
-    pub connections: usize,
-    /// Where the list is followed; hollow node `n` follows it at `n` modulo their number.
-    pub discovery: Vec<SocketAddr>,
-    /// The settings that the real nodes are told.
+    /// Maximum number of open connections to executors, per node.
+    pub max_connections: usize,
+    /// Discovery addresses; hollow node `n` uses the one at index `n` modulo their number.
+    pub discovery_addresses: Vec<SocketAddr>,
+    /// Settings of the real nodes, which apply to hollow nodes too.
     pub node_settings: Map<String, Value>,
-    /// Requests in a second at each hollow node, at the start.
+    /// Initial requests per second at each hollow node.
     pub request_rate: f64,
-    /// Mean work of one request.
-    pub work: Duration,
+    /// Mean work of a request.
+    pub mean_work: Duration,
     pub deadline: Duration,
     pub seed: u64,
 }
 
 impl Settings {
-    /// Where a hollow node connects from.
-    pub fn source(&self, number: usize) -> Ipv4Addr {
+    /// Returns the source address of a hollow node.
+    pub fn source_address(&self, number: usize) -> Ipv4Addr {
         Ipv4Addr::from_bits(FIRST_SOURCE.to_bits() + number as u32)
     }
 
-    fn discovery_of(&self, number: usize) -> SocketAddr {
-        self.discovery[number % self.discovery.len()]
+    fn discovery_address(&self, number: usize) -> SocketAddr {
+        self.discovery_addresses[number % self.discovery_addresses.len()]
     }
 
-    /// An id that no other request of a run has.
-    fn request_id(&self, number: usize, start: u64, sequence: u64) -> RequestId {
+    /// Returns a request id that is unique within the run.
+    fn request_id(&self, number: usize, generation: u64, sequence: u64) -> RequestId {
         let node = (self.first_number + number) as u8;
-        RequestId::new(node, (start % MOST_STARTS) << START_SHIFT | sequence)
+        RequestId::new(node, (generation % MAX_GENERATIONS) << GENERATION_SHIFT | sequence)
     }
 
-    /// What a node draws from; each of its starts draws otherwise.
-    fn random(&self, number: usize, start: u64) -> ChaCha8Rng {
+    /// Returns the random generator of a node; each generation has a stream of its own.
+    fn new_random(&self, number: usize, generation: u64) -> ChaCha8Rng {
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
-        random.set_stream((number as u64) << START_SHIFT | start);
+        random.set_stream((number as u64) << GENERATION_SHIFT | generation);
         random
     }
 
-    /// File descriptors that they need in this process, one runtime included.
+    /// Returns the number of file descriptors that the nodes need in this process, including those of the runtime.
     pub fn descriptors(&self) -> u64 {
-        let nodes = (self.by_dispatcher + self.by_rates) as u64;
-        nodes * (self.connections as u64 + 1) + 16
+        let nodes = (self.dispatcher_nodes + self.rate_nodes) as u64;
+        nodes * (self.max_connections as u64 + 1) + 16
     }
 }
 
-/// What hollow nodes of one kind have done since their start.
+/// Counts of all hollow nodes of one kind since their start.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub struct Counts {
     pub probes: u64,
     /// Probes that were answered.
-    pub probed: u64,
-    pub pushes: u64,
+    pub answered_probes: u64,
+    pub attempts: u64,
     pub completed: u64,
     /// New connections to executors.
     pub connections: u64,
-    /// What was not sent for want of a free connection.
+    /// Requests, probes and attempts that were not sent because a limit on requests, tasks or connections was
+    /// reached.
     pub skipped: u64,
     pub list_lines: u64,
     pub list_bytes: u64,
@@ -115,12 +117,12 @@
     pub requests: u64,
 }
 
-/// The same while they go on.
+/// The counters behind [`Counts`].
 #[derive(Default)]
 struct Counters {
     probes: AtomicU64,
-    probed: AtomicU64,
-    pushes: AtomicU64,
+    answered_probes: AtomicU64,
+    attempts: AtomicU64,
     completed: AtomicU64,
     connections: AtomicU64,
     skipped: AtomicU64,
@@ -130,37 +132,37 @@
     requests: AtomicU64,
 }
 
-fn add(counter: &AtomicU64, more: u64) {
-    counter.fetch_add(more, Ordering::Relaxed);
+fn add(counter: &AtomicU64, increment: u64) {
+    counter.fetch_add(increment, Ordering::Relaxed);
 }
 
 impl Counters {
     fn read(&self) -> Counts {
-        let of = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Counts {
-            probes: of(&self.probes),
-            probed: of(&self.probed),
-            pushes: of(&self.pushes),
-            completed: of(&self.completed),
-            connections: of(&self.connections),
-            skipped: of(&self.skipped),
-            list_lines: of(&self.list_lines),
-            list_bytes: of(&self.list_bytes),
-            watches: of(&self.watches),
-            requests: of(&self.requests),
+            probes: load(&self.probes),
+            answered_probes: load(&self.answered_probes),
+            attempts: load(&self.attempts),
+            completed: load(&self.completed),
+            connections: load(&self.connections),
+            skipped: load(&self.skipped),
+            list_lines: load(&self.list_lines),
+            list_bytes: load(&self.list_bytes),
+            watches: load(&self.watches),
+            requests: load(&self.requests),
         }
     }
 }
 
-/// What all hollow nodes share.
+/// State that all hollow nodes share.
 struct Shared {
     settings: Settings,
-    by_dispatcher: Arc<Counters>,
-    by_rates: Arc<Counters>,
-    /// Requests in a second at each.
+    dispatcher_counters: Arc<Counters>,
+    rate_counters: Arc<Counters>,
+    /// Requests per second at each node.
     request_rate: watch::Receiver<f64>,
-    /// What rates nodes know of the list.
-    address_book: RefCell<AddressBook>,
+    /// Ready executors, for the rate nodes.
+    ready_executors: RefCell<ReadyExecutors>,
 }
 
 enum Command {
@@ -168,75 +170,76 @@
     Stop,
 }
 
-/// Hollow nodes that run on a thread of their own, until they are stopped or dropped.
+/// Hollow nodes that run on a thread of their own until they are stopped or dropped.
 pub struct HollowNodes {
-    by_dispatcher: Arc<Counters>,
-    by_rates: Arc<Counters>,
+    dispatcher_counters: Arc<Counters>,
+    rate_counters: Arc<Counters>,
     request_rate: watch::Sender<f64>,
     commands: mpsc::UnboundedSender<Command>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
-/// Why hollow nodes could not be started.
+/// The reason why hollow nodes could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    #[error("hollow nodes are told settings that cannot be used: {0}")]
+    #[error("hollow nodes have invalid settings: {0}")]
     Settings(troutknot_configuration::SettingsErrors),
-    #[error("hollow nodes have no address of discovery")]
+    #[error("hollow nodes have no discovery address")]
     NoDiscovery,
     #[error("hollow nodes: {0}")]
     Io(#[from] io::Error),
 }
 
 impl HollowNodes {
-    /// Starts them all.
+    /// Starts all hollow nodes.
     ///
     /// # Errors
-    /// Where their settings cannot be used, or there is no thread for them.
+    /// If the settings are invalid or the thread cannot be started.
     pub fn start(settings: Settings) -> Result<Self, StartError> {
-        if settings.discovery.is_empty() {
+        if settings.discovery_addresses.is_empty() {
             return Err(StartError::NoDiscovery);
         }
-        Vocabulary::of(&settings.node_settings).map_err(StartError::Settings)?;
+        ResolvedSettings::resolve(&settings.node_settings).map_err(StartError::Settings)?;
         let (request_rate, rate_changes) = watch::channel(settings.request_rate);
-        let (commands, received) = mpsc::unbounded_channel();
-        let (by_dispatcher, by_rates) = (Arc::<Counters>::default(), Arc::<Counters>::default());
+        let (commands, command_receiver) = mpsc::unbounded_channel();
+        let (dispatcher_counters, rate_counters) = (Arc::<Counters>::default(), Arc::<Counters>::default());
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let (of_dispatcher, of_rates) = (by_dispatcher.clone(), by_rates.clone());
+        let (shared_dispatcher_counters, shared_rate_counters) =
+            (dispatcher_counters.clone(), rate_counters.clone());
         let run = move || {
             let shared = Rc::new(Shared {
                 settings,
-                by_dispatcher: of_dispatcher,
-                by_rates: of_rates,
+                dispatcher_counters: shared_dispatcher_counters,
+                rate_counters: shared_rate_counters,
                 request_rate: rate_changes,
-                address_book: RefCell::default(),
+                ready_executors: RefCell::default(),
             });
-            LocalSet::new().block_on(&runtime, drive(shared, received));
+            LocalSet::new().block_on(&runtime, run_nodes(shared, command_receiver));
         };
         let thread = thread::Builder::new().name("hollow-nodes".into()).spawn(run)?;
-        Ok(HollowNodes { by_dispatcher, by_rates, request_rate, commands, thread: Some(thread) })
+        Ok(HollowNodes { dispatcher_counters, rate_counters, request_rate, commands, thread: Some(thread) })
     }
 
-    /// Sets how many requests a second come to each from now on.
+    /// Sets the requests per second at each node.
     pub fn set_request_rate(&self, rate: f64) {
         self.request_rate.send_replace(rate);
     }
 
-    /// Starts one anew: its connections end, and it knows nothing any more.
+    /// Restarts a node: its connections end, and it loses its state.
     pub fn restart(&self, node: usize) {
         let _ = self.commands.send(Command::Restart(node));
     }
 
-    /// What those of one kind have done; nothing where the kind is not hollow.
+    /// Returns the counts of a kind; all are zero if the kind is not hollow.
     pub fn counts(&self, kind: NodeKind) -> Counts {
         match kind {
-            NodeKind::HollowByDispatcher => self.by_dispatcher.read(),
-            NodeKind::HollowByRates => self.by_rates.read(),
+            NodeKind::HollowByDispatcher => self.dispatcher_counters.read(),
+            NodeKind::HollowByRates => self.rate_counters.read(),
             NodeKind::Real | NodeKind::All => Counts::default(),
         }
     }
 
-    /// Ends them all and waits for it.
+    /// Stops all nodes and waits for the end of their thread.
     pub fn stop(mut self) {
         self.end();
     }
@@ -255,28 +258,28 @@
     }
 }
 
-/// Runs the nodes and carries out commands until one says to stop.
-async fn drive(shared: Rc<Shared>, mut commands: mpsc::UnboundedReceiver<Command>) {
-    let Settings { by_dispatcher, by_rates, .. } = shared.settings;
+/// Runs the nodes and carries out commands until [`Command::Stop`].
+async fn run_nodes(shared: Rc<Shared>, mut commands: mpsc::UnboundedReceiver<Command>) {
+    let Settings { dispatcher_nodes, rate_nodes, .. } = shared.settings;
     let mut nodes: Vec<JoinHandle<()>> =
-        (0..by_dispatcher + by_rates).map(|number| start_node(&shared, number, 0)).collect();
-    let mut starts = 0;
+        (0..dispatcher_nodes + rate_nodes).map(|number| start_node(&shared, number, 0)).collect();
+    let mut restarts = 0;
     while let Some(Command::Restart(number)) = commands.recv().await {
         if let Some(node) = nodes.get_mut(number) {
-            starts += 1;
+            restarts += 1;
             node.abort();
-            *node = start_node(&shared, number, starts);
+            *node = start_node(&shared, number, restarts);
         }
     }
     nodes.iter().for_each(JoinHandle::abort);
 }
 
-/// Starts a node on this thread; each start draws otherwise.
-fn start_node(shared: &Rc<Shared>, number: usize, start: u64) -> JoinHandle<()> {
+/// Starts a node on this thread.
+fn start_node(shared: &Rc<Shared>, number: usize, generation: u64) -> JoinHandle<()> {
     let shared = shared.clone();
-    if number < shared.settings.by_dispatcher {
-        spawn_local(DispatcherNode::run(shared, number, start))
+    if number < shared.settings.dispatcher_nodes {
+        spawn_local(DispatcherNode::run(shared, number, generation))
     } else {
-        spawn_local(RatesNode::run(shared, number, start))
+        spawn_local(RateNode::run(shared, number, generation))
     }
 }
--- a/crates/scale/src/hollow_nodes/connections.rs
+++ b/crates/scale/src/hollow_nodes/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of one hollow node to executors: a bounded number, kept idle for a while and used again.
+//! Connection pool of one hollow node: a bounded number of connections to executors, which are reused.
 use super::http::Connection;
 use super::{Counters, add};
 use std::cell::{Cell, RefCell};
@@ -9,110 +9,111 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// As the daemon: idle connections are not used again after 0.7 of what the settings let them stand.
-const RETIRE_SHARE: f64 = 0.7;
+/// Share of the idle timeout after which an idle connection is no longer reused, 0.7 as in the daemon.
+const REUSE_SHARE: f64 = 0.7;
 
 pub struct Pool {
     source: Ipv4Addr,
-    most: usize,
+    max_open: usize,
     open: Rc<Cell<usize>>,
-    /// The one that was used last stands last.
-    idle: RefCell<Vec<Idle>>,
-    connect_wait: Duration,
-    retire_after: Duration,
+    /// Idle connections in the order of their last use, the most recent last.
+    idle: RefCell<Vec<IdleConnection>>,
+    connect_timeout: Duration,
+    max_idle_time: Duration,
     counters: Arc<Counters>,
 }
 
-struct Idle {
-    connection: Pooled,
-    since: Instant,
+struct IdleConnection {
+    connection: PooledConnection,
+    idle_since: Instant,
 }
 
 /// A connection that counts against the limit until it is dropped.
-pub struct Pooled {
+pub struct PooledConnection {
     connection: Connection,
-    addr: SocketAddr,
-    _place: Place,
+    address: SocketAddr,
+    _slot: OpenSlot,
 }
 
-/// One place among those that may be open.
-struct Place(Rc<Cell<usize>>);
+/// A claim on one of the connections that may be open.
+struct OpenSlot(Rc<Cell<usize>>);
 
-impl Drop for Place {
+impl Drop for OpenSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-impl Deref for Pooled {
+impl Deref for PooledConnection {
     type Target = Connection;
     fn deref(&self) -> &Connection {
         &self.connection
     }
 }
 
-impl DerefMut for Pooled {
+impl DerefMut for PooledConnection {
     fn deref_mut(&mut self) -> &mut Connection {
         &mut self.connection
     }
 }
 
-/// Why there is no connection.
+/// The reason why there is no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
-    /// All that may be open are in use.
-    NoneFree,
+    /// The maximum number of connections is in use.
+    LimitReached,
     Failed,
 }
 
 impl Pool {
-    /// Connections from an address of this machine, so many at most.
+    /// Creates a pool of at most `max_open` connections from a local address.
     pub fn new(
         source: Ipv4Addr,
-        most: usize,
-        connect_wait: Duration,
-        idle_for: Duration,
+        max_open: usize,
+        connect_timeout: Duration,
+        idle_timeout: Duration,
         counters: Arc<Counters>,
     ) -> Self {
-        let retire_after = idle_for.mul_f64(RETIRE_SHARE);
+        let max_idle_time = idle_timeout.mul_f64(REUSE_SHARE);
         let (open, idle) = (Rc::default(), RefCell::default());
-        Pool { source, most, open, idle, connect_wait, retire_after, counters }
+        Pool { source, max_open, open, idle, connect_timeout, max_idle_time, counters }
     }
 
-    /// An idle connection to that address, else a new one.
-    pub async fn connect(&self, addr: SocketAddr) -> Result<Pooled, NoConnection> {
-        if let Some(connection) = self.take_idle(Some(addr)) {
+    /// Returns an idle connection to the address, or opens a new one.
+    pub async fn acquire(&self, address: SocketAddr) -> Result<PooledConnection, NoConnection> {
+        if let Some(connection) = self.take_idle(Some(address)) {
             return Ok(connection);
         }
-        if self.open.get() >= self.most && !self.close_longest_idle() {
+        if self.open.get() >= self.max_open && !self.close_longest_idle() {
             add(&self.counters.skipped, 1);
-            return Err(NoConnection::NoneFree);
+            return Err(NoConnection::LimitReached);
         }
         self.open.set(self.open.get() + 1);
-        let place = Place(self.open.clone());
+        let slot = OpenSlot(self.open.clone());
         add(&self.counters.connections, 1);
-        match timeout(self.connect_wait, Connection::open(self.source, addr)).await {
-            Ok(Ok(connection)) => Ok(Pooled { connection, addr, _place: place }),
+        match timeout(self.connect_timeout, Connection::open(self.source, address)).await {
+            Ok(Ok(connection)) => Ok(PooledConnection { connection, address, _slot: slot }),
             _ => Err(NoConnection::Failed),
         }
     }
 
-    /// The idle connection that was used last, to that address or to any.
-    pub fn take_idle(&self, addr: Option<SocketAddr>) -> Option<Pooled> {
+    /// Returns the most recently used idle connection, to the address or to any.
+    pub fn take_idle(&self, address: Option<SocketAddr>) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|idle| idle.since.elapsed() < self.retire_after && idle.connection.is_quiet());
-        let wanted = |idle: &Idle| addr.is_none_or(|addr| idle.connection.addr == addr);
-        let at = idle.iter().rposition(wanted)?;
-        Some(idle.remove(at).connection)
+        idle.retain(|idle| idle.idle_since.elapsed() < self.max_idle_time && idle.connection.is_usable());
+        let is_match =
+            |idle: &IdleConnection| address.is_none_or(|address| idle.connection.address == address);
+        let index = idle.iter().rposition(is_match)?;
+        Some(idle.remove(index).connection)
     }
 
-    /// Takes one back whose last answer is whole.
-    pub fn put_back(&self, connection: Pooled) {
-        self.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
+    /// Returns a connection to the pool; its last response must have been read completely.
+    pub fn release(&self, connection: PooledConnection) {
+        self.idle.borrow_mut().push(IdleConnection { connection, idle_since: Instant::now() });
     }
 
-    pub fn close_idle(&self, addr: SocketAddr) {
-        self.idle.borrow_mut().retain(|idle| idle.connection.addr != addr);
+    pub fn close_idle(&self, address: SocketAddr) {
+        self.idle.borrow_mut().retain(|idle| idle.connection.address != address);
     }
 
     fn close_longest_idle(&self) -> bool {
@@ -125,8 +126,8 @@
     }
 }
 
-impl Pooled {
-    pub fn addr(&self) -> SocketAddr {
-        self.addr
+impl PooledConnection {
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 }
--- a/crates/scale/src/hollow_nodes/exchange.rs
+++ b/crates/scale/src/hollow_nodes/exchange.rs
@@ -1,4 +1,4 @@
-//! What hollow nodes say to executors, and what comes of it.
+//! Requests of hollow nodes to executors, and the evaluation of the responses.
 use super::connections::{NoConnection, Pool};
 use super::http::Head;
 use super::{Counters, Settings, add};
@@ -14,94 +14,101 @@
 use troutknot::{LoadReport, Outcome};
 use troutknot_configuration::parse_load_report;
 
-const MOST_BODY: usize = 64 * 1024;
-const DEFAULT_CONNECT_WAIT: Duration = Duration::from_secs(1);
+const MAX_BODY_BYTES: usize = 64 * 1024;
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One attempt at a request.
 pub struct Attempt {
     pub id: RequestId,
     pub class: String,
-    pub addr: SocketAddr,
+    pub address: SocketAddr,
     pub work: Duration,
-    /// When it is given up.
-    pub cut: Instant,
-    /// It is not sent later.
-    pub send_by: Instant,
+    /// When the attempt is given up.
+    pub deadline: Instant,
+    /// The attempt is not sent after this time.
+    pub send_deadline: Instant,
 }
 
-fn micros(settings: &Map<String, Value>, key: &str) -> Option<Duration> {
+fn limit_setting(settings: &Map<String, Value>, key: &str) -> Option<Duration> {
     settings.get("limits")?.get(key)?.as_u64().map(Duration::from_micros)
 }
 
-/// The connections that the settings allow.
-pub fn pool(settings: &Settings, number: usize, counters: Arc<Counters>) -> Pool {
-    let connect_wait = micros(&settings.node_settings, "connect_timeout").unwrap_or(DEFAULT_CONNECT_WAIT);
-    let idle_for = micros(&settings.node_settings, "conn_idle").unwrap_or(Duration::from_secs(1));
-    Pool::new(settings.source(number), settings.connections, connect_wait, idle_for, counters)
+/// Creates a connection pool with the limits of the settings.
+pub fn create_pool(settings: &Settings, number: usize, counters: Arc<Counters>) -> Pool {
+    let connect_timeout =
+        limit_setting(&settings.node_settings, "connect_timeout").unwrap_or(DEFAULT_CONNECT_TIMEOUT);
+    let idle_timeout = limit_setting(&settings.node_settings, "conn_idle").unwrap_or(Duration::from_secs(1));
+    Pool::new(
+        settings.source_address(number),
+        settings.max_connections,
+        connect_timeout,
+        idle_timeout,
+        counters,
+    )
 }
 
-/// The name of the first request class; the settings have been checked to have one.
-pub fn first_class(settings: &Map<String, Value>) -> String {
-    let class = || settings.get("project_types")?.get(0)?.get("name")?.as_str();
-    class().unwrap_or("").to_string()
+/// Returns the name of the first request class; the settings were checked to have one.
+pub fn first_class_name(settings: &Map<String, Value>) -> String {
+    let name = || settings.get("project_types")?.get(0)?.get("name")?.as_str();
+    name().unwrap_or("").to_string()
 }
 
-fn exponential(random: &mut ChaCha8Rng) -> f64 {
+fn draw_exponential(random: &mut ChaCha8Rng) -> f64 {
     -(1.0 - random.random::<f64>()).ln()
 }
 
-/// The wait to the next request, where so many come in a second; a day where none do.
-pub fn next_arrival(random: &mut ChaCha8Rng, rate: f64) -> Duration {
-    let wait = exponential(random) / rate.max(1e-9);
-    Duration::from_secs_f64(wait.min(86_400.0))
+/// Draws the time to the next request, for a rate per second; at most one day, which stands for a rate of zero.
+pub fn draw_interarrival_time(random: &mut ChaCha8Rng, rate: f64) -> Duration {
+    let interarrival_time = draw_exponential(random) / rate.max(1e-9);
+    Duration::from_secs_f64(interarrival_time.min(86_400.0))
 }
 
 pub fn draw_work(random: &mut ChaCha8Rng, mean: Duration) -> Duration {
-    mean.mul_f64(exponential(random).min(20.0))
+    mean.mul_f64(draw_exponential(random).min(20.0))
 }
 
-/// The load that an executor reports; none where it did not answer in time.
-pub async fn probe(pool: &Pool, addr: SocketAddr, counters: &Counters) -> Option<LoadReport> {
+/// Probes an executor; returns its load report, or `None` if it does not respond in time.
+pub async fn probe(pool: &Pool, address: SocketAddr, counters: &Counters) -> Option<LoadReport> {
     add(&counters.probes, 1);
-    let mut connection = pool.connect(addr).await.ok()?;
-    let answer = async {
-        connection.send(&format!("GET /_load HTTP/1.1\r\nHost: {addr}\r\n\r\n")).await?;
-        let mut head = connection.head().await?;
-        let body = connection.whole_body(&mut head, MOST_BODY).await?;
+    let mut connection = pool.acquire(address).await.ok()?;
+    let exchange = async {
+        connection.send(&format!("GET /_load HTTP/1.1\r\nHost: {address}\r\n\r\n")).await?;
+        let mut head = connection.read_head().await?;
+        let body = connection.read_full_body(&mut head, MAX_BODY_BYTES).await?;
         Ok::<_, std::io::Error>((head, body))
     };
-    let (head, body) = timeout(DEFAULT_CONNECT_WAIT, answer).await.ok()?.ok()?;
-    if head.keep {
-        pool.put_back(connection);
+    let (head, body) = timeout(DEFAULT_CONNECT_TIMEOUT, exchange).await.ok()?.ok()?;
+    if head.is_reusable {
+        pool.release(connection);
     }
-    add(&counters.probed, 1);
+    add(&counters.answered_probes, 1);
     (head.status == 200).then(|| parse_load_report(&String::from_utf8_lossy(&body)))
 }
 
-/// Sends a request to an executor; `on_start` is called where it tells of a start.
-pub async fn push(pool: &Pool, attempt: Attempt, counters: &Counters, on_start: impl FnMut()) -> Outcome {
-    let mut connection = match pool.connect(attempt.addr).await {
+/// Sends an attempt to an executor; calls `on_start` when the executor reports the start.
+pub async fn dispatch(pool: &Pool, attempt: Attempt, counters: &Counters, on_start: impl FnMut()) -> Outcome {
+    let mut connection = match pool.acquire(attempt.address).await {
         Ok(connection) => connection,
-        Err(NoConnection::NoneFree) => return Outcome::NotSent,
+        Err(NoConnection::LimitReached) => return Outcome::NotSent,
         Err(NoConnection::Failed) => return Outcome::NoConnection,
     };
     let now = Instant::now();
-    if now >= attempt.send_by.min(attempt.cut) {
-        pool.put_back(connection);
+    if now >= attempt.send_deadline.min(attempt.deadline) {
+        pool.release(connection);
         return Outcome::NotSent;
     }
-    add(&counters.pushes, 1);
-    let request = attempt.head(attempt.cut - now);
-    let answer = async {
+    add(&counters.attempts, 1);
+    let request = attempt.encode_request(attempt.deadline - now);
+    let exchange = async {
         connection.send(&request).await?;
-        read_answer(&mut connection, attempt.id, on_start).await
+        read_response(&mut connection, attempt.id, on_start).await
     };
-    match timeout_at(attempt.cut, answer).await {
+    match timeout_at(attempt.deadline, exchange).await {
         Err(_) => Outcome::TimedOut,
         Ok(Err(_)) => Outcome::Reset,
-        Ok(Ok((outcome, keep))) => {
-            if keep {
-                pool.put_back(connection);
+        Ok(Ok((outcome, is_reusable))) => {
+            if is_reusable {
+                pool.release(connection);
             }
             if outcome == Outcome::Completed {
                 add(&counters.completed, 1);
@@ -112,52 +119,52 @@
 }
 
 impl Attempt {
-    fn head(&self, wait: Duration) -> String {
-        let Attempt { id, class, addr, work, .. } = self;
+    fn encode_request(&self, time_left: Duration) -> String {
+        let Attempt { id, class, address, work, .. } = self;
         format!(
-            "POST /{class} HTTP/1.1\r\nHost: {addr}\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n\
+            "POST /{class} HTTP/1.1\r\nHost: {address}\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n\
              Work-Millis: {:.3}\r\nRequest-Timeout: {:.3}\r\nContent-Length: 0\r\n\r\n",
             work.as_secs_f64() * 1000.0,
-            wait.as_secs_f64()
+            time_left.as_secs_f64()
         )
     }
 }
 
-/// What an executor's head alone says; none where its lines follow.
+/// Returns the outcome that follows from the response head, or `None` if state lines follow.
 fn outcome_of_head(head: &Head) -> Option<Outcome> {
     match head.status {
         200 => None,
-        503 | 504 if head.not_started => Some(Outcome::Rejected),
+        503 | 504 if head.is_not_started => Some(Outcome::Rejected),
         _ => Some(Outcome::Error),
     }
 }
 
-/// One line that an executor tells of an attempt.
+/// A state line of an attempt.
 #[derive(Deserialize)]
-struct Line<'a> {
+struct StateLine<'a> {
     id: &'a str,
     state: &'a str,
 }
 
-/// The outcome, and whether the connection may be used again.
-async fn read_answer(
+/// Returns the outcome of the attempt, and whether the connection can be reused.
+async fn read_response(
     connection: &mut super::http::Connection,
     id: RequestId,
     mut on_start: impl FnMut(),
 ) -> std::io::Result<(Outcome, bool)> {
-    let mut head = connection.head().await?;
+    let mut head = connection.read_head().await?;
     if let Some(outcome) = outcome_of_head(&head) {
-        connection.whole_body(&mut head, MOST_BODY).await?;
-        return Ok((outcome, head.keep));
+        connection.read_full_body(&mut head, MAX_BODY_BYTES).await?;
+        return Ok((outcome, head.is_reusable));
     }
     let mut outcome = None;
-    let mut read = Vec::new();
-    while connection.body(&mut head, &mut read).await? {
-        while let Some(end) = read.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = read.drain(..=end).collect();
-            let line: Line = serde_json::from_slice(&line).map_err(std::io::Error::other)?;
+    let mut unparsed = Vec::new();
+    while connection.read_body(&mut head, &mut unparsed).await? {
+        while let Some(end) = unparsed.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = unparsed.drain(..=end).collect();
+            let line: StateLine = serde_json::from_slice(&line).map_err(std::io::Error::other)?;
             if RequestId::parse(line.id) != Some(id) {
-                return Err(std::io::Error::other("the line is of another request"));
+                return Err(std::io::Error::other("the line belongs to another request"));
             }
             match line.state {
                 "started" => on_start(),
@@ -168,10 +175,10 @@
                 _ => {}
             }
         }
-        if read.len() > MOST_BODY {
-            return Err(std::io::Error::other("a line is too long"));
+        if unparsed.len() > MAX_BODY_BYTES {
+            return Err(std::io::Error::other("a line exceeds the size limit"));
         }
     }
     let outcome = outcome.ok_or(std::io::ErrorKind::UnexpectedEof)?;
-    Ok((outcome, head.keep))
+    Ok((outcome, head.is_reusable))
 }
--- a/crates/scale/tests/hollow_executors.rs
+++ b/crates/scale/tests/hollow_executors.rs
@@ -42,7 +42,7 @@
     Connection::new(TcpStream::connect(address).await.unwrap())
 }
 
-async fn ask(address: SocketAddr, request: &str) -> Option<Message> {
+async fn send_request(address: SocketAddr, request: &str) -> Option<Message> {
     let mut connection = connect(address).await;
     connection.write(request.as_bytes()).await.ok()?;
     connection.read_response().await.ok()?
@@ -64,9 +64,10 @@
         for address in &distinct {
             assert!(address.ip().is_loopback());
             for path in ["/ping", "/_load"] {
-                let answer = ask(*address, &format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n")).await.unwrap();
-                assert_eq!(answer.status, 200);
-                assert_eq!(answer.body, b"inflight=0,queue=0,util=0.000,x0=2");
+                let response =
+                    send_request(*address, &format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n")).await.unwrap();
+                assert_eq!(response.status, 200);
+                assert_eq!(response.body, b"inflight=0,queue=0,util=0.000,x0=2");
             }
         }
     });
@@ -75,9 +76,9 @@
 #[test]
 fn an_attempt_reports_its_start_and_its_result_line_by_line() {
     with_executors(config(), |executors| async move {
-        let answer = ask(executors.addresses()[4], &attempt(IDEMPOTENT, id(7))).await.unwrap();
-        assert_eq!(answer.status, 200);
-        let text = String::from_utf8(answer.body).unwrap();
+        let response = send_request(executors.addresses()[4], &attempt(IDEMPOTENT, id(7))).await.unwrap();
+        assert_eq!(response.status, 200);
+        let text = String::from_utf8(response.body).unwrap();
         let lines: Vec<serde_json::Value> =
             text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
         assert_eq!(lines[0]["state"], "started");
@@ -92,10 +93,11 @@
 fn an_attempt_with_a_missing_or_invalid_request_id_is_refused() {
     with_executors(config(), |executors| async move {
         let address = executors.addresses()[0];
-        let missing = ask(address, "POST /render HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").await;
+        let missing =
+            send_request(address, "POST /render HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").await;
         assert_eq!(missing.unwrap().status, 404);
         let invalid = "POST /render HTTP/1.1\r\nHost: a\r\nRequest-Id: 12\r\nContent-Length: 0\r\n\r\n";
-        assert_eq!(ask(address, invalid).await.unwrap().status, 400);
+        assert_eq!(send_request(address, invalid).await.unwrap().status, 400);
         assert_eq!(executors.report().await.real_nodes.attempts, 0);
     });
 }
@@ -111,7 +113,7 @@
             connection.read_response().await.unwrap().unwrap();
         }
         let request = attempt(IDEMPOTENT, id(1));
-        ask(second, &request).await.unwrap();
+        send_request(second, &request).await.unwrap();
         let report = executors.report().await;
         let Traffic { connections, probes, attempts, rejected, bytes_in, .. } = report.real_nodes;
         assert_eq!((connections, probes, attempts, rejected), (2, 3, 1, 0));
@@ -137,17 +139,17 @@
         }
         let full = "inflight=2,queue=1";
         loop {
-            let load = ask(address, "GET /_load HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
+            let load = send_request(address, "GET /_load HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
             if String::from_utf8(load.body).unwrap().starts_with(full) {
                 break;
             }
         }
-        let answer = ask(address, &attempt(IDEMPOTENT, id(9))).await.unwrap();
-        assert_eq!((answer.status, answer.field("not-started")), (503, Some("1")));
+        let response = send_request(address, &attempt(IDEMPOTENT, id(9))).await.unwrap();
+        assert_eq!((response.status, response.field("not-started")), (503, Some("1")));
         // An attempt whose client disconnects leaves the queue.
         open.pop();
         loop {
-            let load = ask(address, "GET /_load HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
+            let load = send_request(address, "GET /_load HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
             if String::from_utf8(load.body).unwrap().starts_with("inflight=2,queue=0") {
                 break;
             }
@@ -166,12 +168,13 @@
         executors.kill(5..6).await;
         open.wait_closed().await;
         while TcpStream::connect(address).await.is_ok() {}
-        let other_executor = ask(executors.addresses()[6], "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n").await;
+        let other_executor =
+            send_request(executors.addresses()[6], "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n").await;
         assert_eq!(other_executor.unwrap().status, 200);
         executors.restart(5..6).await;
         while TcpStream::connect(address).await.is_err() {}
-        let answer = ask(address, "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n").await;
-        assert_eq!(answer.unwrap().status, 200);
+        let response = send_request(address, "GET /ping HTTP/1.1\r\nHost: a\r\n\r\n").await;
+        assert_eq!(response.unwrap().status, 200);
     });
 }
 
@@ -180,8 +183,9 @@
     with_executors(config(), |executors| async move {
         for executor in [2, 9] {
             for (class, sequence) in [(IDEMPOTENT, 1), (AT_MOST_ONCE, 2)] {
-                let answer = ask(executors.addresses()[executor], &attempt(class, id(sequence))).await;
-                assert_eq!(answer.unwrap().status, 200);
+                let response =
+                    send_request(executors.addresses()[executor], &attempt(class, id(sequence))).await;
+                assert_eq!(response.unwrap().status, 200);
             }
         }
         let violations = executors.report().await.violations;
@@ -198,11 +202,11 @@
         executors.report().await;
         let unnotified_node = RequestId::new(NODE + 1, 0);
         for request in [id(0), unnotified_node] {
-            ask(executors.addresses()[3], &attempt(IDEMPOTENT, request)).await.unwrap();
+            send_request(executors.addresses()[3], &attempt(IDEMPOTENT, request)).await.unwrap();
         }
         executors.record_returns(&[3]);
         let violations = executors.report().await.violations;
-        ask(executors.addresses()[3], &attempt(IDEMPOTENT, id(1))).await.unwrap();
+        send_request(executors.addresses()[3], &attempt(IDEMPOTENT, id(1))).await.unwrap();
         assert_eq!(executors.report().await.violations, [], "no violation after the executor returned");
         assert!(
             matches!(&violations[..], [ExecutorViolation::SentAfterGrace { request, executor: 3, .. }]
@@ -218,7 +222,7 @@
     with_executors(no_delay, |executors| async move {
         executors.record_departures(&[3]);
         executors.report().await;
-        ask(executors.addresses()[3], &attempt(IDEMPOTENT, id(0))).await.unwrap();
+        send_request(executors.addresses()[3], &attempt(IDEMPOTENT, id(0))).await.unwrap();
         assert_eq!(executors.report().await.violations.len(), 1);
     });
 }
@@ -234,8 +238,8 @@
     with_executors(small_budget, |executors| async move {
         executors.restart(0..1).await;
         while TcpStream::connect(executors.addresses()[0]).await.is_err() {}
-        let answer = ask(executors.addresses()[0], &attempt(IDEMPOTENT, id(0))).await;
-        assert!(answer.is_none(), "its connections are reset: {answer:?}");
+        let response = send_request(executors.addresses()[0], &attempt(IDEMPOTENT, id(0))).await;
+        assert!(response.is_none(), "its connections are reset: {response:?}");
         let violations = executors.report().await.violations;
         assert!(
             matches!(&violations[..], [ExecutorViolation::PushedOver { executor: 0, .. }]),
