--- a/crates/scale/src/executor_commands.rs
+++ b/crates/scale/src/executor_commands.rs
@@ -21,7 +21,7 @@
     },
     /// Resets the executors' connections and refuses new ones.
     Kill(Range<usize>),
-    /// Restarts the executors with an empty warm-up, whether or not they were down.
+    /// Restarts the executors, whether or not they were down, so that they warm up again.
     Restart(Range<usize>),
     /// Marks the executors as warmed up.
     #[serde(rename = "warm")]
--- a/crates/scale/src/executor_worker.rs
+++ b/crates/scale/src/executor_worker.rs
@@ -43,11 +43,11 @@
         let (Some(input), Some(output)) = (input, output) else {
             return Err(io::Error::other("the worker process has no standard input or output pipe"));
         };
-        let (reply_senders, reply_receivers) = std_mpsc::channel();
+        let (pending_sender, pending_receiver) = std_mpsc::channel();
         let named_thread = |role: &str| thread::Builder::new().name(format!("worker-{role}"));
         worker.writer =
-            Some(named_thread("orders").spawn(move || write_commands(input, commands, &reply_senders))?);
-        worker.reader = Some(named_thread("answers").spawn(move || read_replies(output, &reply_receivers))?);
+            Some(named_thread("orders").spawn(move || write_commands(input, commands, &pending_sender))?);
+        worker.reader = Some(named_thread("answers").spawn(move || read_replies(output, &pending_receiver))?);
         Ok(worker)
     }
 }
@@ -67,20 +67,20 @@
 fn write_commands(
     input: ChildStdin,
     mut commands: mpsc::UnboundedReceiver<PendingCommand>,
-    reply_senders: &std_mpsc::Sender<oneshot::Sender<Reply>>,
+    pending_replies: &std_mpsc::Sender<oneshot::Sender<Reply>>,
 ) {
     let mut input = BufWriter::new(input);
     while let Some(PendingCommand { command, reply }) = commands.blocking_recv() {
-        if reply_senders.send(reply).is_err() || write_line(&mut input, &command).is_err() {
+        if pending_replies.send(reply).is_err() || write_line(&mut input, &command).is_err() {
             return;
         }
     }
 }
 
 /// Passes each reply to the sender of its command until the worker closes its standard output.
-fn read_replies(output: ChildStdout, reply_receivers: &std_mpsc::Receiver<oneshot::Sender<Reply>>) {
+fn read_replies(output: ChildStdout, pending_replies: &std_mpsc::Receiver<oneshot::Sender<Reply>>) {
     for line in BufReader::new(output).lines() {
-        let (Ok(line), Ok(reply_sender)) = (line, reply_receivers.recv()) else { return };
+        let (Ok(line), Ok(reply_sender)) = (line, pending_replies.recv()) else { return };
         let reply = serde_json::from_str(&line)
             .unwrap_or_else(|error| Reply::Failed(format!("invalid reply from a worker: {error}")));
         let _ = reply_sender.send(reply);
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -80,7 +80,7 @@
         self.executors.kill(executors).await;
     }
 
-    /// Restarts the executors with an empty warm-up, under their previous ids, and lists them.
+    /// Restarts the executors under their previous ids, so that they warm up again, and lists them.
     pub async fn restart(&self, executors: Range<usize>) {
         self.executors.restart(executors.clone()).await;
         let now = unix_now_ms();
@@ -88,8 +88,8 @@
         self.publish(executors, State::Ready);
     }
 
-    /// Restarts the executors with an empty warm-up, under new ids, and lists them. The previous ids must have been
-    /// published as gone.
+    /// Restarts the executors under new ids, so that they warm up again, and lists them. The previous ids must have
+    /// been published as gone.
     pub async fn restart_renamed(&self, executors: Range<usize>) {
         for generation in &mut self.generations.borrow_mut()[executors.clone()] {
             *generation += 1;
--- a/crates/scale/src/hollow_executors.rs
+++ b/crates/scale/src/hollow_executors.rs
@@ -84,7 +84,7 @@
         self.execute_on_all(&Command::Kill(executors)).await;
     }
 
-    /// Restarts the executors with an empty warm-up; open connections are reset.
+    /// Restarts the executors, so that they warm up again; open connections are reset.
     pub async fn restart(&self, executors: Range<usize>) {
         self.execute_on_all(&Command::Restart(executors)).await;
     }
--- a/crates/scale/src/hollow_nodes/endpoint_list.rs
+++ b/crates/scale/src/hollow_nodes/endpoint_list.rs
@@ -38,6 +38,7 @@
     pub state: String,
     #[serde(default)]
     pub weight: Option<f64>,
+    /// Start time in milliseconds since the Unix epoch; 0 if it started long ago.
     #[serde(rename = "started_ms", default)]
     pub started_at: Option<f64>,
 }
@@ -118,16 +119,16 @@
     counters: &Counters,
     mut handle_line: impl FnMut(&[u8]),
 ) -> io::Result<()> {
-    let (mut read, mut scanned) = (Vec::new(), 0);
+    let (mut buffer, mut scanned) = (Vec::new(), 0);
     loop {
-        let previous_length = read.len();
-        if !timeout(IDLE_TIMEOUT, connection.read_body(head, &mut read)).await.map_err(timeout_error)?? {
+        let previous_length = buffer.len();
+        if !timeout(IDLE_TIMEOUT, connection.read_body(head, &mut buffer)).await.map_err(timeout_error)?? {
             return Ok(());
         }
-        add(&counters.list_bytes, (read.len() - previous_length) as u64);
+        add(&counters.list_bytes, (buffer.len() - previous_length) as u64);
         let mut line_start = 0;
-        while let Some(end) = read[scanned..].iter().position(|byte| *byte == b'\n') {
-            let line = read[line_start..scanned + end].trim_ascii();
+        while let Some(end) = buffer[scanned..].iter().position(|byte| *byte == b'\n') {
+            let line = buffer[line_start..scanned + end].trim_ascii();
             if !line.is_empty() {
                 add(&counters.list_lines, 1);
                 handle_line(line);
@@ -136,15 +137,15 @@
             line_start = scanned;
         }
         let consumed = if retention == LineRetention::Tail {
-            line_start.max(read.len().saturating_sub(TAIL_BYTES))
+            line_start.max(buffer.len().saturating_sub(TAIL_BYTES))
         } else {
             line_start
         };
-        read.drain(..consumed);
+        buffer.drain(..consumed);
         if line_start > 0 {
-            read.shrink_to(MAX_RETAINED_CAPACITY);
+            buffer.shrink_to(MAX_RETAINED_CAPACITY);
         }
-        scanned = read.len();
+        scanned = buffer.len();
         if scanned > MAX_LINE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
--- a/crates/scale/src/real_node.rs
+++ b/crates/scale/src/real_node.rs
@@ -19,6 +19,7 @@
 const FRONT_REMOVAL_DELAY: Duration = Duration::from_millis(300);
 /// Time beyond the longest deadline that a node has to exit after SIGTERM.
 const EXIT_MARGIN: Duration = Duration::from_millis(700);
+/// Longest request deadline that a restart waits for.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 
 /// Parameters that all real nodes of a step share.
@@ -110,9 +111,9 @@
     /// Waits for the first 200 on `/_health`; returns the time since the start, or `None` after the timeout.
     pub async fn wait_ready(&self, timeout: Duration) -> Option<Duration> {
         let mut process = self.process.take()?;
-        let start_time = process.wait_ready(timeout).await;
+        let startup_duration = process.wait_ready(timeout).await;
         self.process.replace(Some(process));
-        start_time
+        startup_duration
     }
 
     fn with_process<T>(&self, read: impl FnOnce(&NodeProcess) -> io::Result<T>) -> io::Result<T> {
@@ -207,9 +208,9 @@
             self.addresses.listen_address,
         )?;
         self.process.replace(Some(process));
-        let start_time = self.wait_ready(timeout).await;
+        let startup_duration = self.wait_ready(timeout).await;
         self.clients.set_enabled(true);
-        Ok(start_time)
+        Ok(startup_duration)
     }
 
     /// Returns whether the process ended unasked.
