--- a/crates/scale/src/campaign.rs
+++ b/crates/scale/src/campaign.rs
@@ -10,14 +10,14 @@
 mod troubles;
 
 use crate::bounds::Bounds;
-use crate::executor_counts::Report;
-use crate::executor_terms::ExecutorTerms;
+use crate::executor_config::ExecutorConfig;
+use crate::executor_counts::ExecutorReport;
 use crate::executor_worker::WorkerProgram;
 use crate::file::ScaleFile;
 use crate::fleet::Fleet;
 use crate::hollow_executors::{HollowExecutors, Placement};
 use crate::node_process::{NodeProgram, Usage};
-use crate::real_node::{RealNode, Surroundings};
+use crate::real_node::{NodeContext, RealNode};
 use crate::row::{Breach, Figure, Measurement, NodeKind, Point, Row, Start};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -129,7 +129,7 @@
     placement: &Placement,
     sink: &mut dyn FnMut(Row),
 ) -> Result<(), RunError> {
-    let executors = HollowExecutors::start(file.largest_fleet(), executor_terms(file), placement).await;
+    let executors = HollowExecutors::start(file.largest_fleet(), executor_config(file), placement).await;
     let campaign = Campaign {
         file,
         program: &programs.node,
@@ -148,19 +148,19 @@
     campaign.play_troubles().await
 }
 
-fn executor_terms(file: &ScaleFile) -> ExecutorTerms {
-    ExecutorTerms {
+fn executor_config(file: &ScaleFile) -> ExecutorConfig {
+    ExecutorConfig {
         seed: file.seed,
         slots: (file.fleet.slots as usize).max(1),
         queue_capacity: file.fleet.queue_capacity,
-        mean_service: file.requests.work,
-        told_at_latest: file.rules.told_at_latest,
+        mean_service_time: file.requests.work,
+        max_notification_delay: file.rules.told_at_latest,
         drain_grace: file.rules.drain_grace,
         slack: file.rules.slack,
-        cold_share: file.rules.cold_share,
-        ramp: file.rules.ramp,
-        fall_multiple: file.rules.fall_multiple,
-        fall_window: file.rules.fall_window,
+        initial_capacity: file.rules.cold_share,
+        ramp_duration: file.rules.ramp,
+        budget_multiple: file.rules.fall_multiple,
+        budget_window: file.rules.fall_window,
     }
 }
 
@@ -224,10 +224,10 @@
         for number in 0..count {
             let node = RealNode::start(&step.surroundings(), number);
             let node = node.doing(format!("starting real node {number}"))?;
-            let took = node.ready(LONGEST_START).await.ok_or_else(|| RunError::NotReady {
+            let took = node.wait_ready(LONGEST_START).await.ok_or_else(|| RunError::NotReady {
                 node: number,
                 within: LONGEST_START,
-                why: node.last_words(),
+                why: node.last_log_lines(),
             })?;
             ready.push(took);
             step.nodes.push(node);
@@ -238,13 +238,13 @@
 }
 
 impl Step<'_, '_> {
-    fn surroundings(&self) -> Surroundings<'_> {
-        Surroundings {
+    fn surroundings(&self) -> NodeContext<'_> {
+        NodeContext {
             file: self.campaign.file,
             program: self.campaign.program,
             folder: self.campaign.folder.path(),
             discovery: self.fleet.discovery(),
-            zones: self.fleet.zones(),
+            zones: self.fleet.zone_count(),
             first_sequence: self.number * REQUESTS_OF_STEP,
         }
     }
@@ -252,7 +252,7 @@
     /// Waits until each node has been told the list as it is.
     async fn wait_told(&self) -> Result<(), RunError> {
         for node in &self.nodes {
-            if !node.agent.has_told_all(LONGEST_TELLING).await {
+            if !node.agent.wait_until_notified(LONGEST_TELLING).await {
                 self.check_nodes()?;
                 return Err(RunError::NotTold { node: node.number(), within: LONGEST_TELLING });
             }
@@ -264,7 +264,7 @@
     /// Where a node has ended by itself.
     fn check_nodes(&self) -> Result<(), RunError> {
         match self.nodes.iter().find(|node| node.has_ended()) {
-            Some(node) => Err(RunError::NodeEnded { node: node.number(), why: node.last_words() }),
+            Some(node) => Err(RunError::NodeEnded { node: node.number(), why: node.last_log_lines() }),
             None => Ok(()),
         }
     }
@@ -292,9 +292,9 @@
     }
 
     /// Emits the breaches that the executors reported, and how many there were of each rule.
-    fn emit_breaches(&self, point: Point, report: &Report) {
+    fn emit_breaches(&self, point: Point, report: &ExecutorReport) {
         let campaign = self.campaign;
-        let breaches = &report.breaches;
+        let breaches = &report.violations;
         let rules = [
             (2, "repeated-effect", Measurement::RepeatedEffects),
             (3, "sent-after-grace", Measurement::SentAfterGrace),
@@ -317,7 +317,8 @@
 
     /// Emits what the nodes were told since the last call took, where anything was told.
     fn emit_delays(&self, point: Point) {
-        let mut delays: Vec<f64> = self.nodes.iter().flat_map(|node| node.agent.take_delays()).collect();
+        let mut delays: Vec<f64> =
+            self.nodes.iter().flat_map(|node| node.agent.take_notification_delays()).collect();
         if !delays.is_empty() {
             let value = quantile(&mut delays, TOLD_SHARE);
             self.campaign.figure(point, Measurement::Told, NodeKind::Real, value);
--- a/crates/scale/src/campaign/hollow_load.rs
+++ b/crates/scale/src/campaign/hollow_load.rs
@@ -69,26 +69,26 @@
         }
         let first_number = file.real_nodes.count;
         let agents =
-            (0..hollow.count).map(|n| Agent::of_hollow_node(self.fleet.discovery(), first_number + n));
+            (0..hollow.count).map(|n| Agent::start_for_hollow_node(self.fleet.discovery(), first_number + n));
         let agents = agents.collect::<Result<Vec<_>, _>>().doing("listening for hollow nodes")?;
         let discovery: Vec<SocketAddr> = agents.iter().map(|agent| agent.address()).collect();
         let settings = Settings {
             first_number,
-            by_dispatcher: hollow.by_dispatcher.min(hollow.count),
-            by_rates: hollow.count.saturating_sub(hollow.by_dispatcher),
+            dispatcher_nodes: hollow.by_dispatcher.min(hollow.count),
+            rate_nodes: hollow.count.saturating_sub(hollow.by_dispatcher),
             rates: hollow.measured,
-            connections: hollow.connections,
-            discovery,
-            node_settings: self.surroundings().settings_of(first_number),
+            max_connections: hollow.connections,
+            discovery_addresses: discovery,
+            node_settings: self.surroundings().settings(first_number),
             request_rate: 0.0,
-            work: file.requests.work,
+            mean_work: file.requests.work,
             deadline: file.requests.deadline,
             seed: file.seed.wrapping_add(self.number),
         };
         let nodes =
             HollowNodes::start(settings).map_err(|error| RunError::HollowNodes { why: error.to_string() })?;
         for agent in &agents {
-            if !agent.has_told_all(LONGEST_TELLING).await {
+            if !agent.wait_until_notified(LONGEST_TELLING).await {
                 return Err(RunError::HollowNodes { why: format!("not told within {LONGEST_TELLING:?}") });
             }
         }
@@ -115,7 +115,7 @@
             let figure = |measurement, value| self.campaign.figure(point, measurement, kind, value);
             figure(Measurement::Drivers, count as f64);
             figure(Measurement::Probes, per_node_second(now.probes, before.probes));
-            figure(Measurement::Pushes, per_node_second(now.pushes, before.pushes));
+            figure(Measurement::Pushes, per_node_second(now.attempts, before.attempts));
         }
     }
 }
