--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -1,17 +1,19 @@
-//! `troutknot experiment`: many simulated days over all cores; each row is stored as its run ends.
+//! `troutknot experiment`: many simulations on all cores; each row is stored as its run ends.
 use crate::Ended;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use std::path::PathBuf;
-use troutknot_simulation::experiment::{Failed, Planned, Row, Summary, as_csv, summary};
+use troutknot_simulation::experiment::{
+    ExperimentError, ExperimentPlan, Row, Summary, format_csv, summarize,
+};
 
-/// Simulate scenarios by seed, varied setting and policy, and compare
+/// Simulate scenarios with several seeds, varied settings and policies, and compare the policies
 #[derive(Args)]
 #[command(after_help = "Example: troutknot experiment experiments/baselines.toml --out runs
 
-FOLDER/rows.jsonl holds one row a run; a row that is there is not run again, so a killed experiment continues.
-FOLDER/summary.csv holds means, 95% intervals by bootstrap, and differences by seed.
-Exit status: 0 done, 1 a rule broke in some run, 2 a file that cannot be used, 3 the disk.")]
+FOLDER/rows.jsonl holds one row per run; a run whose row is stored is not repeated, so a killed experiment continues.
+FOLDER/summary.csv holds means, 95% bootstrap intervals, and differences to the reference policy by seed.
+Exit status: 0 done, 1 a rule was violated in some run, 2 a file that cannot be used, 3 FOLDER cannot be written.")]
 pub struct ExperimentArgs {
     experiment: PathBuf,
     /// Folder of the rows and the summary
@@ -23,43 +25,42 @@
 }
 
 impl ExperimentArgs {
-    /// Runs what is missing, writes the summary and prints it.
+    /// Runs the simulations that are not stored yet, writes the summary and prints it.
     pub fn run(self) -> Ended {
-        self.play().unwrap_or_else(|ended| ended)
+        self.try_run().unwrap_or_else(|ended| ended)
     }
 
     /// # Errors
     /// How the command ended, once the reason is on standard error.
-    fn play(&self) -> Result<Ended, Ended> {
-        let planned = Planned::read(&self.experiment).map_err(|error| Ended::Usage.because(error))?;
-        let rows = self.simulate(&planned)?;
-        let summary = summary(&rows, &planned.against);
+    fn try_run(&self) -> Result<Ended, Ended> {
+        let plan = ExperimentPlan::read(&self.experiment).map_err(|error| Ended::Usage.because(error))?;
+        let rows = self.simulate(&plan)?;
+        let summary = summarize(&rows, &plan.reference_policy);
         let path = self.out.join("summary.csv");
-        if let Err(error) = std::fs::write(&path, as_csv(&summary)) {
+        if let Err(error) = std::fs::write(&path, format_csv(&summary)) {
             return Err(Ended::Machine.because(format!("cannot write `{}`: {error}", path.display())));
         }
         print_summary(&summary);
-        let breaches: usize = summary.iter().map(|group| group.breaches).sum();
-        if breaches > 0 {
-            let text = format!("rules broke {breaches} times; rows.jsonl says in which runs");
+        let violations: usize = summary.iter().map(|group| group.violations).sum();
+        if violations > 0 {
+            let text = format!("{violations} rule violations; rows.jsonl lists them by run");
             return Ok(Ended::Broke.because(text));
         }
         Ok(Ended::Held)
     }
 
-    fn simulate(&self, planned: &Planned) -> Result<Vec<Row>, Ended> {
-        let bar =
-            ProgressBar::with_draw_target(Some(planned.runs.len() as u64), ProgressDrawTarget::stderr());
+    fn simulate(&self, plan: &ExperimentPlan) -> Result<Vec<Row>, Ended> {
+        let bar = ProgressBar::with_draw_target(Some(plan.runs.len() as u64), ProgressDrawTarget::stderr());
         if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos} of {len}, {eta} left") {
             bar.set_style(style);
         }
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
         let threads = self.threads.unwrap_or(cores);
-        let rows = planned.run(&self.out, threads, |done| bar.set_position(done as u64));
+        let rows = plan.run(&self.out, threads, |stored| bar.set_position(stored as u64));
         bar.finish_and_clear();
         rows.map_err(|error| match error {
-            Failed::Bad(_) => Ended::Usage.because(error),
-            Failed::Disk(_) => Ended::Machine.because(error),
+            ExperimentError::Invalid(_) => Ended::Usage.because(error),
+            ExperimentError::Io(_) => Ended::Machine.because(error),
         })
     }
 }
--- a/crates/cli/src/simulate.rs
+++ b/crates/cli/src/simulate.rs
@@ -1,16 +1,16 @@
-//! `troutknot simulate`: plays a scenario in simulated time, and prints the verdict.
+//! `troutknot simulate`: runs a scenario in simulated time, and prints the verdict.
 use crate::{Ended, check, verdict};
 use clap::Args;
 use std::path::PathBuf;
 use std::time::Instant;
 use troutknot_simulation::simulate;
 
-/// Play a scenario in simulated time, in one process, and say whether the four rules held
+/// Run a scenario in simulated time, in one process, and report whether the four rules held
 #[derive(Args)]
 #[command(after_help = "Example: troutknot simulate scenarios/iftar.toml --seed 7 --json
 
-The same scenario and seed print the same on any machine; how long it took goes to standard error.
-Exit status: 0 all held, 1 a rule broke or less service than expected, 2 a file that cannot be used.")]
+A scenario and a seed give the same output on every machine; the time that the run took goes to standard error.
+Exit status: 0 all held, 1 a rule was violated or less service than expected, 2 a file that cannot be used.")]
 pub struct Simulate {
     scenario: PathBuf,
     /// Seed of the plan; the scenario's own if not given
@@ -22,6 +22,7 @@
 }
 
 impl Simulate {
+    /// Runs the simulation and prints the report on standard output.
     pub fn run(self) -> Ended {
         let scenario = match check::scenario(&self.scenario) {
             Ok(scenario) => scenario,
@@ -43,10 +44,15 @@
         } else {
             println!(
                 "{} seed {} plan {}: {} nodes, {} executors, {:.1} s",
-                report.scenario, report.seed, report.plan, report.nodes, report.executors, report.length_s
+                report.scenario,
+                report.seed,
+                report.plan_hash,
+                report.nodes,
+                report.executors,
+                report.length_s
             );
             print!("{}", verdict::format_verdict(&report.verdict, report.seed, report.expected_service));
         }
-        if report.holds() { Ended::Held } else { Ended::Broke }
+        if report.has_passed() { Ended::Held } else { Ended::Broke }
     }
 }
--- a/crates/cli/tests/rehearse.rs
+++ b/crates/cli/tests/rehearse.rs
@@ -268,7 +268,7 @@
         (&["rehearse", many], 3, &["file descriptors"]),
         (&["rehearse", crowd], 3, &["65 nodes and 5 executors; a rehearsal has 64 and 1000 at most"]),
         (&["experiment", "nowhere.toml", "--out", "nowhere"], 2, &["cannot read `nowhere.toml`"]),
-        (&["simulate", durable], 2, &["durable work needs real nodes that die"]),
+        (&["simulate", durable], 2, &["durable requests need real node processes that are killed"]),
         (&["rehearse", fast, "--time-scale", "0"], 2, &["--time-scale is 0; 0.1 to 100 is allowed"]),
         (&["node", "--config", config], 2, &["invalid type"]),
         (&["rehearse"], 2, &["required arguments were not provided"]),
--- a/crates/simulation/src/baselines.rs
+++ b/crates/simulation/src/baselines.rs
@@ -1,5 +1,9 @@
-//! Other policies, to compare with: in the kit alone. They keep the same rules by the same figures: what may be sent
-//! again and where, who drains, and each node's even part of a cold executor's budget. They differ in whom they choose.
+//! Baseline policies, for comparison with the dispatcher; only simulations use them. A baseline follows the same rules
+//! as the dispatcher with the same limits (what may be retried and on which executors, no dispatches to draining
+//! executors, and an even share per node of an executor's warm-up budget) and differs in how it selects an executor.
+//!
+//! The warm-up budget is computed here again instead of by the core's code on purpose: a baseline must not change when
+//! the policy that is compared with it changes.
 use crate::node::DecisionModule;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,29 +16,33 @@
     LoadReport, Millis, Outcome, RequestId, Settings,
 };
 
-/// Part of a cold budget that is used, and of a window within which a repeat is sent.
-const HEADROOM: f64 = 0.8;
-/// What finds nobody is tried again after so long, for this part of its promised turnaround.
-const AGAIN: Millis = 20.0;
-const PATIENCE: f64 = 0.25;
+/// Part of a warm-up budget that is spent, and part of a deduplication window within which a retry is sent.
+const USABLE_SHARE: f64 = 0.8;
+/// Delay in milliseconds before a request that found no executor is tried again.
+const RETRY_INTERVAL: Millis = 20.0;
+/// Part of a request's latency objective for which it waits for an executor.
+const MAX_WAIT_SHARE: f64 = 0.25;
 
+/// How a node selects executors.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Policy {
-    /// The dispatcher as it is.
+    /// The dispatcher itself.
     Adaptive,
+    /// A random executor.
     Random,
+    /// The next executor in the order of the plan.
     RoundRobin,
-    /// The executor with the fewest of this node's own slots out.
+    /// The executor with the smallest share of its slots in use by this node's attempts.
     LeastOutstanding,
-    /// So many draws with replacement, all probed, the shortest queue.
+    /// Probes this number of executors, drawn with replacement, and selects the shortest queue.
     Fixed(u32),
 }
 
 impl FromStr for Policy {
     type Err = String;
 
-    fn from_str(word: &str) -> Result<Self, String> {
-        Ok(match word {
+    fn from_str(name: &str) -> Result<Self, String> {
+        Ok(match name {
             "adaptive" => Policy::Adaptive,
             "random" => Policy::Random,
             "round-robin" => Policy::RoundRobin,
@@ -43,329 +51,366 @@
             "d2" => Policy::Fixed(2),
             "d4" => Policy::Fixed(4),
             other => {
-                let known = "adaptive, random, round-robin, least-outstanding, d1, d2, d4";
-                return Err(format!("`{other}` is no policy; {known} are allowed"));
+                let allowed = "adaptive, random, round-robin, least-outstanding, d1, d2, d4";
+                return Err(format!("unknown policy `{other}`; allowed are {allowed}"));
             }
         })
     }
 }
 
-struct Kind {
+struct RequestClass {
     effect: Effect,
     scope: DeduplicationScope,
-    window: Millis,
-    turnaround: Millis,
+    deduplication_window: Millis,
+    latency_objective: Millis,
 }
 
-struct Alloc {
+struct Attempt {
     executor: ExecutorId,
-    sent: Millis,
+    dispatched_at: Millis,
+    /// `None` while the attempt is in flight.
     outcome: Option<Outcome>,
 }
 
-struct Wu {
-    kind: usize,
+struct Request {
+    /// Index of its request class.
+    class: usize,
     slots: f64,
-    arrived: Millis,
-    limit: Millis,
-    attempts: Vec<Alloc>,
-    /// Drawn ones that are still to answer, and what the others said.
-    asked: Vec<ExecutorId>,
-    answers: Vec<(ExecutorId, LoadReport)>,
+    arrived_at: Millis,
+    deadline: Millis,
+    attempts: Vec<Attempt>,
+    /// Sampled executors whose probe replies are outstanding, and the reports of the others.
+    awaited_probes: Vec<ExecutorId>,
+    reports: Vec<(ExecutorId, LoadReport)>,
 }
 
-/// What is known of one executor. Nothing is released here: a baseline lasts for one day of the kit.
-struct Known {
-    listing: Endpoint,
+/// The state of one executor. It is never released: a baseline runs for the length of one simulation.
+struct ExecutorState {
+    endpoint: Endpoint,
     slots: f64,
-    out: f64,
-    /// What was pushed while cold: when, and how many slot-milliseconds.
+    slots_in_use: f64,
+    /// Dispatches during slow start: the time of each, and its cost in slot-milliseconds.
     spent: VecDeque<(Millis, f64)>,
-    probed: bool,
+    is_probe_outstanding: bool,
 }
 
-/// The place of an executor in the order of the plan.
-fn slot(executor: ExecutorId) -> u32 {
+/// The position of an executor in the order of the plan.
+fn position(executor: ExecutorId) -> u32 {
     executor.data().as_ffi() as u32
 }
 
-/// Round robin begins after the first slot.
-const FIRST_SLOT: u32 = 1;
+/// Position after which round robin starts.
+const FIRST_POSITION: u32 = 1;
 
+/// A node that selects executors by a baseline policy.
 pub struct Baseline {
     policy: Policy,
     rng: ChaCha8Rng,
-    kinds: Vec<Kind>,
+    classes: Vec<RequestClass>,
     max_attempts: usize,
     nodes: f64,
-    cold_share: f64,
-    ramp: Millis,
-    fall: Millis,
-    multiple: f64,
-    known: SecondaryMap<ExecutorId, Known>,
-    healthy: Vec<ExecutorId>,
-    turn: u32,
-    requests: BTreeMap<RequestId, Wu>,
-    /// Those that found nobody.
-    held: Vec<RequestId>,
+    initial_capacity: f64,
+    ramp_duration: Millis,
+    budget_window: Millis,
+    budget_multiple: f64,
+    executors: SecondaryMap<ExecutorId, ExecutorState>,
+    ready: Vec<ExecutorId>,
+    /// Position of the last selection by round robin.
+    last_position: u32,
+    requests: BTreeMap<RequestId, Request>,
+    /// Requests that found no executor and wait for the timer.
+    waiting: Vec<RequestId>,
     actions: Vec<Action>,
 }
 
 impl Baseline {
+    /// Creates a baseline with the settings of a node and the seed of its random choices.
     pub fn new(policy: Policy, settings: &Settings, seed: u64) -> Self {
         let classes = settings.classes.iter().take_while(|class| class.deadline.is_some());
-        let kind = |class: &ClassSettings| Kind {
+        let request_class = |class: &ClassSettings| RequestClass {
             effect: class.effect,
             scope: class.deduplication_scope,
-            window: class.deduplication_window,
-            turnaround: class.latency_objective.unwrap_or(0.0),
+            deduplication_window: class.deduplication_window,
+            latency_objective: class.latency_objective.unwrap_or(0.0),
         };
         Baseline {
             policy,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            kinds: classes.map(kind).collect(),
+            classes: classes.map(request_class).collect(),
             max_attempts: settings.limits.max_attempts.unwrap_or(1.0) as usize,
             nodes: settings.nodes.max(1.0),
-            cold_share: settings.rules.initial_capacity,
-            ramp: settings.rules.ramp_duration,
-            fall: settings.rules.budget_window,
-            multiple: settings.rules.budget_multiple,
-            known: SecondaryMap::new(),
-            healthy: Vec::new(),
-            turn: FIRST_SLOT,
+            initial_capacity: settings.rules.initial_capacity,
+            ramp_duration: settings.rules.ramp_duration,
+            budget_window: settings.rules.budget_window,
+            budget_multiple: settings.rules.budget_multiple,
+            executors: SecondaryMap::new(),
+            ready: Vec::new(),
+            last_position: FIRST_POSITION,
             requests: BTreeMap::new(),
-            held: Vec::new(),
+            waiting: Vec::new(),
             actions: Vec::new(),
         }
     }
 
-    fn list(&mut self, kind: ListUpdate, entries: &[Endpoint]) {
-        if kind != ListUpdate::Delta {
-            self.known.values_mut().for_each(|known| known.listing.state = EndpointState::Gone);
+    fn update_endpoints(&mut self, update: ListUpdate, endpoints: &[Endpoint]) {
+        if update != ListUpdate::Delta {
+            self.executors.values_mut().for_each(|state| state.endpoint.state = EndpointState::Gone);
         }
-        for entry in entries {
-            match self.known.get_mut(entry.executor) {
-                Some(known) => {
-                    if known.listing.started_at != entry.started_at {
-                        known.spent.clear();
+        for endpoint in endpoints {
+            match self.executors.get_mut(endpoint.executor) {
+                Some(state) => {
+                    if state.endpoint.started_at != endpoint.started_at {
+                        state.spent.clear();
                     }
-                    known.listing = *entry;
+                    state.endpoint = *endpoint;
                 }
                 None => {
-                    let (listing, spent) = (*entry, VecDeque::new());
-                    let known = Known { listing, slots: 1.0, out: 0.0, spent, probed: false };
-                    self.known.insert(entry.executor, known);
+                    let state = ExecutorState {
+                        endpoint: *endpoint,
+                        slots: 1.0,
+                        slots_in_use: 0.0,
+                        spent: VecDeque::new(),
+                        is_probe_outstanding: false,
+                    };
+                    self.executors.insert(endpoint.executor, state);
                 }
             }
         }
-        let well = self.known.iter().filter(|(_, known)| known.listing.state == EndpointState::Ready);
-        self.healthy = well.map(|(executor, _)| executor).collect();
+        let ready = self.executors.iter().filter(|(_, state)| state.endpoint.state == EndpointState::Ready);
+        self.ready = ready.map(|(executor, _)| executor).collect();
     }
 
-    fn warmth(&self, e: ExecutorId, at: Millis) -> f64 {
-        match self.known.get(e).and_then(|known| known.listing.started_at) {
-            Some(start) if at < start + self.ramp => {
-                self.cold_share + (1.0 - self.cold_share) * ((at - start) / self.ramp).max(0.0)
+    /// The share of its full capacity that an executor has at a time, by the linear ramp of slow start.
+    fn capacity_share(&self, executor: ExecutorId, at: Millis) -> f64 {
+        match self.executors.get(executor).and_then(|state| state.endpoint.started_at) {
+            Some(started_at) if at < started_at + self.ramp_duration => {
+                self.initial_capacity
+                    + (1.0 - self.initial_capacity) * ((at - started_at) / self.ramp_duration).max(0.0)
             }
             _ => 1.0,
         }
     }
 
-    fn cold_room(&self, e: ExecutorId, now: Millis) -> f64 {
-        let warm_then = self.warmth(e, now - self.fall);
-        if warm_then >= 1.0 {
+    /// What is left of this node's share of an executor's warm-up budget, in slot-milliseconds; infinite for a warm
+    /// executor.
+    fn remaining_budget(&self, executor: ExecutorId, now: Millis) -> f64 {
+        let window_start = now - self.budget_window;
+        let capacity_share = self.capacity_share(executor, window_start);
+        if capacity_share >= 1.0 {
             return f64::INFINITY;
         }
-        let Some(known) = self.known.get(e) else { return 0.0 };
-        let whole = self.multiple * warm_then * known.slots * self.fall;
-        let since = now - self.fall;
-        let spent: f64 = known.spent.iter().filter(|(at, _)| *at >= since).map(|(_, work)| work).sum();
-        HEADROOM * whole / self.nodes - spent
+        let Some(state) = self.executors.get(executor) else { return 0.0 };
+        let budget = self.budget_multiple * capacity_share * state.slots * self.budget_window;
+        let spent: f64 = state.spent.iter().filter(|(at, _)| *at >= window_start).map(|(_, cost)| cost).sum();
+        USABLE_SHARE * budget / self.nodes - spent
     }
 
-    /// Whether it may be sent again, to whom only, and whether it may be deferred.
-    fn may_resend(&self, now: Millis, w: &Wu) -> (bool, Option<ExecutorId>, bool) {
-        let kind = &self.kinds[w.kind];
-        let Some(first) = w.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran)) else {
+    /// Whether a request may be dispatched again, the executor to whose deduplication group that is limited, if any,
+    /// and whether the request may be rejected (otherwise it fails).
+    fn retry_rule(&self, now: Millis, request: &Request) -> (bool, Option<ExecutorId>, bool) {
+        let class = &self.classes[request.class];
+        let mut attempts = request.attempts.iter();
+        let Some(first) = attempts.find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran)) else {
             return (true, None, true);
         };
-        let all = kind.scope == DeduplicationScope::All;
-        match kind.effect {
+        let is_unscoped = class.scope == DeduplicationScope::All;
+        match class.effect {
             Effect::Idempotent => (true, None, true),
             Effect::AtMostOnce => (false, None, false),
-            Effect::Deduplicated if now - first.sent > kind.window * HEADROOM => (false, None, all),
-            Effect::Deduplicated if all => (true, None, true),
+            Effect::Deduplicated if now - first.dispatched_at > class.deduplication_window * USABLE_SHARE => {
+                (false, None, is_unscoped)
+            }
+            Effect::Deduplicated if is_unscoped => (true, None, true),
             Effect::Deduplicated => (true, Some(first.executor), false),
         }
     }
 
-    fn allowed(&self, now: Millis, w: &Wu) -> Vec<ExecutorId> {
-        let (_, like, _) = self.may_resend(now, w);
-        let group = |e: ExecutorId| self.known.get(e).map(|known| known.listing.deduplication_group);
-        let kind = &self.kinds[w.kind];
-        let cost = w.slots * kind.turnaround;
-        let may = |&e: &ExecutorId| {
-            like.is_none_or(|like| group(e) == group(like)) && self.cold_room(e, now) >= cost
+    /// The executors to which a request may be dispatched; those without an attempt of it, if there are any.
+    fn candidates(&self, now: Millis, request: &Request) -> Vec<ExecutorId> {
+        let (_, peer, _) = self.retry_rule(now, request);
+        let group = |executor: ExecutorId| {
+            self.executors.get(executor).map(|state| state.endpoint.deduplication_group)
+        };
+        let class = &self.classes[request.class];
+        let cost = request.slots * class.latency_objective;
+        let is_allowed = |&executor: &ExecutorId| {
+            peer.is_none_or(|peer| group(executor) == group(peer))
+                && self.remaining_budget(executor, now) >= cost
         };
-        let of: Vec<ExecutorId> = self.healthy.iter().copied().filter(may).collect();
-        let fresh: Vec<ExecutorId> =
-            of.iter().copied().filter(|e| w.attempts.iter().all(|a| a.executor != *e)).collect();
-        if fresh.is_empty() { of } else { fresh }
+        let allowed: Vec<ExecutorId> = self.ready.iter().copied().filter(is_allowed).collect();
+        let is_untried =
+            |executor: &ExecutorId| request.attempts.iter().all(|attempt| attempt.executor != *executor);
+        let untried: Vec<ExecutorId> = allowed.iter().copied().filter(is_untried).collect();
+        if untried.is_empty() { allowed } else { untried }
     }
 
-    fn choose(&mut self, now: Millis, request_id: RequestId) {
-        let Some(w) = self.requests.get(&request_id) else { return };
-        let (again, _, deferred) = self.may_resend(now, w);
-        if now >= w.limit || w.attempts.len() >= self.max_attempts || !again {
-            return self.give_up(request_id, deferred);
+    /// Selects an executor for a request and dispatches or probes; ends or delays a request without an executor.
+    fn schedule(&mut self, now: Millis, request_id: RequestId) {
+        let Some(request) = self.requests.get(&request_id) else { return };
+        let (can_retry, _, can_reject) = self.retry_rule(now, request);
+        if now >= request.deadline || request.attempts.len() >= self.max_attempts || !can_retry {
+            return self.give_up(request_id, can_reject);
         }
-        let allowed = self.allowed(now, w);
-        if allowed.is_empty() {
-            let turnaround = self.kinds[w.kind].turnaround;
-            if now >= w.arrived + PATIENCE * turnaround {
-                return self.give_up(request_id, deferred);
+        let candidates = self.candidates(now, request);
+        if candidates.is_empty() {
+            let latency_objective = self.classes[request.class].latency_objective;
+            if now >= request.arrived_at + MAX_WAIT_SHARE * latency_objective {
+                return self.give_up(request_id, can_reject);
             }
-            self.held.push(request_id);
-            self.actions.push(Action::SetTimer { at: now + AGAIN });
+            self.waiting.push(request_id);
+            self.actions.push(Action::SetTimer { at: now + RETRY_INTERVAL });
             return;
         }
-        let any = |rng: &mut ChaCha8Rng| allowed[rng.random_range(0..allowed.len())];
-        let chosen = match self.policy {
-            Policy::Adaptive | Policy::Random => any(&mut self.rng),
+        let draw = |rng: &mut ChaCha8Rng| candidates[rng.random_range(0..candidates.len())];
+        let selected = match self.policy {
+            Policy::Adaptive | Policy::Random => draw(&mut self.rng),
             Policy::RoundRobin => {
-                let next = allowed.iter().copied().find(|e| slot(*e) > self.turn).unwrap_or(allowed[0]);
-                self.turn = slot(next);
+                let mut remaining = candidates.iter().copied();
+                let next = remaining.find(|e| position(*e) > self.last_position).unwrap_or(candidates[0]);
+                self.last_position = position(next);
                 next
             }
             Policy::LeastOutstanding => {
-                let of =
-                    |e: ExecutorId| self.known.get(e).map_or(0.0, |known| known.out / known.slots.max(1.0));
-                let least = allowed.iter().map(|&e| of(e)).fold(f64::INFINITY, f64::min);
-                let best: Vec<ExecutorId> = allowed.iter().copied().filter(|&e| of(e) <= least).collect();
+                let usage = |executor: ExecutorId| {
+                    let state = self.executors.get(executor);
+                    state.map_or(0.0, |state| state.slots_in_use / state.slots.max(1.0))
+                };
+                let lowest = candidates.iter().map(|&e| usage(e)).fold(f64::INFINITY, f64::min);
+                let best: Vec<ExecutorId> =
+                    candidates.iter().copied().filter(|&e| usage(e) <= lowest).collect();
                 best[self.rng.random_range(0..best.len())]
             }
-            Policy::Fixed(draws) => {
-                let mut asked: Vec<ExecutorId> = (0..draws).map(|_| any(&mut self.rng)).collect();
-                asked.sort_unstable();
-                asked.dedup();
-                for &e in &asked {
-                    let Some(known) = self.known.get_mut(e) else { continue };
-                    if !std::mem::replace(&mut known.probed, true) {
-                        self.actions.push(Action::Probe { executor: e });
+            Policy::Fixed(sample_size) => {
+                let mut sample: Vec<ExecutorId> = (0..sample_size).map(|_| draw(&mut self.rng)).collect();
+                sample.sort_unstable();
+                sample.dedup();
+                for &executor in &sample {
+                    let Some(state) = self.executors.get_mut(executor) else { continue };
+                    if !std::mem::replace(&mut state.is_probe_outstanding, true) {
+                        self.actions.push(Action::Probe { executor });
                     }
                 }
-                let w = self.requests.get_mut(&request_id).expect("it is open");
-                w.asked = asked;
-                w.answers.clear();
+                let request = self.requests.get_mut(&request_id).expect("the request is open");
+                request.awaited_probes = sample;
+                request.reports.clear();
                 return;
             }
         };
-        self.push(now, request_id, chosen);
+        self.dispatch(now, request_id, selected);
     }
 
-    fn push(&mut self, now: Millis, request_id: RequestId, e: ExecutorId) {
-        let Some(w) = self.requests.get_mut(&request_id) else { return };
-        w.attempts.push(Alloc { executor: e, sent: now, outcome: None });
-        let (slots, attempt_deadline) = (w.slots, w.limit);
-        let cost = slots * self.kinds[w.kind].turnaround;
-        let (is_cold, since) = (self.warmth(e, now - self.fall) < 1.0, now - self.fall);
-        if let Some(known) = self.known.get_mut(e) {
-            known.out += slots;
-            if is_cold {
-                known.spent.retain(|(at, _)| *at >= since);
-                known.spent.push_back((now, cost));
+    fn dispatch(&mut self, now: Millis, request_id: RequestId, executor: ExecutorId) {
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
+        request.attempts.push(Attempt { executor, dispatched_at: now, outcome: None });
+        let (slots, attempt_deadline) = (request.slots, request.deadline);
+        let cost = slots * self.classes[request.class].latency_objective;
+        let window_start = now - self.budget_window;
+        let is_warming_up = self.capacity_share(executor, window_start) < 1.0;
+        if let Some(state) = self.executors.get_mut(executor) {
+            state.slots_in_use += slots;
+            if is_warming_up {
+                state.spent.retain(|(at, _)| *at >= window_start);
+                state.spent.push_back((now, cost));
             }
         }
         self.actions.push(Action::Dispatch {
             request_id,
-            executor: e,
+            executor,
             attempt_deadline,
             send_deadline: attempt_deadline,
         });
     }
 
-    fn give_up(&mut self, request_id: RequestId, deferred: bool) {
-        if let Some(w) = self.requests.remove(&request_id) {
-            let come_back = Some(self.kinds[w.kind].turnaround);
-            self.actions.push(if deferred {
-                Action::Reject { request_id, retry_after: come_back }
+    fn give_up(&mut self, request_id: RequestId, can_reject: bool) {
+        if let Some(request) = self.requests.remove(&request_id) {
+            let retry_after = Some(self.classes[request.class].latency_objective);
+            self.actions.push(if can_reject {
+                Action::Reject { request_id, retry_after }
             } else {
                 Action::Fail { request_id }
             });
         }
     }
 
-    fn probed(&mut self, now: Millis, e: ExecutorId, answered: bool, reading: LoadReport) {
-        let Some(known) = self.known.get_mut(e) else { return };
-        known.probed = false;
-        if answered {
-            let running = (reading.in_flight.unwrap_or(0.0)).max(0.0);
-            known.slots = known.slots.max((reading.free_slots.unwrap_or(0.0) + running).round());
+    /// Handles the reply to a probe, or its absence, for each request that awaits it.
+    fn handle_probe_reply(
+        &mut self,
+        now: Millis,
+        executor: ExecutorId,
+        is_answered: bool,
+        report: LoadReport,
+    ) {
+        let Some(state) = self.executors.get_mut(executor) else { return };
+        state.is_probe_outstanding = false;
+        if is_answered {
+            let in_flight = (report.in_flight.unwrap_or(0.0)).max(0.0);
+            state.slots = state.slots.max((report.free_slots.unwrap_or(0.0) + in_flight).round());
         }
-        let waiting: Vec<RequestId> = self
+        let awaiting: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, w)| w.asked.contains(&e))
+            .filter(|(_, request)| request.awaited_probes.contains(&executor))
             .map(|(request_id, _)| *request_id)
             .collect();
-        for request_id in waiting {
-            let w = self.requests.get_mut(&request_id).expect("it was there");
-            w.asked.retain(|x| *x != e);
-            if answered {
-                w.answers.push((e, reading));
+        for request_id in awaiting {
+            let request = self.requests.get_mut(&request_id).expect("the request is open");
+            request.awaited_probes.retain(|awaited| *awaited != executor);
+            if is_answered {
+                request.reports.push((executor, report));
             }
-            if !w.asked.is_empty() {
+            if !request.awaited_probes.is_empty() {
                 continue;
             }
-            let answers = std::mem::take(&mut w.answers);
-            let allowed = self.allowed(now, &self.requests[&request_id]);
+            let reports = std::mem::take(&mut request.reports);
+            let candidates = self.candidates(now, &self.requests[&request_id]);
             let length = |r: &LoadReport| r.queue_length.unwrap_or(0.0) + r.in_flight.unwrap_or(0.0);
-            let fit: Vec<&(ExecutorId, LoadReport)> =
-                answers.iter().filter(|(x, _)| allowed.contains(x)).collect();
-            let least = fit.iter().map(|(_, r)| length(r)).fold(f64::INFINITY, f64::min);
+            let eligible: Vec<&(ExecutorId, LoadReport)> =
+                reports.iter().filter(|(e, _)| candidates.contains(e)).collect();
+            let shortest = eligible.iter().map(|(_, r)| length(r)).fold(f64::INFINITY, f64::min);
             let best: Vec<ExecutorId> =
-                fit.iter().filter(|(_, r)| length(r) <= least).map(|(x, _)| *x).collect();
+                eligible.iter().filter(|(_, r)| length(r) <= shortest).map(|(e, _)| *e).collect();
             if best.is_empty() {
-                // Nobody answered: chance decides.
-                match allowed.is_empty() {
-                    true => self.choose(now, request_id),
+                // No candidate has answered: select a random one.
+                match candidates.is_empty() {
+                    true => self.schedule(now, request_id),
                     false => {
-                        let e = allowed[self.rng.random_range(0..allowed.len())];
-                        self.push(now, request_id, e);
+                        let selected = candidates[self.rng.random_range(0..candidates.len())];
+                        self.dispatch(now, request_id, selected);
                     }
                 }
             } else {
-                let e = best[self.rng.random_range(0..best.len())];
-                self.push(now, request_id, e);
+                let selected = best[self.rng.random_range(0..best.len())];
+                self.dispatch(now, request_id, selected);
             }
         }
     }
 
-    fn no_longer_out(&mut self, e: ExecutorId, slots: f64) {
-        if let Some(known) = self.known.get_mut(e) {
-            known.out = (known.out - slots).max(0.0);
+    fn release_slots(&mut self, executor: ExecutorId, slots: f64) {
+        if let Some(state) = self.executors.get_mut(executor) {
+            state.slots_in_use = (state.slots_in_use - slots).max(0.0);
         }
     }
 
-    fn ended(
+    fn end_attempt(
         &mut self,
         now: Millis,
         request_id: RequestId,
         attempt_id: AttemptId,
         outcome: Outcome,
-        closed: bool,
+        is_request_closed: bool,
     ) {
-        let Some(w) = self.requests.get_mut(&request_id) else { return };
-        let Some(a) = w.attempts.get_mut(attempt_id.0 as usize).filter(|a| a.outcome.is_none()) else {
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
+        let attempt = request.attempts.get_mut(attempt_id.0 as usize);
+        let Some(attempt) = attempt.filter(|attempt| attempt.outcome.is_none()) else {
             return;
         };
-        a.outcome = Some(outcome);
-        let (e, slots) = (a.executor, w.slots);
-        self.no_longer_out(e, slots);
-        if closed || outcome == Outcome::Completed {
+        attempt.outcome = Some(outcome);
+        let (executor, slots) = (attempt.executor, request.slots);
+        self.release_slots(executor, slots);
+        if is_request_closed || outcome == Outcome::Completed {
             self.requests.remove(&request_id);
         } else {
-            self.choose(now, request_id);
+            self.schedule(now, request_id);
         }
     }
 }
@@ -373,41 +418,47 @@
 impl DecisionModule for Baseline {
     fn handle_event(&mut self, now: Millis, event: Event) {
         match event {
-            Event::EndpointsUpdated { update: kind, endpoints: entries } => self.list(kind, &entries),
-            Event::RequestArrived { request_id, class: project_type, slots, time_left: left, .. } => {
-                let (kind, limit) = (project_type.0 as usize, now + left);
-                let (attempts, asked, answers) = Default::default();
-                self.requests
-                    .insert(request_id, Wu { kind, slots, arrived: now, limit, attempts, asked, answers });
-                self.choose(now, request_id);
+            Event::EndpointsUpdated { update, endpoints } => self.update_endpoints(update, &endpoints),
+            Event::RequestArrived { request_id, class, slots, time_left, .. } => {
+                let request = Request {
+                    class: class.0 as usize,
+                    slots,
+                    arrived_at: now,
+                    deadline: now + time_left,
+                    attempts: Vec::new(),
+                    awaited_probes: Vec::new(),
+                    reports: Vec::new(),
+                };
+                self.requests.insert(request_id, request);
+                self.schedule(now, request_id);
             }
             Event::ProbeCompleted { executor, reply } => {
                 let report = reply.map(|reply| reply.report);
-                self.probed(now, executor, report.is_some(), report.unwrap_or_default());
+                self.handle_probe_reply(now, executor, report.is_some(), report.unwrap_or_default());
             }
-            Event::AttemptEnded { request_id, attempt_id, outcome, is_request_closed: closed } => {
-                self.ended(now, request_id, attempt_id, outcome, closed)
+            Event::AttemptEnded { request_id, attempt_id, outcome, is_request_closed } => {
+                self.end_attempt(now, request_id, attempt_id, outcome, is_request_closed)
             }
             Event::RequestWithdrawn { request_id } => {
-                if let Some(w) = self.requests.remove(&request_id)
-                    && let Some(a) = w.attempts.last().filter(|a| a.outcome.is_none())
+                if let Some(request) = self.requests.remove(&request_id)
+                    && let Some(attempt) = request.attempts.last().filter(|last| last.outcome.is_none())
                 {
-                    let (executor, slots) = (a.executor, w.slots);
-                    self.no_longer_out(executor, slots);
+                    let (executor, slots) = (attempt.executor, request.slots);
+                    self.release_slots(executor, slots);
                 }
             }
             Event::TimerFired => {
-                for request_id in std::mem::take(&mut self.held) {
-                    self.choose(now, request_id);
+                for request_id in std::mem::take(&mut self.waiting) {
+                    self.schedule(now, request_id);
                 }
             }
             Event::EndpointWatchLost { .. } => self.actions.push(Action::WatchEndpoints),
             Event::AttemptRecovered { .. }
             | Event::AttemptStarted { .. }
             | Event::AttemptProgressed { .. } => {}
-            // A baseline runs in one process and forgets with it.
+            // A baseline runs in one process and loses its state when that ends.
             Event::SiblingChanged { .. } | Event::WarmStateReceived(_) => {}
-            // Nor does it talk.
+            // It does not gossip either.
             Event::GossipReceived(_) => {}
         }
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Plays a scenario in simulated time: the plan, the executors' model, the dispatcher and the referee of a rehearsal,
-//! without sockets and without waiting. Instances share nothing but the world.
+//! Runs a scenario in simulated time: the plan, the executor model, the dispatcher and the referee of a rehearsal,
+//! without sockets and without waiting. Simulations share no state, so that several can run in parallel.
 //!
-//! The same scenario and seed give the same run on any machine: one thread, one queue of events, ties in time in the
-//! order in which they were scheduled, and no clock but the queue's.
+//! A scenario and a seed give the same run on every machine: there is one thread and one event queue, events at the
+//! same time keep the order in which they were scheduled, and the queue is the only clock.
 pub mod baselines;
 pub mod experiment;
 mod node;
@@ -24,81 +24,94 @@
 
 /// Why a scenario cannot be simulated.
 #[derive(Debug, thiserror::Error)]
-pub enum Unable {
-    #[error("durable work needs real nodes that die: rehearse it")]
-    Durable,
-    #[error("calls, upgrades and new settings need real nodes: rehearse it")]
-    Operated,
-    #[error("the scenario gives a node settings that cannot be used: {0}")]
+pub enum SimulationError {
+    /// The scenario has durable requests.
+    #[error("durable requests need real node processes that are killed; run `troutknot rehearse`")]
+    DurableRequests,
+    /// The scenario has admin calls, hot restarts or changes of a node's settings.
+    #[error(
+        "admin calls, hot restarts and changed settings need real node processes; run `troutknot rehearse`"
+    )]
+    OperatorActions,
+    /// The scenario leads to node settings that are not valid.
+    #[error("the scenario gives a node invalid settings: {0}")]
     Settings(#[from] troutknot_configuration::SettingsError),
 }
 
-/// All that a run tells; nothing in it hangs on the machine.
+/// The result of a simulation. Nothing in it depends on the machine.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     pub scenario: String,
     pub seed: u64,
-    pub plan: String,
+    /// Hash of the plan.
+    #[serde(rename = "plan")]
+    pub plan_hash: String,
     pub nodes: usize,
     pub executors: usize,
     pub length_s: f64,
     pub expected_service: f64,
     pub verdict: Verdict,
-    /// Events of the queue, decisions asked for, and probes sent.
+    /// Events taken from the queue.
     pub events: u64,
+    /// Events handled by decision modules.
     pub decisions: u64,
+    /// Probes sent to executors.
     pub probes: u64,
 }
 
 impl Report {
-    /// Whether no rule broke and the service expected was reached.
-    pub fn holds(&self) -> bool {
+    /// Whether no rule was violated and the expected service was reached.
+    pub fn has_passed(&self) -> bool {
         self.verdict.violations.is_empty() && self.verdict.service >= self.expected_service
     }
 }
 
-/// Makes what decides at a node, from its settings, a seed and the time.
-pub type MakeModule<'a> = &'a dyn Fn(&Settings, u64, Millis) -> Box<dyn DecisionModule>;
+/// Creates the decision module of a node from its settings, a seed and the current time.
+pub type ModuleFactory<'a> = &'a dyn Fn(&Settings, u64, Millis) -> Box<dyn DecisionModule>;
 
-/// Plays a scenario with the dispatcher as it is.
+/// Simulates a scenario with the dispatcher.
 ///
 /// # Errors
-/// Where it holds what is not simulated.
-pub fn simulate(scenario: &Scenario, seed: u64) -> Result<Report, Unable> {
-    simulate_by(scenario, seed, Policy::Adaptive)
+/// If the scenario has something that cannot be simulated.
+pub fn simulate(scenario: &Scenario, seed: u64) -> Result<Report, SimulationError> {
+    simulate_policy(scenario, seed, Policy::Adaptive)
 }
 
-/// The same by any policy.
+/// Simulates a scenario with a policy.
 ///
 /// # Errors
-/// As [`simulate`].
-pub fn simulate_by(scenario: &Scenario, seed: u64, policy: Policy) -> Result<Report, Unable> {
-    simulate_with(scenario, seed, &move |settings, seed, now| match policy {
+/// If the scenario has something that cannot be simulated.
+pub fn simulate_policy(scenario: &Scenario, seed: u64, policy: Policy) -> Result<Report, SimulationError> {
+    simulate_modules(scenario, seed, &move |settings, seed, now| match policy {
         Policy::Adaptive => Box::new(Dispatcher::new(settings, seed, now)),
         other => Box::new(Baseline::new(other, settings, seed)),
     })
 }
 
-/// The same with whatever decides.
+/// Simulates a scenario with nodes whose decision modules a factory creates.
 ///
 /// # Errors
-/// As [`simulate`].
-pub fn simulate_with(scenario: &Scenario, seed: u64, make: MakeModule) -> Result<Report, Unable> {
+/// If the scenario has something that cannot be simulated.
+pub fn simulate_modules(
+    scenario: &Scenario,
+    seed: u64,
+    create_module: ModuleFactory,
+) -> Result<Report, SimulationError> {
     if scenario.durable.is_some() {
-        return Err(Unable::Durable);
+        return Err(SimulationError::DurableRequests);
     }
     if scenario.is_operated() {
-        return Err(Unable::Operated);
+        return Err(SimulationError::OperatorActions);
     }
     let plan = Plan::generate(scenario, seed);
-    let mut world = World::new(scenario, &plan, make).map_err(Unable::Settings)?;
-    world.play();
-    let (seen, counts) = world.end();
-    let verdict = referee::judge(&facts(scenario, &plan, world::BEGAN), &seen);
+    let mut world = World::new(scenario, &plan, create_module).map_err(SimulationError::Settings)?;
+    world.run();
+    let (observations, counts) = world.finish();
+    let verdict = referee::judge(&facts(scenario, &plan, world::PLAN_START), &observations);
     Ok(Report {
         scenario: scenario.name.clone(),
         seed,
-        plan: plan.hash(),
+        plan_hash: plan.hash(),
         nodes: scenario.nodes.count,
         executors: plan.executors.len(),
         length_s: plan.length / 1000.0,
--- a/crates/simulation/src/stats.rs
+++ b/crates/simulation/src/stats.rs
@@ -1,50 +1,53 @@
-//! Means with intervals by bootstrap: what would come out if the same runs were drawn again, with replacement.
+//! Means with bootstrap confidence intervals: the distribution of the mean over resamples of the runs, drawn with
+//! replacement.
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
+/// Number of bootstrap resamples.
 const RESAMPLES: usize = 2000;
 
-/// A mean and its 95% interval.
+/// A mean and its 95% confidence interval.
 #[derive(Clone, Copy, PartialEq, Debug, Serialize)]
-pub struct Mean {
+pub struct MeanEstimate {
     pub mean: f64,
     pub low: f64,
     pub high: f64,
 }
 
-/// The mean of values with its 95% percentile interval by bootstrap; the same values give the same.
-/// All three are not a number where there are no values.
-pub fn mean(values: &[f64]) -> Mean {
-    let of = |values: &mut dyn Iterator<Item = f64>, count: usize| values.sum::<f64>() / count as f64;
+/// Estimates the mean of values with its 95% percentile bootstrap interval. Equal values give equal results; without
+/// values all three figures are NaN.
+pub fn estimate_mean(values: &[f64]) -> MeanEstimate {
+    let average = |values: &mut dyn Iterator<Item = f64>, count: usize| values.sum::<f64>() / count as f64;
     let count = values.len();
-    let mean = of(&mut values.iter().copied(), count);
+    let mean = average(&mut values.iter().copied(), count);
     if count < 2 {
-        return Mean { mean, low: mean, high: mean };
+        return MeanEstimate { mean, low: mean, high: mean };
     }
     let mut rng = ChaCha8Rng::seed_from_u64(0x626f_6f74);
     let mut means: Vec<f64> = (0..RESAMPLES)
-        .map(|_| of(&mut (0..count).map(|_| values[rng.random_range(0..count)]), count))
+        .map(|_| average(&mut (0..count).map(|_| values[rng.random_range(0..count)]), count))
         .collect();
     means.sort_by(f64::total_cmp);
-    let at = |share: f64| means[(share * (RESAMPLES - 1) as f64).round() as usize];
-    Mean { mean, low: at(0.025), high: at(0.975) }
+    let quantile = |share: f64| means[(share * (RESAMPLES - 1) as f64).round() as usize];
+    MeanEstimate { mean, low: quantile(0.025), high: quantile(0.975) }
 }
 
+/// Guards against intervals whose coverage is not about 95%, and against wrong results for few or equal values.
 #[test]
-fn intervals_hold_the_mean_about_as_often_as_they_say() {
+fn intervals_cover_the_true_mean_at_about_their_nominal_rate() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
-    let mut held = 0;
+    let mut covered = 0;
     for _ in 0..200 {
         let values: Vec<f64> = (0..20).map(|_| rng.random::<f64>()).collect();
-        let m = mean(&values);
-        assert!(m.low <= m.mean && m.mean <= m.high);
-        held += u32::from((m.low..=m.high).contains(&0.5));
+        let estimate = estimate_mean(&values);
+        assert!(estimate.low <= estimate.mean && estimate.mean <= estimate.high);
+        covered += u32::from((estimate.low..=estimate.high).contains(&0.5));
     }
-    // A little under 95%, as percentile intervals of 20 values are.
-    assert!((170..=200).contains(&held), "{held} of 200");
-    assert_eq!(mean(&[3.0]), Mean { mean: 3.0, low: 3.0, high: 3.0 });
-    assert!(mean(&[]).mean.is_nan());
-    let constant = mean(&[2.0; 9]);
+    // Percentile intervals of 20 values cover the mean in slightly less than 95% of the cases.
+    assert!((170..=200).contains(&covered), "{covered} of 200");
+    assert_eq!(estimate_mean(&[3.0]), MeanEstimate { mean: 3.0, low: 3.0, high: 3.0 });
+    assert!(estimate_mean(&[]).mean.is_nan());
+    let constant = estimate_mean(&[2.0; 9]);
     assert_eq!((constant.low, constant.high), (2.0, 2.0));
 }
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -1,96 +1,97 @@
-//! Clients: what they send, when they leave, and when they ask again.
-use super::{BEGAN, WAY, World, WorldEvent};
+//! Clients: the requests that they send, their disconnects and their retries.
+use super::{NETWORK_LATENCY, PLAN_START, World, WorldEvent};
 use troutknot::{Event, RequestId};
 use troutknot_emulator::Millis;
 use troutknot_emulator::observations::{NodeNumber, Observation};
 use troutknot_rehearsal::scenario::{Effect, millis};
 
+/// Largest exponent of a client's exponential backoff.
+const MAX_BACKOFF_EXPONENT: u32 = 8;
+
 impl World<'_> {
     /// Sends a request of the plan, and schedules the next one.
-    pub(super) fn request_is_due(&mut self, number: u32) {
-        let next = number + 1;
-        if let Some(request) = self.plan.requests.get(next as usize) {
-            self.queue.at(BEGAN + request.at, WorldEvent::Request(next));
+    pub(super) fn start_request(&mut self, request: u32) {
+        let next = request + 1;
+        if let Some(planned) = self.plan.requests.get(next as usize) {
+            self.queue.schedule(PLAN_START + planned.at, WorldEvent::RequestDue(next));
         }
-        self.send_request(number, 0);
+        self.send_request(request, 0);
     }
 
-    /// A client sends a request, over a connection to the next node that the front has taken in.
-    pub(super) fn send_request(&mut self, request: u32, attempt: u32) {
+    /// Sends a request over a connection to the next node in the front's rotation.
+    pub(super) fn send_request(&mut self, request: u32, client_attempt: u32) {
         let count = self.nodes.len();
-        let from = self.next_node;
-        let found = (0..count).map(|k| (from + k) % count).find(|&k| self.nodes[k].taken_in);
-        let Some(node) = found.filter(|&k| self.nodes[k].up) else {
-            self.next_node = found.map_or(from, |k| k + 1);
-            self.note(Observation::ConnectFailed { request: request as usize });
-            return self.schedule_retry(request, attempt, None);
+        let first = self.next_node;
+        let found = (0..count).map(|k| (first + k) % count).find(|&k| self.nodes[k].is_in_rotation);
+        let Some(node) = found.filter(|&k| self.nodes[k].is_up) else {
+            self.next_node = found.map_or(first, |k| k + 1);
+            self.record(Observation::ConnectFailed { request: request as usize });
+            return self.schedule_retry(request, client_attempt, None);
         };
         self.next_node = node + 1;
-        let id = self.id(request, attempt);
-        self.note(Observation::RequestSent {
+        let id = self.client_request_id(request, client_attempt);
+        self.record(Observation::RequestSent {
             id,
             request: request as usize,
-            attempt,
+            attempt: client_attempt,
             node: node as NodeNumber,
         });
-        let life = self.nodes[node].life;
-        self.queue.at(self.now + WAY, WorldEvent::Arrives { node: node as u32, life, request, attempt });
+        let (incarnation, node) = (self.nodes[node].incarnation, node as u32);
+        let received = WorldEvent::RequestReceived { node, incarnation, request, client_attempt };
+        self.queue.schedule(self.now + NETWORK_LATENCY, received);
     }
 
-    /// Schedules the next attempt of a request, if its client has one left.
-    pub(super) fn schedule_retry(&mut self, request: u32, attempt: u32, told: Option<Millis>) {
+    /// Schedules the client's next attempt at a request after the longer of its backoff and the node's `retry_after`,
+    /// if it has a retry left.
+    pub(super) fn schedule_retry(&mut self, request: u32, client_attempt: u32, retry_after: Option<Millis>) {
         let clients = &self.scenario.clients;
-        if attempt < clients.retries {
-            let own = millis(clients.retry_wait) * f64::powi(2.0, attempt.min(8) as i32);
-            let again = WorldEvent::Retry { request, attempt: attempt + 1 };
-            self.queue.at(self.now + told.unwrap_or(0.0).max(own), again);
+        if client_attempt < clients.retries {
+            let exponent = client_attempt.min(MAX_BACKOFF_EXPONENT) as i32;
+            let backoff = millis(clients.retry_wait) * f64::powi(2.0, exponent);
+            let retry = WorldEvent::RetryDue { request, client_attempt: client_attempt + 1 };
+            self.queue.schedule(self.now + retry_after.unwrap_or(0.0).max(backoff), retry);
         }
     }
 
-    /// The connection of a request ended without an answer.
-    pub(super) fn request_cut(&mut self, request: u32, attempt: u32) {
-        let id = self.id(request, attempt);
-        self.note(Observation::ConnectionLost { id, reused: false });
-        let kind = self.types[self.plan.requests[request as usize].request_class];
-        if kind.effect == Effect::Rerunnable {
-            self.schedule_retry(request, attempt, None);
+    /// Handles the loss of a request's connection without an answer.
+    pub(super) fn lose_client_connection(&mut self, request: u32, client_attempt: u32) {
+        let id = self.client_request_id(request, client_attempt);
+        self.record(Observation::ConnectionLost { id, reused: false });
+        let class = self.request_classes[self.plan.requests[request as usize].request_class];
+        if class.effect == Effect::Rerunnable {
+            self.schedule_retry(request, client_attempt, None);
         }
     }
 
-    /// A client gives up a request that is open at a node, if it still waits.
-    pub(super) fn client_leaves(&mut self, node: usize, request_id: RequestId) {
-        let open = self.nodes[node].open.get_mut(&request_id);
-        let Some(open) = open.filter(|open| open.waits) else { return };
-        open.waits = false;
-        let (request, attempt, out) = (open.request, open.attempt, open.out.is_some());
-        if !out {
-            self.nodes[node].open.remove(&request_id);
+    /// Disconnects the client of an open request, if it still waits.
+    pub(super) fn disconnect_client(&mut self, node: usize, request_id: RequestId) {
+        let open = self.nodes[node].open_requests.get_mut(&request_id);
+        let Some(open) = open.filter(|open| open.is_client_waiting) else { return };
+        open.is_client_waiting = false;
+        let (request, client_attempt) = (open.request, open.client_attempt);
+        if open.in_flight.is_none() {
+            self.nodes[node].open_requests.remove(&request_id);
         }
-        let id = self.id(request, attempt);
-        self.note(Observation::ClientDisconnected { id });
-        self.tell(node, Event::RequestWithdrawn { request_id });
+        let id = self.client_request_id(request, client_attempt);
+        self.record(Observation::ClientDisconnected { id });
+        self.notify_node(node, Event::RequestWithdrawn { request_id });
     }
 
-    /// An answer reaches its client, which may ask again.
-    pub(super) fn answer_arrives(
+    /// Handles an answer at its client, which may retry.
+    pub(super) fn receive_answer(
         &mut self,
         request: u32,
-        attempt: u32,
+        client_attempt: u32,
         status: u16,
-        come_back: Option<Millis>,
+        retry_after: Option<Millis>,
     ) {
-        let id = self.id(request, attempt);
-        self.note(Observation::RequestAnswered {
-            id,
-            status,
-            is_valid: status == 200,
-            retry_after: come_back,
-        });
-        let kind = self.types[self.plan.requests[request as usize].request_class];
+        let id = self.client_request_id(request, client_attempt);
+        self.record(Observation::RequestAnswered { id, status, is_valid: status == 200, retry_after });
+        let class = self.request_classes[self.plan.requests[request as usize].request_class];
         match status {
             200 => {}
-            503 => self.schedule_retry(request, attempt, come_back),
-            _ if kind.effect == Effect::Rerunnable => self.schedule_retry(request, attempt, None),
+            503 => self.schedule_retry(request, client_attempt, retry_after),
+            _ if class.effect == Effect::Rerunnable => self.schedule_retry(request, client_attempt, None),
             _ => {}
         }
     }
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: the list of executors, as each node's agent has it and as nodes hear it.
-use super::{LIST_SILENCE, World, WorldEvent};
+//! Discovery: the list of executors as known to each node's agent, and the updates that nodes receive.
+use super::{WATCH_IDLE_TIMEOUT, World, WorldEvent};
 use rand::RngExt;
 use troutknot::{DeduplicationGroupId, Endpoint, EndpointState, Event, ListUpdate, MachineTypeId, ZoneId};
 use troutknot_emulator::Millis;
@@ -7,25 +7,29 @@
 use troutknot_rehearsal::plan::startup_delay;
 use troutknot_rehearsal::scenario::millis;
 
+/// Part of the drain grace for which a node still sends to an executor that is no longer ready.
+const SEND_SHARE_OF_DRAIN_GRACE: f64 = 0.5;
+
 impl World<'_> {
-    /// When an executor started, as discovery tells it; none for long ago.
-    pub(super) fn started(&self, number: usize) -> Option<Millis> {
-        let host = self.hosts[number].as_ref()?;
-        let announced = host.is_down() || host.is_silent();
-        let at = if announced { self.now + startup_delay(self.scenario) } else { host.started_at() };
+    /// The start of an executor as listed by discovery; `None` if it has run since before the simulation. An executor
+    /// that is down or silent is listed with the time at which it will be up.
+    pub(super) fn listed_start(&self, executor: usize) -> Option<Millis> {
+        let process = self.executors[executor].as_ref()?;
+        let is_restarting = process.is_down() || process.is_silent();
+        let at = if is_restarting { self.now + startup_delay(self.scenario) } else { process.started_at() };
         at.is_finite().then(|| at.floor())
     }
 
-    /// The entry of an executor, in the words of the dispatcher.
-    fn listing(&self, node: usize, executor: usize, entry: u32) -> Endpoint {
-        let (listed, started) = self.entries[entry as usize];
+    /// Converts an entry into the dispatcher's endpoint.
+    fn endpoint(&self, node: usize, executor: usize, entry: u32) -> Endpoint {
+        let (listed, started_at) = self.entries[entry as usize];
         let planned = &self.plan.executors[executor];
-        let kind = self.kinds.iter().position(|k| *k == planned.machine_type).map_or(u32::MAX, |k| k as u32);
+        let machine_type = self.machine_types.iter().position(|name| *name == planned.machine_type);
         Endpoint {
-            executor: self.nodes[node].handles.of(executor),
+            executor: self.nodes[node].executor_ids.id(executor),
             token: self.tokens[executor],
             zone: ZoneId(0),
-            machine_type: MachineTypeId(kind),
+            machine_type: MachineTypeId(machine_type.map_or(u32::MAX, |index| index as u32)),
             deduplication_group: DeduplicationGroupId(planned.group as u32),
             state: match listed {
                 ListedState::Ready => EndpointState::Ready,
@@ -33,98 +37,105 @@
                 ListedState::Gone => EndpointState::Gone,
             },
             weight: 1.0,
-            started_at: started,
+            started_at,
         }
     }
 
-    /// A node hears all that its agent knows.
-    pub(super) fn tell_list(&mut self, node: usize, kind: ListUpdate) {
-        let view = self.views[node].clone();
-        let known = view.iter().enumerate().filter_map(|(executor, entry)| Some((executor, (*entry)?)));
-        let mut entries = Vec::new();
-        for (executor, entry) in known {
-            let listing = self.listing(node, executor, entry);
-            if listing.state == EndpointState::Gone && self.nodes[node].shut[executor].is_infinite() {
+    /// Sends a node all entries that its agent has, except removed executors that this process has not been sent
+    /// before.
+    pub(super) fn send_list(&mut self, node: usize, update: ListUpdate) {
+        let agent_entries = self.agent_entries[node].clone();
+        let listed = agent_entries.iter().enumerate();
+        let listed = listed.filter_map(|(executor, entry)| Some((executor, (*entry)?)));
+        let mut endpoints = Vec::new();
+        for (executor, entry) in listed {
+            let endpoint = self.endpoint(node, executor, entry);
+            let is_unknown_to_node = self.nodes[node].send_stops_at[executor].is_infinite();
+            if endpoint.state == EndpointState::Gone && is_unknown_to_node {
                 continue;
             }
-            self.told(node, executor, entry);
-            entries.push(listing);
+            self.record_notification(node, executor, entry);
+            endpoints.push(endpoint);
         }
-        self.tell(node, Event::EndpointsUpdated { update: kind, endpoints: entries });
+        self.notify_node(node, Event::EndpointsUpdated { update, endpoints });
     }
 
-    /// Records that a node was told an entry; it soon sends nothing more to an executor that is not ready.
-    fn told(&mut self, node: usize, executor: usize, entry: u32) {
+    /// Records that a node receives an entry, and limits how long it sends to an executor that is not ready.
+    fn record_notification(&mut self, node: usize, executor: usize, entry: u32) {
         let listed = self.entries[entry as usize].0;
         let grace = millis(self.scenario.rules.drain_grace);
-        let shut = &mut self.nodes[node].shut[executor];
-        *shut = match listed {
+        let send_stops_at = &mut self.nodes[node].send_stops_at[executor];
+        *send_stops_at = match listed {
             ListedState::Ready => f64::INFINITY,
-            _ => shut.min(self.now + grace * 0.5),
+            _ => send_stops_at.min(self.now + grace * SEND_SHARE_OF_DRAIN_GRACE),
         };
-        self.note(Observation::NodeNotified {
+        self.record(Observation::NodeNotified {
             node: node as NodeNumber,
             executor: executor as ExecutorNumber,
             state: listed,
         });
     }
 
-    /// Discovery lists an executor otherwise from now on; each agent hears of it after a delay of its own.
-    pub(super) fn list(&mut self, executor: usize, listed: ListedState) {
+    /// Changes the entry of an executor; each agent receives the change after a random delay of its own.
+    pub(super) fn update_entry(&mut self, executor: usize, listed: ListedState) {
         let entry = self.entries.len() as u32;
-        self.entries.push((listed, self.started(executor)));
-        self.listed[executor] = Some(entry);
+        self.entries.push((listed, self.listed_start(executor)));
+        self.current_entries[executor] = Some(entry);
         let discovery = &self.scenario.discovery;
-        let (least, most) = (millis(discovery.notice_least), millis(discovery.notice_most));
+        let (min_delay, max_delay) = (millis(discovery.notice_least), millis(discovery.notice_most));
         for node in 0..self.nodes.len() as u32 {
-            let after = least + (most - least) * self.chance.random::<f64>();
-            self.queue
-                .at(self.now + after, WorldEvent::Hears { node, executor: executor as u32, listing: entry });
+            let delay = min_delay + (max_delay - min_delay) * self.rng.random::<f64>();
+            let received = WorldEvent::EntryReceived { node, executor: executor as u32, entry };
+            self.queue.schedule(self.now + delay, received);
         }
     }
 
-    /// A change reaches a node's agent, and the node with it.
-    pub(super) fn hears(&mut self, node: usize, executor: usize, entry: u32) {
-        if self.silent {
-            self.untold.push((node as u32, executor as u32, entry));
+    /// Handles a changed entry at a node's agent, which passes it to the node.
+    pub(super) fn receive_entry(&mut self, node: usize, executor: usize, entry: u32) {
+        if self.is_discovery_silent {
+            self.held_updates.push((node as u32, executor as u32, entry));
             return;
         }
-        // Delays differ, so an older word may come after a newer one; it is none.
-        if self.views[node][executor].is_some_and(|known| known > entry) {
+        // Delays are random, so an older entry can arrive after a newer one. It is ignored.
+        if self.agent_entries[node][executor].is_some_and(|current| current > entry) {
             return;
         }
-        self.views[node][executor] = Some(entry);
-        let listed = self.entries[entry as usize].0;
-        let (number, of) = (node as NodeNumber, executor as ExecutorNumber);
-        self.note(Observation::AgentUpdated { node: number, executor: of, state: listed });
-        if self.nodes[node].up {
-            self.told(node, executor, entry);
-            let entries = vec![self.listing(node, executor, entry)];
-            self.tell(node, Event::EndpointsUpdated { update: ListUpdate::Delta, endpoints: entries });
+        self.agent_entries[node][executor] = Some(entry);
+        let state = self.entries[entry as usize].0;
+        self.record(Observation::AgentUpdated {
+            node: node as NodeNumber,
+            executor: executor as ExecutorNumber,
+            state,
+        });
+        if self.nodes[node].is_up {
+            self.record_notification(node, executor, entry);
+            let endpoints = vec![self.endpoint(node, executor, entry)];
+            self.notify_node(node, Event::EndpointsUpdated { update: ListUpdate::Delta, endpoints });
         }
     }
 
-    /// The watch of the list broke off; it is back at once where discovery answers.
-    pub(super) fn list_lost(&mut self, node: usize) {
-        if self.silent {
-            self.tell(node, Event::EndpointWatchLost { is_rejected: false });
+    /// Handles the loss of a node's discovery watch; it is open again at once unless discovery is silent.
+    pub(super) fn lose_watch(&mut self, node: usize) {
+        if self.is_discovery_silent {
+            self.notify_node(node, Event::EndpointWatchLost { is_rejected: false });
         } else {
-            self.tell_list(node, ListUpdate::Delta);
+            self.send_list(node, ListUpdate::Delta);
         }
     }
 
-    /// Discovery falls silent, or tells again all that was held back.
-    pub(super) fn silence(&mut self, on: bool) {
-        self.silent = on;
-        if on {
+    /// Silences discovery, or ends its silence and delivers the updates that were held back.
+    pub(super) fn set_discovery_silent(&mut self, is_silent: bool) {
+        self.is_discovery_silent = is_silent;
+        if is_silent {
             for node in 0..self.nodes.len() as u32 {
-                let life = self.nodes[node as usize].life;
-                self.queue.at(self.now + LIST_SILENCE, WorldEvent::ListLost { node, life });
+                let incarnation = self.nodes[node as usize].incarnation;
+                let lost = WorldEvent::WatchLost { node, incarnation };
+                self.queue.schedule(self.now + WATCH_IDLE_TIMEOUT, lost);
             }
             return;
         }
-        for (node, executor, entry) in std::mem::take(&mut self.untold) {
-            self.hears(node as usize, executor as usize, entry);
+        for (node, executor, entry) in std::mem::take(&mut self.held_updates) {
+            self.receive_entry(node as usize, executor as usize, entry);
         }
     }
 }
--- a/crates/simulation/src/world/events.rs
+++ b/crates/simulation/src/world/events.rs
@@ -1,134 +1,156 @@
-//! What is scheduled in the world, and which part of the world each event goes to.
+//! The events of the simulated world, and the handler of each.
 use super::World;
 use troutknot::{AttemptId, Event, ExecutorId, ListUpdate, LoadReport, Outcome, ProbeReply, RequestId};
 use troutknot_emulator::Millis;
 
-/// An event in the queue. `node` and `life` name one process of a node: what was meant for an earlier one is dropped.
+/// An event in the queue. `node` and `incarnation` identify one process of a node: events for an earlier process are
+/// dropped. Requests, executors and steps are indices into the plan.
 #[derive(Clone, Copy)]
 pub(super) enum WorldEvent {
-    /// The step of the plan with this number is due.
-    Step(u32),
-    /// The request of the plan with this number is due.
-    Request(u32),
-    /// A client asks again.
-    Retry { request: u32, attempt: u32 },
+    /// A step of the plan is due.
+    StepDue(u32),
+    /// A request of the plan is due.
+    RequestDue(u32),
+    /// A client retries a request.
+    RetryDue { request: u32, client_attempt: u32 },
     /// The last byte of a request reaches a node.
-    Arrives { node: u32, life: u32, request: u32, attempt: u32 },
-    /// A client gives up a request that is open at a node.
-    Leaves { node: u32, life: u32, request_id: RequestId },
+    RequestReceived { node: u32, incarnation: u32, request: u32, client_attempt: u32 },
+    /// A client disconnects from a node before the answer.
+    ClientDisconnected { node: u32, incarnation: u32, request_id: RequestId },
     /// An answer reaches its client.
-    Answered { request: u32, attempt: u32, status: u16, come_back: Option<Millis> },
-    /// An executor may have something to report.
-    ExecutorDue(u32),
-    /// The last byte of an allocation reaches its executor.
-    Sent { node: u32, life: u32, request_id: RequestId, out: InTransit },
-    /// A node learns how an allocation ended.
-    Ended { node: u32, life: u32, request_id: RequestId, attempt_id: AttemptId, outcome: Outcome },
-    /// The time limit of an allocation is over.
-    Cut { node: u32, life: u32, request_id: RequestId, attempt_id: AttemptId },
-    /// An executor sees that the connection of an allocation was closed.
-    GivenUp { executor: u32, key: u64 },
+    AnswerReceived { request: u32, client_attempt: u32, status: u16, retry_after: Option<Millis> },
+    /// An executor may have output.
+    ExecutorPollDue(u32),
+    /// The last byte of an attempt reaches its executor.
+    DispatchReceived { node: u32, incarnation: u32, request_id: RequestId, attempt: AttemptInTransit },
+    /// The end of an attempt reaches its node.
+    AttemptEnded {
+        node: u32,
+        incarnation: u32,
+        request_id: RequestId,
+        attempt_id: AttemptId,
+        outcome: Outcome,
+    },
+    /// The deadline of an attempt expires.
+    AttemptTimedOut { node: u32, incarnation: u32, request_id: RequestId, attempt_id: AttemptId },
+    /// The closing of an attempt's connection reaches its executor.
+    AttemptCancelled { executor: u32, key: u64 },
     /// A probe reaches its executor.
-    Asked { node: u32, life: u32, executor: ExecutorId },
-    /// The answer to a probe, or its absence, reaches the node.
-    Probed { node: u32, life: u32, executor: ExecutorId, answered: bool, lag: Millis, reading: LoadReport },
-    /// A node's timer fires.
-    Wake { node: u32, life: u32 },
-    /// A change reaches a node's agent.
-    Hears { node: u32, executor: u32, listing: u32 },
-    /// A node notices that its watch of the list broke off.
-    ListLost { node: u32, life: u32 },
-    /// A node follows the list again.
-    Follows { node: u32, life: u32 },
-    /// The front puts a node into its rotation, or takes it out.
-    TakenIn { node: u32, taken_in: bool },
+    ProbeReceived { node: u32, incarnation: u32, executor: ExecutorId },
+    /// The reply to a probe, or its failure, reaches the node.
+    ProbeCompleted {
+        node: u32,
+        incarnation: u32,
+        executor: ExecutorId,
+        is_answered: bool,
+        latency: Millis,
+        report: LoadReport,
+    },
+    /// A node's timer expires.
+    TimerExpired { node: u32, incarnation: u32 },
+    /// A changed entry reaches a node's agent.
+    EntryReceived { node: u32, executor: u32, entry: u32 },
+    /// A node detects that its discovery watch is lost.
+    WatchLost { node: u32, incarnation: u32 },
+    /// A node's discovery watch is open again.
+    WatchOpened { node: u32, incarnation: u32 },
+    /// A health check of the front changes whether a node is in rotation.
+    HealthChecked { node: u32, is_accepting: bool },
 }
 
-/// An allocation on its way to its executor.
+/// An attempt on its way to its executor.
 #[derive(Clone, Copy)]
-pub(super) struct InTransit {
+pub(super) struct AttemptInTransit {
     pub attempt_id: AttemptId,
     pub executor: u32,
     pub key: u64,
 }
 
-/// The node and work unit that an allocation at an executor belongs to.
+/// The node process and request that an attempt at an executor belongs to.
 #[derive(Clone, Copy)]
-pub(super) struct Origin {
+pub(super) struct AttemptOrigin {
     pub node: u32,
-    pub life: u32,
+    pub incarnation: u32,
     pub request_id: RequestId,
     pub attempt_id: AttemptId,
 }
 
 impl World<'_> {
     /// Handles an event that is due.
-    pub(super) fn handle(&mut self, event: WorldEvent) {
+    pub(super) fn handle_event(&mut self, event: WorldEvent) {
         match event {
-            WorldEvent::Step(number) => self.step(number as usize),
-            WorldEvent::Request(number) => self.request_is_due(number),
-            WorldEvent::Retry { request, attempt } => self.send_request(request, attempt),
-            WorldEvent::Arrives { node, life, request, attempt } => {
-                if !self.is_current(node, life) {
-                    return self.request_cut(request, attempt);
+            WorldEvent::StepDue(step) => self.apply_step(step as usize),
+            WorldEvent::RequestDue(request) => self.start_request(request),
+            WorldEvent::RetryDue { request, client_attempt } => self.send_request(request, client_attempt),
+            WorldEvent::RequestReceived { node, incarnation, request, client_attempt } => {
+                if !self.is_running(node, incarnation) {
+                    return self.lose_client_connection(request, client_attempt);
                 }
-                self.request_arrives(node as usize, request, attempt);
+                self.receive_request(node as usize, request, client_attempt);
             }
-            WorldEvent::Leaves { node, life, request_id } => {
-                if self.is_current(node, life) {
-                    self.client_leaves(node as usize, request_id);
+            WorldEvent::ClientDisconnected { node, incarnation, request_id } => {
+                if self.is_running(node, incarnation) {
+                    self.disconnect_client(node as usize, request_id);
                 }
             }
-            WorldEvent::Answered { request, attempt, status, come_back } => {
-                self.answer_arrives(request, attempt, status, come_back);
+            WorldEvent::AnswerReceived { request, client_attempt, status, retry_after } => {
+                self.receive_answer(request, client_attempt, status, retry_after);
             }
-            WorldEvent::ExecutorDue(number) => self.check_executor(number as usize),
-            WorldEvent::Sent { node, life, request_id, out } => {
-                self.allocation_sent(event, node, life, request_id, out)
+            WorldEvent::ExecutorPollDue(executor) => self.poll_executor(executor as usize),
+            WorldEvent::DispatchReceived { node, incarnation, request_id, attempt } => {
+                self.receive_dispatch(event, node, incarnation, request_id, attempt)
             }
-            WorldEvent::Ended { node, life, request_id, attempt_id, outcome } => {
-                if self.is_current(node, life) {
-                    self.attempt_ended(node as usize, request_id, attempt_id, outcome);
+            WorldEvent::AttemptEnded { node, incarnation, request_id, attempt_id, outcome } => {
+                if self.is_running(node, incarnation) {
+                    self.end_attempt(node as usize, request_id, attempt_id, outcome);
                 }
             }
-            WorldEvent::Cut { node, life, request_id, attempt_id } => {
-                if self.is_current(node, life) && self.give_up(node as usize, request_id, attempt_id) {
-                    self.attempt_ended(node as usize, request_id, attempt_id, Outcome::TimedOut);
+            WorldEvent::AttemptTimedOut { node, incarnation, request_id, attempt_id } => {
+                if self.is_running(node, incarnation)
+                    && self.cancel_attempt(node as usize, request_id, attempt_id)
+                {
+                    self.end_attempt(node as usize, request_id, attempt_id, Outcome::TimedOut);
                 }
             }
-            WorldEvent::GivenUp { executor, key } => self.allocation_given_up(executor as usize, key),
-            WorldEvent::Asked { node, life, executor } => self.probe_arrives(node, life, executor),
-            WorldEvent::Probed { node, life, executor, answered, lag, reading } => {
-                if self.is_current(node, life) {
-                    let reply = answered.then_some(ProbeReply { latency: lag, report: reading });
-                    self.tell(node as usize, Event::ProbeCompleted { executor, reply });
+            WorldEvent::AttemptCancelled { executor, key } => {
+                self.receive_cancellation(executor as usize, key)
+            }
+            WorldEvent::ProbeReceived { node, incarnation, executor } => {
+                self.receive_probe(node, incarnation, executor)
+            }
+            WorldEvent::ProbeCompleted { node, incarnation, executor, is_answered, latency, report } => {
+                if self.is_running(node, incarnation) {
+                    let reply = is_answered.then_some(ProbeReply { latency, report });
+                    self.notify_node(node as usize, Event::ProbeCompleted { executor, reply });
                 }
             }
-            WorldEvent::Wake { node, life } => {
-                if self.is_current(node, life) {
-                    self.timer_fires(node as usize);
+            WorldEvent::TimerExpired { node, incarnation } => {
+                if self.is_running(node, incarnation) {
+                    self.fire_timer(node as usize);
                 }
             }
-            WorldEvent::Hears { node, executor, listing } => {
-                self.hears(node as usize, executor as usize, listing)
+            WorldEvent::EntryReceived { node, executor, entry } => {
+                self.receive_entry(node as usize, executor as usize, entry)
             }
-            WorldEvent::ListLost { node, life } => {
-                if self.is_current(node, life) {
-                    self.list_lost(node as usize);
+            WorldEvent::WatchLost { node, incarnation } => {
+                if self.is_running(node, incarnation) {
+                    self.lose_watch(node as usize);
                 }
             }
-            WorldEvent::Follows { node, life } => {
-                if self.is_current(node, life) {
-                    self.tell_list(node as usize, ListUpdate::Delta);
+            WorldEvent::WatchOpened { node, incarnation } => {
+                if self.is_running(node, incarnation) {
+                    self.send_list(node as usize, ListUpdate::Delta);
                 }
             }
-            WorldEvent::TakenIn { node, taken_in } => self.front_learns(node as usize, taken_in),
+            WorldEvent::HealthChecked { node, is_accepting } => {
+                self.update_rotation(node as usize, is_accepting)
+            }
         }
     }
 
-    /// Whether this process of a node still runs.
-    fn is_current(&self, node: u32, life: u32) -> bool {
+    /// Whether a process of a node still runs.
+    fn is_running(&self, node: u32, incarnation: u32) -> bool {
         let node = &self.nodes[node as usize];
-        node.up && node.life == life
+        node.is_up && node.incarnation == incarnation
     }
 }
--- a/crates/simulation/src/world/executors.rs
+++ b/crates/simulation/src/world/executors.rs
@@ -1,6 +1,7 @@
-//! Executors: their processes, the allocations and probes that reach them, and what they report.
-use super::events::{InTransit, Origin, WorldEvent};
-use super::{WAY, World};
+//! Executors: their processes, the attempts and probes that reach them, and their output.
+use super::events::{AttemptInTransit, AttemptOrigin, WorldEvent};
+use super::{NETWORK_LATENCY, World};
+use crate::node::InFlightAttempt;
 use troutknot::{ExecutorId, LoadReport, Outcome, RequestId};
 use troutknot_emulator::observations::{ExecutorNumber, Observation};
 use troutknot_emulator::{Admission, Attempt, AttemptKey, AttemptOutcome, Executor, Millis, Output};
@@ -8,194 +9,209 @@
 
 impl World<'_> {
     /// Starts the process of an executor.
-    pub(super) fn start_executor(&mut self, number: usize) {
-        let planned = &self.plan.executors[number];
-        self.hosts[number] =
-            Some(Executor::new(planned.machine.clone(), planned.seed, self.now, !planned.slow_start));
-        self.note(Observation::ExecutorUp { executor: number as ExecutorNumber });
+    pub(super) fn start_executor(&mut self, executor: usize) {
+        let planned = &self.plan.executors[executor];
+        let process = Executor::new(planned.machine.clone(), planned.seed, self.now, !planned.slow_start);
+        self.executors[executor] = Some(process);
+        self.record(Observation::ExecutorUp { executor: executor as ExecutorNumber });
     }
 
     /// Kills the process of an executor.
     pub(super) fn kill_executor(&mut self, executor: usize) {
-        self.note(Observation::ExecutorDown { executor: executor as ExecutorNumber });
-        self.change_executor(executor, |host, now| host.kill(now));
+        self.record(Observation::ExecutorDown { executor: executor as ExecutorNumber });
+        self.change_executor(executor, |process, now| process.kill(now));
     }
 
-    /// Changes the state of an executor, and delivers what waited for it if it runs again.
+    /// Changes the state of an executor, and delivers the dispatches that waited for it if it runs again.
     pub(super) fn change_executor(&mut self, executor: usize, change: impl FnOnce(&mut Executor, Millis)) {
         let now = self.now;
-        if let Some(host) = &mut self.hosts[executor] {
-            change(host, now);
+        if let Some(process) = &mut self.executors[executor] {
+            change(process, now);
         }
-        self.take_reports(executor);
-        let goes_on =
-            self.hosts[executor].as_ref().is_some_and(|host| !host.is_paused() && !host.is_silent());
-        if goes_on {
-            for event in std::mem::take(&mut self.waits_at[executor]) {
-                self.queue.at(now, event);
+        self.collect_output(executor);
+        let process = self.executors[executor].as_ref();
+        if process.is_some_and(|process| !process.is_paused() && !process.is_silent()) {
+            for event in std::mem::take(&mut self.paused_dispatches[executor]) {
+                self.queue.schedule(now, event);
             }
         }
     }
 
-    /// The last byte of an allocation reaches its executor, if it can.
-    pub(super) fn allocation_sent(
+    /// Handles the last byte of an attempt at its executor, if the attempt is still in flight.
+    pub(super) fn receive_dispatch(
         &mut self,
         event: WorldEvent,
         node: u32,
-        life: u32,
+        incarnation: u32,
         request_id: RequestId,
-        out: InTransit,
+        attempt: AttemptInTransit,
     ) {
-        let number = out.executor as usize;
-        let from = &self.nodes[node as usize];
-        let open = from.open.get(&request_id).filter(|_| from.up && from.life == life);
-        let Some(open) = open.filter(|open| open.out.is_some_and(|o| o.attempt_id == out.attempt_id)) else {
+        let executor = attempt.executor as usize;
+        let sender = &self.nodes[node as usize];
+        let is_same_process = sender.is_up && sender.incarnation == incarnation;
+        let open = sender.open_requests.get(&request_id).filter(|_| is_same_process);
+        let is_in_flight = |current: InFlightAttempt| current.attempt_id == attempt.attempt_id;
+        let Some(open) = open.filter(|open| open.in_flight.is_some_and(is_in_flight)) else {
             return;
         };
-        let (request, attempt, waits) = (open.request, open.attempt, open.waits);
-        let came_of =
-            |outcome| WorldEvent::Ended { node, life, request_id, attempt_id: out.attempt_id, outcome };
-        if !waits || from.shut[number] <= self.now {
-            return self.queue.at(self.now, came_of(Outcome::NotSent));
+        let (request, client_attempt) = (open.request, open.client_attempt);
+        let attempt_id = attempt.attempt_id;
+        let ended = |outcome| WorldEvent::AttemptEnded { node, incarnation, request_id, attempt_id, outcome };
+        if !open.is_client_waiting || sender.send_stops_at[executor] <= self.now {
+            return self.queue.schedule(self.now, ended(Outcome::NotSent));
         }
-        let wait = millis(self.scenario.nodes.connect_wait);
-        match &self.hosts[number] {
-            Some(host) if host.is_silent() => {
-                return self.queue.at(self.now + wait, came_of(Outcome::NoConnection));
+        let connect_timeout = millis(self.scenario.nodes.connect_wait);
+        match &self.executors[executor] {
+            Some(process) if process.is_silent() => {
+                return self.queue.schedule(self.now + connect_timeout, ended(Outcome::NoConnection));
             }
-            Some(host) if host.is_paused() => return self.waits_at[number].push(event),
-            Some(host) if !host.is_down() => {}
-            _ => return self.queue.at(self.now + WAY, came_of(Outcome::NoConnection)),
+            Some(process) if process.is_paused() => return self.paused_dispatches[executor].push(event),
+            Some(process) if !process.is_down() => {}
+            _ => return self.queue.schedule(self.now + NETWORK_LATENCY, ended(Outcome::NoConnection)),
         }
-        self.offer_allocation(
-            request,
-            attempt,
-            Origin { node, life, request_id, attempt_id: out.attempt_id },
-            out,
-        );
+        let origin = AttemptOrigin { node, incarnation, request_id, attempt_id };
+        self.offer_attempt(request, client_attempt, origin, attempt);
     }
 
-    /// An executor that is up takes an allocation, or turns it away.
-    fn offer_allocation(&mut self, request: u32, attempt: u32, origin: Origin, out: InTransit) {
-        let number = out.executor as usize;
-        let asked = &self.plan.requests[request as usize];
-        let kind = self.types[asked.request_class];
+    /// Offers an attempt to an executor that is up, which accepts or rejects it.
+    fn offer_attempt(
+        &mut self,
+        request: u32,
+        client_attempt: u32,
+        origin: AttemptOrigin,
+        attempt: AttemptInTransit,
+    ) {
+        let executor = attempt.executor as usize;
+        let planned = &self.plan.requests[request as usize];
+        let class = self.request_classes[planned.request_class];
         let offer = Attempt {
-            key: AttemptKey(out.key),
+            key: AttemptKey(attempt.key),
             request_id: u64::from(request),
-            request_class: asked.request_class,
-            slots: kind.slots,
-            memory: kind.memory,
-            work: asked.work,
-            priority: kind.credit,
+            request_class: planned.request_class,
+            slots: class.slots,
+            memory: class.memory,
+            work: planned.work,
+            priority: class.credit,
         };
-        let id = self.id(request, attempt);
-        let (first_byte, attempt_id) = (self.now, out.key);
-        let (slots, work) = (offer.slots, offer.work);
-        self.note(Observation::Received { executor: out.executor, attempt_id, id, first_byte, slots, work });
-        let verdict = self.hosts[number].as_mut().expect("it is up").dispatch(self.now, offer);
-        let back = self.now + WAY;
-        let Origin { node, life, request_id, .. } = origin;
-        let came_of =
-            |outcome| WorldEvent::Ended { node, life, request_id, attempt_id: out.attempt_id, outcome };
-        match verdict {
+        let id = self.client_request_id(request, client_attempt);
+        let observed_id = attempt.key;
+        self.record(Observation::Received {
+            executor: attempt.executor,
+            attempt_id: observed_id,
+            id,
+            first_byte: self.now,
+            slots: offer.slots,
+            work: offer.work,
+        });
+        let process = self.executors[executor].as_mut().expect("the executor is up");
+        let admission = process.dispatch(self.now, offer);
+        let reply_at = self.now + NETWORK_LATENCY;
+        let AttemptOrigin { node, incarnation, request_id, attempt_id } = origin;
+        let ended = |outcome| WorldEvent::AttemptEnded { node, incarnation, request_id, attempt_id, outcome };
+        match admission {
             Admission::Accepted => {
-                self.outs.insert(out.key, origin);
+                self.attempt_origins.insert(attempt.key, origin);
             }
             Admission::Rejected => {
-                self.note(Observation::NotStarted { attempt_id });
-                self.queue.at(back, came_of(Outcome::Rejected));
+                self.record(Observation::NotStarted { attempt_id: observed_id });
+                self.queue.schedule(reply_at, ended(Outcome::Rejected));
             }
             Admission::Error => {
-                self.note(Observation::ErrorAnswered { attempt_id });
-                self.queue.at(back, came_of(Outcome::Error));
+                self.record(Observation::ErrorAnswered { attempt_id: observed_id });
+                self.queue.schedule(reply_at, ended(Outcome::Error));
             }
             Admission::Down => {
-                self.note(Observation::Ended { attempt_id, outcome: AttemptOutcome::Reset });
-                self.queue.at(back, came_of(Outcome::Reset));
+                self.record(Observation::Ended { attempt_id: observed_id, outcome: AttemptOutcome::Reset });
+                self.queue.schedule(reply_at, ended(Outcome::Reset));
             }
         }
-        self.take_reports(number);
+        self.collect_output(executor);
     }
 
-    /// The time has come at which an executor has something to report.
-    pub(super) fn check_executor(&mut self, number: usize) {
-        if self.looked[number] <= self.now {
-            self.looked[number] = f64::INFINITY;
+    /// Handles the scheduled poll of an executor.
+    pub(super) fn poll_executor(&mut self, executor: usize) {
+        if self.next_poll_at[executor] <= self.now {
+            self.next_poll_at[executor] = f64::INFINITY;
         }
-        self.take_reports(number);
+        self.collect_output(executor);
     }
 
-    /// Hands out what an executor has to say, and sees to when it has more.
-    pub(super) fn take_reports(&mut self, number: usize) {
+    /// Processes the output of an executor, and schedules the next poll.
+    pub(super) fn collect_output(&mut self, executor: usize) {
+        let number = executor as ExecutorNumber;
         loop {
-            let Some(host) = &mut self.hosts[number] else { return };
-            let Some((at, output)) = host.pop_output(self.now) else { break };
+            let Some(process) = &mut self.executors[executor] else { return };
+            let Some((at, output)) = process.pop_output(self.now) else { break };
             match output {
-                Output::Started { key } => self.seen.push((at, Observation::Started { attempt_id: key.0 })),
+                Output::Started { key } => {
+                    self.observations.push((at, Observation::Started { attempt_id: key.0 }))
+                }
                 Output::Progress { .. } => {}
-                Output::Ended { key, outcome: end } => {
-                    self.seen.push((at, Observation::Ended { attempt_id: key.0, outcome: end }));
-                    let outcome = match end {
+                Output::Ended { key, outcome } => {
+                    self.observations.push((at, Observation::Ended { attempt_id: key.0, outcome }));
+                    let outcome = match outcome {
                         AttemptOutcome::Done => Outcome::Completed,
                         AttemptOutcome::Returned => Outcome::Rejected,
                         AttemptOutcome::Lost | AttemptOutcome::Reset => Outcome::Reset,
                     };
-                    if let Some(Origin { node, life, request_id, attempt_id }) = self.outs.remove(&key.0) {
-                        self.queue.at(
-                            self.now + WAY,
-                            WorldEvent::Ended { node, life, request_id, attempt_id, outcome },
+                    let origin = self.attempt_origins.remove(&key.0);
+                    if let Some(AttemptOrigin { node, incarnation, request_id, attempt_id }) = origin {
+                        self.queue.schedule(
+                            self.now + NETWORK_LATENCY,
+                            WorldEvent::AttemptEnded { node, incarnation, request_id, attempt_id, outcome },
                         );
                     }
                 }
-                Output::Overloaded { sent, limit: stood } => {
-                    let executor = number as ExecutorNumber;
-                    self.seen.push((at, Observation::Overloaded { executor, sent, limit: stood }));
-                    self.seen.push((at, Observation::ExecutorDown { executor }));
+                Output::Overloaded { sent, limit } => {
+                    let overloaded = Observation::Overloaded { executor: number, sent, limit };
+                    self.observations.push((at, overloaded));
+                    self.observations.push((at, Observation::ExecutorDown { executor: number }));
                 }
             }
         }
-        let next = self.hosts[number].as_ref().and_then(|host| host.next_event_at()).unwrap_or(f64::INFINITY);
-        if next < self.looked[number] {
-            self.looked[number] = next;
-            self.queue.at(next, WorldEvent::ExecutorDue(number as u32));
+        let process = self.executors[executor].as_ref();
+        let next = process.and_then(|process| process.next_event_at()).unwrap_or(f64::INFINITY);
+        if next < self.next_poll_at[executor] {
+            self.next_poll_at[executor] = next;
+            self.queue.schedule(next, WorldEvent::ExecutorPollDue(executor as u32));
         }
     }
 
-    /// The node of an allocation no longer waits for it.
-    pub(super) fn allocation_given_up(&mut self, number: usize, key: u64) {
-        if self.outs.remove(&key).is_none() {
+    /// Cancels an attempt at its executor after its node closed the connection.
+    pub(super) fn receive_cancellation(&mut self, executor: usize, key: u64) {
+        if self.attempt_origins.remove(&key).is_none() {
             return;
         }
-        self.note(Observation::Cancelled { attempt_id: key });
-        if let Some(host) = &mut self.hosts[number] {
-            host.cancel(self.now, AttemptKey(key));
+        self.record(Observation::Cancelled { attempt_id: key });
+        if let Some(process) = &mut self.executors[executor] {
+            process.cancel(self.now, AttemptKey(key));
         }
-        self.take_reports(number);
+        self.collect_output(executor);
     }
 
-    /// A probe reaches its executor, which answers if it can.
-    pub(super) fn probe_arrives(&mut self, node: u32, life: u32, executor: ExecutorId) {
-        let Some(number) = self.nodes[node as usize].handles.number(executor) else { return };
-        let wait = millis(self.scenario.nodes.connect_wait);
-        let Some(host) = &mut self.hosts[number] else { return };
-        let (after, answered, reading) = if host.is_down() {
-            (WAY, false, LoadReport::default())
-        } else if host.is_silent() || host.is_paused() {
-            (wait, false, LoadReport::default())
+    /// Handles a probe at its executor, which replies if it can.
+    pub(super) fn receive_probe(&mut self, node: u32, incarnation: u32, executor: ExecutorId) {
+        let Some(index) = self.nodes[node as usize].executor_ids.index(executor) else { return };
+        let connect_timeout = millis(self.scenario.nodes.connect_wait);
+        let Some(process) = &mut self.executors[index] else { return };
+        let (delay, is_answered, report) = if process.is_down() {
+            (NETWORK_LATENCY, false, LoadReport::default())
+        } else if process.is_silent() || process.is_paused() {
+            (connect_timeout, false, LoadReport::default())
         } else {
-            let load = host.probe(self.now);
-            let (queue, held) = (Some(load.waiting), Some(load.running));
-            let free_slots = Some(load.free_slots);
-            (
-                WAY,
-                true,
-                LoadReport { queue_length: queue, in_flight: held, free_slots, ..LoadReport::default() },
-            )
+            let load = process.probe(self.now);
+            let report = LoadReport {
+                queue_length: Some(load.waiting),
+                in_flight: Some(load.running),
+                free_slots: Some(load.free_slots),
+                ..LoadReport::default()
+            };
+            (NETWORK_LATENCY, true, report)
         };
-        let lag = WAY + after;
-        let probed = WorldEvent::Probed { node, life, executor, answered, lag, reading };
-        self.queue.at(self.now + after, probed);
-        self.take_reports(number);
+        let latency = NETWORK_LATENCY + delay;
+        let completed =
+            WorldEvent::ProbeCompleted { node, incarnation, executor, is_answered, latency, report };
+        self.queue.schedule(self.now + delay, completed);
+        self.collect_output(index);
     }
 }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The world in simulated time: executors, lists, nodes and clients, moved by one queue of events.
+//! The simulated world: executors, discovery, nodes and clients, driven by one event queue.
 //!
 //! This module holds the state and the loop; each part of the world handles its own events in a module of its own.
 mod clients;
@@ -8,10 +8,10 @@
 mod nodes;
 mod steps;
 
-use crate::MakeModule;
+use crate::ModuleFactory;
 use crate::node::Node;
-use crate::queue::Queue;
-use events::{Origin, WorldEvent};
+use crate::queue::EventQueue;
+use events::{AttemptOrigin, WorldEvent};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
@@ -23,79 +23,83 @@
 use troutknot_rehearsal::plan::Plan;
 use troutknot_rehearsal::scenario::{ProjectType, Scenario};
 
-/// When the day begins; before, nodes hear the list.
-pub const BEGAN: Millis = 100_000.0;
-/// One way between any two, with what the programs at its ends take.
-const WAY: Millis = 0.15;
-/// A watch that says nothing has broken off after so long (the node's `list_silence`).
-const LIST_SILENCE: Millis = 2600.0;
-/// The front asks a node's health so often.
-const HEALTH_EVERY: Millis = 200.0;
-/// How much sooner than the client gives up a work unit's limit is (the node's `answer_margin`).
-const ANSWER_MARGIN: Millis = 25.0;
+/// Time in milliseconds at which the plan starts; nodes receive the first endpoint list before it.
+pub const PLAN_START: Millis = 100_000.0;
+/// Time in milliseconds by which the nodes and the initial executors start before the plan.
+const STARTUP_TIME: Millis = 700.0;
+/// One-way latency in milliseconds between any two processes, including their processing time.
+const NETWORK_LATENCY: Millis = 0.15;
+/// Time in milliseconds after which a silent discovery watch counts as lost (the node's `watch_idle_timeout`).
+const WATCH_IDLE_TIMEOUT: Millis = 2600.0;
+/// Interval in milliseconds of the front's health checks.
+const HEALTH_CHECK_INTERVAL: Millis = 200.0;
+/// Time in milliseconds by which a node's deadline is earlier than the client's (the node's `deadline_margin`).
+const DEADLINE_MARGIN: Millis = 25.0;
 
-/// What a run cost.
+/// The number of events and actions of a run.
 #[derive(Default, Clone, Copy)]
 pub struct Counts {
-    /// Events of the queue.
+    /// Events taken from the queue.
     pub events: u64,
-    /// Times that a dispatcher was told something.
+    /// Events handled by decision modules.
     pub decisions: u64,
     /// Probes sent to executors.
     pub probes: u64,
 }
 
-/// Executors, discovery, nodes and clients at one time of the day.
+/// The state of executors, discovery, nodes and clients at the current time.
 pub struct World<'a> {
     scenario: &'a Scenario,
     plan: &'a Plan,
-    /// Makes what decides at a node.
-    make: MakeModule<'a>,
-    types: Vec<&'a ProjectType>,
+    create_module: ModuleFactory<'a>,
+    request_classes: Vec<&'a ProjectType>,
     /// The settings of each node.
     settings: Vec<Settings>,
-    /// Machine kinds, in the order of their numbers.
-    kinds: Vec<String>,
+    /// Names of the machine types, by their ids.
+    machine_types: Vec<String>,
     /// The token of each executor.
     tokens: Vec<u64>,
-    queue: Queue<WorldEvent>,
+    queue: EventQueue<WorldEvent>,
     now: Millis,
-    /// The process of each executor; none before its first start.
-    hosts: Vec<Option<Executor>>,
-    /// When each executor is asked for reports next.
-    looked: Vec<Millis>,
-    /// What reached each executor while it stood still.
-    waits_at: Vec<Vec<WorldEvent>>,
-    /// Allocations at executors, by their keys.
-    outs: HashMap<u64, Origin>,
-    next_key: u64,
-    /// Every entry that discovery ever had.
+    /// The process of each executor; `None` before its first start.
+    executors: Vec<Option<Executor>>,
+    /// When each executor is polled next; infinite if no poll is scheduled.
+    next_poll_at: Vec<Millis>,
+    /// Dispatches that reached each executor while it was paused.
+    paused_dispatches: Vec<Vec<WorldEvent>>,
+    /// The origin of each attempt that an executor has accepted, by key.
+    attempt_origins: HashMap<u64, AttemptOrigin>,
+    next_attempt_key: u64,
+    /// Every entry that discovery has had: the state of an executor and its start.
     entries: Vec<(ListedState, Option<Millis>)>,
-    /// The entry that counts for each executor.
-    listed: Vec<Option<u32>>,
-    /// The same as the agent of each node has it.
-    views: Vec<Vec<Option<u32>>>,
-    /// Whether discovery is silent.
-    silent: bool,
-    /// What agents could not tell while discovery was silent.
-    untold: Vec<(u32, u32, u32)>,
+    /// Index of the current entry of each executor.
+    current_entries: Vec<Option<u32>>,
+    /// The same as known to the agent of each node.
+    agent_entries: Vec<Vec<Option<u32>>>,
+    is_discovery_silent: bool,
+    /// Updates that agents hold back while discovery is silent: node, executor and entry.
+    held_updates: Vec<(u32, u32, u32)>,
     nodes: Vec<Node>,
     /// The node that the front tries first for the next request.
     next_node: usize,
-    chance: ChaCha8Rng,
-    seen: Vec<(Millis, Observation)>,
+    rng: ChaCha8Rng,
+    observations: Vec<(Millis, Observation)>,
     counts: Counts,
-    /// Kept from one decision to the next for its memory alone.
+    /// Reused by each decision to save allocations of memory.
     actions: Vec<Action>,
 }
 
 impl<'a> World<'a> {
-    /// The world of a plan as it stands before its day begins.
+    /// Creates the world of a plan with its nodes and initial executors started.
     ///
     /// # Errors
-    /// Where the scenario gives a node settings that cannot be used.
-    pub fn new(scenario: &'a Scenario, plan: &'a Plan, make: MakeModule<'a>) -> Result<Self, SettingsError> {
-        let kinds = briefing::kinds(scenario);
+    /// If the scenario gives a node invalid settings.
+    pub fn new(
+        scenario: &'a Scenario,
+        plan: &'a Plan,
+        create_module: ModuleFactory<'a>,
+    ) -> Result<Self, SettingsError> {
+        let machine_types = briefing::kinds(scenario);
         let mut settings = Vec::new();
         for node in 0..scenario.nodes.count {
             settings.push(troutknot_configuration::parse_settings(&briefing::settings(scenario, node))?);
@@ -104,76 +108,76 @@
         let mut world = World {
             scenario,
             plan,
-            make,
-            types: scenario.project_types.iter().map(|t| t.get_ref()).collect(),
+            create_module,
+            request_classes: scenario.project_types.iter().map(|class| class.get_ref()).collect(),
             settings,
-            kinds,
+            machine_types,
             tokens: (0..count).map(|k| troutknot_membership::token(&format!("s-{k:05}"))).collect(),
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             now: 0.0,
-            hosts: (0..count).map(|_| None).collect(),
-            looked: vec![f64::INFINITY; count],
-            waits_at: (0..count).map(|_| Vec::new()).collect(),
-            outs: HashMap::new(),
-            next_key: 0,
+            executors: (0..count).map(|_| None).collect(),
+            next_poll_at: vec![f64::INFINITY; count],
+            paused_dispatches: (0..count).map(|_| Vec::new()).collect(),
+            attempt_origins: HashMap::new(),
+            next_attempt_key: 0,
             entries: Vec::new(),
-            listed: vec![None; count],
-            views: vec![vec![None; count]; scenario.nodes.count],
-            silent: false,
-            untold: Vec::new(),
+            current_entries: vec![None; count],
+            agent_entries: vec![vec![None; count]; scenario.nodes.count],
+            is_discovery_silent: false,
+            held_updates: Vec::new(),
             nodes: Vec::new(),
             next_node: 0,
-            chance: ChaCha8Rng::seed_from_u64(plan.seed ^ 0x73_696d),
-            seen: Vec::new(),
+            rng: ChaCha8Rng::seed_from_u64(plan.seed ^ 0x73_696d),
+            observations: Vec::new(),
             counts: Counts::default(),
             actions: Vec::new(),
         };
-        world.now = BEGAN - 700.0;
-        for number in 0..count {
-            if plan.executors[number].is_initial {
-                world.start_executor(number);
-                world.entries.push((ListedState::Ready, world.started(number)));
-                world.listed[number] = Some(world.entries.len() as u32 - 1);
+        world.now = PLAN_START - STARTUP_TIME;
+        for executor in 0..count {
+            if plan.executors[executor].is_initial {
+                world.start_executor(executor);
+                world.entries.push((ListedState::Ready, world.listed_start(executor)));
+                world.current_entries[executor] = Some(world.entries.len() as u32 - 1);
             }
         }
         for node in 0..scenario.nodes.count {
-            world.views[node].clone_from(&world.listed);
+            world.agent_entries[node].clone_from(&world.current_entries);
             world.start_node(node);
-            world.nodes[node].taken_in = true;
+            world.nodes[node].is_in_rotation = true;
         }
-        for (number, (at, _)) in plan.steps.iter().enumerate() {
-            world.queue.at(BEGAN + at, WorldEvent::Step(number as u32));
+        for (step, (at, _)) in plan.steps.iter().enumerate() {
+            world.queue.schedule(PLAN_START + at, WorldEvent::StepDue(step as u32));
         }
         if let Some(first) = plan.requests.first() {
-            world.queue.at(BEGAN + first.at, WorldEvent::Request(0));
+            world.queue.schedule(PLAN_START + first.at, WorldEvent::RequestDue(0));
         }
         Ok(world)
     }
 
-    /// Handles events until there are none left.
-    pub fn play(&mut self) {
+    /// Handles events until the queue is empty.
+    pub fn run(&mut self) {
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
             self.counts.events += 1;
-            self.handle(event);
+            self.handle_event(event);
         }
     }
 
-    /// All that was seen, in the order of time, and what the run cost.
-    pub fn end(self) -> (Vec<(Millis, Observation)>, Counts) {
-        let mut seen = self.seen;
-        // What an executor notes of its past came a little later.
-        seen.sort_by(|a, b| a.0.total_cmp(&b.0));
-        (seen, self.counts)
+    /// Returns all observations in order of time, and the counts of the run.
+    pub fn finish(self) -> (Vec<(Millis, Observation)>, Counts) {
+        let mut observations = self.observations;
+        // An executor reports its past events at the next poll, later than they occurred.
+        observations.sort_by(|a, b| a.0.total_cmp(&b.0));
+        (observations, self.counts)
     }
 
-    /// Records what the referee is to know.
-    fn note(&mut self, seen: Observation) {
-        self.seen.push((self.now, seen));
+    /// Records an observation for the referee at the current time.
+    fn record(&mut self, observation: Observation) {
+        self.observations.push((self.now, observation));
     }
 
-    /// The id that a request carries at an attempt.
-    fn id(&self, request: u32, attempt: u32) -> Box<str> {
-        self.plan.request_id(request as usize, attempt).into()
+    /// The id that a client's attempt at a request carries.
+    fn client_request_id(&self, request: u32, client_attempt: u32) -> Box<str> {
+        self.plan.request_id(request as usize, client_attempt).into()
     }
 }
