--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,5 +1,5 @@
-//! `troutknot check`: whether configuration, scenario and scale files can be used.
-use crate::Ended;
+//! `troutknot check`: validates configuration, scenario and scale files.
+use crate::ExitStatus;
 use clap::Args;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -9,14 +9,14 @@
 use troutknot_rehearsal::scenario::Scenario;
 use troutknot_scale::file::ScaleFile;
 
-/// Sections that only a scale file has.
+/// Sections that occur only in a scale file.
 const SCALE_SECTIONS: [&str; 4] = ["[fleet]", "[real_nodes]", "[hollow_nodes]", "[load]"];
-/// Sections that only an operator's own file has.
+/// Sections that occur only in an operator's file.
 const OPERATOR_SECTIONS: [&str; 2] = ["[lists", "[durable]"];
-/// A key that every scenario has, and no operator's own file.
+/// A key that occurs in every scenario, but not in an operator's file.
 const SCENARIO_KEY: &str = "length";
 
-/// Say whether a scenario, a scale file, an operator's own file (all .toml) or a node's configuration (.json) can be used
+/// Check that scenarios, scale files, operator's files (all .toml) or node files (.json) are valid
 #[derive(Args)]
 #[command(after_help = "Example: troutknot check scenarios/calm.toml deploy/troutknot.toml node.json")]
 pub struct Check {
@@ -36,10 +36,10 @@
         #[source]
         error: io::Error,
     },
-    /// A scenario or a scale file has faults, one line each.
+    /// A scenario or a scale file has faults; the error has one line for each.
     #[error(transparent)]
     Faults(#[from] Faults),
-    /// A node file or an operator's own file is not valid.
+    /// A node file or an operator's file is not valid.
     #[error(transparent)]
     Node(#[from] NodeError),
 }
@@ -51,7 +51,7 @@
 /// Reads a scenario.
 ///
 /// # Errors
-/// If the file cannot be read or has faults, each with the line where it is.
+/// If the file cannot be read or has faults. The error states the line of each fault.
 pub fn scenario(path: &Path) -> Result<Scenario, CheckError> {
     Ok(Scenario::parse(&read(path)?, &path.display().to_string())?)
 }
@@ -59,57 +59,58 @@
 /// Reads a scale file.
 ///
 /// # Errors
-/// If the file cannot be read or has faults, each with the line where it is.
+/// If the file cannot be read or has faults. The error states the line of each fault.
 pub fn scale_file(path: &Path) -> Result<ScaleFile, CheckError> {
     Ok(ScaleFile::parse(&read(path)?, &path.display().to_string())?)
 }
 
-/// What a file is for.
-enum FileKind {
+/// The type of a file, which decides how it is checked.
+enum FileType {
     Node,
     Operator,
     Scale,
     Scenario,
 }
 
-impl FileKind {
-    /// By the extension and the sections. A file that cannot be read counts as a scenario, whose reader reports that.
-    fn of(path: &Path) -> Self {
+impl FileType {
+    /// Detects the type by the extension and the sections. A file that cannot be read counts as a scenario, whose
+    /// reader reports the error.
+    fn detect(path: &Path) -> Self {
         if path.extension().is_some_and(|extension| extension == "json") {
-            return FileKind::Node;
+            return FileType::Node;
         }
         let text = std::fs::read_to_string(path).unwrap_or_default();
         let has_line = |start: &str| text.lines().any(|line| line.trim_start().starts_with(start));
         if text.lines().any(|line| SCALE_SECTIONS.contains(&line.trim())) {
-            return FileKind::Scale;
+            return FileType::Scale;
         }
         if OPERATOR_SECTIONS.into_iter().any(has_line) && !has_line(SCENARIO_KEY) {
-            return FileKind::Operator;
+            return FileType::Operator;
         }
-        FileKind::Scenario
+        FileType::Scenario
     }
 }
 
 fn check(path: &Path) -> Result<(), CheckError> {
-    match FileKind::of(path) {
-        FileKind::Node => troutknot_daemon::check(path)?,
-        FileKind::Operator => troutknot_daemon::check_operator_file(path)?,
-        FileKind::Scale => _ = scale_file(path)?,
-        FileKind::Scenario => _ = scenario(path)?,
+    match FileType::detect(path) {
+        FileType::Node => troutknot_daemon::check(path)?,
+        FileType::Operator => troutknot_daemon::check_operator_file(path)?,
+        FileType::Scale => _ = scale_file(path)?,
+        FileType::Scenario => _ = scenario(path)?,
     }
     Ok(())
 }
 
 impl Check {
     /// Checks each file and prints its faults on standard error.
-    pub fn run(self) -> Ended {
-        let mut ended = Ended::Held;
+    pub fn run(self) -> ExitStatus {
+        let mut status = ExitStatus::Passed;
         for path in &self.files {
             match check(path) {
                 Ok(()) => println!("{}: good", path.display()),
-                Err(error) => ended = Ended::Usage.because(error),
+                Err(error) => status = ExitStatus::Usage.report(error),
             }
         }
-        ended
+        status
     }
 }
--- a/crates/cli/src/emulate.rs
+++ b/crates/cli/src/emulate.rs
@@ -1,5 +1,5 @@
-//! `troutknot emulate`: the fleet of a scenario alone, with discovery, for use by hand.
-use crate::{Ended, check};
+//! `troutknot emulate`: runs the fleet of a scenario with discovery but without nodes, for manual use.
+use crate::{ExitStatus, check};
 use clap::Args;
 use std::io;
 use std::net::SocketAddr;
@@ -17,14 +17,14 @@
 use troutknot_rehearsal::scenario::{Scenario, millis};
 use troutknot_rehearsal::world::Addresses;
 
-/// Consul agents that may be emulated, as addresses are laid out for.
+/// Largest number of emulated Consul agents; the address layout has room for 16.
 const MAX_CONSUL_AGENTS: usize = 16;
 /// The Consul service under which the executors are registered.
 const CONSUL_SERVICE: &str = "box";
-/// How often the record of what was seen is cleared, which nobody reads here; it would grow without bound.
+/// Interval at which the observations are cleared. Nothing reads them here, and they would grow without bound.
 const CLEAR_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why the fleet cannot be emulated.
+/// Why the fleet cannot be started.
 #[derive(Debug, Error)]
 enum EmulateError {
     #[error("cannot start the runtime: {0}")]
@@ -38,33 +38,33 @@
     },
 }
 
-/// Run the executors and the discovery of a scenario alone, for use by hand
+/// Run the executors and the discovery of a scenario without nodes, for manual use
 #[derive(Args)]
 #[command(after_help = "Example: troutknot emulate scenarios/calm.toml --for 1m
 then:    curl -d x -H 'Request-Id: a1' -H 'Work-Millis: 250' http://ADDRESS/render")]
 pub struct Emulate {
     scenario: PathBuf,
-    /// Seed of the plan; the scenario's own if not given
+    /// Seed of the plan; by default the scenario's
     #[arg(long)]
     seed: Option<u64>,
-    /// Number of Consul agents to serve besides discovery
+    /// Number of Consul agents to run in addition to discovery
     #[arg(long, value_name = "AGENTS", num_args = 0..=1, default_missing_value = "1", default_value_t = 0)]
     consul: usize,
-    /// How long to run
+    /// Time to run
     #[arg(long = "for", value_name = "TIME", default_value = "1h", value_parser = humantime::parse_duration)]
     run_time: Duration,
 }
 
 impl Emulate {
-    /// Runs the fleet until its time is over or Ctrl-C is pressed.
-    pub fn run(self) -> Ended {
+    /// Runs the fleet until its time ends or Ctrl-C is pressed.
+    pub fn run(self) -> ExitStatus {
         let scenario = match check::scenario(&self.scenario) {
             Ok(scenario) => scenario,
-            Err(error) => return Ended::Usage.because(error),
+            Err(error) => return ExitStatus::Usage.report(error),
         };
         match self.block_on(scenario) {
-            Ok(()) => Ended::Held,
-            Err(error) => Ended::Machine.because(error),
+            Ok(()) => ExitStatus::Passed,
+            Err(error) => ExitStatus::Machine.report(error),
         }
     }
 
@@ -78,8 +78,8 @@
         let plan = Plan::generate(&scenario, self.seed.unwrap_or(scenario.seed));
         let fleet = Fleet::start(&scenario, &plan, self.consul)?;
         tokio::select! {
-            () = fleet.play(&plan) => {}
-            () = clear_periodically(&fleet.record) => {}
+            () = fleet.run_steps(&plan) => {}
+            () = clear_periodically(&fleet.observations) => {}
             () = tokio::time::sleep(self.run_time) => {}
             _ = tokio::signal::ctrl_c() => {}
         }
@@ -91,16 +91,16 @@
 struct Fleet {
     hosts: Vec<Rc<Host>>,
     cluster: Rc<Cluster>,
-    record: Arc<ObservationLog>,
-    // Both serve for as long as they are held.
+    observations: Arc<ObservationLog>,
+    // Dropping them stops the services.
     _consul_agents: Vec<Rc<Agent>>,
     _discovery: Rc<discovery::Agent>,
 }
 
 impl Fleet {
     fn start(scenario: &Scenario, plan: &Plan, consul_agents: usize) -> Result<Self, EmulateError> {
-        let record = Arc::new(ObservationLog::default());
-        let shared = FleetContext::new(record.clone(), Arc::new(work_of(scenario)), true);
+        let observations = Arc::new(ObservationLog::default());
+        let shared = FleetContext::new(observations.clone(), Arc::new(request_specs(scenario)), true);
         let addresses = Addresses::fresh();
         let (hosts, members) = start_executors(plan, &shared, addresses)?;
         let cluster = Cluster::new("dc1");
@@ -108,15 +108,15 @@
         cluster.register_all(CONSUL_SERVICE, instances);
         let consul_agents = start_consul(&cluster, consul_agents, addresses)?;
         let address = addresses.agent(0);
-        let discovery = discovery::Agent::start(&record, 0, address, members);
+        let discovery = discovery::Agent::start(&observations, 0, address, members);
         let discovery =
             discovery.map_err(|error| EmulateError::Listen { what: "discovery", address, error })?;
         println!("discovery http://{}/catalog/members", discovery.addr());
-        Ok(Fleet { hosts, cluster, record, _consul_agents: consul_agents, _discovery: discovery })
+        Ok(Fleet { hosts, cluster, observations, _consul_agents: consul_agents, _discovery: discovery })
     }
 
-    /// Applies the plan's steps at their times, then waits for ever.
-    async fn play(&self, plan: &Plan) {
+    /// Applies the plan's steps at their times, then waits forever.
+    async fn run_steps(&self, plan: &Plan) {
         let started = tokio::time::Instant::now();
         for (at_ms, step) in &plan.steps {
             tokio::time::sleep_until(started + Duration::from_secs_f64(at_ms / 1000.0)).await;
@@ -125,7 +125,7 @@
         std::future::pending().await
     }
 
-    /// Applies a step, if it concerns an executor or how it is listed.
+    /// Applies a step that changes an executor or its health check; ignores all others.
     fn apply(&self, step: &Step) {
         match step {
             Step::FaultBegins { number, executor, fault } => {
@@ -136,7 +136,7 @@
             Step::FaultEnds { number, executor } => {
                 let Some(host) = self.hosts.get(*executor) else { return };
                 host.end_fault(*number as u64);
-                eprintln!("{} is over it", host.name);
+                eprintln!("{} has recovered from the fault", host.name);
             }
             Step::KillExecutor { executor } => {
                 self.hosts.get(*executor).into_iter().for_each(|host| host.kill())
@@ -148,7 +148,7 @@
                 self.set_status(*executor, Status::Critical, "is listed as failing")
             }
             Step::ListPassing { executor } => {
-                self.set_status(*executor, Status::Passing, "is listed as well")
+                self.set_status(*executor, Status::Passing, "is listed as passing")
             }
             _ => {}
         }
@@ -161,8 +161,9 @@
     }
 }
 
-/// The work of any request id: the mean of the first class, unless a header of the request states another.
-fn work_of(scenario: &Scenario) -> impl Fn(&str) -> Option<RequestSpec> + use<> {
+/// Returns a function that specifies the work of a request id: the mean of the first request class. A header of the
+/// request overrides the work.
+fn request_specs(scenario: &Scenario) -> impl Fn(&str) -> Option<RequestSpec> + use<> {
     let classes: Vec<_> = scenario.project_types.iter().map(|class| class.get_ref().clone()).collect();
     move |id| {
         let hash = |hash: u64, byte: u8| hash.wrapping_mul(31).wrapping_add(byte.into());
@@ -217,9 +218,9 @@
     Ok(agents)
 }
 
-async fn clear_periodically(record: &ObservationLog) {
+async fn clear_periodically(observations: &ObservationLog) {
     loop {
         tokio::time::sleep(CLEAR_INTERVAL).await;
-        record.take();
+        observations.take();
     }
 }
--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -1,5 +1,5 @@
 //! `troutknot experiment`: many simulations on all cores; each row is stored as its run ends.
-use crate::Ended;
+use crate::ExitStatus;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use std::path::PathBuf;
@@ -19,37 +19,37 @@
     /// Folder of the rows and the summary
     #[arg(long, value_name = "FOLDER")]
     out: PathBuf,
-    /// Runs in parallel; the number of cores if not given
+    /// Number of parallel runs; by default the number of cores
     #[arg(long)]
     threads: Option<usize>,
 }
 
 impl ExperimentArgs {
     /// Runs the simulations that are not stored yet, writes the summary and prints it.
-    pub fn run(self) -> Ended {
-        self.try_run().unwrap_or_else(|ended| ended)
+    pub fn run(self) -> ExitStatus {
+        self.try_run().unwrap_or_else(|status| status)
     }
 
     /// # Errors
-    /// How the command ended, once the reason is on standard error.
-    fn try_run(&self) -> Result<Ended, Ended> {
-        let plan = ExperimentPlan::read(&self.experiment).map_err(|error| Ended::Usage.because(error))?;
+    /// The exit status if the experiment failed; the reason has been printed on standard error.
+    fn try_run(&self) -> Result<ExitStatus, ExitStatus> {
+        let plan = ExperimentPlan::read(&self.experiment).map_err(|error| ExitStatus::Usage.report(error))?;
         let rows = self.simulate(&plan)?;
         let summary = summarize(&rows, &plan.reference_policy);
         let path = self.out.join("summary.csv");
         if let Err(error) = std::fs::write(&path, format_csv(&summary)) {
-            return Err(Ended::Machine.because(format!("cannot write `{}`: {error}", path.display())));
+            return Err(ExitStatus::Machine.report(format!("cannot write `{}`: {error}", path.display())));
         }
         print_summary(&summary);
         let violations: usize = summary.iter().map(|group| group.violations).sum();
         if violations > 0 {
             let text = format!("{violations} rule violations; rows.jsonl lists them by run");
-            return Ok(Ended::Broke.because(text));
+            return Ok(ExitStatus::Violated.report(text));
         }
-        Ok(Ended::Held)
+        Ok(ExitStatus::Passed)
     }
 
-    fn simulate(&self, plan: &ExperimentPlan) -> Result<Vec<Row>, Ended> {
+    fn simulate(&self, plan: &ExperimentPlan) -> Result<Vec<Row>, ExitStatus> {
         let bar = ProgressBar::with_draw_target(Some(plan.runs.len() as u64), ProgressDrawTarget::stderr());
         if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos} of {len}, {eta} left") {
             bar.set_style(style);
@@ -59,8 +59,8 @@
         let rows = plan.run(&self.out, threads, |stored| bar.set_position(stored as u64));
         bar.finish_and_clear();
         rows.map_err(|error| match error {
-            ExperimentError::Invalid(_) => Ended::Usage.because(error),
-            ExperimentError::Io(_) => Ended::Machine.because(error),
+            ExperimentError::Invalid(_) => ExitStatus::Usage.report(error),
+            ExperimentError::Io(_) => ExitStatus::Machine.report(error),
         })
     }
 }
--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -1,5 +1,5 @@
 //! `troutknot ledger`: inspects, verifies and compacts the ledger of durable requests.
-use crate::Ended;
+use crate::ExitStatus;
 use clap::{Args, Subcommand};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -8,7 +8,7 @@
 use troutknot_ledger::store::{Reader, Rows, Store, StoreError};
 use troutknot_ledger::{AttemptStatus, Job, Ledger};
 
-/// Largest number of attempts that any node allows a request; the number in force is not on record.
+/// Largest number of attempts per request that any node allows; the ledger does not store the configured number.
 const MAX_ATTEMPTS: usize = 3;
 
 /// Inspect, verify or compact the ledger of durable requests
@@ -20,7 +20,7 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// List open requests and their age; reads the file of a running or of a dead node
+    /// List open requests and their age; the node may run or not
     #[command(after_help = "Example: troutknot ledger show /var/lib/troutknot/ledger")]
     Show {
         path: PathBuf,
@@ -28,7 +28,7 @@
         #[arg(long)]
         all: bool,
     },
-    /// Check every row and the order of the records; names each damaged row
+    /// Check every row and the order of the records; reports each damaged row
     #[command(after_help = "Example: troutknot ledger verify /var/lib/troutknot/ledger
 
 Exit status: 0 good, 1 damaged, 2 a file that is missing or cannot be read.")]
@@ -40,13 +40,14 @@
 
 impl LedgerArgs {
     /// Runs the command; prints its result on standard output and its error on standard error.
-    pub fn run(self) -> Ended {
-        let (path, ended) = match &self.verb {
+    pub fn run(self) -> ExitStatus {
+        let (path, status) = match &self.verb {
             Verb::Show { path, all } => (path, show(path, *all)),
             Verb::Verify { path } => (path, verify(path)),
             Verb::Compact { path } => (path, compact(path)),
         };
-        ended.unwrap_or_else(|error| Ended::Usage.because(format!("ledger `{}`: {error}", path.display())))
+        status
+            .unwrap_or_else(|error| ExitStatus::Usage.report(format!("ledger `{}`: {error}", path.display())))
     }
 }
 
@@ -61,7 +62,7 @@
 #[derive(Debug, Error)]
 enum LedgerCommandError {
     /// The file does not exist; opening it would create one.
-    #[error("there is no such file")]
+    #[error("no such file")]
     Missing,
     #[error(transparent)]
     Store(#[from] StoreError),
@@ -69,19 +70,20 @@
 
 fn read(path: &Path) -> Result<LedgerContents, LedgerCommandError> {
     let reader = Reader::open(path)?;
-    let mut read = LedgerContents { ledger: Ledger::new(MAX_ATTEMPTS), rows: 0, faults: Vec::new() };
-    let each = reader.for_each_row(|row| {
-        read.rows += 1;
+    let mut contents = LedgerContents { ledger: Ledger::new(MAX_ATTEMPTS), rows: 0, faults: Vec::new() };
+    let result = reader.for_each_row(|row| {
+        contents.rows += 1;
         let restored = row.map_err(|error| error.to_string()).and_then(|row| {
             let (request_id, sequence) = (row.record.request_id().0, row.sequence);
-            read.ledger
+            contents
+                .ledger
                 .restore(&row)
                 .map_err(|error| format!("row {sequence} of request {request_id}: {error}"))
         });
-        read.faults.extend(restored.err());
+        contents.faults.extend(restored.err());
     });
-    read.faults.extend(each.err().map(|error| error.to_string()));
-    Ok(read)
+    contents.faults.extend(result.err().map(|error| error.to_string()));
+    Ok(contents)
 }
 
 /// Unix time in milliseconds.
@@ -89,13 +91,13 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0
 }
 
-fn format_span(millis: Millis) -> String {
+fn format_duration(millis: Millis) -> String {
     humantime::format_duration(Duration::from_millis(millis.max(0.0) as u64)).to_string()
 }
 
 fn format_state(job: &Job, now: Millis) -> String {
     match (job.answered_at, job.attempts.last()) {
-        (Some(at), _) => format!("answered {} ago", format_span(now - at)),
+        (Some(at), _) => format!("answered {} ago", format_duration(now - at)),
         (None, None) => "recorded, not dispatched".into(),
         (None, Some(last)) => {
             let status = match last.status(now) {
@@ -110,42 +112,42 @@
     }
 }
 
-fn show(path: &Path, all: bool) -> Result<Ended, LedgerCommandError> {
+fn show(path: &Path, show_answered: bool) -> Result<ExitStatus, LedgerCommandError> {
     let LedgerContents { ledger, rows, faults } = read(path)?;
     let (now, open) = (now(), ledger.open_jobs().count());
     println!("{} requests on record, {open} open; {rows} rows", ledger.len());
     let mut shown: Vec<&Job> = ledger.jobs().map(|(_, job)| job).collect();
-    shown.retain(|job| all || job.answered_at.is_none());
+    shown.retain(|job| show_answered || job.answered_at.is_none());
     shown.sort_by(|one, other| one.accepted_at.total_cmp(&other.accepted_at));
     for job in shown {
         let remaining = if job.answered_at.is_some() {
             String::new()
         } else if job.deadline > now {
-            format!(", {} to its deadline", format_span(job.deadline - now))
+            format!(", {} to its deadline", format_duration(job.deadline - now))
         } else {
-            format!(", {} past its deadline", format_span(now - job.deadline))
+            format!(", {} past its deadline", format_duration(now - job.deadline))
         };
         println!(
             "{}: recorded {} ago{remaining}; {}",
             job.client_id,
-            format_span(now - job.accepted_at),
+            format_duration(now - job.accepted_at),
             format_state(job, now)
         );
     }
     let fault = faults.first().map(|first| format!("{first}; `troutknot ledger verify` lists all faults"));
-    Ok(fault.map_or(Ended::Held, |fault| Ended::Broke.because(fault)))
+    Ok(fault.map_or(ExitStatus::Passed, |fault| ExitStatus::Violated.report(fault)))
 }
 
-fn verify(path: &Path) -> Result<Ended, LedgerCommandError> {
+fn verify(path: &Path) -> Result<ExitStatus, LedgerCommandError> {
     let LedgerContents { ledger, rows, faults } = read(path)?;
     if faults.is_empty() {
         println!("good: {rows} rows of {} requests", ledger.len());
-        return Ok(Ended::Held);
+        return Ok(ExitStatus::Passed);
     }
-    Ok(Ended::Broke.because(faults.join("\n")))
+    Ok(ExitStatus::Violated.report(faults.join("\n")))
 }
 
-fn compact(path: &Path) -> Result<Ended, LedgerCommandError> {
+fn compact(path: &Path) -> Result<ExitStatus, LedgerCommandError> {
     if !path.exists() {
         return Err(LedgerCommandError::Missing);
     }
@@ -155,5 +157,5 @@
     while store.compact()? {}
     drop(store);
     println!("{before} bytes before, {} after", size());
-    Ok(Ended::Held)
+    Ok(ExitStatus::Passed)
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `troutknot`: the command line. Results go to standard output, everything else to standard error.
+//! `troutknot`: the command line. Results are printed on standard output, everything else on standard error.
 mod check;
 mod emulate;
 mod experiment;
@@ -12,22 +12,22 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// How a command ended; the value is the exit status.
+/// The exit status of a command.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Ended {
-    /// The command did what was asked, and all rules and bounds held.
-    Held = 0,
-    /// A rule broke, or a bound was missed.
-    Broke = 1,
-    /// Wrong usage, or a file that cannot be used.
+pub enum ExitStatus {
+    /// The command succeeded, and all rules and bounds held.
+    Passed = 0,
+    /// A rule was violated or a bound was exceeded.
+    Violated = 1,
+    /// The arguments or a file are not valid.
     Usage = 2,
-    /// The machine could not carry the run.
+    /// The machine could not complete the run, for lack of capacity or by an input or output error.
     Machine = 3,
 }
 
-impl Ended {
-    /// Prints the reason on standard error, a line for each of its lines.
-    pub fn because(self, reason: impl std::fmt::Display) -> Self {
+impl ExitStatus {
+    /// Prints the reason for this status on standard error, each of its lines with the program's name in front.
+    pub fn report(self, reason: impl std::fmt::Display) -> Self {
         reason.to_string().lines().for_each(|line| eprintln!("troutknot: {line}"));
         self
     }
@@ -37,7 +37,7 @@
 #[command(
     name = "troutknot",
     version,
-    about = "A dispatcher that sends requests to executors, and the kit to rehearse it",
+    about = "A dispatcher that sends requests to executors, and the tools to rehearse it",
     after_help = "Example: troutknot rehearse scenarios/calm.toml --seed 7"
 )]
 struct Command {
@@ -47,10 +47,10 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Run one node by its node file (JSON)
+    /// Run a node with its node file (JSON)
     #[command(after_help = "Example: troutknot node --config node.json")]
     Node {
-        /// The node file; if not given, ROUTER_CONFIG names it
+        /// The node file; by default the one that ROUTER_CONFIG names
         #[arg(long)]
         config: Option<PathBuf>,
     },
@@ -61,7 +61,7 @@
     Simulate(simulate::Simulate),
     Experiment(experiment::ExperimentArgs),
     Scale(scale::Scale),
-    /// Print a script that completes commands in a shell
+    /// Print the completion script for a shell
     #[command(
         after_help = "Example: troutknot completions bash > ~/.local/share/bash-completion/completions/troutknot"
     )]
@@ -70,18 +70,19 @@
     },
 }
 
-fn node(config: Option<PathBuf>) -> Ended {
+/// Runs a node until it ends.
+fn run_node(config: Option<PathBuf>) -> ExitStatus {
     let _log = troutknot_daemon::log_to_stdout();
     let path = config.map_or_else(troutknot_daemon::path_from_environment, Ok);
     match path.and_then(|path| troutknot_daemon::start(&path)) {
-        Ok(()) => Ended::Held,
-        Err(why) => Ended::Usage.because(why),
+        Ok(()) => ExitStatus::Passed,
+        Err(error) => ExitStatus::Usage.report(error),
     }
 }
 
 fn main() -> ExitCode {
-    let ended = match Command::parse().verb {
-        Verb::Node { config } => node(config),
+    let status = match Command::parse().verb {
+        Verb::Node { config } => run_node(config),
         Verb::Rehearse(rehearse) => rehearse.run(),
         Verb::Emulate(emulate) => emulate.run(),
         Verb::Check(check) => check.run(),
@@ -91,10 +92,10 @@
         Verb::Scale(scale) => scale.run(),
         Verb::Completions { shell } => {
             clap_complete::generate(shell, &mut Command::command(), "troutknot", &mut std::io::stdout());
-            Ended::Held
+            ExitStatus::Passed
         }
     };
-    ExitCode::from(ended as u8)
+    ExitCode::from(status as u8)
 }
 
 #[cfg(test)]
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,6 +1,6 @@
-//! `troutknot rehearse`: plays a scenario on real sockets against real nodes, and prints the verdict.
+//! `troutknot rehearse`: runs a scenario on real sockets against real nodes, and prints the verdict.
 use crate::verdict::format_report;
-use crate::{Ended, check};
+use crate::{ExitStatus, check};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use std::path::{Path, PathBuf};
@@ -13,26 +13,26 @@
 use troutknot_rehearsal::run::{Progress, Report, rehearse};
 use troutknot_rehearsal::scenario::{Scenario, millis};
 
-/// Factors by which `--time-scale` may stretch a day.
+/// Allowed values of `--time-scale`.
 const TIME_SCALES: std::ops::RangeInclusive<f64> = 0.1..=100.0;
-/// How often the progress bar is drawn.
+/// Interval at which the progress bar is drawn.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Play a scenario on real sockets with real nodes and say whether the four rules held
+/// Run a scenario on real sockets with real nodes, and report whether the four rules held
 #[derive(Args)]
 #[command(after_help = "Example: troutknot rehearse scenarios/iftar.toml --seed 7 --report report.json
 
-Exit status: 0 all held, 1 a rule broke or less service than expected, 2 a file that cannot be used,
-3 the machine could not carry it.")]
+Exit status: 0 all held, 1 a rule was violated or less service than expected, 2 a file that cannot be used,
+3 the machine could not complete the run or was too slow for it.")]
 pub struct Rehearse {
     scenario: PathBuf,
-    /// Seed of the plan; the scenario's own if not given
+    /// Seed of the plan; by default the scenario's
     #[arg(long)]
     seed: Option<u64>,
-    /// Write all figures and breaches to this file
+    /// Write the report with all rule violations to this file (JSON)
     #[arg(long, value_name = "FILE.json")]
     report: Option<PathBuf>,
-    /// Factor of the day's length, at the same rate; deadlines, timeouts and running times stay as they are
+    /// Factor of the scenario's length, at the same request rate; deadlines, timeouts and running times do not change
     #[arg(long, default_value_t = 1.0)]
     time_scale: f64,
     /// Print the report as JSON
@@ -41,72 +41,78 @@
     /// Store the nodes' logs and configurations in this folder
     #[arg(long, value_name = "FOLDER")]
     logs: Option<PathBuf>,
-    /// The program that runs a node; this one if not given
+    /// The program that runs a node; by default this one
     #[arg(long, value_name = "PROGRAM")]
     node: Option<PathBuf>,
 }
 
 impl Rehearse {
-    /// Plays the scenario and prints the report on standard output.
-    pub fn run(self) -> Ended {
-        self.play().unwrap_or_else(|ended| ended)
+    /// Runs the rehearsal and prints the report on standard output.
+    pub fn run(self) -> ExitStatus {
+        self.try_run().unwrap_or_else(|status| status)
     }
 
     /// # Errors
-    /// How the command ended before the day was played, once the reason is on standard error.
-    fn play(&self) -> Result<Ended, Ended> {
+    /// The exit status if the rehearsal failed or its report cannot be written. The reason has been printed on standard
+    /// error.
+    fn try_run(&self) -> Result<ExitStatus, ExitStatus> {
         let scenario = self.scenario()?;
         let program = self.program()?;
         let folder = self.folder()?;
         let seed = self.seed.unwrap_or(scenario.seed);
         let progress = Arc::new(Progress::default());
-        let bar = DayProgress::start(millis(scenario.length) as u64, progress.clone());
-        let played = rehearse(&scenario, seed, Arc::new(program), folder.path(), progress);
+        let bar = RehearsalProgress::start(millis(scenario.length) as u64, progress.clone());
+        let result = rehearse(&scenario, seed, Arc::new(program), folder.path(), progress);
         bar.finish();
-        let report = played.map_err(|error| Ended::Machine.because(error))?;
+        let report = result.map_err(|error| ExitStatus::Machine.report(error))?;
         self.print(&report)?;
-        Ok(outcome(&report))
+        Ok(exit_status(&report))
     }
 
-    fn scenario(&self) -> Result<Arc<Scenario>, Ended> {
-        let mut scenario = check::scenario(&self.scenario).map_err(|error| Ended::Usage.because(error))?;
+    fn scenario(&self) -> Result<Arc<Scenario>, ExitStatus> {
+        let mut scenario =
+            check::scenario(&self.scenario).map_err(|error| ExitStatus::Usage.report(error))?;
         if !TIME_SCALES.contains(&self.time_scale) {
             let (shortest, longest) = (TIME_SCALES.start(), TIME_SCALES.end());
             let text = format!("--time-scale is {}; {shortest} to {longest} is allowed", self.time_scale);
-            return Err(Ended::Usage.because(text));
+            return Err(ExitStatus::Usage.report(text));
         }
         scenario.stretch(self.time_scale);
         Ok(Arc::new(scenario))
     }
 
-    fn program(&self) -> Result<Program, Ended> {
+    fn program(&self) -> Result<Program, ExitStatus> {
         if let Some(path) = &self.node {
             return Ok(Program { path: path.clone(), args: Vec::new() });
         }
         match std::env::current_exe() {
             Ok(path) => Ok(Program { path, args: vec!["node".into()] }),
-            Err(error) => Err(Ended::Machine.because(format!("cannot find this program: {error}"))),
+            Err(error) => Err(ExitStatus::Machine.report(format!("cannot find this program: {error}"))),
         }
     }
 
-    fn folder(&self) -> Result<LogFolder, Ended> {
+    fn folder(&self) -> Result<LogFolder, ExitStatus> {
         let Some(folder) = &self.logs else {
-            let made = tempfile::tempdir().map(LogFolder::Temporary);
-            return made.map_err(|error| Ended::Machine.because(format!("no folder for logs: {error}")));
+            let folder = tempfile::tempdir().map(LogFolder::Temporary);
+            return folder.map_err(|error| {
+                ExitStatus::Machine.report(format!("cannot create a folder for logs: {error}"))
+            });
         };
         match std::fs::create_dir_all(folder) {
             Ok(()) => Ok(LogFolder::Named(folder.clone())),
-            Err(error) => Err(Ended::Usage.because(format!("cannot make `{}`: {error}", folder.display()))),
+            Err(error) => {
+                Err(ExitStatus::Usage.report(format!("cannot create `{}`: {error}", folder.display())))
+            }
         }
     }
 
     /// Writes the report file, if one is named, and prints the report.
-    fn print(&self, report: &Report) -> Result<(), Ended> {
-        let json = serde_json::to_string_pretty(report).map_err(|error| Ended::Machine.because(error))?;
+    fn print(&self, report: &Report) -> Result<(), ExitStatus> {
+        let json = serde_json::to_string_pretty(report).map_err(|error| ExitStatus::Machine.report(error))?;
         if let Some(path) = &self.report
             && let Err(error) = std::fs::write(path, &json)
         {
-            return Err(Ended::Usage.because(format!("cannot write `{}`: {error}", path.display())));
+            return Err(ExitStatus::Usage.report(format!("cannot write `{}`: {error}", path.display())));
         }
         print!("{}", if self.json { json + "\n" } else { format_report(report) });
         Ok(())
@@ -128,51 +134,55 @@
     }
 }
 
-/// The progress bar of a day, drawn by a thread of its own; hidden if standard error is no terminal.
-struct DayProgress {
+/// The progress bar of a rehearsal, drawn by its own thread; hidden if standard error is not a terminal.
+struct RehearsalProgress {
     bar: ProgressBar,
     stop: mpsc::Sender<()>,
-    drawing: JoinHandle<()>,
+    draw_thread: JoinHandle<()>,
 }
 
-impl DayProgress {
+impl RehearsalProgress {
     fn start(length_ms: u64, progress: Arc<Progress>) -> Self {
         let bar = ProgressBar::with_draw_target(Some(length_ms), ProgressDrawTarget::stderr());
         if let Ok(style) = ProgressStyle::with_template("{bar:40} {msg}") {
             bar.set_style(style);
         }
         let (stop, stopped) = mpsc::channel();
-        let shown = bar.clone();
-        let drawing = thread::spawn(move || {
+        let drawn_bar = bar.clone();
+        let draw_thread = thread::spawn(move || {
             while stopped.recv_timeout(PROGRESS_INTERVAL) == Err(RecvTimeoutError::Timeout) {
-                draw(&shown, &progress, length_ms);
+                draw(&drawn_bar, &progress, length_ms);
             }
         });
-        DayProgress { bar, stop, drawing }
+        RehearsalProgress { bar, stop, draw_thread }
     }
 
     fn finish(self) {
         drop(self.stop);
-        // The thread only draws: a panic in it does not concern the day.
-        let _ = self.drawing.join();
+        // The thread only draws, so a panic in it does not affect the rehearsal.
+        let _ = self.draw_thread.join();
         self.bar.finish_and_clear();
     }
 }
 
 fn draw(bar: &ProgressBar, progress: &Progress, length_ms: u64) {
     let at_ms = progress.at_ms.load(Ordering::Relaxed);
-    let over = progress.over.load(Ordering::Relaxed);
+    let finished = progress.over.load(Ordering::Relaxed);
     bar.set_position(at_ms as u64);
-    bar.set_message(format!("{:.0} of {:.0} s, {over} over", at_ms as f64 / 1e3, length_ms as f64 / 1e3));
+    bar.set_message(format!(
+        "{:.0} of {:.0} s, {finished} finished",
+        at_ms as f64 / 1e3,
+        length_ms as f64 / 1e3
+    ));
 }
 
-fn outcome(report: &Report) -> Ended {
+fn exit_status(report: &Report) -> ExitStatus {
     if !report.carried() {
         let (clients, executors) = (report.clients_late_p99_ms, report.executors_late_p99_ms);
-        return Ended::Machine.because(format!(
-            "the machine did not carry it: one time in a hundred, clients were {clients:.0} ms late and \
-             executors {executors:.0} ms"
+        return ExitStatus::Machine.report(format!(
+            "the machine was too slow for the scenario: at p99, clients were {clients:.0} ms late and executors \
+             {executors:.0} ms"
         ));
     }
-    if report.holds() { Ended::Held } else { Ended::Broke }
+    if report.holds() { ExitStatus::Passed } else { ExitStatus::Violated }
 }
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,5 +1,5 @@
-//! `troutknot scale`: measures real nodes among thousands of hollow executors, and prints what held.
-use crate::{Ended, check};
+//! `troutknot scale`: measures real nodes in a fleet of thousands of hollow executors, and prints which bounds held.
+use crate::{ExitStatus, check};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use std::fs::File;
@@ -14,97 +14,98 @@
 use troutknot_scale::row::{End, Row, read_rows};
 use troutknot_scale::table::{Style, table};
 
-/// File name that means standard output.
+/// The file name that stands for standard output.
 const STANDARD_OUTPUT: &str = "-";
 
-/// Measure some real nodes among thousands of hollow executors and hollow nodes
+/// Measure real nodes in a fleet of thousands of hollow executors and hollow nodes
 #[derive(Args)]
 #[command(after_help = "\
-The table goes to standard output: what the run is held to, then each measurement over the size of the fleet, with
-the line through it. A star marks a value over its bound. With --json - the rows go there instead. NO_COLOR is kept to.
-Exit status: 0 all held, 1 a rule broke or a bound was missed, 2 wrong usage or a file that cannot be used,
-3 the machine could not carry it, or the run was not played to its end.
+Prints a table on standard output: the bounds of the run, then each measurement by size of the fleet, with the line
+fitted to it. A star marks a value over its bound. With --json - the rows are printed instead. NO_COLOR is respected.
+Exit status: 0 all held, 1 a rule was violated or a bound was missed, 2 wrong usage or a file that cannot be used,
+3 the machine lacks the capacity for the run, or the run did not complete.
 
 Example: troutknot scale scenarios/scale/small.toml --json rows.jsonl && troutknot scale --fit rows.jsonl")]
 pub struct Scale {
     /// The scale file
     #[arg(required_unless_present_any = ["fit", "executor_worker"])]
     file: Option<PathBuf>,
-    /// Seed of faults and loads; the file's own if not given
+    /// Seed of faults and loads; by default the file's
     #[arg(long)]
     seed: Option<u64>,
-    /// Write each row as a JSON line to this file, `-` for standard output, as soon as it is measured
+    /// Write each row as a JSON line to this file as soon as it is measured; `-` for standard output
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Read the rows of an earlier run, and print its table again
+    /// Print the table of an earlier run from its rows
     #[arg(long, value_name = "ROWS", conflicts_with_all = ["file", "seed", "json", "node"])]
     fit: Option<PathBuf>,
-    /// The program that runs a node; this one if not given
+    /// The program that runs a node; by default this one
     #[arg(long, value_name = "PROGRAM")]
     node: Option<PathBuf>,
-    /// Hold a part of the hollow executors for the run that started this process
+    /// Serve a part of the hollow executors for the run that started this process
     #[arg(long, hide = true, conflicts_with_all = ["file", "seed", "json", "node", "fit"])]
     executor_worker: bool,
 }
 
-/// How often the progress is drawn.
+/// Interval at which the progress is drawn.
 const DRAW_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Arguments that start this program as an executor worker.
-const EXECUTOR_WORKER: [&str; 2] = ["scale", "--executor-worker"];
+const EXECUTOR_WORKER_ARGUMENTS: [&str; 2] = ["scale", "--executor-worker"];
 
 impl Scale {
-    /// Measures, prints an earlier run again, or serves as an executor worker.
-    pub fn run(self) -> Ended {
+    /// Measures, prints the table of an earlier run, or serves as an executor worker.
+    pub fn run(self) -> ExitStatus {
         if self.executor_worker {
             return match executor_worker::run() {
-                Ok(()) => Ended::Held,
-                Err(error) => Ended::Machine.because(format!("executors: {error}")),
+                Ok(()) => ExitStatus::Passed,
+                Err(error) => ExitStatus::Machine.report(format!("executor worker: {error}")),
             };
         }
         match (&self.fit, &self.file) {
-            (Some(rows), _) => print_again(rows),
+            (Some(rows), _) => reprint_table(rows),
             (None, Some(file)) => self.measure(file),
             (None, None) => {
-                Ended::Usage.because("a scale file, or --fit with rows of an earlier run, is needed")
+                ExitStatus::Usage.report("a scale file, or --fit with rows of an earlier run, is needed")
             }
         }
     }
 
-    fn measure(&self, path: &Path) -> Ended {
-        self.try_measure(path).unwrap_or_else(|ended| ended)
+    fn measure(&self, path: &Path) -> ExitStatus {
+        self.try_measure(path).unwrap_or_else(|status| status)
     }
 
     /// # Errors
-    /// How the command ended, once the reason is on standard error.
-    fn try_measure(&self, path: &Path) -> Result<Ended, Ended> {
-        let mut file = check::scale_file(path).map_err(|error| Ended::Usage.because(error))?;
+    /// The exit status if the run cannot start or its table cannot be printed. The reason has been printed on standard
+    /// error.
+    fn try_measure(&self, path: &Path) -> Result<ExitStatus, ExitStatus> {
+        let mut file = check::scale_file(path).map_err(|error| ExitStatus::Usage.report(error))?;
         file.seed = self.seed.unwrap_or(file.seed);
         let programs = self.programs()?;
         let json = self.json.as_deref().map(open_json).transpose();
-        let mut recorder = RowRecorder::new(json.map_err(|error| Ended::Usage.because(error))?);
-        let ran = campaign::run(&file, &programs, &mut |row| recorder.record(row));
-        if ran.is_ok() {
+        let mut recorder = RowRecorder::new(json.map_err(|error| ExitStatus::Usage.report(error))?);
+        let result = campaign::run(&file, &programs, &mut |row| recorder.record(row));
+        if result.is_ok() {
             recorder.record_end();
         }
         let RowRecorder { rows, write_error, bar, .. } = recorder;
         bar.finish_and_clear();
-        let rows_on_standard_output = self.json.as_deref() == Some(Path::new(STANDARD_OUTPUT));
-        if !rows.is_empty() && !rows_on_standard_output {
-            print_table(&rows).map_err(|error| Ended::Machine.because(error))?;
+        let is_json_on_standard_output = self.json.as_deref() == Some(Path::new(STANDARD_OUTPUT));
+        if !rows.is_empty() && !is_json_on_standard_output {
+            print_table(&rows).map_err(|error| ExitStatus::Machine.report(error))?;
         }
-        Ok(match (ran, write_error) {
-            (Err(error), _) => ended_by(&error).because(error),
-            (Ok(()), Some(error)) => Ended::Machine.because(format!("cannot write rows: {error}")),
-            (Ok(()), None) => judged(&rows),
+        Ok(match (result, write_error) {
+            (Err(error), _) => failure_status(&error).report(error),
+            (Ok(()), Some(error)) => ExitStatus::Machine.report(format!("cannot write rows: {error}")),
+            (Ok(()), None) => judge_rows(&rows),
         })
     }
 
-    fn programs(&self) -> Result<Programs, Ended> {
+    fn programs(&self) -> Result<Programs, ExitStatus> {
         let this_program = std::env::current_exe();
         let this_program = this_program
-            .map_err(|error| Ended::Machine.because(format!("cannot find this program: {error}")))?;
-        let arguments = EXECUTOR_WORKER.map(String::from).to_vec();
+            .map_err(|error| ExitStatus::Machine.report(format!("cannot find this program: {error}")))?;
+        let arguments = EXECUTOR_WORKER_ARGUMENTS.map(String::from).to_vec();
         Ok(Programs {
             node: NodeProgram::at(self.node.as_ref().unwrap_or(&this_program)),
             worker: Some(WorkerProgram { path: this_program, arguments }),
@@ -135,7 +136,7 @@
     }
 }
 
-/// Collects the rows of a run, writes each at once, and shows the progress.
+/// Collects the rows of a run, writes each of them immediately, and shows the progress.
 struct RowRecorder {
     rows: Vec<Row>,
     json: Option<Box<dyn Write>>,
@@ -147,7 +148,7 @@
 
 impl RowRecorder {
     fn new(json: Option<Box<dyn Write>>) -> Self {
-        // Hidden if standard error is no terminal.
+        // Hidden if standard error is not a terminal.
         let bar = ProgressBar::with_draw_target(None, ProgressDrawTarget::stderr());
         if let Ok(style) = ProgressStyle::with_template("{spinner} {elapsed} {msg}") {
             bar.set_style(style);
@@ -161,7 +162,7 @@
             let (phase, executors, count) = (figure.phase, figure.executors, self.rows.len() + 1);
             self.bar.set_message(format!("{phase}, {executors} executors, {count} rows"));
         }
-        // One write per row, so that a killed run leaves complete rows.
+        // One write per row, so that an interrupted run leaves complete rows.
         if let Some(json) = &mut self.json
             && self.write_error.is_none()
         {
@@ -176,22 +177,24 @@
     }
 }
 
-/// The exit status of a failed run: a node that ends or does not become ready breaks its bounds.
-fn ended_by(error: &RunError) -> Ended {
+/// The exit status of a failed run. A node that ends, or that is not ready, notified or reloaded in time, violates
+/// its bounds.
+fn failure_status(error: &RunError) -> ExitStatus {
     match error {
         RunError::NodeEnded { .. }
         | RunError::NotReady { .. }
         | RunError::NotTold { .. }
-        | RunError::NotReloaded { .. } => Ended::Broke,
-        _ => Ended::Machine,
+        | RunError::NotReloaded { .. } => ExitStatus::Violated,
+        _ => ExitStatus::Machine,
     }
 }
 
-fn judged(rows: &[Row]) -> Ended {
+/// The exit status of a run by its rows.
+fn judge_rows(rows: &[Row]) -> ExitStatus {
     match judge(rows) {
-        Some(judgements) if !judgements.ended => Ended::Machine.because("the run was not played to its end"),
-        Some(judgements) if judgements.all_held() => Ended::Held,
-        _ => Ended::Broke,
+        Some(judgements) if !judgements.ended => ExitStatus::Machine.report("the run did not complete"),
+        Some(judgements) if judgements.all_held() => ExitStatus::Passed,
+        _ => ExitStatus::Violated,
     }
 }
 
@@ -202,9 +205,9 @@
     out.write_all(table(rows, style).as_bytes()).map_err(OutputError::Table)
 }
 
-fn print_again(path: &Path) -> Ended {
+fn reprint_table(path: &Path) -> ExitStatus {
     let unreadable =
-        |error: &dyn std::fmt::Display| Ended::Usage.because(format!("`{}`: {error}", path.display()));
+        |error: &dyn std::fmt::Display| ExitStatus::Usage.report(format!("`{}`: {error}", path.display()));
     let file = match File::open(path) {
         Ok(file) => file,
         Err(error) => return unreadable(&error),
@@ -214,7 +217,7 @@
         Err(error) => return unreadable(&error),
     };
     match print_table(&rows) {
-        Ok(()) => judged(&rows),
-        Err(error) => Ended::Machine.because(error),
+        Ok(()) => judge_rows(&rows),
+        Err(error) => ExitStatus::Machine.report(error),
     }
 }
--- a/crates/cli/src/simulate.rs
+++ b/crates/cli/src/simulate.rs
@@ -1,5 +1,5 @@
 //! `troutknot simulate`: runs a scenario in simulated time, and prints the verdict.
-use crate::{Ended, check, verdict};
+use crate::{ExitStatus, check, verdict};
 use clap::Args;
 use std::path::PathBuf;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 Exit status: 0 all held, 1 a rule was violated or less service than expected, 2 a file that cannot be used.")]
 pub struct Simulate {
     scenario: PathBuf,
-    /// Seed of the plan; the scenario's own if not given
+    /// Seed of the plan; by default the scenario's
     #[arg(long)]
     seed: Option<u64>,
     /// Print the report as JSON
@@ -23,15 +23,15 @@
 
 impl Simulate {
     /// Runs the simulation and prints the report on standard output.
-    pub fn run(self) -> Ended {
+    pub fn run(self) -> ExitStatus {
         let scenario = match check::scenario(&self.scenario) {
             Ok(scenario) => scenario,
-            Err(error) => return Ended::Usage.because(error),
+            Err(error) => return ExitStatus::Usage.report(error),
         };
         let started = Instant::now();
         let report = match simulate(&scenario, self.seed.unwrap_or(scenario.seed)) {
             Ok(report) => report,
-            Err(error) => return Ended::Usage.because(format!("`{}`: {error}", self.scenario.display())),
+            Err(error) => return ExitStatus::Usage.report(format!("`{}`: {error}", self.scenario.display())),
         };
         let took = started.elapsed().as_secs_f64();
         eprintln!(
@@ -53,6 +53,6 @@
             );
             print!("{}", verdict::format_verdict(&report.verdict, report.seed, report.expected_service));
         }
-        if report.has_passed() { Ended::Held } else { Ended::Broke }
+        if report.has_passed() { ExitStatus::Passed } else { ExitStatus::Violated }
     }
 }
--- a/crates/cli/src/verdict.rs
+++ b/crates/cli/src/verdict.rs
@@ -1,12 +1,12 @@
-//! Reports and verdicts as text for a reader.
+//! Formats reports and verdicts as text.
 use std::fmt::Write;
 use troutknot_rehearsal::referee::{RuleViolation, Verdict};
 use troutknot_rehearsal::run::Report;
 
-/// Breaches of one rule that are printed; the report file has all.
-const MAX_PRINTED_BREACHES: usize = 5;
+/// Largest number of violations of one rule that are printed; the report file has all.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// The four rules, by their numbers from 1.
+/// Descriptions of the four rules, which are numbered from 1.
 const RULES: [&str; 4] = [
     "one final answer before the deadline",
     "no effect twice",
@@ -14,7 +14,7 @@
     "no executor overloaded in slow start",
 ];
 
-/// The report of a rehearsal, with the verdict and the figures of the processes.
+/// Formats the report of a rehearsal: the verdict, and the resource usage of the processes.
 pub fn format_report(report: &Report) -> String {
     let mut out = format!(
         "{} with seed {} (plan {}): {} nodes, {} executors, {} requests in {:.0} s\n",
@@ -39,20 +39,20 @@
     out
 }
 
-/// A verdict: the outcomes by request class, each rule, and what stands out.
+/// Formats a verdict: the outcomes by request class, each rule, and the service.
 pub fn format_verdict(verdict: &Verdict, seed: u64, expected_service: f64) -> String {
     let mut out = format_outcomes(verdict);
     out.push('\n');
     for (index, rule) in RULES.iter().enumerate() {
         let number = index as u8 + 1;
-        let broken: Vec<&RuleViolation> =
+        let violations: Vec<&RuleViolation> =
             verdict.violations.iter().filter(|violation| violation.rule == number).collect();
-        out += &format_rule(number, rule, &broken, seed);
+        out += &format_rule(number, rule, &violations, seed);
     }
     let requests = verdict.all.requests.max(1) as f64;
     let _ = writeln!(
         out,
-        "\n  service {:.3} (expected {expected_service:.3}), {:.2} client tries and {:.2} attempts a request",
+        "\n  service {:.3} (expected {expected_service:.3}), {:.2} client attempts and {:.2} node attempts per request",
         verdict.service,
         verdict.all.client_attempts as f64 / requests,
         verdict.all.attempts as f64 / requests
@@ -91,14 +91,22 @@
     out
 }
 
-fn format_rule(number: u8, rule: &str, broken: &[&RuleViolation], seed: u64) -> String {
-    let held = if broken.is_empty() { "held".to_string() } else { format!("BROKEN {} times", broken.len()) };
-    let mut out = format!("  rule {number} {rule}: {held}\n");
-    for violation in broken.iter().take(MAX_PRINTED_BREACHES) {
+fn format_rule(number: u8, rule: &str, violations: &[&RuleViolation], seed: u64) -> String {
+    let result = if violations.is_empty() {
+        "held".to_string()
+    } else {
+        format!("VIOLATED {} times", violations.len())
+    };
+    let mut out = format!("  rule {number} {rule}: {result}\n");
+    for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         let _ = writeln!(out, "    {}: {} (seed {seed})", violation.kind, violation.description);
     }
-    if broken.len() > MAX_PRINTED_BREACHES {
-        let _ = writeln!(out, "    and {} more; --report holds all", broken.len() - MAX_PRINTED_BREACHES);
+    if violations.len() > MAX_PRINTED_VIOLATIONS {
+        let _ = writeln!(
+            out,
+            "    and {} more; --report writes all of them",
+            violations.len() - MAX_PRINTED_VIOLATIONS
+        );
     }
     out
 }
--- a/crates/cli/tests/rehearse.rs
+++ b/crates/cli/tests/rehearse.rs
@@ -1,4 +1,5 @@
-//! The command line with real nodes as processes: short days with the hard cases, and what cannot be played.
+//! The command line with real node processes: short rehearsals with faults and operator actions, invalid input, the
+//! ledger commands and the emulated fleet.
 #![allow(clippy::unwrap_used)]
 use serde_json::Value;
 use std::path::PathBuf;
@@ -9,34 +10,36 @@
     Command::new(env!("CARGO_BIN_EXE_troutknot")).args(args).output().unwrap()
 }
 
-/// Room for one more day: too many at once are late by themselves, and would be judged for it.
-struct Room;
+/// A permit to run a rehearsal. Too many rehearsals in parallel overload the machine, and their late answers would
+/// count as violations.
+struct RehearsalPermit;
 
-static DAYS: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
-const MOST_DAYS: usize = 4;
+static RUNNING_REHEARSALS: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
+/// Largest number of parallel rehearsals.
+const MAX_REHEARSALS: usize = 4;
 
-impl Room {
-    fn take() -> Self {
-        let days = DAYS.0.lock().unwrap();
-        *DAYS.1.wait_while(days, |days| *days >= MOST_DAYS).unwrap() += 1;
-        Room
+impl RehearsalPermit {
+    fn acquire() -> Self {
+        let running = RUNNING_REHEARSALS.0.lock().unwrap();
+        *RUNNING_REHEARSALS.1.wait_while(running, |running| *running >= MAX_REHEARSALS).unwrap() += 1;
+        RehearsalPermit
     }
 }
 
-impl Drop for Room {
+impl Drop for RehearsalPermit {
     fn drop(&mut self) {
-        *DAYS.0.lock().unwrap() -= 1;
-        DAYS.1.notify_one();
+        *RUNNING_REHEARSALS.0.lock().unwrap() -= 1;
+        RUNNING_REHEARSALS.1.notify_one();
     }
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-const DAY: &str = r#"
+const SCENARIO: &str = r#"
 name = "short"
 length = "4s"
 seed = 5
@@ -73,242 +76,268 @@
 load = 0.3
 "#;
 
-/// Plays a day with more lines; the report, the exit status and what was said.
-fn played(name: &str, more: &str) -> (Value, i32, String) {
-    // What begins with a key goes into the section of discovery.
-    let (own, more) =
-        more.split_at(if more.starts_with("source") { more.find('\n').unwrap_or(0) } else { 0 });
-    let day = DAY.replace("[discovery]", &format!("[discovery]\n{own}"));
-    let path = file(name, &format!("{day}{more}"));
-    let _room = Room::take();
+/// Rehearses the scenario with additional lines; returns the report, the exit status and the standard error.
+fn run_rehearsal(name: &str, lines: &str) -> (Value, i32, String) {
+    // A first line with the key `source` belongs to the section `discovery`.
+    let (source, lines) =
+        lines.split_at(if lines.starts_with("source") { lines.find('\n').unwrap_or(0) } else { 0 });
+    let scenario = SCENARIO.replace("[discovery]", &format!("[discovery]\n{source}"));
+    let path = write_file(name, &format!("{scenario}{lines}"));
+    let _permit = RehearsalPermit::acquire();
     let out = troutknot(&["rehearse", path.to_str().unwrap(), "--json"]);
-    let said = String::from_utf8_lossy(&out.stderr).to_string();
-    let report = serde_json::from_slice(&out.stdout).unwrap_or_else(|e| panic!("{e}: {said}"));
-    (report, out.status.code().unwrap(), said)
+    let stderr = String::from_utf8_lossy(&out.stderr).to_string();
+    let report = serde_json::from_slice(&out.stdout).unwrap_or_else(|e| panic!("{e}: {stderr}"));
+    (report, out.status.code().unwrap(), stderr)
 }
 
+/// Guards against rule violations of real nodes under faults, restarts and operator actions. Each case also checks the
+/// report for an effect of its faults, as a rehearsal without them proves nothing.
 #[test]
-fn days_in_which_no_rule_breaks() {
-    // What strikes, and a check of the report that shows that it struck.
-    type Struck = fn(&Value) -> bool;
-    let cases: &[(&str, &str, Struck)] = &[
-        ("calm", "", |r| r["verdict"]["service"].as_f64() > Some(0.9)),
+fn no_rule_is_violated_under_faults_and_operator_actions() {
+    type IsFaultVisible = fn(&Value) -> bool;
+    let cases: &[(&str, &str, IsFaultVisible)] = &[
+        ("no faults", "", |report| report["verdict"]["service"].as_f64() > Some(0.9)),
         (
-            "a node killed with work out, that comes back with only its last list",
+            "a node that is killed with requests in flight and restarts with its cached list",
             "[[events]]\nwhat = 'kill-node'\nat = '1s'\nnode = 0\nback = '700ms'\n",
-            |r| {
-                r["verdict"]["all"]["cut"].as_u64() > Some(0)
-                    || r["verdict"]["all"]["tries"] != r["verdict"]["all"]["requests"]
+            |report| {
+                report["verdict"]["all"]["cut"].as_u64() > Some(0)
+                    || report["verdict"]["all"]["tries"] != report["verdict"]["all"]["requests"]
             },
         ),
         (
-            "every executor slow together",
+            "all executors slow at the same time",
             "[[troubles]]\nkind = 'slow'\nfrom = '1s'\nto = '2500ms'\nfactor = 6\n",
-            |r| r["verdict"]["all"]["p99_ms"].as_f64() > Some(100.0),
+            |report| report["verdict"]["all"]["p99_ms"].as_f64() > Some(100.0),
         ),
-        ("clients that leave at the moment of the answer", "[clients]\nleave = 0.9\n", |r| {
-            r["verdict"]["all"]["left"].as_u64() > Some(50)
+        ("clients that disconnect at the moment of the answer", "[clients]\nleave = 0.9\n", |report| {
+            report["verdict"]["all"]["left"].as_u64() > Some(50)
         }),
         (
-            "cold successors and a planned restart",
+            "replaced executors in slow start, and a planned node restart",
             "[[events]]\nwhat = 'deploy'\nat = '300ms'\ngroup = 'box'\nevery = '400ms'\ncount = 3\n\
              [[events]]\nwhat = 'restart-node'\nat = '800ms'\nnode = 1\nback = '200ms'\n\
              [[events]]\nwhat = 'reread-nodes'\nat = '500ms'\n",
-            |r| r["verdict"]["cold_budget_used"].as_f64() > Some(0.0),
+            |report| report["verdict"]["cold_budget_used"].as_f64() > Some(0.0),
         ),
         (
-            "silence, resets and swallowed work",
+            "silent executors, resets and lost requests",
             "[[troubles]]\nkind = 'silence'\nfrom = '500ms'\nto = '2s'\nshare = 0.2\n\
              [[troubles]]\nkind = 'resets'\nfrom = '1s'\nto = '3s'\nof_work = 0.2\n\
              [[troubles]]\nkind = 'swallow'\nfrom = '1s'\nto = '3s'\nshare = 0.2\nproject_type = 'render'\n",
-            |r| r["verdict"]["all"]["aborted"].as_u64() > Some(0),
+            |report| report["verdict"]["all"]["aborted"].as_u64() > Some(0),
         ),
         (
-            "an upgrade under load with an executor out by hand, and settings that are taken and not",
+            "a hot restart under load with a suspended executor, and valid and invalid changes of the settings",
             "[[events]]\nwhat = 'suspend-executors'\nat = '200ms'\ngroup = 'box'\nlasts = '2500ms'\n\
              [[events]]\nwhat = 'upgrade-node'\nat = '500ms'\nnode = 0\n\
              [[events]]\nwhat = 'retune-nodes'\nat = '1s'\nattempts = 1\n\
              [[events]]\nwhat = 'retune-nodes'\nat = '1500ms'\nattempts = 3\nbroken = true\n\
              [[troubles]]\nkind = 'resets'\nfrom = '500ms'\nto = '3s'\nof_work = 0.1\n",
-            // With one attempt from 2.2 s on, what breaks is not tried again.
-            |r| r["verdict"]["all"]["allocations"].as_u64() > r["verdict"]["all"]["requests"].as_u64(),
+            // From 2.2 s on one attempt is allowed, and a failed attempt is not repeated.
+            |report| {
+                report["verdict"]["all"]["allocations"].as_u64()
+                    > report["verdict"]["all"]["requests"].as_u64()
+            },
         ),
         (
-            "a list from consul that flaps, goes silent and errs",
+            "executors that flap in consul, and consul queries that fail",
             "source = 'consul'\n[[events]]\nwhat = 'flap-executors'\nat = '300ms'\ngroup = 'box'\ncount = 2\n\
              every = '500ms'\nlasts = '3s'\n\
              [[events]]\nwhat = 'trouble-discovery'\nhow = 'errors'\nat = '1s'\nlasts = '1s'\n\
              [[events]]\nwhat = 'deploy'\nat = '500ms'\ngroup = 'box'\nevery = '400ms'\ncount = 2\n",
-            |r| r["verdict"]["cold_budget_used"].as_f64() > Some(0.0),
+            |report| report["verdict"]["cold_budget_used"].as_f64() > Some(0.0),
         ),
     ];
-    std::thread::scope(|all| {
-        for (k, (what, more, struck)) in cases.iter().enumerate() {
-            all.spawn(move || {
-                let (report, _, said) = played(&format!("day-{k}.toml"), more);
+    std::thread::scope(|scope| {
+        for (index, (case, lines, is_fault_visible)) in cases.iter().enumerate() {
+            scope.spawn(move || {
+                let (report, _, stderr) = run_rehearsal(&format!("faults-{index}.toml"), lines);
                 let verdict = &report["verdict"];
-                assert_eq!(verdict["breaches"].as_array().unwrap().len(), 0, "{what}: {verdict:#} {said}");
-                assert!(struck(&report), "{what} did not strike: {report:#}");
+                assert_eq!(verdict["breaches"].as_array().unwrap().len(), 0, "{case}: {verdict:#} {stderr}");
+                assert!(is_fault_visible(&report), "{case}: the report shows no effect: {report:#}");
             });
         }
     });
 }
 
-const KILLS: &str = "[durable]\nlease = '300ms'\n[[events]]\nwhat = 'kill-nodes'\nat = '200ms'\n\
+/// Kills the nodes every 250 ms.
+const NODE_KILLS: &str = "[durable]\nlease = '300ms'\n[[events]]\nwhat = 'kill-nodes'\nat = '200ms'\n\
                      every = '250ms'\nlasts = '3s'\nback = '50ms'\n";
 
+/// Guards against nodes that run an at-most-once request twice after they were killed, and against a referee that does
+/// not detect this: a node without its ledger has to be reported.
 #[test]
-fn nodes_killed_over_and_over_run_nothing_exclusive_twice_and_one_that_forgets_is_caught() {
-    let (report, _, said) = played("durable.toml", KILLS);
+fn killed_nodes_run_at_most_once_requests_once_and_a_node_without_ledger_is_reported() {
+    let (report, _, stderr) = run_rehearsal("durable.toml", NODE_KILLS);
     let verdict = &report["verdict"];
-    assert_eq!(verdict["breaches"].as_array().unwrap().len(), 0, "{verdict:#} {said}");
+    assert_eq!(verdict["breaches"].as_array().unwrap().len(), 0, "{verdict:#} {stderr}");
     let publish = &verdict["by_type"]["publish"];
-    assert!(publish["tries"].as_u64() > publish["requests"].as_u64(), "the kills struck: {publish:#}");
-    // The mutant: a node without its ledger takes whoever asks again for a newcomer.
-    let program = file("forgets.sh", "#!/bin/sh\nunset TROUTKNOT_FILE\nexec \"$TROUTKNOT\" node\n");
+    assert!(
+        publish["tries"].as_u64() > publish["requests"].as_u64(),
+        "the kills have no effect: {publish:#}"
+    );
+    // A node without its ledger treats a retry of a client as a new request.
+    let program = write_file("no-ledger.sh", "#!/bin/sh\nunset TROUTKNOT_FILE\nexec \"$TROUTKNOT\" node\n");
     std::fs::set_permissions(&program, std::os::unix::fs::PermissionsExt::from_mode(0o755)).unwrap();
-    let day = file("forgets.toml", &format!("{}{KILLS}", DAY.replace("work = \"40ms\"", "work = \"200ms\"")));
-    let caught = (1..=5).any(|seed: u64| {
-        let _room = Room::take();
+    let scenario = write_file(
+        "no-ledger.toml",
+        &format!("{}{NODE_KILLS}", SCENARIO.replace("work = \"40ms\"", "work = \"200ms\"")),
+    );
+    let is_reported = (1..=5).any(|seed: u64| {
+        let _permit = RehearsalPermit::acquire();
         let out = Command::new(env!("CARGO_BIN_EXE_troutknot"))
-            .args(["rehearse", day.to_str().unwrap(), "--json", "--seed", &seed.to_string(), "--node"])
+            .args(["rehearse", scenario.to_str().unwrap(), "--json", "--seed", &seed.to_string(), "--node"])
             .arg(&program)
             .env("TROUTKNOT", env!("CARGO_BIN_EXE_troutknot"))
             .output()
             .unwrap();
         let report: Value = serde_json::from_slice(&out.stdout).unwrap();
-        let breaches = report["verdict"]["breaches"].as_array().unwrap();
-        breaches.iter().any(|b| b["name"] == "second-effect" || b["name"] == "ran-again")
+        let violations = report["verdict"]["breaches"].as_array().unwrap();
+        violations.iter().any(|b| b["name"] == "second-effect" || b["name"] == "ran-again")
     });
-    assert!(caught, "a node that forgets runs something twice");
+    assert!(is_reported, "the second run of a request is not reported");
 }
 
+/// Guards against ledger commands that fail on the ledger of a running node, compact it while the node runs, miss a
+/// record that contradicts earlier ones, or accept a missing or foreign file.
 #[test]
-fn ledgers_that_are_live_dead_damaged_or_none() {
+fn ledger_commands_handle_running_stopped_damaged_and_missing_ledgers() {
     use troutknot_ledger::store::Store;
     use troutknot_ledger::{Answer, Fence, Record, Row};
-    let path = file("ledger", "");
+    let path = write_file("ledger", "");
     let request_id = troutknot::RequestId(1);
-    let (id, key, digest, work) = ("a1".to_string(), None, [0; 32], vec![]);
+    let (client_id, key, digest, payload) = ("a1".to_string(), None, [0; 32], vec![]);
     let effect = troutknot::Effect::AtMostOnce;
     let row = |sequence, record| Row { recorded_at: 1e12, sequence, record };
     let rows = [
-        row(
-            0,
-            Record::Accepted {
-                request_id,
-                effect,
-                deadline: 2e12,
-                client_id: id,
-                key,
-                digest,
-                payload: work,
-            },
-        ),
+        row(0, Record::Accepted { request_id, effect, deadline: 2e12, client_id, key, digest, payload }),
         row(1, Record::Dispatched { request_id, fence: Fence(1), executor: "s-7".into(), lease_until: 1e12 }),
     ];
     let store = Store::open(&path).unwrap();
     store.commit(&rows).unwrap();
-    let at = path.to_str().unwrap().to_string();
-    let said = |verb: &str, path: &str| {
+    let ledger = path.to_str().unwrap().to_string();
+    let run = |verb: &str, path: &str| {
         let out = troutknot(&["ledger", verb, path]);
-        let text = [out.stdout, out.stderr].map(|b| String::from_utf8_lossy(&b).to_string()).concat();
+        let text = [out.stdout, out.stderr].map(|bytes| String::from_utf8_lossy(&bytes).to_string()).concat();
         (out.status.code().unwrap(), text)
     };
-    let (status, shown) = said("show", &at);
-    assert!(status == 0 && shown.contains("1 requests on record, 1 open; 2 rows"), "live: {shown}");
-    assert!(shown.contains("a1: recorded") && shown.contains("attempt 1 at s-7: unknown"), "{shown}");
-    assert_eq!(said("compact", &at).0, 2, "its node runs");
+    let (status, output) = run("show", &ledger);
+    assert!(status == 0 && output.contains("1 requests on record, 1 open; 2 rows"), "running: {output}");
+    assert!(output.contains("a1: recorded") && output.contains("attempt 1 at s-7: unknown"), "{output}");
+    assert_eq!(run("compact", &ledger).0, 2, "the ledger is compacted while its node runs");
     drop(store);
-    assert_eq!(said("verify", &at), (0, "good: 2 rows of 1 requests\n".into()));
-    assert_eq!(said("compact", &at).0, 0);
-    // An allocation after the answer does not follow, and is named.
+    assert_eq!(run("verify", &ledger), (0, "good: 2 rows of 1 requests\n".into()));
+    assert_eq!(run("compact", &ledger).0, 0);
+    // A dispatch after the final answer contradicts it.
     let store = Store::open(&path).unwrap();
     let answered = Record::Answered { request_id, answer: Answer::Failed };
     let late = Record::Dispatched { request_id, fence: Fence(2), executor: "s-8".into(), lease_until: 1e12 };
     store.commit(&[row(2, answered), row(3, late)]).unwrap();
     drop(store);
-    let (status, found) = said("verify", &at);
-    assert!(status == 1 && found.contains("row 3 of request 1: the request has its final answer"), "{found}");
-    for (name, path) in [("none", PathBuf::from("nowhere.ledger")), ("text", file("text", "not a ledger"))] {
+    let (status, output) = run("verify", &ledger);
+    assert!(
+        status == 1 && output.contains("row 3 of request 1: the request has its final answer"),
+        "{output}"
+    );
+    for (name, path) in
+        [("missing", PathBuf::from("nowhere.ledger")), ("text", write_file("text", "not a ledger"))]
+    {
         for verb in ["show", "verify", "compact"] {
-            let (status, said) = said(verb, path.to_str().unwrap_or_default());
-            assert!(status == 2 && said.starts_with("troutknot: ledger `"), "{name} {verb}: {said}");
+            let (status, output) = run(verb, path.to_str().unwrap_or_default());
+            assert!(status == 2 && output.starts_with("troutknot: ledger `"), "{name} {verb}: {output}");
         }
     }
 }
 
+/// Guards against a rehearsal that passes although its service is lower than expected.
 #[test]
-fn a_bar_that_is_missed_is_exit_status_1() {
-    let (report, status, _) = played(
+fn service_below_the_expected_one_gives_exit_status_1() {
+    let (report, status, _) = run_rehearsal(
         "missed.toml",
         "[[troubles]]\nkind = 'errors'\nfrom = '0s'\nto = '4s'\nof_work = 0.9\n[expect]\nservice = 0.9\n",
     );
     assert_eq!(status, 1, "{report:#}");
 }
 
+/// Guards against invalid input that starts processes or prints results, and against errors that do not state the
+/// fault.
 #[test]
-fn what_cannot_be_played_is_said_in_plain_lines_before_anything_starts() {
-    let bad = file("bad.toml", &DAY.replace("count = 5", "count = 5000").replace("slots = 4", "slots = 0"));
-    let fast = file(
+fn invalid_input_is_reported_with_its_exit_status_before_anything_starts() {
+    let invalid = write_file(
+        "invalid.toml",
+        &SCENARIO.replace("count = 5", "count = 5000").replace("slots = 4", "slots = 0"),
+    );
+    let fast = write_file(
         "fast.toml",
-        &DAY.replace("load = 0.3", "load = 20").replace("work = \"20ms\"", "work = \"500us\""),
+        &SCENARIO.replace("load = 0.3", "load = 20").replace("work = \"20ms\"", "work = \"500us\""),
+    );
+    let many_descriptors = write_file(
+        "many-descriptors.toml",
+        &SCENARIO.replace("count = 2", "count = 60\ndescriptors = 65536"),
     );
-    let many = file("many.toml", &DAY.replace("count = 2", "count = 60\ndescriptors = 65536"));
-    let config = file("node.json", "{\"name\": 5}");
-    let crowd = file("crowd.toml", &DAY.replace("count = 2", "count = 65"));
-    let durable = file("durable-day.toml", &format!("{DAY}[durable]\n"));
-    let [crowd, durable] = [&crowd, &durable].map(|path| path.to_str().unwrap());
-    let [bad, fast, many, config] = [&bad, &fast, &many, &config].map(|path| path.to_str().unwrap());
+    let config = write_file("node.json", "{\"name\": 5}");
+    let too_many_nodes = write_file("too-many-nodes.toml", &SCENARIO.replace("count = 2", "count = 65"));
+    let durable = write_file("durable-scenario.toml", &format!("{SCENARIO}[durable]\n"));
+    let [too_many_nodes, durable] = [&too_many_nodes, &durable].map(|path| path.to_str().unwrap());
+    let [invalid, fast, many_descriptors, config] =
+        [&invalid, &fast, &many_descriptors, &config].map(|path| path.to_str().unwrap());
     let cases: &[(&[&str], i32, &[&str])] = &[
         (&["rehearse", "nowhere.toml"], 2, &["cannot read `nowhere.toml`"]),
-        (&["rehearse", bad], 2, &["`count` is 5000; 1 to 3000 is allowed", "`slots` is 0; 1 to 1024"]),
-        (&["check", bad, config], 2, &["`count` is 5000", "node.json"]),
+        (&["rehearse", invalid], 2, &["`count` is 5000; 1 to 3000 is allowed", "`slots` is 0; 1 to 1024"]),
+        (&["check", invalid, config], 2, &["`count` is 5000", "node.json"]),
         (&["rehearse", fast], 3, &["requests a second; the kit carries 10000 at most"]),
-        (&["rehearse", many], 3, &["file descriptors"]),
-        (&["rehearse", crowd], 3, &["65 nodes and 5 executors; a rehearsal has 64 and 1000 at most"]),
+        (&["rehearse", many_descriptors], 3, &["file descriptors"]),
+        (
+            &["rehearse", too_many_nodes],
+            3,
+            &["65 nodes and 5 executors; a rehearsal has 64 and 1000 at most"],
+        ),
         (&["experiment", "nowhere.toml", "--out", "nowhere"], 2, &["cannot read `nowhere.toml`"]),
         (&["simulate", durable], 2, &["durable requests need real node processes that are killed"]),
         (&["rehearse", fast, "--time-scale", "0"], 2, &["--time-scale is 0; 0.1 to 100 is allowed"]),
         (&["node", "--config", config], 2, &["invalid type"]),
         (&["rehearse"], 2, &["required arguments were not provided"]),
-        (&["emulate", bad], 2, &["`count` is 5000"]),
+        (&["emulate", invalid], 2, &["`count` is 5000"]),
     ];
     for (args, status, parts) in cases {
         let out = troutknot(args);
-        let said = String::from_utf8_lossy(&out.stderr).to_string();
-        assert_eq!((out.status.code(), out.stdout.len()), (Some(*status), 0), "{args:?}: {said}");
-        parts.iter().for_each(|part| assert!(said.contains(part), "{args:?}: {said}"));
+        let stderr = String::from_utf8_lossy(&out.stderr).to_string();
+        assert_eq!((out.status.code(), out.stdout.len()), (Some(*status), 0), "{args:?}: {stderr}");
+        parts.iter().for_each(|part| assert!(stderr.contains(part), "{args:?}: {stderr}"));
     }
 }
 
+/// Guards against help without an example, and against a check that rejects valid files or accepts invalid ones.
 #[test]
-fn help_that_shows_no_example_and_files_that_are_good() {
+fn help_has_examples_and_check_accepts_valid_files_only() {
     for verb in ["node", "rehearse", "simulate", "experiment", "emulate", "check", "completions"] {
         let out = troutknot(&[verb, "--help"]);
-        let said = String::from_utf8_lossy(&out.stdout).to_string();
-        assert!(out.status.success() && said.contains(&format!("Example: troutknot {verb} ")), "{said}");
+        let help = String::from_utf8_lossy(&out.stdout).to_string();
+        assert!(out.status.success() && help.contains(&format!("Example: troutknot {verb} ")), "{help}");
     }
     assert!(troutknot(&["--version"]).status.success());
-    let good = file("good.toml", DAY);
-    let durable = file("durable-own.toml", "[durable]\npath = \"ledger\"\nkept = \"10days\"\n");
-    let said = troutknot(&["check", durable.to_str().unwrap()]);
-    assert!(String::from_utf8_lossy(&said.stderr).contains("`durable.kept` must be 100ms to 7days"));
-    let own = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/troutknot.toml");
-    assert_eq!(troutknot(&["check", good.to_str().unwrap(), own]).status.code(), Some(0));
-    let text = std::fs::read_to_string(own).unwrap().replace("share = 0.5", "share = 5");
-    let bad = troutknot(&["check", file("own.toml", &text).to_str().unwrap()]);
-    assert_eq!(bad.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&bad.stderr).contains("`lists.consul.panic.share` must be 0 to 1"));
+    let valid = write_file("valid.toml", SCENARIO);
+    let durable = write_file("durable-operator.toml", "[durable]\npath = \"ledger\"\nkept = \"10days\"\n");
+    let checked = troutknot(&["check", durable.to_str().unwrap()]);
+    assert!(String::from_utf8_lossy(&checked.stderr).contains("`durable.kept` must be 100ms to 7days"));
+    let operator_file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/troutknot.toml");
+    assert_eq!(troutknot(&["check", valid.to_str().unwrap(), operator_file]).status.code(), Some(0));
+    let text = std::fs::read_to_string(operator_file).unwrap().replace("share = 0.5", "share = 5");
+    let invalid = troutknot(&["check", write_file("operator.toml", &text).to_str().unwrap()]);
+    assert_eq!(invalid.status.code(), Some(2));
+    assert!(String::from_utf8_lossy(&invalid.stderr).contains("`lists.consul.panic.share` must be 0 to 1"));
     assert!(String::from_utf8_lossy(&troutknot(&["completions", "bash"]).stdout).contains("_troutknot"));
 }
 
+/// Guards against an emulated fleet that does not print the address of each executor, of discovery and of each Consul
+/// agent.
 #[test]
-fn a_fleet_by_hand_lists_itself() {
-    let path = file("fleet.toml", DAY);
+fn an_emulated_fleet_prints_all_its_addresses() {
+    let path = write_file("fleet.toml", SCENARIO);
     let out = troutknot(&["emulate", path.to_str().unwrap(), "--consul", "2", "--for", "300ms"]);
-    let said = String::from_utf8_lossy(&out.stdout).to_string();
-    assert_eq!(said.lines().filter(|l| l.starts_with("s-0000")).count(), 5, "{said}");
-    assert!(said.contains("discovery http://127."), "{said}");
-    assert_eq!(said.lines().filter(|l| l.starts_with("consul http://127.")).count(), 2, "{said}");
+    let stdout = String::from_utf8_lossy(&out.stdout).to_string();
+    assert_eq!(stdout.lines().filter(|l| l.starts_with("s-0000")).count(), 5, "{stdout}");
+    assert!(stdout.contains("discovery http://127."), "{stdout}");
+    assert_eq!(stdout.lines().filter(|l| l.starts_with("consul http://127.")).count(), 2, "{stdout}");
 }
--- a/crates/cli/tests/unit/command_line.rs
+++ b/crates/cli/tests/unit/command_line.rs
@@ -1,7 +1,8 @@
-//! The definition of the commands and their options.
+//! Tests of the definitions of the commands and their options.
 use super::*;
 
+/// Guards against definitions that clap rejects only when they are used, such as two options of the same name.
 #[test]
-fn commands_that_contradict_themselves() {
+fn command_definitions_are_consistent() {
     Command::command().debug_assert();
 }
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of executors as known to each node's agent, and the updates that nodes receive.
+//! Discovery: the list of executors as stored by each node's agent, and the updates that nodes receive.
 use super::{WATCH_IDLE_TIMEOUT, World, WorldEvent};
 use rand::RngExt;
 use troutknot::{DeduplicationGroupId, Endpoint, EndpointState, Event, ListUpdate, MachineTypeId, ZoneId};
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -74,7 +74,7 @@
     entries: Vec<(ListedState, Option<Millis>)>,
     /// Index of the current entry of each executor.
     current_entries: Vec<Option<u32>>,
-    /// The same as known to the agent of each node.
+    /// The same as stored by the agent of each node.
     agent_entries: Vec<Vec<Option<u32>>>,
     is_discovery_silent: bool,
     /// Updates that agents hold back while discovery is silent: node, executor and entry.
@@ -85,7 +85,7 @@
     rng: ChaCha8Rng,
     observations: Vec<(Millis, Observation)>,
     counts: Counts,
-    /// Reused by each decision to save allocations of memory.
+    /// A buffer that decisions share to avoid memory allocations.
     actions: Vec<Action>,
 }
 
--- a/crates/simulation/tests/compatibility.rs
+++ b/crates/simulation/tests/compatibility.rs
@@ -16,7 +16,8 @@
 }
 
 /// Guards against rows of an earlier release that can no longer be read, or that are written with other keys or values.
-/// The JSON parser may be off in the last digit of a float, so figures are compared with a relative tolerance of 10^-12.
+/// The JSON parser may be off in the last digit of a float, so figures are compared with a relative tolerance of
+/// 10^-12.
 #[test]
 fn earlier_rows_of_an_experiment_are_read_and_written_unchanged() {
     for line in include_str!("fixtures/rows.jsonl").lines() {
--- a/crates/simulation/tests/simulate.rs
+++ b/crates/simulation/tests/simulate.rs
@@ -200,8 +200,9 @@
     );
     let lock = fs::File::options().write(true).open(out.join("lock")).unwrap();
     lock.try_lock().unwrap();
+    let second = plan.run(&out, 1, |_| {});
     assert!(
-        matches!(plan.run(&out, 1, |_| {}), Err(ExperimentError::Io(error)) if error.contains("another process is writing"))
+        matches!(second, Err(ExperimentError::Io(error)) if error.contains("another process is writing"))
     );
 }
 
