--- a/crates/simulation/src/baselines.rs
+++ b/crates/simulation/src/baselines.rs
@@ -35,7 +35,7 @@
     /// The executor with the smallest share of its slots in use by this node's attempts.
     LeastOutstanding,
     /// Probes this number of executors, drawn with replacement, and selects the shortest queue.
-    Fixed(u32),
+    PowerOfChoices(u32),
 }
 
 impl FromStr for Policy {
@@ -47,9 +47,9 @@
             "random" => Policy::Random,
             "round-robin" => Policy::RoundRobin,
             "least-outstanding" => Policy::LeastOutstanding,
-            "d1" => Policy::Fixed(1),
-            "d2" => Policy::Fixed(2),
-            "d4" => Policy::Fixed(4),
+            "d1" => Policy::PowerOfChoices(1),
+            "d2" => Policy::PowerOfChoices(2),
+            "d4" => Policy::PowerOfChoices(4),
             other => {
                 let allowed = "adaptive, random, round-robin, least-outstanding, d1, d2, d4";
                 return Err(format!("unknown policy `{other}`; allowed are {allowed}"));
@@ -280,7 +280,7 @@
                     candidates.iter().copied().filter(|&e| usage(e) <= lowest).collect();
                 best[self.rng.random_range(0..best.len())]
             }
-            Policy::Fixed(sample_size) => {
+            Policy::PowerOfChoices(sample_size) => {
                 let mut sample: Vec<ExecutorId> = (0..sample_size).map(|_| draw(&mut self.rng)).collect();
                 sample.sort_unstable();
                 sample.dedup();
--- a/crates/simulation/src/world/steps.rs
+++ b/crates/simulation/src/world/steps.rs
@@ -6,7 +6,7 @@
 use troutknot_rehearsal::plan::Step;
 
 impl World<'_> {
-    /// Applies a step of the plan, given by its index.
+    /// Applies the step of the plan with this index.
     pub(super) fn apply_step(&mut self, index: usize) {
         let plan = self.plan;
         match &plan.steps[index].1 {
@@ -74,6 +74,7 @@
             | Step::DrainNode { .. }
             | Step::HotRestartNode { .. }
             | Step::ReconfigureNodes { .. } => {}
+            // Every discovery fault is simulated as silence.
             Step::DiscoveryFault { fault } => self.set_discovery_silent(fault.is_some()),
             Step::RestartDiscovery => {
                 for node in 0..self.nodes.len() {
--- a/crates/simulation/tests/simulate.rs
+++ b/crates/simulation/tests/simulate.rs
@@ -209,7 +209,7 @@
 /// Guards against an invalid experiment that starts anyway, or whose error does not state the fault.
 #[test]
 fn invalid_experiments_are_rejected_with_their_faults_before_any_run() {
-    let folder = create_folder("bad");
+    let folder = create_folder("invalid");
     let cases = [
         (
             "scenarios = []\npolicies = ['random']\nseeds = {from = 1, count = 1}",
@@ -243,5 +243,5 @@
     }
     let durable = simulate(&scenario("durable"), 1);
     assert!(durable.is_err_and(|error| error.to_string().contains("run `troutknot rehearse`")));
-    assert_eq!("d4".parse(), Ok(Policy::Fixed(4)));
+    assert_eq!("d4".parse(), Ok(Policy::PowerOfChoices(4)));
 }
