--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -8,11 +8,11 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 use troutknot_scale::campaign::{self, Programs, RunError};
+use troutknot_scale::evaluation::evaluate;
 use troutknot_scale::executor_worker::{self, WorkerProgram};
-use troutknot_scale::judge::judge;
 use troutknot_scale::node_process::NodeProgram;
 use troutknot_scale::row::{End, Row, read_rows};
-use troutknot_scale::table::{Style, table};
+use troutknot_scale::table::{Style, render_table};
 
 /// File name that means standard output.
 const STANDARD_OUTPUT: &str = "-";
@@ -181,16 +181,18 @@
     match error {
         RunError::NodeEnded { .. }
         | RunError::NotReady { .. }
-        | RunError::NotTold { .. }
+        | RunError::ListNotReceived { .. }
         | RunError::NotReloaded { .. } => Ended::Broke,
         _ => Ended::Machine,
     }
 }
 
 fn judged(rows: &[Row]) -> Ended {
-    match judge(rows) {
-        Some(judgements) if !judgements.ended => Ended::Machine.because("the run was not played to its end"),
-        Some(judgements) if judgements.all_held() => Ended::Held,
+    match evaluate(rows) {
+        Some(judgements) if !judgements.is_complete => {
+            Ended::Machine.because("the run was not played to its end")
+        }
+        Some(judgements) if judgements.has_passed() => Ended::Held,
         _ => Ended::Broke,
     }
 }
@@ -199,7 +201,7 @@
     let mut out = io::stdout();
     let is_plain = std::env::var_os("NO_COLOR").is_some_and(|value| !value.is_empty());
     let style = if out.is_terminal() && !is_plain { Style::Coloured } else { Style::Plain };
-    out.write_all(table(rows, style).as_bytes()).map_err(OutputError::Table)
+    out.write_all(render_table(rows, style).as_bytes()).map_err(OutputError::Table)
 }
 
 fn print_again(path: &Path) -> Ended {
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use troutknot_scale::row::{Measurement, NodeKind, Phase, Row, figures, read_rows, start_of};
-use troutknot_scale::table::{Style, table};
+use troutknot_scale::table::{Style, render_table};
 
 const SMALL: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/scale/small.toml");
 const FULL: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/scale/full.toml");
@@ -85,7 +85,7 @@
     for (name, rows, status) in [("good", good, 0), ("missed", missed, 1), ("unended", unended, 3)] {
         let out = scale(&["--fit", &rows_file(&format!("{name}.jsonl"), &rows)]);
         assert_eq!(out.status.code(), Some(status), "{name}: {}", said(&out));
-        assert_eq!(printed(&out), table(&rows, Style::Plain), "{name}");
+        assert_eq!(printed(&out), render_table(&rows, Style::Plain), "{name}");
     }
 }
 
@@ -128,7 +128,7 @@
 fn check_rows(rows: &[Row]) {
     assert_eq!(start_of(rows).map(|start| (start.name.as_str(), start.seed)), Some(("small", 11)));
     assert!(matches!(rows.last(), Some(Row::End(_))));
-    assert!(!rows.iter().any(|row| matches!(row, Row::Breach(_))));
+    assert!(!rows.iter().any(|row| matches!(row, Row::Violation(_))));
     for size in [10, 40] {
         for turnover in [0.0, 2.0] {
             let here = figures(rows).filter(|figure| {
--- a/crates/scale/src/bounds.rs
+++ b/crates/scale/src/bounds.rs
@@ -8,8 +8,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    pub told_ms: f64,
-    pub ready_ms: f64,
+    #[serde(rename = "told_ms")]
+    pub notification_delay_ms: f64,
+    #[serde(rename = "ready_ms")]
+    pub startup_ms: f64,
     pub cpu_share: f64,
     pub memory_bytes: f64,
     pub bytes_per_second: f64,
@@ -17,11 +19,11 @@
 }
 
 impl Bounds {
-    pub fn of_file(file: &ScaleFile) -> Self {
+    pub fn from_file(file: &ScaleFile) -> Self {
         let budget = &file.real_nodes;
         Bounds {
-            told_ms: file.bounds.told.as_secs_f64() * 1000.0,
-            ready_ms: file.bounds.ready.as_secs_f64() * 1000.0,
+            notification_delay_ms: file.bounds.notification_delay.as_secs_f64() * 1000.0,
+            startup_ms: file.bounds.startup.as_secs_f64() * 1000.0,
             cpu_share: budget.cpu_share,
             memory_bytes: budget.memory.as_u64() as f64,
             bytes_per_second: budget.bytes_per_second.as_u64() as f64,
@@ -30,13 +32,13 @@
     }
 
     /// The most that is allowed of a measurement; none where it is only reported.
-    pub fn of(&self, measurement: Measurement) -> Option<f64> {
+    pub fn limit(&self, measurement: Measurement) -> Option<f64> {
         use Measurement::*;
         match measurement {
-            LateOrMissingAnswers | RepeatedEffects | SentAfterGrace | PushedOver => Some(0.0),
-            DoubledAnswers | LeftOut => Some(0.0),
-            Told => Some(self.told_ms),
-            ReadyAgain => Some(self.ready_ms),
+            LateOrMissingAnswers | RepeatedEffects | SentAfterGrace | SlowStartOverload => Some(0.0),
+            DuplicateAnswers | UnretainedExecutors => Some(0.0),
+            NotificationDelay => Some(self.notification_delay_ms),
+            StartupTime => Some(self.startup_ms),
             CpuShare => Some(self.cpu_share),
             Memory => Some(self.memory_bytes),
             ListBytes => Some(self.bytes_per_second),
--- a/crates/scale/src/campaign.rs
+++ b/crates/scale/src/campaign.rs
@@ -3,11 +3,11 @@
 //! [`run`] finds out first whether the machine can carry the run, opens all listeners, and then measures one fleet
 //! size after the other; the troubles come last, on the largest fleet. Whatever ends it, the nodes end with it.
 mod config_changes;
+mod faults;
 mod hollow_load;
 mod loads;
 pub mod preflight;
 mod starts;
-mod troubles;
 
 use crate::bounds::Bounds;
 use crate::executor_counts::Report;
@@ -18,7 +18,7 @@
 use crate::hollow_executors::{HollowExecutors, Placement};
 use crate::node_process::{NodeProgram, Usage};
 use crate::real_node::{RealNode, Surroundings};
-use crate::row::{Breach, Figure, Measurement, NodeKind, Point, Row, Start};
+use crate::row::{Figure, Measurement, NodeKind, OperatingPoint, Row, RuleViolation, Start};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -30,19 +30,19 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The machine has too little of something that the file needs; nothing was started.
-    #[error("the run needs about {needed} {what}, {available} are there")]
-    TooLittle { what: Resource, needed: u64, available: u64 },
+    #[error("the run needs about {needed} {resource}, {available} are there")]
+    InsufficientResources { resource: Resource, needed: u64, available: u64 },
     /// The time limit of the file was over.
     #[error("the run was not through within its time limit of {0:?}")]
-    TimeLimit(Duration),
-    #[error("{doing}: {source}")]
-    Io { doing: String, source: std::io::Error },
+    TimeLimitExceeded(Duration),
+    #[error("{action}: {source}")]
+    Io { action: String, source: std::io::Error },
     #[error("real node {node} ended by itself: {why}")]
     NodeEnded { node: usize, why: String },
     #[error("real node {node} was not ready within {within:?}: {why}")]
     NotReady { node: usize, within: Duration, why: String },
     #[error("real node {node} was not told the list within {within:?}")]
-    NotTold { node: usize, within: Duration },
+    ListNotReceived { node: usize, within: Duration },
     #[error("real node {node} did not take a changed configuration within {within:?}")]
     NotReloaded { node: usize, within: Duration },
     #[error("{why}")]
@@ -70,16 +70,16 @@
 }
 
 /// A node that is not ready by then is given up.
-const LONGEST_START: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// A node that has not been told the list by then is given up.
-const LONGEST_TELLING: Duration = Duration::from_secs(20);
+const LIST_TIMEOUT: Duration = Duration::from_secs(20);
 /// What follows from a change is over after so long.
-const AFTER_CHANGE: Duration = Duration::from_millis(500);
+const EFFECT_TIME: Duration = Duration::from_millis(500);
 /// Breaches of one rule at one point that are named; all are counted.
-const MOST_NAMED_BREACHES: usize = 10;
+const MAX_LISTED_VIOLATIONS: usize = 10;
 
-/// No step sends more requests to one node; each step numbers them from a multiple of it.
-const REQUESTS_OF_STEP: u64 = 1 << 32;
+/// No cluster sends more requests to one node; each cluster numbers them from a multiple of it.
+const MAX_REQUESTS_PER_CLUSTER: u64 = 1 << 32;
 
 /// Doing something that can fail in the system's way.
 trait Doing<T> {
@@ -88,7 +88,7 @@
 
 impl<T> Doing<T> for std::io::Result<T> {
     fn doing(self, what: impl Into<String>) -> Result<T, RunError> {
-        self.map_err(|source| RunError::Io { doing: what.into(), source })
+        self.map_err(|source| RunError::Io { action: what.into(), source })
     }
 }
 
@@ -115,7 +115,7 @@
         tokio::select! {
             ended = timeout(file.time_limit, play(file, programs, &placement, sink)) => match ended {
                 Ok(ended) => ended,
-                Err(_) => Err(RunError::TimeLimit(file.time_limit)),
+                Err(_) => Err(RunError::TimeLimitExceeded(file.time_limit)),
             },
             _ = interrupt.recv() => Err(RunError::Interrupted),
             _ = terminate.recv() => Err(RunError::Interrupted),
@@ -135,9 +135,9 @@
         program: &programs.node,
         folder: tempfile::tempdir().doing("making a folder for the nodes' files")?,
         executors: Rc::new(executors.doing("opening the executors' listeners")?),
-        bounds: Bounds::of_file(file),
+        bounds: Bounds::from_file(file),
         began: Instant::now(),
-        steps: Cell::new(0),
+        cluster_count: Cell::new(0),
         sink: RefCell::new(sink),
     };
     campaign.emit(Row::Start(start_row(file, &campaign.bounds)));
@@ -145,7 +145,7 @@
     for size in &file.fleet.sizes {
         campaign.measure_size(*size, &baseline).await?;
     }
-    campaign.play_troubles().await
+    campaign.play_faults().await
 }
 
 fn executor_terms(file: &ScaleFile) -> ExecutorTerms {
@@ -153,7 +153,7 @@
         seed: file.seed,
         slots: (file.fleet.slots as usize).max(1),
         queue_capacity: file.fleet.queue_capacity,
-        mean_service: file.requests.work,
+        mean_service: file.requests.mean_service_time,
         told_at_latest: file.rules.told_at_latest,
         drain_grace: file.rules.drain_grace,
         slack: file.rules.slack,
@@ -165,7 +165,7 @@
 }
 
 fn start_row(file: &ScaleFile, bounds: &Bounds) -> Start {
-    let factors = file.troubles.iter().filter_map(|trouble| trouble.get_ref().factor);
+    let factors = file.faults.iter().filter_map(|trouble| trouble.get_ref().factor);
     Start {
         name: file.name.clone(),
         seed: file.seed,
@@ -173,12 +173,12 @@
         commit: std::env::var("TROUTKNOT_COMMIT").ok(),
         cores: std::thread::available_parallelism().map_or(0, usize::from),
         memory_bytes: preflight::total_memory(),
-        squeezed: factors.fold(1.0, f64::max),
+        time_compression: factors.fold(1.0, f64::max),
         bounds: *bounds,
     }
 }
 
-/// What all steps of a run have in common.
+/// What all clusters of a run have in common.
 struct Campaign<'a> {
     file: &'a ScaleFile,
     program: &'a NodeProgram,
@@ -187,16 +187,16 @@
     bounds: Bounds,
     began: Instant,
     /// Steps that were begun.
-    steps: Cell<u64>,
+    cluster_count: Cell<u64>,
     sink: RefCell<&'a mut dyn FnMut(Row)>,
 }
 
 /// Real nodes that were started together, beside the fleet that they are told.
-struct Step<'c, 'f> {
+struct Cluster<'c, 'f> {
     campaign: &'c Campaign<'f>,
     fleet: Rc<Fleet>,
     nodes: Vec<Rc<RealNode>>,
-    /// Of the run's steps.
+    /// Of the run's clusters.
     number: u64,
 }
 
@@ -205,7 +205,7 @@
         (self.sink.borrow_mut())(row);
     }
 
-    fn figure(&self, point: Point, measurement: Measurement, node: NodeKind, value: f64) {
+    fn figure(&self, point: OperatingPoint, measurement: Measurement, node: NodeKind, value: f64) {
         let at = self.began.elapsed().as_secs_f64();
         self.emit(Row::Figure(Figure::new(point, measurement, node, value, at, &self.bounds)));
     }
@@ -215,29 +215,29 @@
         &self,
         size: usize,
         count: usize,
-    ) -> Result<(Step<'_, 'f>, Vec<Duration>), RunError> {
+    ) -> Result<(Cluster<'_, 'f>, Vec<Duration>), RunError> {
         let fleet = Fleet::list(&self.executors, size, self.file.bursts.zone).await;
-        let number = self.steps.get();
-        self.steps.set(number + 1);
-        let mut step = Step { campaign: self, fleet: Rc::new(fleet), nodes: Vec::new(), number };
+        let number = self.cluster_count.get();
+        self.cluster_count.set(number + 1);
+        let mut cluster = Cluster { campaign: self, fleet: Rc::new(fleet), nodes: Vec::new(), number };
         let mut ready = Vec::new();
         for number in 0..count {
-            let node = RealNode::start(&step.surroundings(), number);
+            let node = RealNode::start(&cluster.surroundings(), number);
             let node = node.doing(format!("starting real node {number}"))?;
-            let took = node.ready(LONGEST_START).await.ok_or_else(|| RunError::NotReady {
+            let took = node.ready(START_TIMEOUT).await.ok_or_else(|| RunError::NotReady {
                 node: number,
-                within: LONGEST_START,
+                within: START_TIMEOUT,
                 why: node.last_words(),
             })?;
             ready.push(took);
-            step.nodes.push(node);
+            cluster.nodes.push(node);
         }
-        step.wait_told().await?;
-        Ok((step, ready))
+        cluster.wait_told().await?;
+        Ok((cluster, ready))
     }
 }
 
-impl Step<'_, '_> {
+impl Cluster<'_, '_> {
     fn surroundings(&self) -> Surroundings<'_> {
         Surroundings {
             file: self.campaign.file,
@@ -245,16 +245,16 @@
             folder: self.campaign.folder.path(),
             discovery: self.fleet.discovery(),
             zones: self.fleet.zones(),
-            first_sequence: self.number * REQUESTS_OF_STEP,
+            first_sequence: self.number * MAX_REQUESTS_PER_CLUSTER,
         }
     }
 
     /// Waits until each node has been told the list as it is.
     async fn wait_told(&self) -> Result<(), RunError> {
         for node in &self.nodes {
-            if !node.agent.has_told_all(LONGEST_TELLING).await {
+            if !node.agent.has_told_all(LIST_TIMEOUT).await {
                 self.check_nodes()?;
-                return Err(RunError::NotTold { node: node.number(), within: LONGEST_TELLING });
+                return Err(RunError::ListNotReceived { node: node.number(), within: LIST_TIMEOUT });
             }
         }
         Ok(())
@@ -292,23 +292,23 @@
     }
 
     /// Emits the breaches that the executors reported, and how many there were of each rule.
-    fn emit_breaches(&self, point: Point, report: &Report) {
+    fn emit_breaches(&self, point: OperatingPoint, report: &Report) {
         let campaign = self.campaign;
         let breaches = &report.breaches;
         let rules = [
             (2, "repeated-effect", Measurement::RepeatedEffects),
             (3, "sent-after-grace", Measurement::SentAfterGrace),
-            (4, "pushed-over", Measurement::PushedOver),
+            (4, "pushed-over", Measurement::SlowStartOverload),
         ];
         for (rule, name, measurement) in rules {
             let of_rule: Vec<_> = breaches.iter().filter(|breach| breach.rule() == rule).collect();
             campaign.figure(point, measurement, NodeKind::Real, of_rule.len() as f64);
-            for breach in of_rule.into_iter().take(MOST_NAMED_BREACHES) {
-                campaign.emit(Row::Breach(Breach {
+            for breach in of_rule.into_iter().take(MAX_LISTED_VIOLATIONS) {
+                campaign.emit(Row::Violation(RuleViolation {
                     rule,
                     name: name.into(),
                     phase: point.phase,
-                    what: format!("{breach:?}"),
+                    description: format!("{breach:?}"),
                     at_seconds: campaign.began.elapsed().as_secs_f64(),
                 }));
             }
@@ -316,19 +316,19 @@
     }
 
     /// Emits what the nodes were told since the last call took, where anything was told.
-    fn emit_delays(&self, point: Point) {
+    fn emit_delays(&self, point: OperatingPoint) {
         let mut delays: Vec<f64> = self.nodes.iter().flat_map(|node| node.agent.take_delays()).collect();
         if !delays.is_empty() {
-            let value = quantile(&mut delays, TOLD_SHARE);
-            self.campaign.figure(point, Measurement::Told, NodeKind::Real, value);
+            let value = quantile(&mut delays, TAIL_QUANTILE);
+            self.campaign.figure(point, Measurement::NotificationDelay, NodeKind::Real, value);
         }
     }
 }
 
 /// The share of changes, and of latencies, that a figure of the slow ones stands for.
-const TOLD_SHARE: f64 = 0.99;
+const TAIL_QUANTILE: f64 = 0.99;
 /// The share of nodes that are ready by the time that is reported.
-const READY_SHARE: f64 = 0.9;
+const STARTUP_QUANTILE: f64 = 0.9;
 
 fn millis(span: Duration) -> f64 {
     span.as_secs_f64() * 1000.0
--- a/crates/scale/src/campaign/config_changes.rs
+++ b/crates/scale/src/campaign/config_changes.rs
@@ -1,5 +1,5 @@
 //! Nodes read a changed configuration: how long until it is in force, and what that costs.
-use super::{AFTER_CHANGE, Doing, RunError, Step, millis, quantile};
+use super::{Cluster, Doing, EFFECT_TIME, RunError, millis, quantile};
 use crate::node_config::ADDED_CLASS;
 use crate::node_process::Usage;
 use crate::real_node::RealNode;
@@ -8,8 +8,8 @@
 use tokio::time::sleep;
 
 /// A changed configuration that is not in force by then is given up.
-const LONGEST_RELOAD: Duration = Duration::from_secs(10);
-const ASK_EVERY: Duration = Duration::from_millis(1);
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
+const RELOAD_POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// The answer on a class of requests that the settings in force do not name.
 const UNKNOWN_CLASS: u16 = 404;
 /// Of the figures of all nodes the largest stands.
@@ -22,7 +22,7 @@
     growth_bytes: f64,
 }
 
-impl Step<'_, '_> {
+impl Cluster<'_, '_> {
     /// Each node in turn reads a configuration with one class of requests more, and the one before again.
     pub(super) async fn measure_config_change(&self) -> Result<(), RunError> {
         let (mut delays, mut cpu, mut growth) = (Vec::new(), Vec::new(), Vec::new());
@@ -57,10 +57,10 @@
             if status.is_some_and(|status| status != UNKNOWN_CLASS) {
                 return Ok(millis(asked));
             }
-            if asked > LONGEST_RELOAD {
-                return Err(RunError::NotReloaded { node: node.number(), within: LONGEST_RELOAD });
+            if asked > RELOAD_TIMEOUT {
+                return Err(RunError::NotReloaded { node: node.number(), within: RELOAD_TIMEOUT });
             }
-            sleep(ASK_EVERY).await;
+            sleep(RELOAD_POLL_INTERVAL).await;
         }
     }
 
@@ -69,13 +69,13 @@
         let usage = || -> Result<Usage, RunError> {
             node.usage().doing(format!("reading what real node {} has used", node.number()))
         };
-        sleep(AFTER_CHANGE).await;
+        sleep(EFFECT_TIME).await;
         let rested_from = usage()?;
-        sleep(AFTER_CHANGE).await;
+        sleep(EFFECT_TIME).await;
         node.reset_peak();
         let before = usage()?;
         self.reload(node, false)?;
-        sleep(AFTER_CHANGE).await;
+        sleep(EFFECT_TIME).await;
         let after = usage()?;
         let idle = millis(before.cpu.saturating_sub(rested_from.cpu));
         let growth = after.peak_resident_bytes.saturating_sub(before.resident_bytes);
--- a/crates/scale/src/campaign/troubles.rs
+++ b/crates/scale/src/campaign/faults.rs
@@ -1,11 +1,11 @@
 //! The troubles of a file, on the largest fleet, while clients send.
 use super::hollow_load::HollowLoad;
 use super::loads::Reading;
-use super::{Campaign, LONGEST_START, READY_SHARE, RunError, Step, millis, quantile};
+use super::{Campaign, Cluster, RunError, START_TIMEOUT, STARTUP_QUANTILE, millis, quantile};
 use crate::catalog::State;
-use crate::file::{TroubleKind, TroubleSpec};
-use crate::row::{Measurement, NodeKind, Phase, Point};
-use crate::trouble::{Change, Plan, World};
+use crate::fault_plan::{Action, FaultPlan, PlanScope};
+use crate::file::{FaultKind, FaultSpec};
+use crate::row::{Measurement, NodeKind, OperatingPoint, Phase};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use std::cell::RefCell;
 use std::ops::Range;
@@ -13,75 +13,76 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Discovery knows of a death so long after it.
-const DEATH_IS_NOTICED: Duration = Duration::from_secs(1);
+const DEATH_DETECTION_DELAY: Duration = Duration::from_secs(1);
 /// A dead executor's successor starts so long after that.
-const SUCCESSOR_STARTS: Duration = Duration::from_secs(2);
+const SUCCESSOR_START_DELAY: Duration = Duration::from_secs(2);
 /// Executors that drain while discovery is silent, so that the rule on drains has something to be held against.
-const DRAINED_IN_SILENCE: usize = 10;
+const DRAINED_DURING_SILENCE: usize = 10;
 
 impl Campaign<'_> {
-    pub(super) async fn play_troubles(&self) -> Result<(), RunError> {
-        for (number, trouble) in self.file.troubles.iter().enumerate() {
+    pub(super) async fn play_faults(&self) -> Result<(), RunError> {
+        for (number, trouble) in self.file.faults.iter().enumerate() {
             let seed = self.file.seed.wrapping_add(number as u64);
-            self.play_trouble(trouble.get_ref(), seed).await?;
+            self.play_fault(trouble.get_ref(), seed).await?;
         }
         Ok(())
     }
 
-    async fn play_trouble(&self, spec: &TroubleSpec, seed: u64) -> Result<(), RunError> {
+    async fn play_fault(&self, spec: &FaultSpec, seed: u64) -> Result<(), RunError> {
         let real = self.file.real_nodes.count;
-        let world = World::of_file(self.file);
-        let Some(plan) = Plan::draw(spec, world, seed) else { return Ok(()) };
-        let (step, _) = self.start_nodes(world.executors, real).await?;
+        let world = PlanScope::of_file(self.file);
+        let Some(plan) = FaultPlan::generate(spec, world, seed) else { return Ok(()) };
+        let (cluster, _) = self.start_nodes(world.executors, real).await?;
         let rates = &self.file.load.rates;
         let rate = rates.get(rates.len() / 2).copied().unwrap_or(1.0);
-        let point = Point { phase: phase_of(plan.kind), executors: world.executors, turnover: 0.0, rate };
-        step.nodes.iter().for_each(|node| node.reset_peak());
+        let point =
+            OperatingPoint { phase: phase_of(plan.kind), executors: world.executors, turnover: 0.0, rate };
+        cluster.nodes.iter().for_each(|node| node.reset_peak());
         let ready = RefCell::new(Vec::new());
-        let hollow = step.start_hollow_nodes().await?;
+        let hollow = cluster.start_hollow_nodes().await?;
         let hollow_before = hollow.as_ref().map(|hollow| {
             hollow.set_rate(rate);
             hollow.read()
         });
-        let before: Reading = step.read().await?;
+        let before: Reading = cluster.read().await?;
         let ((outcome, sockets), played) = tokio::join!(
-            step.play_clients(rate, plan.length),
-            step.play_plan(&plan, &ready, hollow.as_ref())
+            cluster.play_clients(rate, plan.length),
+            cluster.play_plan(&plan, &ready, hollow.as_ref())
         );
         played?;
-        let interval = step.since(&before).await?;
-        step.emit_interval(point, &interval, &outcome);
+        let interval = cluster.since(&before).await?;
+        cluster.emit_interval(point, &interval, &outcome);
         if let Some((hollow, before)) = hollow.as_ref().zip(hollow_before) {
-            step.emit_hollow(point, hollow, &before);
+            cluster.emit_hollow(point, hollow, &before);
         }
-        step.emit_outcome(point, outcome);
-        step.emit_breaches(point, &interval.report);
-        step.emit_delays(point);
+        cluster.emit_outcome(point, outcome);
+        cluster.emit_breaches(point, &interval.report);
+        cluster.emit_delays(point);
         self.figure(point, Measurement::OpenSockets, NodeKind::Real, sockets as f64);
         let mut ready = ready.into_inner();
         if !ready.is_empty() {
-            let ready = quantile(&mut ready, READY_SHARE);
-            self.figure(point, Measurement::ReadyAgain, NodeKind::Real, ready);
+            let ready = quantile(&mut ready, STARTUP_QUANTILE);
+            self.figure(point, Measurement::StartupTime, NodeKind::Real, ready);
         }
         drop(hollow);
-        step.emit_left_out(point).await;
-        step.measure_repeated_list(point).await
+        cluster.emit_left_out(point).await;
+        cluster.measure_repeated_list(point).await
     }
 }
 
-fn phase_of(kind: TroubleKind) -> Phase {
+fn phase_of(kind: FaultKind) -> Phase {
     match kind {
-        TroubleKind::BusyDay => Phase::BusyDay,
-        TroubleKind::ZoneLost => Phase::ZoneLost,
-        TroubleKind::DiscoverySilent => Phase::DiscoverySilent,
+        FaultKind::BusyDay => Phase::BusyDay,
+        FaultKind::ZoneLost => Phase::ZoneLost,
+        FaultKind::DiscoverySilent => Phase::DiscoverySilent,
     }
 }
 
-impl Step<'_, '_> {
+impl Cluster<'_, '_> {
     /// Plays the steps at their times; each lasts as long as it does beside the next ones.
     async fn play_plan(
         &self,
-        plan: &Plan,
+        plan: &FaultPlan,
         ready: &RefCell<Vec<f64>>,
         hollow: Option<&HollowLoad>,
     ) -> Result<(), RunError> {
@@ -96,8 +97,8 @@
                     Some(ended) = lasting.next() => ended?,
                 }
             }
-            match (&step.change, hollow) {
-                (Change::RestartNode(node), Some(hollow)) if *node >= self.nodes.len() => {
+            match (&step.action, hollow) {
+                (Action::RestartNode(node), Some(hollow)) if *node >= self.nodes.len() => {
                     hollow.restart(node - self.nodes.len());
                 }
                 (change, _) => lasting.push(self.play_change(change.clone(), ready)),
@@ -109,19 +110,19 @@
         Ok(())
     }
 
-    async fn play_change(&self, change: Change, ready: &RefCell<Vec<f64>>) -> Result<(), RunError> {
+    async fn play_change(&self, change: Action, ready: &RefCell<Vec<f64>>) -> Result<(), RunError> {
         match change {
-            Change::Replace(executor) => self.replace(executor).await,
-            Change::Fail(executor) => self.fail(executor).await,
-            Change::LoseZone(zone) => self.lose(zone).await,
-            Change::ReturnZone(zone) => self.fleet.return_cold(zone).await,
-            Change::SilenceDiscovery => {
+            Action::Replace(executor) => self.replace(executor).await,
+            Action::Fail(executor) => self.fail(executor).await,
+            Action::KillZone(zone) => self.lose(zone).await,
+            Action::RestartZone(zone) => self.fleet.return_cold(zone).await,
+            Action::SilenceDiscovery => {
                 self.fleet.discovery().set_silent(true);
-                let drained = DRAINED_IN_SILENCE.min(self.fleet.size() / 2);
+                let drained = DRAINED_DURING_SILENCE.min(self.fleet.size() / 2);
                 self.fleet.publish(0..drained, State::Terminating);
             }
-            Change::DiscoverySpeaks => self.fleet.discovery().set_silent(false),
-            Change::RestartNode(node) => self.restart(node, ready).await?,
+            Action::ResumeDiscovery => self.fleet.discovery().set_silent(false),
+            Action::RestartNode(node) => self.restart(node, ready).await?,
         }
         Ok(())
     }
@@ -139,23 +140,23 @@
     async fn fail(&self, executor: usize) {
         let one = executor..executor + 1;
         self.lose(one.clone()).await;
-        sleep(SUCCESSOR_STARTS).await;
+        sleep(SUCCESSOR_START_DELAY).await;
         self.fleet.return_renamed(one).await;
     }
 
     async fn lose(&self, executors: Range<usize>) {
         self.fleet.kill(executors.clone()).await;
-        sleep(DEATH_IS_NOTICED).await;
+        sleep(DEATH_DETECTION_DELAY).await;
         self.fleet.publish(executors, State::Gone);
     }
 
     async fn restart(&self, node: usize, ready: &RefCell<Vec<f64>>) -> Result<(), RunError> {
         let Some(node) = self.nodes.get(node).cloned() else { return Ok(()) };
-        let took = node.restart(&self.surroundings(), LONGEST_START).await.map_err(|source| {
-            RunError::Io { doing: format!("restarting real node {}", node.number()), source }
+        let took = node.restart(&self.surroundings(), START_TIMEOUT).await.map_err(|source| {
+            RunError::Io { action: format!("restarting real node {}", node.number()), source }
         })?;
         let not_ready =
-            || RunError::NotReady { node: node.number(), within: LONGEST_START, why: node.last_words() };
+            || RunError::NotReady { node: node.number(), within: START_TIMEOUT, why: node.last_words() };
         ready.borrow_mut().push(millis(took.ok_or_else(not_ready)?));
         Ok(())
     }
--- a/crates/scale/src/campaign/hollow_load.rs
+++ b/crates/scale/src/campaign/hollow_load.rs
@@ -1,25 +1,25 @@
-//! Hollow nodes beside the real ones of a step, while clients send.
-use super::{Doing, LONGEST_TELLING, RunError, Step};
+//! Hollow nodes beside the real ones of a cluster, while clients send.
+use super::{Cluster, Doing, LIST_TIMEOUT, RunError};
 use crate::discovery::Agent;
 use crate::file::ScaleFile;
 use crate::hollow_nodes::{Counts, HollowNodes, Settings};
-use crate::row::{Measurement, NodeKind, Point};
+use crate::row::{Measurement, NodeKind, OperatingPoint};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
 
 /// Requests that all hollow nodes together take in a second, at most: what one machine carries beside the rest. Where
 /// the rate of a point asks for more, each takes its share of this.
-const MOST_HOLLOW_RATE: f64 = 2000.0;
+const MAX_TOTAL_HOLLOW_RATE: f64 = 2000.0;
 /// Hollow nodes together take no more than this share of what the fleet can do while it is cold. Guards against a
 /// small fleet that is overloaded by the load beside the real nodes.
-const MOST_SHARE_OF_COLD_FLEET: f64 = 0.25;
+const MAX_SHARE_OF_COLD_FLEET: f64 = 0.25;
 
 /// Hollow nodes that run until this is dropped.
 pub(super) struct HollowLoad {
     nodes: HollowNodes,
     /// Requests in a second of each, at most.
-    most_rate: f64,
+    max_rate: f64,
     /// They are told by these.
     _agents: Vec<Rc<Agent>>,
 }
@@ -34,7 +34,7 @@
 impl HollowLoad {
     /// Sets the requests a second of each, as far as the machine and the fleet carry them all.
     pub(super) fn set_rate(&self, rate: f64) {
-        self.nodes.set_request_rate(rate.min(self.most_rate));
+        self.nodes.set_request_rate(rate.min(self.max_rate));
     }
 
     /// Starts one anew.
@@ -52,13 +52,13 @@
 }
 
 /// Of one hollow node beside so many executors.
-fn most_rate(file: &ScaleFile, executors: usize) -> f64 {
+fn max_rate(file: &ScaleFile, executors: usize) -> f64 {
     let cold_slots = executors as f64 * file.fleet.slots * file.rules.cold_share;
-    let cold_fleet = cold_slots / file.requests.work.as_secs_f64().max(1e-9);
-    MOST_HOLLOW_RATE.min(MOST_SHARE_OF_COLD_FLEET * cold_fleet) / file.hollow_nodes.count.max(1) as f64
+    let cold_fleet = cold_slots / file.requests.mean_service_time.as_secs_f64().max(1e-9);
+    MAX_TOTAL_HOLLOW_RATE.min(MAX_SHARE_OF_COLD_FLEET * cold_fleet) / file.hollow_nodes.count.max(1) as f64
 }
 
-impl Step<'_, '_> {
+impl Cluster<'_, '_> {
     /// Starts the hollow nodes of the file, and waits until each has been told the list; none where the file has
     /// none.
     pub(super) async fn start_hollow_nodes(&self) -> Result<Option<HollowLoad>, RunError> {
@@ -81,22 +81,22 @@
             discovery,
             node_settings: self.surroundings().settings_of(first_number),
             request_rate: 0.0,
-            work: file.requests.work,
+            work: file.requests.mean_service_time,
             deadline: file.requests.deadline,
             seed: file.seed.wrapping_add(self.number),
         };
         let nodes =
             HollowNodes::start(settings).map_err(|error| RunError::HollowNodes { why: error.to_string() })?;
         for agent in &agents {
-            if !agent.has_told_all(LONGEST_TELLING).await {
-                return Err(RunError::HollowNodes { why: format!("not told within {LONGEST_TELLING:?}") });
+            if !agent.has_told_all(LIST_TIMEOUT).await {
+                return Err(RunError::HollowNodes { why: format!("not told within {LIST_TIMEOUT:?}") });
             }
         }
-        Ok(Some(HollowLoad { nodes, most_rate: most_rate(file, self.fleet.size()), _agents: agents }))
+        Ok(Some(HollowLoad { nodes, max_rate: max_rate(file, self.fleet.size()), _agents: agents }))
     }
 
     /// Emits what the hollow nodes of each kind did since a reading.
-    pub(super) fn emit_hollow(&self, point: Point, load: &HollowLoad, before: &HollowReading) {
+    pub(super) fn emit_hollow(&self, point: OperatingPoint, load: &HollowLoad, before: &HollowReading) {
         let now = load.read();
         let seconds = now.at.duration_since(before.at).as_secs_f64().max(1e-9);
         let hollow = &self.campaign.file.hollow_nodes;
@@ -113,9 +113,9 @@
                 count_now.saturating_sub(count_before) as f64 / seconds / count as f64
             };
             let figure = |measurement, value| self.campaign.figure(point, measurement, kind, value);
-            figure(Measurement::Drivers, count as f64);
+            figure(Measurement::HollowNodeCount, count as f64);
             figure(Measurement::Probes, per_node_second(now.probes, before.probes));
-            figure(Measurement::Pushes, per_node_second(now.pushes, before.pushes));
+            figure(Measurement::Dispatches, per_node_second(now.pushes, before.pushes));
         }
     }
 }
--- a/crates/scale/src/campaign/loads.rs
+++ b/crates/scale/src/campaign/loads.rs
@@ -1,19 +1,19 @@
 //! The fleet is replaced under new names some times over, and after each turnover clients send at each rate.
-use super::{RunError, Step, TOLD_SHARE, quantile};
+use super::{Cluster, RunError, TAIL_QUANTILE, quantile};
 use crate::catalog::State;
 use crate::clients::Outcome;
 use crate::discovery::ListTraffic;
 use crate::executor_counts::{Report, Traffic};
 use crate::node_process::Usage;
-use crate::row::{Measurement, NodeKind, Phase, Point};
+use crate::row::{Measurement, NodeKind, OperatingPoint, Phase};
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
 /// A rollout replaces so many executors at a time.
-const ROLLOUT_STEP: usize = 1000;
+const ROLLOUT_BATCH: usize = 1000;
 /// How often the open sockets of nodes are counted.
-const SAMPLE_EVERY: Duration = Duration::from_millis(500);
+const SOCKET_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// All that counts, as it stands at one moment.
 pub(super) struct Reading {
     at: Instant,
@@ -37,7 +37,7 @@
     peak_resident_bytes: u64,
 }
 
-impl Step<'_, '_> {
+impl Cluster<'_, '_> {
     /// From here on the executors' report begins anew.
     pub(super) async fn read(&self) -> Result<Reading, RunError> {
         let report = self.campaign.executors.report().await;
@@ -76,15 +76,15 @@
             self.replace_until(*turnover).await?;
             self.nodes.iter().for_each(|node| node.reset_peak());
             let hollow = self.start_hollow_nodes().await?;
-            let idle = self.idle_cpu(load.settle).await?;
-            self.emit_left_out(Point { turnover: *turnover, ..self.point(Phase::Steady) }).await;
+            let idle = self.idle_cpu(load.settle_time).await?;
+            self.emit_left_out(OperatingPoint { turnover: *turnover, ..self.point(Phase::Steady) }).await;
             for rate in &load.rates {
-                let point = Point { turnover: *turnover, rate: *rate, ..self.point(Phase::Steady) };
+                let point = OperatingPoint { turnover: *turnover, rate: *rate, ..self.point(Phase::Steady) };
                 let before = hollow.as_ref().map(|hollow| {
                     hollow.set_rate(*rate);
                     hollow.read()
                 });
-                self.measure_rate(point, idle, load.measure).await?;
+                self.measure_rate(point, idle, load.measurement_time).await?;
                 if let Some((hollow, before)) = hollow.as_ref().zip(before) {
                     self.emit_hollow(point, hollow, &before);
                 }
@@ -97,10 +97,10 @@
     async fn replace_until(&self, turnover: f64) -> Result<(), RunError> {
         let size = self.fleet.size();
         let goal = (turnover * size as f64).round() as usize;
-        let point = Point { turnover, ..self.point(Phase::Steady) };
+        let point = OperatingPoint { turnover, ..self.point(Phase::Steady) };
         while self.fleet.replaced() < goal {
             let first = self.fleet.replaced() % size;
-            let last = (first + ROLLOUT_STEP).min(size).min(first + goal - self.fleet.replaced());
+            let last = (first + ROLLOUT_BATCH).min(size).min(first + goal - self.fleet.replaced());
             self.fleet.publish(first..last, State::Gone);
             self.wait_told().await?;
             self.fleet.return_renamed(first..last).await;
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    async fn measure_rate(&self, point: Point, idle: f64, length: Duration) -> Result<(), RunError> {
+    async fn measure_rate(&self, point: OperatingPoint, idle: f64, length: Duration) -> Result<(), RunError> {
         let before = self.read().await?;
         let (outcome, sockets) = self.play_clients(point.rate, length).await;
         let interval = self.since(&before).await?;
@@ -144,7 +144,7 @@
                 ended = playing.join_next() => if let Some(Ok(outcome)) = ended {
                     sum.add(&outcome);
                 },
-                () = sleep(SAMPLE_EVERY) => {
+                () = sleep(SOCKET_SAMPLE_INTERVAL) => {
                     let open = self.nodes.iter().filter_map(|node| node.open_sockets().ok());
                     sockets = open.fold(sockets, usize::max);
                 }
@@ -153,7 +153,7 @@
         (sum, sockets)
     }
 
-    pub(super) fn emit_interval(&self, point: Point, interval: &Interval, outcome: &Outcome) {
+    pub(super) fn emit_interval(&self, point: OperatingPoint, interval: &Interval, outcome: &Outcome) {
         let figure = |measurement, value| {
             self.campaign.figure(point, measurement, NodeKind::Real, value);
         };
@@ -165,19 +165,19 @@
         figure(Measurement::ListBytes, interval.list_bytes as f64 / interval.seconds);
         figure(Measurement::ListUpdates, interval.list_lines as f64 / interval.seconds);
         figure(Measurement::Probes, interval.executors.probes as f64 / per_node_second);
-        figure(Measurement::Pushes, interval.executors.attempts as f64 / per_node_second);
+        figure(Measurement::Dispatches, interval.executors.attempts as f64 / per_node_second);
         figure(Measurement::ExecutorBytes, interval.executors.bytes_in as f64 / interval.seconds);
     }
 
-    pub(super) fn emit_outcome(&self, point: Point, mut outcome: Outcome) {
+    pub(super) fn emit_outcome(&self, point: OperatingPoint, mut outcome: Outcome) {
         let figure = |measurement, value| {
             self.campaign.figure(point, measurement, NodeKind::Real, value);
         };
         figure(Measurement::LateOrMissingAnswers, outcome.late_or_missing as f64);
-        figure(Measurement::DoubledAnswers, outcome.doubled as f64);
+        figure(Measurement::DuplicateAnswers, outcome.doubled as f64);
         if !outcome.latencies.is_empty() {
             figure(Measurement::LatencyMedian, quantile(&mut outcome.latencies, 0.5));
-            figure(Measurement::LatencyP99, quantile(&mut outcome.latencies, TOLD_SHARE));
+            figure(Measurement::LatencyP99, quantile(&mut outcome.latencies, TAIL_QUANTILE));
         }
     }
 }
--- a/crates/scale/src/campaign/preflight.rs
+++ b/crates/scale/src/campaign/preflight.rs
@@ -10,7 +10,7 @@
 /// A real node's connections to executors are at most a third of its sockets.
 const EXECUTOR_SHARE_OF_SOCKETS: u64 = 3;
 /// Worker processes of one run.
-const MOST_WORKERS: usize = 16;
+const MAX_WORKERS: usize = 16;
 /// Connections of clients, agents and health checks to one real node, at this end.
 const DESCRIPTORS_BESIDE_NODE: u64 = 160;
 /// What a listening executor takes in this process and in the kernel.
@@ -53,7 +53,7 @@
     let available = (kilobytes("MemAvailable:") as f64 * 1024.0 * MEMORY_SHARE) as u64;
     // Where the kernel says nothing, nothing is known to be missing.
     if available > 0 && available < needed {
-        return Err(RunError::TooLittle { what: Resource::Memory, needed, available });
+        return Err(RunError::InsufficientResources { resource: Resource::Memory, needed, available });
     }
     place(executor_descriptors(file), other_descriptors(file), worker, allowed_descriptors)
 }
@@ -70,7 +70,8 @@
 ) -> Result<Placement, RunError> {
     let needed = of_executors + of_others;
     let available = allow(needed);
-    let too_little = |needed| RunError::TooLittle { what: Resource::FileDescriptors, needed, available };
+    let too_little =
+        |needed| RunError::InsufficientResources { resource: Resource::FileDescriptors, needed, available };
     if needed <= available {
         return Ok(Placement::ThisProcess);
     }
@@ -81,7 +82,7 @@
     // Connections need not spread evenly: each worker is filled by half at most.
     let of_worker = ((available - SPARE_DESCRIPTORS) / 2).max(1);
     let count = of_executors.div_ceil(of_worker) as usize;
-    if count > MOST_WORKERS {
+    if count > MAX_WORKERS {
         return Err(too_little(needed));
     }
     Ok(Placement::Workers { count, program: program.clone() })
--- a/crates/scale/src/campaign/starts.rs
+++ b/crates/scale/src/campaign/starts.rs
@@ -1,14 +1,14 @@
 //! Nodes start, and are told whole lists, single changes and bursts.
-use super::{AFTER_CHANGE, Campaign, READY_SHARE, RunError, Step, millis, quantile};
+use super::{Campaign, Cluster, EFFECT_TIME, RunError, STARTUP_QUANTILE, millis, quantile};
 use crate::catalog::State;
-use crate::row::{Measurement, NodeKind, Phase, Point};
+use crate::row::{Measurement, NodeKind, OperatingPoint, Phase};
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
 /// Changes of which the cost of one is the mean.
-const CHANGES: usize = 20;
+const LIST_CHANGES: usize = 20;
 /// After a start or a burst, until a node is at rest.
-const SETTLES: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// A node that is told an empty list.
 pub(super) struct Baseline {
@@ -19,43 +19,43 @@
 
 impl Campaign<'_> {
     pub(super) async fn measure_baseline(&self) -> Result<Baseline, RunError> {
-        let (step, ready) = self.start_nodes(0, 1).await?;
-        sleep(SETTLES).await;
-        let usage = step.usage()?[0];
-        step.emit_start(0, &ready)?;
+        let (cluster, ready) = self.start_nodes(0, 1).await?;
+        sleep(SETTLE_TIME).await;
+        let usage = cluster.usage()?[0];
+        cluster.emit_start(0, &ready)?;
         Ok(Baseline { cpu: usage.cpu, resident_bytes: usage.resident_bytes })
     }
 
     pub(super) async fn measure_size(&self, size: usize, baseline: &Baseline) -> Result<(), RunError> {
-        let (step, ready) = self.start_nodes(size, self.file.real_nodes.count).await?;
-        sleep(SETTLES).await;
-        step.emit_start(size, &ready)?;
-        step.emit_cost_of_list(baseline)?;
-        step.measure_repeated_list(step.point(Phase::Steady)).await?;
-        step.measure_changes().await?;
-        step.measure_burst(Phase::ZoneBurst, self.file.bursts.zone).await?;
-        step.measure_burst(Phase::RegionBurst, self.file.bursts.region).await?;
-        step.measure_loads().await?;
-        if step.fleet.replaced() > 0 {
+        let (cluster, ready) = self.start_nodes(size, self.file.real_nodes.count).await?;
+        sleep(SETTLE_TIME).await;
+        cluster.emit_start(size, &ready)?;
+        cluster.emit_cost_of_list(baseline)?;
+        cluster.measure_repeated_list(cluster.point(Phase::Steady)).await?;
+        cluster.measure_changes().await?;
+        cluster.measure_burst(Phase::ZoneBurst, self.file.bursts.zone).await?;
+        cluster.measure_burst(Phase::RegionBurst, self.file.bursts.region).await?;
+        cluster.measure_loads().await?;
+        if cluster.fleet.replaced() > 0 {
             // After all loads: a whole list may mend what changes alone left behind.
-            step.measure_repeated_list(step.point(Phase::Steady)).await?;
+            cluster.measure_repeated_list(cluster.point(Phase::Steady)).await?;
         }
-        step.measure_config_change().await
+        cluster.measure_config_change().await
     }
 }
 
-impl Step<'_, '_> {
-    pub(super) fn point(&self, phase: Phase) -> Point {
+impl Cluster<'_, '_> {
+    pub(super) fn point(&self, phase: Phase) -> OperatingPoint {
         let turnover = self.fleet.replaced() as f64 / self.fleet.size().max(1) as f64;
-        Point { phase, executors: self.fleet.size(), turnover, rate: 0.0 }
+        OperatingPoint { phase, executors: self.fleet.size(), turnover, rate: 0.0 }
     }
 
     fn emit_start(&self, size: usize, ready: &[Duration]) -> Result<(), RunError> {
         let campaign = self.campaign;
-        let point = Point { phase: Phase::Start, executors: size, turnover: 0.0, rate: 0.0 };
+        let point = OperatingPoint { phase: Phase::Start, executors: size, turnover: 0.0, rate: 0.0 };
         let mut ready: Vec<f64> = ready.iter().copied().map(millis).collect();
-        let ready = quantile(&mut ready, READY_SHARE);
-        campaign.figure(point, Measurement::ReadyAgain, NodeKind::Real, ready);
+        let ready = quantile(&mut ready, STARTUP_QUANTILE);
+        campaign.figure(point, Measurement::StartupTime, NodeKind::Real, ready);
         let peak = self.usage()?.iter().map(|usage| usage.peak_resident_bytes).max().unwrap_or(0);
         campaign.figure(point, Measurement::Memory, NodeKind::Real, peak as f64);
         Ok(())
@@ -69,7 +69,7 @@
         let cpu: f64 = usage.iter().map(|usage| millis(usage.cpu.saturating_sub(baseline.cpu))).sum();
         let resident = usage.iter().map(|usage| usage.resident_bytes).sum::<u64>() as f64 / nodes;
         let each = (resident - baseline.resident_bytes as f64) / self.fleet.size().max(1) as f64;
-        self.campaign.figure(point, Measurement::CpuOfWholeList, NodeKind::Real, cpu / nodes);
+        self.campaign.figure(point, Measurement::CpuPerFullList, NodeKind::Real, cpu / nodes);
         self.campaign.figure(point, Measurement::MemoryPerExecutor, NodeKind::Real, each);
         Ok(())
     }
@@ -82,20 +82,20 @@
     }
 
     /// Each node is told the whole list once more: what that costs.
-    pub(super) async fn measure_repeated_list(&self, point: Point) -> Result<(), RunError> {
-        let idle = self.idle_cpu(self.campaign.file.load.settle).await?;
+    pub(super) async fn measure_repeated_list(&self, point: OperatingPoint) -> Result<(), RunError> {
+        let idle = self.idle_cpu(self.campaign.file.load.settle_time).await?;
         let (before, began) = (self.cpu()?, Instant::now());
         self.nodes.iter().for_each(|node| node.agent.restart_with_whole_list());
         self.wait_told().await?;
-        sleep(AFTER_CHANGE).await;
+        sleep(EFFECT_TIME).await;
         let cost = self.cost_since(began, before, idle)?;
-        self.campaign.figure(point, Measurement::CpuOfWholeList, NodeKind::Real, cost);
+        self.campaign.figure(point, Measurement::CpuPerFullList, NodeKind::Real, cost);
         Ok(())
     }
 
     /// How many of the listed executors a node leaves out at most, as it tells operators; no figure where a node tells
     /// none.
-    pub(super) async fn emit_left_out(&self, point: Point) {
+    pub(super) async fn emit_left_out(&self, point: OperatingPoint) {
         let mut most = 0;
         for node in &self.nodes {
             let Ok(figures) = node.registry_figures().await else { return };
@@ -103,24 +103,24 @@
             most =
                 most.max(self.fleet.discovery().listed().saturating_sub(figures.kept)).max(figures.left_out);
         }
-        let point = Point { rate: 0.0, ..point };
-        self.campaign.figure(point, Measurement::LeftOut, NodeKind::Real, most as f64);
+        let point = OperatingPoint { rate: 0.0, ..point };
+        self.campaign.figure(point, Measurement::UnretainedExecutors, NodeKind::Real, most as f64);
     }
 
     /// Single executors drain and are ready again, one after the other.
     async fn measure_changes(&self) -> Result<(), RunError> {
         let point = self.point(Phase::Steady);
-        let idle = self.idle_cpu(self.campaign.file.load.settle).await?;
+        let idle = self.idle_cpu(self.campaign.file.load.settle_time).await?;
         let (before, began) = (self.cpu()?, Instant::now());
-        for change in 0..CHANGES {
+        for change in 0..LIST_CHANGES {
             let executor = change / 2 % self.fleet.size();
             let state = if change % 2 == 0 { State::Terminating } else { State::Ready };
             self.fleet.publish(executor..executor + 1, state);
             self.wait_told().await?;
         }
-        sleep(AFTER_CHANGE).await;
-        let cost = self.cost_since(began, before, idle)? / CHANGES as f64;
-        self.campaign.figure(point, Measurement::CpuOfChange, NodeKind::Real, cost);
+        sleep(EFFECT_TIME).await;
+        let cost = self.cost_since(began, before, idle)? / LIST_CHANGES as f64;
+        self.campaign.figure(point, Measurement::CpuPerListChange, NodeKind::Real, cost);
         self.emit_delays(point);
         Ok(())
     }
@@ -131,18 +131,18 @@
             return Ok(());
         }
         let point = self.point(phase);
-        let idle = self.idle_cpu(self.campaign.file.load.settle).await?;
+        let idle = self.idle_cpu(self.campaign.file.load.settle_time).await?;
         self.nodes.iter().for_each(|node| node.reset_peak());
         let (before, began) = (self.cpu()?, Instant::now());
         self.fleet.kill(0..executors).await;
         self.fleet.publish(0..executors, State::Gone);
         self.wait_told().await?;
-        sleep(AFTER_CHANGE).await;
+        sleep(EFFECT_TIME).await;
         self.fleet.return_cold(0..executors).await;
         self.wait_told().await?;
-        sleep(AFTER_CHANGE).await;
+        sleep(EFFECT_TIME).await;
         let cost = self.cost_since(began, before, idle)?;
-        self.campaign.figure(point, Measurement::CpuOfBurst, NodeKind::Real, cost);
+        self.campaign.figure(point, Measurement::CpuPerBurst, NodeKind::Real, cost);
         let peak = self.usage()?.iter().map(|usage| usage.peak_resident_bytes).max().unwrap_or(0);
         self.campaign.figure(point, Measurement::Memory, NodeKind::Real, peak as f64);
         self.emit_delays(point);
--- a/crates/scale/src/judge.rs
+++ b/crates/scale/src/evaluation.rs
@@ -1,38 +1,38 @@
 //! Holds the rows of a run against its bounds. A run holds where it was played to its end, each bounded measurement
 //! was measured wherever it must be, and none missed its bound.
 use crate::bounds::Bounds;
-use crate::row::{Breach, Figure, Measurement, NodeKind, Point, Row, figures, start_of};
+use crate::row::{Figure, Measurement, NodeKind, OperatingPoint, Row, RuleViolation, figures, start_of};
 
 /// What a run is held to, in the order of its table.
-pub const JUDGED: [Measurement; 12] = [
+pub const BOUNDED_MEASUREMENTS: [Measurement; 12] = [
     Measurement::LateOrMissingAnswers,
-    Measurement::DoubledAnswers,
+    Measurement::DuplicateAnswers,
     Measurement::RepeatedEffects,
     Measurement::SentAfterGrace,
-    Measurement::PushedOver,
-    Measurement::Told,
-    Measurement::ReadyAgain,
+    Measurement::SlowStartOverload,
+    Measurement::NotificationDelay,
+    Measurement::StartupTime,
     Measurement::CpuShare,
     Measurement::Memory,
     Measurement::ListBytes,
     Measurement::OpenSockets,
-    Measurement::LeftOut,
+    Measurement::UnretainedExecutors,
 ];
 
 /// How a measurement came off.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    Held,
-    Missed,
+    Passed,
+    Failed,
     /// There is nothing to judge by, which is no success.
     NotMeasured {
-        why: String,
+        reason: String,
     },
 }
 
 /// One measurement beside its bound.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Judgement {
+pub struct BoundCheck {
     pub measurement: Measurement,
     pub bound: f64,
     /// The figure that is farthest up.
@@ -47,34 +47,37 @@
 
 /// All judgements of a run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Judgements {
-    pub each: Vec<Judgement>,
+pub struct Evaluation {
+    pub checks: Vec<BoundCheck>,
     /// Whether the run was played to its end.
-    pub ended: bool,
+    pub is_complete: bool,
 }
 
-impl Judgements {
-    pub fn all_held(&self) -> bool {
-        self.ended && self.each.iter().all(|judgement| judgement.verdict == Verdict::Held)
+impl Evaluation {
+    pub fn has_passed(&self) -> bool {
+        self.is_complete && self.checks.iter().all(|judgement| judgement.verdict == Verdict::Passed)
     }
 }
 
 /// Judges rows; the bounds are those of their start, whatever stands beside a figure. None without a start.
-pub fn judge(rows: &[Row]) -> Option<Judgements> {
+pub fn evaluate(rows: &[Row]) -> Option<Evaluation> {
     let bounds = &start_of(rows)?.bounds;
     let evidence = Evidence::of(rows);
-    let each = JUDGED.into_iter().filter_map(|measurement| evidence.judge(measurement, bounds)).collect();
-    Some(Judgements { each, ended: matches!(rows.last(), Some(Row::End(_))) })
+    let checks = BOUNDED_MEASUREMENTS
+        .into_iter()
+        .filter_map(|measurement| evidence.check(measurement, bounds))
+        .collect();
+    Some(Evaluation { checks, is_complete: matches!(rows.last(), Some(Row::End(_))) })
 }
 
 /// What is judged, and where it must have been measured.
 struct Evidence<'a> {
     figures: Vec<&'a Figure>,
-    breaches: Vec<&'a Breach>,
+    breaches: Vec<&'a RuleViolation>,
     /// Where clients sent requests: there the rules and the budgets can be judged.
-    loaded: Vec<Point>,
+    loaded: Vec<OperatingPoint>,
     /// Where requests were completed, too.
-    served: Vec<Point>,
+    served: Vec<OperatingPoint>,
 }
 
 impl<'a> Evidence<'a> {
@@ -83,7 +86,7 @@
         let is_judged = |figure: &&Figure| matches!(figure.node, NodeKind::Real | NodeKind::All);
         let figures: Vec<&Figure> = figures(rows).filter(is_judged).collect();
         let breaches = rows.iter().filter_map(|row| match row {
-            Row::Breach(breach) => Some(breach),
+            Row::Violation(breach) => Some(breach),
             _ => None,
         });
         let points_with = |measurement| {
@@ -95,8 +98,8 @@
     }
 
     /// None where the measurement has no bound.
-    fn judge(&self, measurement: Measurement, bounds: &Bounds) -> Option<Judgement> {
-        let bound = bounds.of(measurement)?;
+    fn check(&self, measurement: Measurement, bounds: &Bounds) -> Option<BoundCheck> {
+        let bound = bounds.limit(measurement)?;
         let own: Vec<&Figure> =
             self.figures.iter().copied().filter(|figure| figure.measurement == measurement).collect();
         let over = own.iter().filter(|figure| figure.value > bound).count();
@@ -107,14 +110,14 @@
         };
         let missing = self.missing(measurement, &own);
         let verdict = if over > 0 || named > 0 {
-            Verdict::Missed
-        } else if let Some(why) = missing {
-            Verdict::NotMeasured { why }
+            Verdict::Failed
+        } else if let Some(reason) = missing {
+            Verdict::NotMeasured { reason }
         } else {
-            Verdict::Held
+            Verdict::Passed
         };
         let worst = own.iter().copied().max_by(|a, b| a.value.total_cmp(&b.value)).cloned();
-        Some(Judgement { measurement, bound, worst, judged: own.len(), over, named, verdict })
+        Some(BoundCheck { measurement, bound, worst, judged: own.len(), over, named, verdict })
     }
 
     /// Where a measurement is missing though it must have been made, or could not have shown a breach.
@@ -126,15 +129,15 @@
             return Some("no request was sent".into());
         }
         // These follow from a change or a start, which not every part of a run has.
-        if matches!(measurement, Measurement::Told | Measurement::ReadyAgain) {
+        if matches!(measurement, Measurement::NotificationDelay | Measurement::StartupTime) {
             return None;
         }
-        let place = |point: Point| match measurement {
+        let place = |point: OperatingPoint| match measurement {
             // Of a list, whatever the rate.
-            Measurement::LeftOut => Point { rate: 0.0, ..point },
+            Measurement::UnretainedExecutors => OperatingPoint { rate: 0.0, ..point },
             _ => point,
         };
-        let measured: Vec<Point> = own.iter().map(|figure| place(figure.point())).collect();
+        let measured: Vec<OperatingPoint> = own.iter().map(|figure| place(figure.point())).collect();
         if let Some(point) = self.loaded.iter().find(|point| !measured.contains(&place(**point))) {
             return Some(format!("there is no figure of {point}"));
         }
--- a/crates/scale/src/file.rs
+++ b/crates/scale/src/file.rs
@@ -29,7 +29,8 @@
     pub rules: Rules,
     pub bounds: BoundsSpec,
     pub bursts: Bursts,
-    pub troubles: Vec<Spanned<TroubleSpec>>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<Spanned<FaultSpec>>,
 }
 
 impl Default for ScaleFile {
@@ -47,7 +48,7 @@
             rules: Rules::default(),
             bounds: BoundsSpec::default(),
             bursts: Bursts::default(),
-            troubles: Vec::new(),
+            faults: Vec::new(),
         }
     }
 }
@@ -78,11 +79,11 @@
     /// Requests in a second at each real node.
     pub rates: Vec<f64>,
     /// Before each measurement, once the fleet is listed.
-    #[serde(with = "humantime_serde")]
-    pub settle: Duration,
+    #[serde(rename = "settle", with = "humantime_serde")]
+    pub settle_time: Duration,
     /// So long each point is measured.
-    #[serde(with = "humantime_serde")]
-    pub measure: Duration,
+    #[serde(rename = "measure", with = "humantime_serde")]
+    pub measurement_time: Duration,
 }
 
 impl Default for Load {
@@ -90,8 +91,8 @@
         Load {
             turnovers: vec![0.0, 2.0, 8.0, 20.0],
             rates: vec![10.0, 75.0, 176.0],
-            settle: Duration::from_secs(2),
-            measure: Duration::from_secs(8),
+            settle_time: Duration::from_secs(2),
+            measurement_time: Duration::from_secs(8),
         }
     }
 }
@@ -101,10 +102,11 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Requests {
     /// Tenants that send them, each as often as every other.
-    pub teams: usize,
+    #[serde(rename = "teams")]
+    pub tenants: usize,
     /// Mean work of one request.
-    #[serde(with = "humantime_serde")]
-    pub work: Duration,
+    #[serde(rename = "work", with = "humantime_serde")]
+    pub mean_service_time: Duration,
     #[serde(with = "humantime_serde")]
     pub latency_target: Duration,
     #[serde(with = "humantime_serde")]
@@ -116,8 +118,8 @@
 impl Default for Requests {
     fn default() -> Self {
         Requests {
-            teams: 160,
-            work: Duration::from_millis(40),
+            tenants: 160,
+            mean_service_time: Duration::from_millis(40),
             latency_target: Duration::from_millis(500),
             deadline: Duration::from_secs(3),
             at_most_once: 0.25,
@@ -174,14 +176,15 @@
 #[serde(deny_unknown_fields, default)]
 pub struct MeasuredRates {
     pub probes_per_request: f64,
-    pub pushes_per_request: f64,
+    #[serde(rename = "pushes_per_request")]
+    pub dispatches_per_request: f64,
     /// Share of probes and pushes that come over a connection of their own.
     pub new_connections: f64,
 }
 
 impl Default for MeasuredRates {
     fn default() -> Self {
-        MeasuredRates { probes_per_request: 1.0, pushes_per_request: 1.0, new_connections: 0.5 }
+        MeasuredRates { probes_per_request: 1.0, dispatches_per_request: 1.0, new_connections: 0.5 }
     }
 }
 
@@ -190,16 +193,16 @@
 #[serde(deny_unknown_fields, default)]
 pub struct BoundsSpec {
     /// From a change of the list to when a node has been told it.
-    #[serde(with = "humantime_serde")]
-    pub told: Duration,
+    #[serde(rename = "told", with = "humantime_serde")]
+    pub notification_delay: Duration,
     /// Nine in ten nodes that are started again are ready by then.
-    #[serde(with = "humantime_serde")]
-    pub ready: Duration,
+    #[serde(rename = "ready", with = "humantime_serde")]
+    pub startup: Duration,
 }
 
 impl Default for BoundsSpec {
     fn default() -> Self {
-        BoundsSpec { told: Duration::from_secs(6), ready: Duration::from_secs(10) }
+        BoundsSpec { notification_delay: Duration::from_secs(6), startup: Duration::from_secs(10) }
     }
 }
 
@@ -219,7 +222,7 @@
 
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// The replacements and deaths of a day, `factor` times as fast.
     BusyDay,
     /// All executors of a zone die at once, and start again cold.
@@ -231,20 +234,21 @@
 /// A trouble, on the largest fleet.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
-pub struct TroubleSpec {
-    pub kind: Option<TroubleKind>,
+pub struct FaultSpec {
+    pub kind: Option<FaultKind>,
     /// Busy day: executors that are replaced and that die, and the times by which the day is squeezed.
     pub replaced: Option<usize>,
     pub failed: Option<usize>,
     pub factor: Option<f64>,
     /// Zone lost: its executors, and after so long they are back.
     pub executors: Option<usize>,
-    #[serde(default, with = "humantime_serde")]
-    pub back: Option<Duration>,
+    #[serde(rename = "back", default, with = "humantime_serde")]
+    pub returns_after: Option<Duration>,
     /// Discovery silent: for so long, and the share of nodes that start again meanwhile.
-    #[serde(default, with = "humantime_serde")]
-    pub lasts: Option<Duration>,
-    pub restarted: Option<f64>,
+    #[serde(rename = "lasts", default, with = "humantime_serde")]
+    pub duration: Option<Duration>,
+    #[serde(rename = "restarted")]
+    pub restarted_share: Option<f64>,
 }
 
 impl ScaleFile {
--- a/crates/scale/src/file/check.rs
+++ b/crates/scale/src/file/check.rs
@@ -1,34 +1,34 @@
 //! The ranges that the values of a scale file must be in, and what must fit together.
-use super::{ScaleFile, TroubleKind, TroubleSpec};
+use super::{FaultKind, FaultSpec, ScaleFile};
 use bytesize::ByteSize;
 use std::time::Duration;
 use toml::Spanned;
 use troutknot_rehearsal::faults::Checker;
 use troutknot_rehearsal::scenario::millis;
 
-const MOST_EXECUTORS: usize = 50_000;
-const MOST_REAL_NODES: usize = 64;
+const MAX_EXECUTORS: usize = 50_000;
+const MAX_REAL_NODES: usize = 64;
 /// With the real ones as many as a request id has room for.
-const MOST_HOLLOW_NODES: usize = 256 - MOST_REAL_NODES;
+const MAX_HOLLOW_NODES: usize = 256 - MAX_REAL_NODES;
 /// Requests a second, of all real nodes together.
-const MOST_REQUEST_RATE: f64 = 20_000.0;
-const MOST_POINTS: usize = 1000;
-const LONGEST_RUN: Duration = Duration::from_secs(4 * 3600);
+const MAX_REQUEST_RATE: f64 = 20_000.0;
+const MAX_POINTS: usize = 1000;
+const MAX_TIME_LIMIT: Duration = Duration::from_secs(4 * 3600);
 
-impl TroubleKind {
+impl FaultKind {
     /// The keys that it needs beside `kind`.
     fn keys(self) -> &'static [&'static str] {
         match self {
-            TroubleKind::BusyDay => &["replaced", "failed", "factor"],
-            TroubleKind::ZoneLost => &["executors", "back"],
-            TroubleKind::DiscoverySilent => &["lasts", "restarted"],
+            FaultKind::BusyDay => &["replaced", "failed", "factor"],
+            FaultKind::ZoneLost => &["executors", "back"],
+            FaultKind::DiscoverySilent => &["lasts", "restarted"],
         }
     }
 }
 
 impl ScaleFile {
     pub(super) fn check(&self, checker: &mut Checker) {
-        if self.time_limit.is_zero() || self.time_limit > LONGEST_RUN {
+        if self.time_limit.is_zero() || self.time_limit > MAX_TIME_LIMIT {
             checker.fault(&(0..0), "time_limit", "`time_limit` is over 0s and up to 4h".into());
         }
         self.check_fleet(checker);
@@ -37,9 +37,9 @@
         self.check_nodes(checker);
         self.check_rules(checker);
         let bursts = checker.section("bursts");
-        checker.number(&bursts, "zone", self.bursts.zone as f64, 0.0..MOST_EXECUTORS as f64);
-        checker.number(&bursts, "region", self.bursts.region as f64, 0.0..MOST_EXECUTORS as f64);
-        self.troubles.iter().for_each(|trouble| self.check_trouble(checker, trouble));
+        checker.number(&bursts, "zone", self.bursts.zone as f64, 0.0..MAX_EXECUTORS as f64);
+        checker.number(&bursts, "region", self.bursts.region as f64, 0.0..MAX_EXECUTORS as f64);
+        self.faults.iter().for_each(|trouble| self.check_trouble(checker, trouble));
     }
 
     fn check_fleet(&self, checker: &mut Checker) {
@@ -48,7 +48,7 @@
             checker.fault(&at, "sizes", "`sizes` is empty; one size at least is needed".into());
         }
         for size in &self.fleet.sizes {
-            checker.number(&at, "sizes", *size as f64, 1.0..MOST_EXECUTORS as f64);
+            checker.number(&at, "sizes", *size as f64, 1.0..MAX_EXECUTORS as f64);
         }
         if self.fleet.sizes.windows(2).any(|pair| pair[0] >= pair[1]) {
             checker.fault(&at, "sizes", "`sizes` must grow from one to the next".into());
@@ -71,25 +71,25 @@
             checker.fault(&at, "turnovers", "`turnovers` must not fall from one to the next".into());
         }
         let highest = self.load.rates.iter().copied().fold(0.0, f64::max) * self.real_nodes.count as f64;
-        if highest > MOST_REQUEST_RATE {
+        if highest > MAX_REQUEST_RATE {
             let what = format!(
-                "{highest:.0} requests a second at all real nodes; up to {MOST_REQUEST_RATE} are allowed"
+                "{highest:.0} requests a second at all real nodes; up to {MAX_REQUEST_RATE} are allowed"
             );
             checker.fault(&at, "rates", what);
         }
         let points = self.fleet.sizes.len() * self.load.turnovers.len() * self.load.rates.len();
-        if points > MOST_POINTS {
+        if points > MAX_POINTS {
             checker.fault(
                 &at,
                 "rates",
-                format!("{points} points are measured; up to {MOST_POINTS} are allowed"),
+                format!("{points} points are measured; up to {MAX_POINTS} are allowed"),
             );
         }
-        if self.load.measure.is_zero() {
+        if self.load.measurement_time.is_zero() {
             checker.fault(&at, "measure", "`measure` is nothing; more than 0s is allowed".into());
         }
-        let needed = (self.load.settle + self.load.measure).saturating_mul(points as u32);
-        if points <= MOST_POINTS && needed > self.time_limit && !self.time_limit.is_zero() {
+        let needed = (self.load.settle_time + self.load.measurement_time).saturating_mul(points as u32);
+        if points <= MAX_POINTS && needed > self.time_limit && !self.time_limit.is_zero() {
             let what = format!(
                 "{points} points of `settle` and `measure` take {needed:?}; `time_limit` is {:?}",
                 self.time_limit
@@ -101,9 +101,9 @@
     fn check_requests(&self, checker: &mut Checker) {
         let at = checker.section("requests");
         let requests = &self.requests;
-        checker.number(&at, "teams", requests.teams as f64, 1.0..10_000.0);
+        checker.number(&at, "teams", requests.tenants as f64, 1.0..10_000.0);
         checker.number(&at, "at_most_once", requests.at_most_once, 0.0..1.0);
-        if requests.work.is_zero() {
+        if requests.mean_service_time.is_zero() {
             checker.fault(&at, "work", "`work` is nothing; more than 0s is allowed".into());
         }
         if requests.deadline.is_zero() || requests.latency_target > requests.deadline {
@@ -115,7 +115,7 @@
     fn check_nodes(&self, checker: &mut Checker) {
         let at = checker.section("real_nodes");
         let real = &self.real_nodes;
-        checker.number(&at, "count", real.count as f64, 1.0..MOST_REAL_NODES as f64);
+        checker.number(&at, "count", real.count as f64, 1.0..MAX_REAL_NODES as f64);
         checker.number(&at, "sockets", real.sockets as f64, 64.0..65536.0);
         checker.number(&at, "cpu_share", real.cpu_share, 0.0001..64.0);
         if !(ByteSize::mib(16)..=ByteSize::gib(4)).contains(&real.memory) {
@@ -130,7 +130,7 @@
         }
         let at = checker.section("hollow_nodes");
         let hollow = &self.hollow_nodes;
-        checker.number(&at, "count", hollow.count as f64, 0.0..MOST_HOLLOW_NODES as f64);
+        checker.number(&at, "count", hollow.count as f64, 0.0..MAX_HOLLOW_NODES as f64);
         checker.number(&at, "connections", hollow.connections as f64, 1.0..1024.0);
         if hollow.by_dispatcher > hollow.count {
             let what = format!(
@@ -141,7 +141,7 @@
         }
         let at = checker.section("hollow_nodes.measured");
         checker.number(&at, "probes_per_request", hollow.measured.probes_per_request, 0.0..100.0);
-        checker.number(&at, "pushes_per_request", hollow.measured.pushes_per_request, 0.0..3.0);
+        checker.number(&at, "pushes_per_request", hollow.measured.dispatches_per_request, 0.0..3.0);
         checker.number(&at, "new_connections", hollow.measured.new_connections, 0.0..1.0);
     }
 
@@ -156,12 +156,12 @@
             }
         }
         let at = checker.section("bounds");
-        for (key, span) in [("told", self.bounds.told), ("ready", self.bounds.ready)] {
+        for (key, span) in [("told", self.bounds.notification_delay), ("ready", self.bounds.startup)] {
             checker.number(&at, key, millis(span), 1.0..600_000.0);
         }
     }
 
-    fn check_trouble(&self, checker: &mut Checker, trouble: &Spanned<TroubleSpec>) {
+    fn check_trouble(&self, checker: &mut Checker, trouble: &Spanned<FaultSpec>) {
         let (at, trouble) = (trouble.span(), trouble.get_ref());
         let Some(kind) = trouble.kind else {
             let what = "a trouble needs a `kind`: `busy-day`, `zone-lost` or `discovery-silent`".into();
@@ -172,9 +172,9 @@
             ("failed", trouble.failed.is_some()),
             ("factor", trouble.factor.is_some()),
             ("executors", trouble.executors.is_some()),
-            ("back", trouble.back.is_some()),
-            ("lasts", trouble.lasts.is_some()),
-            ("restarted", trouble.restarted.is_some()),
+            ("back", trouble.returns_after.is_some()),
+            ("lasts", trouble.duration.is_some()),
+            ("restarted", trouble.restarted_share.is_some()),
         ];
         for (key, is_given) in given {
             let needed = kind.keys().contains(&key);
@@ -189,8 +189,8 @@
         checker.number(&at, "failed", trouble.failed.unwrap_or(0) as f64, 0.0..fleet);
         checker.number(&at, "factor", trouble.factor.unwrap_or(1.0), 1.0..86_400.0);
         checker.number(&at, "executors", trouble.executors.unwrap_or(1) as f64, 1.0..fleet);
-        checker.number(&at, "restarted", trouble.restarted.unwrap_or(0.0), 0.0..1.0);
-        for (key, span) in [("back", trouble.back), ("lasts", trouble.lasts)] {
+        checker.number(&at, "restarted", trouble.restarted_share.unwrap_or(0.0), 0.0..1.0);
+        for (key, span) in [("back", trouble.returns_after), ("lasts", trouble.duration)] {
             if span.is_some_and(|span| span.is_zero() || span > Duration::from_secs(600)) {
                 checker.fault(&at, key, format!("`{key}` is over 0s and up to 10m"));
             }
--- a/crates/scale/src/file/read.rs
+++ b/crates/scale/src/file/read.rs
@@ -5,7 +5,7 @@
 use troutknot_rehearsal::faults::{Fault, line_at};
 
 /// Faults of one file that are looked for; the rest of a file that is no scale file at all is not of use.
-const MOST_FAULTS: usize = 200;
+const MAX_FAULTS: usize = 200;
 
 /// Each statement that cannot be read is a fault and is left out, so that the
 /// next one is found, too. Nothing is read of what is no TOML.
@@ -16,7 +16,7 @@
     }
     let mut rest = text.to_string();
     let mut faults = Vec::new();
-    while faults.len() < MOST_FAULTS {
+    while faults.len() < MAX_FAULTS {
         let error = match toml::from_str(&rest) {
             Ok(scale) => return (Some(scale), faults),
             Err(error) => error,
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 /// A figure that is off the line by no more than this share of it is on the line, whatever the scatter of the others.
-const NEAR: f64 = 0.1;
+const RELATIVE_TOLERANCE: f64 = 0.1;
 /// Sizes that a line is drawn through before the next one is held against it.
-const SIZES_FOR_A_PREDICTION: usize = 3;
+const MIN_SIZES_FOR_PREDICTION: usize = 3;
 /// The 97.5% quantiles of Student's t distribution for 1 to 10 degrees of freedom; beyond, that of 10 is used.
 const T_QUANTILES: [f64; 10] = [12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228];
 
@@ -18,7 +18,7 @@
 
 /// A line through samples.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fit {
+pub struct LinearFit {
     /// For each executor.
     pub slope: f64,
     pub intercept: f64,
@@ -27,12 +27,12 @@
     pub r_squared: Option<f64>,
     /// By size, all that were fitted.
     pub samples: Vec<Sample>,
-    pub leaves: Option<Leaves>,
+    pub deviation: Option<Deviation>,
 }
 
 /// The smallest size at which values leave the line through the smaller ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Leaves {
+pub struct Deviation {
     pub executors: usize,
     pub value: f64,
     pub predicted: f64,
@@ -88,16 +88,16 @@
     }
 }
 
-impl Fit {
+impl LinearFit {
     /// None where there are not two sizes at least.
-    pub fn of(mut samples: Vec<Sample>) -> Option<Self> {
+    pub fn through(mut samples: Vec<Sample>) -> Option<Self> {
         samples.sort_by_key(|sample| sample.executors);
         let line = Line::through(&samples)?;
         let mean = samples.iter().map(|sample| sample.value).sum::<f64>() / samples.len() as f64;
         let variance: f64 = samples.iter().map(|sample| (sample.value - mean).powi(2)).sum();
         let r_squared = (variance > 0.0 && samples.len() > 2).then(|| 1.0 - line.residue / variance);
-        let leaves = find_leaves(&samples);
-        Some(Fit { slope: line.slope, intercept: line.intercept, r_squared, samples, leaves })
+        let deviation = find_deviation(&samples);
+        Some(LinearFit { slope: line.slope, intercept: line.intercept, r_squared, samples, deviation })
     }
 
     pub fn at(&self, executors: usize) -> f64 {
@@ -106,17 +106,17 @@
 }
 
 /// Holds each size against the line through all smaller ones; the samples are in the order of size.
-fn find_leaves(samples: &[Sample]) -> Option<Leaves> {
+fn find_deviation(samples: &[Sample]) -> Option<Deviation> {
     let mut sizes: Vec<usize> = samples.iter().map(|sample| sample.executors).collect();
     sizes.dedup();
-    for size in sizes.iter().skip(SIZES_FOR_A_PREDICTION) {
+    for size in sizes.iter().skip(MIN_SIZES_FOR_PREDICTION) {
         let below = samples.partition_point(|sample| sample.executors < *size);
         let at_size = samples[below..].iter().take_while(|sample| sample.executors == *size);
         let line = Line::through(&samples[..below])?;
         let predicted = line.at(*size);
-        let allowed = line.margin(*size).max(NEAR * predicted.abs());
+        let allowed = line.margin(*size).max(RELATIVE_TOLERANCE * predicted.abs());
         if let Some(off) = at_size.into_iter().find(|sample| (sample.value - predicted).abs() > allowed) {
-            return Some(Leaves { executors: *size, value: off.value, predicted });
+            return Some(Deviation { executors: *size, value: off.value, predicted });
         }
     }
     None
@@ -124,46 +124,46 @@
 
 /// What the figures of one line have in common: all but the size of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Series {
+pub struct SeriesKey {
     pub measurement: Measurement,
     pub phase: Phase,
     pub node: NodeKind,
-    turnover: Ordered,
-    rate: Ordered,
+    turnover: TotalOrder,
+    rate: TotalOrder,
 }
 
 /// A number with an order, for a key of a map.
 #[derive(Clone, Copy, Debug)]
-struct Ordered(f64);
+struct TotalOrder(f64);
 
-impl PartialEq for Ordered {
+impl PartialEq for TotalOrder {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Ordered {}
+impl Eq for TotalOrder {}
 
-impl PartialOrd for Ordered {
+impl PartialOrd for TotalOrder {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Ordered {
+impl Ord for TotalOrder {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
-impl Series {
+impl SeriesKey {
     pub fn of(figure: &Figure) -> Self {
-        Series {
+        SeriesKey {
             measurement: figure.measurement,
             phase: figure.phase,
             node: figure.node,
-            turnover: Ordered(figure.turnover),
-            rate: Ordered(figure.rate),
+            turnover: TotalOrder(figure.turnover),
+            rate: TotalOrder(figure.rate),
         }
     }
 
@@ -177,11 +177,11 @@
 }
 
 /// The samples of each series.
-pub fn series<'a>(figures: impl Iterator<Item = &'a Figure>) -> BTreeMap<Series, Vec<Sample>> {
-    let mut all: BTreeMap<Series, Vec<Sample>> = BTreeMap::new();
+pub fn group_into_series<'a>(figures: impl Iterator<Item = &'a Figure>) -> BTreeMap<SeriesKey, Vec<Sample>> {
+    let mut all: BTreeMap<SeriesKey, Vec<Sample>> = BTreeMap::new();
     for figure in figures {
         let sample = Sample { executors: figure.executors, value: figure.value };
-        all.entry(Series::of(figure)).or_default().push(sample);
+        all.entry(SeriesKey::of(figure)).or_default().push(sample);
     }
     all.values_mut().for_each(|samples| samples.sort_by_key(|sample| sample.executors));
     all
--- a/crates/scale/src/hollow_nodes/by_rates.rs
+++ b/crates/scale/src/hollow_nodes/by_rates.rs
@@ -54,7 +54,7 @@
             add(&self.shared.by_rates.requests, 1);
             let rates = self.shared.settings.rates;
             probes += rates.probes_per_request;
-            pushes += rates.pushes_per_request;
+            pushes += rates.dispatches_per_request;
             while probes >= 1.0 {
                 probes -= 1.0;
                 self.probe();
--- a/crates/scale/src/measurement.rs
+++ b/crates/scale/src/measurement.rs
@@ -2,7 +2,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What is measured. Each has one unit, and [`crate::bounds::Bounds::of`] says whether it has a bound.
+/// What is measured. Each has one unit, and [`crate::bounds::Bounds::limit`] says whether it has a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Measurement {
@@ -13,11 +13,14 @@
     /// Rule 3: pushes to an executor past the grace after the node was told that it drains or is gone.
     SentAfterGrace,
     /// Rule 4: cold executors that were sent more than they can take.
-    PushedOver,
+    #[serde(rename = "pushed-over")]
+    SlowStartOverload,
     /// From a change of the list to the node's having been told, the 99th percentile.
-    Told,
+    #[serde(rename = "told")]
+    NotificationDelay,
     /// From a node's start to its first answer on `/_health` with 200, nine in ten.
-    ReadyAgain,
+    #[serde(rename = "ready-again")]
+    StartupTime,
     /// Of one core.
     CpuShare,
     /// The most that was resident.
@@ -33,19 +36,25 @@
     LatencyP99,
     /// Sent in a second by one node.
     Probes,
-    Pushes,
+    #[serde(rename = "pushes")]
+    Dispatches,
     /// List lines that one node was told in a second.
     ListUpdates,
     /// Hollow nodes that are driven in this way (see [`crate::row::NodeKind`]).
-    Drivers,
+    #[serde(rename = "drivers")]
+    HollowNodeCount,
     /// Requests that were answered more than once.
-    DoubledAnswers,
+    #[serde(rename = "doubled-answers")]
+    DuplicateAnswers,
     /// Resident memory that each listed executor adds.
     MemoryPerExecutor,
     /// Processor time that a node needs for a whole list, for one changed entry, for a burst out and back.
-    CpuOfWholeList,
-    CpuOfChange,
-    CpuOfBurst,
+    #[serde(rename = "cpu-of-whole-list")]
+    CpuPerFullList,
+    #[serde(rename = "cpu-of-change")]
+    CpuPerListChange,
+    #[serde(rename = "cpu-of-burst")]
+    CpuPerBurst,
     /// Beside the idle node's, for each request.
     CpuPerRequest,
     ConnectionsPerRequest,
@@ -58,7 +67,8 @@
     ConfigMemory,
     ConfigDelay,
     /// Executors that a node reports it left out of its registry.
-    LeftOut,
+    #[serde(rename = "left-out")]
+    UnretainedExecutors,
     /// Distinct executors that were sent something.
     ReachedExecutors,
 }
@@ -93,9 +103,9 @@
         Measurement::LateOrMissingAnswers,
         Measurement::RepeatedEffects,
         Measurement::SentAfterGrace,
-        Measurement::PushedOver,
-        Measurement::Told,
-        Measurement::ReadyAgain,
+        Measurement::SlowStartOverload,
+        Measurement::NotificationDelay,
+        Measurement::StartupTime,
         Measurement::CpuShare,
         Measurement::Memory,
         Measurement::ListBytes,
@@ -105,14 +115,14 @@
         Measurement::LatencyMedian,
         Measurement::LatencyP99,
         Measurement::Probes,
-        Measurement::Pushes,
+        Measurement::Dispatches,
         Measurement::ListUpdates,
-        Measurement::Drivers,
-        Measurement::DoubledAnswers,
+        Measurement::HollowNodeCount,
+        Measurement::DuplicateAnswers,
         Measurement::MemoryPerExecutor,
-        Measurement::CpuOfWholeList,
-        Measurement::CpuOfChange,
-        Measurement::CpuOfBurst,
+        Measurement::CpuPerFullList,
+        Measurement::CpuPerListChange,
+        Measurement::CpuPerBurst,
         Measurement::CpuPerRequest,
         Measurement::ConnectionsPerRequest,
         Measurement::ProbesPerRequest,
@@ -120,34 +130,34 @@
         Measurement::ConfigCpu,
         Measurement::ConfigMemory,
         Measurement::ConfigDelay,
-        Measurement::LeftOut,
+        Measurement::UnretainedExecutors,
         Measurement::ReachedExecutors,
     ];
 
     pub fn unit(self) -> Unit {
         use Measurement::*;
         match self {
-            LateOrMissingAnswers | RepeatedEffects | SentAfterGrace | PushedOver => Unit::Count,
-            OpenSockets | Requests | Completed | Drivers => Unit::Count,
-            DoubledAnswers | ConnectionsPerRequest | ProbesPerRequest => Unit::Count,
-            LeftOut | ReachedExecutors => Unit::Count,
-            Told | ReadyAgain | LatencyMedian | LatencyP99 => Unit::Milliseconds,
-            CpuOfWholeList | CpuOfChange | CpuOfBurst => Unit::Milliseconds,
+            LateOrMissingAnswers | RepeatedEffects | SentAfterGrace | SlowStartOverload => Unit::Count,
+            OpenSockets | Requests | Completed | HollowNodeCount => Unit::Count,
+            DuplicateAnswers | ConnectionsPerRequest | ProbesPerRequest => Unit::Count,
+            UnretainedExecutors | ReachedExecutors => Unit::Count,
+            NotificationDelay | StartupTime | LatencyMedian | LatencyP99 => Unit::Milliseconds,
+            CpuPerFullList | CpuPerListChange | CpuPerBurst => Unit::Milliseconds,
             CpuPerRequest | ConfigCpu | ConfigDelay => Unit::Milliseconds,
             CpuShare => Unit::Cores,
             Memory | MemoryPerExecutor | ConfigMemory => Unit::Bytes,
             ListBytes | ExecutorBytes => Unit::BytesPerSecond,
-            Probes | Pushes | ListUpdates => Unit::PerSecond,
+            Probes | Dispatches | ListUpdates => Unit::PerSecond,
         }
     }
 
     /// The rule whose breaches it counts.
     pub fn rule(self) -> Option<u8> {
         match self {
-            Measurement::LateOrMissingAnswers | Measurement::DoubledAnswers => Some(1),
+            Measurement::LateOrMissingAnswers | Measurement::DuplicateAnswers => Some(1),
             Measurement::RepeatedEffects => Some(2),
             Measurement::SentAfterGrace => Some(3),
-            Measurement::PushedOver => Some(4),
+            Measurement::SlowStartOverload => Some(4),
             _ => None,
         }
     }
--- a/crates/scale/src/node_config.rs
+++ b/crates/scale/src/node_config.rs
@@ -50,7 +50,7 @@
             classes.push(self.class(ADDED_CLASS, "safe"));
         }
         let tenants: Vec<Value> =
-            (0..file.requests.teams).map(|team| json!({"name": tenant_name(team)})).collect();
+            (0..file.requests.tenants).map(|team| json!({"name": tenant_name(team)})).collect();
         let zones: Vec<String> = (0..self.zones).map(zone_name).collect();
         let settings = json!({
             "balancers": file.real_nodes.count + file.hollow_nodes.count, "me": self.node, "zone": 0,
--- a/crates/scale/src/real_node.rs
+++ b/crates/scale/src/real_node.rs
@@ -204,7 +204,7 @@
     let file = surroundings.file;
     ClientTerms {
         seed: file.seed,
-        tenants: file.requests.teams,
+        tenants: file.requests.tenants,
         deadline: file.requests.deadline,
         slack: file.rules.slack,
         at_most_once: file.requests.at_most_once,
--- a/crates/scale/src/row.rs
+++ b/crates/scale/src/row.rs
@@ -14,7 +14,8 @@
     Start(Start),
     Figure(Figure),
     /// A breach of one of the four rules, named; its count stands in a figure as well.
-    Breach(Breach),
+    #[serde(rename = "breach")]
+    Violation(RuleViolation),
     /// The last line of a run that was played to its end.
     End(End),
 }
@@ -32,7 +33,8 @@
     pub cores: usize,
     pub memory_bytes: u64,
     /// Times by which the troubles' day is squeezed; 1 where it is played as it is.
-    pub squeezed: f64,
+    #[serde(rename = "squeezed")]
+    pub time_compression: f64,
     pub bounds: Bounds,
 }
 
@@ -63,7 +65,7 @@
     /// A zone's or a region's executors change at once.
     ZoneBurst,
     RegionBurst,
-    /// Troubles, see [`crate::file::TroubleKind`].
+    /// Troubles, see [`crate::file::FaultKind`].
     BusyDay,
     ZoneLost,
     DiscoverySilent,
@@ -93,12 +95,13 @@
 /// A breach as the referee names it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Breach {
+pub struct RuleViolation {
     /// 1 to 4.
     pub rule: u8,
     pub name: String,
     pub phase: Phase,
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     pub at_seconds: f64,
 }
 
@@ -111,7 +114,7 @@
 
 /// Where a figure is measured: what does not change within one step of the campaign.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Point {
+pub struct OperatingPoint {
     pub phase: Phase,
     pub executors: usize,
     pub turnover: f64,
@@ -121,22 +124,22 @@
 impl Figure {
     /// A figure with its measurement's unit, and its bound beside it.
     pub fn new(
-        point: Point,
+        point: OperatingPoint,
         measurement: Measurement,
         node: NodeKind,
         value: f64,
         at_seconds: f64,
         bounds: &Bounds,
     ) -> Self {
-        let Point { phase, executors, turnover, rate } = point;
-        let (unit, bound) = (measurement.unit(), bounds.of(measurement));
+        let OperatingPoint { phase, executors, turnover, rate } = point;
+        let (unit, bound) = (measurement.unit(), bounds.limit(measurement));
         Figure { phase, measurement, executors, turnover, rate, value, unit, bound, node, at_seconds }
     }
 
     /// Where it was measured.
-    pub fn point(&self) -> Point {
+    pub fn point(&self) -> OperatingPoint {
         let Figure { phase, executors, turnover, rate, .. } = *self;
-        Point { phase, executors, turnover, rate }
+        OperatingPoint { phase, executors, turnover, rate }
     }
 }
 
@@ -146,9 +149,9 @@
     }
 }
 
-impl fmt::Display for Point {
+impl fmt::Display for OperatingPoint {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Point { phase, executors, turnover, rate } = self;
+        let OperatingPoint { phase, executors, turnover, rate } = self;
         write!(f, "{phase}, {executors} executors, turnover {turnover}, {rate}/s")
     }
 }
@@ -199,7 +202,7 @@
         Row::Figure(figure) if figure.unit != figure.measurement.unit() => {
             Err("a value has another unit than its measurement")
         }
-        Row::Breach(breach) if !(1..=4).contains(&breach.rule) => Err("there are four rules, 1 to 4"),
+        Row::Violation(breach) if !(1..=4).contains(&breach.rule) => Err("there are four rules, 1 to 4"),
         _ => Ok(()),
     }
 }
--- a/crates/scale/src/table.rs
+++ b/crates/scale/src/table.rs
@@ -1,7 +1,7 @@
 //! The table of a run: what it is held to, and each measurement over the size of the fleet.
-use crate::fit::{Fit, Sample, Series, series};
-use crate::judge::{Judgement, Judgements, Verdict, judge};
-use crate::row::{Breach, Measurement, NodeKind, Row, Start, Unit, figures, start_of};
+use crate::evaluation::{BoundCheck, Evaluation, Verdict, evaluate};
+use crate::fit::{LinearFit, Sample, SeriesKey, group_into_series};
+use crate::row::{Measurement, NodeKind, Row, RuleViolation, Start, Unit, figures, start_of};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
@@ -16,9 +16,9 @@
 const GREEN: &str = "\u{1b}[32m";
 const RESET: &str = "\u{1b}[0m";
 /// Breaches that are printed; the rows hold more.
-const MOST_BREACHES: usize = 20;
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 /// Slopes are told for so many executors.
-const SLOPE_PER: f64 = 1000.0;
+const SLOPE_UNIT_EXECUTORS: f64 = 1000.0;
 
 impl Style {
     fn good(self, text: &str) -> String {
@@ -38,14 +38,14 @@
 }
 
 /// The table of a run's rows; empty where they have no start.
-pub fn table(rows: &[Row], style: Style) -> String {
-    let (Some(start), Some(judgements)) = (start_of(rows), judge(rows)) else { return String::new() };
+pub fn render_table(rows: &[Row], style: Style) -> String {
+    let (Some(start), Some(judgements)) = (start_of(rows), evaluate(rows)) else { return String::new() };
     let mut out = String::new();
     write_start(&mut out, start);
     write_judgements(&mut out, &judgements, style);
     write_breaches(&mut out, rows);
     write_series(&mut out, start, rows, style);
-    let verdict = match (judgements.ended, judgements.all_held()) {
+    let verdict = match (judgements.is_complete, judgements.has_passed()) {
         (true, true) => style.good("all held"),
         (true, false) => style.bad("NOT all held"),
         (false, _) => style.bad("NOT all held: the run was not played to its end"),
@@ -56,41 +56,41 @@
 
 fn write_start(out: &mut String, start: &Start) {
     let commit = start.commit.as_deref().unwrap_or("unknown");
-    let Start { name, seed, version, cores, memory_bytes, squeezed, .. } = start;
+    let Start { name, seed, version, cores, memory_bytes, time_compression, .. } = start;
     let _ = writeln!(out, "{name} with seed {seed}: version {version}, commit {commit}");
     let memory = with_unit(*memory_bytes as f64, Unit::Bytes);
     let _ = writeln!(out, "machine: {cores} cores, {memory}");
-    if *squeezed > 1.0 {
-        let _ = writeln!(out, "a day of troubles is played {squeezed} times as fast");
+    if *time_compression > 1.0 {
+        let _ = writeln!(out, "a day of troubles is played {time_compression} times as fast");
     }
 }
 
-fn write_judgements(out: &mut String, judgements: &Judgements, style: Style) {
+fn write_judgements(out: &mut String, judgements: &Evaluation, style: Style) {
     let _ = writeln!(
         out,
         "\n{:<30} {:>12} {:>12} {:>8} {:>6}  {:<12} worst at",
         "held to", "bound", "worst", "figures", "over", "verdict"
     );
-    for judgement in &judgements.each {
+    for judgement in &judgements.checks {
         write_judgement(out, judgement, style);
     }
 }
 
-fn write_judgement(out: &mut String, judgement: &Judgement, style: Style) {
-    let Judgement { measurement, bound, worst, judged, over, named, verdict } = judgement;
+fn write_judgement(out: &mut String, judgement: &BoundCheck, style: Style) {
+    let BoundCheck { measurement, bound, worst, judged, over, named, verdict } = judgement;
     let rule = measurement.rule().map_or(String::new(), |rule| format!("rule {rule} "));
     let name = format!("{rule}{measurement}");
     let unit = measurement.unit();
     let value = worst.as_ref().map_or("-".into(), |figure| with_unit(figure.value, unit));
     // Padded before it is painted, as colours take no room.
     let told = match verdict {
-        Verdict::Held => style.good(&format!("{:<12}", "held")),
-        Verdict::Missed => style.bad(&format!("{:<12}", "MISSED")),
+        Verdict::Passed => style.good(&format!("{:<12}", "held")),
+        Verdict::Failed => style.bad(&format!("{:<12}", "MISSED")),
         Verdict::NotMeasured { .. } => style.bad(&format!("{:<12}", "NOT MEASURED")),
     };
     let place = match (verdict, worst) {
-        (Verdict::NotMeasured { why }, _) => why.clone(),
-        (Verdict::Missed, Some(figure)) if *over == 0 => {
+        (Verdict::NotMeasured { reason }, _) => reason.clone(),
+        (Verdict::Failed, Some(figure)) if *over == 0 => {
             format!("{}; {named} breaches are named", figure.point())
         }
         (_, Some(figure)) => figure.point().to_string(),
@@ -102,18 +102,20 @@
 
 fn write_breaches(out: &mut String, rows: &[Row]) {
     let breaches = rows.iter().filter_map(|row| match row {
-        Row::Breach(breach) => Some(breach),
+        Row::Violation(breach) => Some(breach),
         _ => None,
     });
-    let breaches: Vec<&Breach> = breaches.collect();
+    let breaches: Vec<&RuleViolation> = breaches.collect();
     if breaches.is_empty() {
         return;
     }
     let _ = writeln!(out, "\nbreaches");
-    for Breach { rule, name, phase, what, at_seconds } in breaches.iter().take(MOST_BREACHES) {
-        let _ = writeln!(out, "  rule {rule} {name} in {phase} at {at_seconds:.3} s: {what}");
+    for RuleViolation { rule, name, phase, description, at_seconds } in
+        breaches.iter().take(MAX_PRINTED_VIOLATIONS)
+    {
+        let _ = writeln!(out, "  rule {rule} {name} in {phase} at {at_seconds:.3} s: {description}");
     }
-    if let Some(more) = breaches.len().checked_sub(MOST_BREACHES).filter(|more| *more > 0) {
+    if let Some(more) = breaches.len().checked_sub(MAX_PRINTED_VIOLATIONS).filter(|more| *more > 0) {
         let _ = writeln!(out, "  and {more} more");
     }
 }
@@ -122,12 +124,13 @@
 type Group = (Measurement, NodeKind);
 
 fn write_series(out: &mut String, start: &Start, rows: &[Row], style: Style) {
-    let mut groups: BTreeMap<Group, Vec<(Series, Vec<Sample>)>> = BTreeMap::new();
-    for (of, samples) in series(figures(rows)) {
+    let mut groups: BTreeMap<Group, Vec<(SeriesKey, Vec<Sample>)>> = BTreeMap::new();
+    for (of, samples) in group_into_series(figures(rows)) {
         groups.entry((of.measurement, of.node)).or_default().push((of, samples));
     }
     for ((measurement, node), lines) in groups {
-        let bound = start.bounds.of(measurement).filter(|_| matches!(node, NodeKind::Real | NodeKind::All));
+        let bound =
+            start.bounds.limit(measurement).filter(|_| matches!(node, NodeKind::Real | NodeKind::All));
         write_group(out, measurement, node, bound, &lines, style);
     }
 }
@@ -137,7 +140,7 @@
     measurement: Measurement,
     node: NodeKind,
     bound: Option<f64>,
-    lines: &[(Series, Vec<Sample>)],
+    lines: &[(SeriesKey, Vec<Sample>)],
     style: Style,
 ) {
     let unit = measurement.unit();
@@ -167,21 +170,21 @@
 
 /// The line through the samples, and where they leave it.
 fn fit_cells(samples: &[Sample], unit: Unit) -> String {
-    let Some(fit) = Fit::of(samples.to_vec()) else {
+    let Some(fit) = LinearFit::through(samples.to_vec()) else {
         return format!("{:>12} {:>12} {:>6} {:>3}", "-", "-", "-", samples.len());
     };
     let r_squared = fit.r_squared.map_or("-".into(), |share| format!("{share:.3}"));
-    let leaves = fit.leaves.map_or(String::new(), |leaves| {
+    let deviation = fit.deviation.map_or(String::new(), |deviation| {
         format!(
             "  leaves the line at {}: {} where {} was expected",
-            leaves.executors,
-            number(leaves.value, unit),
-            number(leaves.predicted, unit)
+            deviation.executors,
+            number(deviation.value, unit),
+            number(deviation.predicted, unit)
         )
     });
     format!(
-        "{:>12} {:>12} {r_squared:>6} {:>3}{leaves}",
-        number(fit.slope * SLOPE_PER, unit),
+        "{:>12} {:>12} {r_squared:>6} {:>3}{deviation}",
+        number(fit.slope * SLOPE_UNIT_EXECUTORS, unit),
         number(fit.intercept, unit),
         fit.samples.len()
     )
--- a/crates/scale/tests/campaign.rs
+++ b/crates/scale/tests/campaign.rs
@@ -103,18 +103,18 @@
     );
     let zeros = [
         Measurement::LateOrMissingAnswers,
-        Measurement::DoubledAnswers,
+        Measurement::DuplicateAnswers,
         Measurement::RepeatedEffects,
         Measurement::SentAfterGrace,
-        Measurement::PushedOver,
-        Measurement::LeftOut,
+        Measurement::SlowStartOverload,
+        Measurement::UnretainedExecutors,
     ];
     for measurement in zeros {
         let values = of(measurement);
         assert!(!values.is_empty() && values.iter().all(|value| *value == 0.0), "{measurement:?} {values:?}");
     }
     let positive = [
-        Measurement::ReadyAgain,
+        Measurement::StartupTime,
         Measurement::Memory,
         Measurement::CpuShare,
         Measurement::ProbesPerRequest,
@@ -128,7 +128,7 @@
         let values = of(measurement);
         assert!(!values.is_empty() && values.iter().all(|value| *value > 0.0), "{measurement:?} {values:?}");
     }
-    assert!(!rows.iter().any(|row| matches!(row, Row::Breach(_))));
+    assert!(!rows.iter().any(|row| matches!(row, Row::Violation(_))));
 }
 
 #[test]
@@ -137,7 +137,7 @@
     let mut file = file(silence);
     // The silence alone, by the platform's own figures: discovery says something every 2 s while it is well, so a node
     // cannot know of a silence much sooner.
-    file.troubles.remove(0);
+    file.faults.remove(0);
     file.load.turnovers = vec![0.0];
     file.rules = ScaleFile::default().rules;
     let (rows, ended) = play(&file, own_node());
@@ -147,7 +147,7 @@
         let own = |f: &&&Figure| f.phase == Phase::DiscoverySilent && f.measurement == measurement;
         figures.iter().find(own).map(|figure| figure.value)
     };
-    assert!(in_silence(Measurement::ReadyAgain).is_some_and(|ready| ready < 10_000.0));
+    assert!(in_silence(Measurement::StartupTime).is_some_and(|ready| ready < 10_000.0));
     assert_eq!(in_silence(Measurement::LateOrMissingAnswers), Some(0.0));
     assert_eq!(in_silence(Measurement::SentAfterGrace), Some(0.0));
     assert!(in_silence(Measurement::Completed).is_some_and(|completed| completed > 0.0));
@@ -169,6 +169,6 @@
     file.time_limit = Duration::from_millis(300);
     let began = Instant::now();
     let (_, ended) = play(&file, own_node());
-    assert!(matches!(ended, Err(RunError::TimeLimit(_))), "{ended:?}");
+    assert!(matches!(ended, Err(RunError::TimeLimitExceeded(_))), "{ended:?}");
     assert!(began.elapsed() < Duration::from_secs(20));
 }
--- a/crates/scale/tests/common/mod.rs
+++ b/crates/scale/tests/common/mod.rs
@@ -1,13 +1,13 @@
 //! Rows of a run in which all held.
 use troutknot_scale::bounds::Bounds;
+use troutknot_scale::evaluation::BOUNDED_MEASUREMENTS;
 use troutknot_scale::file::ScaleFile;
-use troutknot_scale::judge::JUDGED;
-use troutknot_scale::row::{End, Figure, Measurement, NodeKind, Phase, Point, Row, Start};
+use troutknot_scale::row::{End, Figure, Measurement, NodeKind, OperatingPoint, Phase, Row, Start};
 
 pub const SIZES: [usize; 5] = [100, 1000, 5000, 10_000, 19_000];
 
 pub fn bounds() -> Bounds {
-    Bounds::of_file(&ScaleFile::default())
+    Bounds::from_file(&ScaleFile::default())
 }
 
 pub fn start() -> Start {
@@ -18,13 +18,13 @@
         commit: Some("abc1234".into()),
         cores: 8,
         memory_bytes: 16 << 30,
-        squeezed: 480.0,
+        time_compression: 480.0,
         bounds: bounds(),
     }
 }
 
 pub fn figure(executors: usize, measurement: Measurement, value: f64) -> Figure {
-    let point = Point { phase: Phase::Steady, executors, turnover: 2.0, rate: 75.0 };
+    let point = OperatingPoint { phase: Phase::Steady, executors, turnover: 2.0, rate: 75.0 };
     Figure::new(point, measurement, NodeKind::Real, value, 1.5, &bounds())
 }
 
@@ -34,8 +34,8 @@
     for size in SIZES {
         rows.push(Row::Figure(figure(size, Measurement::Requests, 600.0)));
         rows.push(Row::Figure(figure(size, Measurement::Completed, 590.0)));
-        for measurement in JUDGED {
-            let bound = bounds().of(measurement).expect("it is judged");
+        for measurement in BOUNDED_MEASUREMENTS {
+            let bound = bounds().limit(measurement).expect("it is judged");
             rows.push(Row::Figure(figure(size, measurement, bound)));
         }
     }
--- a/crates/scale/tests/judge.rs
+++ b/crates/scale/tests/evaluation.rs
@@ -1,14 +1,14 @@
-//! Judgements, each of which a row that is wrong on purpose must turn.
+//! Evaluation, each of which a row that is wrong on purpose must turn.
 mod common;
 
 use common::{SIZES, bounds, figure, good_rows, start};
-use troutknot_scale::judge::{JUDGED, Judgement, Verdict, judge};
-use troutknot_scale::row::{Breach, Measurement, NodeKind, Phase, Row};
+use troutknot_scale::evaluation::{BOUNDED_MEASUREMENTS, BoundCheck, Verdict, evaluate};
+use troutknot_scale::row::{Measurement, NodeKind, Phase, Row, RuleViolation};
 
 /// The judgements that did not hold.
-fn turned(rows: &[Row]) -> Vec<Judgement> {
-    let judgements = judge(rows).expect("the rows have a start");
-    judgements.each.into_iter().filter(|judgement| judgement.verdict != Verdict::Held).collect()
+fn turned(rows: &[Row]) -> Vec<BoundCheck> {
+    let judgements = evaluate(rows).expect("the rows have a start");
+    judgements.checks.into_iter().filter(|judgement| judgement.verdict != Verdict::Passed).collect()
 }
 
 /// Changes the figure of a measurement at the largest size.
@@ -24,38 +24,38 @@
 
 #[test]
 fn rows_at_their_bounds_hold() {
-    let judgements = judge(&good_rows()).unwrap();
-    assert!(judgements.all_held(), "{judgements:#?}");
-    assert_eq!(judgements.each.len(), JUDGED.len());
-    assert!(judgements.each.iter().all(|judgement| judgement.judged == SIZES.len()));
+    let judgements = evaluate(&good_rows()).unwrap();
+    assert!(judgements.has_passed(), "{judgements:#?}");
+    assert_eq!(judgements.checks.len(), BOUNDED_MEASUREMENTS.len());
+    assert!(judgements.checks.iter().all(|judgement| judgement.judged == SIZES.len()));
 }
 
 #[test]
 fn a_figure_over_its_bound_misses_that_bound_and_no_other() {
-    for measurement in JUDGED {
+    for measurement in BOUNDED_MEASUREMENTS {
         let rows = mutate(measurement, |value| *value = *value * 1.01 + 1e-3);
         let turned = turned(&rows);
         assert_eq!(turned.len(), 1, "{measurement}: {turned:#?}");
-        assert_eq!((turned[0].measurement, turned[0].verdict.clone()), (measurement, Verdict::Missed));
+        assert_eq!((turned[0].measurement, turned[0].verdict.clone()), (measurement, Verdict::Failed));
         assert_eq!((turned[0].over, turned[0].judged), (1, SIZES.len()));
         assert_eq!(turned[0].worst.as_ref().unwrap().executors, 19_000);
-        assert!(!judge(&rows).unwrap().all_held());
+        assert!(!evaluate(&rows).unwrap().has_passed());
     }
 }
 
 #[test]
 fn each_bounded_measurement_is_judged() {
-    let bounded = Measurement::ALL.into_iter().filter(|of| bounds().of(*of).is_some());
+    let bounded = Measurement::ALL.into_iter().filter(|of| bounds().limit(*of).is_some());
     let mut bounded: Vec<Measurement> = bounded.collect();
     bounded.sort();
-    let mut judged = JUDGED.to_vec();
+    let mut judged = BOUNDED_MEASUREMENTS.to_vec();
     judged.sort();
     assert_eq!(bounded, judged);
 }
 
 #[test]
 fn a_measurement_that_was_never_made_does_not_hold() {
-    for measurement in JUDGED {
+    for measurement in BOUNDED_MEASUREMENTS {
         let mut rows = good_rows();
         rows.retain(|row| !matches!(row, Row::Figure(figure) if figure.measurement == measurement));
         let turned = turned(&rows);
@@ -68,17 +68,18 @@
 #[test]
 fn a_measurement_that_is_missing_at_one_size_does_not_hold() {
     // What follows from a change or a start is not measured in each part of a run.
-    let everywhere =
-        JUDGED.into_iter().filter(|of| !matches!(of, Measurement::Told | Measurement::ReadyAgain));
+    let everywhere = BOUNDED_MEASUREMENTS
+        .into_iter()
+        .filter(|of| !matches!(of, Measurement::NotificationDelay | Measurement::StartupTime));
     for measurement in everywhere {
         let mut rows = good_rows();
         rows.retain(|row| {
             !matches!(row, Row::Figure(figure) if figure.measurement == measurement && figure.executors == 5000)
         });
         let turned = turned(&rows);
-        let why = "there is no figure of steady, 5000 executors, turnover 2, 75/s".to_string();
+        let reason = "there is no figure of steady, 5000 executors, turnover 2, 75/s".to_string();
         assert_eq!(turned.len(), 1, "{measurement}: {turned:#?}");
-        assert_eq!(turned[0].verdict, Verdict::NotMeasured { why });
+        assert_eq!(turned[0].verdict, Verdict::NotMeasured { reason });
     }
 }
 
@@ -92,15 +93,16 @@
             figure.value = 0.0;
         }
     }
-    assert_eq!(turned(&rows).len(), JUDGED.len());
+    assert_eq!(turned(&rows).len(), BOUNDED_MEASUREMENTS.len());
 }
 
 #[test]
 fn a_rule_that_nothing_could_break_does_not_hold() {
     let rows = mutate(Measurement::Completed, |value| *value = 0.0);
-    let why = "nothing was completed in steady, 19000 executors, turnover 2, 75/s".to_string();
-    let expected = [Measurement::RepeatedEffects, Measurement::SentAfterGrace, Measurement::PushedOver]
-        .map(|measurement| (measurement, Verdict::NotMeasured { why: why.clone() }));
+    let reason = "nothing was completed in steady, 19000 executors, turnover 2, 75/s".to_string();
+    let expected =
+        [Measurement::RepeatedEffects, Measurement::SentAfterGrace, Measurement::SlowStartOverload]
+            .map(|measurement| (measurement, Verdict::NotMeasured { reason: reason.clone() }));
     let turned = turned(&rows).into_iter().map(|judgement| (judgement.measurement, judgement.verdict));
     assert_eq!(turned.collect::<Vec<_>>(), expected);
 }
@@ -115,32 +117,35 @@
     }
     let turned = turned(&rows);
     // All that is judged wherever requests were sent.
-    assert_eq!(turned.len(), JUDGED.len() - 2);
-    let why = "there is no figure of steady, 5000 executors, turnover 8, 75/s".to_string();
-    assert!(turned.iter().all(|one| one.verdict == Verdict::NotMeasured { why: why.clone() }), "{turned:#?}");
+    assert_eq!(turned.len(), BOUNDED_MEASUREMENTS.len() - 2);
+    let reason = "there is no figure of steady, 5000 executors, turnover 8, 75/s".to_string();
+    assert!(
+        turned.iter().all(|one| one.verdict == Verdict::NotMeasured { reason: reason.clone() }),
+        "{turned:#?}"
+    );
 }
 
 #[test]
 fn a_breach_that_is_named_turns_its_rule_though_its_count_is_0() {
     let counts = [
-        (1, vec![Measurement::LateOrMissingAnswers, Measurement::DoubledAnswers]),
+        (1, vec![Measurement::LateOrMissingAnswers, Measurement::DuplicateAnswers]),
         (2, vec![Measurement::RepeatedEffects]),
         (3, vec![Measurement::SentAfterGrace]),
-        (4, vec![Measurement::PushedOver]),
+        (4, vec![Measurement::SlowStartOverload]),
     ];
     for (rule, expected) in counts {
         let mut rows = good_rows();
-        let breach = Breach {
+        let breach = RuleViolation {
             rule,
             name: "wrong-on-purpose".into(),
             phase: Phase::BusyDay,
-            what: "a test".into(),
+            description: "a test".into(),
             at_seconds: 1.0,
         };
-        rows.insert(1, Row::Breach(breach));
+        rows.insert(1, Row::Violation(breach));
         let turned = turned(&rows);
         assert_eq!(turned.iter().map(|one| one.measurement).collect::<Vec<_>>(), expected);
-        assert!(turned.iter().all(|one| one.named == 1 && one.verdict == Verdict::Missed));
+        assert!(turned.iter().all(|one| one.named == 1 && one.verdict == Verdict::Failed));
     }
 }
 
@@ -164,7 +169,7 @@
     assert!(turned(&rows).is_empty());
     for row in &mut rows {
         if let Row::Figure(figure) = row
-            && figure.measurement == Measurement::PushedOver
+            && figure.measurement == Measurement::SlowStartOverload
         {
             figure.node = NodeKind::HollowByRates;
         }
@@ -176,12 +181,12 @@
 fn a_run_that_was_not_played_to_its_end_does_not_hold() {
     let mut rows = good_rows();
     rows.pop();
-    let judgements = judge(&rows).unwrap();
-    assert!(turned(&rows).is_empty() && !judgements.ended && !judgements.all_held());
+    let judgements = evaluate(&rows).unwrap();
+    assert!(turned(&rows).is_empty() && !judgements.is_complete && !judgements.has_passed());
 }
 
 #[test]
 fn rows_without_a_start_are_not_judged() {
-    assert_eq!(judge(&good_rows()[1..]), None);
-    assert!(!judge(&[Row::Start(start())]).unwrap().all_held());
+    assert_eq!(evaluate(&good_rows()[1..]), None);
+    assert!(!evaluate(&[Row::Start(start())]).unwrap().has_passed());
 }
--- a/crates/scale/tests/file.rs
+++ b/crates/scale/tests/file.rs
@@ -2,7 +2,7 @@
 use bytesize::ByteSize;
 use std::path::Path;
 use std::time::Duration;
-use troutknot_scale::file::{ScaleFile, TroubleKind};
+use troutknot_scale::file::{FaultKind, ScaleFile};
 
 /// What a file with faults is told, a line each.
 fn faults(text: &str) -> Vec<String> {
@@ -38,12 +38,12 @@
     assert_eq!(file.fleet.sizes, [100, 1000, 5000, 10_000, 19_000]);
     assert_eq!(file.load.turnovers, [0.0, 2.0, 8.0, 20.0]);
     assert_eq!(file.load.rates, [10.0, 75.0, 176.0]);
-    assert_eq!((file.requests.teams, file.bursts.zone, file.bursts.region), (160, 613, 2111));
+    assert_eq!((file.requests.tenants, file.bursts.zone, file.bursts.region), (160, 613, 2111));
     let node = &file.real_nodes;
     assert_eq!((node.memory, node.bytes_per_second), (ByteSize::mib(128), ByteSize::kb(11)));
-    assert_eq!((node.cpu_share, file.bounds.ready), (0.027, Duration::from_secs(10)));
+    assert_eq!((node.cpu_share, file.bounds.startup), (0.027, Duration::from_secs(10)));
     assert_eq!(file.real_nodes.count + file.hollow_nodes.count, 160);
-    assert!(file.troubles.is_empty());
+    assert!(file.faults.is_empty());
 }
 
 #[test]
@@ -55,11 +55,11 @@
     assert!(fault(text).starts_with("run.toml:9: `executors` is 5; 1 to 1 is allowed"), "{}", fault(text));
     let file = ScaleFile::parse(&text.replace("sizes = [1]", "sizes = [9]").replace("2m", "1h"), "run.toml");
     let file = file.unwrap();
-    assert_eq!(file.load.settle, Duration::from_millis(250));
+    assert_eq!(file.load.settle_time, Duration::from_millis(250));
     assert_eq!(file.real_nodes.memory.as_u64(), 64 * 1024 * 1024);
     assert_eq!(file.real_nodes.bytes_per_second.as_u64(), 2000);
-    assert_eq!(file.troubles[0].get_ref().kind, Some(TroubleKind::ZoneLost));
-    assert_eq!(file.troubles[0].get_ref().back, Some(Duration::from_millis(1500)));
+    assert_eq!(file.faults[0].get_ref().kind, Some(FaultKind::ZoneLost));
+    assert_eq!(file.faults[0].get_ref().returns_after, Some(Duration::from_millis(1500)));
 }
 
 #[test]
--- a/crates/scale/tests/hollow_nodes.rs
+++ b/crates/scale/tests/hollow_nodes.rs
@@ -120,7 +120,7 @@
         first_number: 2,
         by_dispatcher,
         by_rates,
-        rates: MeasuredRates { probes_per_request: 2.0, pushes_per_request: 1.0, new_connections: 1.0 },
+        rates: MeasuredRates { probes_per_request: 2.0, dispatches_per_request: 1.0, new_connections: 1.0 },
         connections: 8,
         discovery: vec![discovery],
         node_settings: node_settings(),
--- a/crates/scale/tests/preflight.rs
+++ b/crates/scale/tests/preflight.rs
@@ -36,7 +36,7 @@
     for (of_executors, of_others, worker, available, expected) in cases {
         let placed = place(of_executors, of_others, worker.as_ref(), |_| available);
         assert!(
-            matches!(placed, Err(RunError::TooLittle { what: Resource::FileDescriptors, needed, .. })
+            matches!(placed, Err(RunError::InsufficientResources { resource: Resource::FileDescriptors, needed, .. })
                 if needed == expected),
             "{of_executors} and {of_others} of {available}: {placed:?}"
         );
--- a/crates/scale/tests/row.rs
+++ b/crates/scale/tests/row.rs
@@ -2,8 +2,10 @@
 mod common;
 
 use common::{figure, good_rows, start};
-use troutknot_scale::row::{Breach, End, Measurement, Phase, ReadError, Row, Unit, figures, read_rows};
-use troutknot_scale::table::{Style, table};
+use troutknot_scale::row::{
+    End, Measurement, Phase, ReadError, Row, RuleViolation, Unit, figures, read_rows,
+};
+use troutknot_scale::table::{Style, render_table};
 
 fn lines(rows: &[Row]) -> String {
     rows.iter().map(|row| format!("{row}\n")).collect()
@@ -16,14 +18,14 @@
 #[test]
 fn what_is_written_is_read_again() {
     let mut rows = good_rows();
-    let breach = Breach {
+    let breach = RuleViolation {
         rule: 3,
         name: "sent-after-grace".into(),
         phase: Phase::ZoneLost,
-        what: "sent to s-00007, \"told\" 3 s before".into(),
+        description: "sent to s-00007, \"told\" 3 s before".into(),
         at_seconds: 2.25,
     };
-    rows.insert(4, Row::Breach(breach));
+    rows.insert(4, Row::Violation(breach));
     assert_eq!(read_rows(lines(&rows).as_bytes()).unwrap(), rows);
 }
 
@@ -45,7 +47,7 @@
 #[test]
 fn what_is_no_run_is_refused_with_its_line() {
     let start = Row::Start(start()).to_string();
-    let figure = Row::Figure(figure(100, Measurement::Told, 3.0)).to_string();
+    let figure = Row::Figure(figure(100, Measurement::NotificationDelay, 3.0)).to_string();
     let end = Row::End(End { at_seconds: 1.0 }).to_string();
     let cases = [
         (String::new(), "line 1: there are no rows"),
@@ -83,7 +85,7 @@
         }
         let rows = read_rows(std::fs::read(&path).unwrap().as_slice());
         let rows = rows.unwrap_or_else(|why| panic!("{}: {why}", path.display()));
-        assert!(table(&rows, Style::Plain).contains("all held"), "{}", path.display());
+        assert!(render_table(&rows, Style::Plain).contains("all held"), "{}", path.display());
         count += 1;
     }
     assert!(count >= 9);
--- a/crates/scale/tests/table.rs
+++ b/crates/scale/tests/table.rs
@@ -2,8 +2,8 @@
 mod common;
 
 use common::{figure, good_rows};
-use troutknot_scale::row::{Breach, Figure, Measurement, NodeKind, Phase, Row};
-use troutknot_scale::table::{Style, table};
+use troutknot_scale::row::{Figure, Measurement, NodeKind, Phase, Row, RuleViolation};
+use troutknot_scale::table::{Style, render_table};
 
 /// The line of the table that begins so.
 fn line<'a>(table: &'a str, begin: &str) -> &'a str {
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_run_that_held_says_so_with_each_bound() {
-    let table = table(&good_rows(), Style::Plain);
+    let table = render_table(&good_rows(), Style::Plain);
     assert!(
         table.starts_with("test with seed 7: version 0.1.0, commit abc1234\nmachine: 8 cores, 16384 MiB\n")
     );
@@ -34,7 +34,7 @@
 fn what_missed_its_bound_is_marked_and_placed() {
     let mut rows = good_rows();
     rows.insert(1, Row::Figure(figure(19_000, Measurement::ListBytes, 12_345.0)));
-    let table = table(&rows, Style::Plain);
+    let table = render_table(&rows, Style::Plain);
     let missed = line(&table, "list-bytes ");
     assert!(missed.contains("11 KB/s    12.3 KB/s        6      1  MISSED"), "{missed}");
     assert!(missed.ends_with("steady, 19000 executors, turnover 2, 75/s"), "{missed}");
@@ -46,16 +46,16 @@
 fn breaches_are_named_and_turn_their_rule() {
     let mut rows = good_rows();
     for number in 0..25 {
-        let breach = Breach {
+        let breach = RuleViolation {
             rule: 4,
             name: "pushed-over".into(),
             phase: Phase::ZoneLost,
-            what: format!("executor {number}"),
+            description: format!("executor {number}"),
             at_seconds: 3.5,
         };
-        rows.insert(1, Row::Breach(breach));
+        rows.insert(1, Row::Violation(breach));
     }
-    let table = table(&rows, Style::Plain);
+    let table = render_table(&rows, Style::Plain);
     assert!(table.contains("  rule 4 pushed-over in zone-lost at 3.500 s: executor 24\n"), "{table}");
     assert!(table.contains("  and 5 more\n"), "{table}");
     let rule = line(&table, "rule 4 pushed-over");
@@ -66,8 +66,10 @@
 fn what_was_not_measured_and_what_was_not_ended_is_said() {
     let mut rows = good_rows();
     rows.pop();
-    rows.retain(|row| !matches!(row, Row::Figure(figure) if figure.measurement == Measurement::Told));
-    let table = table(&rows, Style::Plain);
+    rows.retain(
+        |row| !matches!(row, Row::Figure(figure) if figure.measurement == Measurement::NotificationDelay),
+    );
+    let table = render_table(&rows, Style::Plain);
     let told = line(&table, "told ");
     assert!(told.contains("NOT MEASURED there is no figure"), "{told}");
     assert!(table.ends_with("NOT all held: the run was not played to its end\n"), "{table}");
@@ -81,7 +83,7 @@
         Row::Figure(Figure { node: NodeKind::HollowByRates, ..probes })
     };
     common::SIZES.iter().for_each(|size| rows.insert(1, hollow(*size)));
-    let table = table(&rows, Style::Plain);
+    let table = render_table(&rows, Style::Plain);
     let mut lines =
         table.lines().skip_while(|line| !line.starts_with("probes, node hollow-by-rates, 1/s, no bound"));
     lines.next().unwrap();
@@ -105,20 +107,20 @@
         let value = if size == 19_000 { 900.0 } else { size as f64 / 100.0 };
         rows.insert(1, Row::Figure(figure(size, Measurement::LatencyP99, value)));
     }
-    let table = table(&rows, Style::Plain);
+    let table = render_table(&rows, Style::Plain);
     assert!(table.contains("leaves the line at 19000: 900 where 190 was expected"), "{table}");
 }
 
 #[test]
 fn colours_come_only_where_they_are_asked_for() {
     let mut rows = good_rows();
-    assert!(table(&rows, Style::Coloured).contains("\u{1b}[32mall held\u{1b}[0m"));
-    rows.insert(1, Row::Figure(figure(100, Measurement::Told, 1e9)));
-    assert!(table(&rows, Style::Coloured).contains("\u{1b}[31mNOT all held\u{1b}[0m"));
-    assert!(!table(&rows, Style::Plain).contains('\u{1b}'));
+    assert!(render_table(&rows, Style::Coloured).contains("\u{1b}[32mall held\u{1b}[0m"));
+    rows.insert(1, Row::Figure(figure(100, Measurement::NotificationDelay, 1e9)));
+    assert!(render_table(&rows, Style::Coloured).contains("\u{1b}[31mNOT all held\u{1b}[0m"));
+    assert!(!render_table(&rows, Style::Plain).contains('\u{1b}'));
 }
 
 #[test]
 fn rows_without_a_start_have_no_table() {
-    assert_eq!(table(&good_rows()[1..], Style::Plain), "");
+    assert_eq!(render_table(&good_rows()[1..], Style::Plain), "");
 }
