--- a/crates/scale/src/bounds.rs
+++ b/crates/scale/src/bounds.rs
@@ -3,8 +3,8 @@
 use crate::measurement::Measurement;
 use serde::{Deserialize, Serialize};
 
-/// Upper bound of each bounded measurement, in the unit of that measurement. The first row of a run contains the bounds,
-/// so that its rows can be evaluated without the scale file.
+/// Upper bound of each bounded measurement, in the unit of that measurement. The first row of a run contains the
+/// bounds, so that its rows can be evaluated without the scale file.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
--- a/crates/scale/src/evaluation.rs
+++ b/crates/scale/src/evaluation.rs
@@ -1,5 +1,5 @@
-//! Evaluates the rows of a run against its bounds. A run passes if it is complete, if each bounded measurement was taken
-//! at every operating point that requires it, and if no measurement exceeds its bound.
+//! Evaluates the rows of a run against its bounds. A run passes if it is complete, if each bounded measurement was
+//! taken at every operating point that requires it, and if no measurement exceeds its bound.
 use crate::bounds::Bounds;
 use crate::row::{Figure, Measurement, NodeKind, OperatingPoint, Row, RuleViolation, figures, start_of};
 
--- a/crates/scale/src/fault_plan.rs
+++ b/crates/scale/src/fault_plan.rs
@@ -68,8 +68,8 @@
 }
 
 impl PlanScope {
-    /// Takes the scope from a scale file. The recovery time covers the grace of draining executors, the deadline of open
-    /// requests and the slow start of new executors.
+    /// Takes the scope from a scale file. The recovery time covers the grace of draining executors, the deadline of
+    /// open requests and the slow start of new executors.
     pub fn from_file(file: &ScaleFile) -> Self {
         let real_nodes = file.real_nodes.count;
         let nodes = real_nodes + file.hollow_nodes.count;
@@ -79,8 +79,8 @@
 }
 
 impl FaultPlan {
-    /// Generates a plan; equal seeds give equal plans. Returns `None` if the fault has no kind, which the check of a scale
-    /// file rejects.
+    /// Generates a plan; equal seeds give equal plans. Returns `None` if the fault has no kind, which the check of a
+    /// scale file rejects.
     pub fn generate(spec: &FaultSpec, scope: PlanScope, seed: u64) -> Option<Self> {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         Some(match spec.kind? {
--- a/crates/scale/src/file.rs
+++ b/crates/scale/src/file.rs
@@ -1,5 +1,5 @@
-//! Scale files, which configure a scale run. A file is checked completely before anything starts, and all its errors are
-//! reported at once, each with its line and the allowed values.
+//! Scale files, which configure a scale run. A file is checked completely before anything starts, and all its errors
+//! are reported at once, each with its line and the allowed values.
 mod check;
 mod read;
 
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -24,8 +24,8 @@
     pub slope: f64,
     /// Value of the line at a fleet size of 0.
     pub intercept: f64,
-    /// Coefficient of determination; `None` if all values are equal, or if there are only two samples, since a line always
-    /// fits two samples exactly.
+    /// Coefficient of determination; `None` if all values are equal, or if there are only two samples, since a line
+    /// always fits two samples exactly.
     pub r_squared: Option<f64>,
     /// The samples, ordered by fleet size.
     pub samples: Vec<Sample>,
--- a/crates/scale/tests/fault_plan.rs
+++ b/crates/scale/tests/fault_plan.rs
@@ -1,4 +1,5 @@
-//! Plans of troubles: the same from the same seed, whole, in order, and as many steps as the file says.
+//! Fault plans: guards against plans that differ between runs with the same seed, or whose steps are missing,
+//! repeated, out of order or outside their scope.
 use std::collections::BTreeSet;
 use std::time::Duration;
 use troutknot_scale::fault_plan::{Action, FaultPlan, LEAD_TIME, PlanScope, Step};
@@ -18,14 +19,14 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_plan_and_another_one_another() {
-    let draw = |seed| FaultPlan::generate(&busy_day(), SCOPE, seed).unwrap();
-    assert_eq!(draw(7), draw(7));
-    assert_ne!(draw(7), draw(8));
+fn equal_seeds_give_equal_plans_and_other_seeds_give_other_plans() {
+    let generate = |seed| FaultPlan::generate(&busy_day(), SCOPE, seed).unwrap();
+    assert_eq!(generate(7), generate(7));
+    assert_ne!(generate(7), generate(8));
 }
 
 #[test]
-fn a_busy_day_is_squeezed_and_touches_each_executor_once() {
+fn a_busy_day_is_compressed_and_affects_no_executor_twice() {
     let plan = FaultPlan::generate(&busy_day(), SCOPE, 3).unwrap();
     let mut replaced = BTreeSet::new();
     let mut failed = BTreeSet::new();
@@ -33,40 +34,41 @@
         match step.action {
             Action::Replace(executor) => assert!(replaced.insert(executor)),
             Action::Fail(executor) => assert!(failed.insert(executor)),
-            ref other => panic!("{other:?} is no step of a busy day"),
+            ref other => panic!("{other:?} is not an action of a busy day"),
         }
     }
     assert_eq!((replaced.len(), failed.len()), (1500, 270));
     assert!(replaced.is_disjoint(&failed));
     assert!(replaced.iter().chain(&failed).all(|executor| *executor < SCOPE.executors));
     assert!(plan.steps.windows(2).all(|pair| pair[0].at <= pair[1].at));
-    // 24 h by 480 are 180 s; that 1,770 times all fall into the first 170 s of them has no chance.
+    // 24 h compressed by 480 are 180 s; the probability that all 1,770 random times are in the first 170 s is
+    // negligible.
     let last = plan.steps.last().unwrap().at;
     assert!((Duration::from_secs(172)..=Duration::from_secs(182)).contains(&last), "{last:?}");
     assert_eq!(plan.time_compression, 480.0);
 }
 
 #[test]
-fn a_busy_day_of_a_small_fleet_touches_no_executor_twice() {
+fn a_busy_day_of_a_small_fleet_affects_no_executor_twice() {
     let scope = PlanScope { executors: 20, nodes: 2, real_nodes: 1, recovery_time: RECOVERY_TIME };
     let plan = FaultPlan::generate(&busy_day(), scope, 3).unwrap();
     assert_eq!(plan.steps.len(), 20);
 }
 
 #[test]
-fn a_zone_is_lost_and_the_same_zone_comes_back() {
+fn the_killed_zone_is_restarted() {
     let plan = FaultPlan::generate(&spec("kind = \"zone-lost\"\nexecutors = 613\nback = \"12s\""), SCOPE, 5)
         .unwrap();
-    let [lost, back] = &plan.steps[..] else { panic!("{:?}", plan.steps) };
-    let Action::KillZone(zone) = &lost.action else { panic!("{lost:?}") };
-    assert_eq!(back.action, Action::RestartZone(zone.clone()));
-    assert_eq!((zone.len(), back.at - lost.at), (613, Duration::from_secs(12)));
+    let [killed, restarted] = &plan.steps[..] else { panic!("{:?}", plan.steps) };
+    let Action::KillZone(zone) = &killed.action else { panic!("{killed:?}") };
+    assert_eq!(restarted.action, Action::RestartZone(zone.clone()));
+    assert_eq!((zone.len(), restarted.at - killed.at), (613, Duration::from_secs(12)));
     assert!(zone.end <= SCOPE.executors);
-    assert_eq!(plan.length, back.at + RECOVERY_TIME);
+    assert_eq!(plan.length, restarted.at + RECOVERY_TIME);
 }
 
 #[test]
-fn a_tenth_of_the_nodes_restart_while_discovery_is_silent() {
+fn the_configured_share_of_nodes_restarts_while_discovery_is_silent() {
     let silent = spec("kind = \"discovery-silent\"\nlasts = \"8s\"\nrestarted = 0.1");
     let plan = FaultPlan::generate(&silent, SCOPE, 5).unwrap();
     assert_eq!(plan.kind, FaultKind::DiscoverySilent);
@@ -89,7 +91,7 @@
 }
 
 #[test]
-fn one_node_at_least_restarts_where_any_shall() {
+fn a_share_above_zero_restarts_at_least_one_node() {
     let silent = spec("kind = \"discovery-silent\"\nlasts = \"8s\"\nrestarted = 0.1");
     let plan = FaultPlan::generate(
         &silent,
@@ -103,8 +105,8 @@
 }
 
 #[test]
-fn a_plan_lasts_until_what_follows_from_its_last_step_is_over() {
+fn the_recovery_time_covers_grace_deadline_and_slow_start() {
     let file = ScaleFile::parse("", "test").unwrap();
-    // The grace of 2 s, the deadline of 3 s and the ramp of 10 s.
+    // The drain grace of 2 s, the deadline of 3 s and the slow start of 10 s.
     assert_eq!(PlanScope::from_file(&file), SCOPE);
 }
--- a/crates/scale/tests/file.rs
+++ b/crates/scale/tests/file.rs
@@ -1,39 +1,40 @@
-//! Scale files: what they say, and every kind of fault, all of them at once with its line and what is allowed.
+//! Scale files: their defaults and units, and the errors that are reported for invalid files. Guards against errors
+//! that are missed, hide others, or lack their line and the allowed values.
 use bytesize::ByteSize;
 use std::path::Path;
 use std::time::Duration;
 use troutknot_scale::file::{FaultKind, ScaleFile};
 
-/// What a file with faults is told, a line each.
-fn faults(text: &str) -> Vec<String> {
-    let faults = ScaleFile::parse(text, "run.toml").expect_err("it has faults");
-    faults.to_string().lines().map(String::from).collect()
+/// Returns the errors of an invalid file, one per line.
+fn errors(text: &str) -> Vec<String> {
+    let errors = ScaleFile::parse(text, "run.toml").expect_err("the file is invalid");
+    errors.to_string().lines().map(String::from).collect()
 }
 
-/// The one fault of a file.
-fn fault(text: &str) -> String {
-    let faults = faults(text);
-    assert_eq!(faults.len(), 1, "{faults:?}");
-    faults[0].clone()
+/// Returns the only error of an invalid file.
+fn error(text: &str) -> String {
+    let errors = errors(text);
+    assert_eq!(errors.len(), 1, "{errors:?}");
+    errors[0].clone()
 }
 
 #[test]
-fn the_shipped_files_are_good() {
+fn the_shipped_scale_files_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/scale");
-    let mut read = 0;
+    let mut count = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         let text = std::fs::read_to_string(&path).unwrap();
-        if let Err(why) = ScaleFile::parse(&text, &path.display().to_string()) {
-            panic!("{why}");
+        if let Err(errors) = ScaleFile::parse(&text, &path.display().to_string()) {
+            panic!("{errors}");
         }
-        read += 1;
+        count += 1;
     }
-    assert_eq!(read, 2);
+    assert_eq!(count, 2);
 }
 
 #[test]
-fn an_empty_file_is_the_full_run_without_troubles() {
+fn an_empty_file_configures_the_full_run_without_faults() {
     let file = ScaleFile::parse("", "run.toml").unwrap();
     assert_eq!(file.fleet.sizes, [100, 1000, 5000, 10_000, 19_000]);
     assert_eq!(file.load.turnovers, [0.0, 2.0, 8.0, 20.0]);
@@ -47,12 +48,12 @@
 }
 
 #[test]
-fn values_have_units() {
+fn durations_and_sizes_are_read_with_their_units() {
     let text = "time_limit = \"2m\"\n[load]\nsettle = \"250ms\"\n[real_nodes]\nmemory = \"64MiB\"\n\
                 bytes_per_second = \"2KB\"\n[[troubles]]\nkind = \"zone-lost\"\nexecutors = 5\nback = \"1s 500ms\"\n\
                 [fleet]\nsizes = [1]\n";
-    // The trouble is larger than the fleet of one.
-    assert!(fault(text).starts_with("run.toml:9: `executors` is 5; 1 to 1 is allowed"), "{}", fault(text));
+    // The zone of the fault is larger than the fleet of one executor.
+    assert!(error(text).starts_with("run.toml:9: `executors` is 5; 1 to 1 is allowed"), "{}", error(text));
     let file = ScaleFile::parse(&text.replace("sizes = [1]", "sizes = [9]").replace("2m", "1h"), "run.toml");
     let file = file.unwrap();
     assert_eq!(file.load.settle_time, Duration::from_millis(250));
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn all_faults_are_listed_at_once_with_their_lines() {
+fn all_errors_are_reported_at_once_with_their_lines() {
     let text = "\
 name = \"bad\"
 time_limit = \"9h\"
@@ -101,7 +102,7 @@
 back = \"0s\"
 lasts = \"8s\"
 ";
-    let told = faults(text);
+    let reported = errors(text);
     let expected = [
         "run.toml:2: `time_limit` must be over 0s and at most 4h",
         "run.toml:3: unknown field `colour`, expected one of",
@@ -121,21 +122,21 @@
         "run.toml:34: `back` must be over 0s and at most 10m",
         "run.toml:35: a trouble ZoneLost takes no `lasts`; it takes [\"executors\", \"back\"]",
     ];
-    assert_eq!(told.len(), expected.len(), "{told:#?}");
-    for (told, expected) in told.iter().zip(expected) {
-        assert!(told.starts_with(expected), "{told}\nis not\n{expected}");
+    assert_eq!(reported.len(), expected.len(), "{reported:#?}");
+    for (reported, expected) in reported.iter().zip(expected) {
+        assert!(reported.starts_with(expected), "{reported}\nis not\n{expected}");
     }
 }
 
 #[test]
-fn text_that_is_no_toml_is_told_by_line() {
-    let told = faults("name = \"a\"\nseed = = 3\n[fleet\nsizes = [1]\n");
-    assert_eq!(told[0], "run.toml:2: extra `=`, expected nothing");
-    assert!(told.iter().any(|line| line.starts_with("run.toml:3: unclosed table")), "{told:?}");
+fn syntax_errors_are_reported_with_their_lines() {
+    let reported = errors("name = \"a\"\nseed = = 3\n[fleet\nsizes = [1]\n");
+    assert_eq!(reported[0], "run.toml:2: extra `=`, expected nothing");
+    assert!(reported.iter().any(|line| line.starts_with("run.toml:3: unclosed table")), "{reported:?}");
 }
 
-/// One statement, what it is told at the least, and the line.
-const ONE_FAULT: &[(&str, &str)] = &[
+/// Invalid statements, each with the line of its error and the start of the message.
+const SINGLE_ERRORS: &[(&str, &str)] = &[
     ("seed = -1", "1: invalid value: integer `-1`, expected u64"),
     ("time_limit = \"0s\"", "1: `time_limit` must be over 0s and at most 4h"),
     ("time_limit = \"30s\"", "1: 60 points of `settle` and `measure` take 600s; `time_limit` is 30s"),
@@ -200,27 +201,27 @@
 ];
 
 #[test]
-fn each_kind_of_bad_input_is_told_with_what_is_allowed() {
-    for (text, expected) in ONE_FAULT {
-        let told = fault(text);
-        assert!(told.starts_with(&format!("run.toml:{expected}")), "{text}\nis told\n{told}");
+fn each_invalid_value_is_reported_with_the_allowed_values() {
+    for (text, expected) in SINGLE_ERRORS {
+        let reported = error(text);
+        assert!(reported.starts_with(&format!("run.toml:{expected}")), "{text}\nis reported as\n{reported}");
     }
 }
 
 #[test]
-fn too_many_points_and_too_many_requests_are_refused() {
+fn too_many_operating_points_and_too_high_rates_are_rejected() {
     let sizes: Vec<String> = (1..=200).map(|size| size.to_string()).collect();
-    let told = fault(&format!("[load]\nmeasure = \"1s\"\n[fleet]\nsizes = [{}]", sizes.join(",")));
-    assert!(told.contains("2400 points are measured; up to 1000 are allowed"), "{told}");
-    let told = fault("[load]\nrates = [5000]\n[real_nodes]\ncount = 64");
-    assert!(told.contains("320000 requests a second at all real nodes; up to 20000"), "{told}");
+    let reported = error(&format!("[load]\nmeasure = \"1s\"\n[fleet]\nsizes = [{}]", sizes.join(",")));
+    assert!(reported.contains("2400 points are measured; up to 1000 are allowed"), "{reported}");
+    let reported = error("[load]\nrates = [5000]\n[real_nodes]\ncount = 64");
+    assert!(reported.contains("320000 requests a second at all real nodes; up to 20000"), "{reported}");
 }
 
-/// A file of nothing but faults ends, and says as much as is of use.
+/// Guards against a parser that does not terminate, or floods the output, on a file that has only errors.
 #[test]
-fn a_file_of_faults_alone_is_read_to_an_end() {
+fn the_number_of_reported_errors_is_limited() {
     let text: String = (0..500).map(|number| format!("key{number} = 1\n")).collect();
-    let told = faults(&text);
-    assert_eq!(told.len(), 200);
-    assert!(told[0].starts_with("run.toml:1: unknown field `key0`"), "{}", told[0]);
+    let reported = errors(&text);
+    assert_eq!(reported.len(), 200);
+    assert!(reported[0].starts_with("run.toml:1: unknown field `key0`"), "{}", reported[0]);
 }
--- a/crates/scale/tests/row.rs
+++ b/crates/scale/tests/row.rs
@@ -1,4 +1,5 @@
-//! Rows as JSON lines: what is written is read again, and what is no run is refused.
+//! Rows as JSON lines: guards against rows that change when they are written and read, and against invalid runs that
+//! are accepted.
 mod common;
 
 use common::{figure, good_rows, start};
@@ -11,33 +12,34 @@
     rows.iter().map(|row| format!("{row}\n")).collect()
 }
 
-fn refused(text: &str) -> String {
-    read_rows(text.as_bytes()).expect_err("it is no run").to_string()
+/// Returns the error of reading an invalid run.
+fn read_error(text: &str) -> String {
+    read_rows(text.as_bytes()).expect_err("the run is invalid").to_string()
 }
 
 #[test]
-fn what_is_written_is_read_again() {
+fn written_rows_are_read_back_unchanged() {
     let mut rows = good_rows();
-    let breach = RuleViolation {
+    let violation = RuleViolation {
         rule: 3,
         name: "sent-after-grace".into(),
         phase: Phase::ZoneLost,
-        description: "sent to s-00007, \"told\" 3 s before".into(),
+        description: "sent to s-00007, \"notified\" 3 s before".into(),
         at_seconds: 2.25,
     };
-    rows.insert(4, Row::Violation(breach));
+    rows.insert(4, Row::Violation(violation));
     assert_eq!(read_rows(lines(&rows).as_bytes()).unwrap(), rows);
 }
 
 #[test]
-fn a_figure_is_one_line_with_all_that_it_stands_for() {
+fn a_figure_is_written_as_one_line_with_all_its_fields() {
     let line = Row::Figure(figure(19_000, Measurement::CpuShare, 0.02)).to_string();
     let expected = r#"{"row":"figure","phase":"steady","measurement":"cpu-share","executors":19000,"turnover":2.0,"rate":75.0,"value":0.02,"unit":"cores","bound":0.027,"node":"real","at_seconds":1.5}"#;
     assert_eq!(line, expected);
 }
 
 #[test]
-fn each_measurement_stands_once_in_the_list_of_all_with_a_name_of_its_own() {
+fn measurements_have_unique_names() {
     let names: std::collections::BTreeSet<String> =
         Measurement::ALL.iter().map(|measurement| measurement.to_string()).collect();
     assert_eq!(names.len(), Measurement::ALL.len());
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn what_is_no_run_is_refused_with_its_line() {
+fn an_invalid_run_is_rejected_with_the_line_of_its_error() {
     let start = Row::Start(start()).to_string();
     let figure = Row::Figure(figure(100, Measurement::NotificationDelay, 3.0)).to_string();
     let end = Row::End(End { at_seconds: 1.0 }).to_string();
@@ -72,13 +74,13 @@
         ),
     ];
     for (text, expected) in cases {
-        let told = refused(&text);
-        assert!(told.starts_with(expected), "{text}\nis told\n{told}");
+        let error = read_error(&text);
+        assert!(error.starts_with(expected), "{text}\nis rejected with\n{error}");
     }
 }
 
 #[test]
-fn the_rows_that_pages_name_are_read_and_have_a_table() {
+fn the_stored_rows_of_earlier_experiments_are_read_and_give_a_table() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments/scale");
     let mut count = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
@@ -87,7 +89,7 @@
             continue;
         }
         let rows = read_rows(std::fs::read(&path).unwrap().as_slice());
-        let rows = rows.unwrap_or_else(|why| panic!("{}: {why}", path.display()));
+        let rows = rows.unwrap_or_else(|error| panic!("{}: {error}", path.display()));
         assert!(render_table(&rows, Style::Plain).contains("all held"), "{}", path.display());
         count += 1;
     }
@@ -95,9 +97,9 @@
 }
 
 #[test]
-fn bytes_that_are_no_text_are_refused() {
-    let refused = read_rows(&[0xff, 0xfe, b'\n'][..]).expect_err("it is no run");
-    assert!(matches!(refused, ReadError::Io(_)), "{refused}");
+fn bytes_that_are_not_utf8_are_rejected() {
+    let error = read_rows(&[0xff, 0xfe, b'\n'][..]).expect_err("the run is invalid");
+    assert!(matches!(error, ReadError::Io(_)), "{error}");
 }
 
 #[test]
--- a/crates/scale/tests/table.rs
+++ b/crates/scale/tests/table.rs
@@ -1,13 +1,16 @@
-//! The table: bounds beside figures, what missed them, lines over the size of the fleet.
+//! The printed table: guards against checks, violations, values or fitted lines that are missing or wrong in it.
 mod common;
 
 use common::{figure, good_rows};
 use troutknot_scale::row::{Figure, Measurement, NodeKind, Phase, Row, RuleViolation};
 use troutknot_scale::table::{Style, render_table};
 
-/// The line of the table that begins so.
-fn line<'a>(table: &'a str, begin: &str) -> &'a str {
-    table.lines().find(|line| line.starts_with(begin)).unwrap_or_else(|| panic!("no `{begin}` in\n{table}"))
+/// Returns the first line of the table that begins with `prefix`.
+fn line<'a>(table: &'a str, prefix: &str) -> &'a str {
+    table
+        .lines()
+        .find(|line| line.starts_with(prefix))
+        .unwrap_or_else(|| panic!("no line with `{prefix}` in\n{table}"))
 }
 
 fn words(line: &str) -> Vec<&str> {
@@ -15,7 +18,7 @@
 }
 
 #[test]
-fn a_run_that_held_says_so_with_each_bound() {
+fn a_passed_run_is_printed_with_all_its_bounds() {
     let table = render_table(&good_rows(), Style::Plain);
     assert!(
         table.starts_with("test with seed 7: version 0.1.0, commit abc1234\nmachine: 8 cores, 16384 MiB\n")
@@ -31,7 +34,7 @@
 }
 
 #[test]
-fn what_missed_its_bound_is_marked_and_placed() {
+fn a_value_over_its_bound_is_marked_and_located() {
     let mut rows = good_rows();
     rows.insert(1, Row::Figure(figure(19_000, Measurement::ListBytes, 12_345.0)));
     let table = render_table(&rows, Style::Plain);
@@ -43,17 +46,17 @@
 }
 
 #[test]
-fn breaches_are_named_and_turn_their_rule() {
+fn violations_are_printed_and_fail_their_rule() {
     let mut rows = good_rows();
     for number in 0..25 {
-        let breach = RuleViolation {
+        let violation = RuleViolation {
             rule: 4,
             name: "pushed-over".into(),
             phase: Phase::ZoneLost,
             description: format!("executor {number}"),
             at_seconds: 3.5,
         };
-        rows.insert(1, Row::Violation(breach));
+        rows.insert(1, Row::Violation(violation));
     }
     let table = render_table(&rows, Style::Plain);
     assert!(table.contains("  rule 4 pushed-over in zone-lost at 3.500 s: executor 24\n"), "{table}");
@@ -63,20 +66,20 @@
 }
 
 #[test]
-fn what_was_not_measured_and_what_was_not_ended_is_said() {
+fn missing_measurements_and_incomplete_runs_are_reported() {
     let mut rows = good_rows();
     rows.pop();
     rows.retain(
         |row| !matches!(row, Row::Figure(figure) if figure.measurement == Measurement::NotificationDelay),
     );
     let table = render_table(&rows, Style::Plain);
-    let told = line(&table, "told ");
-    assert!(told.contains("NOT MEASURED there is no figure"), "{told}");
+    let delay = line(&table, "told ");
+    assert!(delay.contains("NOT MEASURED there is no figure"), "{delay}");
     assert!(table.ends_with("NOT all held: the run was not played to its end\n"), "{table}");
 }
 
 #[test]
-fn each_series_has_its_values_by_size_and_its_line() {
+fn each_series_is_printed_with_its_values_by_fleet_size_and_its_line() {
     let mut rows = good_rows();
     let hollow = |executors: usize| {
         let probes = figure(executors, Measurement::Probes, 2.0 + executors as f64 / 1000.0);
@@ -87,21 +90,21 @@
     let mut lines =
         table.lines().skip_while(|line| !line.starts_with("probes, node hollow-by-rates, 1/s, no bound"));
     lines.next().unwrap();
-    let head = words(lines.next().unwrap());
+    let header = words(lines.next().unwrap());
     let expected = ["100", "1000", "5000", "10000", "19000", "slope/1000", "intercept", "R2", "n"];
-    assert_eq!(head[3..], expected);
+    assert_eq!(header[3..], expected);
     let values = words(lines.next().unwrap());
     let expected = ["steady", "2", "75", "2.10", "3", "7", "12", "21", "1.00", "2.00", "1.000", "5"];
-    let near = |told: &str, expected: &str| match (told.parse::<f64>(), expected.parse::<f64>()) {
-        (Ok(told), Ok(expected)) => (told - expected).abs() < 1e-6,
-        _ => told == expected,
+    let is_close = |printed: &str, expected: &str| match (printed.parse::<f64>(), expected.parse::<f64>()) {
+        (Ok(printed), Ok(expected)) => (printed - expected).abs() < 1e-6,
+        _ => printed == expected,
     };
     assert!(values.len() == expected.len(), "{values:?}");
-    assert!(values.iter().zip(expected).all(|(told, expected)| near(told, expected)), "{values:?}");
+    assert!(values.iter().zip(expected).all(|(printed, expected)| is_close(printed, expected)), "{values:?}");
 }
 
 #[test]
-fn where_values_leave_their_line_is_said() {
+fn the_fleet_size_at_which_values_deviate_from_their_line_is_printed() {
     let mut rows = good_rows();
     for size in common::SIZES {
         let value = if size == 19_000 { 900.0 } else { size as f64 / 100.0 };
@@ -112,7 +115,7 @@
 }
 
 #[test]
-fn colours_come_only_where_they_are_asked_for() {
+fn only_the_coloured_style_uses_escape_sequences() {
     let mut rows = good_rows();
     assert!(render_table(&rows, Style::Coloured).contains("\u{1b}[32mall held\u{1b}[0m"));
     rows.insert(1, Row::Figure(figure(100, Measurement::NotificationDelay, 1e9)));
