--- a/crates/scale/src/bounds.rs
+++ b/crates/scale/src/bounds.rs
@@ -24,7 +24,7 @@
         let budget = &file.real_nodes;
         Bounds {
             notification_delay_ms: file.bounds.notification_delay.as_secs_f64() * 1000.0,
-            startup_ms: file.bounds.startup.as_secs_f64() * 1000.0,
+            startup_ms: file.bounds.startup_time.as_secs_f64() * 1000.0,
             cpu_share: budget.cpu_share,
             memory_bytes: budget.memory.as_u64() as f64,
             bytes_per_second: budget.bytes_per_second.as_u64() as f64,
--- a/crates/scale/src/fault_plan.rs
+++ b/crates/scale/src/fault_plan.rs
@@ -129,7 +129,7 @@
 /// Silences discovery and restarts randomly chosen nodes during the first half of the silence. At least one of them is
 /// a real node, as hollow nodes are not measured.
 fn discovery_silent(spec: &FaultSpec, scope: PlanScope, random: &mut ChaCha8Rng) -> FaultPlan {
-    let silence = spec.duration.unwrap_or_default();
+    let silence = spec.silence_duration.unwrap_or_default();
     let share = spec.restarted_share.unwrap_or(0.0);
     let count = (share * scope.nodes as f64).round() as usize;
     let count = if share > 0.0 { count.clamp(1, scope.nodes) } else { 0 };
--- a/crates/scale/src/file.rs
+++ b/crates/scale/src/file.rs
@@ -199,12 +199,12 @@
     pub notification_delay: Duration,
     /// Upper limit of the time in which nine of ten started nodes become ready.
     #[serde(rename = "ready", with = "humantime_serde")]
-    pub startup: Duration,
+    pub startup_time: Duration,
 }
 
 impl Default for BoundsSpec {
     fn default() -> Self {
-        BoundsSpec { notification_delay: Duration::from_secs(6), startup: Duration::from_secs(10) }
+        BoundsSpec { notification_delay: Duration::from_secs(6), startup_time: Duration::from_secs(10) }
     }
 }
 
@@ -254,7 +254,7 @@
     pub returns_after: Option<Duration>,
     /// For silent discovery: the duration of the silence.
     #[serde(rename = "lasts", default, with = "humantime_serde")]
-    pub duration: Option<Duration>,
+    pub silence_duration: Option<Duration>,
     /// For silent discovery: the share of nodes that restart during the silence.
     #[serde(rename = "restarted")]
     pub restarted_share: Option<f64>,
--- a/crates/scale/src/file/check.rs
+++ b/crates/scale/src/file/check.rs
@@ -153,7 +153,8 @@
             }
         }
         let at = checker.section("bounds");
-        for (key, duration) in [("told", self.bounds.notification_delay), ("ready", self.bounds.startup)] {
+        for (key, duration) in [("told", self.bounds.notification_delay), ("ready", self.bounds.startup_time)]
+        {
             checker.number(&at, key, millis(duration), 1.0..600_000.0);
         }
     }
@@ -170,7 +171,7 @@
             ("factor", fault.factor.is_some()),
             ("executors", fault.executors.is_some()),
             ("back", fault.returns_after.is_some()),
-            ("lasts", fault.duration.is_some()),
+            ("lasts", fault.silence_duration.is_some()),
             ("restarted", fault.restarted_share.is_some()),
         ];
         for (key, is_present) in present {
@@ -187,7 +188,7 @@
         checker.number(&at, "factor", fault.factor.unwrap_or(1.0), 1.0..86_400.0);
         checker.number(&at, "executors", fault.executors.unwrap_or(1) as f64, 1.0..fleet);
         checker.number(&at, "restarted", fault.restarted_share.unwrap_or(0.0), 0.0..1.0);
-        for (key, duration) in [("back", fault.returns_after), ("lasts", fault.duration)] {
+        for (key, duration) in [("back", fault.returns_after), ("lasts", fault.silence_duration)] {
             if duration.is_some_and(|duration| duration.is_zero() || duration > Duration::from_secs(600)) {
                 checker.fault(&at, key, format!("`{key}` must be over 0s and at most 10m"));
             }
--- a/crates/scale/src/row.rs
+++ b/crates/scale/src/row.rs
@@ -209,7 +209,9 @@
         Row::Figure(figure) if figure.unit != figure.measurement.unit() => {
             Err("the unit is not that of the measurement")
         }
-        Row::Violation(breach) if !(1..=4).contains(&breach.rule) => Err("there are four rules, 1 to 4"),
+        Row::Violation(violation) if !(1..=4).contains(&violation.rule) => {
+            Err("there are four rules, 1 to 4")
+        }
         _ => Ok(()),
     }
 }
--- a/crates/scale/tests/evaluation.rs
+++ b/crates/scale/tests/evaluation.rs
@@ -7,7 +7,7 @@
 use troutknot_scale::row::{Measurement, NodeKind, Phase, Row, RuleViolation};
 
 /// Returns the checks that did not pass.
-fn unpassed(rows: &[Row]) -> Vec<BoundCheck> {
+fn checks_not_passed(rows: &[Row]) -> Vec<BoundCheck> {
     let evaluation = evaluate(rows).expect("the rows have a start row");
     evaluation.checks.into_iter().filter(|check| check.verdict != Verdict::Passed).collect()
 }
@@ -35,11 +35,14 @@
 fn a_value_over_its_bound_fails_its_own_check_only() {
     for measurement in BOUNDED_MEASUREMENTS {
         let rows = rows_with_changed_figure(measurement, |value| *value = *value * 1.01 + 1e-3);
-        let unpassed = unpassed(&rows);
-        assert_eq!(unpassed.len(), 1, "{measurement}: {unpassed:#?}");
-        assert_eq!((unpassed[0].measurement, unpassed[0].verdict.clone()), (measurement, Verdict::Failed));
-        assert_eq!((unpassed[0].exceeded, unpassed[0].checked), (1, SIZES.len()));
-        assert_eq!(unpassed[0].worst.as_ref().unwrap().executors, 19_000);
+        let not_passed = checks_not_passed(&rows);
+        assert_eq!(not_passed.len(), 1, "{measurement}: {not_passed:#?}");
+        assert_eq!(
+            (not_passed[0].measurement, not_passed[0].verdict.clone()),
+            (measurement, Verdict::Failed)
+        );
+        assert_eq!((not_passed[0].exceeded, not_passed[0].checked), (1, SIZES.len()));
+        assert_eq!(not_passed[0].worst.as_ref().unwrap().executors, 19_000);
         assert!(!evaluate(&rows).unwrap().has_passed());
     }
 }
@@ -59,10 +62,10 @@
     for measurement in BOUNDED_MEASUREMENTS {
         let mut rows = good_rows();
         rows.retain(|row| !matches!(row, Row::Figure(figure) if figure.measurement == measurement));
-        let unpassed = unpassed(&rows);
-        assert_eq!(unpassed.len(), 1, "{measurement}: {unpassed:#?}");
-        assert_eq!(unpassed[0].measurement, measurement);
-        assert!(matches!(unpassed[0].verdict, Verdict::NotMeasured { .. }), "{unpassed:#?}");
+        let not_passed = checks_not_passed(&rows);
+        assert_eq!(not_passed.len(), 1, "{measurement}: {not_passed:#?}");
+        assert_eq!(not_passed[0].measurement, measurement);
+        assert!(matches!(not_passed[0].verdict, Verdict::NotMeasured { .. }), "{not_passed:#?}");
     }
 }
 
@@ -77,10 +80,10 @@
         rows.retain(|row| {
             !matches!(row, Row::Figure(figure) if figure.measurement == measurement && figure.executors == 5000)
         });
-        let unpassed = unpassed(&rows);
+        let not_passed = checks_not_passed(&rows);
         let reason = "there is no figure of steady, 5000 executors, turnover 2, 75/s".to_string();
-        assert_eq!(unpassed.len(), 1, "{measurement}: {unpassed:#?}");
-        assert_eq!(unpassed[0].verdict, Verdict::NotMeasured { reason });
+        assert_eq!(not_passed.len(), 1, "{measurement}: {not_passed:#?}");
+        assert_eq!(not_passed[0].verdict, Verdict::NotMeasured { reason });
     }
 }
 
@@ -94,7 +97,7 @@
             figure.value = 0.0;
         }
     }
-    assert_eq!(unpassed(&rows).len(), BOUNDED_MEASUREMENTS.len());
+    assert_eq!(checks_not_passed(&rows).len(), BOUNDED_MEASUREMENTS.len());
 }
 
 #[test]
@@ -104,8 +107,8 @@
     let expected =
         [Measurement::RepeatedEffects, Measurement::SentAfterGrace, Measurement::SlowStartOverload]
             .map(|measurement| (measurement, Verdict::NotMeasured { reason: reason.clone() }));
-    let unpassed = unpassed(&rows).into_iter().map(|check| (check.measurement, check.verdict));
-    assert_eq!(unpassed.collect::<Vec<_>>(), expected);
+    let not_passed = checks_not_passed(&rows).into_iter().map(|check| (check.measurement, check.verdict));
+    assert_eq!(not_passed.collect::<Vec<_>>(), expected);
 }
 
 #[test]
@@ -116,13 +119,13 @@
         other.turnover = 8.0;
         rows.insert(1, Row::Figure(other));
     }
-    let unpassed = unpassed(&rows);
+    let not_passed = checks_not_passed(&rows);
     // All measurements that are required wherever requests were sent.
-    assert_eq!(unpassed.len(), BOUNDED_MEASUREMENTS.len() - 2);
+    assert_eq!(not_passed.len(), BOUNDED_MEASUREMENTS.len() - 2);
     let reason = "there is no figure of steady, 5000 executors, turnover 8, 75/s".to_string();
     assert!(
-        unpassed.iter().all(|check| check.verdict == Verdict::NotMeasured { reason: reason.clone() }),
-        "{unpassed:#?}"
+        not_passed.iter().all(|check| check.verdict == Verdict::NotMeasured { reason: reason.clone() }),
+        "{not_passed:#?}"
     );
 }
 
@@ -144,9 +147,9 @@
             at_seconds: 1.0,
         };
         rows.insert(1, Row::Violation(violation));
-        let unpassed = unpassed(&rows);
-        assert_eq!(unpassed.iter().map(|check| check.measurement).collect::<Vec<_>>(), expected);
-        assert!(unpassed.iter().all(|check| check.violations == 1 && check.verdict == Verdict::Failed));
+        let not_passed = checks_not_passed(&rows);
+        assert_eq!(not_passed.iter().map(|check| check.measurement).collect::<Vec<_>>(), expected);
+        assert!(not_passed.iter().all(|check| check.violations == 1 && check.verdict == Verdict::Failed));
     }
 }
 
@@ -158,7 +161,7 @@
             figure.bound = None;
         }
     }
-    assert_eq!(unpassed(&rows).len(), 1);
+    assert_eq!(checks_not_passed(&rows).len(), 1);
 }
 
 #[test]
@@ -167,7 +170,7 @@
     let mut hollow = figure(19_000, Measurement::CpuShare, 7.0);
     hollow.node = NodeKind::HollowByDispatcher;
     rows.insert(1, Row::Figure(hollow));
-    assert!(unpassed(&rows).is_empty());
+    assert!(checks_not_passed(&rows).is_empty());
     for row in &mut rows {
         if let Row::Figure(figure) = row
             && figure.measurement == Measurement::SlowStartOverload
@@ -175,7 +178,7 @@
             figure.node = NodeKind::HollowByRates;
         }
     }
-    assert_eq!(unpassed(&rows).len(), 1);
+    assert_eq!(checks_not_passed(&rows).len(), 1);
 }
 
 #[test]
@@ -183,7 +186,7 @@
     let mut rows = good_rows();
     rows.pop();
     let evaluation = evaluate(&rows).unwrap();
-    assert!(unpassed(&rows).is_empty() && !evaluation.is_complete && !evaluation.has_passed());
+    assert!(checks_not_passed(&rows).is_empty() && !evaluation.is_complete && !evaluation.has_passed());
 }
 
 #[test]
--- a/crates/scale/tests/file.rs
+++ b/crates/scale/tests/file.rs
@@ -42,7 +42,7 @@
     assert_eq!((file.requests.tenants, file.bursts.zone, file.bursts.region), (160, 613, 2111));
     let node = &file.real_nodes;
     assert_eq!((node.memory, node.bytes_per_second), (ByteSize::mib(128), ByteSize::kb(11)));
-    assert_eq!((node.cpu_share, file.bounds.startup), (0.027, Duration::from_secs(10)));
+    assert_eq!((node.cpu_share, file.bounds.startup_time), (0.027, Duration::from_secs(10)));
     assert_eq!(file.real_nodes.count + file.hollow_nodes.count, 160);
     assert!(file.faults.is_empty());
 }
