--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -8,11 +8,11 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 use troutknot_scale::campaign::{self, Programs, RunError};
+use troutknot_scale::evaluation::evaluate;
 use troutknot_scale::executor_worker::{self, WorkerProgram};
-use troutknot_scale::judge::judge;
 use troutknot_scale::node_process::NodeProgram;
 use troutknot_scale::row::{End, Row, read_rows};
-use troutknot_scale::table::{Style, table};
+use troutknot_scale::table::{Style, render_table};
 
 /// The file name that stands for standard output.
 const STANDARD_OUTPUT: &str = "-";
@@ -183,7 +183,7 @@
     match error {
         RunError::NodeEnded { .. }
         | RunError::NotReady { .. }
-        | RunError::NotTold { .. }
+        | RunError::ListNotReceived { .. }
         | RunError::NotReloaded { .. } => ExitStatus::Violated,
         _ => ExitStatus::Machine,
     }
@@ -191,9 +191,9 @@
 
 /// The exit status of a run by its rows.
 fn judge_rows(rows: &[Row]) -> ExitStatus {
-    match judge(rows) {
-        Some(judgements) if !judgements.ended => ExitStatus::Machine.report("the run did not complete"),
-        Some(judgements) if judgements.all_held() => ExitStatus::Passed,
+    match evaluate(rows) {
+        Some(judgements) if !judgements.is_complete => ExitStatus::Machine.report("the run did not complete"),
+        Some(judgements) if judgements.has_passed() => ExitStatus::Passed,
         _ => ExitStatus::Violated,
     }
 }
@@ -202,7 +202,7 @@
     let mut out = io::stdout();
     let is_plain = std::env::var_os("NO_COLOR").is_some_and(|value| !value.is_empty());
     let style = if out.is_terminal() && !is_plain { Style::Coloured } else { Style::Plain };
-    out.write_all(table(rows, style).as_bytes()).map_err(OutputError::Table)
+    out.write_all(render_table(rows, style).as_bytes()).map_err(OutputError::Table)
 }
 
 fn reprint_table(path: &Path) -> ExitStatus {
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use troutknot_scale::row::{Measurement, NodeKind, Phase, Row, figures, read_rows, start_of};
-use troutknot_scale::table::{Style, table};
+use troutknot_scale::table::{Style, render_table};
 
 const SMALL: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/scale/small.toml");
 const FULL: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/scale/full.toml");
@@ -94,7 +94,7 @@
     for (name, rows, status) in [("good", good, 0), ("missed", missed, 1), ("incomplete", incomplete, 3)] {
         let out = scale(&["--fit", &write_rows(&format!("{name}.jsonl"), &rows)]);
         assert_eq!(out.status.code(), Some(status), "{name}: {}", stderr(&out));
-        assert_eq!(stdout(&out), table(&rows, Style::Plain), "{name}");
+        assert_eq!(stdout(&out), render_table(&rows, Style::Plain), "{name}");
     }
 }
 
@@ -144,7 +144,7 @@
 fn check_rows(rows: &[Row]) {
     assert_eq!(start_of(rows).map(|start| (start.name.as_str(), start.seed)), Some(("small", 11)));
     assert!(matches!(rows.last(), Some(Row::End(_))));
-    assert!(!rows.iter().any(|row| matches!(row, Row::Breach(_))));
+    assert!(!rows.iter().any(|row| matches!(row, Row::Violation(_))));
     for size in [10, 40] {
         for turnover in [0.0, 2.0] {
             let steady = figures(rows).filter(|figure| {
--- a/crates/scale/src/hollow_nodes/rate_node.rs
+++ b/crates/scale/src/hollow_nodes/rate_node.rs
@@ -54,7 +54,7 @@
             add(&self.shared.rate_counters.requests, 1);
             let rates = self.shared.settings.rates;
             due_probes += rates.probes_per_request;
-            due_attempts += rates.pushes_per_request;
+            due_attempts += rates.dispatches_per_request;
             while due_probes >= 1.0 {
                 due_probes -= 1.0;
                 self.probe();
--- a/crates/scale/src/node_config.rs
+++ b/crates/scale/src/node_config.rs
@@ -51,7 +51,7 @@
             classes.push(self.class_settings(ADDED_CLASS, "safe"));
         }
         let tenants: Vec<Value> =
-            (0..file.requests.teams).map(|tenant| json!({"name": tenant_name(tenant)})).collect();
+            (0..file.requests.tenants).map(|tenant| json!({"name": tenant_name(tenant)})).collect();
         let zones: Vec<String> = (0..self.zones).map(zone_name).collect();
         let settings = json!({
             "balancers": file.real_nodes.count + file.hollow_nodes.count, "me": self.node, "zone": 0,
--- a/crates/scale/src/real_node.rs
+++ b/crates/scale/src/real_node.rs
@@ -223,7 +223,7 @@
     let file = context.file;
     ClientConfig {
         seed: file.seed,
-        tenants: file.requests.teams,
+        tenants: file.requests.tenants,
         deadline: file.requests.deadline,
         slack: file.rules.slack,
         at_most_once_share: file.requests.at_most_once,
--- a/crates/scale/tests/hollow_nodes.rs
+++ b/crates/scale/tests/hollow_nodes.rs
@@ -120,7 +120,7 @@
         first_number: 2,
         dispatcher_nodes,
         rate_nodes,
-        rates: MeasuredRates { probes_per_request: 2.0, pushes_per_request: 1.0, new_connections: 1.0 },
+        rates: MeasuredRates { probes_per_request: 2.0, dispatches_per_request: 1.0, new_connections: 1.0 },
         max_connections: 8,
         discovery_addresses: vec![discovery_address],
         node_settings: node_settings(),
