--- a/crates/daemon/src/downstream/durable_exchange.rs
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -17,7 +17,7 @@
 
 /// Why a durable request is not answered from the ledger.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum DurableError {
+pub(super) enum DurableExchangeError {
     #[error("the idempotency key was used for another request")]
     KeyMismatch,
     #[error("a request with this id is open or on record")]
@@ -26,13 +26,13 @@
     Disconnected,
 }
 
-impl DurableError {
+impl DurableExchangeError {
     /// The status of the response; none if the client has disconnected.
     pub fn status(&self) -> Option<u16> {
         match self {
-            DurableError::KeyMismatch => Some(422),
-            DurableError::Duplicate => Some(409),
-            DurableError::Disconnected => None,
+            DurableExchangeError::KeyMismatch => Some(422),
+            DurableExchangeError::Duplicate => Some(409),
+            DurableExchangeError::Disconnected => None,
         }
     }
 }
@@ -53,7 +53,7 @@
 
 /// A job whose answer is waited for.
 struct PendingJob {
-    job: Rc<PendingAnswer>,
+    pending_answer: Rc<PendingAnswer>,
     acknowledges: Option<RequestId>,
     /// When the client gets an answer even if the job has no outcome yet.
     last_answer_at: Instant,
@@ -78,20 +78,20 @@
     ///
     /// # Errors
     /// If the request contradicts what is on record, or if the client disconnects.
-    pub async fn run(&mut self, submission: Submission) -> Result<DurableAnswer, DurableError> {
+    pub async fn run(&mut self, submission: Submission) -> Result<DurableAnswer, DurableExchangeError> {
         // During a hot restart the older process may still have the ledger open.
         let Some(ledger) = self.server.ledger() else { return Ok(DurableAnswer::retry_later()) };
         let pending = match ledger.look_up(&submission.request) {
-            LookupResult::KeyMismatch => return Err(DurableError::KeyMismatch),
-            LookupResult::DuplicateId => return Err(DurableError::Duplicate),
+            LookupResult::KeyMismatch => return Err(DurableExchangeError::KeyMismatch),
+            LookupResult::DuplicateId => return Err(DurableExchangeError::Duplicate),
             LookupResult::Answered(request_id) => {
                 // An answer that cannot be read leaves open whether the request ran.
                 let answer = ledger.recorded_answer(request_id).await.unwrap_or(Answer::Failed);
                 return Ok(DurableAnswer { answer, acknowledges: Some(request_id) });
             }
-            LookupResult::Open(job) => {
+            LookupResult::Open(pending_answer) => {
                 let last_answer_at = Instant::now() + self.server.last_answer_wait(submission.time_left);
-                PendingJob { job, acknowledges: None, last_answer_at }
+                PendingJob { pending_answer, acknowledges: None, last_answer_at }
             }
             LookupResult::New => match self.start_job(&ledger, submission).await? {
                 JobStart::Recorded(pending) => pending,
@@ -106,14 +106,14 @@
         &self,
         ledger: &Rc<Durable>,
         submission: Submission,
-    ) -> Result<JobStart, DurableError> {
+    ) -> Result<JobStart, DurableExchangeError> {
         if !ledger.is_ready() {
             return Ok(JobStart::NotRecorded(DurableAnswer::retry_later()));
         }
         let Submission { request, time_left, .. } = submission;
         let admitted = match self.server.admit(request, time_left, self.admission) {
             Ok(admitted) => admitted,
-            Err(AdmissionError::Duplicate) => return Err(DurableError::Duplicate),
+            Err(AdmissionError::Duplicate) => return Err(DurableExchangeError::Duplicate),
             Err(AdmissionError::NoCapacity) => {
                 return Ok(JobStart::NotRecorded(DurableAnswer::retry_later()));
             }
@@ -123,23 +123,23 @@
         let recorded = ledger.accept(&in_flight, last_answer_at).await;
         // From here on the ledger detects duplicates of it.
         self.server.request_ids.close(&in_flight.request.id);
-        let job = match recorded {
-            Ok(job) => job,
+        let pending_answer = match recorded {
+            Ok(pending_answer) => pending_answer,
             Err(answer) => {
                 return Ok(JobStart::NotRecorded(DurableAnswer { answer, acknowledges: None }));
             }
         };
         let acknowledges = Some(in_flight.request_id);
         let _ = self.server.events.send(NodeEvent::RequestArrived(in_flight)).await;
-        Ok(JobStart::Recorded(PendingJob { job, acknowledges, last_answer_at }))
+        Ok(JobStart::Recorded(PendingJob { pending_answer, acknowledges, last_answer_at }))
     }
 
     /// Waits for the answer to a job. The job continues if the client disconnects.
-    async fn wait_for_job(&mut self, pending: PendingJob) -> Result<DurableAnswer, DurableError> {
+    async fn wait_for_job(&mut self, pending: PendingJob) -> Result<DurableAnswer, DurableExchangeError> {
         let answer = tokio::select! {
             biased;
-            answer = pending.job.answered() => answer,
-            () = self.connection.closed_by_peer() => return Err(DurableError::Disconnected),
+            answer = pending.pending_answer.answered() => answer,
+            () = self.connection.closed_by_peer() => return Err(DurableExchangeError::Disconnected),
             () = sleep_until(pending.last_answer_at) => Answer::Failed,
         };
         Ok(DurableAnswer { answer, acknowledges: pending.acknowledges })
--- a/crates/daemon/src/downstream/response.rs
+++ b/crates/daemon/src/downstream/response.rs
@@ -33,7 +33,7 @@
 /// A response before it is written.
 pub(super) struct Response {
     status: u16,
-    headers: Vec<Field>,
+    fields: Vec<Field>,
     body: Bytes,
 }
 
@@ -49,22 +49,18 @@
 impl Response {
     /// A response with a plain-text body.
     pub fn text(status: u16, text: String) -> Self {
-        Response { status, headers: Vec::new(), body: text.into() }
+        Response { status, fields: Vec::new(), body: text.into() }
     }
 
     /// The final answer to a request.
     pub fn answer(codec: &Codec, answer: &Answer) -> Self {
         let ResponseParts { status, fields, body } = codec.response(answer);
-        Response { status, headers: fields, body }
+        Response { status, fields, body }
     }
 
     /// The rejection of a request that cannot be handled, with a Retry-After if the settings allow it.
     pub fn rejection(codec: &Codec, status: u16, retry_after: Duration) -> Self {
-        Response {
-            status,
-            headers: codec.retry_after_field(Some(to_millis(retry_after))),
-            body: Bytes::new(),
-        }
+        Response { status, fields: codec.retry_after_field(Some(to_millis(retry_after))), body: Bytes::new() }
     }
 
     /// The length of the body in bytes.
@@ -83,7 +79,7 @@
         write_timeout: Duration,
     ) -> Result<(), SendError> {
         let keeps_alive = reuse == ConnectionReuse::KeepAlive;
-        let head = http1::response_head(self.status, self.body.len(), keeps_alive, &self.headers);
+        let head = http1::response_head(self.status, self.body.len(), keeps_alive, &self.fields);
         let parts: [&[u8]; 2] = [&head, &self.body];
         timeout(write_timeout, connection.write(&parts))
             .await
--- a/crates/daemon/src/durable/recovery.rs
+++ b/crates/daemon/src/durable/recovery.rs
@@ -50,7 +50,7 @@
     pub async fn recover(
         self: Rc<Self>,
         mut state: watch::Receiver<LifecycleState>,
-        reserved_bytes: Rc<ByteBudget>,
+        request_bytes: Rc<ByteBudget>,
     ) {
         let unrecovered = self.unrecovered.take();
         let has_started = |state: &LifecycleState| *state != LifecycleState::Starting;
@@ -59,7 +59,7 @@
         }
         let started_at = Instant::now();
         for request_id in &unrecovered {
-            if let Err(error) = self.recover_request(*request_id, &reserved_bytes).await {
+            if let Err(error) = self.recover_request(*request_id, &request_bytes).await {
                 tracing::warn!(request = request_id.0, %error, "request not recovered, answered as failed");
                 self.answer_unrecovered(*request_id).await;
             }
@@ -83,10 +83,10 @@
     async fn recover_request(
         self: &Rc<Self>,
         request_id: RequestId,
-        reserved_bytes: &Rc<ByteBudget>,
+        request_bytes: &Rc<ByteBudget>,
     ) -> Result<(), RecoveryError> {
         let accepted = self.read_accepted(request_id).await?;
-        let in_flight = self.reserve(request_id, &accepted, reserved_bytes).await?;
+        let in_flight = self.reserve(request_id, &accepted, request_bytes).await?;
         in_flight.is_durable.set(true);
         let attempts = self.earlier_attempts(request_id)?;
         // The dispatcher also answers requests that are past their deadline, a short time after recovery.
@@ -114,12 +114,12 @@
         &self,
         request_id: RequestId,
         accepted: &AcceptedRequest,
-        reserved_bytes: &Rc<ByteBudget>,
+        request_bytes: &Rc<ByteBudget>,
     ) -> Result<Rc<InFlightRequest>, RecoveryError> {
         loop {
             let request = self.restore_request(accepted)?;
             let deadline = self.instant_of(accepted.deadline);
-            match InFlightRequest::new(request_id, request, deadline, reserved_bytes) {
+            match InFlightRequest::new(request_id, request, deadline, request_bytes) {
                 Some(in_flight) => return Ok(in_flight),
                 None => sleep(RESERVE_INTERVAL).await,
             }
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -109,7 +109,7 @@
         // an idempotent request is safe to retry after that.
         let reuse = match self.pool.codec.load().effect(class) {
             Some(Effect::Idempotent) => IdleReuse::Any,
-            _ => IdleReuse::WithoutLateResponse,
+            _ => IdleReuse::PastDuplicateWindow,
         };
         let max_connections = self.pool.max_connections_for_attempts();
         tokio::select! {
--- a/crates/daemon/src/upstream/executor.rs
+++ b/crates/daemon/src/upstream/executor.rs
@@ -68,7 +68,7 @@
     /// Any idle connection.
     Any,
     /// Only connections on which a duplicate response to the previous attempt can no longer arrive.
-    WithoutLateResponse,
+    PastDuplicateWindow,
 }
 
 /// Connections without a message in progress, ordered by how long they have been idle, longest first.
--- a/src/dispatcher/fleet.rs
+++ b/src/dispatcher/fleet.rs
@@ -6,7 +6,7 @@
 use crate::policy::retry::RetryPolicy;
 use crate::policy::sampling::{Sampler, SamplingWeight};
 use crate::policy::selection::{CandidateLoad, QueueRank};
-use crate::policy::slow_start::{SiblingProcess, SlowStart, WarmUp, warm_up_cost};
+use crate::policy::slow_start::{BudgetInputs, BudgetSharing, SlowStart, warm_up_cost};
 use crate::settings::Settings;
 use crate::state::executor_state::ExecutorState;
 use crate::state::executor_table::ExecutorTable;
@@ -24,7 +24,7 @@
     local_zone: Option<ZoneId>,
     /// Until when the dispatches of another process of this node count against warm-up budgets: while it runs, and
     /// for one budget window after it has stopped.
-    sibling_until: Millis,
+    sibling_counted_until: Millis,
 }
 
 impl Fleet {
@@ -35,7 +35,7 @@
             slow_start: SlowStart::default(),
             outliers: OutlierDetection::default(),
             local_zone: None,
-            sibling_until: 0.0,
+            sibling_counted_until: 0.0,
         }
     }
 
@@ -48,8 +48,8 @@
 
     /// Records that another process of this node runs or has stopped. Its dispatches count for one more budget
     /// window after it stops.
-    pub fn record_sibling(&mut self, now: Millis, is_running: bool) {
-        self.sibling_until = if is_running { f64::INFINITY } else { self.slow_start.window_end(now) };
+    pub fn record_sibling_change(&mut self, now: Millis, is_running: bool) {
+        self.sibling_counted_until = if is_running { f64::INFINITY } else { self.slow_start.window_end(now) };
     }
 
     /// Whether a dispatch to this executor crosses zones and has a price.
@@ -79,14 +79,14 @@
         if !self.slow_start.is_limited(state.endpoint.started_at, now) {
             return f64::INFINITY;
         }
-        let is_sibling_running = now < self.sibling_until;
-        let warm_up = WarmUp {
+        let is_sibling_counted = now < self.sibling_counted_until;
+        let inputs = BudgetInputs {
             endpoint: &state.endpoint,
             capacity_slots: self.executors.capacity(executor),
             spent: &state.warm_up_spent,
-            sibling: if is_sibling_running { SiblingProcess::Running } else { SiblingProcess::Absent },
+            sharing: if is_sibling_counted { BudgetSharing::WithSibling } else { BudgetSharing::Exclusive },
         };
-        self.slow_start.remaining_budget(&warm_up, now)
+        self.slow_start.remaining_budget(&inputs, now)
     }
 
     /// Records the cost of a dispatch, in slot-milliseconds, if a warm-up budget limits the executor.
@@ -182,7 +182,7 @@
         let decay = self.score_decay(now);
         let state = self.executors.state_mut(executor)?;
         let score = state.rejections.entry(class).or_default();
-        let recorded = decay.reject(*score, now);
+        let recorded = decay.add_rejection(*score, now);
         *score = recorded.score;
         let token = state.endpoint.token as u32;
         (recorded.notice == PeerNotice::Send).then_some(GossipMessage::RequestRejected { token, class })
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -118,7 +118,7 @@
                 self.on_attempt_recovered(now, request_id, executor, sent_at)
             }
             Event::GossipReceived(message) => self.on_gossip(now, message),
-            Event::SiblingChanged { is_running } => self.fleet.record_sibling(now, is_running),
+            Event::SiblingChanged { is_running } => self.fleet.record_sibling_change(now, is_running),
             Event::WarmStateReceived(state) => self.import_state(state),
             Event::AttemptStarted { request_id, attempt_id } => {
                 self.on_attempt_started(now, request_id, attempt_id)
--- a/src/dispatcher/reconcile.rs
+++ b/src/dispatcher/reconcile.rs
@@ -89,7 +89,7 @@
     /// Sets the host's timer if the next due time is earlier than the time for which it is set.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let next_call_at = self.discovery.next_call_at;
-        let next = self.timers.first().min(next_call_at).min(self.fleet.executors.reclaim_at());
+        let next = self.timers.next_due_at().min(next_call_at).min(self.fleet.executors.reclaim_at());
         actions.extend(self.timers.arm_host_timer(next).map(|at| Action::SetTimer { at }));
     }
 }
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -18,7 +18,7 @@
         /// Idle time up to which a connection is still reused, in milliseconds.
         max_idle_time: Millis,
     },
-    Prolonged,
+    Extended,
 }
 
 /// Blocks the reuse of idle connections for 30 s after one of them was found broken.
@@ -52,7 +52,7 @@
         let is_blocked = now < self.blocked_until;
         self.blocked_until = now + REUSE_BLOCK;
         match is_blocked {
-            true => ReuseBlock::Prolonged,
+            true => ReuseBlock::Extended,
             false => ReuseBlock::Began { max_idle_time: SAFE_IDLE_TIME },
         }
     }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -98,7 +98,7 @@
     }
 
     /// Adds a rejection by an executor whose load report showed free capacity.
-    pub fn reject(self, score: DecayingScore, now: Millis) -> RecordedRejection {
+    pub fn add_rejection(self, score: DecayingScore, now: Millis) -> RecordedRejection {
         let before = score.at(now, self.time_constant);
         let score = DecayingScore { value: before + self.fault_penalty(), set_at: now };
         let notice = if before < GOSSIP_THRESHOLD { PeerNotice::Send } else { PeerNotice::Skip };
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -18,23 +18,22 @@
 /// Exponent of the warm-up progress in the sampling weight in a large fleet.
 const LARGE_FLEET_WEIGHT_EXPONENT: f64 = 0.5;
 
-/// Whether another process of this node shares its budgets, as during a hot restart. The daemon's type of the
-/// same name is the connection to that process.
+/// Whether another process of this node spends the same budgets, as during a hot restart.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum SiblingProcess {
-    /// It runs, or has stopped less than one budget window ago.
-    Running,
-    Absent,
+pub(crate) enum BudgetSharing {
+    /// Another process runs, or has stopped less than one budget window ago.
+    WithSibling,
+    Exclusive,
 }
 
-/// The state of an executor on which its budget depends.
-pub(crate) struct WarmUp<'a> {
+/// What the remaining budget of one executor depends on.
+pub(crate) struct BudgetInputs<'a> {
     pub endpoint: &'a Endpoint,
     /// Slots of the executor when it is warm.
     pub capacity_slots: f64,
     /// Dispatches of this node to it during slow start.
     pub spent: &'a [WarmUpDispatch],
-    pub sibling: SiblingProcess,
+    pub sharing: BudgetSharing,
 }
 
 /// The warm-up budgets of executors, in slot-milliseconds over a sliding window.
@@ -106,20 +105,20 @@
     }
 
     /// Work that this node may still dispatch to an executor, in slot-milliseconds; infinite for a warm executor.
-    pub fn remaining_budget(&self, warm_up: &WarmUp<'_>, now: Millis) -> f64 {
+    pub fn remaining_budget(&self, inputs: &BudgetInputs<'_>, now: Millis) -> f64 {
         let RuleSettings { budget_window, budget_multiple, .. } = self.rules;
         let since = self.window_start(now);
-        let progress = self.progress(warm_up.endpoint.started_at, since);
+        let progress = self.progress(inputs.endpoint.started_at, since);
         if progress >= 1.0 {
             return f64::INFINITY;
         }
-        let budget = budget_multiple * progress * warm_up.capacity_slots * budget_window;
-        let part = match warm_up.sibling {
-            SiblingProcess::Running => SIBLING_SHARE,
-            SiblingProcess::Absent => 1.0,
+        let budget = budget_multiple * progress * inputs.capacity_slots * budget_window;
+        let part = match inputs.sharing {
+            BudgetSharing::WithSibling => SIBLING_SHARE,
+            BudgetSharing::Exclusive => 1.0,
         };
-        let spent = warm_up.spent.iter().filter(|dispatch| dispatch.at >= since);
-        USABLE_BUDGET_SHARE * budget * part * self.share(warm_up.endpoint.token)
+        let spent = inputs.spent.iter().filter(|dispatch| dispatch.at >= since);
+        USABLE_BUDGET_SHARE * budget * part * self.share(inputs.endpoint.token)
             - spent.map(|dispatch| dispatch.work).sum::<f64>()
     }
 
--- a/src/state/timer_queue.rs
+++ b/src/state/timer_queue.rs
@@ -38,7 +38,7 @@
     }
 
     /// Returns the earliest due time; infinite if there is none.
-    pub fn first(&self) -> Millis {
+    pub fn next_due_at(&self) -> Millis {
         self.due.first().map_or(f64::INFINITY, |&(bits, _)| f64::from_bits(bits))
     }
 
--- a/tests/unit/connection_reuse.rs
+++ b/tests/unit/connection_reuse.rs
@@ -38,8 +38,8 @@
     let mut rule = rule();
     let began = ReuseBlock::Began { max_idle_time: 200.0 };
     assert_eq!(rule.block(0.0), began);
-    assert_eq!(rule.block(29_999.0), ReuseBlock::Prolonged);
-    assert_eq!(rule.block(59_998.0), ReuseBlock::Prolonged);
+    assert_eq!(rule.block(29_999.0), ReuseBlock::Extended);
+    assert_eq!(rule.block(59_998.0), ReuseBlock::Extended);
     assert_eq!(rule.block(89_998.0), began);
 }
 
--- a/tests/unit/outlier.rs
+++ b/tests/unit/outlier.rs
@@ -73,7 +73,7 @@
     for (before, notice) in
         [(0.0, PeerNotice::Send), (0.74, PeerNotice::Send), (0.75, PeerNotice::Skip), (3.0, PeerNotice::Skip)]
     {
-        let recorded = decay(8000.0).reject(score(before), NOW);
+        let recorded = decay(8000.0).add_rejection(score(before), NOW);
         assert_eq!(recorded, RecordedRejection { score: score(before + 2.0), notice }, "{before}");
     }
 }
--- a/tests/unit/slow_start.rs
+++ b/tests/unit/slow_start.rs
@@ -16,9 +16,9 @@
     Endpoint { token, started_at: Some(START), ..endpoint(0) }
 }
 
-fn remaining(rule: &SlowStart, now: Millis, spent: &[WarmUpDispatch], sibling: SiblingProcess) -> f64 {
+fn remaining(rule: &SlowStart, now: Millis, spent: &[WarmUpDispatch], sharing: BudgetSharing) -> f64 {
     let endpoint = warming_up(0);
-    rule.remaining_budget(&WarmUp { endpoint: &endpoint, capacity_slots: SLOTS, spent, sibling }, now)
+    rule.remaining_budget(&BudgetInputs { endpoint: &endpoint, capacity_slots: SLOTS, spent, sharing }, now)
 }
 
 /// Guards against a dispatch that counts for too short or too long.
@@ -28,7 +28,7 @@
     let now = START + 500.0;
     for (age, expected) in [(0.0, BUDGET - 70.0), (1000.0, BUDGET - 70.0), (1001.0, BUDGET)] {
         let spent = [WarmUpDispatch { at: now - age, work: 70.0 }];
-        assert_close(remaining(&rule, now, &spent, SiblingProcess::Absent), expected);
+        assert_close(remaining(&rule, now, &spent, BudgetSharing::Exclusive), expected);
     }
 }
 
@@ -39,7 +39,7 @@
     for (after_start, is_limited) in [(0.0, true), (10_999.0, true), (11_000.0, false)] {
         let now = START + after_start;
         assert_eq!(rule.is_limited(Some(START), now), is_limited, "{after_start} ms after its start");
-        let remaining_budget = remaining(&rule, now, &[], SiblingProcess::Absent);
+        let remaining_budget = remaining(&rule, now, &[], BudgetSharing::Exclusive);
         assert_eq!(remaining_budget.is_finite(), is_limited, "{after_start} ms after its start");
     }
     assert!(!rule.is_limited(None, START), "an executor without a start is warm");
@@ -48,7 +48,7 @@
 /// Two processes of one node must not spend its share twice.
 #[test]
 fn two_processes_of_a_node_get_half_a_budget_each() {
-    assert_close(remaining(&rule(1.0, None), START, &[], SiblingProcess::Running), BUDGET / 2.0);
+    assert_close(remaining(&rule(1.0, None), START, &[], BudgetSharing::WithSibling), BUDGET / 2.0);
 }
 
 /// Shares that add up to more would overload the executor; to less, leave it idle.
@@ -59,11 +59,11 @@
     for (nodes, assigned) in [(4, 4), (8, 8), (20, 8)] {
         let rules = (0..nodes).map(|node| rule(f64::from(nodes), Some(f64::from(node))));
         let budgets: Vec<f64> =
-            rules.map(|rule| remaining(&rule, START, &[], SiblingProcess::Absent)).collect();
+            rules.map(|rule| remaining(&rule, START, &[], BudgetSharing::Exclusive)).collect();
         assert_eq!(budgets.iter().filter(|&&budget| budget > 0.0).count(), assigned, "{nodes} nodes");
         assert_close(budgets.iter().sum(), BUDGET);
     }
-    let without_number = remaining(&rule(20.0, None), START, &[], SiblingProcess::Absent);
+    let without_number = remaining(&rule(20.0, None), START, &[], BudgetSharing::Exclusive);
     assert_close(without_number, BUDGET / 20.0);
 }
 
