--- a/crates/daemon/src/downstream/durable_exchange.rs
+++ b/crates/daemon/src/downstream/durable_exchange.rs
@@ -1,4 +1,5 @@
-//! Handles a durable request: it is recorded in the ledger before it is dispatched, and a repeat of it joins it.
+//! Handles a durable request: it is recorded in the ledger before it is dispatched, and a repeated request waits
+//! for the same answer.
 use super::DownstreamServer;
 use super::admission::{AdmissionError, ConnectionAdmission};
 use super::request::Submission;
@@ -15,7 +16,7 @@
 /// Retry-After of durable requests that cannot be recorded now.
 const LEDGER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a durable request is not answered from the ledger.
+/// Why a durable request ends without a final answer.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DurableExchangeError {
     #[error("the idempotency key was used for another request")]
@@ -27,7 +28,7 @@
 }
 
 impl DurableExchangeError {
-    /// The status of the response; none if the client has disconnected.
+    /// The status of the response; `None` if the client has disconnected.
     pub fn status(&self) -> Option<u16> {
         match self {
             DurableExchangeError::KeyMismatch => Some(422),
@@ -51,7 +52,7 @@
     }
 }
 
-/// A job whose answer is waited for.
+/// A job whose answer a client waits for.
 struct PendingJob {
     pending_answer: Rc<PendingAnswer>,
     acknowledges: Option<RequestId>,
@@ -79,7 +80,7 @@
     /// # Errors
     /// If the request contradicts what is on record, or if the client disconnects.
     pub async fn run(&mut self, submission: Submission) -> Result<DurableAnswer, DurableExchangeError> {
-        // During a hot restart the older process may still have the ledger open.
+        // During a hot restart the old process may still have the ledger open.
         let Some(ledger) = self.server.ledger() else { return Ok(DurableAnswer::retry_later()) };
         let pending = match ledger.look_up(&submission.request) {
             LookupResult::KeyMismatch => return Err(DurableExchangeError::KeyMismatch),
--- a/crates/daemon/src/downstream/exchange.rs
+++ b/crates/daemon/src/downstream/exchange.rs
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Rejects a request. The connection is closed, because the start of the next request cannot be located.
+    /// Rejects a request. The connection is closed, because the start of the next request cannot be located if this
+    /// one was not read completely.
     pub async fn reject(&mut self, status: u16, reason: &dyn Display) -> ExchangeEnd {
         tracing::debug!(status, %reason, "request not admitted");
         let retry_after = self.server.limits.downstream.malformed_retry_after;
@@ -179,7 +180,7 @@
         Delivery { is_written: sent.is_ok(), end: ExchangeEnd::after(&sent, reuse, size) }
     }
 
-    /// Hands a request to the driver and waits for its answer. None if the client disconnects first.
+    /// Hands a request to the driver and waits for its answer. Returns `None` if the client disconnects first.
     async fn wait_for_answer(&mut self, admitted: &AdmittedRequest) -> Option<Answer> {
         let in_flight = &admitted.in_flight;
         let answer = tokio::select! {
@@ -202,7 +203,7 @@
 impl DownstreamServer {
     /// Hands a request to the driver and waits for its answer.
     ///
-    /// A request that arrives before the first endpoint list waits for it, for a bounded time: by the cached list
+    /// A request that arrives before the first endpoint list waits for it, for a bounded time: with the cached list
     /// it could be sent to an executor that has drained since.
     async fn dispatch_and_wait(&self, in_flight: &Rc<InFlightRequest>) -> Answer {
         let mut lifecycle = self.lifecycle.clone();
--- a/crates/daemon/src/downstream/listener.rs
+++ b/crates/daemon/src/downstream/listener.rs
@@ -13,7 +13,7 @@
 /// Pause after a failed accept, which a lack of descriptors makes likely to fail again.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often a connection to evict is searched for within the minimum age of a new one.
+/// Number of searches for a connection to evict during the minimum age of a new one.
 const EVICTION_CHECKS_PER_MIN_AGE: u32 = 4;
 
 /// Where the listening socket comes from.
@@ -26,7 +26,7 @@
 }
 
 impl ListenerOrigin {
-    /// The origin of a listening socket that is inherited if there is one to inherit.
+    /// The origin of the listening socket, given the inherited one if there is any.
     pub fn of(inherited: Option<&std::net::TcpListener>) -> Self {
         if inherited.is_some() { ListenerOrigin::Inherited } else { ListenerOrigin::Bound }
     }
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -39,7 +39,7 @@
     pub lifecycle: watch::Receiver<LifecycleState>,
     /// The text of a health check's response, written by endpoint discovery.
     pub discovery_status: Rc<RefCell<String>>,
-    /// None if the node has no ledger.
+    /// `None` if the node has no ledger.
     pub durable_config: Option<DurableConfig>,
     /// The node's other process during a hot restart.
     pub sibling: Rc<SiblingProcess>,
@@ -55,7 +55,7 @@
     lifecycle: watch::Receiver<LifecycleState>,
     discovery_status: Rc<RefCell<String>>,
     durable_config: Option<DurableConfig>,
-    /// None as long as an older process of the node has the ledger open.
+    /// `None` if the node has none, or as long as the old process of the node has it open.
     ledger: RefCell<Option<Rc<Durable>>>,
     sibling: Rc<SiblingProcess>,
     tasks: TaskGroup,
--- a/crates/daemon/src/downstream/request.rs
+++ b/crates/daemon/src/downstream/request.rs
@@ -44,7 +44,7 @@
 }
 
 impl ReadError {
-    /// The status of the response; none if the client has disconnected.
+    /// The status of the response; `None` if the client has disconnected.
     pub fn status(&self) -> Option<u16> {
         match self {
             ReadError::Disconnected => None,
--- a/crates/daemon/src/downstream/response.rs
+++ b/crates/daemon/src/downstream/response.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Whether a response may not have arrived completely at the client when its last byte has been written.
+/// Whether a part of a response may still be in transit to the client once its last byte has been written.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ResponseSize {
     Small,
--- a/crates/daemon/src/driver/actions.rs
+++ b/crates/daemon/src/driver/actions.rs
@@ -45,7 +45,7 @@
         if self.is_cancelling {
             cancel_signal.cancel(Outcome::TimedOut);
         }
-        // Fills the indices of attempts that earlier processes made; these have no cancel signal.
+        // Unused signals fill the indices of the attempts of earlier processes, which cannot be cancelled from here.
         request.cancel_signals.resize_with(attempt_id.0 as usize, Rc::default);
         request.cancel_signals.push(cancel_signal.clone());
         let decided_at = Instant::now();
--- a/crates/daemon/src/driver/endpoints.rs
+++ b/crates/daemon/src/driver/endpoints.rs
@@ -43,8 +43,8 @@
         self.reclaim_handles();
     }
 
-    /// Makes the dispatcher release executors that are gone without delay if retained entries are deferred because all
-    /// handles are in use.
+    /// If entries that are to be retained were deferred because all handles are in use, makes the dispatcher release
+    /// the executors that are gone without delay.
     pub(super) fn reclaim_handles(&mut self) {
         if self.retention.has_retainable_entry() {
             self.dispatcher.reclaim_now();
@@ -117,7 +117,8 @@
         endpoints
     }
 
-    /// Retains cached entries after executors were released. Returns whether any entry was retained.
+    /// Retains entries that [`EndpointRetention`] has cached, after executors were released. Returns whether any entry
+    /// was retained.
     pub(super) fn retain_cached_entries(&mut self, now: Millis) -> bool {
         if !std::mem::take(&mut self.has_released) || !self.retention.has_retainable_entry() {
             return false;
@@ -167,7 +168,8 @@
         }
     }
 
-    /// Whether an executor is registered, cached or excluded. An executor that is gone can still be included again.
+    /// Whether an executor is registered, listed but not retained, or excluded. An executor that is gone can still be
+    /// included again.
     fn is_listed_or_excluded(&self, name: &str) -> bool {
         self.registry.get(name).is_some()
             || self.retention.unretained_entry(name).is_some()
--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Waits for the next event or timer of the dispatcher.
+    /// Waits for the next event, or for the dispatcher's timer.
     async fn next_event(&mut self) -> Option<NodeEvent> {
         let timer = self.next_timer;
         tokio::select! {
--- a/crates/daemon/src/durable/jobs.rs
+++ b/crates/daemon/src/durable/jobs.rs
@@ -105,7 +105,7 @@
         self.pending_answers.publish(request_id, pending, answer);
     }
 
-    /// Waits for the answer, records it and publishes it to waiting clients. Runs on if the client disconnects.
+    /// Waits for the answer, records it and publishes it to waiting clients. Continues if the client disconnects.
     pub(super) async fn record_answer(
         self: Rc<Self>,
         in_flight: Rc<InFlightRequest>,
--- a/crates/daemon/src/durable/recovery.rs
+++ b/crates/daemon/src/durable/recovery.rs
@@ -46,7 +46,7 @@
 
 impl Durable {
     /// Recovers the requests that were open at the start, once there is an endpoint list: sends each to the driver
-    /// with its earlier attempts. Waits for memory if the budget of requests is used up.
+    /// with its earlier attempts. Waits for memory if the budget for the contents of requests is used up.
     pub async fn recover(
         self: Rc<Self>,
         mut state: watch::Receiver<LifecycleState>,
--- a/crates/daemon/src/hot_restart/codec.rs
+++ b/crates/daemon/src/hot_restart/codec.rs
@@ -168,7 +168,7 @@
 pub struct ExecutorState {
     /// The executor's name.
     pub id: String,
-    /// Decaying count of recent failures.
+    /// Decaying score of the executor's faults and slow attempts.
     #[serde(rename = "failed")]
     pub failure_score: Score,
     /// Decaying count of the outcomes on which the failure score is based.
--- a/crates/daemon/src/hot_restart/inherited_socket.rs
+++ b/crates/daemon/src/hot_restart/inherited_socket.rs
@@ -23,7 +23,7 @@
 /// Why a descriptor is not a usable listening socket.
 #[derive(Debug, thiserror::Error)]
 enum DescriptorError {
-    #[error("is not a descriptor, expected a number from {FIRST_DESCRIPTOR}")]
+    #[error("is not a descriptor, expected a number of at least {FIRST_DESCRIPTOR}")]
     NotADescriptor,
     #[error("is not an open socket: {0}")]
     NotOpen(#[source] io::Error),
--- a/crates/daemon/src/in_flight.rs
+++ b/crates/daemon/src/in_flight.rs
@@ -38,7 +38,8 @@
 pub enum Answer {
     /// The result of an executor.
     Completed(Bytes),
-    /// The request was rejected and did not run; with the time after which the client may retry, if one is set.
+    /// The request was rejected and may be retried: it did not run, or running it again is safe. With the time after
+    /// which the client may retry, if one is set.
     Rejected(Option<Millis>),
     /// The request failed and may have run.
     Failed,
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -153,8 +153,8 @@
             || is_other_incarnation
     }
 
-    /// Writes the request; false if its last byte was not written, for an error or because it may no longer be
-    /// sent. An executor that reads slowly can delay that byte indefinitely.
+    /// Writes the request. Returns false if its last byte was not written, because of an error or because the request
+    /// may no longer be sent. An executor that reads slowly can delay that byte indefinitely.
     async fn send(
         &self,
         connection: &mut PooledConnection,
--- a/crates/daemon/src/upstream/attempt_status.rs
+++ b/crates/daemon/src/upstream/attempt_status.rs
@@ -12,7 +12,7 @@
 /// Interval between two queries while the executor reports no final state.
 const QUERY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Queries the status of one attempt. The query fences it: an attempt that has not started never will.
+/// Queries the status of one attempt. The query also fences it: an attempt that has not started by then never starts.
 pub(super) struct AttemptStatusQuery<'a> {
     pub pool: &'a ExecutorPool,
     pub executor: &'a Executor,
@@ -21,9 +21,9 @@
 }
 
 impl AttemptStatusQuery<'_> {
-    /// Repeats the query until the executor reports a final state. None if the executor does not support fences
-    /// or does not recognize the attempt, or if the request is closed first. An expired lease does not prove that the
-    /// attempt has ended.
+    /// Repeats the query until the executor reports a final state. Returns `None` if the executor does not support
+    /// fencing or does not recognize the attempt, or if the request is closed or its deadline passes first. An expired
+    /// lease does not prove that the attempt has ended.
     pub async fn resolve(&self) -> Option<Outcome> {
         if !self.lease.has_fencing() {
             return None;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Sends one query; none if the executor cannot be reached or its response is not valid.
+    /// Sends one query. Returns `None` if the executor cannot be reached or its response is not valid.
     async fn query(&self) -> Option<AttemptStatus> {
         let limits = &self.pool.limits;
         let connection =
--- a/crates/daemon/src/upstream/executor.rs
+++ b/crates/daemon/src/upstream/executor.rs
@@ -10,11 +10,11 @@
 
 /// The fields of an endpoint list entry that the pool uses.
 pub struct ExecutorEndpoint {
-    /// None if the list gives no usable address.
+    /// `None` if the list gives no usable address.
     pub address: Option<SocketAddr>,
     /// When the executor started, if the list states it.
     pub started_at: Option<Millis>,
-    /// Whether it takes requests; an executor that drains or is gone does not.
+    /// Whether it accepts requests; an executor that drains or is gone does not.
     pub is_ready: bool,
 }
 
--- a/crates/daemon/src/upstream/pool.rs
+++ b/crates/daemon/src/upstream/pool.rs
@@ -22,7 +22,7 @@
 /// keep the thread busy.
 const MIN_EXPIRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How often expired connections are searched for within the idle timeout.
+/// Number of searches for expired connections during one idle timeout.
 const EXPIRY_CHECKS_PER_TIMEOUT: u32 = 8;
 
 /// One out of this many connections is reserved for load probes and attempt status queries.
@@ -55,7 +55,7 @@
 
 /// The executors that the driver registered, with pooled connections to each.
 pub struct ExecutorPool {
-    /// Bound connections and timeouts.
+    /// The limits of the node.
     pub limits: Rc<Limits>,
     pub(super) codec: Rc<Current<Codec>>,
     /// Where outcomes and load reports are sent.
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Closes the idle connections to an executor, which may have ended without notice.
+    /// Closes the idle connections to an executor, because they may be broken without an error so far.
     pub fn close_idle_connections(&self, executor: ExecutorId) {
         if let Some(executor) = self.executor(executor) {
             executor.idle.clear();
@@ -143,7 +143,7 @@
         self.executors.borrow().len()
     }
 
-    /// The number of open connections from which on attempts open no further ones.
+    /// The number of open connections at which attempts open no further ones; the rest is reserved.
     pub(super) fn max_connections_for_attempts(&self) -> usize {
         let limit = self.limits.upstream.max_connections;
         limit - (limit / CONNECTIONS_PER_RESERVED).max(1)
@@ -204,7 +204,7 @@
         Ok(PooledConnection::new(connection, address, incarnation, permit))
     }
 
-    /// Closes the connection that has been idle the longest across all executors; false if none is idle.
+    /// Closes the connection that has been idle the longest across all executors. Returns false if none is idle.
     fn close_longest_idle(&self) -> bool {
         let executors = self.executors.borrow();
         let longest_idle = executors
--- a/crates/daemon/src/upstream/probe.rs
+++ b/crates/daemon/src/upstream/probe.rs
@@ -6,7 +6,7 @@
 use tokio::time::{Instant, timeout_at};
 use troutknot::{ExecutorId, LoadReport, ProbeReply};
 
-/// Probes an executor. None if it is not registered, or if it does not report in time.
+/// Probes an executor. Returns `None` if it is not registered, or if it does not report in time.
 pub(super) async fn probe(pool: &ExecutorPool, executor: ExecutorId) -> Option<ProbeReply> {
     let started_at = Instant::now();
     let probe_timeout = pool.limits.timeouts().probe_timeout;
--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Handles the last attempt of a request that was not reported as started in time. Without probes it lowers the
-    /// admitted share; otherwise its executor is probed to find out whether the attempt was lost.
+    /// Handles a request whose last attempt was not reported as started in time. Without probes this lowers the
+    /// admitted share; otherwise the executor is probed to find out whether the attempt was lost.
     pub(super) fn on_start_overdue(&mut self, now: Millis, request_id: RequestId, executor: ExecutorId) {
         let Some(request) = self.requests.get(&request_id) else { return };
         if request.attempts.last().is_none_or(|last| last.started_at.is_some()) {
--- a/src/dispatcher/probes.rs
+++ b/src/dispatcher/probes.rs
@@ -27,7 +27,7 @@
             let sampled = self.sample_one(now, request_id, &avoided);
             candidates.extend(sampled.filter(|executor| !candidates.contains(executor)));
         }
-        // Executors of the node's own zone are probed first; if one has capacity, no others are probed.
+        // Executors of the node's own zone are probed first; if one of them is sufficient, the others are not probed.
         candidates.sort_by_key(|&executor| self.fleet.is_cross_zone(executor));
         match candidates.is_empty() {
             true => self.enqueue(now, request_id),
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -3,8 +3,8 @@
 use crate::state::request::Attempt;
 use crate::time::Millis;
 
-/// A reset within this time of the dispatch, in milliseconds and before the attempt started, means that the
-/// connection was already broken.
+/// Time after the dispatch, in milliseconds, within which the reset of an attempt that has not started means that
+/// the connection was already broken.
 const STALE_CONNECTION_WINDOW: Millis = 150.0;
 /// Idle time up to which a connection is still reused while reuse is blocked, in milliseconds.
 const SAFE_IDLE_TIME: Millis = 200.0;
@@ -24,13 +24,14 @@
 /// Blocks the reuse of idle connections for 30 s after one of them was found broken.
 #[derive(Default)]
 pub(crate) struct ConnectionReuse {
-    /// Time for which an executor keeps an idle connection open.
+    /// Time for which an executor keeps an idle connection open, in milliseconds; 0 if the settings do not state it.
     idle_timeout: Millis,
     blocked_until: Millis,
 }
 
 impl ConnectionReuse {
-    /// Reads the idle timeout of the executors from the settings; 0 by default.
+    /// Reads the idle timeout of the executors from the settings. Without one, no connection counts as broken while
+    /// idle.
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.idle_timeout = settings.limits.idle_timeout.unwrap_or(0.0);
     }
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -27,8 +27,9 @@
     MAX_WAIT_SHARE * class.mean_objective(class.response_time.mean)
 }
 
-/// Queues a request as long as it can still be answered in time. `queued` is the number of queued requests. If
-/// there are any, capacity is short, and a request over its tenant's quota is given up.
+/// Queues a request until its longest wait or its deadline is over, as long as another attempt is allowed. `queued`
+/// is the number of queued requests. If there are any, capacity is short, and a request over its tenant's quota is
+/// given up.
 pub(crate) fn decide(class: &RequestClass, request: &Request, queued: usize, now: Millis) -> QueueDecision {
     let max_wait = max_queueing_time(class);
     let until = (request.first_sent_at + max_wait).min(request.deadline);
--- a/src/policy/sampling.rs
+++ b/src/policy/sampling.rs
@@ -1,4 +1,4 @@
-//! Sampling: how many executors are sampled for a request, by the paper's ESM formula, and which ones.
+//! Sampling: how many executors are sampled for a request, by the formula of the ESM paper, and which ones.
 use crate::ids::ExecutorId;
 use crate::log_event::LogEvent;
 use crate::state::request::Request;
@@ -30,7 +30,9 @@
 /// Distance of the busy ratio from 0 and 1, where the tail law has no solution.
 const BUSY_RATIO_MARGIN: f64 = 1e-6;
 
-/// Returns the mean time in the system by the ESM formula, in mean running times.
+/// Returns the mean time in the system, in mean running times, by equation (1) of the ESM paper: with the sample size
+/// d and the utilization with probes rho = load / (1 - load d `probe_cost`), it is
+/// (rho / load) sum rho^((d^i - d) / (d - 1)).
 ///
 /// `load` is the utilization without probes, `probe_cost` the cost of a probe in mean running times. Returns
 /// `None` if the utilization with probes reaches 1.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -8,8 +8,8 @@
 
 /// Part of the budget that nodes spend. The rest is a reserve for requests that run longer than the mean.
 const USABLE_BUDGET_SHARE: f64 = 0.8;
-/// Number of nodes that share one executor's budget, per request that fits in the budget of one slot at its start.
-/// Such a request is taken to run as long as the longest latency objective.
+/// Number of nodes that share one executor's budget, per request that fits in the budget of one slot when the
+/// executor starts. Such a request is taken to run as long as the longest latency objective.
 const NODES_PER_REQUEST: f64 = 1.5;
 /// Upper bound on the number of nodes that share one executor's budget.
 const MAX_ASSIGNED_NODES: f64 = 8.0;
@@ -31,7 +31,7 @@
     pub endpoint: &'a Endpoint,
     /// Slots of the executor when it is warm.
     pub capacity_slots: f64,
-    /// Dispatches of this node to it during slow start.
+    /// Dispatches of this node to the executor during slow start.
     pub spent: &'a [WarmUpDispatch],
     pub sharing: BudgetSharing,
 }
@@ -133,7 +133,8 @@
         assigned_executors as f64 * (self.nodes / self.assigned_nodes - 1.0)
     }
 
-    /// This node's share of the budget of the executor with `token`, 0 to 1.
+    /// This node's share of the budget of the executor with `token`, 0 to 1. The token selects a first node; this one
+    /// and those with the next numbers share the budget evenly.
     fn share(&self, token: u64) -> f64 {
         let (nodes, assigned) = (self.nodes as u64, self.assigned_nodes as u64);
         let Some(node) = self.node else { return 1.0 / self.nodes };
--- a/src/state/discovery_backoff.rs
+++ b/src/state/discovery_backoff.rs
@@ -25,7 +25,7 @@
 /// The reason for which a call for the endpoint list failed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum ListFailure {
-    /// The source is reachable and rejects calls because it receives too many.
+    /// The source is reachable but rejects the call, which is taken as a sign that it receives too many.
     Rejected,
     /// The source did not answer, or a watch was interrupted.
     Unanswered,
--- a/src/state/executor_state.rs
+++ b/src/state/executor_state.rs
@@ -17,7 +17,7 @@
     pub failure_score: DecayingScore,
     /// Decaying number of the outcomes in that score.
     pub observations: DecayingScore,
-    /// Scores by class of the requests that it rejected although its report showed free capacity.
+    /// Scores of rejections although the executor's report showed free capacity, by request class.
     pub rejections: BTreeMap<RequestClassId, DecayingScore>,
     /// Largest number of slots that its reports have shown.
     pub max_slots: f64,
--- a/src/state/probe_statistics.rs
+++ b/src/state/probe_statistics.rs
@@ -18,7 +18,7 @@
 const PROBE_TIMEOUT_LATENCIES: f64 = 8.0;
 /// Margin added to the probe timeout, in milliseconds.
 const PROBE_TIMEOUT_MARGIN: Millis = 5.0;
-/// Probe latency assumed before the first reply, in milliseconds.
+/// Probe latency from which the probe timeout follows before the first reply, in milliseconds.
 const INITIAL_PROBE_LATENCY: Millis = 15.0;
 /// Lower bound on the mean running time by which the probe latency is divided, in milliseconds.
 const MIN_RUNNING_TIME: Millis = 1.0;
@@ -66,7 +66,7 @@
         self.replies = if self.busy_ratio.is_some() { 1.0 / REPLY_WEIGHT } else { 0.0 };
     }
 
-    /// Cost of a probe in mean running times: its latency (C in the paper) plus its price relative to the value of a
+    /// Cost of a probe in mean running times: its latency (C in the ESM paper) plus its price relative to the value of a
     /// request.
     pub fn cost(&self, mean_running_time: Millis) -> f64 {
         self.latency.unwrap_or(0.0) / mean_running_time.max(MIN_RUNNING_TIME) + self.price
