--- a/crates/daemon/src/hot_restart/codec.rs
+++ b/crates/daemon/src/hot_restart/codec.rs
@@ -236,9 +236,9 @@
 
 impl RunningTimes {
     fn numbers(&self) -> impl Iterator<Item = f64> {
-        let of_classes = self.classes.iter().flat_map(|class| [class.time.mean, class.time.observations]);
-        let general = [Some(self.mean_running_time), self.busy_probe_ratio, self.probe_latency];
-        of_classes.chain(general.into_iter().flatten())
+        let class_numbers = self.classes.iter().flat_map(|class| [class.time.mean, class.time.observations]);
+        let other_numbers = [Some(self.mean_running_time), self.busy_probe_ratio, self.probe_latency];
+        class_numbers.chain(other_numbers.into_iter().flatten())
     }
 }
 
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -40,12 +40,12 @@
     pub fn was_stale(&self, attempt: &Attempt, now: Millis) -> bool {
         now - attempt.sent_at < STALE_CONNECTION_WINDOW
             && attempt.started_at.is_none()
-            && self.may_be_reused(attempt.idle_time)
+            && self.is_reusable(attempt.idle_time)
     }
 
     /// Whether a broken idle connection explains an attempt that never reached its executor.
     pub fn explains_lost_attempt(&self, attempt: &Attempt, now: Millis) -> bool {
-        self.may_be_reused(attempt.idle_time) && now >= self.blocked_until
+        self.is_reusable(attempt.idle_time) && now >= self.blocked_until
     }
 
     /// Starts or extends the block of connection reuse.
@@ -60,10 +60,10 @@
 
     /// Whether the idle connections of an executor are closed before a dispatch, given their idle time.
     pub fn must_close_idle(&self, idle_time: Millis, now: Millis) -> bool {
-        now < self.blocked_until && idle_time > SAFE_IDLE_TIME && self.may_be_reused(idle_time)
+        now < self.blocked_until && idle_time > SAFE_IDLE_TIME && self.is_reusable(idle_time)
     }
 
-    fn may_be_reused(&self, idle_time: Millis) -> bool {
+    fn is_reusable(&self, idle_time: Millis) -> bool {
         idle_time < self.idle_timeout
     }
 }
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -259,14 +259,14 @@
     ) -> Vec<ExecutorId> {
         let referenced: HashSet<ExecutorId> =
             referenced.filter(|executor| self.gone.contains(executor)).collect();
-        let unneeded = |executor: &ExecutorId| self.may_release(*executor, &referenced, spent_since);
+        let unneeded = |executor: &ExecutorId| self.can_release(*executor, &referenced, spent_since);
         let released: Vec<ExecutorId> = self.gone.iter().copied().filter(unneeded).collect();
         released.iter().for_each(|executor| self.release(*executor));
         self.reclaim_at = if self.gone.is_empty() { f64::INFINITY } else { now + RECLAIM_INTERVAL };
         released
     }
 
-    fn may_release(
+    fn can_release(
         &self,
         executor: ExecutorId,
         referenced: &HashSet<ExecutorId>,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -10,9 +10,7 @@
 pub(crate) mod timer_queue;
 pub(crate) mod token_bucket;
 
-use crate::time::Millis;
-
 /// Updates an exponential moving average with a sample of this weight, 0 to 1.
-pub(crate) fn smooth(average: &mut Millis, sample: Millis, weight: f64) {
+pub(crate) fn smooth(average: &mut f64, sample: f64, weight: f64) {
     *average += weight * (sample - *average);
 }
