--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -109,7 +109,7 @@
         // an idempotent request is safe to retry after that.
         let reuse = match self.pool.codec.load().effect(class) {
             Some(Effect::Idempotent) => IdleReuse::Any,
-            _ => IdleReuse::WithoutLateResponse,
+            _ => IdleReuse::PastDuplicateWindow,
         };
         let max_connections = self.pool.max_connections_for_attempts();
         tokio::select! {
@@ -153,8 +153,8 @@
             || is_other_incarnation
     }
 
-    /// Writes the request; false if its last byte was not written, for an error or because it may no longer be
-    /// sent. An executor that reads slowly can delay that byte indefinitely.
+    /// Writes the request. Returns false if its last byte was not written, because of an error or because the request
+    /// may no longer be sent. An executor that reads slowly can delay that byte indefinitely.
     async fn send(
         &self,
         connection: &mut PooledConnection,
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -3,8 +3,8 @@
 use crate::state::request::Attempt;
 use crate::time::Millis;
 
-/// A reset within this time of the dispatch, in milliseconds and before the attempt started, means that the
-/// connection was already broken.
+/// Time after the dispatch, in milliseconds, within which the reset of an attempt that has not started means that
+/// the connection was already broken.
 const STALE_CONNECTION_WINDOW: Millis = 150.0;
 /// Idle time up to which a connection is still reused while reuse is blocked, in milliseconds.
 const SAFE_IDLE_TIME: Millis = 200.0;
@@ -18,19 +18,20 @@
         /// Idle time up to which a connection is still reused, in milliseconds.
         max_idle_time: Millis,
     },
-    Prolonged,
+    Extended,
 }
 
 /// Blocks the reuse of idle connections for 30 s after one of them was found broken.
 #[derive(Default)]
 pub(crate) struct ConnectionReuse {
-    /// Time for which an executor keeps an idle connection open.
+    /// Time for which an executor keeps an idle connection open, in milliseconds; 0 if the settings do not state it.
     idle_timeout: Millis,
     blocked_until: Millis,
 }
 
 impl ConnectionReuse {
-    /// Reads the idle timeout of the executors from the settings; 0 by default.
+    /// Reads the idle timeout of the executors from the settings. Without one, no connection counts as broken while
+    /// idle.
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.idle_timeout = settings.limits.idle_timeout.unwrap_or(0.0);
     }
@@ -39,12 +40,12 @@
     pub fn was_stale(&self, attempt: &Attempt, now: Millis) -> bool {
         now - attempt.sent_at < STALE_CONNECTION_WINDOW
             && attempt.started_at.is_none()
-            && self.may_be_reused(attempt.idle_time)
+            && self.is_reusable(attempt.idle_time)
     }
 
     /// Whether a broken idle connection explains an attempt that never reached its executor.
     pub fn explains_lost_attempt(&self, attempt: &Attempt, now: Millis) -> bool {
-        self.may_be_reused(attempt.idle_time) && now >= self.blocked_until
+        self.is_reusable(attempt.idle_time) && now >= self.blocked_until
     }
 
     /// Starts or extends the block of connection reuse.
@@ -52,17 +53,17 @@
         let is_blocked = now < self.blocked_until;
         self.blocked_until = now + REUSE_BLOCK;
         match is_blocked {
-            true => ReuseBlock::Prolonged,
+            true => ReuseBlock::Extended,
             false => ReuseBlock::Began { max_idle_time: SAFE_IDLE_TIME },
         }
     }
 
     /// Whether the idle connections of an executor are closed before a dispatch, given their idle time.
     pub fn must_close_idle(&self, idle_time: Millis, now: Millis) -> bool {
-        now < self.blocked_until && idle_time > SAFE_IDLE_TIME && self.may_be_reused(idle_time)
+        now < self.blocked_until && idle_time > SAFE_IDLE_TIME && self.is_reusable(idle_time)
     }
 
-    fn may_be_reused(&self, idle_time: Millis) -> bool {
+    fn is_reusable(&self, idle_time: Millis) -> bool {
         idle_time < self.idle_timeout
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -8,8 +8,8 @@
 
 /// Part of the budget that nodes spend. The rest is a reserve for requests that run longer than the mean.
 const USABLE_BUDGET_SHARE: f64 = 0.8;
-/// Number of nodes that share one executor's budget, per request that fits in the budget of one slot at its start.
-/// Such a request is taken to run as long as the longest latency objective.
+/// Number of nodes that share one executor's budget, per request that fits in the budget of one slot when the
+/// executor starts. Such a request is taken to run as long as the longest latency objective.
 const NODES_PER_REQUEST: f64 = 1.5;
 /// Upper bound on the number of nodes that share one executor's budget.
 const MAX_ASSIGNED_NODES: f64 = 8.0;
@@ -18,23 +18,22 @@
 /// Exponent of the warm-up progress in the sampling weight in a large fleet.
 const LARGE_FLEET_WEIGHT_EXPONENT: f64 = 0.5;
 
-/// Whether another process of this node shares its budgets, as during a hot restart. The daemon's type of the
-/// same name is the connection to that process.
+/// Whether another process of this node spends the same budgets, as during a hot restart.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum SiblingProcess {
-    /// It runs, or has stopped less than one budget window ago.
-    Running,
-    Absent,
+pub(crate) enum BudgetSharing {
+    /// Another process runs, or has stopped less than one budget window ago.
+    WithSibling,
+    Exclusive,
 }
 
-/// The state of an executor on which its budget depends.
-pub(crate) struct WarmUp<'a> {
+/// What the remaining budget of one executor depends on.
+pub(crate) struct BudgetInputs<'a> {
     pub endpoint: &'a Endpoint,
     /// Slots of the executor when it is warm.
     pub capacity_slots: f64,
-    /// Dispatches of this node to it during slow start.
+    /// Dispatches of this node to the executor during slow start.
     pub spent: &'a [WarmUpDispatch],
-    pub sibling: SiblingProcess,
+    pub sharing: BudgetSharing,
 }
 
 /// The warm-up budgets of executors, in slot-milliseconds over a sliding window.
@@ -106,20 +105,20 @@
     }
 
     /// Work that this node may still dispatch to an executor, in slot-milliseconds; infinite for a warm executor.
-    pub fn remaining_budget(&self, warm_up: &WarmUp<'_>, now: Millis) -> f64 {
+    pub fn remaining_budget(&self, inputs: &BudgetInputs<'_>, now: Millis) -> f64 {
         let RuleSettings { budget_window, budget_multiple, .. } = self.rules;
         let since = self.window_start(now);
-        let progress = self.progress(warm_up.endpoint.started_at, since);
+        let progress = self.progress(inputs.endpoint.started_at, since);
         if progress >= 1.0 {
             return f64::INFINITY;
         }
-        let budget = budget_multiple * progress * warm_up.capacity_slots * budget_window;
-        let part = match warm_up.sibling {
-            SiblingProcess::Running => SIBLING_SHARE,
-            SiblingProcess::Absent => 1.0,
+        let budget = budget_multiple * progress * inputs.capacity_slots * budget_window;
+        let part = match inputs.sharing {
+            BudgetSharing::WithSibling => SIBLING_SHARE,
+            BudgetSharing::Exclusive => 1.0,
         };
-        let spent = warm_up.spent.iter().filter(|dispatch| dispatch.at >= since);
-        USABLE_BUDGET_SHARE * budget * part * self.share(warm_up.endpoint.token)
+        let spent = inputs.spent.iter().filter(|dispatch| dispatch.at >= since);
+        USABLE_BUDGET_SHARE * budget * part * self.share(inputs.endpoint.token)
             - spent.map(|dispatch| dispatch.work).sum::<f64>()
     }
 
@@ -134,7 +133,8 @@
         assigned_executors as f64 * (self.nodes / self.assigned_nodes - 1.0)
     }
 
-    /// This node's share of the budget of the executor with `token`, 0 to 1.
+    /// This node's share of the budget of the executor with `token`, 0 to 1. The token selects a first node; this one
+    /// and those with the next numbers share the budget evenly.
     fn share(&self, token: u64) -> f64 {
         let (nodes, assigned) = (self.nodes as u64, self.assigned_nodes as u64);
         let Some(node) = self.node else { return 1.0 / self.nodes };
