--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 use troutknot_daemon::NodeError;
-use troutknot_rehearsal::faults::Faults;
+use troutknot_rehearsal::diagnostics::Diagnostics;
 use troutknot_rehearsal::scenario::Scenario;
 use troutknot_scale::file::ScaleFile;
 
@@ -38,7 +38,7 @@
     },
     /// A scenario or a scale file has faults, one line each.
     #[error(transparent)]
-    Faults(#[from] Faults),
+    Faults(#[from] Diagnostics),
     /// A node file or an operator's own file is not valid.
     #[error(transparent)]
     Node(#[from] NodeError),
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -2,7 +2,8 @@
 //! nodes, and what was seen is judged by the [`referee`].
 pub mod briefing;
 pub mod clients;
-pub mod faults;
+pub mod diagnostics;
+
 pub mod lists;
 pub mod nodes;
 pub mod plan;
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -3,7 +3,7 @@
     Effect, EventKind, EventSpec, Executors, LONGEST, MOST_EXECUTORS, MOST_NODES, MOST_REQUESTS, ProjectType,
     Scenario, Source, TroubleKind, TroubleSpec,
 };
-use crate::faults::Checker;
+use crate::diagnostics::Checker;
 use std::ops::Range;
 use std::time::Duration;
 use toml::Spanned;
@@ -90,7 +90,7 @@
     /// Hands every fault to the checker.
     pub(super) fn check(&self, checker: &mut Checker) {
         if self.length.is_zero() || self.length > LONGEST {
-            checker.fault(&TOP, "length", format!("`length` is {:?}; up to 1h is allowed", self.length));
+            checker.report(&TOP, "length", format!("`length` is {:?}; up to 1h is allowed", self.length));
         }
         self.check_sections(checker);
         self.check_executors(checker);
@@ -103,28 +103,28 @@
     /// The sections that stand once.
     fn check_sections(&self, checker: &mut Checker) {
         let nodes = checker.section("nodes");
-        checker.number(&nodes, "count", self.nodes.count as f64, 1.0..MOST_NODES as f64);
-        checker.number(&nodes, "memory_mb", self.nodes.memory_mb as f64, 16.0..4096.0);
-        checker.number(&nodes, "descriptors", self.nodes.descriptors as f64, 64.0..65536.0);
+        checker.check_range(&nodes, "count", self.nodes.count as f64, 1.0..MOST_NODES as f64);
+        checker.check_range(&nodes, "memory_mb", self.nodes.memory_mb as f64, 16.0..4096.0);
+        checker.check_range(&nodes, "descriptors", self.nodes.descriptors as f64, 64.0..65536.0);
         let rules = checker.section("rules");
-        checker.number(&rules, "cold_share", self.rules.cold_share, 0.01..1.0);
-        checker.number(&rules, "fall_multiple", self.rules.fall_multiple, 0.1..1000.0);
-        checker.number(&rules, "most_allocations", self.rules.most_allocations as f64, 1.0..3.0);
+        checker.check_range(&rules, "cold_share", self.rules.cold_share, 0.01..1.0);
+        checker.check_range(&rules, "fall_multiple", self.rules.fall_multiple, 0.1..1000.0);
+        checker.check_range(&rules, "most_allocations", self.rules.most_allocations as f64, 1.0..3.0);
         let clients = checker.section("clients");
-        checker.number(&clients, "leave", self.clients.leave, 0.0..1.0);
-        checker.number(&clients, "retries", self.clients.retries as f64, 0.0..10.0);
-        checker.number(&clients, "connections", self.clients.connections as f64, 1.0..20000.0);
+        checker.check_range(&clients, "leave", self.clients.leave, 0.0..1.0);
+        checker.check_range(&clients, "retries", self.clients.retries as f64, 0.0..10.0);
+        checker.check_range(&clients, "connections", self.clients.connections as f64, 1.0..20000.0);
         let expect = checker.section("expect");
-        checker.number(&expect, "service", self.expect.service, 0.0..1.0);
+        checker.check_range(&expect, "service", self.expect.service, 0.0..1.0);
         if self.discovery.notice_least > self.discovery.notice_most {
             let section = checker.section("discovery");
-            checker.fault(&section, "notice_least", "`notice_least` is over `notice_most`".into());
+            checker.report(&section, "notice_least", "`notice_least` is over `notice_most`".into());
         }
         if let Some(durable) = &self.durable {
             let section = checker.section("durable");
             let lease = durable.lease.map_or(1.0, |lease| lease.as_secs_f64());
-            checker.number(&section, "lease", lease, 0.1..3600.0);
-            checker.number(&section, "kept", durable.kept.as_secs_f64(), 0.1..86400.0);
+            checker.check_range(&section, "lease", lease, 0.1..3600.0);
+            checker.check_range(&section, "kept", durable.kept.as_secs_f64(), 0.1..86400.0);
         }
     }
 
@@ -134,19 +134,19 @@
         for group in &self.executors {
             let (at, group) = (group.span(), group.get_ref());
             if names.contains(&&group.name) {
-                checker.fault(&at, "name", format!("two groups of executors are named `{}`", group.name));
+                checker.report(&at, "name", format!("two groups of executors are named `{}`", group.name));
             }
             names.push(&group.name);
-            checker.number(&at, "count", group.count as f64, 1.0..MOST_EXECUTORS as f64);
-            checker.number(&at, "slots", group.slots, 1.0..1024.0);
-            checker.number(&at, "cores", group.cores.unwrap_or(1.0), 0.05..1024.0);
-            checker.number(&at, "speed", group.speed, 0.01..100.0);
-            checker.number(&at, "noise", group.readings.noise, 0.0..1.0);
+            checker.check_range(&at, "count", group.count as f64, 1.0..MOST_EXECUTORS as f64);
+            checker.check_range(&at, "slots", group.slots, 1.0..1024.0);
+            checker.check_range(&at, "cores", group.cores.unwrap_or(1.0), 0.05..1024.0);
+            checker.check_range(&at, "speed", group.speed, 0.01..100.0);
+            checker.check_range(&at, "noise", group.readings.noise, 0.0..1.0);
         }
         let count: usize = self.executors.iter().map(|group| group.get_ref().count).sum();
         if count > MOST_EXECUTORS || self.executors.is_empty() {
             let what = format!("{count} executors in all; 1 to {MOST_EXECUTORS} are allowed");
-            checker.fault(&TOP, "executors", what);
+            checker.report(&TOP, "executors", what);
         }
     }
 
@@ -159,60 +159,60 @@
             let plain = !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
             if names.contains(&name) || !plain {
                 let what = format!("`{name}` is no name, or taken; letters, digits and `-` are allowed");
-                checker.fault(&at, "name", what);
+                checker.report(&at, "name", what);
             }
             names.push(name);
             self.check_project_type(checker, &at, project_type);
         }
         if self.project_types.iter().all(|project_type| project_type.get_ref().share <= 0.0) {
-            checker.fault(&TOP, "project_types", "no project type has a `share` over 0".into());
+            checker.report(&TOP, "project_types", "no project type has a `share` over 0".into());
         }
         if !self.customers.is_empty() && self.customers.iter().all(|customer| customer.get_ref().share <= 0.0)
         {
-            checker.fault(&TOP, "customers", "no customer has a `share` over 0".into());
+            checker.report(&TOP, "customers", "no customer has a `share` over 0".into());
         }
     }
 
     /// The values of one project type.
     fn check_project_type(&self, checker: &mut Checker, at: &Range<usize>, project_type: &ProjectType) {
-        checker.number(at, "share", project_type.share, 0.0..1e6);
-        checker.number(at, "spread", project_type.spread, 0.0..3.0);
-        checker.number(at, "credit", project_type.credit, 0.0..1e6);
-        checker.number(at, "slots", project_type.slots, 1.0..1024.0);
+        checker.check_range(at, "share", project_type.share, 0.0..1e6);
+        checker.check_range(at, "spread", project_type.spread, 0.0..3.0);
+        checker.check_range(at, "credit", project_type.credit, 0.0..1e6);
+        checker.check_range(at, "slots", project_type.slots, 1.0..1024.0);
         if project_type.work.is_zero() {
-            checker.fault(at, "work", "`work` is nothing; more than 0s is allowed".into());
+            checker.report(at, "work", "`work` is nothing; more than 0s is allowed".into());
         }
         let hard_limit = project_type.hard_limit;
         if hard_limit.is_zero() || project_type.promised_turnaround > hard_limit {
             let what = "`hard_limit` must be over 0s and no less than `promised_turnaround`".into();
-            checker.fault(at, "hard_limit", what);
+            checker.report(at, "hard_limit", what);
         }
         if project_type.effect == Effect::Receipted && project_type.window.is_zero() {
-            checker.fault(at, "window", "receipted work needs a `window` over 0s".into());
+            checker.report(at, "window", "receipted work needs a `window` over 0s".into());
         }
         let ProjectType { name, slots, .. } = project_type;
         let fits = |group: &Spanned<Executors>| group.get_ref().slots >= *slots;
         if !self.executors.iter().any(fits) {
-            checker.fault(at, "slots", format!("no executor has the {slots} slots that `{name}` needs"));
+            checker.report(at, "slots", format!("no executor has the {slots} slots that `{name}` needs"));
         }
     }
 
     /// The load, its curve, and the requests that follow.
     fn check_traffic(&self, checker: &mut Checker) {
         let (at, traffic) = (self.traffic.span(), self.traffic.get_ref());
-        checker.number(&at, "load", traffic.load, 0.0..20.0);
+        checker.check_range(&at, "load", traffic.load, 0.0..20.0);
         for pair in traffic.shape.windows(2) {
             if pair[1].at <= pair[0].at {
-                checker.fault(&at, "shape", "the points of `shape` must follow each other in time".into());
+                checker.report(&at, "shape", "the points of `shape` must follow each other in time".into());
             }
         }
         for point in &traffic.shape {
-            checker.number(&at, "shape", point.times, 0.0..100.0);
+            checker.check_range(&at, "shape", point.times, 0.0..100.0);
         }
         let requests = self.requests();
         if requests > MOST_REQUESTS {
             let what = format!("about {requests:.0} requests; {MOST_REQUESTS} are allowed");
-            checker.fault(&at, "load", what);
+            checker.report(&at, "load", what);
         }
     }
 
@@ -222,18 +222,18 @@
         let of = format!("a trouble of kind {:?}", trouble.kind);
         check_keys(checker, &at, &of, &trouble.given(), trouble.kind.keys());
         if trouble.from >= trouble.to || trouble.to > self.length {
-            checker.fault(&at, "to", "`to` must be later than `from`, and within the day".into());
+            checker.report(&at, "to", "`to` must be later than `from`, and within the day".into());
         }
-        checker.number(&at, "share", trouble.share, 0.0..1.0);
-        checker.number(&at, "factor", trouble.factor.unwrap_or(1.0), 0.0..1000.0);
-        checker.number(&at, "part", trouble.part.unwrap_or(0.5), 0.0..1.0);
-        checker.number(&at, "of_work", trouble.of_work.unwrap_or(0.5), 0.0..1.0);
-        checker.number(&at, "alpha", trouble.alpha.unwrap_or(1.5), 0.5..10.0);
+        checker.check_range(&at, "share", trouble.share, 0.0..1.0);
+        checker.check_range(&at, "factor", trouble.factor.unwrap_or(1.0), 0.0..1000.0);
+        checker.check_range(&at, "part", trouble.part.unwrap_or(0.5), 0.0..1.0);
+        checker.check_range(&at, "of_work", trouble.of_work.unwrap_or(0.5), 0.0..1.0);
+        checker.check_range(&at, "alpha", trouble.alpha.unwrap_or(1.5), 0.5..10.0);
         if trouble.kind == TroubleKind::Slow && trouble.factor.is_some_and(|factor| factor < 0.01) {
-            checker.fault(&at, "factor", "a `factor` of slowness of 0.01 at least is allowed".into());
+            checker.report(&at, "factor", "a `factor` of slowness of 0.01 at least is allowed".into());
         }
         if [trouble.on, trouble.off].iter().flatten().any(Duration::is_zero) {
-            checker.fault(&at, "on", "`on` and `off` of more than 0s are allowed".into());
+            checker.report(&at, "on", "`on` and `off` of more than 0s are allowed".into());
         }
         self.check_group(checker, &at, &trouble.group);
         self.check_named_project_type(checker, &at, &trouble.project_type);
@@ -252,21 +252,25 @@
         };
         if !fits_source {
             let what = format!("an event {:?} is not for discovery by {source:?}", event.what);
-            checker.fault(&at, "what", what);
+            checker.report(&at, "what", what);
         }
         let is_under = |least: Duration| event.every.is_some_and(|every| every < least);
         if event.what == EventKind::FlapExecutors && is_under(SHORTEST_FLAP) {
-            checker.fault(&at, "every", format!("`every` of {SHORTEST_FLAP:?} at least is allowed"));
+            checker.report(&at, "every", format!("`every` of {SHORTEST_FLAP:?} at least is allowed"));
         }
         if event.what == EventKind::KillNodes && is_under(SHORTEST_KILL_INTERVAL) {
-            checker.fault(&at, "every", format!("`every` of {SHORTEST_KILL_INTERVAL:?} at least is allowed"));
+            checker.report(
+                &at,
+                "every",
+                format!("`every` of {SHORTEST_KILL_INTERVAL:?} at least is allowed"),
+            );
         }
-        checker.number(&at, "attempts", event.attempts.unwrap_or(1) as f64, 1.0..3.0);
+        checker.check_range(&at, "attempts", event.attempts.unwrap_or(1) as f64, 1.0..3.0);
         if event.at > self.length {
-            checker.fault(&at, "at", "`at` must be within the day".into());
+            checker.report(&at, "at", "`at` must be within the day".into());
         }
         if event.node.is_some_and(|node| node >= self.nodes.count) {
-            checker.fault(&at, "node", format!("`node` must be under {}", self.nodes.count));
+            checker.report(&at, "node", format!("`node` must be under {}", self.nodes.count));
         }
         self.check_group(checker, &at, &event.group);
     }
@@ -276,7 +280,7 @@
         let Some(name) = group else { return };
         let names: Vec<&String> = self.executors.iter().map(|group| &group.get_ref().name).collect();
         if !names.contains(&name) {
-            checker.fault(at, "group", format!("there is no group `{name}`; {names:?} are"));
+            checker.report(at, "group", format!("there is no group `{name}`; {names:?} are"));
         }
     }
 
@@ -285,7 +289,7 @@
         let Some(name) = named else { return };
         let names: Vec<&String> = self.project_types.iter().map(|known| &known.get_ref().name).collect();
         if !names.contains(&name) {
-            checker.fault(at, "project_type", format!("there is no project type `{name}`; {names:?} are"));
+            checker.report(at, "project_type", format!("there is no project type `{name}`; {names:?} are"));
         }
     }
 }
@@ -298,7 +302,7 @@
         if *is_given && !may || !*is_given && must {
             let words: Vec<&str> = takes.iter().map(|taken| taken.trim_end_matches('*')).collect();
             let what = if must { "needs" } else { "takes no" };
-            checker.fault(at, key, format!("{of} {what} `{key}`; it takes {words:?}"));
+            checker.report(at, key, format!("{of} {what} `{key}`; it takes {words:?}"));
         }
     }
 }
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -10,14 +10,14 @@
 mod nodes;
 mod requests;
 
-pub use crate::faults::{Fault, Faults};
+pub use crate::diagnostics::{Diagnostic, Diagnostics};
 pub use discovery::{Discovery, How, Source};
 pub use disturbances::{EventKind, EventSpec, TroubleKind, TroubleSpec};
 pub use executors::{Cancels, Executors, Order, ReadingsSpec};
 pub use nodes::{DurableSpec, Front, Nodes, Rules, Syncs};
 pub use requests::{Clients, Customer, Effect, Point, ProjectType, RepeatScope, Traffic};
 
-use crate::faults::Checker;
+use crate::diagnostics::Checker;
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
@@ -105,9 +105,9 @@
     ///
     /// # Errors
     /// All that is wrong, each with its line and what is allowed.
-    pub fn parse(text: &str, file: &str) -> Result<Self, Faults> {
+    pub fn parse(text: &str, file: &str) -> Result<Self, Diagnostics> {
         let scenario: Scenario = toml::from_str(text)
-            .map_err(|e| Faults { file: file.into(), faults: vec![Fault::of_toml(&e, text)] })?;
+            .map_err(|e| Diagnostics { file: file.into(), entries: vec![Diagnostic::from_toml(&e, text)] })?;
         let mut checker = Checker::new(text);
         scenario.check(&mut checker);
         checker.finish(file).map(|()| scenario)
--- a/crates/rehearsal/tests/scenario.rs
+++ b/crates/rehearsal/tests/scenario.rs
@@ -71,9 +71,9 @@
     let mut wrong = Vec::new();
     for (from, to, expected) in cases {
         let text = GOOD.replacen(from, to, 1);
-        let faults = Scenario::parse(&text, "f").expect_err(to).faults;
-        let fits = |(fault, (line, part)): (&troutknot_rehearsal::scenario::Fault, &(usize, &str))| {
-            fault.line == *line && fault.what.contains(part)
+        let faults = Scenario::parse(&text, "f").expect_err(to).entries;
+        let fits = |(fault, (line, part)): (&troutknot_rehearsal::scenario::Diagnostic, &(usize, &str))| {
+            fault.line == *line && fault.message.contains(part)
         };
         let fit = faults.len() == expected.len() && faults.iter().zip(*expected).all(fits);
         if !fit {
--- a/crates/scale/src/file.rs
+++ b/crates/scale/src/file.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
-use troutknot_rehearsal::faults::{Checker, Faults};
+use troutknot_rehearsal::diagnostics::{Checker, Diagnostics};
 use troutknot_rehearsal::scenario::Rules;
 
 /// A scale file. Whatever it leaves out stands as in [`ScaleFile::default`], which is the full run.
@@ -252,16 +252,16 @@
     ///
     /// # Errors
     /// All that is wrong, each with its line and what is allowed.
-    pub fn parse(text: &str, file: &str) -> Result<Self, Faults> {
+    pub fn parse(text: &str, file: &str) -> Result<Self, Diagnostics> {
         let (scale, unreadable) = read::read_around_faults(text);
         let mut checker = Checker::new(text);
-        unreadable.into_iter().for_each(|fault| checker.unread(fault));
+        unreadable.into_iter().for_each(|fault| checker.report_unparsed(fault));
         if let Some(scale) = &scale {
             scale.check(&mut checker);
         }
         checker.finish(file)?;
         // Without a fault it has been read.
-        scale.ok_or_else(|| Faults { file: file.into(), faults: Vec::new() })
+        scale.ok_or_else(|| Diagnostics { file: file.into(), entries: Vec::new() })
     }
 
     pub fn largest_fleet(&self) -> usize {
--- a/crates/scale/src/file/read.rs
+++ b/crates/scale/src/file/read.rs
@@ -2,17 +2,17 @@
 use super::ScaleFile;
 use std::ops::Range;
 use toml::de::{DeTable, DeValue};
-use troutknot_rehearsal::faults::{Fault, line_at};
+use troutknot_rehearsal::diagnostics::{Diagnostic, line_at};
 
 /// Faults of one file that are looked for; the rest of a file that is no scale file at all is not of use.
 const MOST_FAULTS: usize = 200;
 
 /// Each statement that cannot be read is a fault and is left out, so that the
 /// next one is found, too. Nothing is read of what is no TOML.
-pub(super) fn read_around_faults(text: &str) -> (Option<ScaleFile>, Vec<Fault>) {
+pub(super) fn read_around_faults(text: &str) -> (Option<ScaleFile>, Vec<Diagnostic>) {
     let (_, broken) = DeTable::parse_recoverable(text);
     if !broken.is_empty() {
-        return (None, broken.iter().map(|error| Fault::of_toml(error, text)).collect());
+        return (None, broken.iter().map(|error| Diagnostic::from_toml(error, text)).collect());
     }
     let mut rest = text.to_string();
     let mut faults = Vec::new();
@@ -21,7 +21,7 @@
             Ok(scale) => return (Some(scale), faults),
             Err(error) => error,
         };
-        faults.push(Fault::of_toml(&error, &rest));
+        faults.push(Diagnostic::from_toml(&error, &rest));
         let Some(statement) = error.span().and_then(|span| statement_at(&rest, span.start)) else { break };
         blank(&mut rest, statement);
     }
