--- a/crates/cli/src/emulate.rs
+++ b/crates/cli/src/emulate.rs
@@ -163,13 +163,13 @@
 
 /// The work of any request id: the mean of the first class, unless a header of the request states another.
 fn work_of(scenario: &Scenario) -> impl Fn(&str) -> Option<RequestSpec> + use<> {
-    let classes: Vec<_> = scenario.project_types.iter().map(|class| class.get_ref().clone()).collect();
+    let classes: Vec<_> = scenario.request_classes.iter().map(|class| class.get_ref().clone()).collect();
     move |id| {
         let hash = |hash: u64, byte: u8| hash.wrapping_mul(31).wrapping_add(byte.into());
         let request_id = id.bytes().fold(0, hash);
         let class = classes.first()?;
         let (slots, memory, work) = (class.slots, class.memory, millis(class.work));
-        Some(RequestSpec { request_id, request_class: 0, slots, memory, work, priority: class.credit })
+        Some(RequestSpec { request_id, request_class: 0, slots, memory, work, priority: class.value })
     }
 }
 
--- a/crates/rehearsal/src/briefing.rs
+++ b/crates/rehearsal/src/briefing.rs
@@ -1,5 +1,5 @@
 //! What a node is told at its start, in the platform's words (`config.json`).
-use crate::scenario::{Effect, RepeatScope, Scenario};
+use crate::scenario::{DeduplicationScope, Effect, Scenario};
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 pub fn kinds(scenario: &Scenario) -> Vec<String> {
     let mut kinds: Vec<String> = Vec::new();
     for group in &scenario.executors {
-        if !kinds.contains(&group.get_ref().kind) {
-            kinds.push(group.get_ref().kind.clone());
+        if !kinds.contains(&group.get_ref().machine_type) {
+            kinds.push(group.get_ref().machine_type.clone());
         }
     }
     kinds
@@ -26,36 +26,35 @@
 pub fn settings(scenario: &Scenario, node: usize) -> Map<String, Value> {
     let rules = &scenario.rules;
     let types: Vec<Value> = scenario
-        .project_types
+        .request_classes
         .iter()
         .map(|t| t.get_ref())
         .map(|t| {
             let effect = match t.effect {
-                Effect::Rerunnable => "safe",
-                Effect::Receipted => "keyed",
-                Effect::Exclusive => "unsafe",
+                Effect::Idempotent => "safe",
+                Effect::Deduplicated => "keyed",
+                Effect::AtMostOnce => "unsafe",
             };
-            let scope = match t.repeat_scope {
-                RepeatScope::All => "all",
-                RepeatScope::Place => "zone",
-                RepeatScope::Group => "cell",
+            let scope = match t.deduplication_scope {
+                DeduplicationScope::All => "all",
+                DeduplicationScope::Zone => "zone",
+                DeduplicationScope::Group => "cell",
             };
-            json!({"name": t.name, "effect": effect, "key_scope": scope, "window": micros(t.window),
-                "hard_limit": micros(t.hard_limit), "promised_turnaround": micros(t.promised_turnaround),
-                "credit": t.credit})
+            json!({"name": t.name, "effect": effect, "key_scope": scope, "window": micros(t.deduplication_window),
+                "hard_limit": micros(t.deadline), "promised_turnaround": micros(t.latency_objective),
+                "credit": t.value})
         })
         .collect();
-    let customers: Vec<Value> =
-        scenario.customers.iter().map(|c| json!({"name": c.get_ref().name})).collect();
+    let customers: Vec<Value> = scenario.tenants.iter().map(|c| json!({"name": c.get_ref().name})).collect();
     let settings = json!({
         "balancers": scenario.nodes.count, "me": node, "zone": 0, "failure_domains": [PLACE],
         "kinds": kinds(scenario), "registry_mode": "subscribe", "credit_by": "request",
-        "limits": {"max_allocations": rules.most_allocations, "probes": true, "cancel": true,
-            "connect_timeout": micros(scenario.nodes.connect_wait), "conn_idle": 5_000_000,
+        "limits": {"max_allocations": rules.max_attempts, "probes": true, "cancel": true,
+            "connect_timeout": micros(scenario.nodes.connect_timeout), "conn_idle": 5_000_000,
             "retry_after": true, "max_retry_after": 2_000_000},
-        "contract": {"drain_grace": micros(rules.drain_grace), "cold_share": rules.cold_share,
-            "ramp_time": micros(rules.ramp), "fall": micros(rules.fall_window),
-            "fall_multiple": rules.fall_multiple, "ask_every": micros(rules.told_at_latest)},
+        "contract": {"drain_grace": micros(rules.drain_grace), "cold_share": rules.initial_capacity,
+            "ramp_time": micros(rules.ramp_duration), "fall": micros(rules.budget_window),
+            "fall_multiple": rules.budget_multiple, "ask_every": micros(rules.notification_timeout)},
         "load_info": {"fields": ["queue", "inflight", "x0"], "source": "pull"},
         "family_info": {"queue_order": "in_order", "tells_start": true},
         "tariffs": {"probe": scenario.nodes.probe_price},
@@ -78,6 +77,6 @@
 ) -> Value {
     json!({"name": format!("n{node}"), "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": format!("{seed:016x}"),
-        "limits": {"cores": 1.0, "memory_mb": scenario.nodes.memory_mb, "sockets": scenario.nodes.descriptors},
+        "limits": {"cores": 1.0, "memory_mb": scenario.nodes.memory_mb, "sockets": scenario.nodes.max_file_descriptors},
         "known": known, "settings": settings(scenario, node)})
 }
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -1,6 +1,6 @@
 //! The clients: requests sent when the plan says, whatever becomes of those before, over kept connections.
 use crate::plan::{Plan, Request};
-use crate::scenario::{Effect, ProjectType, Scenario, millis};
+use crate::scenario::{Effect, RequestClass, Scenario, millis};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
@@ -64,7 +64,7 @@
         record: Arc<ObservationLog>,
         front: Rc<Front>,
     ) -> Rc<Self> {
-        let room = Semaphore::new(scenario.clients.connections);
+        let room = Semaphore::new(scenario.clients.max_connections);
         Rc::new(Clients {
             scenario,
             plan,
@@ -105,23 +105,23 @@
 
     async fn request(&self, number: usize, due: Instant) {
         let request = &self.plan.requests[number];
-        let kind = self.scenario.project_types[request.request_class].get_ref();
+        let kind = self.scenario.request_classes[request.request_class].get_ref();
         let clients = &self.scenario.clients;
         let leaves = request.disconnects_after.map(|after| due + Duration::from_secs_f64(after / 1000.0));
-        if self.scenario.is_keyed(kind) {
+        if self.scenario.has_idempotency_key(kind) {
             return self.keyed_request(number, request, kind).await;
         }
-        for attempt in 0..=clients.retries {
+        for attempt in 0..=clients.max_retries {
             let came = self.attempt(number, attempt, request, kind, leaves, None).await;
             let told = match came {
                 Came::Deferred(told) => told,
                 Came::NoWayIn => None,
                 // Only what may run twice is tried again where it may have run.
-                Came::Failed | Came::Cut if kind.effect == Effect::Rerunnable => None,
+                Came::Failed | Came::Cut if kind.effect == Effect::Idempotent => None,
                 _ => break,
             };
-            if attempt < clients.retries {
-                let own = clients.retry_wait * 2u32.pow(attempt.min(8));
+            if attempt < clients.max_retries {
+                let own = clients.retry_delay * 2u32.pow(attempt.min(8));
                 sleep(told.unwrap_or_default().max(own)).await;
             }
         }
@@ -129,8 +129,8 @@
     }
 
     /// Asks with a key, and again at the same node until there is an answer: a key counts at one node alone.
-    async fn keyed_request(&self, number: usize, request: &Request, kind: &ProjectType) {
-        let until = Instant::now() + 2 * kind.hard_limit + BEYOND;
+    async fn keyed_request(&self, number: usize, request: &Request, kind: &RequestClass) {
+        let until = Instant::now() + 2 * kind.deadline + BEYOND;
         let (mut attempt, mut deferred) = (0, 0);
         let Some((node, _)) = self.front.next_node() else {
             self.record.record(Observation::ConnectFailed { request: number });
@@ -141,9 +141,9 @@
             let came = self.attempt(number, attempt, request, kind, None, Some(node)).await;
             let wait = match came {
                 Came::Cut | Came::NoWayIn => AGAIN,
-                Came::Deferred(told) if deferred < self.scenario.clients.retries => {
+                Came::Deferred(told) if deferred < self.scenario.clients.max_retries => {
                     deferred += 1;
-                    told.unwrap_or_default().max(self.scenario.clients.retry_wait)
+                    told.unwrap_or_default().max(self.scenario.clients.retry_delay)
                 }
                 _ => break,
             };
@@ -185,7 +185,7 @@
         number: usize,
         attempt: u32,
         request: &Request,
-        kind: &ProjectType,
+        kind: &RequestClass,
         leaves: Option<Instant>,
         node: Option<usize>,
     ) -> Came {
@@ -204,9 +204,9 @@
                 .header("host", "app.svc")
                 .header("request-id", &id)
                 .header("request-class", &kind.name)
-                .header("request-timeout", format!("{:.3}", kind.hard_limit.as_secs_f64()))
+                .header("request-timeout", format!("{:.3}", kind.deadline.as_secs_f64()))
                 .header("request-info", format!("slots={},memory={}", kind.slots, kind.memory));
-            let asked = match self.scenario.customers.get(request.tenant) {
+            let asked = match self.scenario.tenants.get(request.tenant) {
                 Some(customer) => asked.header("tenant", &customer.get_ref().name),
                 None => asked,
             };
@@ -227,7 +227,7 @@
                 attempt,
                 node,
             });
-            let end = Instant::now() + kind.hard_limit + BEYOND;
+            let end = Instant::now() + kind.deadline + BEYOND;
             let answer = async {
                 let answer =
                     kept.send.try_send_request(asked).await.map_err(|mut e| e.take_message().is_some())?;
--- a/crates/rehearsal/src/lists.rs
+++ b/crates/rehearsal/src/lists.rs
@@ -1,5 +1,5 @@
 //! What tells the nodes of a rehearsal their list: the platform's discovery, or Consul's stand-in.
-use crate::scenario::{How, Scenario, Source, Syncs};
+use crate::scenario::{DiscoveryFault, DiscoverySource, LedgerSync, Scenario};
 use serde_json::Value;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
     record: Arc<ObservationLog>,
     /// What could not be told since it went wrong.
     missed: RefCell<Vec<(ExecutorNumber, ListedState)>>,
-    wrong: RefCell<Option<How>>,
+    wrong: RefCell<Option<DiscoveryFault>>,
 }
 
 fn number_of(id: &str) -> Option<ExecutorNumber> {
@@ -86,17 +86,17 @@
         }
     }
 
-    fn script(&self, how: Option<How>) {
+    fn script(&self, how: Option<DiscoveryFault>) {
         *self.wrong.borrow_mut() = how;
         self.agent.set_fault(match how {
             None => Fault::None,
-            Some(How::Silent) => Fault::Silent,
-            Some(How::Errors) => Fault::Status500,
-            Some(How::NoLeader) => Fault::NoLeader,
-            Some(How::Empty) => Fault::Empty,
-            Some(How::HalfBody) => Fault::TruncatedBody,
-            Some(How::StaleView) => Fault::StaleView,
-            Some(How::Late) => Fault::Delayed(Duration::from_millis(500)),
+            Some(DiscoveryFault::Silent) => Fault::Silent,
+            Some(DiscoveryFault::Errors) => Fault::Status500,
+            Some(DiscoveryFault::NoLeader) => Fault::NoLeader,
+            Some(DiscoveryFault::Empty) => Fault::Empty,
+            Some(DiscoveryFault::HalfBody) => Fault::TruncatedBody,
+            Some(DiscoveryFault::StaleView) => Fault::StaleView,
+            Some(DiscoveryFault::Late) => Fault::Delayed(Duration::from_millis(500)),
         });
         if how.is_none() {
             for (executor, listed) in self.missed.take() {
@@ -135,11 +135,16 @@
     pub fn own_file(&self, scenario: &Scenario, ledger: &Path) -> Option<String> {
         let mut text = String::new();
         if let Some(d) = &scenario.durable {
-            let sync = if d.sync == Syncs::Each { "each" } else { "together" };
+            let sync = if d.sync == LedgerSync::PerRecord { "each" } else { "together" };
             let _ = writeln!(text, "[durable]\npath = {:?}\nsync = \"{sync}\"", ledger.display().to_string());
-            let _ =
-                writeln!(text, "fences = {}\nkept = \"{}\"", d.fences, humantime::format_duration(d.kept));
-            let lease = d.lease.iter().map(|l| format!("lease = \"{}\"\n", humantime::format_duration(*l)));
+            let _ = writeln!(
+                text,
+                "fences = {}\nkept = \"{}\"",
+                d.has_fencing,
+                humantime::format_duration(d.retention)
+            );
+            let lease =
+                d.lease_duration.iter().map(|l| format!("lease = \"{}\"\n", humantime::format_duration(*l)));
             lease.for_each(|line| text += &line);
         }
         let NodeList::Consul(list) = self else { return Some(text).filter(|text| !text.is_empty()) };
@@ -154,11 +159,11 @@
     pub fn silent(&self, on: bool) {
         match self {
             NodeList::Platform(agent) => agent.set_silent(on),
-            NodeList::Consul(list) => list.script(on.then_some(How::Silent)),
+            NodeList::Consul(list) => list.script(on.then_some(DiscoveryFault::Silent)),
         }
     }
 
-    pub fn trouble(&self, how: Option<How>) {
+    pub fn trouble(&self, how: Option<DiscoveryFault>) {
         if let NodeList::Consul(list) = self {
             list.script(how);
         }
@@ -191,7 +196,7 @@
 
 /// The cluster that all nodes' agents serve, where the scenario has one.
 pub fn cluster(scenario: &Scenario, members: &[Member]) -> Option<Rc<Cluster>> {
-    let consul = scenario.discovery.source == Source::Consul;
+    let consul = scenario.discovery.source == DiscoverySource::Consul;
     let cluster = consul.then(|| Cluster::new("here"))?;
     cluster.register_all(SERVICE, members.iter().map(|m| instance(m, false)).collect());
     Some(cluster)
--- a/crates/rehearsal/src/plan/disturbances.rs
+++ b/crates/rehearsal/src/plan/disturbances.rs
@@ -14,13 +14,13 @@
     /// Schedules the steps of one event of the scenario.
     pub(super) fn add_event(&mut self, event: &EventSpec) {
         let at = millis(event.at);
-        let end = at + event.lasts.map_or(0.0, millis);
+        let end = at + event.duration.map_or(0.0, millis);
         let node = event.node.unwrap_or(0);
-        match event.what {
+        match event.kind {
             EventKind::KillNode => self.add_node_crash(node, at, event),
             EventKind::KillNodes => self.add_random_node_crashes(at, end, event),
             EventKind::RestartNode => self.add_node_restart(node, at, event),
-            EventKind::RereadNodes => self.add(at, Step::ReloadNodes),
+            EventKind::ReloadNodes => self.add(at, Step::ReloadNodes),
             EventKind::RestartDiscovery => self.add(at, Step::RestartDiscovery),
             EventKind::SilenceDiscovery => {
                 self.add(at, Step::SilenceDiscovery { silent: true });
@@ -32,13 +32,16 @@
                 self.add(at, Step::DrainNode { node, drained: true });
                 self.add(end, Step::DrainNode { node, drained: false });
             }
-            EventKind::UpgradeNode => self.add(at, Step::HotRestartNode { node }),
-            EventKind::RetuneNodes => {
-                let max_attempts = event.attempts.unwrap_or(1);
-                self.add(at, Step::ReconfigureNodes { max_attempts, broken: event.broken.unwrap_or(false) });
+            EventKind::HotRestartNode => self.add(at, Step::HotRestartNode { node }),
+            EventKind::ReconfigureNodes => {
+                let max_attempts = event.max_attempts.unwrap_or(1);
+                self.add(
+                    at,
+                    Step::ReconfigureNodes { max_attempts, broken: event.is_broken.unwrap_or(false) },
+                );
             }
-            EventKind::TroubleDiscovery => {
-                self.add(at, Step::DiscoveryFault { fault: event.how });
+            EventKind::FailDiscovery => {
+                self.add(at, Step::DiscoveryFault { fault: event.discovery_fault });
                 self.add(end, Step::DiscoveryFault { fault: None });
             }
             EventKind::KillExecutor => self.add_executor_crashes(at, event),
@@ -48,13 +51,13 @@
 
     fn add_node_crash(&mut self, node: usize, at: Millis, event: &EventSpec) {
         self.add(at, Step::KillNode { node });
-        self.add(at + event.back.map_or(0.0, millis), Step::StartNode { node });
+        self.add(at + event.downtime.map_or(0.0, millis), Step::StartNode { node });
     }
 
     /// Kills nodes at exponentially distributed intervals, the longest-running one first.
     fn add_random_node_crashes(&mut self, at: Millis, end: Millis, event: &EventSpec) {
-        let mean_interval = event.every.map_or(DEFAULT_MEAN_KILL_INTERVAL, millis);
-        let downtime = event.back.map_or(0.0, millis);
+        let mean_interval = event.interval.map_or(DEFAULT_MEAN_KILL_INTERVAL, millis);
+        let downtime = event.downtime.map_or(0.0, millis);
         let mut up_at = vec![at; self.scenario.nodes.count];
         let mut now = at + self.exponential(mean_interval);
         while now < end {
@@ -73,15 +76,15 @@
     }
 
     fn add_node_restart(&mut self, node: usize, at: Millis, event: &EventSpec) {
-        let killed_at = at + millis(self.scenario.granted());
+        let killed_at = at + millis(self.scenario.termination_grace());
         self.add(at, Step::TerminateNode { node });
         self.add(killed_at, Step::KillNode { node });
-        self.add(killed_at + event.back.map_or(0.0, millis), Step::StartNode { node });
+        self.add(killed_at + event.downtime.map_or(0.0, millis), Step::StartNode { node });
     }
 
     fn add_flapping(&mut self, at: Millis, event: &EventSpec) {
-        let interval = event.every.map_or(DEFAULT_FLAP_INTERVAL, millis);
-        let end = at + event.lasts.map_or(0.0, millis);
+        let interval = event.interval.map_or(DEFAULT_FLAP_INTERVAL, millis);
+        let end = at + event.duration.map_or(0.0, millis);
         for executor in self.event_executors(event) {
             // A random phase for each, so that they do not flap in step.
             let mut now = at + self.rng.random::<f64>() * interval;
@@ -101,8 +104,8 @@
     }
 
     fn add_executor_crashes(&mut self, at: Millis, event: &EventSpec) {
-        let noticed = at + millis(self.scenario.discovery.death_noticed);
-        let registered = event.back.map(|downtime| at + millis(downtime));
+        let noticed = at + millis(self.scenario.discovery.failure_detection_delay);
+        let registered = event.downtime.map(|downtime| at + millis(downtime));
         for executor in self.event_executors(event) {
             self.add(at, Step::KillExecutor { executor });
             if registered.is_none_or(|registered| noticed < registered) {
@@ -119,8 +122,8 @@
     /// Replaces executors one after the other.
     fn add_deployment(&mut self, at: Millis, event: &EventSpec) {
         let rules = &self.scenario.rules;
-        let grace = millis(rules.drain_grace) + millis(rules.told_at_latest);
-        let interval = event.every.map_or(0.0, millis);
+        let grace = millis(rules.drain_grace) + millis(rules.notification_timeout);
+        let interval = event.interval.map_or(0.0, millis);
         let candidates = self.initial_executors(event.group.as_deref());
         let count = event.count.unwrap_or(candidates.len());
         for (position, executor) in self.sample(candidates, count).into_iter().enumerate() {
--- a/crates/rehearsal/src/plan/executors.rs
+++ b/crates/rehearsal/src/plan/executors.rs
@@ -1,5 +1,5 @@
 //! The executors of a day and the machines that they model.
-use crate::scenario::{Cancels, Executors, Order, ReadingsSpec, Rules, Scenario, millis};
+use crate::scenario::{self, ExecutorGroup, LoadReportSpec, Rules, Scenario, millis};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use troutknot_emulator::{
@@ -33,65 +33,65 @@
                 group: group_index,
                 machine: machine(group, &scenario.rules),
                 seed: rng.random(),
-                machine_type: group.kind.clone(),
+                machine_type: group.machine_type.clone(),
                 is_initial: true,
-                slow_start: group.cold,
+                slow_start: group.slow_start,
             });
         }
     }
     executors
 }
 
-fn machine(group: &Executors, rules: &Rules) -> Machine {
+fn machine(group: &ExecutorGroup, rules: &Rules) -> Machine {
     Machine {
         slots: group.slots,
         cores: group.cores.unwrap_or(group.slots),
         speed: group.speed,
         memory: group.memory.unwrap_or(f64::INFINITY),
-        queue_capacity: group.waiting_room,
-        queue_order: queue_order(group.order),
+        queue_capacity: group.queue_capacity,
+        queue_order: queue_order(group.queue_order),
         slow_start: Some(slow_start(rules)),
-        cancel_scope: cancel_power(group.cancels),
-        checkpoint_interval: group.checkpoint_every.map(millis),
-        returns_queue_on_drain: group.drain_returns,
+        cancel_scope: cancel_scope(group.cancel_scope),
+        checkpoint_interval: group.checkpoint_interval.map(millis),
+        returns_queue_on_drain: group.returns_queue_on_drain,
         probe_work: millis(group.probe_work),
         handshake_work: millis(group.handshake_work),
-        max_connections: group.connections,
-        load_reports: readings(&group.readings),
-        progress_interval: group.progress_every.map(millis),
+        max_connections: group.max_connections,
+        load_reports: load_report_timing(&group.load_reports),
+        progress_interval: group.progress_interval.map(millis),
     }
 }
 
-fn queue_order(order: Order) -> QueueOrder {
+fn queue_order(order: scenario::QueueOrder) -> QueueOrder {
     match order {
-        Order::InOrder => QueueOrder::InOrder,
-        Order::Backfill => QueueOrder::Backfill,
-        Order::Priority => QueueOrder::Priority,
+        scenario::QueueOrder::InOrder => QueueOrder::InOrder,
+        scenario::QueueOrder::Backfill => QueueOrder::Backfill,
+        scenario::QueueOrder::Priority => QueueOrder::Priority,
     }
 }
 
-fn cancel_power(cancels: Cancels) -> CancelScope {
-    match cancels {
-        Cancels::Nothing => CancelScope::None,
-        Cancels::Waiting => CancelScope::Waiting,
-        Cancels::Running => CancelScope::Running,
+fn cancel_scope(scope: scenario::CancelScope) -> CancelScope {
+    match scope {
+        scenario::CancelScope::Nothing => CancelScope::None,
+        scenario::CancelScope::Waiting => CancelScope::Waiting,
+        scenario::CancelScope::Running => CancelScope::Running,
     }
 }
 
 fn slow_start(rules: &Rules) -> SlowStart {
     SlowStart {
-        initial_capacity: rules.cold_share,
-        ramp: Ramp::Time(millis(rules.ramp)),
+        initial_capacity: rules.initial_capacity,
+        ramp: Ramp::Time(millis(rules.ramp_duration)),
         overload_limit: Some(OverloadLimit {
-            multiple: rules.fall_multiple,
-            window: millis(rules.fall_window),
+            multiple: rules.budget_multiple,
+            window: millis(rules.budget_window),
         }),
     }
 }
 
-fn readings(spec: &ReadingsSpec) -> LoadReportTiming {
+fn load_report_timing(spec: &LoadReportSpec) -> LoadReportTiming {
     LoadReportTiming {
-        interval: millis(spec.refresh),
+        interval: millis(spec.interval),
         delay: millis(spec.delay),
         jitter: millis(spec.jitter),
         noise: spec.noise,
--- a/crates/rehearsal/src/plan/faults.rs
+++ b/crates/rehearsal/src/plan/faults.rs
@@ -1,7 +1,7 @@
 //! Faults of executors, as steps of the day.
 use super::schedule::Schedule;
 use super::{Step, startup_delay};
-use crate::scenario::{Scenario, TroubleKind, TroubleSpec, millis};
+use crate::scenario::{FaultKind, FaultSpec, Scenario, millis};
 use troutknot_emulator::{Fault, Millis};
 
 const DEFAULT_BURST: Millis = 1000.0;
@@ -10,10 +10,10 @@
 
 impl Schedule<'_> {
     /// Schedules a fault at a random share of the executors that it can strike.
-    pub(super) fn add_fault(&mut self, number: usize, spec: &TroubleSpec) {
+    pub(super) fn add_fault(&mut self, number: usize, spec: &FaultSpec) {
         let candidates = self.initial_executors(spec.group.as_deref());
         let count = ((candidates.len() as f64 * spec.share).round() as usize).max(1);
-        let (from, to) = (millis(spec.from), millis(spec.to));
+        let (from, to) = (millis(spec.begins_at), millis(spec.ends_at));
         let fault = executor_fault(spec, self.scenario);
         for executor in self.sample(candidates, count) {
             if fault == (Fault::Silence { restarts: true }) {
@@ -28,7 +28,7 @@
     fn add_listing_changes(&mut self, executor: usize, from: Millis, to: Millis) {
         // An executor registers before it accepts connections.
         let registered = (to - startup_delay(self.scenario)).max(from);
-        let noticed = from + millis(self.scenario.discovery.death_noticed);
+        let noticed = from + millis(self.scenario.discovery.failure_detection_delay);
         if noticed < registered {
             self.add(noticed, Step::ListRemoved { executor });
         }
@@ -36,24 +36,24 @@
     }
 }
 
-fn executor_fault(spec: &TroubleSpec, scenario: &Scenario) -> Fault {
+fn executor_fault(spec: &FaultSpec, scenario: &Scenario) -> Fault {
     let factor = spec.factor.unwrap_or(1.0);
-    let share = spec.of_work.unwrap_or(1.0);
+    let share = spec.attempt_share.unwrap_or(1.0);
     match spec.kind {
-        TroubleKind::Slow => Fault::Slow { factor },
-        TroubleKind::Pause => Fault::Pause,
-        TroubleKind::Silence => Fault::Silence { restarts: spec.cold.unwrap_or(true) },
-        TroubleKind::Neighbour => Fault::CpuContention {
-            share: spec.part.unwrap_or(DEFAULT_CORE_SHARE),
-            on: spec.on.map_or(DEFAULT_BURST, millis),
-            off: spec.off.map_or(DEFAULT_BURST, millis),
+        FaultKind::Slow => Fault::Slow { factor },
+        FaultKind::Pause => Fault::Pause,
+        FaultKind::Silence => Fault::Silence { restarts: spec.restarts.unwrap_or(true) },
+        FaultKind::CpuContention => Fault::CpuContention {
+            share: spec.core_share.unwrap_or(DEFAULT_CORE_SHARE),
+            on: spec.contended_time.map_or(DEFAULT_BURST, millis),
+            off: spec.uncontended_time.map_or(DEFAULT_BURST, millis),
         },
-        TroubleKind::Swallow => Fault::NeverStart { request_class: class_index(spec, scenario), share },
-        TroubleKind::Errors => Fault::Errors { share },
-        TroubleKind::WrongReadings => Fault::WrongLoadReports { factor },
-        TroubleKind::LateReadings => Fault::LateLoadReports { delay: spec.by.map_or(0.0, millis) },
-        TroubleKind::Resets => Fault::Resets { share },
-        TroubleKind::HeavyTail => Fault::HeavyTail {
+        FaultKind::NeverStart => Fault::NeverStart { request_class: class_index(spec, scenario), share },
+        FaultKind::Errors => Fault::Errors { share },
+        FaultKind::WrongLoadReports => Fault::WrongLoadReports { factor },
+        FaultKind::LateLoadReports => Fault::LateLoadReports { delay: spec.delay.map_or(0.0, millis) },
+        FaultKind::Resets => Fault::Resets { share },
+        FaultKind::HeavyTail => Fault::HeavyTail {
             request_class: class_index(spec, scenario),
             share,
             alpha: spec.alpha.unwrap_or(DEFAULT_PARETO_EXPONENT),
@@ -62,7 +62,7 @@
 }
 
 /// The index of the request class that a fault strikes.
-fn class_index(spec: &TroubleSpec, scenario: &Scenario) -> usize {
-    let is_named = |class: &str| spec.project_type.as_deref() == Some(class);
-    scenario.project_types.iter().position(|class| is_named(&class.get_ref().name)).unwrap_or(0)
+fn class_index(spec: &FaultSpec, scenario: &Scenario) -> usize {
+    let is_named = |class: &str| spec.request_class.as_deref() == Some(class);
+    scenario.request_classes.iter().position(|class| is_named(&class.get_ref().name)).unwrap_or(0)
 }
--- a/crates/rehearsal/src/plan/mod.rs
+++ b/crates/rehearsal/src/plan/mod.rs
@@ -43,7 +43,7 @@
     pub fn generate(scenario: &Scenario, seed: u64) -> Self {
         let initial = executors::initial(scenario, generator(seed, Stream::Executors));
         let mut schedule = Schedule::new(scenario, initial, generator(seed, Stream::Steps));
-        for (number, spec) in scenario.troubles.iter().enumerate() {
+        for (number, spec) in scenario.faults.iter().enumerate() {
             schedule.add_fault(number, spec.get_ref());
         }
         for event in &scenario.events {
@@ -58,5 +58,5 @@
 /// How long before it accepts connections a restarted executor registers with discovery, in milliseconds. All nodes
 /// have read the new list by then.
 pub fn startup_delay(scenario: &Scenario) -> Millis {
-    millis(scenario.discovery.notice_most) + LIST_READ_ALLOWANCE
+    millis(scenario.discovery.max_notice_delay) + LIST_READ_ALLOWANCE
 }
--- a/crates/rehearsal/src/plan/request_id.rs
+++ b/crates/rehearsal/src/plan/request_id.rs
@@ -35,14 +35,14 @@
     pub fn work(&self, scenario: &Scenario, id: &str) -> Option<RequestSpec> {
         let (number, _) = parse_request_id(self.seed, id)?;
         let request = self.requests.get(number)?;
-        let class = scenario.project_types.get(request.request_class)?.get_ref();
+        let class = scenario.request_classes.get(request.request_class)?.get_ref();
         Some(RequestSpec {
             request_id: number as u64,
             request_class: request.request_class,
             slots: class.slots,
             memory: class.memory,
             work: request.work,
-            priority: class.credit,
+            priority: class.value,
         })
     }
 }
--- a/crates/rehearsal/src/plan/requests.rs
+++ b/crates/rehearsal/src/plan/requests.rs
@@ -1,6 +1,6 @@
 //! The requests of a day: a Poisson process whose rate follows the scenario's load curve.
 use super::random::weighted_index;
-use crate::scenario::{ProjectType, Scenario, millis};
+use crate::scenario::{RequestClass, Scenario, millis};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, StandardNormal};
@@ -25,12 +25,12 @@
 
 /// Generates the requests of a day, in the order of their arrival.
 pub(super) fn generate(scenario: &Scenario, rng: ChaCha8Rng) -> Vec<Request> {
-    let rate_per_ms = scenario.rate();
+    let rate_per_ms = scenario.rate_per_ms();
     if rate_per_ms <= 0.0 {
         return Vec::new();
     }
     let length = millis(scenario.length);
-    let peak = scenario.traffic.get_ref().shape.iter().map(|point| point.times).fold(1.0, f64::max);
+    let peak = scenario.traffic.get_ref().curve.iter().map(|point| point.factor).fold(1.0, f64::max);
     let mut generator = RequestGenerator::new(scenario, rng);
     let mut requests = Vec::new();
     let mut at = 0.0;
@@ -42,7 +42,7 @@
         }
         // Thinning turns the constant peak rate into the rate of the curve.
         let time_of_day = Duration::from_secs_f64(at / 1000.0);
-        if generator.rng.random::<f64>() * peak < scenario.times(time_of_day) {
+        if generator.rng.random::<f64>() * peak < scenario.load_factor(time_of_day) {
             requests.push(generator.request(at));
         }
     }
@@ -50,7 +50,7 @@
 
 struct RequestGenerator<'a> {
     scenario: &'a Scenario,
-    classes: Vec<&'a ProjectType>,
+    classes: Vec<&'a RequestClass>,
     class_weights: Vec<f64>,
     tenant_weights: Vec<f64>,
     rng: ChaCha8Rng,
@@ -58,11 +58,12 @@
 
 impl<'a> RequestGenerator<'a> {
     fn new(scenario: &'a Scenario, rng: ChaCha8Rng) -> Self {
-        let classes: Vec<&ProjectType> = scenario.project_types.iter().map(|class| class.get_ref()).collect();
+        let classes: Vec<&RequestClass> =
+            scenario.request_classes.iter().map(|class| class.get_ref()).collect();
         RequestGenerator {
             scenario,
             class_weights: classes.iter().map(|class| class.share).collect(),
-            tenant_weights: scenario.customers.iter().map(|tenant| tenant.get_ref().share).collect(),
+            tenant_weights: scenario.tenants.iter().map(|tenant| tenant.get_ref().share).collect(),
             classes,
             rng,
         }
@@ -73,10 +74,10 @@
         let request_class = weighted_index(&mut self.rng, &self.class_weights);
         let class = self.classes[request_class];
         let deviation: f64 = StandardNormal.sample(&mut self.rng);
-        let log_normal = (class.spread * deviation - class.spread * class.spread / 2.0).exp();
-        let disconnects = self.rng.random::<f64>() < self.scenario.clients.leave;
+        let log_normal = (class.work_sigma * deviation - class.work_sigma * class.work_sigma / 2.0).exp();
+        let disconnects = self.rng.random::<f64>() < self.scenario.clients.disconnect_share;
         // Sampled for every request, so that all of them take the same number of draws.
-        let patience = self.rng.random::<f64>() * millis(class.promised_turnaround);
+        let patience = self.rng.random::<f64>() * millis(class.latency_objective);
         Request {
             at,
             request_class,
--- a/crates/rehearsal/src/plan/step.rs
+++ b/crates/rehearsal/src/plan/step.rs
@@ -1,5 +1,5 @@
 //! The changes that a rehearsal makes to its world.
-use crate::scenario::How;
+use crate::scenario::DiscoveryFault;
 use troutknot_emulator::Fault;
 
 /// A change to executors, nodes or discovery at a time of the day. Executors and nodes are named by their index.
@@ -40,7 +40,7 @@
     /// The executor is listed as passing its health check again.
     ListPassing { executor: usize },
     /// Consul's agents fail in the given way, or work again if `None`.
-    DiscoveryFault { fault: Option<How> },
+    DiscoveryFault { fault: Option<DiscoveryFault> },
     /// Operators suspend the executor at all nodes, or resume it.
     SuspendExecutor { executor: usize, suspended: bool },
     /// Operators drain a node, or activate it again.
--- a/crates/rehearsal/src/referee/effects.rs
+++ b/crates/rehearsal/src/referee/effects.rs
@@ -4,7 +4,7 @@
 use super::observations::{Answer, Attempt, Observations};
 use super::subject::Subject;
 use super::violation::{RuleViolation, ViolationKind};
-use crate::scenario::{Effect, RepeatScope};
+use crate::scenario::{DeduplicationScope, Effect};
 use std::collections::{BTreeMap, BTreeSet};
 use troutknot_emulator::Millis;
 
@@ -70,9 +70,9 @@
 fn is_retry_safe(subject: &Subject, earlier: &Attempt, later: &Attempt) -> bool {
     let class = subject.class();
     match class.effect {
-        Effect::Rerunnable => true,
-        Effect::Exclusive => false,
-        Effect::Receipted => {
+        Effect::Idempotent => true,
+        Effect::AtMostOnce => false,
+        Effect::Deduplicated => {
             let scope = class.deduplication_scope;
             subject.facts.share_deduplication(scope, earlier.executor, later.executor)
                 && later.received_at <= earlier.received_at + class.deduplication_window
@@ -85,9 +85,9 @@
     let Subject { facts, .. } = *subject;
     let class = subject.class();
     let is_repeatable_anywhere = match class.effect {
-        Effect::Rerunnable => true,
-        Effect::Receipted => class.deduplication_scope == RepeatScope::All,
-        Effect::Exclusive => false,
+        Effect::Idempotent => true,
+        Effect::Deduplicated => class.deduplication_scope == DeduplicationScope::All,
+        Effect::AtMostOnce => false,
     };
     if is_repeatable_anywhere {
         return;
@@ -114,7 +114,7 @@
 ) {
     let mut started: BTreeMap<usize, Vec<&Attempt>> = BTreeMap::new();
     for client_attempt in observations.client_attempts.values() {
-        if facts.class_of(client_attempt).effect == Effect::Exclusive {
+        if facts.class_of(client_attempt).effect == Effect::AtMostOnce {
             let attempts = observations.attempts_of(client_attempt);
             let of_request = started.entry(client_attempt.request).or_default();
             of_request.extend(attempts.filter(|attempt| attempt.was_started));
--- a/crates/rehearsal/src/referee/facts.rs
+++ b/crates/rehearsal/src/referee/facts.rs
@@ -1,6 +1,6 @@
 //! What the referee knows before it judges: the limits of the rules, the executors and the planned requests.
 use super::observations::ClientAttempt;
-use crate::scenario::{Effect, RepeatScope};
+use crate::scenario::{DeduplicationScope, Effect};
 use troutknot_emulator::observations::ExecutorNumber;
 use troutknot_emulator::{Machine, Millis};
 
@@ -43,7 +43,7 @@
     /// Whether clients send an idempotency key and retry until they receive a final response.
     pub has_idempotency_key: bool,
     /// The executors that deduplicate each other's requests.
-    pub deduplication_scope: RepeatScope,
+    pub deduplication_scope: DeduplicationScope,
     /// How long executors remember a request for deduplication.
     pub deduplication_window: Millis,
     /// Time within which every request must be answered.
@@ -93,16 +93,16 @@
     /// Whether an executor drops repeats of what the other one has run.
     pub(super) fn share_deduplication(
         &self,
-        scope: RepeatScope,
+        scope: DeduplicationScope,
         first: ExecutorNumber,
         second: ExecutorNumber,
     ) -> bool {
         let first = &self.executors[first as usize];
         let second = &self.executors[second as usize];
         match scope {
-            RepeatScope::All => true,
-            RepeatScope::Place => first.zone == second.zone,
-            RepeatScope::Group => first.deduplication_group == second.deduplication_group,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => first.zone == second.zone,
+            DeduplicationScope::Group => first.deduplication_group == second.deduplication_group,
         }
     }
 
--- a/crates/rehearsal/src/referee/idempotency_keys.rs
+++ b/crates/rehearsal/src/referee/idempotency_keys.rs
@@ -40,7 +40,7 @@
     }
 
     fn check_starts(&self, violations: &mut Vec<RuleViolation>) {
-        if self.class.effect != Effect::Exclusive {
+        if self.class.effect != Effect::AtMostOnce {
             return;
         }
         let started: Vec<&Attempt> = self.attempts().filter(|attempt| attempt.was_started).collect();
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -88,9 +88,9 @@
 fn descriptors_needed(scenario: &Scenario, plan: &Plan) -> u64 {
     let executors = plan.executors.len() as u64;
     let nodes = scenario.nodes.count as u64;
-    let to_executors = nodes * (scenario.nodes.descriptors / 3);
-    let clients = scenario.clients.connections as u64;
-    let out_at_once = (scenario.rate() * 2000.0 * 2.0) as u64 + 64;
+    let to_executors = nodes * (scenario.nodes.max_file_descriptors / 3);
+    let clients = scenario.clients.max_connections as u64;
+    let out_at_once = (scenario.rate_per_ms() * 2000.0 * 2.0) as u64 + 64;
     64 + 2 * executors + 8 * nodes + to_executors + clients.min(out_at_once)
 }
 
@@ -118,8 +118,8 @@
             return Err(Failed::Machine(what));
         }
     }
-    let most = scenario.traffic.get_ref().shape.iter().map(|p| p.times).fold(1.0, f64::max);
-    let rate = scenario.rate() * most * 1000.0;
+    let most = scenario.traffic.get_ref().curve.iter().map(|p| p.factor).fold(1.0, f64::max);
+    let rate = scenario.rate_per_ms() * most * 1000.0;
     if rate > MOST_RATE {
         let what =
             format!("the scenario sends {rate:.0} requests a second; the kit carries {MOST_RATE} at most");
@@ -131,27 +131,27 @@
 /// What the referee is told of a day that began at a time.
 pub fn facts(scenario: &Scenario, plan: &Plan, began: f64) -> Facts {
     let rules = &scenario.rules;
-    let types = scenario.project_types.iter().map(|t| t.get_ref());
+    let types = scenario.request_classes.iter().map(|t| t.get_ref());
     Facts {
         seed: plan.seed,
         drain_grace: millis(rules.drain_grace),
-        notification_timeout: millis(rules.told_at_latest),
-        max_attempts: rules.most_allocations as usize,
+        notification_timeout: millis(rules.notification_timeout),
+        max_attempts: rules.max_attempts as usize,
         slack: millis(rules.slack),
-        initial_capacity: rules.cold_share,
-        ramp_duration: millis(rules.ramp),
-        budget_multiple: rules.fall_multiple,
-        budget_window: millis(rules.fall_window),
+        initial_capacity: rules.initial_capacity,
+        ramp_duration: millis(rules.ramp_duration),
+        budget_multiple: rules.budget_multiple,
+        budget_window: millis(rules.budget_window),
         classes: types
             .map(|t| ClassFacts {
                 name: t.name.clone(),
                 effect: t.effect,
-                has_idempotency_key: scenario.is_keyed(t),
-                deduplication_scope: t.repeat_scope,
-                deduplication_window: millis(t.window),
-                deadline: millis(t.hard_limit),
-                latency_objective: millis(t.promised_turnaround),
-                value: t.credit,
+                has_idempotency_key: scenario.has_idempotency_key(t),
+                deduplication_scope: t.deduplication_scope,
+                deduplication_window: millis(t.deduplication_window),
+                deadline: millis(t.deadline),
+                latency_objective: millis(t.latency_objective),
+                value: t.value,
             })
             .collect(),
         executors: (plan.executors.iter().enumerate())
@@ -241,7 +241,7 @@
         move || -> Result<f64> {
             let runtime = runtime()?;
             LocalSet::new().block_on(&runtime, async {
-                let front = Front::start(&addrs, scenario.front.notices_after);
+                let front = Front::start(&addrs, scenario.front.detection_delay);
                 while front.healthy_count() < addrs.len() && Instant::now() < began {
                     sleep(Duration::from_millis(5)).await;
                 }
@@ -281,7 +281,7 @@
         nodes: scenario.nodes.count,
         executors: plan.executors.len(),
         length_s: plan.length / 1000.0,
-        expected_service: scenario.expect.service,
+        expected_service: scenario.expect.min_service,
         verdict,
         node_cpu_ms: node_cpu,
         node_cpu_us_per_request: each(node_cpu),
--- a/crates/rehearsal/src/scenario/discovery.rs
+++ b/crates/rehearsal/src/scenario/discovery.rs
@@ -1,64 +1,64 @@
-//! Where the nodes of a scenario get their list of executors from.
+//! The discovery settings of a scenario: the source of the nodes' endpoint lists, its delays and its faults.
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Where nodes get their list from.
+/// The service that nodes read their endpoint list from.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Source {
-    /// The platform's own list.
+pub enum DiscoverySource {
+    /// The platform's own endpoint list.
     Platform,
-    /// Consul's stand-in: one agent for each node, changes at all of them at once.
+    /// A fake Consul cluster with one agent per node; all agents see a change at the same time.
     Consul,
 }
 
-/// What goes wrong at Consul's agents.
+/// A fault of Consul's agents.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum How {
-    /// They accept connections and say nothing.
+pub enum DiscoveryFault {
+    /// They accept connections and never respond.
     Silent,
-    /// They answer with errors.
+    /// They respond with errors.
     Errors,
-    /// They answer with an error that says that no leader is known.
+    /// They respond with the error that the cluster has no leader.
     NoLeader,
-    /// They answer with an empty list.
+    /// They respond with an empty list.
     Empty,
-    /// They end an answer half way.
+    /// They close the connection in the middle of a response body.
     HalfBody,
-    /// They answer with the list as it was when this began.
+    /// They respond with the list from the start of the fault.
     StaleView,
-    /// They answer late.
+    /// They respond late.
     Late,
 }
 
 /// How executors are listed.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields, default)]
-pub struct Discovery {
-    /// Who tells the list.
-    pub source: Source,
-    /// Consul: whether flaps are damped.
+pub struct DiscoverySpec {
+    /// The source of the endpoint lists.
+    pub source: DiscoverySource,
+    /// Whether nodes damp flapping entries; applies to Consul only.
     pub damping: bool,
-    /// The least time that a change takes to a node's agent.
-    #[serde(with = "humantime_serde")]
-    pub notice_least: Duration,
-    /// The most time that it takes.
-    #[serde(with = "humantime_serde")]
-    pub notice_most: Duration,
-    /// After so long an executor that died or went silent is listed as gone.
-    #[serde(with = "humantime_serde")]
-    pub death_noticed: Duration,
+    /// Shortest delay until a node's agent knows of a change.
+    #[serde(rename = "notice_least", with = "humantime_serde")]
+    pub min_notice_delay: Duration,
+    /// Longest delay until a node's agent knows of a change.
+    #[serde(rename = "notice_most", with = "humantime_serde")]
+    pub max_notice_delay: Duration,
+    /// Delay until an executor that crashed or was cut off is removed from the list.
+    #[serde(rename = "death_noticed", with = "humantime_serde")]
+    pub failure_detection_delay: Duration,
 }
 
-impl Default for Discovery {
+impl Default for DiscoverySpec {
     fn default() -> Self {
-        Discovery {
-            source: Source::Platform,
+        DiscoverySpec {
+            source: DiscoverySource::Platform,
             damping: true,
-            notice_least: Duration::from_millis(50),
-            notice_most: Duration::from_millis(500),
-            death_noticed: Duration::from_secs(3),
+            min_notice_delay: Duration::from_millis(50),
+            max_notice_delay: Duration::from_millis(500),
+            failure_detection_delay: Duration::from_secs(3),
         }
     }
 }
--- a/crates/rehearsal/src/scenario/disturbances.rs
+++ b/crates/rehearsal/src/scenario/disturbances.rs
@@ -1,140 +1,155 @@
-//! What goes wrong on the day of a scenario, and what operators do.
-use super::{How, one};
+//! The faults of executors and the scheduled events of a scenario.
+use super::{DiscoveryFault, one};
 use serde::Deserialize;
 use std::time::Duration;
 
-/// What goes wrong at executors.
+/// The kinds of fault of an executor.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
-    /// Their work takes `factor` times as long.
+pub enum FaultKind {
+    /// Requests take `factor` times as long.
     Slow,
-    /// They do nothing and say nothing.
+    /// The executor neither works nor sends anything.
     Pause,
-    /// They are cut off: open connections say nothing, new ones never come up.
+    /// The executor is cut off: open connections are silent, and new ones are not accepted.
     Silence,
-    /// Others take a `part` of their cores, `on` and `off` by turns.
-    Neighbour,
-    /// They take work of a project type and never start it.
-    Swallow,
-    /// They answer with an error at once.
+    /// Other load takes the share `part` of the cores, in turns of `on` with and `off` without it.
+    #[serde(rename = "neighbour")]
+    CpuContention,
+    /// Requests of a class are accepted and never started.
+    #[serde(rename = "swallow")]
+    NeverStart,
+    /// Attempts are answered with an error at once.
     Errors,
-    /// Their readings show `factor` times the load.
-    WrongReadings,
-    /// Their readings are late `by` so long.
-    LateReadings,
-    /// The connections of running work break, and the work is lost.
+    /// Load reports show `factor` times the load.
+    #[serde(rename = "wrong-readings")]
+    WrongLoadReports,
+    /// Load reports are late by the time `by`.
+    #[serde(rename = "late-readings")]
+    LateLoadReports,
+    /// Connections of running attempts are reset, and their work is lost.
     Resets,
-    /// Work of a project type takes longer, by a factor of a Pareto distribution with the exponent `alpha`.
+    /// Requests of a class take longer, by a factor from a Pareto distribution with the exponent `alpha`.
     HeavyTail,
 }
 
-/// A trouble, while it lasts. Which of its keys must stand depends on its kind.
+/// A fault of executors for a period of the day. Its kind determines which of the optional keys are required.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
-pub struct TroubleSpec {
-    /// What goes wrong.
-    pub kind: TroubleKind,
-    /// When it begins.
-    #[serde(with = "humantime_serde")]
-    pub from: Duration,
-    /// When it is over.
-    #[serde(with = "humantime_serde")]
-    pub to: Duration,
-    /// Share of the executors, or of those of one group; at least one of them.
+pub struct FaultSpec {
+    /// The kind of fault.
+    pub kind: FaultKind,
+    /// When the fault begins, since the start of the day.
+    #[serde(rename = "from", with = "humantime_serde")]
+    pub begins_at: Duration,
+    /// When the fault ends, since the start of the day.
+    #[serde(rename = "to", with = "humantime_serde")]
+    pub ends_at: Duration,
+    /// Share of all executors, or of those in `group`, that have the fault, 0 to 1; at least one executor has it.
     #[serde(default = "one")]
     pub share: f64,
-    /// The group of executors; any of them where not given.
+    /// The group of executors; all groups if absent.
     pub group: Option<String>,
-    /// See [`TroubleKind::Slow`] and [`TroubleKind::WrongReadings`].
+    /// Factor of [`FaultKind::Slow`] and [`FaultKind::WrongLoadReports`].
     pub factor: Option<f64>,
-    /// See [`TroubleKind::Neighbour`].
-    pub part: Option<f64>,
-    /// See [`TroubleKind::Neighbour`].
-    #[serde(default, with = "humantime_serde")]
-    pub on: Option<Duration>,
-    /// See [`TroubleKind::Neighbour`].
-    #[serde(default, with = "humantime_serde")]
-    pub off: Option<Duration>,
-    /// The project type that is struck.
-    pub project_type: Option<String>,
-    /// Share of the work that is struck.
-    pub of_work: Option<f64>,
-    /// See [`TroubleKind::LateReadings`].
-    #[serde(default, with = "humantime_serde")]
-    pub by: Option<Duration>,
-    /// See [`TroubleKind::HeavyTail`].
+    /// Share of the cores that [`FaultKind::CpuContention`] takes, 0 to 1.
+    #[serde(rename = "part")]
+    pub core_share: Option<f64>,
+    /// How long [`FaultKind::CpuContention`] takes the cores.
+    #[serde(rename = "on", default, with = "humantime_serde")]
+    pub contended_time: Option<Duration>,
+    /// How long [`FaultKind::CpuContention`] leaves the cores free.
+    #[serde(rename = "off", default, with = "humantime_serde")]
+    pub uncontended_time: Option<Duration>,
+    /// The request class that the fault affects.
+    #[serde(rename = "project_type")]
+    pub request_class: Option<String>,
+    /// Share of the attempts that the fault affects, 0 to 1.
+    #[serde(rename = "of_work")]
+    pub attempt_share: Option<f64>,
+    /// Delay of [`FaultKind::LateLoadReports`].
+    #[serde(rename = "by", default, with = "humantime_serde")]
+    pub delay: Option<Duration>,
+    /// Exponent of [`FaultKind::HeavyTail`].
     pub alpha: Option<f64>,
-    /// Whether executors that were silent come back cold.
-    pub cold: Option<bool>,
+    /// Whether executors restart, with a slow start, at the end of [`FaultKind::Silence`].
+    #[serde(rename = "cold")]
+    pub restarts: Option<bool>,
 }
 
-/// What happens at a time of the day.
+/// The kinds of scheduled event.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
-    /// SIGKILL to a node, which starts again `back` later with the list that it had.
+    /// SIGKILL to a node, which restarts `back` later with its last endpoint list.
     KillNode,
-    /// SIGKILL to one node or another, over and over, at random times `every` so long in the mean; each starts
-    /// again `back` later.
+    /// SIGKILL to one node at a time, at random intervals with the mean `every`; each node restarts `back` later.
     KillNodes,
-    /// SIGTERM to a node, SIGKILL after what the platform grants it, and a start `back` after its end.
+    /// SIGTERM to a node, SIGKILL at the end of its termination grace, and a restart `back` later.
     RestartNode,
-    /// A new configuration and SIGHUP: every node's agent moves to another address.
-    RereadNodes,
-    /// Executors of a group are replaced one after the other, `every` so long: each is listed as draining,
-    /// its successor joins cold, and it leaves once the grace is over.
+    /// A new configuration file and SIGHUP to every node: its discovery agent moves to another address.
+    #[serde(rename = "reread-nodes")]
+    ReloadNodes,
+    /// The executors of a group are replaced one at a time, at intervals of `every`: each is listed as draining,
+    /// its replacement joins with a slow start, and it leaves at the end of the drain grace.
     Deploy,
-    /// An executor of a group dies, and starts again cold `back` later, if that is given.
+    /// An executor of a group crashes and, if `back` is given, restarts that much later with a slow start.
     KillExecutor,
-    /// Discovery says nothing for a while.
+    /// Discovery sends nothing for the time `lasts`.
     SilenceDiscovery,
-    /// Discovery starts again; every watch of its list breaks off.
+    /// Discovery restarts and closes every watch of its list.
     RestartDiscovery,
-    /// Executors of a group are listed as failing and as well again, `every` so long, though nothing ails them.
+    /// Healthy executors of a group are listed as failing and as passing in turn, once per `every`.
     FlapExecutors,
-    /// Consul's agents go wrong, `how`, for a while.
-    TroubleDiscovery,
-    /// Operators leave executors of a group out by hand, at every node, and call them back after `lasts`.
+    /// Consul's agents have the fault `how` for the time `lasts`.
+    #[serde(rename = "trouble-discovery")]
+    FailDiscovery,
+    /// Operators suspend executors of a group at every node and resume them after `lasts`.
     SuspendExecutors,
-    /// Operators empty a node, and have it take clients again after `lasts`.
+    /// Operators drain a node and activate it again after `lasts`.
     DrainNode,
-    /// A node's next process starts beside it with the same clients' socket; once that is ready the first one
-    /// gets SIGTERM.
-    UpgradeNode,
-    /// New settings and SIGHUP: each work unit may be sent so many times from now on. A `broken` file says so, too,
-    /// and lacks a key.
-    RetuneNodes,
+    /// A hot restart: a node's next process starts with the same listening socket, and the previous one gets
+    /// SIGTERM when the next is ready.
+    #[serde(rename = "upgrade-node")]
+    HotRestartNode,
+    /// New settings and SIGHUP to every node: a request has at most `attempts` attempts from then on. If `broken`,
+    /// the file contains this limit and lacks a required key.
+    #[serde(rename = "retune-nodes")]
+    ReconfigureNodes,
 }
 
-/// An event. Which of its keys must stand depends on what it is.
+/// A scheduled event. Its kind determines which of the optional keys are required.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct EventSpec {
-    /// What happens.
-    pub what: EventKind,
-    /// When it happens, or begins.
+    /// The kind of event.
+    #[serde(rename = "what")]
+    pub kind: EventKind,
+    /// When the event happens or begins, since the start of the day.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// The number of a node, from 0.
+    /// The index of a node, from 0.
     pub node: Option<usize>,
     /// A group of executors.
     pub group: Option<String>,
-    /// How many of the group.
+    /// Number of executors of the group.
     pub count: Option<usize>,
-    /// The time until what ended starts again.
-    #[serde(default, with = "humantime_serde")]
-    pub back: Option<Duration>,
-    /// The time from one to the next.
-    #[serde(default, with = "humantime_serde")]
-    pub every: Option<Duration>,
-    /// How long it goes on.
-    #[serde(default, with = "humantime_serde")]
-    pub lasts: Option<Duration>,
-    /// See [`EventKind::TroubleDiscovery`].
-    pub how: Option<How>,
-    /// See [`EventKind::RetuneNodes`].
-    pub attempts: Option<u32>,
-    /// See [`EventKind::RetuneNodes`].
-    pub broken: Option<bool>,
+    /// Time from the end of a process until its restart.
+    #[serde(rename = "back", default, with = "humantime_serde")]
+    pub downtime: Option<Duration>,
+    /// Time between two repetitions.
+    #[serde(rename = "every", default, with = "humantime_serde")]
+    pub interval: Option<Duration>,
+    /// How long the event lasts.
+    #[serde(rename = "lasts", default, with = "humantime_serde")]
+    pub duration: Option<Duration>,
+    /// The fault of [`EventKind::FailDiscovery`].
+    #[serde(rename = "how")]
+    pub discovery_fault: Option<DiscoveryFault>,
+    /// The attempt limit of [`EventKind::ReconfigureNodes`].
+    #[serde(rename = "attempts")]
+    pub max_attempts: Option<u32>,
+    /// Whether the settings of [`EventKind::ReconfigureNodes`] lack a required key.
+    #[serde(rename = "broken")]
+    pub is_broken: Option<bool>,
 }
--- a/crates/rehearsal/src/scenario/executors.rs
+++ b/crates/rehearsal/src/scenario/executors.rs
@@ -1,124 +1,124 @@
-//! The executors of a scenario: groups of machines that are alike.
+//! The executors of a scenario: groups of identical machines.
 use super::one;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// The order in which an executor starts what waits in its queue.
+/// The order in which an executor starts the attempts in its queue.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Order {
-    /// The first one; all others wait behind it until it fits.
+pub enum QueueOrder {
+    /// The first one; the others wait until it fits.
     InOrder,
     /// The first one that fits.
     Backfill,
-    /// The highest credit first, equal ones in the order of arrival.
+    /// The highest value first; equal values in the order of arrival.
     Priority,
 }
 
-/// What an executor stops when the connection of an allocation ends.
+/// The attempts that an executor cancels when their connection closes.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Cancels {
-    /// Neither what waits nor what runs.
+pub enum CancelScope {
+    /// None.
     Nothing,
-    /// What waits in its queue.
+    /// Those in its queue.
     Waiting,
-    /// What waits and what runs.
+    /// Those in its queue and those that run.
     Running,
 }
 
-/// A group of executors that are alike.
+/// A group of identical executors.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
-pub struct Executors {
-    /// Named by troubles and events.
+pub struct ExecutorGroup {
+    /// The name that faults and events refer to.
     pub name: String,
-    /// How many executors are there at the start.
+    /// Number of executors at the start of the day.
     pub count: usize,
     /// Slots of each executor.
     pub slots: f64,
-    /// Cores of each executor; as many as slots where not given.
+    /// Cores of each executor; equal to `slots` if absent.
     pub cores: Option<f64>,
-    /// Relative to a core of speed 1.
+    /// Speed of a core, relative to a core of speed 1.
     #[serde(default = "one")]
     pub speed: f64,
-    /// Memory of each executor; without limit where not given.
+    /// Memory of each executor; unlimited if absent.
     pub memory: Option<f64>,
-    /// How many allocations wait at each executor at most.
-    #[serde(default = "default_waiting_room")]
-    pub waiting_room: usize,
-    /// The order of its queue.
-    #[serde(default = "default_order")]
-    pub order: Order,
-    /// What stops when its caller goes away.
-    #[serde(default = "default_cancels")]
-    pub cancels: Cancels,
-    /// How often running work writes a checkpoint; none where not given.
-    #[serde(default, with = "humantime_serde")]
-    pub checkpoint_every: Option<Duration>,
-    /// Whether a draining executor returns what waits in its queue.
-    #[serde(default)]
-    pub drain_returns: bool,
+    /// Maximum number of attempts in the queue of each executor.
+    #[serde(rename = "waiting_room", default = "default_waiting_room")]
+    pub queue_capacity: usize,
+    /// The order of the queue.
+    #[serde(rename = "order", default = "default_order")]
+    pub queue_order: QueueOrder,
+    /// The attempts that are cancelled when their connection closes.
+    #[serde(rename = "cancels", default = "default_cancels")]
+    pub cancel_scope: CancelScope,
+    /// Interval at which running attempts write a checkpoint; they write none if absent.
+    #[serde(rename = "checkpoint_every", default, with = "humantime_serde")]
+    pub checkpoint_interval: Option<Duration>,
+    /// Whether a draining executor returns the attempts in its queue.
+    #[serde(rename = "drain_returns", default)]
+    pub returns_queue_on_drain: bool,
     /// Work that each probe costs.
     #[serde(default, with = "humantime_serde")]
     pub probe_work: Duration,
     /// Work that each new connection costs.
     #[serde(default, with = "humantime_serde")]
     pub handshake_work: Duration,
-    /// Connections that it holds at most.
-    #[serde(default = "default_connections")]
-    pub connections: usize,
-    /// Whether they are cold when the day begins.
-    #[serde(default)]
-    pub cold: bool,
-    /// The kind of machine, as discovery names it.
-    #[serde(default)]
-    pub kind: String,
-    /// How its readings come about.
-    #[serde(default)]
-    pub readings: ReadingsSpec,
-    /// How often it reports progress; not at all where not given.
-    #[serde(default, with = "humantime_serde")]
-    pub progress_every: Option<Duration>,
+    /// Maximum number of open connections of each executor.
+    #[serde(rename = "connections", default = "default_connections")]
+    pub max_connections: usize,
+    /// Whether the executors are in slow start when the day begins.
+    #[serde(rename = "cold", default)]
+    pub slow_start: bool,
+    /// The machine type that discovery lists.
+    #[serde(rename = "kind", default)]
+    pub machine_type: String,
+    /// The timing and accuracy of load reports.
+    #[serde(rename = "readings", default)]
+    pub load_reports: LoadReportSpec,
+    /// Interval of progress reports; none are sent if absent.
+    #[serde(rename = "progress_every", default, with = "humantime_serde")]
+    pub progress_interval: Option<Duration>,
 }
 
 fn default_waiting_room() -> usize {
     32
 }
 
-fn default_order() -> Order {
-    Order::InOrder
+fn default_order() -> QueueOrder {
+    QueueOrder::InOrder
 }
 
-fn default_cancels() -> Cancels {
-    Cancels::Waiting
+fn default_cancels() -> CancelScope {
+    CancelScope::Waiting
 }
 
 fn default_connections() -> usize {
     4096
 }
 
-/// How the readings of an executor come about.
+/// The timing and accuracy of an executor's load reports.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields, default)]
-pub struct ReadingsSpec {
-    /// How often they are taken.
-    #[serde(with = "humantime_serde")]
-    pub refresh: Duration,
-    /// How old they are at least when they are told.
+pub struct LoadReportSpec {
+    /// Interval at which the load is measured.
+    #[serde(rename = "refresh", with = "humantime_serde")]
+    pub interval: Duration,
+    /// Age of a measurement when it is first reported.
     #[serde(with = "humantime_serde")]
     pub delay: Duration,
-    /// By how much the delay differs at random, at most, either way.
+    /// Upper bound of the random time added to `delay` for each report.
     #[serde(with = "humantime_serde")]
     pub jitter: Duration,
-    /// The spread of their error, relative to the reading.
+    /// Standard deviation of the measurement error, relative to the measured value.
     pub noise: f64,
 }
 
-impl Default for ReadingsSpec {
+impl Default for LoadReportSpec {
     fn default() -> Self {
-        ReadingsSpec {
-            refresh: Duration::from_millis(20),
+        LoadReportSpec {
+            interval: Duration::from_millis(20),
             delay: Duration::from_millis(5),
             jitter: Duration::from_millis(5),
             noise: 0.02,
--- a/crates/rehearsal/src/scenario/requests.rs
+++ b/crates/rehearsal/src/scenario/requests.rs
@@ -1,129 +1,142 @@
-//! The requests of a scenario: project types, customers, the load over the day, and the clients.
+//! The requests of a scenario: request classes, tenants, the load curve and the behavior of clients.
 use super::one;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// What a second run of the same work does.
+/// What a second execution of the same request does.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// Nothing: it may run any number of times.
-    Rerunnable,
-    /// Nothing within a window: executors know a repeat.
-    Receipted,
-    /// Harm: it must run once at most.
-    Exclusive,
+    /// Nothing: the request may run any number of times.
+    #[serde(rename = "rerunnable")]
+    Idempotent,
+    /// Nothing within the deduplication window, in which executors recognize repeated requests.
+    #[serde(rename = "receipted")]
+    Deduplicated,
+    /// Damage: the request must not run more than once.
+    #[serde(rename = "exclusive")]
+    AtMostOnce,
 }
 
-/// Among which executors a repeat is known.
+/// The executors that recognize each other's requests as repeated.
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum RepeatScope {
-    /// All of them.
+pub enum DeduplicationScope {
+    /// All executors.
     All,
-    /// Those of one place.
-    Place,
-    /// Those of one group.
+    /// The executors of one zone.
+    #[serde(rename = "place")]
+    Zone,
+    /// The executors of one group.
     Group,
 }
 
-/// A kind of request, with what it needs and what it is promised.
+/// A request class, with the resources that its requests need and its service objectives.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
-pub struct ProjectType {
-    /// Letters, digits and `-`.
+pub struct RequestClass {
+    /// The name, made of letters, digits and `-`.
     pub name: String,
-    /// What a second run does.
+    /// What a second execution does.
     pub effect: Effect,
-    /// Of all requests, relative to the other project types.
+    /// Weight among all requests, relative to the other classes.
     pub share: f64,
-    /// Mean work on one core of speed 1; log-normal with `spread` as the sigma of its logarithm.
+    /// Mean service time on one core of speed 1; the distribution is log-normal.
     #[serde(with = "humantime_serde")]
     pub work: Duration,
-    /// The sigma of the logarithm of the work.
-    #[serde(default = "default_spread")]
-    pub spread: f64,
-    /// Slots that it takes at an executor.
+    /// Standard deviation of the logarithm of the service time.
+    #[serde(rename = "spread", default = "default_spread")]
+    pub work_sigma: f64,
+    /// Slots that a request occupies at an executor.
     #[serde(default = "one")]
     pub slots: f64,
-    /// Memory that it takes at an executor.
+    /// Memory that a request occupies at an executor.
     #[serde(default)]
     pub memory: f64,
-    /// The latency target.
-    #[serde(with = "humantime_serde")]
-    pub promised_turnaround: Duration,
-    /// The deadline: the client waits no longer.
-    #[serde(with = "humantime_serde")]
-    pub hard_limit: Duration,
-    /// What an answer in time is worth.
-    #[serde(default = "one")]
-    pub credit: f64,
-    /// Receipted work: so long executors know a repeat.
-    #[serde(default, with = "humantime_serde")]
-    pub window: Duration,
-    /// Receipted work: among which executors a repeat is known.
-    #[serde(default = "default_repeat_scope")]
-    pub repeat_scope: RepeatScope,
+    /// Time within which a response counts for the service level.
+    #[serde(rename = "promised_turnaround", with = "humantime_serde")]
+    pub latency_objective: Duration,
+    /// Time after which the client no longer waits for a response.
+    #[serde(rename = "hard_limit", with = "humantime_serde")]
+    pub deadline: Duration,
+    /// Value of a request that meets its latency objective.
+    #[serde(rename = "credit", default = "one")]
+    pub value: f64,
+    /// How long executors recognize a repeated request; for [`Effect::Deduplicated`].
+    #[serde(rename = "window", default, with = "humantime_serde")]
+    pub deduplication_window: Duration,
+    /// The executors that recognize a repeated request; for [`Effect::Deduplicated`].
+    #[serde(rename = "repeat_scope", default = "default_repeat_scope")]
+    pub deduplication_scope: DeduplicationScope,
 }
 
 fn default_spread() -> f64 {
     0.5
 }
 
-fn default_repeat_scope() -> RepeatScope {
-    RepeatScope::All
+fn default_repeat_scope() -> DeduplicationScope {
+    DeduplicationScope::All
 }
 
-/// Whom requests come from.
+/// A tenant that requests belong to.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
-pub struct Customer {
-    /// As nodes are told it.
+pub struct Tenant {
+    /// The name in the nodes' settings and in the requests' `tenant` header.
     pub name: String,
-    /// Of all requests, relative to the other customers.
+    /// Weight among all requests, relative to the other tenants.
     pub share: f64,
 }
 
-/// A point of the load's curve.
+/// A point of the load curve.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
-pub struct Point {
-    /// The time of the day.
+pub struct LoadPoint {
+    /// Time since the start of the day.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// The load at that time, relative to `load`.
-    pub times: f64,
+    /// The load at that time, as a multiple of [`Traffic::load`].
+    #[serde(rename = "times")]
+    pub factor: f64,
 }
 
 /// The load over the day.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Work asked for, as a share of what the executors do that are there at the start.
+    /// Requested work, as a share of the capacity of the initial executors.
     pub load: f64,
-    /// A curve over the day, straight between its points; constant where there are none.
-    #[serde(default)]
-    pub shape: Vec<Point>,
+    /// The load curve, linear between its points; constant if empty.
+    #[serde(rename = "shape", default)]
+    pub curve: Vec<LoadPoint>,
 }
 
-/// How clients behave.
+/// The behavior of clients.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields, default)]
-pub struct Clients {
-    /// How often a request is sent again at most.
-    pub retries: u32,
-    /// Before the first retry, doubled for each further one; what an answer says of when to come back counts
-    /// where it is longer.
-    #[serde(with = "humantime_serde")]
-    pub retry_wait: Duration,
-    /// Share of requests whose client leaves before its time is up.
-    pub leave: f64,
-    /// Connections that all clients together hold at most.
-    pub connections: usize,
+pub struct ClientSpec {
+    /// Maximum number of retries of a request.
+    #[serde(rename = "retries")]
+    pub max_retries: u32,
+    /// Delay before the first retry, doubled for each further one. A longer `Retry-After` of the response takes
+    /// precedence.
+    #[serde(rename = "retry_wait", with = "humantime_serde")]
+    pub retry_delay: Duration,
+    /// Share of requests whose client disconnects before the latency objective, 0 to 1.
+    #[serde(rename = "leave")]
+    pub disconnect_share: f64,
+    /// Maximum number of requests in flight of all clients, each on a connection of its own.
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
 }
 
-impl Default for Clients {
+impl Default for ClientSpec {
     fn default() -> Self {
-        Clients { retries: 2, retry_wait: Duration::from_millis(50), leave: 0.0, connections: 4096 }
+        ClientSpec {
+            max_retries: 2,
+            retry_delay: Duration::from_millis(50),
+            disconnect_share: 0.0,
+            max_connections: 4096,
+        }
     }
 }
--- a/crates/rehearsal/src/world/listing.rs
+++ b/crates/rehearsal/src/world/listing.rs
@@ -57,10 +57,10 @@
         }
         self.listed.borrow_mut()[number] = Some(member.clone());
         let discovery = &self.scenario.discovery;
-        let delay_range = discovery.notice_most - discovery.notice_least;
+        let delay_range = discovery.max_notice_delay - discovery.min_notice_delay;
         for node in self.nodes.borrow().iter() {
             let fraction: f64 = self.rng.borrow_mut().random();
-            node.endpoint_list.change(&member, discovery.notice_least + delay_range.mul_f64(fraction));
+            node.endpoint_list.change(&member, discovery.min_notice_delay + delay_range.mul_f64(fraction));
         }
     }
 }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -106,7 +106,7 @@
             nodes: RefCell::default(),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(plan.seed ^ RNG_SALT)),
             max_step_delay_ms: Cell::new(0.0),
-            max_attempts: Cell::new(scenario.rules.most_allocations),
+            max_attempts: Cell::new(scenario.rules.max_attempts),
             shared: FleetContext::new(record.clone(), work_of, true),
             scenario,
             plan,
--- a/crates/rehearsal/src/world/node.rs
+++ b/crates/rehearsal/src/world/node.rs
@@ -71,7 +71,7 @@
         let port_error = |source| WorldError::NodePort { address, source };
         let listener = TcpListener::bind(address).map_err(port_error)?;
         let address = listener.local_addr().map_err(port_error)?;
-        let inherited_socket = match self.scenario.is_upgraded() {
+        let inherited_socket = match self.scenario.has_hot_restarts() {
             true => Some((listener, process_folder(address, number)?)),
             false => None,
         };
--- a/crates/rehearsal/src/world/operator.rs
+++ b/crates/rehearsal/src/world/operator.rs
@@ -92,7 +92,7 @@
         if let Some(previous) = &mut self.nodes.borrow_mut()[number].previous_process {
             let _ = previous.ask(Ask::End);
         }
-        let deadline = Instant::now() + self.scenario.granted();
+        let deadline = Instant::now() + self.scenario.termination_grace();
         sleep(POLL_INTERVAL).await;
         while !self.reap_previous_process(number, deadline) {
             sleep(POLL_INTERVAL).await;
--- a/crates/rehearsal/src/world/process.rs
+++ b/crates/rehearsal/src/world/process.rs
@@ -43,7 +43,7 @@
             Some((socket, folder)) => Some((socket.try_clone()?, folder.clone())),
             None => None,
         };
-        node.admin_address = match self.scenario.is_operated() {
+        node.admin_address = match self.scenario.has_operator_events() {
             true => Some(TcpListener::bind(self.addresses.node(number)).and_then(|port| port.local_addr())?),
             false => None,
         };
--- a/crates/rehearsal/tests/referee.rs
+++ b/crates/rehearsal/tests/referee.rs
@@ -2,7 +2,7 @@
 use troutknot_emulator::observations::{ListedState, Observation};
 use troutknot_emulator::{AttemptOutcome, Machine};
 use troutknot_rehearsal::referee::{ClassFacts, ExecutorFacts, Facts, RequestFacts, judge};
-use troutknot_rehearsal::scenario::{Effect, RepeatScope};
+use troutknot_rehearsal::scenario::{DeduplicationScope, Effect};
 
 const RENDER: usize = 0;
 const MAIL: usize = 1;
@@ -10,7 +10,7 @@
 /// Exclusive, and asked for with a key until it is answered.
 const KEYED: usize = 3;
 
-fn facts(class: usize, scope: RepeatScope) -> Facts {
+fn facts(class: usize, scope: DeduplicationScope) -> Facts {
     let of = |name: &str, effect| ClassFacts {
         name: name.into(),
         effect,
@@ -39,10 +39,10 @@
         budget_multiple: 2.0,
         budget_window: 100.0,
         classes: vec![
-            of("render", Effect::Rerunnable),
-            of("mail", Effect::Receipted),
-            of("publish", Effect::Exclusive),
-            of("keyed", Effect::Exclusive),
+            of("render", Effect::Idempotent),
+            of("mail", Effect::Deduplicated),
+            of("publish", Effect::AtMostOnce),
+            of("keyed", Effect::AtMostOnce),
         ],
         executors: vec![executor(0, false), executor(1, false), executor(2, true)],
         requests: vec![RequestFacts { class, due_at: 0.0 }],
@@ -82,11 +82,11 @@
     Observation::ConnectionLost { id: id(0), reused }
 }
 
-type Case = (&'static str, usize, RepeatScope, Vec<(f64, Observation)>, &'static [&'static str]);
+type Case = (&'static str, usize, DeduplicationScope, Vec<(f64, Observation)>, &'static [&'static str]);
 
 #[test]
 fn breaches_and_what_only_looks_like_one() {
-    use RepeatScope::{All, Group};
+    use DeduplicationScope::{All, Group};
     let started = |attempt_id| Observation::Started { attempt_id };
     let knows = |listed| Observation::AgentUpdated { node: 0, executor: 0, state: listed };
     let once = |at: f64| {
@@ -408,14 +408,14 @@
         ]
     };
     for (at, in_time, service) in [(400.0, 1, 1.0), (501.0, 0, 0.0)] {
-        let verdict = judge(&facts(RENDER, RepeatScope::All), &seen(at));
+        let verdict = judge(&facts(RENDER, DeduplicationScope::All), &seen(at));
         assert_eq!(
             (verdict.all.in_time, verdict.service, verdict.all.client_attempts),
             (in_time, service, 2)
         );
     }
     let left = judge(
-        &facts(RENDER, RepeatScope::All),
+        &facts(RENDER, DeduplicationScope::All),
         &[(0.0, sent(0)), (1.0, Observation::ClientDisconnected { id: id(0) })],
     );
     assert_eq!((left.all.abandoned, left.service), (1, 1.0));
@@ -423,7 +423,7 @@
 
 #[test]
 fn a_violation_serializes_under_the_report_s_keys() {
-    let verdict = judge(&facts(RENDER, RepeatScope::All), &[(0.0, sent(0))]);
+    let verdict = judge(&facts(RENDER, DeduplicationScope::All), &[(0.0, sent(0))]);
     let expected = concat!(
         r#"[{"rule":1,"name":"no-answer","at":2050.0,"#,
         r#""what":"render a0: sent to n0 at 0.000 s, no answer by its hard limit"}]"#
--- a/crates/rehearsal/tests/scenario.rs
+++ b/crates/rehearsal/tests/scenario.rs
@@ -108,9 +108,9 @@
     let [a, b, c] = [1, 1, 2].map(|seed| Plan::generate(&scenario, seed));
     assert_eq!((a.hash(), &a.requests, &a.steps), (b.hash(), &b.requests, &b.steps));
     assert_ne!(a.hash(), c.hash());
-    let expected = scenario.requests();
+    let expected = scenario.expected_requests();
     assert!((a.requests.len() as f64 / expected - 1.0).abs() < 0.1, "{} of {expected}", a.requests.len());
-    assert_eq!(scenario.times(Duration::from_secs(3)), 2.0);
+    assert_eq!(scenario.load_factor(Duration::from_secs(3)), 2.0);
     let joins = a.steps.iter().filter(|(_, step)| matches!(step, Step::Join { .. })).count();
     assert_eq!((joins, a.executors.len()), (4, 8), "each has a successor");
     let slowed = a.steps.iter().filter(|(_, step)| matches!(step, Step::FaultBegins { .. })).count();
--- a/crates/rehearsal/tests/unit/fingerprint.rs
+++ b/crates/rehearsal/tests/unit/fingerprint.rs
@@ -1,6 +1,6 @@
 //! The text that a plan's hash is taken of, as it was before the types in this crate were renamed.
 use super::*;
-use crate::scenario::How;
+use crate::scenario::DiscoveryFault;
 use troutknot_emulator::Fault;
 
 #[test]
@@ -27,7 +27,10 @@
         (Step::RestartDiscovery, "RestartDiscovery"),
         (Step::ListFailing { executor: 2 }, "ListFailing { executor: 2 }"),
         (Step::ListPassing { executor: 2 }, "ListWell { executor: 2 }"),
-        (Step::DiscoveryFault { fault: Some(How::HalfBody) }, "TroubleDiscovery { how: Some(HalfBody) }"),
+        (
+            Step::DiscoveryFault { fault: Some(DiscoveryFault::HalfBody) },
+            "TroubleDiscovery { how: Some(HalfBody) }",
+        ),
         (Step::DiscoveryFault { fault: None }, "TroubleDiscovery { how: None }"),
         (Step::SuspendExecutor { executor: 2, suspended: true }, "LeaveOut { executor: 2, out: true }"),
         (Step::DrainNode { node: 3, drained: false }, "DrainNode { node: 3, drain: false }"),
--- a/crates/scale/src/campaign.rs
+++ b/crates/scale/src/campaign.rs
@@ -154,13 +154,13 @@
         slots: (file.fleet.slots as usize).max(1),
         queue_capacity: file.fleet.queue_capacity,
         mean_service: file.requests.work,
-        told_at_latest: file.rules.told_at_latest,
+        told_at_latest: file.rules.notification_timeout,
         drain_grace: file.rules.drain_grace,
         slack: file.rules.slack,
-        cold_share: file.rules.cold_share,
-        ramp: file.rules.ramp,
-        fall_multiple: file.rules.fall_multiple,
-        fall_window: file.rules.fall_window,
+        cold_share: file.rules.initial_capacity,
+        ramp: file.rules.ramp_duration,
+        fall_multiple: file.rules.budget_multiple,
+        fall_window: file.rules.budget_window,
     }
 }
 
--- a/crates/scale/src/campaign/hollow_load.rs
+++ b/crates/scale/src/campaign/hollow_load.rs
@@ -53,7 +53,7 @@
 
 /// Of one hollow node beside so many executors.
 fn most_rate(file: &ScaleFile, executors: usize) -> f64 {
-    let cold_slots = executors as f64 * file.fleet.slots * file.rules.cold_share;
+    let cold_slots = executors as f64 * file.fleet.slots * file.rules.initial_capacity;
     let cold_fleet = cold_slots / file.requests.work.as_secs_f64().max(1e-9);
     MOST_HOLLOW_RATE.min(MOST_SHARE_OF_COLD_FLEET * cold_fleet) / file.hollow_nodes.count.max(1) as f64
 }
--- a/crates/scale/src/file/check.rs
+++ b/crates/scale/src/file/check.rs
@@ -147,10 +147,10 @@
 
     fn check_rules(&self, checker: &mut Checker) {
         let at = checker.section("rules");
-        checker.check_range(&at, "cold_share", self.rules.cold_share, 0.01..1.0);
-        checker.check_range(&at, "fall_multiple", self.rules.fall_multiple, 0.1..1000.0);
-        checker.check_range(&at, "most_allocations", f64::from(self.rules.most_allocations), 1.0..3.0);
-        for (key, span) in [("ramp", self.rules.ramp), ("fall_window", self.rules.fall_window)] {
+        checker.check_range(&at, "cold_share", self.rules.initial_capacity, 0.01..1.0);
+        checker.check_range(&at, "fall_multiple", self.rules.budget_multiple, 0.1..1000.0);
+        checker.check_range(&at, "most_allocations", f64::from(self.rules.max_attempts), 1.0..3.0);
+        for (key, span) in [("ramp", self.rules.ramp_duration), ("fall_window", self.rules.budget_window)] {
             if span.is_zero() {
                 checker.report(&at, key, format!("`{key}` is nothing; more than 0s is allowed"));
             }
--- a/crates/scale/src/trouble.rs
+++ b/crates/scale/src/trouble.rs
@@ -66,7 +66,7 @@
     pub fn of_file(file: &ScaleFile) -> Self {
         let real_nodes = file.real_nodes.count;
         let nodes = real_nodes + file.hollow_nodes.count;
-        let after = file.rules.drain_grace + file.requests.deadline + file.rules.ramp;
+        let after = file.rules.drain_grace + file.requests.deadline + file.rules.ramp_duration;
         World { executors: file.largest_fleet(), nodes, real_nodes, after }
     }
 }
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -250,7 +250,7 @@
                     Ok(scenario) if scenario.durable.is_some() => {
                         faults.push(format!("`{named}`: durable work is not simulated"));
                     }
-                    Ok(scenario) if scenario.is_operated() => {
+                    Ok(scenario) if scenario.has_operator_events() => {
                         faults.push(format!("`{named}`: calls, upgrades and new settings are not simulated"));
                     }
                     Ok(scenario) => {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -87,7 +87,7 @@
     if scenario.durable.is_some() {
         return Err(Unable::Durable);
     }
-    if scenario.is_operated() {
+    if scenario.has_operator_events() {
         return Err(Unable::Operated);
     }
     let plan = Plan::generate(scenario, seed);
@@ -102,7 +102,7 @@
         nodes: scenario.nodes.count,
         executors: plan.executors.len(),
         length_s: plan.length / 1000.0,
-        expected_service: scenario.expect.service,
+        expected_service: scenario.expect.min_service,
         verdict,
         events: counts.events,
         decisions: counts.decisions,
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -40,8 +40,8 @@
     /// Schedules the next attempt of a request, if its client has one left.
     pub(super) fn schedule_retry(&mut self, request: u32, attempt: u32, told: Option<Millis>) {
         let clients = &self.scenario.clients;
-        if attempt < clients.retries {
-            let own = millis(clients.retry_wait) * f64::powi(2.0, attempt.min(8) as i32);
+        if attempt < clients.max_retries {
+            let own = millis(clients.retry_delay) * f64::powi(2.0, attempt.min(8) as i32);
             let again = WorldEvent::Retry { request, attempt: attempt + 1 };
             self.queue.at(self.now + told.unwrap_or(0.0).max(own), again);
         }
@@ -52,7 +52,7 @@
         let id = self.id(request, attempt);
         self.note(Observation::ConnectionLost { id, reused: false });
         let kind = self.types[self.plan.requests[request as usize].request_class];
-        if kind.effect == Effect::Rerunnable {
+        if kind.effect == Effect::Idempotent {
             self.schedule_retry(request, attempt, None);
         }
     }
@@ -90,7 +90,7 @@
         match status {
             200 => {}
             503 => self.schedule_retry(request, attempt, come_back),
-            _ if kind.effect == Effect::Rerunnable => self.schedule_retry(request, attempt, None),
+            _ if kind.effect == Effect::Idempotent => self.schedule_retry(request, attempt, None),
             _ => {}
         }
     }
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -75,7 +75,7 @@
         self.entries.push((listed, self.started(executor)));
         self.listed[executor] = Some(entry);
         let discovery = &self.scenario.discovery;
-        let (least, most) = (millis(discovery.notice_least), millis(discovery.notice_most));
+        let (least, most) = (millis(discovery.min_notice_delay), millis(discovery.max_notice_delay));
         for node in 0..self.nodes.len() as u32 {
             let after = least + (most - least) * self.chance.random::<f64>();
             self.queue
--- a/crates/simulation/src/world/executors.rs
+++ b/crates/simulation/src/world/executors.rs
@@ -58,7 +58,7 @@
         if !waits || from.shut[number] <= self.now {
             return self.queue.at(self.now, came_of(Outcome::NotSent));
         }
-        let wait = millis(self.scenario.nodes.connect_wait);
+        let wait = millis(self.scenario.nodes.connect_timeout);
         match &self.hosts[number] {
             Some(host) if host.is_silent() => {
                 return self.queue.at(self.now + wait, came_of(Outcome::NoConnection));
@@ -87,7 +87,7 @@
             slots: kind.slots,
             memory: kind.memory,
             work: asked.work,
-            priority: kind.credit,
+            priority: kind.value,
         };
         let id = self.id(request, attempt);
         let (first_byte, attempt_id) = (self.now, out.key);
@@ -177,7 +177,7 @@
     /// A probe reaches its executor, which answers if it can.
     pub(super) fn probe_arrives(&mut self, node: u32, life: u32, executor: ExecutorId) {
         let Some(number) = self.nodes[node as usize].handles.number(executor) else { return };
-        let wait = millis(self.scenario.nodes.connect_wait);
+        let wait = millis(self.scenario.nodes.connect_timeout);
         let Some(host) = &mut self.hosts[number] else { return };
         let (after, answered, reading) = if host.is_down() {
             (WAY, false, LoadReport::default())
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -21,7 +21,7 @@
 use troutknot_emulator::{Executor, Millis};
 use troutknot_rehearsal::briefing;
 use troutknot_rehearsal::plan::Plan;
-use troutknot_rehearsal::scenario::{ProjectType, Scenario};
+use troutknot_rehearsal::scenario::{RequestClass, Scenario};
 
 /// When the day begins; before, nodes hear the list.
 pub const BEGAN: Millis = 100_000.0;
@@ -51,7 +51,7 @@
     plan: &'a Plan,
     /// Makes what decides at a node.
     make: MakeModule<'a>,
-    types: Vec<&'a ProjectType>,
+    types: Vec<&'a RequestClass>,
     /// The settings of each node.
     settings: Vec<Settings>,
     /// Machine kinds, in the order of their numbers.
@@ -105,7 +105,7 @@
             scenario,
             plan,
             make,
-            types: scenario.project_types.iter().map(|t| t.get_ref()).collect(),
+            types: scenario.request_classes.iter().map(|t| t.get_ref()).collect(),
             settings,
             kinds,
             tokens: (0..count).map(|k| troutknot_membership::token(&format!("s-{k:05}"))).collect(),
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -133,7 +133,7 @@
     pub(super) fn request_arrives(&mut self, node: usize, request: u32, attempt: u32) {
         let asked = &self.plan.requests[request as usize];
         let kind = self.types[asked.request_class];
-        let limit = millis(kind.hard_limit);
+        let limit = millis(kind.deadline);
         let left = limit - ANSWER_MARGIN.min(limit * 0.2);
         let request_id = RequestId(self.nodes[node].next_wu);
         self.nodes[node].next_wu += 1;
@@ -214,7 +214,7 @@
                 self.request_cut(open.request, open.attempt);
             }
         }
-        let noticed = self.now + millis(self.scenario.front.notices_after);
+        let noticed = self.now + millis(self.scenario.front.detection_delay);
         self.queue.at(noticed, WorldEvent::TakenIn { node: node as u32, taken_in: false });
     }
 
--- a/crates/simulation/tests/simulate.rs
+++ b/crates/simulation/tests/simulate.rs
@@ -95,7 +95,7 @@
         let mut scenario = scenario(name);
         if wrong == Wrong::PushesCold {
             // Cold executors that stand little.
-            scenario.rules.fall_multiple = 0.4;
+            scenario.rules.budget_multiple = 0.4;
             assert!(
                 simulate(&scenario, scenario.seed).unwrap().verdict.violations.is_empty(),
                 "a sound node"
