--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::{self, RecvTimeoutError};
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
-use troutknot_rehearsal::nodes::Program;
+use troutknot_rehearsal::node_process::NodeProgram;
 use troutknot_rehearsal::run::{Progress, Report, rehearse};
 use troutknot_rehearsal::scenario::{Scenario, millis};
 
@@ -79,12 +79,12 @@
         Ok(Arc::new(scenario))
     }
 
-    fn program(&self) -> Result<Program, Ended> {
+    fn program(&self) -> Result<NodeProgram, Ended> {
         if let Some(path) = &self.node {
-            return Ok(Program { path: path.clone(), args: Vec::new() });
+            return Ok(NodeProgram { path: path.clone(), args: Vec::new() });
         }
         match std::env::current_exe() {
-            Ok(path) => Ok(Program { path, args: vec!["node".into()] }),
+            Ok(path) => Ok(NodeProgram { path, args: vec!["node".into()] }),
             Err(error) => Err(Ended::Machine.because(format!("cannot find this program: {error}"))),
         }
     }
@@ -160,19 +160,19 @@
 }
 
 fn draw(bar: &ProgressBar, progress: &Progress, length_ms: u64) {
-    let at_ms = progress.at_ms.load(Ordering::Relaxed);
-    let over = progress.over.load(Ordering::Relaxed);
+    let at_ms = progress.elapsed_ms.load(Ordering::Relaxed);
+    let over = progress.ended_requests.load(Ordering::Relaxed);
     bar.set_position(at_ms as u64);
     bar.set_message(format!("{:.0} of {:.0} s, {over} over", at_ms as f64 / 1e3, length_ms as f64 / 1e3));
 }
 
 fn outcome(report: &Report) -> Ended {
-    if !report.carried() {
+    if !report.is_on_schedule() {
         let (clients, executors) = (report.clients_late_p99_ms, report.executors_late_p99_ms);
         return Ended::Machine.because(format!(
             "the machine did not carry it: one time in a hundred, clients were {clients:.0} ms late and \
              executors {executors:.0} ms"
         ));
     }
-    if report.holds() { Ended::Held } else { Ended::Broke }
+    if report.has_passed() { Ended::Held } else { Ended::Broke }
 }
--- a/crates/cli/src/verdict.rs
+++ b/crates/cli/src/verdict.rs
@@ -35,7 +35,7 @@
         report.kit_cpu_us_per_request,
         report.clients_late_p99_ms.max(report.executors_late_p99_ms)
     );
-    out += if report.holds() { "all held\n" } else { "NOT all held\n" };
+    out += if report.has_passed() { "all held\n" } else { "NOT all held\n" };
     out
 }
 
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: requests sent when the plan says, whatever becomes of those before, over kept connections.
+//! The clients of a rehearsal: an open workload that sends each request at its planned time, over pooled connections.
 use crate::plan::{Plan, Request};
 use crate::scenario::{Effect, RequestClass, Scenario, millis};
 use bytes::Bytes;
@@ -18,271 +18,302 @@
 use troutknot_emulator::front::Front;
 use troutknot_emulator::observations::{NodeNumber, Observation, ObservationLog};
 
-/// An answer is waited for so long beyond its limit, so that a late one is told from none.
-const BEYOND: Duration = Duration::from_millis(300);
-const CONNECT_WAIT: Duration = Duration::from_secs(1);
-/// A client with a key whose node does not answer asks again after so long.
-const AGAIN: Duration = Duration::from_millis(50);
-const MOST_ANSWER: usize = 1024 * 1024;
-/// Connections that stood idle for longer are not used again.
-const IDLE: Duration = Duration::from_secs(30);
+/// How long after the deadline a client still waits, so that a late response is distinguished from none.
+const LATE_RESPONSE_WAIT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before a request with an idempotency key is sent again to a node that did not respond.
+const KEYED_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum number of retries of a request with an idempotency key; request ids distinguish attempts up to 255.
+const MAX_KEYED_RETRIES: u32 = 250;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
+/// Connections that were idle for longer are not reused.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(30);
+/// Longest `Retry-After` that a client follows, in seconds.
+const MAX_RETRY_AFTER_S: f64 = 3600.0;
+/// Bound of the exponent of the retry delay.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-struct Kept {
-    send: SendRequest<Full<Bytes>>,
+struct PooledConnection {
+    sender: SendRequest<Full<Bytes>>,
     node: NodeNumber,
     reused: bool,
-    since: Instant,
+    /// When it was opened or last returned to the pool.
+    idle_since: Instant,
 }
 
+/// All clients of a rehearsal.
 pub struct Clients {
     scenario: Arc<Scenario>,
     plan: Arc<Plan>,
     record: Arc<ObservationLog>,
     front: Rc<Front>,
-    idle: RefCell<Vec<Kept>>,
-    room: Semaphore,
-    /// How late requests were sent, against the plan.
-    late: RefCell<Vec<Millis>>,
-    over: Cell<usize>,
+    idle_connections: RefCell<Vec<PooledConnection>>,
+    /// Limits the requests in flight.
+    permits: Semaphore,
+    /// The delay of each request against the plan, in milliseconds.
+    send_delays: RefCell<Vec<Millis>>,
+    ended_requests: Cell<usize>,
 }
 
-/// What came of one try.
-enum Came {
+/// The result of one attempt.
+enum AttemptResult {
     Completed,
-    /// Not taken, and when to come back, if that was told.
-    Deferred(Option<Duration>),
+    /// Rejected with 429 or 503, with the `Retry-After` of the response.
+    Rejected(Option<Duration>),
     Failed,
-    Cut,
-    NoWayIn,
-    Left,
+    /// The connection closed without a response.
+    Disconnected,
+    /// No connection was possible.
+    Unreachable,
+    /// The client disconnected.
+    Abandoned,
 }
 
 impl Clients {
+    /// Creates the clients of a plan, which connect through the given load balancer.
     pub fn new(
         scenario: Arc<Scenario>,
         plan: Arc<Plan>,
         record: Arc<ObservationLog>,
         front: Rc<Front>,
     ) -> Rc<Self> {
-        let room = Semaphore::new(scenario.clients.max_connections);
+        let permits = Semaphore::new(scenario.clients.max_connections);
         Rc::new(Clients {
             scenario,
             plan,
             record,
             front,
-            idle: RefCell::default(),
-            room,
-            late: RefCell::default(),
-            over: Cell::new(0),
+            idle_connections: RefCell::default(),
+            permits,
+            send_delays: RefCell::default(),
+            ended_requests: Cell::new(0),
         })
     }
 
-    /// How many requests are over.
-    pub fn over(&self) -> usize {
-        self.over.get()
+    /// The number of requests that have ended.
+    pub fn ended_requests(&self) -> usize {
+        self.ended_requests.get()
     }
 
-    /// How late requests were sent: the share `of` of them was no later, in milliseconds.
-    pub fn late(&self, of: f64) -> Millis {
-        crate::referee::quantile(&mut self.late.borrow_mut(), of)
+    /// The given quantile (0 to 1) of the delay with which requests were sent, in milliseconds.
+    pub fn send_delay_ms(&self, quantile: f64) -> Millis {
+        crate::referee::quantile(&mut self.send_delays.borrow_mut(), quantile)
     }
 
-    /// Plays the whole day from `began` on, until the last request is over.
-    pub async fn play(self: Rc<Self>, began: Instant) {
-        let mut open = JoinSet::new();
+    /// Sends the requests of the plan; returns when the last one has ended.
+    pub async fn play(self: Rc<Self>, started_at: Instant) {
+        let mut open_requests = JoinSet::new();
         for (number, request) in self.plan.requests.iter().enumerate() {
-            let due = began + Duration::from_secs_f64(request.at / 1000.0);
+            let due = started_at + Duration::from_secs_f64(request.at / 1000.0);
             if due > Instant::now() {
                 sleep_until(due).await;
             }
-            self.late.borrow_mut().push(due.elapsed().as_secs_f64() * 1000.0);
-            let this = self.clone();
-            open.spawn_local(async move { this.request(number, due).await });
-            while open.try_join_next().is_some() {}
+            self.send_delays.borrow_mut().push(due.elapsed().as_secs_f64() * 1000.0);
+            let clients = self.clone();
+            open_requests.spawn_local(async move { clients.request(number, due).await });
+            while open_requests.try_join_next().is_some() {}
         }
-        while open.join_next().await.is_some() {}
+        while open_requests.join_next().await.is_some() {}
     }
 
     async fn request(&self, number: usize, due: Instant) {
         let request = &self.plan.requests[number];
-        let kind = self.scenario.request_classes[request.request_class].get_ref();
-        let clients = &self.scenario.clients;
-        let leaves = request.disconnects_after.map(|after| due + Duration::from_secs_f64(after / 1000.0));
-        if self.scenario.has_idempotency_key(kind) {
-            return self.keyed_request(number, request, kind).await;
+        let class = self.scenario.request_classes[request.request_class].get_ref();
+        let spec = &self.scenario.clients;
+        let disconnects_at =
+            request.disconnects_after.map(|after| due + Duration::from_secs_f64(after / 1000.0));
+        if self.scenario.has_idempotency_key(class) {
+            return self.keyed_request(number, request, class).await;
         }
-        for attempt in 0..=clients.max_retries {
-            let came = self.attempt(number, attempt, request, kind, leaves, None).await;
-            let told = match came {
-                Came::Deferred(told) => told,
-                Came::NoWayIn => None,
-                // Only what may run twice is tried again where it may have run.
-                Came::Failed | Came::Cut if kind.effect == Effect::Idempotent => None,
+        for attempt in 0..=spec.max_retries {
+            let result = self.attempt(number, attempt, request, class, disconnects_at, None).await;
+            let retry_after = match result {
+                AttemptResult::Rejected(retry_after) => retry_after,
+                AttemptResult::Unreachable => None,
+                // A request that may have run is retried only if it is idempotent.
+                AttemptResult::Failed | AttemptResult::Disconnected if class.effect == Effect::Idempotent => {
+                    None
+                }
                 _ => break,
             };
-            if attempt < clients.max_retries {
-                let own = clients.retry_delay * 2u32.pow(attempt.min(8));
-                sleep(told.unwrap_or_default().max(own)).await;
+            if attempt < spec.max_retries {
+                let backoff = spec.retry_delay * 2u32.pow(attempt.min(MAX_BACKOFF_DOUBLINGS));
+                sleep(retry_after.unwrap_or_default().max(backoff)).await;
             }
         }
-        self.over.set(self.over.get() + 1);
+        self.ended_requests.set(self.ended_requests.get() + 1);
     }
 
-    /// Asks with a key, and again at the same node until there is an answer: a key counts at one node alone.
-    async fn keyed_request(&self, number: usize, request: &Request, kind: &RequestClass) {
-        let until = Instant::now() + 2 * kind.deadline + BEYOND;
-        let (mut attempt, mut deferred) = (0, 0);
+    /// Sends a request with an idempotency key to the same node until there is a response, because a key is known to
+    /// one node only.
+    async fn keyed_request(&self, number: usize, request: &Request, class: &RequestClass) {
+        let retry_until = Instant::now() + 2 * class.deadline + LATE_RESPONSE_WAIT;
+        let (mut attempt, mut rejections) = (0, 0);
         let Some((node, _)) = self.front.next_node() else {
             self.record.record(Observation::ConnectFailed { request: number });
-            self.over.set(self.over.get() + 1);
+            self.ended_requests.set(self.ended_requests.get() + 1);
             return;
         };
         loop {
-            let came = self.attempt(number, attempt, request, kind, None, Some(node)).await;
-            let wait = match came {
-                Came::Cut | Came::NoWayIn => AGAIN,
-                Came::Deferred(told) if deferred < self.scenario.clients.max_retries => {
-                    deferred += 1;
-                    told.unwrap_or_default().max(self.scenario.clients.retry_delay)
+            let result = self.attempt(number, attempt, request, class, None, Some(node)).await;
+            let delay = match result {
+                AttemptResult::Disconnected | AttemptResult::Unreachable => KEYED_RETRY_DELAY,
+                AttemptResult::Rejected(retry_after) if rejections < self.scenario.clients.max_retries => {
+                    rejections += 1;
+                    retry_after.unwrap_or_default().max(self.scenario.clients.retry_delay)
                 }
                 _ => break,
             };
-            sleep(wait).await;
-            if Instant::now() > until || attempt == 250 {
+            sleep(delay).await;
+            if Instant::now() > retry_until || attempt == MAX_KEYED_RETRIES {
                 break;
             }
             attempt += 1;
         }
-        self.over.set(self.over.get() + 1);
+        self.ended_requests.set(self.ended_requests.get() + 1);
     }
 
-    async fn connection(&self, node: Option<usize>) -> Option<Kept> {
+    /// Takes an idle connection or opens one, to the given node or to the next one of the load balancer.
+    async fn connection(&self, node: Option<usize>) -> Option<PooledConnection> {
         loop {
-            let kept = {
-                let mut idle = self.idle.borrow_mut();
-                let fits = |kept: &Kept| node.is_none_or(|node| kept.node as usize == node);
-                let at = idle.iter().rposition(fits);
-                at.map(|at| idle.remove(at))
+            let pooled = {
+                let mut idle = self.idle_connections.borrow_mut();
+                let is_to_node =
+                    |connection: &PooledConnection| node.is_none_or(|node| connection.node as usize == node);
+                let index = idle.iter().rposition(is_to_node);
+                index.map(|index| idle.remove(index))
             };
-            let Some(kept) = kept else { break };
-            if !kept.send.is_closed() && kept.since.elapsed() < IDLE {
-                return Some(kept);
+            let Some(pooled) = pooled else { break };
+            if !pooled.sender.is_closed() && pooled.idle_since.elapsed() < MAX_IDLE_TIME {
+                return Some(pooled);
             }
         }
-        let (node, addr) = match node {
+        let (node, address) = match node {
             Some(node) => (node, self.front.addr(node)?),
             None => self.front.next_node()?,
         };
-        let stream = timeout(CONNECT_WAIT, TcpStream::connect(addr)).await.ok()?.ok()?;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
-        let (send, connection) = handshake(TokioIo::new(stream)).await.ok()?;
+        let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         spawn_local(connection);
-        Some(Kept { send, node: node as NodeNumber, reused: false, since: Instant::now() })
+        Some(PooledConnection { sender, node: node as NodeNumber, reused: false, idle_since: Instant::now() })
     }
 
+    /// Sends one attempt; with an idempotency key if `node` is given.
     async fn attempt(
         &self,
         number: usize,
         attempt: u32,
         request: &Request,
-        kind: &RequestClass,
-        leaves: Option<Instant>,
+        class: &RequestClass,
+        disconnects_at: Option<Instant>,
         node: Option<usize>,
-    ) -> Came {
+    ) -> AttemptResult {
         let id = self.plan.request_id(number, attempt);
-        let no_way_in = || {
+        let unreachable = || {
             self.record.record(Observation::ConnectFailed { request: number });
-            Came::NoWayIn
+            AttemptResult::Unreachable
         };
-        let Ok(_room) = self.room.try_acquire() else { return no_way_in() };
+        let Ok(_permit) = self.permits.try_acquire() else { return unreachable() };
         loop {
-            let Some(mut kept) = self.connection(node).await else { return no_way_in() };
-            if kept.send.ready().await.is_err() {
+            let Some(mut connection) = self.connection(node).await else { return unreachable() };
+            if connection.sender.ready().await.is_err() {
                 continue;
             }
-            let asked = hyper::Request::post(format!("/{}", kind.name))
+            let message = hyper::Request::post(format!("/{}", class.name))
                 .header("host", "app.svc")
                 .header("request-id", &id)
-                .header("request-class", &kind.name)
-                .header("request-timeout", format!("{:.3}", kind.deadline.as_secs_f64()))
-                .header("request-info", format!("slots={},memory={}", kind.slots, kind.memory));
-            let asked = match self.scenario.tenants.get(request.tenant) {
-                Some(customer) => asked.header("tenant", &customer.get_ref().name),
-                None => asked,
+                .header("request-class", &class.name)
+                .header("request-timeout", format!("{:.3}", class.deadline.as_secs_f64()))
+                .header("request-info", format!("slots={},memory={}", class.slots, class.memory));
+            let message = match self.scenario.tenants.get(request.tenant) {
+                Some(tenant) => message.header("tenant", &tenant.get_ref().name),
+                None => message,
             };
-            let asked = if attempt > 0 { asked.header("client-retry", "1") } else { asked };
-            let asked = match node {
-                Some(_) => asked.header("idempotency-key", format!("request {number}")),
-                None => asked,
+            let message = if attempt > 0 { message.header("client-retry", "1") } else { message };
+            let message = match node {
+                Some(_) => message.header("idempotency-key", format!("request {number}")),
+                None => message,
             };
-            // With a key it is the same each time.
-            let work = if node.is_some() { self.plan.request_id(number, 0) } else { id.clone() };
-            let Ok(asked) = asked.body(Full::new(Bytes::from(format!("work of {work}")))) else {
-                return no_way_in();
+            // All attempts with an idempotency key have the same body.
+            let body_id = if node.is_some() { self.plan.request_id(number, 0) } else { id.clone() };
+            let Ok(message) = message.body(Full::new(Bytes::from(format!("work of {body_id}")))) else {
+                return unreachable();
             };
-            let (keyed, node) = (node.is_some(), kept.node);
+            let (has_key, node) = (node.is_some(), connection.node);
             self.record.record(Observation::RequestSent {
                 id: id.as_str().into(),
                 request: number,
                 attempt,
                 node,
             });
-            let end = Instant::now() + kind.deadline + BEYOND;
-            let answer = async {
-                let answer =
-                    kept.send.try_send_request(asked).await.map_err(|mut e| e.take_message().is_some())?;
-                let (head, body) = answer.into_parts();
-                let body = Limited::new(body, MOST_ANSWER).collect().await.map_err(|_| false)?;
+            let gives_up_at = Instant::now() + class.deadline + LATE_RESPONSE_WAIT;
+            // The error tells whether the connection returned the request unsent.
+            let response = async {
+                let response = connection
+                    .sender
+                    .try_send_request(message)
+                    .await
+                    .map_err(|mut error| error.take_message().is_some())?;
+                let (head, body) = response.into_parts();
+                let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.map_err(|_| false)?;
                 Ok::<_, bool>((head, body.to_bytes()))
             };
-            let leave = async {
-                match leaves {
+            let disconnect = async {
+                match disconnects_at {
                     Some(at) => sleep_until(at).await,
                     None => std::future::pending().await,
                 }
             };
-            let answer = tokio::select! {
+            let response = tokio::select! {
                 biased;
-                answer = timeout_at(end, answer) => answer,
-                () = leave => {
+                response = timeout_at(gives_up_at, response) => response,
+                () = disconnect => {
                     self.record.record(Observation::ClientDisconnected { id: id.into() });
-                    return Came::Left;
+                    return AttemptResult::Abandoned;
                 }
             };
-            let (head, body) = match answer {
-                Ok(Ok(answer)) => answer,
-                // It was handed back unwritten, as the connection had ended.
+            let (head, body) = match response {
+                Ok(Ok(response)) => response,
+                // The connection was closed before the request was written.
                 Ok(Err(true)) => continue,
                 Ok(Err(false)) => {
-                    self.record.record(Observation::ConnectionLost { id: id.into(), reused: kept.reused });
-                    return Came::Cut;
+                    let reused = connection.reused;
+                    self.record.record(Observation::ConnectionLost { id: id.into(), reused });
+                    return AttemptResult::Disconnected;
                 }
-                Err(_) => return Came::Failed,
+                Err(_) => return AttemptResult::Failed,
             };
             let status = head.status.as_u16();
-            // With a key the result may be of any try before.
-            let first = if keyed { 0 } else { attempt };
-            let fits =
-                (first..=attempt).any(|k| body == format_result(&self.plan.request_id(number, k)).as_bytes());
-            let told = head.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
-            let told = told.filter(|s| (0.0..3600.0).contains(s)).map(Duration::from_secs_f64);
-            let come_back = told.map(millis);
+            // With an idempotency key the result may belong to any earlier attempt.
+            let first_attempt = if has_key { 0 } else { attempt };
+            let is_valid = (first_attempt..=attempt)
+                .any(|earlier| body == format_result(&self.plan.request_id(number, earlier)).as_bytes());
+            let retry_after = head
+                .headers
+                .get("retry-after")
+                .and_then(|value| value.to_str().ok()?.parse::<f64>().ok())
+                .filter(|seconds| (0.0..MAX_RETRY_AFTER_S).contains(seconds))
+                .map(Duration::from_secs_f64);
             self.record.record(Observation::RequestAnswered {
                 id: id.into(),
                 status,
-                is_valid: fits,
-                retry_after: come_back,
+                is_valid,
+                retry_after: retry_after.map(millis),
             });
-            let closes =
-                head.headers.get("connection").is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
+            let closes = head
+                .headers
+                .get("connection")
+                .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
             if !closes {
-                (kept.reused, kept.since) = (true, Instant::now());
-                self.idle.borrow_mut().push(kept);
+                (connection.reused, connection.idle_since) = (true, Instant::now());
+                self.idle_connections.borrow_mut().push(connection);
             }
             return match status {
-                200 if fits => Came::Completed,
-                429 | 503 => Came::Deferred(told),
-                _ => Came::Failed,
+                200 if is_valid => AttemptResult::Completed,
+                429 | 503 => AttemptResult::Rejected(retry_after),
+                _ => AttemptResult::Failed,
             };
         }
     }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,11 +1,10 @@
-//! Rehearses days: a [`scenario::Scenario`] becomes a [`plan::Plan`], is played on real sockets against real
-//! nodes, and what was seen is judged by the [`referee`].
-pub mod briefing;
+//! Rehearses a day: generates a [`plan::Plan`] from a [`scenario::Scenario`], plays it on real sockets against real
+//! nodes, and judges the observations with the [`referee`].
 pub mod clients;
 pub mod diagnostics;
-
-pub mod lists;
-pub mod nodes;
+pub mod endpoint_lists;
+pub mod node_config;
+pub mod node_process;
 pub mod plan;
 pub mod referee;
 pub mod run;
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -1,6 +1,6 @@
-//! One rehearsal from its scenario to its verdict: the world on one thread, the clients on another.
+//! Runs one rehearsal from its scenario to its verdict: the world on one thread, the clients on another.
 use crate::clients::Clients;
-use crate::nodes::{Launch, Used};
+use crate::node_process::{NodeLauncher, ResourceUsage};
 use crate::plan::Plan;
 use crate::referee::{self, ClassFacts, ExecutorFacts, Facts, RequestFacts, Verdict};
 use crate::scenario::{Scenario, millis};
@@ -22,116 +22,141 @@
 use troutknot_emulator::front::Front;
 use troutknot_emulator::observations::ObservationLog;
 
-/// Clients that are so late with one request in a hundred are no longer those of the scenario.
-const LATE_MS: f64 = 25.0;
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// Processes and listeners of one rehearsal; in simulated time there may be more.
-pub const MOST_NODES: usize = 64;
-pub const MOST_EXECUTORS: usize = 1000;
-/// Requests a second; at more, the executors' thread was seen to fall behind (docs/rehearsal.md).
-pub const MOST_RATE: f64 = 10_000.0;
+/// Largest 99th percentile of the delay of clients and executors, in milliseconds. Above it the run no longer follows
+/// its scenario.
+const MAX_P99_DELAY_MS: f64 = 25.0;
+const DELAY_SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
+/// Time between the readiness of the nodes and the start of the day.
+const START_DELAY: Duration = Duration::from_millis(700);
+const FRONT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
+/// How long after the last response executors may still record the ends of attempts.
+const FINAL_EVENTS_DELAY: Duration = Duration::from_millis(100);
 
-/// Why a rehearsal gave no verdict.
+/// Maximum number of nodes of a rehearsal, each of which is a process; a simulation allows more.
+pub const MAX_NODES: usize = 64;
+/// Maximum number of executors of a rehearsal, each of which has a listener; a simulation allows more.
+pub const MAX_EXECUTORS: usize = 1000;
+/// Maximum request rate; above it the executors' thread was measured to fall behind (docs/rehearsal.md).
+pub const MAX_REQUESTS_PER_SECOND: f64 = 10_000.0;
+
+/// Why a rehearsal has no verdict.
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
-    /// The machine could not carry it, or cannot.
+pub enum RehearsalError {
+    /// The scenario exceeds what this machine or a rehearsal can run.
     #[error("{0}")]
     Machine(String),
+    /// The rehearsal could not be set up, or one of its threads failed.
     #[error("{0:#}")]
     Other(#[from] anyhow::Error),
 }
 
-/// All that a rehearsal tells.
+/// The results of a rehearsal.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
+    /// Name of the scenario.
     pub scenario: String,
+    /// The seed of the plan.
     pub seed: u64,
-    /// Names what was drawn; the same seed gives the same plan.
+    /// Hash of the plan; equal for equal scenarios and seeds.
     pub plan: String,
+    /// Number of nodes.
     pub nodes: usize,
+    /// Number of executors, including replacements.
     pub executors: usize,
+    /// Length of the day in seconds.
     pub length_s: f64,
+    /// The minimum service level that the scenario expects, 0 to 1.
     pub expected_service: f64,
+    /// The verdict of the referee.
     pub verdict: Verdict,
+    /// CPU time of all nodes, in milliseconds.
     pub node_cpu_ms: f64,
+    /// CPU time of all nodes per request, in microseconds.
     pub node_cpu_us_per_request: f64,
+    /// Peak resident memory of the node that used most, in kilobytes.
     pub node_memory_kb: u64,
+    /// CPU time of this process per request, in microseconds.
     pub kit_cpu_us_per_request: f64,
-    /// How late the kit itself was: the 99th percentile of its requests, and its latest step.
+    /// 99th percentile of the delay with which clients sent requests, in milliseconds.
     pub clients_late_p99_ms: f64,
-    /// The same for what the executors' thread had to do at a time.
+    /// 99th percentile of the scheduling delay of the executors' thread, in milliseconds.
     pub executors_late_p99_ms: f64,
+    /// Largest delay of a step of the plan, in milliseconds.
     pub steps_late_ms: f64,
 }
 
 impl Report {
-    /// Whether no rule broke and the service expected was reached.
-    pub fn holds(&self) -> bool {
+    /// Whether no rule was violated and the expected service level was reached.
+    pub fn has_passed(&self) -> bool {
         self.verdict.violations.is_empty() && self.verdict.service >= self.expected_service
     }
 
-    /// Whether the kit kept to its own plan.
-    pub fn carried(&self) -> bool {
-        self.clients_late_p99_ms.max(self.executors_late_p99_ms) <= LATE_MS
+    /// Whether clients and executors ran without too much delay.
+    pub fn is_on_schedule(&self) -> bool {
+        self.clients_late_p99_ms.max(self.executors_late_p99_ms) <= MAX_P99_DELAY_MS
     }
 }
 
-/// Where the day stands, for a line of progress.
+/// The progress of a running rehearsal.
 #[derive(Default)]
 pub struct Progress {
-    pub over: AtomicUsize,
-    /// 0 until the day begins, then in milliseconds.
-    pub at_ms: AtomicUsize,
+    /// Number of requests that have ended.
+    pub ended_requests: AtomicUsize,
+    /// Time since the start of the day, in milliseconds; 0 before it.
+    pub elapsed_ms: AtomicUsize,
 }
 
-/// Descriptors that this process needs for a scenario: sockets of executors at both ends of each connection.
+/// Estimates the file descriptors that this process needs: both ends of each connection of an executor, the listeners
+/// and the clients' connections.
 fn descriptors_needed(scenario: &Scenario, plan: &Plan) -> u64 {
     let executors = plan.executors.len() as u64;
     let nodes = scenario.nodes.count as u64;
-    let to_executors = nodes * (scenario.nodes.max_file_descriptors / 3);
-    let clients = scenario.clients.max_connections as u64;
-    let out_at_once = (scenario.rate_per_ms() * 2000.0 * 2.0) as u64 + 64;
-    64 + 2 * executors + 8 * nodes + to_executors + clients.min(out_at_once)
+    let executor_connections = nodes * (scenario.nodes.max_file_descriptors / 3);
+    let max_client_connections = scenario.clients.max_connections as u64;
+    let concurrent_requests = (scenario.rate_per_ms() * 2000.0 * 2.0) as u64 + 64;
+    64 + 2 * executors + 8 * nodes + executor_connections + max_client_connections.min(concurrent_requests)
 }
 
-/// Whether this machine can carry a scenario, before anything starts.
+/// Checks before the start whether this machine can run a scenario, and raises the limit of open files if needed.
 ///
 /// # Errors
-/// One line that says what is short.
-pub fn check_machine(scenario: &Scenario, plan: &Plan) -> Result<(), Failed> {
+/// The resource that is insufficient, in one line.
+pub fn check_machine(scenario: &Scenario, plan: &Plan) -> Result<(), RehearsalError> {
     let (nodes, executors) = (scenario.nodes.count, plan.executors.len());
-    if nodes > MOST_NODES || executors > MOST_EXECUTORS {
-        let what = format!(
-            "the scenario has {nodes} nodes and {executors} executors; a rehearsal has {MOST_NODES} and \
-             {MOST_EXECUTORS} at most, `troutknot simulate` carries more"
+    if nodes > MAX_NODES || executors > MAX_EXECUTORS {
+        let message = format!(
+            "the scenario has {nodes} nodes and {executors} executors; a rehearsal has {MAX_NODES} and \
+             {MAX_EXECUTORS} at most, `troutknot simulate` allows more"
         );
-        return Err(Failed::Machine(what));
+        return Err(RehearsalError::Machine(message));
     }
     let needed = descriptors_needed(scenario, plan);
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
     if current.is_some_and(|current| current < needed) {
-        let raised = Rlimit { current: maximum.map_or(Some(needed), |most| Some(most.min(needed))), maximum };
-        let _ = setrlimit(Resource::Nofile, raised);
-        if maximum.is_some_and(|most| most < needed) {
+        let raised = maximum.map_or(needed, |maximum| maximum.min(needed));
+        let _ = setrlimit(Resource::Nofile, Rlimit { current: Some(raised), maximum });
+        if maximum.is_some_and(|maximum| maximum < needed) {
             let have = maximum.unwrap_or(0);
-            let what = format!("the scenario needs about {needed} file descriptors, {have} may be open");
-            return Err(Failed::Machine(what));
+            let message = format!("the scenario needs about {needed} file descriptors, {have} may be open");
+            return Err(RehearsalError::Machine(message));
         }
     }
-    let most = scenario.traffic.get_ref().curve.iter().map(|p| p.factor).fold(1.0, f64::max);
-    let rate = scenario.rate_per_ms() * most * 1000.0;
-    if rate > MOST_RATE {
-        let what =
-            format!("the scenario sends {rate:.0} requests a second; the kit carries {MOST_RATE} at most");
-        return Err(Failed::Machine(what));
+    let peak_factor = scenario.traffic.get_ref().curve.iter().map(|point| point.factor).fold(1.0, f64::max);
+    let rate = scenario.rate_per_ms() * peak_factor * 1000.0;
+    if rate > MAX_REQUESTS_PER_SECOND {
+        let message = format!(
+            "the scenario sends {rate:.0} requests a second; the kit carries {MAX_REQUESTS_PER_SECOND} at most"
+        );
+        return Err(RehearsalError::Machine(message));
     }
     Ok(())
 }
 
-/// What the referee is told of a day that began at a time.
-pub fn facts(scenario: &Scenario, plan: &Plan, began: f64) -> Facts {
+/// The facts that the referee judges by, for a day that started at `started_at` milliseconds of the record.
+pub fn build_facts(scenario: &Scenario, plan: &Plan, started_at: f64) -> Facts {
     let rules = &scenario.rules;
-    let types = scenario.request_classes.iter().map(|t| t.get_ref());
+    let classes = scenario.request_classes.iter().map(|class| class.get_ref());
     Facts {
         seed: plan.seed,
         drain_grace: millis(rules.drain_grace),
@@ -142,138 +167,145 @@
         ramp_duration: millis(rules.ramp_duration),
         budget_multiple: rules.budget_multiple,
         budget_window: millis(rules.budget_window),
-        classes: types
-            .map(|t| ClassFacts {
-                name: t.name.clone(),
-                effect: t.effect,
-                has_idempotency_key: scenario.has_idempotency_key(t),
-                deduplication_scope: t.deduplication_scope,
-                deduplication_window: millis(t.deduplication_window),
-                deadline: millis(t.deadline),
-                latency_objective: millis(t.latency_objective),
-                value: t.value,
+        classes: classes
+            .map(|class| ClassFacts {
+                name: class.name.clone(),
+                effect: class.effect,
+                has_idempotency_key: scenario.has_idempotency_key(class),
+                deduplication_scope: class.deduplication_scope,
+                deduplication_window: millis(class.deduplication_window),
+                deadline: millis(class.deadline),
+                latency_objective: millis(class.latency_objective),
+                value: class.value,
             })
             .collect(),
         executors: (plan.executors.iter().enumerate())
-            .map(|(number, e)| ExecutorFacts {
+            .map(|(number, executor)| ExecutorFacts {
                 name: format!("s-{number:05}"),
-                machine: e.machine.clone(),
+                machine: executor.machine.clone(),
                 zone: 0,
-                deduplication_group: e.group as u32,
-                starts_cold: e.slow_start,
+                deduplication_group: executor.group as u32,
+                starts_cold: executor.slow_start,
             })
             .collect(),
         requests: plan
             .requests
             .iter()
-            .map(|r| RequestFacts { class: r.request_class, due_at: r.at })
+            .map(|request| RequestFacts { class: request.request_class, due_at: request.at })
             .collect(),
-        started_at: began,
+        started_at,
     }
 }
 
 fn runtime() -> Result<tokio::runtime::Runtime> {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().context("no runtime")
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .context("cannot create an asynchronous runtime")
 }
 
-/// Looks every 10 ms how late its thread is, until it is dropped.
-async fn lateness(of: Rc<RefCell<Vec<f64>>>) {
+/// Samples the scheduling delay of its thread every 10 ms, in milliseconds, until it is dropped.
+async fn sample_scheduling_delay(delays: Rc<RefCell<Vec<f64>>>) {
     let mut due = Instant::now();
     loop {
-        due = (due + LOOK_EVERY).max(Instant::now());
+        due = (due + DELAY_SAMPLE_INTERVAL).max(Instant::now());
         sleep_until(due).await;
-        of.borrow_mut().push(due.elapsed().as_secs_f64() * 1000.0);
+        delays.borrow_mut().push(due.elapsed().as_secs_f64() * 1000.0);
     }
 }
 
+/// The CPU time of this process in milliseconds.
 fn own_cpu_ms() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |k: usize| fields.get(k).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+    let ticks = |index: usize| fields.get(index).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
     (ticks(11) + ticks(12)) * 10.0
 }
 
-/// Plays a scenario on real sockets with real nodes; logs and configurations go into `folder`.
+/// Rehearses a scenario on real sockets with real nodes. Their logs and configuration files are written to `folder`.
 ///
 /// # Errors
-/// Where it cannot be played, or the machine did not carry it.
+/// The scenario exceeds the machine's limits, the world cannot be started, or a thread panics.
 pub fn rehearse(
     scenario: &Arc<Scenario>,
     seed: u64,
-    launch: Arc<dyn Launch>,
+    launcher: Arc<dyn NodeLauncher>,
     folder: &Path,
     progress: Arc<Progress>,
-) -> Result<Report, Failed> {
+) -> Result<Report, RehearsalError> {
     let plan = Arc::new(Plan::generate(scenario, seed));
     check_machine(scenario, &plan)?;
     let record = Arc::new(ObservationLog::default());
-    let cpu = own_cpu_ms();
-    // The world says where its nodes are, the clients say that the day is over.
-    let (ready, when_ready) = mpsc::channel();
-    let (over, when_over) = oneshot::channel::<()>();
+    let cpu_ms_at_start = own_cpu_ms();
+    // The world sends the nodes' addresses; the clients signal the end of the day.
+    let (ready_sender, ready) = mpsc::channel();
+    let (end_sender, end) = oneshot::channel::<()>();
     let world = {
         let (scenario, plan, record) = (scenario.clone(), plan.clone(), record.clone());
         let folder = folder.to_owned();
-        move || -> Result<(Vec<Used>, f64, f64)> {
+        move || -> Result<(Vec<ResourceUsage>, f64, f64)> {
             let runtime = runtime()?;
             LocalSet::new().block_on(&runtime, async {
-                let world = World::start(scenario, plan, record, launch, folder).await?;
-                let began = Instant::now() + Duration::from_millis(700);
-                let _ = ready.send((world.node_addrs(), began));
-                let played = tokio::task::spawn_local(world.clone().play(began));
-                let late = Rc::new(RefCell::default());
-                let looks = tokio::task::spawn_local(lateness(late.clone()));
-                let _ = when_over.await;
-                played.abort();
-                looks.abort();
-                let late = referee::quantile(&mut late.borrow_mut(), 0.99);
-                Ok((world.end(), world.max_step_delay_ms(), late))
+                let world = World::start(scenario, plan, record, launcher, folder).await?;
+                let started_at = Instant::now() + START_DELAY;
+                let _ = ready_sender.send((world.node_addresses(), started_at));
+                let steps = tokio::task::spawn_local(world.clone().play(started_at));
+                let delays = Rc::new(RefCell::default());
+                let sampling = tokio::task::spawn_local(sample_scheduling_delay(delays.clone()));
+                let _ = end.await;
+                steps.abort();
+                sampling.abort();
+                let p99_delay_ms = referee::quantile(&mut delays.borrow_mut(), 0.99);
+                Ok((world.stop(), world.max_step_delay_ms(), p99_delay_ms))
             })
         }
     };
-    let world = thread::Builder::new().name("world".into()).spawn(world).context("no thread")?;
-    let Ok((addrs, began)) = when_ready.recv() else {
-        let why = world.join().map_err(|_| anyhow!("the kit's world thread panicked"))?;
-        return Err(why.err().unwrap_or_else(|| anyhow!("the world ended before the day")).into());
+    let world =
+        thread::Builder::new().name("world".into()).spawn(world).context("cannot start the world thread")?;
+    let Ok((addresses, started_at)) = ready.recv() else {
+        let result = world.join().map_err(|_| anyhow!("the rehearsal's world thread panicked"))?;
+        return Err(result.err().unwrap_or_else(|| anyhow!("the world ended before the day")).into());
     };
     let clients = {
         let (scenario, plan, record) = (scenario.clone(), plan.clone(), record.clone());
         move || -> Result<f64> {
             let runtime = runtime()?;
             LocalSet::new().block_on(&runtime, async {
-                let front = Front::start(&addrs, scenario.front.detection_delay);
-                while front.healthy_count() < addrs.len() && Instant::now() < began {
-                    sleep(Duration::from_millis(5)).await;
+                let front = Front::start(&addresses, scenario.front.detection_delay);
+                while front.healthy_count() < addresses.len() && Instant::now() < started_at {
+                    sleep(FRONT_POLL_INTERVAL).await;
                 }
                 let clients = Clients::new(scenario, plan, record, front);
-                let watched = clients.clone();
+                let observed_clients = clients.clone();
                 tokio::task::spawn_local(async move {
                     loop {
-                        let at = (Instant::now().saturating_duration_since(began)).as_millis() as usize;
-                        progress.at_ms.store(at, Ordering::Relaxed);
-                        progress.over.store(watched.over(), Ordering::Relaxed);
-                        sleep(Duration::from_millis(100)).await;
+                        let elapsed = Instant::now().saturating_duration_since(started_at);
+                        progress.elapsed_ms.store(elapsed.as_millis() as usize, Ordering::Relaxed);
+                        progress.ended_requests.store(observed_clients.ended_requests(), Ordering::Relaxed);
+                        sleep(PROGRESS_INTERVAL).await;
                     }
                 });
-                clients.clone().play(began).await;
-                // What an answer ended is still told at the executors' end.
-                sleep(Duration::from_millis(100)).await;
-                Ok(clients.late(0.99))
+                clients.clone().play(started_at).await;
+                sleep(FINAL_EVENTS_DELAY).await;
+                Ok(clients.send_delay_ms(0.99))
             })
         }
     };
-    let clients = thread::Builder::new().name("clients".into()).spawn(clients).context("no thread")?;
-    let late = clients.join().map_err(|_| anyhow!("the kit's client thread panicked"))?;
-    let _ = over.send(());
-    let (used, steps_late, executors_late) =
-        world.join().map_err(|_| anyhow!("the kit's world thread panicked"))??;
-    let late = late?;
-    let kit_cpu = own_cpu_ms() - cpu;
-    let began_ms = (began.into_std() - record.started_at()).as_secs_f64() * 1000.0;
-    let seen = record.take();
-    let verdict = referee::judge(&facts(scenario, &plan, began_ms), &seen);
-    let each = |sum: f64| sum * 1000.0 / plan.requests.len().max(1) as f64;
-    let node_cpu: f64 = used.iter().map(|u| u.cpu_ms).sum();
+    let clients = thread::Builder::new()
+        .name("clients".into())
+        .spawn(clients)
+        .context("cannot start the client thread")?;
+    let clients_result = clients.join().map_err(|_| anyhow!("the rehearsal's client thread panicked"))?;
+    let _ = end_sender.send(());
+    let (usages, steps_late_ms, executors_late_p99_ms) =
+        world.join().map_err(|_| anyhow!("the rehearsal's world thread panicked"))??;
+    let clients_late_p99_ms = clients_result?;
+    let own_cpu = own_cpu_ms() - cpu_ms_at_start;
+    let started_at_ms = (started_at.into_std() - record.started_at()).as_secs_f64() * 1000.0;
+    let events = record.take();
+    let verdict = referee::judge(&build_facts(scenario, &plan, started_at_ms), &events);
+    let us_per_request = |total_ms: f64| total_ms * 1000.0 / plan.requests.len().max(1) as f64;
+    let node_cpu_ms: f64 = usages.iter().map(|usage| usage.cpu_ms).sum();
     Ok(Report {
         scenario: scenario.name.clone(),
         seed,
@@ -283,12 +315,12 @@
         length_s: plan.length / 1000.0,
         expected_service: scenario.expect.min_service,
         verdict,
-        node_cpu_ms: node_cpu,
-        node_cpu_us_per_request: each(node_cpu),
-        node_memory_kb: used.iter().map(|u| u.most_memory_kb).max().unwrap_or(0),
-        kit_cpu_us_per_request: each(kit_cpu),
-        clients_late_p99_ms: late,
-        executors_late_p99_ms: executors_late,
-        steps_late_ms: steps_late,
+        node_cpu_ms,
+        node_cpu_us_per_request: us_per_request(node_cpu_ms),
+        node_memory_kb: usages.iter().map(|usage| usage.peak_memory_kb).max().unwrap_or(0),
+        kit_cpu_us_per_request: us_per_request(own_cpu),
+        clients_late_p99_ms,
+        executors_late_p99_ms,
+        steps_late_ms,
     })
 }
--- a/crates/rehearsal/src/world/listing.rs
+++ b/crates/rehearsal/src/world/listing.rs
@@ -1,7 +1,7 @@
 //! What discovery lists of the executors.
 use super::World;
-use crate::briefing::PLACE;
-use crate::lists;
+use crate::endpoint_lists;
+use crate::node_config::ZONE;
 use crate::plan::startup_delay;
 use rand::RngExt;
 use troutknot_emulator::Millis;
@@ -17,21 +17,21 @@
 
 impl World {
     /// The entry of an executor in the endpoint list.
-    pub(super) fn member(&self, number: usize, listed: ListedState) -> Member {
+    pub(super) fn member(&self, number: usize, state: ListedState) -> Member {
         let planned = &self.plan.executors[number];
         let hosts = self.hosts.borrow();
-        let host = hosts[number].as_ref().expect("it was started before it is listed");
-        let started = self.announced_start(number).unwrap_or(host.started_at());
+        let host = hosts[number].as_ref().expect("an executor is started before it is listed");
+        let started_at = self.announced_start(number).unwrap_or(host.started_at());
         Member {
             executor: number as ExecutorNumber,
             id: host.name.clone(),
             addr: host.addr,
-            zone: PLACE.into(),
+            zone: ZONE.into(),
             machine_type: planned.machine_type.clone(),
             deduplication_group: planned.group as u32,
-            state: listed,
+            state,
             weight: 1.0,
-            started_at: if started.is_finite() { (self.unix_offset_ms + started).floor() } else { 0.0 },
+            started_at: if started_at.is_finite() { (self.unix_offset_ms + started_at).floor() } else { 0.0 },
         }
     }
 
@@ -45,22 +45,22 @@
     }
 
     /// Changes the listed state of an executor; each agent is notified after a random delay of its own.
-    pub(super) fn list(&self, number: usize, listed: ListedState) {
-        self.list_with_health(number, listed, HealthCheck::Passing);
+    pub(super) fn list(&self, number: usize, state: ListedState) {
+        self.list_with_health(number, state, HealthCheck::Passing);
     }
 
     /// Like [`World::list`], with the result of the executor's health check.
-    pub(super) fn list_with_health(&self, number: usize, listed: ListedState, health: HealthCheck) {
-        let member = self.member(number, listed);
+    pub(super) fn list_with_health(&self, number: usize, state: ListedState, health: HealthCheck) {
+        let member = self.member(number, state);
         if let Some(cluster) = &*self.cluster.borrow() {
-            lists::register(cluster, &member, health == HealthCheck::Failing);
+            endpoint_lists::register(cluster, &member, health == HealthCheck::Failing);
         }
         self.listed.borrow_mut()[number] = Some(member.clone());
         let discovery = &self.scenario.discovery;
         let delay_range = discovery.max_notice_delay - discovery.min_notice_delay;
         for node in self.nodes.borrow().iter() {
             let fraction: f64 = self.rng.borrow_mut().random();
-            node.endpoint_list.change(&member, discovery.min_notice_delay + delay_range.mul_f64(fraction));
+            node.endpoint_list.update(&member, discovery.min_notice_delay + delay_range.mul_f64(fraction));
         }
     }
 }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -11,8 +11,8 @@
 pub use addresses::Addresses;
 pub use error::WorldError;
 
-use crate::lists;
-use crate::nodes::{Launch, Used};
+use crate::endpoint_lists;
+use crate::node_process::{NodeLauncher, ResourceUsage};
 use crate::plan::Plan;
 use crate::scenario::Scenario;
 use node::Node;
@@ -45,7 +45,7 @@
     plan: Arc<Plan>,
     record: Arc<ObservationLog>,
     shared: Rc<FleetContext>,
-    launch: Arc<dyn Launch>,
+    launcher: Arc<dyn NodeLauncher>,
     /// By their numbers in the plan; `None` before they join.
     hosts: RefCell<Vec<Option<Rc<Host>>>>,
     /// What discovery lists of each executor.
@@ -72,13 +72,13 @@
         scenario: Arc<Scenario>,
         plan: Arc<Plan>,
         record: Arc<ObservationLog>,
-        launch: Arc<dyn Launch>,
+        launcher: Arc<dyn NodeLauncher>,
         folder: PathBuf,
     ) -> Result<Rc<Self>, WorldError> {
-        let world = Rc::new(World::new(scenario, plan, record, launch));
+        let world = Rc::new(World::new(scenario, plan, record, launcher));
         world.start_initial_executors()?;
         let members: Vec<Member> = world.listed.borrow().iter().flatten().cloned().collect();
-        *world.cluster.borrow_mut() = lists::cluster(&world.scenario, &members);
+        *world.cluster.borrow_mut() = endpoint_lists::create_cluster(&world.scenario, &members);
         for number in 0..world.scenario.nodes.count {
             world.add_node(number, &members, &folder)?;
         }
@@ -92,7 +92,7 @@
         scenario: Arc<Scenario>,
         plan: Arc<Plan>,
         record: Arc<ObservationLog>,
-        launch: Arc<dyn Launch>,
+        launcher: Arc<dyn NodeLauncher>,
     ) -> Self {
         let (work_plan, work_scenario) = (plan.clone(), scenario.clone());
         let work_of = Arc::new(move |id: &str| work_plan.work(&work_scenario, id));
@@ -111,7 +111,7 @@
             scenario,
             plan,
             record,
-            launch,
+            launcher,
         }
     }
 
@@ -149,13 +149,13 @@
     }
 
     /// The addresses on which the nodes accept clients.
-    pub fn node_addrs(&self) -> Vec<SocketAddr> {
+    pub fn node_addresses(&self) -> Vec<SocketAddr> {
         self.nodes.borrow().iter().map(|node| node.address).collect()
     }
 
     async fn wait_until_ready(&self) -> Result<(), WorldError> {
         let deadline = Instant::now() + READY_TIMEOUT;
-        for (number, address) in self.node_addrs().into_iter().enumerate() {
+        for (number, address) in self.node_addresses().into_iter().enumerate() {
             while check_health(address).await != Some(200) {
                 if self.has_ended(number) || Instant::now() > deadline {
                     return Err(self.not_ready(number));
@@ -168,20 +168,20 @@
 
     fn has_ended(&self, number: usize) -> bool {
         let mut nodes = self.nodes.borrow_mut();
-        nodes[number].process.as_mut().is_some_and(|process| process.ended().is_some())
+        nodes[number].process.as_mut().is_some_and(|process| process.exited_cleanly().is_some())
     }
 
     fn not_ready(&self, number: usize) -> WorldError {
         let log = std::fs::read_to_string(&self.nodes.borrow()[number].log).unwrap_or_default();
-        let last_line = log.lines().last().unwrap_or("it said nothing").to_string();
+        let last_line = log.lines().last().unwrap_or("its log is empty").to_string();
         WorldError::NodeNotReady { node: number, last_line }
     }
 
-    /// Applies the plan's steps at their times; the day starts at `began`.
-    pub async fn play(self: Rc<Self>, began: Instant) {
+    /// Applies the plan's steps at their times; the day starts at `started_at`.
+    pub async fn play(self: Rc<Self>, started_at: Instant) {
         let plan = self.plan.clone();
         for (at, step) in &plan.steps {
-            let due = began + Duration::from_secs_f64(at / 1000.0);
+            let due = started_at + Duration::from_secs_f64(at / 1000.0);
             sleep_until(due).await;
             let delay_ms = due.elapsed().as_secs_f64() * 1000.0;
             self.max_step_delay_ms.set(self.max_step_delay_ms.get().max(delay_ms));
@@ -195,7 +195,7 @@
     }
 
     /// Kills all nodes and returns the resources that each has used.
-    pub fn end(&self) -> Vec<Used> {
-        self.nodes.borrow_mut().iter_mut().map(Node::end).collect()
+    pub fn stop(&self) -> Vec<ResourceUsage> {
+        self.nodes.borrow_mut().iter_mut().map(Node::stop).collect()
     }
 }
--- a/crates/rehearsal/src/world/node.rs
+++ b/crates/rehearsal/src/world/node.rs
@@ -1,8 +1,8 @@
 //! The state of one node: its files, its sockets and its processes.
 use super::World;
 use super::error::WorldError;
-use crate::lists::{ConsulList, NodeList};
-use crate::nodes::{Ask, Running, Used};
+use crate::endpoint_lists::{ConsulList, EndpointList};
+use crate::node_process::{NodeProcess, NodeSignal, ResourceUsage};
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use troutknot_emulator::discovery::{Agent, Member};
@@ -16,44 +16,44 @@
     pub log: PathBuf,
     /// The operator's file, written if the scenario needs one.
     pub operator_config: PathBuf,
-    pub endpoint_list: NodeList,
-    pub process: Option<Box<dyn Running>>,
+    pub endpoint_list: EndpointList,
+    pub process: Option<Box<dyn NodeProcess>>,
     /// The old process during a hot restart.
-    pub previous_process: Option<Box<dyn Running>>,
+    pub previous_process: Option<Box<dyn NodeProcess>>,
     /// The listening socket that is handed from process to process, and the folder that these share.
     pub inherited_socket: Option<(TcpListener, PathBuf)>,
     /// Where the current process serves its admin interface.
     pub admin_address: Option<SocketAddr>,
     /// Resources that ended processes have used.
-    pub used: Used,
+    pub ended_usage: ResourceUsage,
     /// How many processes have been started; each gets a seed of its own.
     pub starts: u64,
 }
 
 impl Node {
     /// Adds the resources that an ended process has used.
-    pub fn add_usage(&mut self, used: Used) {
-        self.used.cpu_ms += used.cpu_ms;
-        self.used.most_memory_kb = self.used.most_memory_kb.max(used.most_memory_kb);
+    pub fn add_usage(&mut self, usage: ResourceUsage) {
+        self.ended_usage.cpu_ms += usage.cpu_ms;
+        self.ended_usage.peak_memory_kb = self.ended_usage.peak_memory_kb.max(usage.peak_memory_kb);
     }
 
     /// Kills all processes of the node and returns the resources that they have used.
-    pub fn end(&mut self) -> Used {
+    pub fn stop(&mut self) -> ResourceUsage {
         for mut process in self.process.take().into_iter().chain(self.previous_process.take()) {
-            let used = process.used();
-            let _ = process.ask(Ask::Die);
-            self.add_usage(used);
+            let usage = process.resource_usage();
+            let _ = process.signal(NodeSignal::Kill);
+            self.add_usage(usage);
         }
         if let Some((_, folder)) = &self.inherited_socket {
             let _ = std::fs::remove_dir_all(folder);
         }
-        self.used
+        self.ended_usage
     }
 
     /// Sends a signal to the current process, if there is one.
-    pub fn signal(&mut self, signal: Ask) {
+    pub fn signal(&mut self, signal: NodeSignal) {
         if let Some(process) = &mut self.process {
-            let _ = process.ask(signal);
+            let _ = process.signal(signal);
         }
     }
 }
@@ -86,22 +86,22 @@
             previous_process: None,
             inherited_socket,
             admin_address: None,
-            used: Used::default(),
+            ended_usage: ResourceUsage::default(),
             starts: 0,
         })
     }
 
-    fn start_endpoint_list(&self, number: usize, members: &[Member]) -> Result<NodeList, WorldError> {
+    fn start_endpoint_list(&self, number: usize, members: &[Member]) -> Result<EndpointList, WorldError> {
         let address = self.addresses.agent(number);
         let node = number as NodeNumber;
         if let Some(cluster) = &*self.cluster.borrow() {
             let list = ConsulList::start(cluster, node, address, &self.record);
             let list = list.map_err(|source| WorldError::ConsulAddress { address, source })?;
-            return Ok(NodeList::Consul(list));
+            return Ok(EndpointList::Consul(list));
         }
         let agent = Agent::start(&self.record, node, address, members.to_vec());
         let agent = agent.map_err(|source| WorldError::DiscoveryAddress { address, source })?;
-        Ok(NodeList::Platform(agent))
+        Ok(EndpointList::Platform(agent))
     }
 }
 
--- a/crates/rehearsal/src/world/operator.rs
+++ b/crates/rehearsal/src/world/operator.rs
@@ -1,6 +1,6 @@
 //! Operator actions: calls of the admin interface, and hot restarts.
 use super::{POLL_INTERVAL, World};
-use crate::nodes::Ask;
+use crate::node_process::NodeSignal;
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::Request;
@@ -90,7 +90,7 @@
             self.record.record(Observation::AdminCallFailed { node, status: None });
         }
         if let Some(previous) = &mut self.nodes.borrow_mut()[number].previous_process {
-            let _ = previous.ask(Ask::End);
+            let _ = previous.signal(NodeSignal::Terminate);
         }
         let deadline = Instant::now() + self.scenario.termination_grace();
         sleep(POLL_INTERVAL).await;
@@ -105,17 +105,17 @@
         let mut nodes = self.nodes.borrow_mut();
         let node = &mut nodes[number];
         let Some(previous) = &mut node.previous_process else { return true };
-        let used = previous.used();
-        let ended = previous.ended();
-        if ended.is_none() && Instant::now() < deadline {
+        let usage = previous.resource_usage();
+        let exited_cleanly = previous.exited_cleanly();
+        if exited_cleanly.is_none() && Instant::now() < deadline {
             return false;
         }
-        if ended == Some(false) {
+        if exited_cleanly == Some(false) {
             self.record.record(Observation::NodeExited { node: number as NodeNumber, is_clean: false });
         }
-        let _ = previous.ask(Ask::Die);
+        let _ = previous.signal(NodeSignal::Kill);
         node.previous_process = None;
-        node.add_usage(used);
+        node.add_usage(usage);
         true
     }
 }
--- a/crates/rehearsal/src/world/process.rs
+++ b/crates/rehearsal/src/world/process.rs
@@ -2,8 +2,8 @@
 use super::error::WorldError;
 use super::node::Node;
 use super::{POLL_INTERVAL, World};
-use crate::briefing;
-use crate::nodes::{Ask, Running, Start};
+use crate::node_config;
+use crate::node_process::{LaunchOptions, NodeProcess, NodeSignal};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::net::TcpListener;
@@ -17,19 +17,19 @@
     pub(super) fn write_config(&self, number: usize) -> Result<Value, WorldError> {
         let nodes = self.nodes.borrow();
         let node = &nodes[number];
-        let known = node.endpoint_list.known(&self.listed.borrow());
+        let cached_list = node.endpoint_list.cached_list(&self.listed.borrow());
         let seed = self.plan.seed ^ (number as u64) << 32 ^ node.starts << 48;
-        let discovery = node.endpoint_list.addr();
+        let discovery = node.endpoint_list.discovery_address();
         let mut config =
-            briefing::config(&self.scenario, number, node.address, discovery, seed, known.clone());
+            node_config::config(&self.scenario, number, node.address, discovery, seed, cached_list.clone());
         config["settings"]["limits"]["max_allocations"] = self.max_attempts.get().into();
         write_file(&node.config, &config.to_string())?;
-        Ok(known)
+        Ok(cached_list)
     }
 
     /// Starts a new process of a node. The caller stores it.
-    pub(super) fn start_process(&self, number: usize) -> Result<Box<dyn Running>, WorldError> {
-        let known = self.write_config(number)?;
+    pub(super) fn start_process(&self, number: usize) -> Result<Box<dyn NodeProcess>, WorldError> {
+        let cached_list = self.write_config(number)?;
         let mut nodes = self.nodes.borrow_mut();
         let node = &mut nodes[number];
         let log = std::fs::File::options().create(true).append(true).open(&node.log);
@@ -37,22 +37,24 @@
         if node.process.is_none() {
             self.record.record(Observation::NodeStarted { node: number as NodeNumber });
         }
-        self.record_configured_endpoints(number, &known);
+        self.record_configured_endpoints(number, &cached_list);
         let has_operator_config = self.write_operator_config(node)?;
-        let passed = match &node.inherited_socket {
+        let inherited_socket = match &node.inherited_socket {
             Some((socket, folder)) => Some((socket.try_clone()?, folder.clone())),
             None => None,
         };
         node.admin_address = match self.scenario.has_operator_events() {
-            true => Some(TcpListener::bind(self.addresses.node(number)).and_then(|port| port.local_addr())?),
+            true => Some(
+                TcpListener::bind(self.addresses.node(number)).and_then(|listener| listener.local_addr())?,
+            ),
             false => None,
         };
-        let process = self.launch.start(Start {
+        let process = self.launcher.launch(LaunchOptions {
             config: &node.config,
-            own: has_operator_config.then_some(node.operator_config.as_path()),
+            operator_config: has_operator_config.then_some(node.operator_config.as_path()),
             log,
-            management: node.admin_address,
-            passed,
+            admin_address: node.admin_address,
+            inherited_socket,
         });
         let process = process.map_err(WorldError::StartNode)?;
         node.starts += 1;
@@ -60,18 +62,17 @@
     }
 
     /// Records the endpoints that a process learns from its configuration.
-    fn record_configured_endpoints(&self, number: usize, known: &Value) {
+    fn record_configured_endpoints(&self, number: usize, cached_list: &Value) {
         let listed = self.listed.borrow();
         let by_name: HashMap<&str, _> =
             listed.iter().flatten().map(|member| (member.id.as_str(), member.executor)).collect();
-        for entry in known["servers"].as_array().into_iter().flatten() {
+        for entry in cached_list["servers"].as_array().into_iter().flatten() {
             let Some(executor) = entry["id"].as_str().and_then(|id| by_name.get(id)) else { continue };
-            let listed =
-                if entry["state"] == "Ready" { ListedState::Ready } else { ListedState::Terminating };
+            let state = if entry["state"] == "Ready" { ListedState::Ready } else { ListedState::Terminating };
             self.record.record(Observation::NodeNotified {
                 node: number as NodeNumber,
                 executor: *executor,
-                state: listed,
+                state,
             });
         }
     }
@@ -79,7 +80,9 @@
     /// Writes the operator's file and returns true if the node needs one.
     fn write_operator_config(&self, node: &Node) -> Result<bool, WorldError> {
         let ledger = node.operator_config.with_extension("ledger");
-        let Some(text) = node.endpoint_list.own_file(&self.scenario, &ledger) else { return Ok(false) };
+        let Some(text) = node.endpoint_list.operator_config(&self.scenario, &ledger) else {
+            return Ok(false);
+        };
         write_file(&node.operator_config, &text)?;
         Ok(true)
     }
@@ -89,17 +92,17 @@
         let mut nodes = self.nodes.borrow_mut();
         let node = &mut nodes[number];
         if let Some(mut previous) = node.previous_process.take() {
-            let _ = previous.ask(Ask::Die);
+            let _ = previous.signal(NodeSignal::Kill);
         }
         let Some(mut process) = node.process.take() else { return };
-        if let Some(well) = process.ended() {
-            self.record.record(Observation::NodeExited { node: number as NodeNumber, is_clean: well });
+        if let Some(is_clean) = process.exited_cleanly() {
+            self.record.record(Observation::NodeExited { node: number as NodeNumber, is_clean });
             return;
         }
-        let used = process.used();
+        let usage = process.resource_usage();
         self.record.record(Observation::NodeKilled { node: number as NodeNumber });
-        let _ = process.ask(Ask::Die);
-        node.add_usage(used);
+        let _ = process.signal(NodeSignal::Kill);
+        node.add_usage(usage);
     }
 
     /// Records processes that end by themselves; runs until it is dropped.
@@ -107,12 +110,11 @@
         loop {
             for (number, node) in self.nodes.borrow_mut().iter_mut().enumerate() {
                 let Some(process) = &mut node.process else { continue };
-                let used = process.used();
-                if let Some(well) = process.ended() {
-                    self.record
-                        .record(Observation::NodeExited { node: number as NodeNumber, is_clean: well });
+                let usage = process.resource_usage();
+                if let Some(is_clean) = process.exited_cleanly() {
+                    self.record.record(Observation::NodeExited { node: number as NodeNumber, is_clean });
                     node.process = None;
-                    node.add_usage(used);
+                    node.add_usage(usage);
                 }
             }
             sleep(POLL_INTERVAL).await;
--- a/crates/rehearsal/src/world/steps.rs
+++ b/crates/rehearsal/src/world/steps.rs
@@ -2,8 +2,8 @@
 use super::World;
 use super::listing::HealthCheck;
 use super::process::break_config;
-use crate::lists::NodeList;
-use crate::nodes::Ask;
+use crate::endpoint_lists::EndpointList;
+use crate::node_process::NodeSignal;
 use crate::plan::Step;
 use std::rc::Rc;
 use tokio::task::spawn_local;
@@ -26,9 +26,9 @@
                 self.list_with_health(*executor, ListedState::Terminating, HealthCheck::Failing);
             }
             Step::ListPassing { executor } => self.list(*executor, ListedState::Ready),
-            Step::SilenceDiscovery { silent } => self.each_endpoint_list(|list| list.silent(*silent)),
-            Step::RestartDiscovery => self.each_endpoint_list(NodeList::restart),
-            Step::DiscoveryFault { fault } => self.each_endpoint_list(|list| list.trouble(*fault)),
+            Step::SilenceDiscovery { silent } => self.each_endpoint_list(|list| list.set_silent(*silent)),
+            Step::RestartDiscovery => self.each_endpoint_list(EndpointList::restart),
+            Step::DiscoveryFault { fault } => self.each_endpoint_list(|list| list.set_fault(*fault)),
             _ => self.apply_to_nodes(step),
         }
     }
@@ -63,7 +63,7 @@
             Step::KillNode { node } => self.kill_node(*node),
             Step::TerminateNode { node } => {
                 self.record.record(Observation::NodeTerminating { node: *node as NodeNumber });
-                self.nodes.borrow_mut()[*node].signal(Ask::End);
+                self.nodes.borrow_mut()[*node].signal(NodeSignal::Terminate);
             }
             Step::StartNode { node } => match self.start_process(*node) {
                 Ok(process) => self.nodes.borrow_mut()[*node].process = Some(process),
@@ -94,7 +94,7 @@
         }
     }
 
-    fn each_endpoint_list(&self, change: impl Fn(&NodeList)) {
+    fn each_endpoint_list(&self, change: impl Fn(&EndpointList)) {
         self.nodes.borrow().iter().for_each(|node| change(&node.endpoint_list));
     }
 
@@ -113,7 +113,7 @@
                 continue;
             }
             self.record.record(Observation::NodeReloaded { node: number as NodeNumber });
-            self.nodes.borrow_mut()[number].signal(Ask::Reread);
+            self.nodes.borrow_mut()[number].signal(NodeSignal::Reload);
         }
     }
 
@@ -132,7 +132,7 @@
             let written = if broken { break_config(&node.config, max_attempts) } else { Ok(()) };
             self.record.record(Observation::NodeReloaded { node: number as NodeNumber });
             if written.is_ok() {
-                node.signal(Ask::Reread);
+                node.signal(NodeSignal::Reload);
             }
         }
     }
--- a/crates/rehearsal/tests/mutants.rs
+++ b/crates/rehearsal/tests/mutants.rs
@@ -20,7 +20,9 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 use troutknot_emulator::wire::{self, Abort, ConnectionHandle, StreamedBody};
-use troutknot_rehearsal::nodes::{Ask, Launch, Running, Start, Used};
+use troutknot_rehearsal::node_process::{
+    LaunchOptions, NodeLauncher, NodeProcess, NodeSignal, ResourceUsage,
+};
 use troutknot_rehearsal::run::{Progress, Report, rehearse};
 use troutknot_rehearsal::scenario::Scenario;
 
@@ -307,9 +309,9 @@
     }
 }
 
-impl Launch for Processes {
-    fn start(&self, start: Start) -> io::Result<Box<dyn Running>> {
-        let path = start.config.to_owned();
+impl NodeLauncher for Processes {
+    fn launch(&self, options: LaunchOptions) -> io::Result<Box<dyn NodeProcess>> {
+        let path = options.config.to_owned();
         let config: Value = serde_json::from_str(&std::fs::read_to_string(&path)?)?;
         let (ask, mut asked) = mpsc::unbounded_channel();
         let wrong = self.wrong;
@@ -317,7 +319,8 @@
             Wrong::LosesBansOverAnUpgrade => Arc::default(),
             _ => self.called.clone(),
         };
-        let (management, passed) = (start.management, start.passed.map(|(socket, _)| socket));
+        let (management, passed) =
+            (options.admin_address, options.inherited_socket.map(|(socket, _)| socket));
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             let addr = |name: &str| config[name].as_str().unwrap().parse::<SocketAddr>().unwrap();
@@ -360,12 +363,12 @@
                 });
                 while let Some(what) = asked.recv().await {
                     match what {
-                        Ask::Reread => node.reread(&path),
-                        Ask::End => {
+                        NodeSignal::Reload => node.reread(&path),
+                        NodeSignal::Terminate => {
                             node.left.set(true);
                             accept.abort();
                         }
-                        Ask::Die => return,
+                        NodeSignal::Kill => return,
                     }
                 }
             });
@@ -374,25 +377,25 @@
     }
 }
 
-struct Thread(Option<mpsc::UnboundedSender<Ask>>);
+struct Thread(Option<mpsc::UnboundedSender<NodeSignal>>);
 
-impl Running for Thread {
-    fn ask(&mut self, what: Ask) -> io::Result<()> {
+impl NodeProcess for Thread {
+    fn signal(&mut self, signal: NodeSignal) -> io::Result<()> {
         if let Some(ask) = &self.0 {
-            let _ = ask.send(what);
+            let _ = ask.send(signal);
         }
-        if what == Ask::Die {
+        if signal == NodeSignal::Kill {
             self.0.take();
         }
         Ok(())
     }
 
-    fn ended(&mut self) -> Option<bool> {
+    fn exited_cleanly(&mut self) -> Option<bool> {
         self.0.is_none().then_some(true)
     }
 
-    fn used(&self) -> Used {
-        Used::default()
+    fn resource_usage(&self) -> ResourceUsage {
+        ResourceUsage::default()
     }
 }
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -18,7 +18,7 @@
 use troutknot::{Dispatcher, Millis, Settings};
 use troutknot_rehearsal::plan::Plan;
 use troutknot_rehearsal::referee::{self, Verdict};
-use troutknot_rehearsal::run::facts;
+use troutknot_rehearsal::run::build_facts;
 use troutknot_rehearsal::scenario::Scenario;
 use world::World;
 
@@ -94,7 +94,7 @@
     let mut world = World::new(scenario, &plan, make).map_err(Unable::Settings)?;
     world.play();
     let (seen, counts) = world.end();
-    let verdict = referee::judge(&facts(scenario, &plan, world::BEGAN), &seen);
+    let verdict = referee::judge(&build_facts(scenario, &plan, world::BEGAN), &seen);
     Ok(Report {
         scenario: scenario.name.clone(),
         seed,
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -19,7 +19,7 @@
 use troutknot_configuration::SettingsError;
 use troutknot_emulator::observations::{ListedState, Observation};
 use troutknot_emulator::{Executor, Millis};
-use troutknot_rehearsal::briefing;
+use troutknot_rehearsal::node_config;
 use troutknot_rehearsal::plan::Plan;
 use troutknot_rehearsal::scenario::{RequestClass, Scenario};
 
@@ -95,10 +95,10 @@
     /// # Errors
     /// Where the scenario gives a node settings that cannot be used.
     pub fn new(scenario: &'a Scenario, plan: &'a Plan, make: MakeModule<'a>) -> Result<Self, SettingsError> {
-        let kinds = briefing::kinds(scenario);
+        let kinds = node_config::machine_types(scenario);
         let mut settings = Vec::new();
         for node in 0..scenario.nodes.count {
-            settings.push(troutknot_configuration::parse_settings(&briefing::settings(scenario, node))?);
+            settings.push(troutknot_configuration::parse_settings(&node_config::settings(scenario, node))?);
         }
         let count = plan.executors.len();
         let mut world = World {
