--- a/crates/rehearsal/src/plan/disturbances.rs
+++ b/crates/rehearsal/src/plan/disturbances.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use troutknot_emulator::Millis;
 
-/// How long a restarted node runs before it can be killed again, so that it opens its listener.
+/// Shortest time between the restart of a node and its next kill, so that the node opens its listener.
 const NODE_STARTUP_GRACE: Millis = 150.0;
 const DEFAULT_MEAN_KILL_INTERVAL: Millis = 1000.0;
 const DEFAULT_FLAP_INTERVAL: Millis = 1.0;
@@ -104,16 +104,16 @@
     }
 
     fn add_executor_crashes(&mut self, at: Millis, event: &EventSpec) {
-        let noticed = at + millis(self.scenario.discovery.failure_detection_delay);
-        let registered = event.downtime.map(|downtime| at + millis(downtime));
+        let removed_at = at + millis(self.scenario.discovery.failure_detection_delay);
+        let registered_at = event.downtime.map(|downtime| at + millis(downtime));
         for executor in self.event_executors(event) {
             self.add(at, Step::KillExecutor { executor });
-            if registered.is_none_or(|registered| noticed < registered) {
-                self.add(noticed, Step::ListRemoved { executor });
+            if registered_at.is_none_or(|registered_at| removed_at < registered_at) {
+                self.add(removed_at, Step::ListRemoved { executor });
             }
-            if let Some(registered) = registered {
-                self.add(registered, Step::ListRestarted { executor });
-                let accepts_at = registered + startup_delay(self.scenario);
+            if let Some(registered_at) = registered_at {
+                self.add(registered_at, Step::ListRestarted { executor });
+                let accepts_at = registered_at + startup_delay(self.scenario);
                 self.add(accepts_at, Step::RestartExecutor { executor });
             }
         }
--- a/crates/rehearsal/src/plan/executors.rs
+++ b/crates/rehearsal/src/plan/executors.rs
@@ -1,4 +1,4 @@
-//! The executors of a day and the machines that they model.
+//! The executors of a day and their simulated machines.
 use crate::scenario::{self, ExecutorGroup, LoadReportSpec, Rules, Scenario, millis};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -11,7 +11,7 @@
 pub struct PlannedExecutor {
     /// The index of its group in the scenario.
     pub group: usize,
-    /// The model of its machine.
+    /// The simulated machine that it runs on.
     pub machine: Machine,
     /// Seeds the random behaviour of the machine.
     pub seed: u64,
--- a/crates/rehearsal/src/plan/faults.rs
+++ b/crates/rehearsal/src/plan/faults.rs
@@ -4,35 +4,36 @@
 use crate::scenario::{FaultKind, FaultSpec, Scenario, millis};
 use troutknot_emulator::{Fault, Millis};
 
-const DEFAULT_BURST: Millis = 1000.0;
+/// Default length of a period with contention, and of one without it.
+const DEFAULT_CONTENTION_PERIOD: Millis = 1000.0;
 const DEFAULT_CORE_SHARE: f64 = 0.5;
 const DEFAULT_PARETO_EXPONENT: f64 = 1.5;
 
 impl Schedule<'_> {
-    /// Schedules a fault at a random share of the executors that it can strike.
+    /// Schedules a fault of a random sample of the executors that it can affect.
     pub(super) fn add_fault(&mut self, number: usize, spec: &FaultSpec) {
         let candidates = self.initial_executors(spec.group.as_deref());
         let count = ((candidates.len() as f64 * spec.share).round() as usize).max(1);
-        let (from, to) = (millis(spec.begins_at), millis(spec.ends_at));
+        let (begins_at, ends_at) = (millis(spec.begins_at), millis(spec.ends_at));
         let fault = executor_fault(spec, self.scenario);
         for executor in self.sample(candidates, count) {
             if fault == (Fault::Silence { restarts: true }) {
-                self.add_listing_changes(executor, from, to);
+                self.add_listing_changes(executor, begins_at, ends_at);
             }
-            self.add(from, Step::FaultBegins { number, executor, fault: fault.clone() });
-            self.add(to, Step::FaultEnds { number, executor });
+            self.add(begins_at, Step::FaultBegins { number, executor, fault: fault.clone() });
+            self.add(ends_at, Step::FaultEnds { number, executor });
         }
     }
 
     /// Schedules what discovery lists of an executor that is cut off and then starts again.
-    fn add_listing_changes(&mut self, executor: usize, from: Millis, to: Millis) {
+    fn add_listing_changes(&mut self, executor: usize, begins_at: Millis, ends_at: Millis) {
         // An executor registers before it accepts connections.
-        let registered = (to - startup_delay(self.scenario)).max(from);
-        let noticed = from + millis(self.scenario.discovery.failure_detection_delay);
-        if noticed < registered {
-            self.add(noticed, Step::ListRemoved { executor });
+        let registered_at = (ends_at - startup_delay(self.scenario)).max(begins_at);
+        let removed_at = begins_at + millis(self.scenario.discovery.failure_detection_delay);
+        if removed_at < registered_at {
+            self.add(removed_at, Step::ListRemoved { executor });
         }
-        self.add(registered, Step::ListRestarted { executor });
+        self.add(registered_at, Step::ListRestarted { executor });
     }
 }
 
@@ -45,8 +46,8 @@
         FaultKind::Silence => Fault::Silence { restarts: spec.restarts.unwrap_or(true) },
         FaultKind::CpuContention => Fault::CpuContention {
             share: spec.core_share.unwrap_or(DEFAULT_CORE_SHARE),
-            on: spec.contended_time.map_or(DEFAULT_BURST, millis),
-            off: spec.uncontended_time.map_or(DEFAULT_BURST, millis),
+            on: spec.contended_time.map_or(DEFAULT_CONTENTION_PERIOD, millis),
+            off: spec.uncontended_time.map_or(DEFAULT_CONTENTION_PERIOD, millis),
         },
         FaultKind::NeverStart => Fault::NeverStart { request_class: class_index(spec, scenario), share },
         FaultKind::Errors => Fault::Errors { share },
@@ -61,7 +62,7 @@
     }
 }
 
-/// The index of the request class that a fault strikes.
+/// The index of the request class that a fault affects; 0 if it names none.
 fn class_index(spec: &FaultSpec, scenario: &Scenario) -> usize {
     let is_named = |class: &str| spec.request_class.as_deref() == Some(class);
     scenario.request_classes.iter().position(|class| is_named(&class.get_ref().name)).unwrap_or(0)
--- a/crates/rehearsal/src/plan/mod.rs
+++ b/crates/rehearsal/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! The plan of a day: every request, every executor and every step, generated ahead from a scenario and a seed. Equal
+//! The plan of a day: all requests, executors and steps, generated from a scenario and a seed before the day starts. Equal
 //! seeds give equal plans, which [`Plan::hash`] shows.
 mod disturbances;
 mod executors;
@@ -26,9 +26,9 @@
 /// A day, generated from a scenario and a seed.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The seed that it was generated from.
+    /// The seed that the plan was generated from.
     pub seed: u64,
-    /// In the order of their arrival.
+    /// The requests in the order of their arrival.
     pub requests: Vec<Request>,
     /// The initial executors, then the replacements that join during the day.
     pub executors: Vec<PlannedExecutor>,
@@ -55,8 +55,8 @@
     }
 }
 
-/// How long before it accepts connections a restarted executor registers with discovery, in milliseconds. All nodes
-/// have read the new list by then.
+/// Time between the registration of a restarted executor with discovery and its first accepted connection, in
+/// milliseconds. By then all nodes have read the new list.
 pub fn startup_delay(scenario: &Scenario) -> Millis {
     millis(scenario.discovery.max_notice_delay) + LIST_READ_ALLOWANCE
 }
--- a/crates/rehearsal/src/plan/requests.rs
+++ b/crates/rehearsal/src/plan/requests.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use troutknot_emulator::Millis;
 
-/// One request of a client, with all its retries.
+/// One request of a client; retries belong to the same request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// When the client sends it, in milliseconds since the start of the day.
--- a/crates/rehearsal/src/plan/step.rs
+++ b/crates/rehearsal/src/plan/step.rs
@@ -1,4 +1,4 @@
-//! The changes that a rehearsal makes to its world.
+//! The steps of a plan: changes to executors, nodes and discovery.
 use crate::scenario::DiscoveryFault;
 use troutknot_emulator::Fault;
 
@@ -39,7 +39,7 @@
     ListFailing { executor: usize },
     /// The executor is listed as passing its health check again.
     ListPassing { executor: usize },
-    /// Consul's agents fail in the given way, or work again if `None`.
+    /// A fault of Consul's agents begins, or ends if `None`.
     DiscoveryFault { fault: Option<DiscoveryFault> },
     /// Operators suspend the executor at all nodes, or resume it.
     SuspendExecutor { executor: usize, suspended: bool },
--- a/crates/rehearsal/src/referee/events.rs
+++ b/crates/rehearsal/src/referee/events.rs
@@ -7,7 +7,7 @@
 use troutknot_emulator::{AttemptOutcome, Millis};
 
 impl Observations {
-    /// Arranges the recorded events, which are in the order of time.
+    /// Arranges the recorded events, which must be in the order of time.
     pub fn from_events(facts: &Facts, events: &[(Millis, Observation)]) -> Self {
         let mut observations = Observations::default();
         for (at, event) in events {
@@ -62,8 +62,8 @@
                     .or_insert_with(|| ClientAttempt::new(*request, *node, at))
                     .node = *node;
             }
-            Observation::RequestAnswered { id, status, is_valid: fits, .. } => {
-                let answer = Answer { at, status: *status, is_valid: *fits };
+            Observation::RequestAnswered { id, status, is_valid, .. } => {
+                let answer = Answer { at, status: *status, is_valid: *is_valid };
                 self.update_client_attempt(id, |attempt| _ = attempt.answer.get_or_insert(answer));
             }
             Observation::ClientDisconnected { id } => {
@@ -112,7 +112,7 @@
                     attempt.was_started = true;
                 }
             }
-            Observation::Ended { attempt_id, outcome: end } => self.end_attempt(*attempt_id, at, *end),
+            Observation::Ended { attempt_id, outcome } => self.end_attempt(*attempt_id, at, *outcome),
             _ => {}
         }
     }
@@ -121,15 +121,15 @@
         match event {
             Observation::ExecutorUp { executor } => self.starts.entry(*executor).or_default().push(at),
             Observation::Overloaded { .. } => self.overload_failures += 1,
-            Observation::AgentUpdated { node, executor, state: listed } if *listed != ListedState::Ready => {
+            Observation::AgentUpdated { node, executor, state } if *state != ListedState::Ready => {
                 let link = Link { node: *node, executor: *executor };
                 let notified_at = at + facts.notification_timeout;
                 self.readiness.entry(link).or_default().push(notified_at, false);
             }
-            Observation::NodeNotified { node, executor, state: listed } => {
+            Observation::NodeNotified { node, executor, state } => {
                 let link = Link { node: *node, executor: *executor };
                 let readiness = self.readiness.entry(link).or_default();
-                let is_ready = *listed == ListedState::Ready;
+                let is_ready = *state == ListedState::Ready;
                 if is_ready {
                     // The notice supersedes earlier changes that have not reached their timeout yet.
                     readiness.truncate_after(at);
@@ -142,9 +142,9 @@
 
     fn record_operator_event(&mut self, at: Millis, event: &Observation) {
         match event {
-            Observation::ExecutorSuspended { node, executor, suspended: out } => {
+            Observation::ExecutorSuspended { node, executor, suspended } => {
                 let link = Link { node: *node, executor: *executor };
-                self.exclusions.entry(link).or_default().push(at, *out);
+                self.exclusions.entry(link).or_default().push(at, *suspended);
             }
             Observation::NodeDrained { node, drained } => {
                 self.drained.entry(*node).or_default().push(at, *drained)
@@ -157,8 +157,8 @@
                     last.ended_at = at;
                 }
             }
-            Observation::MaxAttemptsChanged { max_attempts: attempts } => {
-                self.max_attempts.push(at, *attempts as usize)
+            Observation::MaxAttemptsChanged { max_attempts } => {
+                self.max_attempts.push(at, *max_attempts as usize)
             }
             Observation::AdminCallFailed { node, status } => {
                 let description = format!("node n{node} answered a call {status:?}, or not in time");
@@ -174,7 +174,7 @@
             Observation::NodeStarted { node } => self.reset_operator_state(at, *node),
             Observation::NodeTerminating { node } => _ = self.exit_requests.insert(*node),
             Observation::NodeKilled { node } => self.record_kill(at, *node),
-            Observation::NodeExited { node, is_clean: well } => self.check_exit(at, *node, *well),
+            Observation::NodeExited { node, is_clean } => self.check_exit(at, *node, *is_clean),
             _ => {}
         }
     }
@@ -228,10 +228,10 @@
         }
     }
 
-    fn end_attempt(&mut self, number: AttemptNumber, at: Millis, end: AttemptOutcome) {
+    fn end_attempt(&mut self, number: AttemptNumber, at: Millis, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get_mut(&number) else { return };
         attempt.ended_at.get_or_insert(at);
-        match end {
+        match outcome {
             AttemptOutcome::Done => attempt.completed = true,
             AttemptOutcome::Returned => attempt.unexecuted_since = Some(at),
             AttemptOutcome::Lost | AttemptOutcome::Reset => {}
--- a/crates/rehearsal/src/referee/facts.rs
+++ b/crates/rehearsal/src/referee/facts.rs
@@ -1,4 +1,4 @@
-//! What the referee knows before it judges: the limits of the rules, the executors and the planned requests.
+//! The input of the referee in addition to the record: the limits of the rules, the executors and the planned requests.
 use super::observations::ClientAttempt;
 use crate::scenario::{DeduplicationScope, Effect};
 use troutknot_emulator::observations::ExecutorNumber;
@@ -54,7 +54,7 @@
     pub value: f64,
 }
 
-/// What is known of one executor.
+/// One executor, as planned.
 pub struct ExecutorFacts {
     /// Name of the executor.
     pub name: String,
@@ -64,8 +64,8 @@
     pub zone: u32,
     /// Deduplication group; see [`RepeatScope::Group`].
     pub deduplication_group: u32,
-    /// Whether slow start also applies to its first start.
-    pub starts_cold: bool,
+    /// Whether its first start has a slow start, as every restart has.
+    pub slow_start: bool,
 }
 
 /// One planned request.
--- a/crates/rehearsal/src/referee/slow_start.rs
+++ b/crates/rehearsal/src/referee/slow_start.rs
@@ -32,7 +32,7 @@
     for (executor, attempts) in attempts_by_executor(observations) {
         let starts = observations.starts.get(&executor).map_or(&[][..], Vec::as_slice);
         for (index, &started_at) in starts.iter().enumerate() {
-            if index == 0 && !facts.executors[executor as usize].starts_cold {
+            if index == 0 && !facts.executors[executor as usize].slow_start {
                 continue;
             }
             let next_start = starts.get(index + 1).copied().unwrap_or(f64::INFINITY);
--- a/crates/rehearsal/src/referee/subject.rs
+++ b/crates/rehearsal/src/referee/subject.rs
@@ -4,7 +4,7 @@
 use super::violation::{RuleViolation, ViolationKind};
 use troutknot_emulator::Millis;
 
-/// One client attempt, with what is known of it.
+/// One client attempt, with the record that it is judged by.
 #[derive(Clone, Copy)]
 pub(super) struct Subject<'a> {
     pub facts: &'a Facts,
@@ -23,7 +23,7 @@
         self.observations.attempts_of(self.client_attempt)
     }
 
-    /// A violation by this client attempt.
+    /// Creates a violation that names the class and the id of the request.
     pub fn violation(&self, kind: ViolationKind, at: Millis, detail: &str) -> RuleViolation {
         let description = format!("{} {}: {detail}", self.class().name, self.request_id);
         RuleViolation::new(kind, at, description)
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -185,7 +185,7 @@
                 machine: executor.machine.clone(),
                 zone: 0,
                 deduplication_group: executor.group as u32,
-                starts_cold: executor.slow_start,
+                slow_start: executor.slow_start,
             })
             .collect(),
         requests: plan
--- a/crates/rehearsal/src/world/error.rs
+++ b/crates/rehearsal/src/world/error.rs
@@ -7,19 +7,19 @@
 #[derive(Debug, thiserror::Error)]
 pub enum WorldError {
     /// An executor cannot listen on its address.
-    #[error("no address for an executor on {address}")]
+    #[error("cannot listen for an executor on {address}")]
     ExecutorAddress { address: SocketAddr, source: io::Error },
     /// The platform's discovery agent cannot listen on its address.
-    #[error("no address for discovery on {address}")]
+    #[error("cannot listen for discovery on {address}")]
     DiscoveryAddress { address: SocketAddr, source: io::Error },
     /// A Consul agent cannot listen on its address.
-    #[error("no address for Consul on {address}")]
+    #[error("cannot listen for Consul on {address}")]
     ConsulAddress { address: SocketAddr, source: io::Error },
     /// No port is free for a node.
-    #[error("no port on {address}")]
+    #[error("no free port for a node on {address}")]
     NodePort { address: SocketAddr, source: io::Error },
     /// The folder that the processes of one node share cannot be created.
-    #[error("no folder for a node's processes")]
+    #[error("cannot create the shared folder of a node's processes")]
     ProcessFolder(#[source] io::Error),
     /// A configuration or log file cannot be written.
     #[error("cannot write {}", path.display())]
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -1,5 +1,5 @@
-//! The world of a rehearsal on sockets: executors, discovery and the nodes' processes, changed step by step as
-//! the plan says. All of it runs on one thread.
+//! The world of a rehearsal on sockets: executors, discovery agents and the nodes' processes, all driven by one
+//! thread. The steps of the plan change it.
 mod addresses;
 mod error;
 mod listing;
--- a/crates/rehearsal/src/world/operator.rs
+++ b/crates/rehearsal/src/world/operator.rs
@@ -78,7 +78,7 @@
         self.record.record(Observation::HotRestartBegan { node });
         let next = match self.start_process(number) {
             Ok(next) => next,
-            Err(error) => return eprintln!("no next process of node n{number}: {error}"),
+            Err(error) => return eprintln!("node n{number} cannot be hot restarted: {error}"),
         };
         let admin_address = {
             let mut nodes = self.nodes.borrow_mut();
--- a/crates/rehearsal/src/world/steps.rs
+++ b/crates/rehearsal/src/world/steps.rs
@@ -67,7 +67,7 @@
             }
             Step::StartNode { node } => match self.start_process(*node) {
                 Ok(process) => self.nodes.borrow_mut()[*node].process = Some(process),
-                Err(error) => eprintln!("node n{node} does not start again: {error}"),
+                Err(error) => eprintln!("node n{node} cannot be restarted: {error}"),
             },
             Step::ReloadNodes => self.reload_nodes(),
             Step::SuspendExecutor { executor, suspended } => {
--- a/crates/rehearsal/tests/referee.rs
+++ b/crates/rehearsal/tests/referee.rs
@@ -21,12 +21,12 @@
         latency_objective: 500.0,
         value: 1.0,
     };
-    let executor = |k: u32, starts_cold| ExecutorFacts {
+    let executor = |k: u32, slow_start| ExecutorFacts {
         name: format!("s-{k}"),
         machine: Machine { slots: 2.0, cores: 2.0, ..Machine::default() },
         zone: 0,
         deduplication_group: k,
-        starts_cold,
+        slow_start,
     };
     Facts {
         seed: 0,
