--- a/crates/rehearsal/tests/mutants.rs
+++ b/crates/rehearsal/tests/mutants.rs
@@ -1,4 +1,5 @@
-//! For each way to break a rule, a host that breaks it and nothing else: the referee must name just that.
+//! Rehearses a day with nodes that have one defect each. Guards against a referee that misses a violation on real
+//! sockets, or reports one that did not happen.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Full};
 use hyper::body::Incoming;
@@ -26,101 +27,106 @@
 use troutknot_rehearsal::run::{Progress, Report, rehearse};
 use troutknot_rehearsal::scenario::Scenario;
 
+/// How a node breaks a rule.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Wrong {
-    Nothing,
-    AnswersLate,
-    NeverAnswers,
-    CutsOff,
+enum Defect {
+    /// A node that keeps all rules.
+    NoDefect,
+    RespondsLate,
+    NeverResponds,
+    ResetsConnections,
     InventsResults,
-    SendsAfterItsAnswer,
-    MakesUpIds,
-    SendsTwoAtOnce,
-    SendsFourTimes,
-    RepeatsWhatMayHaveRun,
-    DefersWhatMayHaveRun,
+    DispatchesAfterResponse,
+    InventsRequestIds,
+    DispatchesConcurrently,
+    DispatchesFourTimes,
+    RetriesUnsafely,
+    RejectsUnsafely,
     IgnoresDrains,
-    IgnoresWarmth,
-    IgnoresBans,
-    LosesBansOverAnUpgrade,
-    DropsConnectionsUnread,
-    TakesHalfOfABrokenFile,
+    IgnoresSlowStart,
+    IgnoresSuspensions,
+    LosesSuspensionsOnHotRestart,
+    DropsUnreadRequests,
+    AppliesBrokenSettings,
     StaysReadyWhileDrained,
-    AnswersNoCall,
+    FailsAdminCalls,
 }
 
-/// What all processes of the node know of what operators called.
+/// The state set by operators, shared by all processes of the node.
 #[derive(Default)]
-struct Called {
-    out: BTreeSet<String>,
+struct OperatorState {
+    suspended: BTreeSet<String>,
     drained: bool,
 }
 
-/// Starts processes of the one node.
-struct Processes {
-    wrong: Wrong,
-    called: Arc<Mutex<Called>>,
+/// Starts processes of the single node.
+struct DefectiveLauncher {
+    defect: Defect,
+    operator_state: Arc<Mutex<OperatorState>>,
 }
 
+/// An entry of the endpoint list.
 #[derive(Clone)]
 struct Member {
-    addr: SocketAddr,
-    ready: bool,
-    started_ms: f64,
+    address: SocketAddr,
+    is_ready: bool,
+    started_at_ms: f64,
 }
 
-/// A plain node: random choice, the rules kept but for the one thing that is wrong with it.
+/// A minimal node that selects executors in turn and keeps the rules except for its defect.
 struct Node {
-    wrong: Wrong,
+    defect: Defect,
     effects: BTreeMap<String, String>,
     ramp_ms: f64,
     members: RefCell<BTreeMap<String, Member>>,
-    turn: RefCell<usize>,
-    called: Arc<Mutex<Called>>,
-    attempts: Cell<u64>,
-    /// Another process has the clients.
-    left: Cell<bool>,
+    next_executor: RefCell<usize>,
+    operator_state: Arc<Mutex<OperatorState>>,
+    max_attempts: Cell<u64>,
+    /// Whether this process got SIGTERM.
+    is_terminating: Cell<bool>,
 }
 
-/// What came of an allocation.
+/// The outcome of an attempt.
 #[derive(PartialEq, Debug)]
-enum Came {
-    Result(Bytes),
-    NeverRan,
+enum AttemptOutcome {
+    Completed(Bytes),
+    DidNotRun,
     MayHaveRun,
 }
 
-async fn ask(addr: SocketAddr, request: Request<Full<Bytes>>) -> Option<(StatusCode, bool, Bytes)> {
-    let stream = TcpStream::connect(addr).await.ok()?;
-    let (mut send, connection) = handshake(TokioIo::new(stream)).await.ok()?;
+/// Sends a request; returns the status, whether the work was not started, and the body of the response.
+async fn send(address: SocketAddr, request: Request<Full<Bytes>>) -> Option<(StatusCode, bool, Bytes)> {
+    let stream = TcpStream::connect(address).await.ok()?;
+    let (mut sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     let connection = spawn_local(connection);
-    let answer = send.send_request(request).await.ok()?;
-    let never = answer.headers().contains_key("not-started");
-    let status = answer.status();
-    let body = answer.into_body().collect().await.ok()?.to_bytes();
+    let response = sender.send_request(request).await.ok()?;
+    let was_not_started = response.headers().contains_key("not-started");
+    let status = response.status();
+    let body = response.into_body().collect().await.ok()?.to_bytes();
     connection.abort();
-    Some((status, never, body))
+    Some((status, was_not_started, body))
 }
 
 impl Node {
-    async fn follow(self: Rc<Self>, discovery: SocketAddr) -> Option<()> {
+    /// Reads the endpoint list and its changes until the connection closes.
+    async fn watch_endpoints(self: Rc<Self>, discovery: SocketAddr) -> Option<()> {
         let stream = TcpStream::connect(discovery).await.ok()?;
-        let (mut send, connection) = handshake(TokioIo::new(stream)).await.ok()?;
+        let (mut sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         spawn_local(connection);
         let request =
             Request::get("/catalog/members?stream=1").header("host", "d").body(Empty::<Bytes>::new());
-        let mut body = send.send_request(request.ok()?).await.ok()?.into_body();
+        let mut body = sender.send_request(request.ok()?).await.ok()?.into_body();
         let mut text = Vec::new();
         while let Some(Ok(frame)) = body.frame().await {
             text.extend_from_slice(frame.data_ref()?);
-            while let Some(end) = text.iter().position(|&b| b == b'\n') {
+            while let Some(end) = text.iter().position(|&byte| byte == b'\n') {
                 let line: Vec<u8> = text.drain(..=end).collect();
                 let Ok(list) = serde_json::from_slice::<Value>(&line) else { continue };
                 for entry in list["servers"].as_array()? {
                     let member = Member {
-                        addr: entry["addr"].as_str()?.parse().ok()?,
-                        ready: entry["state"] == "Ready",
-                        started_ms: entry["started_ms"].as_f64().unwrap_or(0.0),
+                        address: entry["addr"].as_str()?.parse().ok()?,
+                        is_ready: entry["state"] == "Ready",
+                        started_at_ms: entry["started_ms"].as_f64().unwrap_or(0.0),
                     };
                     self.members.borrow_mut().insert(entry["id"].as_str()?.to_string(), member);
                 }
@@ -129,138 +135,157 @@
         None
     }
 
-    /// The next executor in turn, among those that may be sent to.
-    fn pick(&self) -> Option<SocketAddr> {
+    /// Selects the next executor to which an attempt may be dispatched.
+    fn select_executor(&self) -> Option<SocketAddr> {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64() * 1000.0;
         let members = self.members.borrow();
-        let may = |m: &Member| match self.wrong {
-            Wrong::IgnoresDrains => m.started_ms == 0.0,
-            Wrong::IgnoresWarmth => m.ready && m.started_ms > 0.0,
-            _ => m.ready && now - m.started_ms > self.ramp_ms,
+        let is_eligible = |member: &Member| match self.defect {
+            Defect::IgnoresDrains => member.started_at_ms == 0.0,
+            Defect::IgnoresSlowStart => member.is_ready && member.started_at_ms > 0.0,
+            _ => member.is_ready && now - member.started_at_ms > self.ramp_ms,
         };
-        let called = self.called.lock().unwrap();
-        let out = |id: &String| self.wrong != Wrong::IgnoresBans && called.out.contains(id);
-        let may_now = |(id, m): &(&String, &Member)| may(m) && !out(id);
-        let mut of: Vec<SocketAddr> = members.iter().filter(may_now).map(|(_, m)| m.addr).collect();
-        if of.is_empty() && self.wrong == Wrong::IgnoresWarmth {
-            of = members.values().filter(|m| m.ready).map(|m| m.addr).collect();
+        let operator_state = self.operator_state.lock().unwrap();
+        let is_suspended =
+            |id: &String| self.defect != Defect::IgnoresSuspensions && operator_state.suspended.contains(id);
+        let is_candidate = |(id, member): &(&String, &Member)| is_eligible(member) && !is_suspended(id);
+        let mut candidates: Vec<SocketAddr> =
+            members.iter().filter(is_candidate).map(|(_, member)| member.address).collect();
+        if candidates.is_empty() && self.defect == Defect::IgnoresSlowStart {
+            let ready = members.values().filter(|member| member.is_ready);
+            candidates = ready.map(|member| member.address).collect();
         }
-        let mut turn = self.turn.borrow_mut();
-        *turn += 1;
-        (!of.is_empty()).then(|| of[*turn % of.len()])
+        let mut next = self.next_executor.borrow_mut();
+        *next += 1;
+        (!candidates.is_empty()).then(|| candidates[*next % candidates.len()])
     }
 
-    async fn allocate(&self, path: &str, id: &str) -> Came {
-        let Some(addr) = self.pick() else { return Came::NeverRan };
+    async fn dispatch(&self, path: &str, id: &str) -> AttemptOutcome {
+        let Some(address) = self.select_executor() else { return AttemptOutcome::DidNotRun };
         let request = Request::post(path).header("host", "s").header("request-id", id);
-        let Some((status, never, body)) = ask(addr, request.body(Full::new("x".into())).unwrap()).await
+        let Some((status, was_not_started, body)) =
+            send(address, request.body(Full::new("x".into())).unwrap()).await
         else {
-            return Came::MayHaveRun;
+            return AttemptOutcome::MayHaveRun;
         };
-        let last = body.split(|&b| b == b'\n').rfind(|line| !line.is_empty()).unwrap_or(b"");
+        let last = body.split(|&byte| byte == b'\n').rfind(|line| !line.is_empty()).unwrap_or(b"");
         let last: Value = serde_json::from_slice(last).unwrap_or_default();
         match last["state"].as_str() {
-            Some("done") => Came::Result(last["result"].as_str().unwrap_or("").to_string().into()),
-            Some("returned") => Came::NeverRan,
-            _ if status != 200 && never => Came::NeverRan,
-            _ => Came::MayHaveRun,
+            Some("done") => {
+                AttemptOutcome::Completed(last["result"].as_str().unwrap_or("").to_string().into())
+            }
+            Some("returned") => AttemptOutcome::DidNotRun,
+            _ if status != 200 && was_not_started => AttemptOutcome::DidNotRun,
+            _ => AttemptOutcome::MayHaveRun,
         }
     }
 
-    async fn work(self: Rc<Self>, path: String, id: String, line: Rc<ConnectionHandle>) -> (u16, Bytes) {
-        let came = Instant::now();
+    /// Handles a client's request: returns the status and the body of the response.
+    async fn handle_request(
+        self: Rc<Self>,
+        path: String,
+        id: String,
+        connection: Rc<ConnectionHandle>,
+    ) -> (u16, Bytes) {
+        let received_at = Instant::now();
         let effect = self.effects.get(path.trim_start_matches('/')).cloned().unwrap_or_default();
-        match self.wrong {
-            Wrong::NeverAnswers => std::future::pending().await,
-            Wrong::InventsResults => return (200, format!("result of {id}").into()),
-            Wrong::MakesUpIds => {
-                self.allocate(&path, "feedfeedfeedfeed").await;
+        match self.defect {
+            Defect::NeverResponds => std::future::pending().await,
+            Defect::InventsResults => return (200, format!("result of {id}").into()),
+            Defect::InventsRequestIds => {
+                self.dispatch(&path, "feedfeedfeedfeed").await;
             }
-            Wrong::SendsAfterItsAnswer => {
+            Defect::DispatchesAfterResponse => {
                 let node = self.clone();
                 spawn_local(async move {
                     sleep(Duration::from_millis(150)).await;
-                    node.allocate(&path, &id).await;
+                    node.dispatch(&path, &id).await;
                 });
                 return (503, Bytes::new());
             }
-            Wrong::SendsTwoAtOnce => {
-                let both = tokio::join!(self.allocate(&path, &id), async {
+            Defect::DispatchesConcurrently => {
+                let results = tokio::join!(self.dispatch(&path, &id), async {
                     sleep(Duration::from_millis(2)).await;
-                    self.allocate(&path, &id).await
+                    self.dispatch(&path, &id).await
                 });
-                return if let Came::Result(result) = both.0 { (200, result) } else { (502, Bytes::new()) };
+                return if let AttemptOutcome::Completed(result) = results.0 {
+                    (200, result)
+                } else {
+                    (502, Bytes::new())
+                };
             }
-            Wrong::SendsFourTimes if effect == "safe" => {
+            Defect::DispatchesFourTimes if effect == "safe" => {
                 for _ in 0..3 {
-                    self.allocate(&path, &id).await;
+                    self.dispatch(&path, &id).await;
                 }
             }
             _ => {}
         }
         let mut may_have_run = false;
-        for _ in 0..self.attempts.get() {
-            match self.allocate(&path, &id).await {
-                Came::Result(result) => {
-                    match self.wrong {
-                        // Past its limit and the slack, and before its client gives up.
-                        Wrong::AnswersLate => sleep_until(came + Duration::from_millis(2150)).await,
-                        Wrong::CutsOff => {
-                            line.abort(Abort::Reset);
+        for _ in 0..self.max_attempts.get() {
+            match self.dispatch(&path, &id).await {
+                AttemptOutcome::Completed(result) => {
+                    match self.defect {
+                        // After the deadline of 2 s and the slack of 50 ms, before the client gives up at 2300 ms.
+                        Defect::RespondsLate => sleep_until(received_at + Duration::from_millis(2150)).await,
+                        Defect::ResetsConnections => {
+                            connection.abort(Abort::Reset);
                             std::future::pending().await
                         }
                         _ => {}
                     }
                     return (200, result);
                 }
-                Came::NeverRan => {}
-                Came::MayHaveRun => {
+                AttemptOutcome::DidNotRun => {}
+                AttemptOutcome::MayHaveRun => {
                     may_have_run = true;
-                    if effect != "safe" && self.wrong != Wrong::RepeatsWhatMayHaveRun {
+                    if effect != "safe" && self.defect != Defect::RetriesUnsafely {
                         break;
                     }
                 }
             }
         }
-        let may_defer = effect == "safe" || !may_have_run || self.wrong == Wrong::DefersWhatMayHaveRun;
-        (if may_defer { 503 } else { 502 }, Bytes::new())
+        let may_reject = effect == "safe" || !may_have_run || self.defect == Defect::RejectsUnsafely;
+        (if may_reject { 503 } else { 502 }, Bytes::new())
     }
 
-    async fn answer(
+    /// Serves the clients' interface.
+    async fn serve_client(
         self: Rc<Self>,
         request: Request<Incoming>,
-        line: Rc<ConnectionHandle>,
+        connection: Rc<ConnectionHandle>,
     ) -> Response<StreamedBody> {
         let (path, id) = (request.uri().path().to_string(), request.headers().get("request-id").cloned());
-        let drained = self.called.lock().unwrap().drained && self.wrong != Wrong::StaysReadyWhileDrained;
-        if self.wrong == Wrong::DropsConnectionsUnread && self.left.get() {
-            line.abort(Abort::Reset);
+        let is_drained =
+            self.operator_state.lock().unwrap().drained && self.defect != Defect::StaysReadyWhileDrained;
+        if self.defect == Defect::DropsUnreadRequests && self.is_terminating.get() {
+            connection.abort(Abort::Reset);
             std::future::pending().await
         }
         let (status, body) = match (path.as_str(), id) {
             ("/_health", _) => {
-                (if drained || self.members.borrow().is_empty() { 503 } else { 200 }, Bytes::new())
+                (if is_drained || self.members.borrow().is_empty() { 503 } else { 200 }, Bytes::new())
             }
-            (_, Some(_)) if drained => (503, Bytes::new()),
+            (_, Some(_)) if is_drained => (503, Bytes::new()),
             (_, Some(id)) => {
                 let _ = request.into_body().collect().await;
-                self.clone().work(path, id.to_str().unwrap().to_string(), line).await
+                self.clone().handle_request(path, id.to_str().unwrap().to_string(), connection).await
             }
             _ => (400, Bytes::new()),
         };
-        let mut answer = Response::new(StreamedBody::full(body));
-        *answer.status_mut() = StatusCode::from_u16(status).unwrap();
-        if drained || self.left.get() {
-            answer.headers_mut().insert("connection", "close".parse().unwrap());
+        let mut response = Response::new(StreamedBody::full(body));
+        *response.status_mut() = StatusCode::from_u16(status).unwrap();
+        if is_drained || self.is_terminating.get() {
+            response.headers_mut().insert("connection", "close".parse().unwrap());
         }
-        answer
+        response
     }
 
-    async fn called(self: Rc<Self>, request: Request<Incoming>) -> Response<StreamedBody> {
-        let steps: Vec<&str> = request.uri().path().split('/').collect();
-        let mut called = self.called.lock().unwrap();
-        let status = match steps[..] {
-            _ if self.wrong == Wrong::AnswersNoCall => 500,
+    /// Serves the admin interface.
+    async fn serve_operator(self: Rc<Self>, request: Request<Incoming>) -> Response<StreamedBody> {
+        let segments: Vec<&str> = request.uri().path().split('/').collect();
+        let mut operator_state = self.operator_state.lock().unwrap();
+        let status = match segments[..] {
+            _ if self.defect == Defect::FailsAdminCalls => 500,
             ["", "v1", "readyz"] => {
                 if self.members.borrow().is_empty() {
                     503
@@ -268,104 +293,109 @@
                     200
                 }
             }
-            ["", "v1", "node", what] => {
-                called.drained = what == "drain";
+            ["", "v1", "node", action] => {
+                operator_state.drained = action == "drain";
                 200
             }
-            ["", "v1", "executors", id, what] => {
-                match what {
-                    "suspend" => called.out.insert(id.to_string()),
-                    _ => called.out.remove(id),
+            ["", "v1", "executors", id, action] => {
+                match action {
+                    "suspend" => operator_state.suspended.insert(id.to_string()),
+                    _ => operator_state.suspended.remove(id),
                 };
                 200
             }
             _ => 404,
         };
-        let mut answer = Response::new(StreamedBody::full(Bytes::new()));
-        *answer.status_mut() = StatusCode::from_u16(status).unwrap();
-        answer
+        let mut response = Response::new(StreamedBody::full(Bytes::new()));
+        *response.status_mut() = StatusCode::from_u16(status).unwrap();
+        response
     }
 
-    /// Takes the attempts of a file, where it is whole.
-    fn reread(&self, config: &Path) {
-        let read = std::fs::read_to_string(config).unwrap();
-        let config: Value = serde_json::from_str(&read).unwrap();
+    /// Applies the attempt limit of a configuration file, if the file has all required keys.
+    fn reload(&self, config: &Path) {
+        let text = std::fs::read_to_string(config).unwrap();
+        let config: Value = serde_json::from_str(&text).unwrap();
         let settings = &config["settings"];
-        if settings["contract"].is_object() || self.wrong == Wrong::TakesHalfOfABrokenFile {
-            self.attempts.set(settings["limits"]["max_allocations"].as_u64().unwrap());
+        if settings["contract"].is_object() || self.defect == Defect::AppliesBrokenSettings {
+            self.max_attempts.set(settings["limits"]["max_allocations"].as_u64().unwrap());
         }
     }
 }
 
-async fn serve_all<F, R>(listener: TcpListener, answer: F)
+async fn serve_all<F, R>(listener: TcpListener, respond: F)
 where
     F: Fn(Request<Incoming>, Rc<ConnectionHandle>) -> R + Clone + 'static,
     R: Future<Output = Response<StreamedBody>> + 'static,
 {
     while let Ok((stream, _)) = listener.accept().await {
-        let (line, answer) = (Rc::new(ConnectionHandle::default()), answer.clone());
-        let own = line.clone();
-        spawn_local(wire::serve(stream, Rc::default(), line, move |request| answer(request, own.clone())));
+        let (connection, respond) = (Rc::new(ConnectionHandle::default()), respond.clone());
+        let handle = connection.clone();
+        spawn_local(wire::serve(stream, Rc::default(), connection, move |request| {
+            respond(request, handle.clone())
+        }));
     }
 }
 
-impl NodeLauncher for Processes {
+impl NodeLauncher for DefectiveLauncher {
     fn launch(&self, options: LaunchOptions) -> io::Result<Box<dyn NodeProcess>> {
         let path = options.config.to_owned();
         let config: Value = serde_json::from_str(&std::fs::read_to_string(&path)?)?;
-        let (ask, mut asked) = mpsc::unbounded_channel();
-        let wrong = self.wrong;
-        let called = match wrong {
-            Wrong::LosesBansOverAnUpgrade => Arc::default(),
-            _ => self.called.clone(),
+        let (signal_sender, mut signals) = mpsc::unbounded_channel();
+        let defect = self.defect;
+        let operator_state = match defect {
+            Defect::LosesSuspensionsOnHotRestart => Arc::default(),
+            _ => self.operator_state.clone(),
         };
-        let (management, passed) =
+        let (admin_address, inherited_socket) =
             (options.admin_address, options.inherited_socket.map(|(socket, _)| socket));
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-            let addr = |name: &str| config[name].as_str().unwrap().parse::<SocketAddr>().unwrap();
-            let types = config["settings"]["project_types"].as_array().unwrap();
-            let of = |t: &Value, name: &str| t[name].as_str().unwrap().to_string();
+            let address = |name: &str| config[name].as_str().unwrap().parse::<SocketAddr>().unwrap();
+            let classes = config["settings"]["project_types"].as_array().unwrap();
+            let text = |class: &Value, key: &str| class[key].as_str().unwrap().to_string();
             let node = Rc::new(Node {
-                wrong,
-                effects: types.iter().map(|t| (of(t, "name"), of(t, "effect"))).collect(),
+                defect,
+                effects: classes.iter().map(|class| (text(class, "name"), text(class, "effect"))).collect(),
                 ramp_ms: config["settings"]["contract"]["ramp_time"].as_f64().unwrap() / 1000.0,
                 members: RefCell::default(),
-                turn: RefCell::default(),
-                called,
-                attempts: Cell::new(3),
-                left: Cell::new(false),
+                next_executor: RefCell::default(),
+                operator_state,
+                max_attempts: Cell::new(3),
+                is_terminating: Cell::new(false),
             });
             LocalSet::new().block_on(&runtime, async move {
-                node.reread(&path);
-                spawn_local(node.clone().follow(addr("discovery")));
-                if let Some(management) = management {
+                node.reload(&path);
+                spawn_local(node.clone().watch_endpoints(address("discovery")));
+                if let Some(admin_address) = admin_address {
                     let node = node.clone();
-                    let listener = wire::listen(management).unwrap();
-                    spawn_local(serve_all(listener, move |request, _| node.clone().called(request)));
+                    let listener = wire::listen(admin_address).unwrap();
+                    spawn_local(serve_all(listener, move |request, _| node.clone().serve_operator(request)));
                 }
-                let was_passed = passed.is_some();
-                let listener = match passed {
+                let is_inherited = inherited_socket.is_some();
+                let listener = match inherited_socket {
                     Some(socket) => {
                         socket.set_nonblocking(true).unwrap();
                         TcpListener::from_std(socket).unwrap()
                     }
-                    None => wire::listen(addr("listen")).unwrap(),
+                    None => wire::listen(address("listen")).unwrap(),
                 };
-                let answers = node.clone();
+                let server = node.clone();
                 let accept = spawn_local(async move {
-                    // The process before it accepts as well, and is ready: one without a list would turn away
-                    // whom the front sends, and the front itself.
-                    while was_passed && answers.members.borrow().is_empty() {
+                    // The previous process is ready and accepts as well. A process without a list would reject
+                    // requests and fail the health checks of the load balancer.
+                    while is_inherited && server.members.borrow().is_empty() {
                         sleep(Duration::from_millis(1)).await;
                     }
-                    serve_all(listener, move |request, line| answers.clone().answer(request, line)).await
+                    serve_all(listener, move |request, connection| {
+                        server.clone().serve_client(request, connection)
+                    })
+                    .await
                 });
-                while let Some(what) = asked.recv().await {
-                    match what {
-                        NodeSignal::Reload => node.reread(&path),
+                while let Some(signal) = signals.recv().await {
+                    match signal {
+                        NodeSignal::Reload => node.reload(&path),
                         NodeSignal::Terminate => {
-                            node.left.set(true);
+                            node.is_terminating.set(true);
                             accept.abort();
                         }
                         NodeSignal::Kill => return,
@@ -373,16 +403,17 @@
                 }
             });
         });
-        Ok(Box::new(Thread(Some(ask))))
+        Ok(Box::new(NodeThread(Some(signal_sender))))
     }
 }
 
-struct Thread(Option<mpsc::UnboundedSender<NodeSignal>>);
+/// A node on a thread of this process; `None` after it was killed.
+struct NodeThread(Option<mpsc::UnboundedSender<NodeSignal>>);
 
-impl NodeProcess for Thread {
+impl NodeProcess for NodeThread {
     fn signal(&mut self, signal: NodeSignal) -> io::Result<()> {
-        if let Some(ask) = &self.0 {
-            let _ = ask.send(signal);
+        if let Some(sender) = &self.0 {
+            let _ = sender.send(signal);
         }
         if signal == NodeSignal::Kill {
             self.0.take();
@@ -399,11 +430,12 @@
     }
 }
 
-/// Days are played in real time: so many at once that a machine which has other work answers in time.
-static TURNS: [Mutex<()>; 3] = [const { Mutex::new(()) }; 3];
+/// Limits the rehearsals that run at once to 3, because they run in real time and a busy machine must still respond in
+/// time.
+static RUN_SLOTS: [Mutex<()>; 3] = [const { Mutex::new(()) }; 3];
 
-/// Three executors of which one is replaced by a cold one, and a third of whose work breaks.
-const DAY: &str = r#"
+/// Three executors, one of which is replaced by one in slow start; connections of 30 % of the attempts are reset.
+const DEPLOYMENT_DAY: &str = r#"
 name = "mutants"
 length = "2500ms"
 [rules]
@@ -449,8 +481,8 @@
 every = "1s"
 "#;
 
-/// The same under the hands of operators: fewer attempts, an executor out over an upgrade, a broken file, a drain.
-const HANDS: &str = r#"
+/// Operator events: a lower attempt limit, a suspension across a hot restart, a broken file and a drain.
+const OPERATOR_EVENTS: &str = r#"
 [[events]]
 what = "retune-nodes"
 at = "100ms"
@@ -476,71 +508,77 @@
 lasts = "4200ms"
 "#;
 
-fn day(wrong: Wrong, by_hand: bool) -> Report {
-    let text = if by_hand {
-        // Work breaks over the whole day, and no executor is replaced.
-        let first = DAY.split("[[events]]").next().unwrap();
-        let first = first.replace("to = \"1500ms\"", "to = \"9s\"").replace("2500ms", "9500ms");
-        first + HANDS
+fn rehearse_day(defect: Defect, has_operator_events: bool) -> Report {
+    let text = if has_operator_events {
+        // Connections are reset all day, and no executor is replaced.
+        let day = DEPLOYMENT_DAY.split("[[events]]").next().unwrap();
+        let day = day.replace("to = \"1500ms\"", "to = \"9s\"").replace("2500ms", "9500ms");
+        day + OPERATOR_EVENTS
     } else {
-        DAY.to_string()
+        DEPLOYMENT_DAY.to_string()
     };
     let mut scenario = Scenario::parse(&text, "mutants").unwrap();
-    if wrong == Wrong::IgnoresWarmth {
+    if defect == Defect::IgnoresSlowStart {
         scenario.traffic.get_mut().load = 0.9;
     }
     let folder = tempfile::tempdir().unwrap();
-    let launch = Arc::new(Processes { wrong, called: Arc::default() });
-    rehearse(&Arc::new(scenario), 3, launch, folder.path(), Arc::new(Progress::default())).unwrap()
+    let launcher = Arc::new(DefectiveLauncher { defect, operator_state: Arc::default() });
+    rehearse(&Arc::new(scenario), 3, launcher, folder.path(), Arc::new(Progress::default())).unwrap()
 }
 
 #[test]
-fn each_wrong_host_is_named_by_what_is_wrong_with_it() {
-    use Wrong::*;
-    let by_hand: &[(Wrong, &[(u8, &str)])] = &[
-        (Nothing, &[]),
-        (IgnoresBans, &[(3, "sent-to-banned")]),
-        (LosesBansOverAnUpgrade, &[(3, "sent-to-banned")]),
-        (DropsConnectionsUnread, &[(1, "ended-at-the-door")]),
-        (TakesHalfOfABrokenFile, &[(2, "too-many-allocations")]),
+fn each_defect_of_a_node_is_reported_as_its_violations_only() {
+    use Defect::*;
+    let operator_cases: &[(Defect, &[(u8, &str)])] = &[
+        (NoDefect, &[]),
+        (IgnoresSuspensions, &[(3, "sent-to-banned")]),
+        (LosesSuspensionsOnHotRestart, &[(3, "sent-to-banned")]),
+        (DropsUnreadRequests, &[(1, "ended-at-the-door")]),
+        (AppliesBrokenSettings, &[(2, "too-many-allocations")]),
         (StaysReadyWhileDrained, &[(1, "ready-while-drained"), (1, "taken-while-drained")]),
-        (AnswersNoCall, &[(3, "call-failed")]),
+        (FailsAdminCalls, &[(3, "call-failed")]),
     ];
-    let cases: &[(Wrong, &[(u8, &str)])] = &[
-        (Nothing, &[]),
-        (AnswersLate, &[(1, "late-answer")]),
-        (NeverAnswers, &[(1, "no-answer")]),
-        (CutsOff, &[(1, "lost")]),
+    let deployment_cases: &[(Defect, &[(u8, &str)])] = &[
+        (NoDefect, &[]),
+        (RespondsLate, &[(1, "late-answer")]),
+        (NeverResponds, &[(1, "no-answer")]),
+        (ResetsConnections, &[(1, "lost")]),
         (InventsResults, &[(1, "invented-result")]),
-        (SendsAfterItsAnswer, &[(1, "sent-after-final")]),
-        (MakesUpIds, &[(1, "unknown-id")]),
-        (SendsTwoAtOnce, &[(2, "repeat"), (2, "two-out")]),
-        (SendsFourTimes, &[(2, "too-many-allocations")]),
-        (RepeatsWhatMayHaveRun, &[(2, "repeat")]),
-        (DefersWhatMayHaveRun, &[(2, "deferred-may-have-run")]),
+        (DispatchesAfterResponse, &[(1, "sent-after-final")]),
+        (InventsRequestIds, &[(1, "unknown-id")]),
+        (DispatchesConcurrently, &[(2, "repeat"), (2, "two-out")]),
+        (DispatchesFourTimes, &[(2, "too-many-allocations")]),
+        (RetriesUnsafely, &[(2, "repeat")]),
+        (RejectsUnsafely, &[(2, "deferred-may-have-run")]),
         (IgnoresDrains, &[(3, "sent-to-drained")]),
-        (IgnoresWarmth, &[(4, "pushed-over")]),
+        (IgnoresSlowStart, &[(4, "pushed-over")]),
     ];
-    thread::scope(|all| {
-        let cases = cases.iter().map(|case| (case, false)).chain(by_hand.iter().map(|case| (case, true)));
-        for (k, (&(wrong, expected), by_hand)) in cases.enumerate() {
-            all.spawn(move || {
-                let _turn = TURNS[k % TURNS.len()].lock().unwrap_or_else(PoisonError::into_inner);
-                let report = day(wrong, by_hand);
-                let mut found: Vec<(u8, &str)> =
-                    report.verdict.violations.iter().map(|b| (b.rule, b.kind.name())).collect();
+    thread::scope(|scope| {
+        let cases = deployment_cases.iter().map(|case| (case, false));
+        let cases = cases.chain(operator_cases.iter().map(|case| (case, true)));
+        for (index, (&(defect, expected), has_operator_events)) in cases.enumerate() {
+            scope.spawn(move || {
+                let _run_slot =
+                    RUN_SLOTS[index % RUN_SLOTS.len()].lock().unwrap_or_else(PoisonError::into_inner);
+                let report = rehearse_day(defect, has_operator_events);
+                let mut found: Vec<(u8, &str)> = report
+                    .verdict
+                    .violations
+                    .iter()
+                    .map(|violation| (violation.rule, violation.kind.name()))
+                    .collect();
                 found.sort_unstable();
                 found.dedup();
-                // Without an answered call there is no next process, and nothing else is judged.
-                found.retain(|(_, name)| wrong != AnswersNoCall || *name == "call-failed");
-                assert_eq!(found, expected, "{wrong:?}: {:#?}", report.verdict.violations.first());
-                assert_eq!(report.verdict.overload_failures > 0, wrong == IgnoresWarmth, "{wrong:?}");
+                // If admin calls fail, the hot restart fails as well; violations that follow from it are not compared.
+                found.retain(|(_, name)| defect != FailsAdminCalls || *name == "call-failed");
+                assert_eq!(found, expected, "{defect:?}: {:#?}", report.verdict.violations.first());
+                assert_eq!(report.verdict.overload_failures > 0, defect == IgnoresSlowStart, "{defect:?}");
                 assert!(report.verdict.all.requests > 100);
-                // Who sent what is said where a cold one was pushed over.
-                let pushed = report.verdict.violations.iter().find(|b| b.rule == 4);
-                assert!(pushed.is_none_or(
-                    |b| b.description.contains("s-00003 stands") && b.description.contains("n0 ")
-                ));
+                // A violation of the warm-up budget names the executor and the nodes that dispatched to it.
+                let over_budget = report.verdict.violations.iter().find(|violation| violation.rule == 4);
+                assert!(over_budget.is_none_or(|violation| {
+                    violation.description.contains("s-00003 stands") && violation.description.contains("n0 ")
+                }));
             });
         }
     });
--- a/crates/rehearsal/tests/referee.rs
+++ b/crates/rehearsal/tests/referee.rs
@@ -1,4 +1,5 @@
-//! The referee on records made by hand: what it must see, and what it must not take for a breach.
+//! Judges synthetic records. Guards against a referee that misses a violation of a rule, or reports one where a node
+//! kept the rules.
 use troutknot_emulator::observations::{ListedState, Observation};
 use troutknot_emulator::{AttemptOutcome, Machine};
 use troutknot_rehearsal::referee::{ClassFacts, ExecutorFacts, Facts, RequestFacts, judge};
@@ -7,11 +8,11 @@
 const RENDER: usize = 0;
 const MAIL: usize = 1;
 const PUBLISH: usize = 2;
-/// Exclusive, and asked for with a key until it is answered.
+/// At most once, and retried with an idempotency key until there is a response.
 const KEYED: usize = 3;
 
 fn facts(class: usize, scope: DeduplicationScope) -> Facts {
-    let of = |name: &str, effect| ClassFacts {
+    let class_facts = |name: &str, effect| ClassFacts {
         name: name.into(),
         effect,
         has_idempotency_key: name == "keyed",
@@ -21,11 +22,11 @@
         latency_objective: 500.0,
         value: 1.0,
     };
-    let executor = |k: u32, slow_start| ExecutorFacts {
-        name: format!("s-{k}"),
+    let executor = |number: u32, slow_start| ExecutorFacts {
+        name: format!("s-{number}"),
         machine: Machine { slots: 2.0, cores: 2.0, ..Machine::default() },
         zone: 0,
-        deduplication_group: k,
+        deduplication_group: number,
         slow_start,
     };
     Facts {
@@ -39,10 +40,10 @@
         budget_multiple: 2.0,
         budget_window: 100.0,
         classes: vec![
-            of("render", Effect::Idempotent),
-            of("mail", Effect::Deduplicated),
-            of("publish", Effect::AtMostOnce),
-            of("keyed", Effect::AtMostOnce),
+            class_facts("render", Effect::Idempotent),
+            class_facts("mail", Effect::Deduplicated),
+            class_facts("publish", Effect::AtMostOnce),
+            class_facts("keyed", Effect::AtMostOnce),
         ],
         executors: vec![executor(0, false), executor(1, false), executor(2, true)],
         requests: vec![RequestFacts { class, due_at: 0.0 }],
@@ -74,49 +75,49 @@
     Observation::Ended { attempt_id, outcome: AttemptOutcome::Reset }
 }
 
-fn told(listed: ListedState) -> Observation {
-    Observation::NodeNotified { node: 0, executor: 0, state: listed }
+fn notified(state: ListedState) -> Observation {
+    Observation::NodeNotified { node: 0, executor: 0, state }
 }
 
-fn cut(reused: bool) -> Observation {
+fn connection_lost(reused: bool) -> Observation {
     Observation::ConnectionLost { id: id(0), reused }
 }
 
 type Case = (&'static str, usize, DeduplicationScope, Vec<(f64, Observation)>, &'static [&'static str]);
 
 #[test]
-fn breaches_and_what_only_looks_like_one() {
+fn each_violation_is_reported_and_permitted_records_have_none() {
     use DeduplicationScope::{All, Group};
     let started = |attempt_id| Observation::Started { attempt_id };
-    let knows = |listed| Observation::AgentUpdated { node: 0, executor: 0, state: listed };
-    let once = |at: f64| {
+    let agent_updated = |state| Observation::AgentUpdated { node: 0, executor: 0, state };
+    let completed_at = |at: f64| {
         vec![(0.0, sent(0)), (at, received(1, 0, 0, at)), (at + 20.0, done(1)), (at + 30.0, answered(0, 200))]
     };
-    let after = |mut first: Vec<(f64, Observation)>, then: Vec<(f64, Observation)>| {
-        first.extend(then);
-        first
+    let concat = |mut events: Vec<(f64, Observation)>, later: Vec<(f64, Observation)>| {
+        events.extend(later);
+        events
     };
-    let cold = |works: usize| {
-        let mut seen = vec![(0.0, Observation::ExecutorUp { executor: 2 }), (0.0, sent(0))];
-        (0..works).for_each(|k| seen.push((1.0, received(k as u64, 2, 0, 1.0))));
-        seen.push((1.5, answered(0, 502)));
-        (0..works).for_each(|k| seen.push((1.2, reset(k as u64))));
-        seen
+    let slow_start = |count: usize| {
+        let mut events = vec![(0.0, Observation::ExecutorUp { executor: 2 }), (0.0, sent(0))];
+        (0..count).for_each(|number| events.push((1.0, received(number as u64, 2, 0, 1.0))));
+        events.push((1.5, answered(0, 502)));
+        (0..count).for_each(|number| events.push((1.2, reset(number as u64))));
+        events
     };
     let cases: Vec<Case> = vec![
-        ("one answer", PUBLISH, All, once(10.0), &[]),
-        ("an answer that a client may still take", RENDER, All, once(2010.0), &[]),
-        ("a late answer", RENDER, All, once(2030.0), &["late-answer"]),
-        ("none at all", RENDER, All, vec![(0.0, sent(0))], &["no-answer"]),
+        ("one response", PUBLISH, All, completed_at(10.0), &[]),
+        ("a response after the deadline, within the slack", RENDER, All, completed_at(2010.0), &[]),
+        ("a response after the deadline and the slack", RENDER, All, completed_at(2030.0), &["late-answer"]),
+        ("no response", RENDER, All, vec![(0.0, sent(0))], &["no-answer"]),
         (
-            "a node that was killed owes nothing",
+            "no response after a kill of the node",
             RENDER,
             All,
-            vec![(0.0, sent(0)), (10.0, Observation::NodeKilled { node: 0 }), (11.0, cut(true))],
+            vec![(0.0, sent(0)), (10.0, Observation::NodeKilled { node: 0 }), (11.0, connection_lost(true))],
             &[],
         ),
         (
-            "one that was asked to end owes what it had taken",
+            "no response after SIGTERM and a kill of the node",
             RENDER,
             All,
             vec![
@@ -124,26 +125,38 @@
                 (1.0, sent(0)),
                 (2.0, received(1, 0, 0, 2.0)),
                 (10.0, Observation::NodeKilled { node: 0 }),
-                (11.0, cut(true)),
+                (11.0, connection_lost(true)),
                 (12.0, Observation::Cancelled { attempt_id: 1 }),
             ],
             &["lost"],
         ),
-        ("a close that crosses a request", RENDER, All, vec![(0.0, sent(0)), (1.0, cut(true))], &[]),
-        ("a close of a fresh connection", RENDER, All, vec![(0.0, sent(0)), (1.0, cut(false))], &["lost"]),
         (
-            "a node that ends by itself",
+            "a reused connection closed before the request was read",
             RENDER,
             All,
-            after(once(10.0), vec![(100.0, Observation::NodeExited { node: 0, is_clean: true })]),
+            vec![(0.0, sent(0)), (1.0, connection_lost(true))],
+            &[],
+        ),
+        (
+            "a new connection closed without a response",
+            RENDER,
+            All,
+            vec![(0.0, sent(0)), (1.0, connection_lost(false))],
+            &["lost"],
+        ),
+        (
+            "a node that exits without SIGTERM",
+            RENDER,
+            All,
+            concat(completed_at(10.0), vec![(100.0, Observation::NodeExited { node: 0, is_clean: true })]),
             &["node-crashed"],
         ),
         (
-            "a node that ends when it is asked to",
+            "a node that exits after SIGTERM",
             RENDER,
             All,
-            after(
-                once(10.0),
+            concat(
+                completed_at(10.0),
                 vec![
                     (100.0, Observation::NodeTerminating { node: 0 }),
                     (200.0, Observation::NodeExited { node: 0, is_clean: true }),
@@ -152,7 +165,7 @@
             &[],
         ),
         (
-            "a client that left",
+            "a dispatch within the slack after the client disconnected",
             RENDER,
             All,
             vec![
@@ -164,7 +177,7 @@
             &[],
         ),
         (
-            "work sent long after its client left",
+            "a dispatch later than the slack after the client disconnected",
             RENDER,
             All,
             vec![
@@ -176,7 +189,7 @@
             &["sent-after-final"],
         ),
         (
-            "receipted work again within its window",
+            "a deduplicated request repeated within its window",
             MAIL,
             All,
             vec![
@@ -190,7 +203,7 @@
             &[],
         ),
         (
-            "receipted work past its window",
+            "a deduplicated request repeated after its window",
             MAIL,
             All,
             vec![
@@ -204,7 +217,7 @@
             &["repeat"],
         ),
         (
-            "receipted work outside its group",
+            "a deduplicated request repeated outside its group",
             MAIL,
             Group,
             vec![
@@ -218,14 +231,14 @@
             &["repeat"],
         ),
         (
-            "receipted work deferred outside its group",
+            "a deduplicated request with group scope rejected after it may have run",
             MAIL,
             Group,
             vec![(0.0, sent(0)), (1.0, received(1, 0, 0, 1.0)), (100.0, reset(1)), (200.0, answered(0, 503))],
             &["deferred-may-have-run"],
         ),
         (
-            "exclusive work that was handed back",
+            "an at-most-once request retried after the executor returned it",
             PUBLISH,
             All,
             vec![
@@ -239,7 +252,7 @@
             &[],
         ),
         (
-            "exclusive work that ran in two tries",
+            "an at-most-once request that ran in two client attempts",
             PUBLISH,
             All,
             vec![
@@ -257,7 +270,7 @@
             &["second-effect"],
         ),
         (
-            "one that is given up before the next is sent",
+            "a dispatch within the slack before the previous attempt ended",
             RENDER,
             All,
             vec![
@@ -271,7 +284,7 @@
             &[],
         ),
         (
-            "two out at once",
+            "two concurrent attempts",
             RENDER,
             All,
             vec![
@@ -285,48 +298,48 @@
             &["two-out"],
         ),
         (
-            "a send within the grace",
+            "a dispatch within the drain grace",
             RENDER,
             All,
-            after(vec![(0.0, told(ListedState::Terminating))], once(1040.0)),
+            concat(vec![(0.0, notified(ListedState::Terminating))], completed_at(1040.0)),
             &[],
         ),
         (
-            "a send past the grace",
+            "a dispatch after the drain grace",
             RENDER,
             All,
-            after(vec![(0.0, told(ListedState::Terminating))], once(1060.0)),
+            concat(vec![(0.0, notified(ListedState::Terminating))], completed_at(1060.0)),
             &["sent-to-drained"],
         ),
         (
-            "a send once it is back",
+            "a dispatch after the executor is ready again",
             RENDER,
             All,
-            after(
-                vec![(0.0, told(ListedState::Terminating)), (500.0, told(ListedState::Ready))],
-                once(1060.0),
+            concat(
+                vec![(0.0, notified(ListedState::Terminating)), (500.0, notified(ListedState::Ready))],
+                completed_at(1060.0),
             ),
             &[],
         ),
         (
-            "gone after it drained counts from the drain",
+            "a removal after a drain does not extend the grace",
             RENDER,
             All,
-            after(
-                vec![(0.0, told(ListedState::Terminating)), (900.0, told(ListedState::Gone))],
-                once(1060.0),
+            concat(
+                vec![(0.0, notified(ListedState::Terminating)), (900.0, notified(ListedState::Gone))],
+                completed_at(1060.0),
             ),
             &["sent-to-drained"],
         ),
         (
-            "a node that never listens counts as told in the end",
+            "a node that reads no list counts as notified after the timeout",
             RENDER,
             All,
-            after(vec![(-3000.0, knows(ListedState::Gone))], once(1060.0)),
+            concat(vec![(-3000.0, agent_updated(ListedState::Gone))], completed_at(1060.0)),
             &["sent-to-drained"],
         ),
         (
-            "a key whose result is made for the try before",
+            "a keyed request answered with the result of an earlier client attempt",
             KEYED,
             All,
             vec![
@@ -335,7 +348,7 @@
                 (6.0, started(1)),
                 (10.0, Observation::NodeKilled { node: 0 }),
                 (10.0, Observation::Cancelled { attempt_id: 1 }),
-                (11.0, cut(false)),
+                (11.0, connection_lost(false)),
                 (50.0, sent(1)),
                 (60.0, done(1)),
                 (70.0, answered(1, 200)),
@@ -343,7 +356,7 @@
             &[],
         ),
         (
-            "a key that runs again after a crash",
+            "a keyed request that runs again after a crash",
             KEYED,
             All,
             vec![
@@ -352,7 +365,7 @@
                 (6.0, started(1)),
                 (10.0, Observation::NodeKilled { node: 0 }),
                 (10.0, Observation::Cancelled { attempt_id: 1 }),
-                (11.0, cut(false)),
+                (11.0, connection_lost(false)),
                 (50.0, sent(1)),
                 (55.0, received(2, 1, 0, 55.0)),
                 (56.0, started(2)),
@@ -362,20 +375,20 @@
             &["repeat", "ran-again"],
         ),
         (
-            "a key that is never answered",
+            "a keyed request without any response",
             KEYED,
             All,
-            vec![(0.0, sent(0)), (10.0, Observation::NodeKilled { node: 0 }), (11.0, cut(false))],
+            vec![(0.0, sent(0)), (10.0, Observation::NodeKilled { node: 0 }), (11.0, connection_lost(false))],
             &["no-final"],
         ),
         (
-            "a key that is sent after the answer to another try",
+            "a keyed request dispatched after the response to another client attempt",
             KEYED,
             All,
             vec![
                 (0.0, sent(0)),
                 (10.0, Observation::NodeKilled { node: 0 }),
-                (11.0, cut(false)),
+                (11.0, connection_lost(false)),
                 (50.0, sent(1)),
                 (60.0, answered(1, 502)),
                 (300.0, received(1, 0, 0, 300.0)),
@@ -383,21 +396,22 @@
             ],
             &["sent-after-final"],
         ),
-        ("a cold one within its budget", RENDER, All, cold(2), &[]),
-        ("a cold one pushed over", RENDER, All, cold(3), &["pushed-over"]),
+        ("slow start within the warm-up budget", RENDER, All, slow_start(2), &[]),
+        ("slow start above the warm-up budget", RENDER, All, slow_start(3), &["pushed-over"]),
     ];
-    for (what, class, scope, seen, expected) in cases {
-        let verdict = judge(&facts(class, scope), &seen);
+    for (case, class, scope, events, expected) in cases {
+        let verdict = judge(&facts(class, scope), &events);
         let mut found: Vec<&str> = verdict.violations.iter().map(|violation| violation.kind.name()).collect();
-        found.retain(|name| !(what.starts_with("a cold one") && *name == "two-out"));
+        // The attempts of a slow start belong to one client attempt, so they overlap as well.
+        found.retain(|name| !(case.starts_with("slow start") && *name == "two-out"));
         found.dedup();
-        assert_eq!(found, expected, "{what}: {:#?}", verdict.violations);
+        assert_eq!(found, expected, "{case}: {:#?}", verdict.violations);
     }
 }
 
 #[test]
-fn service_counts_from_the_first_try_and_leaves_out_who_left() {
-    let seen = |at: f64| {
+fn service_is_measured_from_the_due_time_and_excludes_disconnected_clients() {
+    let retried = |at: f64| {
         vec![
             (0.0, sent(0)),
             (5.0, answered(0, 503)),
@@ -408,21 +422,21 @@
         ]
     };
     for (at, in_time, service) in [(400.0, 1, 1.0), (501.0, 0, 0.0)] {
-        let verdict = judge(&facts(RENDER, DeduplicationScope::All), &seen(at));
+        let verdict = judge(&facts(RENDER, DeduplicationScope::All), &retried(at));
         assert_eq!(
             (verdict.all.in_time, verdict.service, verdict.all.client_attempts),
             (in_time, service, 2)
         );
     }
-    let left = judge(
+    let disconnected = judge(
         &facts(RENDER, DeduplicationScope::All),
         &[(0.0, sent(0)), (1.0, Observation::ClientDisconnected { id: id(0) })],
     );
-    assert_eq!((left.all.abandoned, left.service), (1, 1.0));
+    assert_eq!((disconnected.all.abandoned, disconnected.service), (1, 1.0));
 }
 
 #[test]
-fn a_violation_serializes_under_the_report_s_keys() {
+fn verdicts_serialize_under_the_keys_of_the_json_report() {
     let verdict = judge(&facts(RENDER, DeduplicationScope::All), &[(0.0, sent(0))]);
     let expected = concat!(
         r#"[{"rule":1,"name":"no-answer","at":2050.0,"#,
--- a/crates/rehearsal/tests/scenario.rs
+++ b/crates/rehearsal/tests/scenario.rs
@@ -1,9 +1,11 @@
-//! Scenario files that cannot be used, and plans that must not differ.
+//! Scenario files and plans. Guards against invalid files that are accepted or reported at the wrong line, and against
+//! plans that depend on more than the scenario and the seed.
 use std::time::Duration;
 use troutknot_rehearsal::plan::{Plan, Step, format_request_id, parse_request_id};
-use troutknot_rehearsal::scenario::Scenario;
+use troutknot_rehearsal::scenario::{Diagnostic, Scenario};
 
-const GOOD: &str = r#"name = "good"
+/// A valid scenario; the cases of the tests change single lines of it.
+const VALID: &str = r#"name = "valid"
 length = "10s"
 [nodes]
 count = 2
@@ -35,9 +37,9 @@
 "#;
 
 #[test]
-fn files_with_faults_are_refused_with_every_line_and_what_is_allowed() {
-    assert!(Scenario::parse(GOOD, "f").is_ok());
-    // What is replaced by what, and the faults that follow: line and a part of the text.
+fn each_error_of_a_file_is_reported_with_its_line_and_the_allowed_values() {
+    assert!(Scenario::parse(VALID, "f").is_ok());
+    // A text, its replacement, and the expected errors: their line and a part of the message.
     type Case = (&'static str, &'static str, &'static [(usize, &'static str)]);
     let cases: &[Case] = &[
         ("length = \"10s\"", "length = \"10 parsecs\"", &[(2, "parsecs")]),
@@ -66,84 +68,92 @@
         ("group = \"box\"", "node = 7\ngroup = \"box\"", &[(28, "takes no `node`"), (28, "under 2")]),
         ("every = \"1s\"\n", "", &[(25, "needs `every`")]),
         ("[traffic]", "[trafic]", &[(16, "unknown field `trafic`")]),
-        ("name = \"good\"", "name = good", &[(1, "")]),
+        ("name = \"valid\"", "name = valid", &[(1, "")]),
     ];
-    let mut wrong = Vec::new();
+    let mut mismatches = Vec::new();
     for (from, to, expected) in cases {
-        let text = GOOD.replacen(from, to, 1);
-        let faults = Scenario::parse(&text, "f").expect_err(to).entries;
-        let fits = |(fault, (line, part)): (&troutknot_rehearsal::scenario::Diagnostic, &(usize, &str))| {
-            fault.line == *line && fault.message.contains(part)
+        let text = VALID.replacen(from, to, 1);
+        let entries = Scenario::parse(&text, "f").expect_err(to).entries;
+        let is_expected = |(entry, (line, part)): (&Diagnostic, &(usize, &str))| {
+            entry.line == *line && entry.message.contains(part)
         };
-        let fit = faults.len() == expected.len() && faults.iter().zip(*expected).all(fits);
-        if !fit {
-            wrong.push(format!("{to}: {faults:?}"));
+        let matches = entries.len() == expected.len() && entries.iter().zip(*expected).all(is_expected);
+        if !matches {
+            mismatches.push(format!("{to}: {entries:?}"));
         }
     }
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
-    let both = GOOD.replace("slots = 2", "slots = 0").replace("to = \"2s\"", "to = \"99s\"");
-    assert_eq!(Scenario::parse(&both, "f").unwrap_err().to_string().lines().count(), 3, "all at once");
+    assert!(mismatches.is_empty(), "{}", mismatches.join("\n"));
+    let two_changes = VALID.replace("slots = 2", "slots = 0").replace("to = \"2s\"", "to = \"99s\"");
+    assert_eq!(
+        Scenario::parse(&two_changes, "f").unwrap_err().to_string().lines().count(),
+        3,
+        "all errors at once"
+    );
 }
 
 #[test]
-fn the_shipped_scenarios_are_good() {
+fn all_scenario_files_of_the_repository_are_valid() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios");
     let mut count = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.ends_with("scenarios/scale") {
-            // Scale files, which are no scenarios; `crates/scale/tests/file.rs` reads each of them.
+            // The folder of scale files, which `crates/scale/tests/file.rs` reads.
             continue;
         }
         let text = std::fs::read_to_string(&path).unwrap();
-        Scenario::parse(&text, &path.display().to_string()).unwrap_or_else(|faults| panic!("{faults}"));
+        Scenario::parse(&text, &path.display().to_string()).unwrap_or_else(|errors| panic!("{errors}"));
         count += 1;
     }
     assert!(count >= 7);
 }
 
 #[test]
-fn the_same_seed_gives_the_same_plan_and_another_one_another() {
-    let scenario = Scenario::parse(GOOD, "f").unwrap();
-    let [a, b, c] = [1, 1, 2].map(|seed| Plan::generate(&scenario, seed));
-    assert_eq!((a.hash(), &a.requests, &a.steps), (b.hash(), &b.requests, &b.steps));
-    assert_ne!(a.hash(), c.hash());
+fn plans_are_equal_for_equal_seeds_and_differ_for_others() {
+    let scenario = Scenario::parse(VALID, "f").unwrap();
+    let [first, same, other] = [1, 1, 2].map(|seed| Plan::generate(&scenario, seed));
+    assert_eq!((first.hash(), &first.requests, &first.steps), (same.hash(), &same.requests, &same.steps));
+    assert_ne!(first.hash(), other.hash());
     let expected = scenario.expected_requests();
-    assert!((a.requests.len() as f64 / expected - 1.0).abs() < 0.1, "{} of {expected}", a.requests.len());
+    assert!(
+        (first.requests.len() as f64 / expected - 1.0).abs() < 0.1,
+        "{} of {expected}",
+        first.requests.len()
+    );
     assert_eq!(scenario.load_factor(Duration::from_secs(3)), 2.0);
-    let joins = a.steps.iter().filter(|(_, step)| matches!(step, Step::Join { .. })).count();
-    assert_eq!((joins, a.executors.len()), (4, 8), "each has a successor");
-    let slowed = a.steps.iter().filter(|(_, step)| matches!(step, Step::FaultBegins { .. })).count();
-    assert_eq!(slowed, 2, "half of four");
+    let joins = first.steps.iter().filter(|(_, step)| matches!(step, Step::Join { .. })).count();
+    assert_eq!((joins, first.executors.len()), (4, 8), "each executor has a replacement");
+    let slow = first.steps.iter().filter(|(_, step)| matches!(step, Step::FaultBegins { .. })).count();
+    assert_eq!(slow, 2, "half of four executors");
 }
 
 #[test]
-fn ids_that_are_not_of_the_seed_mean_nothing() {
+fn request_ids_of_other_seeds_and_malformed_ids_are_not_parsed() {
     assert_eq!(parse_request_id(7, &format_request_id(7, 123, 2)), Some((123, 2)));
-    for odd in [
+    for id in [
         format_request_id(8, 123, 2),
         "feedfeedfeedfeed".into(),
         "0000".into(),
         "00000700000\u{e9}b02".into(),
     ] {
-        assert_eq!(parse_request_id(7, &odd), None, "{odd}");
+        assert_eq!(parse_request_id(7, &id), None, "{id}");
     }
 }
 
 #[test]
-fn discovery_by_consul_takes_its_own_troubles_only() {
-    let trouble = "[[events]]\nwhat = \"trouble-discovery\"\nhow = \"silent\"\nlasts = \"1s\"\nat = \"1s\"\n";
-    let consul = GOOD.replace("[traffic]", "[discovery]\nsource = \"consul\"\n[traffic]");
-    assert!(Scenario::parse(&format!("{consul}{trouble}"), "f").is_ok());
+fn discovery_events_are_accepted_only_for_their_source() {
+    let event = "[[events]]\nwhat = \"trouble-discovery\"\nhow = \"silent\"\nlasts = \"1s\"\nat = \"1s\"\n";
+    let consul = VALID.replace("[traffic]", "[discovery]\nsource = \"consul\"\n[traffic]");
+    assert!(Scenario::parse(&format!("{consul}{event}"), "f").is_ok());
     for (text, part) in [
-        (format!("{GOOD}{trouble}"), "not for discovery by Platform"),
+        (format!("{VALID}{event}"), "not for discovery by Platform"),
         (
             format!("{consul}[[events]]\nwhat = \"reread-nodes\"\nat = \"1s\"\n"),
             "not for discovery by Consul",
         ),
-        (format!("{consul}{}", trouble.replace("silent", "loud")), "unknown variant `loud`, expected one of"),
+        (format!("{consul}{}", event.replace("silent", "loud")), "unknown variant `loud`, expected one of"),
     ] {
-        let faults = Scenario::parse(&text, "f").unwrap_err().to_string();
-        assert!(faults.contains(part), "{faults}");
+        let errors = Scenario::parse(&text, "f").unwrap_err().to_string();
+        assert!(errors.contains(part), "{errors}");
     }
 }
--- a/crates/rehearsal/tests/unit/fingerprint.rs
+++ b/crates/rehearsal/tests/unit/fingerprint.rs
@@ -1,10 +1,10 @@
-//! The text that a plan's hash is taken of, as it was before the types in this crate were renamed.
+//! The hashed text of a plan. Guards against renamed types that change the hash by which reports name a plan.
 use super::*;
 use crate::scenario::DiscoveryFault;
 use troutknot_emulator::Fault;
 
 #[test]
-fn each_step_keeps_its_hashed_text() {
+fn the_hashed_text_of_each_step_is_stable() {
     let slow = Fault::Slow { factor: 2.0 };
     let texts = [
         (
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn each_fault_keeps_its_hashed_text() {
+fn the_hashed_text_of_each_fault_is_stable() {
     let texts = [
         (Fault::Slow { factor: 2.0 }, "Slow { factor: 2.0 }"),
         (Fault::Pause, "Pause"),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_machine_keeps_its_hashed_text() {
+fn the_hashed_text_of_a_machine_is_stable() {
     let overload_limit = Some(OverloadLimit { multiple: 2.0, window: 100.0 });
     let slow_start = SlowStart { initial_capacity: 0.25, ramp: Ramp::Work(1000.0), overload_limit };
     let machine = Machine {
