--- a/crates/rehearsal/src/referee/facts.rs
+++ b/crates/rehearsal/src/referee/facts.rs
@@ -60,9 +60,9 @@
     pub name: String,
     /// Its simulated hardware.
     pub machine: Machine,
-    /// Zone; see [`RepeatScope::Place`].
+    /// Zone; see [`DeduplicationScope::Zone`].
     pub zone: u32,
-    /// Deduplication group; see [`RepeatScope::Group`].
+    /// Deduplication group; see [`DeduplicationScope::Group`].
     pub deduplication_group: u32,
     /// Whether its first start has a slow start, as every restart has.
     pub slow_start: bool,
--- a/crates/rehearsal/tests/mutants.rs
+++ b/crates/rehearsal/tests/mutants.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Defect {
     /// A node that keeps all rules.
-    NoDefect,
+    Conforming,
     RespondsLate,
     NeverResponds,
     ResetsConnections,
@@ -530,7 +530,7 @@
 fn each_defect_of_a_node_is_reported_as_its_violations_only() {
     use Defect::*;
     let operator_cases: &[(Defect, &[(u8, &str)])] = &[
-        (NoDefect, &[]),
+        (Conforming, &[]),
         (IgnoresSuspensions, &[(3, "sent-to-banned")]),
         (LosesSuspensionsOnHotRestart, &[(3, "sent-to-banned")]),
         (DropsUnreadRequests, &[(1, "ended-at-the-door")]),
@@ -539,7 +539,7 @@
         (FailsAdminCalls, &[(3, "call-failed")]),
     ];
     let deployment_cases: &[(Defect, &[(u8, &str)])] = &[
-        (NoDefect, &[]),
+        (Conforming, &[]),
         (RespondsLate, &[(1, "late-answer")]),
         (NeverResponds, &[(1, "no-answer")]),
         (ResetsConnections, &[(1, "lost")]),
