--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::{self, RecvTimeoutError};
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
-use troutknot_rehearsal::nodes::Program;
+use troutknot_rehearsal::node_process::NodeProgram;
 use troutknot_rehearsal::run::{Progress, Report, rehearse};
 use troutknot_rehearsal::scenario::{Scenario, millis};
 
@@ -81,12 +81,12 @@
         Ok(Arc::new(scenario))
     }
 
-    fn program(&self) -> Result<Program, ExitStatus> {
+    fn program(&self) -> Result<NodeProgram, ExitStatus> {
         if let Some(path) = &self.node {
-            return Ok(Program { path: path.clone(), args: Vec::new() });
+            return Ok(NodeProgram { path: path.clone(), args: Vec::new() });
         }
         match std::env::current_exe() {
-            Ok(path) => Ok(Program { path, args: vec!["node".into()] }),
+            Ok(path) => Ok(NodeProgram { path, args: vec!["node".into()] }),
             Err(error) => Err(ExitStatus::Machine.report(format!("cannot find this program: {error}"))),
         }
     }
@@ -166,8 +166,8 @@
 }
 
 fn draw(bar: &ProgressBar, progress: &Progress, length_ms: u64) {
-    let at_ms = progress.at_ms.load(Ordering::Relaxed);
-    let finished = progress.over.load(Ordering::Relaxed);
+    let at_ms = progress.elapsed_ms.load(Ordering::Relaxed);
+    let finished = progress.ended_requests.load(Ordering::Relaxed);
     bar.set_position(at_ms as u64);
     bar.set_message(format!(
         "{:.0} of {:.0} s, {finished} finished",
@@ -177,12 +177,12 @@
 }
 
 fn exit_status(report: &Report) -> ExitStatus {
-    if !report.carried() {
+    if !report.is_on_schedule() {
         let (clients, executors) = (report.clients_late_p99_ms, report.executors_late_p99_ms);
         return ExitStatus::Machine.report(format!(
             "the machine was too slow for the scenario: at p99, clients were {clients:.0} ms late and executors \
              {executors:.0} ms"
         ));
     }
-    if report.holds() { ExitStatus::Passed } else { ExitStatus::Violated }
+    if report.has_passed() { ExitStatus::Passed } else { ExitStatus::Violated }
 }
--- a/crates/scale/src/campaign.rs
+++ b/crates/scale/src/campaign.rs
@@ -168,13 +168,13 @@
         slots: (file.fleet.slots as usize).max(1),
         queue_capacity: file.fleet.queue_capacity,
         mean_service_time: file.requests.mean_service_time,
-        max_notification_delay: file.rules.told_at_latest,
+        max_notification_delay: file.rules.notification_timeout,
         drain_grace: file.rules.drain_grace,
         slack: file.rules.slack,
-        initial_capacity: file.rules.cold_share,
-        ramp_duration: file.rules.ramp,
-        budget_multiple: file.rules.fall_multiple,
-        budget_window: file.rules.fall_window,
+        initial_capacity: file.rules.initial_capacity,
+        ramp_duration: file.rules.ramp_duration,
+        budget_multiple: file.rules.budget_multiple,
+        budget_window: file.rules.budget_window,
     }
 }
 
--- a/crates/scale/src/fault_plan.rs
+++ b/crates/scale/src/fault_plan.rs
@@ -73,7 +73,7 @@
     pub fn from_file(file: &ScaleFile) -> Self {
         let real_nodes = file.real_nodes.count;
         let nodes = real_nodes + file.hollow_nodes.count;
-        let recovery_time = file.rules.drain_grace + file.requests.deadline + file.rules.ramp;
+        let recovery_time = file.rules.drain_grace + file.requests.deadline + file.rules.ramp_duration;
         PlanScope { executors: file.largest_fleet(), nodes, real_nodes, recovery_time }
     }
 }
--- a/crates/scale/src/file/read.rs
+++ b/crates/scale/src/file/read.rs
@@ -2,17 +2,17 @@
 use super::ScaleFile;
 use std::ops::Range;
 use toml::de::{DeTable, DeValue};
-use troutknot_rehearsal::faults::{Fault, line_at};
+use troutknot_rehearsal::diagnostics::{Diagnostic, line_at};
 
 /// Upper limit of the reported errors of one file; more are of no use, since such a file is hardly a scale file.
 const MAX_FAULTS: usize = 200;
 
 /// Parses a scale file. Each statement that cannot be read is reported and blanked out, so that the errors after it are
 /// found too. Text that is not valid TOML gives its syntax errors only.
-pub(super) fn parse_with_recovery(text: &str) -> (Option<ScaleFile>, Vec<Fault>) {
+pub(super) fn parse_with_recovery(text: &str) -> (Option<ScaleFile>, Vec<Diagnostic>) {
     let (_, syntax_errors) = DeTable::parse_recoverable(text);
     if !syntax_errors.is_empty() {
-        return (None, syntax_errors.iter().map(|error| Fault::of_toml(error, text)).collect());
+        return (None, syntax_errors.iter().map(|error| Diagnostic::from_toml(error, text)).collect());
     }
     let mut remaining = text.to_string();
     let mut faults = Vec::new();
@@ -21,7 +21,7 @@
             Ok(scale) => return (Some(scale), faults),
             Err(error) => error,
         };
-        faults.push(Fault::of_toml(&error, &remaining));
+        faults.push(Diagnostic::from_toml(&error, &remaining));
         let Some(statement) = error.span().and_then(|span| statement_at(&remaining, span.start)) else {
             break;
         };
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -18,7 +18,7 @@
 use troutknot::{Dispatcher, Millis, Settings};
 use troutknot_rehearsal::plan::Plan;
 use troutknot_rehearsal::referee::{self, Verdict};
-use troutknot_rehearsal::run::facts;
+use troutknot_rehearsal::run::build_facts;
 use troutknot_rehearsal::scenario::Scenario;
 use world::World;
 
@@ -100,14 +100,14 @@
     if scenario.durable.is_some() {
         return Err(SimulationError::DurableRequests);
     }
-    if scenario.is_operated() {
+    if scenario.has_operator_events() {
         return Err(SimulationError::OperatorActions);
     }
     let plan = Plan::generate(scenario, seed);
     let mut world = World::new(scenario, &plan, create_module).map_err(SimulationError::Settings)?;
     world.run();
     let (observations, counts) = world.finish();
-    let verdict = referee::judge(&facts(scenario, &plan, world::PLAN_START), &observations);
+    let verdict = referee::judge(&build_facts(scenario, &plan, world::PLAN_START), &observations);
     Ok(Report {
         scenario: scenario.name.clone(),
         seed,
@@ -115,7 +115,7 @@
         nodes: scenario.nodes.count,
         executors: plan.executors.len(),
         length_s: plan.length / 1000.0,
-        expected_service: scenario.expect.service,
+        expected_service: scenario.expect.min_service,
         verdict,
         events: counts.events,
         decisions: counts.decisions,
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -82,7 +82,7 @@
         self.entries.push((listed, self.listed_start(executor)));
         self.current_entries[executor] = Some(entry);
         let discovery = &self.scenario.discovery;
-        let (min_delay, max_delay) = (millis(discovery.notice_least), millis(discovery.notice_most));
+        let (min_delay, max_delay) = (millis(discovery.min_notice_delay), millis(discovery.max_notice_delay));
         for node in 0..self.nodes.len() as u32 {
             let delay = min_delay + (max_delay - min_delay) * self.rng.random::<f64>();
             let received = WorldEvent::EntryReceived { node, executor: executor as u32, entry };
--- a/crates/simulation/src/world/executors.rs
+++ b/crates/simulation/src/world/executors.rs
@@ -60,7 +60,7 @@
         if !open.is_client_waiting || sender.send_stops_at[executor] <= self.now {
             return self.queue.schedule(self.now, ended(Outcome::NotSent));
         }
-        let connect_timeout = millis(self.scenario.nodes.connect_wait);
+        let connect_timeout = millis(self.scenario.nodes.connect_timeout);
         match &self.executors[executor] {
             Some(process) if process.is_silent() => {
                 return self.queue.schedule(self.now + connect_timeout, ended(Outcome::NoConnection));
@@ -91,7 +91,7 @@
             slots: class.slots,
             memory: class.memory,
             work: planned.work,
-            priority: class.credit,
+            priority: class.value,
         };
         let id = self.client_request_id(request, client_attempt);
         let observed_id = attempt.key;
@@ -192,7 +192,7 @@
     /// Handles a probe at its executor, which replies if it can.
     pub(super) fn receive_probe(&mut self, node: u32, incarnation: u32, executor: ExecutorId) {
         let Some(index) = self.nodes[node as usize].executor_ids.index(executor) else { return };
-        let connect_timeout = millis(self.scenario.nodes.connect_wait);
+        let connect_timeout = millis(self.scenario.nodes.connect_timeout);
         let Some(process) = &mut self.executors[index] else { return };
         let (delay, is_answered, report) = if process.is_down() {
             (NETWORK_LATENCY, false, LoadReport::default())
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -170,7 +170,7 @@
     pub(super) fn receive_request(&mut self, node: usize, request: u32, client_attempt: u32) {
         let planned = &self.plan.requests[request as usize];
         let class = self.request_classes[planned.request_class];
-        let timeout = millis(class.hard_limit);
+        let timeout = millis(class.deadline);
         let time_left = timeout - DEADLINE_MARGIN.min(timeout * MAX_DEADLINE_MARGIN_SHARE);
         let request_id = RequestId(self.nodes[node].next_request_id);
         self.nodes[node].next_request_id += 1;
@@ -260,7 +260,7 @@
                 self.lose_client_connection(open.request, open.client_attempt);
             }
         }
-        let detected_at = self.now + millis(self.scenario.front.notices_after);
+        let detected_at = self.now + millis(self.scenario.front.detection_delay);
         let checked = WorldEvent::HealthChecked { node: node as u32, is_accepting: false };
         self.queue.schedule(detected_at, checked);
     }
--- a/crates/simulation/tests/simulate.rs
+++ b/crates/simulation/tests/simulate.rs
@@ -109,7 +109,7 @@
         let mut scenario = scenario(name);
         if defect == Defect::IgnoresSlowStart {
             // Executors in slow start fail at a lower load: 0.4 instead of the scenario's multiple.
-            scenario.rules.fall_multiple = 0.4;
+            scenario.rules.budget_multiple = 0.4;
             assert!(
                 simulate(&scenario, scenario.seed).unwrap().verdict.violations.is_empty(),
                 "a node without a defect"
