--- a/crates/emulator/src/executors.rs
+++ b/crates/emulator/src/executors.rs
@@ -313,14 +313,14 @@
         }
     }
 
-    /// Answers a fence query about an attempt that the node recorded `age` ago. An attempt that has not started yet never
-    /// starts from now on.
+    /// Answers a fence query about an attempt that the node recorded `age` ago. An attempt that has not started yet
+    /// never starts from now on.
     fn answer_fence_query(&self, id: &str, fence: u64, age: Millis) -> serde_json::Value {
         let mut fences = self.fences.borrow_mut();
         let fence_record = fences.entry(id.to_string()).or_default();
         fence_record.highest = fence_record.highest.max(fence);
         let waiting = match &fence_record.accepted {
-            Some((number, FencedState::Waiting(key))) if *number <= fence => Some(*key),
+            Some((accepted, FencedState::Waiting(key))) if *accepted <= fence => Some(*key),
             _ => None,
         };
         if let Some(key) = waiting {
@@ -337,7 +337,7 @@
             // The process may have accepted it before its last restart.
             None if self.now() - self.started_at() < age => json!({"state": "unknown"}),
             None => json!({"state": "never"}),
-            Some((number, _)) if *number > fence => json!({"state": "lost"}),
+            Some((accepted, _)) if *accepted > fence => json!({"state": "lost"}),
             Some((_, FencedState::Waiting(_) | FencedState::Running)) => json!({"state": "running"}),
             Some((_, FencedState::Done(result))) => json!({"state": "done", "result": result}),
             Some((_, FencedState::Lost)) => json!({"state": "lost"}),
@@ -369,7 +369,8 @@
                 match wire::listen(self.addr) {
                     Ok(reopened) => listener = Some(reopened),
                     Err(_) => {
-                        // The port can be in use for a moment after a restart; without a retry it would never listen again.
+                        // The port can be in use for a moment after a restart; without a retry it would never
+                        // listen again.
                         tokio::time::sleep(Duration::from_millis(20)).await;
                         continue;
                     }
@@ -412,9 +413,9 @@
             connections.retain(|connection| connection.strong_count() > 0);
             connections.push(Rc::downgrade(&connection));
         }
-        let (host, own) = (self.clone(), connection.clone());
+        let (host, handler_connection) = (self.clone(), connection.clone());
         let serving = wire::serve(stream, self.gate.clone(), connection.clone(), move |request| {
-            let (host, connection) = (host.clone(), own.clone());
+            let (host, connection) = (host.clone(), handler_connection.clone());
             async move { host.answer(request, connection).await }
         });
         tokio::pin!(serving);
@@ -425,8 +426,9 @@
                 // While the gate is closed, hyper does not notice that the peer has closed the connection.
                 () = connection.peer_closed(), if !is_closed => {
                     is_closed = true;
-                    let is_on_it = |open: &(&AttemptKey, &OpenAttempt)| Rc::ptr_eq(&open.1.connection, &connection);
-                    let keys: Vec<AttemptKey> = self.open_attempts.borrow().iter().filter(is_on_it).map(|(key, _)| *key).collect();
+                    let is_affected = |open: &(&AttemptKey, &OpenAttempt)| Rc::ptr_eq(&open.1.connection, &connection);
+                    let keys: Vec<AttemptKey> =
+                        self.open_attempts.borrow().iter().filter(is_affected).map(|(key, _)| *key).collect();
                     for key in keys {
                         self.open_attempts.borrow_mut().remove(&key);
                         self.cancel_attempt(key);
@@ -557,12 +559,12 @@
                 return std::future::pending().await;
             }
         }
-        let (host, own) = (Rc::downgrade(&self), key);
+        let host = Rc::downgrade(&self);
         let on_drop = move || {
             if let Some(host) = host.upgrade()
-                && host.open_attempts.borrow_mut().remove(&own).is_some()
+                && host.open_attempts.borrow_mut().remove(&key).is_some()
             {
-                host.cancel_attempt(own);
+                host.cancel_attempt(key);
             }
         };
         let (sender, body) = StreamedBody::new(Some(Box::new(on_drop)));
--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -12,12 +12,12 @@
 use rand_distr::{Distribution, Pareto, StandardNormal};
 use std::collections::{HashMap, VecDeque};
 
-/// How often the rate is recomputed during the slow start.
+/// Interval at which the rate is recomputed during the slow start.
 const RAMP_STEP: Millis = 50.0;
 /// Tolerance of comparisons, in milliseconds, units of work or slots. Without it, the time to the end of an attempt can
-/// be too small to change a time in double precision.
+/// be too short to change `now` in double precision, so that the attempt would never end.
 const TOLERANCE: f64 = 1e-7;
-/// The checkpoints are discarded once there are this many.
+/// All checkpoints are discarded once there are this many.
 const MAX_CHECKPOINTS: usize = 4096;
 
 /// Identifies an attempt at one executor; a key is never reused.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Admission {
     Accepted,
-    /// The queue is full; it was not executed.
+    /// The queue is full, or the attempt is larger than the machine; it was not executed.
     Rejected,
     Error,
     /// The machine is down.
@@ -77,7 +77,7 @@
         outcome: AttemptOutcome,
     },
     /// The executor went down: `sent` is the work dispatched to it within the window of its overload limit, `limit` the
-    /// work that it could take.
+    /// work above which it goes down.
     Overloaded {
         sent: Millis,
         limit: Millis,
@@ -121,7 +121,7 @@
     state: ProcessState,
     started_at: Millis,
     is_draining: bool,
-    /// The active faults: number, begin and fault.
+    /// The active faults: number, begin time and fault.
     faults: Vec<(u64, Millis, Fault)>,
     /// Work done for each slot in use since the model was created.
     progress: f64,
@@ -364,7 +364,8 @@
         load
     }
 
-    /// Begins to drain: running attempts continue, and queued ones are returned if the machine does so.
+    /// Begins to drain: running attempts continue, and queued ones are returned if
+    /// [`Machine::returns_queue_on_drain`] is set.
     pub fn drain(&mut self, now: Millis) {
         self.advance(now);
         self.is_draining = true;
--- a/crates/emulator/src/observations.rs
+++ b/crates/emulator/src/observations.rs
@@ -121,7 +121,7 @@
         node: NodeNumber,
         status: Option<u16>,
     },
-    /// Requests admitted from some time after now on may be dispatched `max_attempts` times.
+    /// Requests that nodes admit from some time after this observation on may be dispatched up to `max_attempts` times.
     MaxAttemptsChanged {
         max_attempts: u32,
     },
--- a/crates/emulator/src/scripted.rs
+++ b/crates/emulator/src/scripted.rs
@@ -77,9 +77,9 @@
             loop {
                 let Ok((stream, _)) = listener.accept().await else { continue };
                 let (connection, answer) = (Rc::new(ConnectionHandle::default()), answer.clone());
-                let own = connection.clone();
+                let handler_connection = connection.clone();
                 spawn_local(wire::serve(stream, Rc::default(), connection, move |request| {
-                    answer(request, own.clone())
+                    answer(request, handler_connection.clone())
                 }));
             }
         });
@@ -314,6 +314,7 @@
                     let send_lines = async {
                         let mut pending_lines = pending_lines.lock().await;
                         loop {
+                            // Blank lines keep the watch alive while the test sends nothing.
                             let text = tokio::select! {
                                 text = pending_lines.recv() => text.unwrap_or_default(),
                                 () = sleep(Duration::from_millis(500)) => "\n".into(),
@@ -338,8 +339,8 @@
     }
 }
 
-/// Listens with a given backlog and receive buffer size in bytes.
-fn raw_listener(backlog: i32, receive_buffer_bytes: Option<usize>) -> (TcpListener, SocketAddr) {
+/// Listens on a free port with a given backlog, and a receive buffer of a given size if there is one.
+fn open_listener(backlog: i32, receive_buffer_bytes: Option<usize>) -> (TcpListener, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     if let Some(bytes) = receive_buffer_bytes {
         socket.set_recv_buffer_size(bytes).expect("a size");
@@ -362,18 +363,18 @@
     Some(request_line)
 }
 
-/// An executor whose backlog is full: it answers the first probe, and then establishes no further connection, so that the
-/// connection of an attempt stays pending, until the test sends to `resume`.
+/// An executor whose backlog is full: it answers the first probe, and then establishes no further connection, so that
+/// the connection of an attempt stays pending, until the test sends to `resume`.
 pub struct FullBacklogExecutor {
     pub addr: SocketAddr,
     pub resume: mpsc::Sender<()>,
-    /// The bytes received on all connections after that.
+    /// The bytes received on all connections in the 4 s after the message to `resume`.
     pub received: thread::JoinHandle<Vec<u8>>,
 }
 
 impl FullBacklogExecutor {
     pub fn start() -> Self {
-        let (listener, addr) = raw_listener(0, None);
+        let (listener, addr) = open_listener(0, None);
         let (resume, resumed) = mpsc::channel();
         let received = thread::spawn(move || {
             let (probe, _) = listener.accept().expect("a connection");
@@ -409,13 +410,13 @@
     /// One message per attempt whose head was received.
     pub heads: mpsc::Receiver<()>,
     pub resume: mpsc::Sender<()>,
-    /// The number of bytes received after that, up to the end of the connection.
+    /// The number of bytes received after the head and the message to `resume`, up to the end of the connection.
     pub remaining_bytes: mpsc::Receiver<usize>,
 }
 
 impl SlowReadingExecutor {
     pub fn start() -> Self {
-        let (listener, addr) = raw_listener(16, Some(4096));
+        let (listener, addr) = open_listener(16, Some(4096));
         let ((head_sender, heads), (resume, resumed), (count_sender, remaining_bytes)) =
             (mpsc::channel(), mpsc::channel(), mpsc::channel());
         thread::spawn(move || {
--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/wire.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// The bytes of a connection that are buffered while its gate is closed.
+/// A connection whose gate is closed is not read any further once this many bytes are buffered.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
 /// Controls the traffic of a group of connections. While it is closed, the connections stay open without any traffic.
@@ -50,7 +50,7 @@
     }
 }
 
-/// How stream side ends a connection.
+/// How this side ends a connection.
 #[derive(Clone, Debug)]
 pub enum Abort {
     /// With a TCP reset.
@@ -110,7 +110,7 @@
 }
 
 impl GatedStream {
-    /// Reads from the socket, and notes the first byte and the end of the stream.
+    /// Reads from the socket, and records when the first byte of a request arrived and that the peer closed its side.
     fn poll_socket(&mut self, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
