--- a/crates/consul/src/catalog/entry.rs
+++ b/crates/consul/src/catalog/entry.rs
@@ -30,7 +30,7 @@
 /// One executor of a catalog.
 pub(super) struct CatalogEntry {
     id: String,
-    /// The instance that each watch lists; the first watch takes precedence.
+    /// The instance that each watch lists; the watch with the lowest number takes precedence.
     pub listed_by: BTreeMap<WatchId, Rc<ServiceInstance>>,
     /// The instance as it was last listed.
     instance: Rc<ServiceInstance>,
@@ -212,7 +212,7 @@
         InstanceChange { instance: self.instance.clone(), state, started_at: self.started_at }
     }
 
-    /// Returns when it may be forgotten, or `None` unless it is gone.
+    /// Returns when it may be forgotten, or `None` if it is not gone.
     pub fn forgotten_at(&self, removed_retention: Millis) -> Option<Millis> {
         self.missing_since.filter(|_| self.is_gone()).map(|since| since + removed_retention)
     }
--- a/crates/consul/src/catalog/mod.rs
+++ b/crates/consul/src/catalog/mod.rs
@@ -42,7 +42,7 @@
     pub instance: Rc<ServiceInstance>,
     /// Its state.
     pub state: InstanceState,
-    /// When it started, in Unix time; `None` if it started before it was watched.
+    /// When it started, in Unix time; `None` if this is unknown because it started before it was watched.
     pub started_at: Option<Millis>,
 }
 
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Forgets as many removed executors as listed ones exceed the bound, starting with those removed first.
+    /// Makes room for the listed executors by forgetting removed ones, those that have been missing longest first.
     fn forget_excess(&mut self, listed: &BTreeSet<&str>) {
         let new = listed.iter().filter(|id| !self.entries.contains_key(**id)).count();
         let excess = (self.entries.len() + new).saturating_sub(self.policy.max_executors);
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Returns the number of executors that were listed at the start of the current window.
+    /// Returns the number of executors that were listed at the start of the current window, plus those added since.
     fn listed_at_window_start(&self) -> usize {
         let listed = self.entries.values().filter(|entry| !entry.is_gone() && entry.reported.is_some());
         listed.count() + self.removals.len()
--- a/crates/ledger/src/committer.rs
+++ b/crates/ledger/src/committer.rs
@@ -126,8 +126,8 @@
     /// Opens a ledger, reads its records and starts the thread.
     ///
     /// # Errors
-    /// If the ledger cannot be opened, or if a row is damaged or not valid after those before it. The rows are left
-    /// unchanged.
+    /// If the ledger cannot be opened, if a row is damaged or not valid after those before it, or if the thread cannot
+    /// be started. The rows are left unchanged.
     pub fn start(
         open: OpenStore,
         sync_mode: SyncMode,
@@ -152,8 +152,8 @@
         Ok((Committer { commands: Some(commands), health, started_at, thread, statistics }, ledger))
     }
 
-    /// Queues rows to be written after all rows queued earlier. `callback` is called on the ledger's thread. Rows whose
-    /// commit failed stay queued, although `callback` gets the error.
+    /// Queues rows to be written after all rows queued earlier. `callback` is called with the result of the commit, on
+    /// the ledger's thread. Rows whose commit failed stay queued, although `callback` gets the error.
     pub fn write(&self, rows: Vec<Row>, callback: impl FnOnce(Result<(), CommitError>) + Send + 'static) {
         self.send(Command::Write(rows, Box::new(callback)));
     }
@@ -163,7 +163,7 @@
         self.send(Command::WriteLater(row));
     }
 
-    /// Reads the rows of one request, including queued ones. `callback` is called on the ledger's thread.
+    /// Reads the rows of one request, including queued ones. `callback` is called with them on the ledger's thread.
     pub fn read(
         &self,
         request_id: RequestId,
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Rebuilds a ledger from rows, which must be in order for each request. Stops at the first invalid row, and returns
-    /// its index with the error.
+    /// Rebuilds a ledger from rows, which must be in order for each request. Stops at the first invalid row, and
+    /// returns its index with the error.
     pub fn recover<'a>(
         max_attempts: usize,
         rows: impl IntoIterator<Item = &'a Row>,
@@ -116,7 +116,7 @@
         self.jobs.get(&request_id)
     }
 
-    /// Finds the request to which its client assigned this id.
+    /// Finds the request by the id that its client assigned to it.
     pub fn find_by_client_id(&self, client_id: &str) -> Option<RequestId> {
         self.by_client_id.get(client_id).copied()
     }
