--- a/crates/scale/src/clients.rs
+++ b/crates/scale/src/clients.rs
@@ -14,7 +14,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// How long a response is awaited beyond the deadline, which separates late responses from missing ones.
+/// How long a response is awaited beyond the deadline. A connection whose response arrives within this time is kept
+/// for reuse, although the request counts as late.
 const LATE_RESPONSE_WINDOW: Duration = Duration::from_millis(300);
 /// Delay before a refused connection is retried; a front would try another node meanwhile.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
--- a/crates/scale/src/executor_shard.rs
+++ b/crates/scale/src/executor_shard.rs
@@ -74,7 +74,7 @@
     recent_work: RefCell<VecDeque<(Instant, Duration)>>,
 }
 
-/// Counts one up in a cell until it is dropped.
+/// Increments a count, and decrements it again when it is dropped.
 struct CountGuard<'a>(&'a Cell<usize>);
 
 impl<'a> CountGuard<'a> {
@@ -384,14 +384,14 @@
         connection.write(&last).await
     }
 
-    /// Checks rule 3: an attempt must not arrive after the drain grace.
+    /// Checks rule 3, and records a violation if an attempt arrives after the drain grace.
     fn check_grace(&self, request: RequestId, first_byte_at: Option<Instant>) {
         let Shared { config, counts, departures } = &*self.shared;
         let Some(notified_at) = departures.notified_at(request.node(), self.number) else { return };
         let allowed = notified_at + config.drain_grace + config.slack;
-        let late = first_byte_at.unwrap_or_else(Instant::now).saturating_duration_since(allowed);
-        if !late.is_zero() {
-            let late_ms = late.as_secs_f64() * 1000.0;
+        let lateness = first_byte_at.unwrap_or_else(Instant::now).saturating_duration_since(allowed);
+        if !lateness.is_zero() {
+            let late_ms = lateness.as_secs_f64() * 1000.0;
             counts.record_violation(ExecutorViolation::SentAfterGrace {
                 request,
                 executor: self.number,
@@ -401,7 +401,7 @@
     }
 
     /// Checks rule 4: returns whether an executor that warms up has been sent more work within the budget window than
-    /// its warm-up budget.
+    /// its warm-up budget, and records a violation if so.
     fn exceeds_warm_up_budget(&self, request: RequestId, work: Duration) -> bool {
         let Shared { config, counts, .. } = &*self.shared;
         let Some(started_at) = self.started_at.get() else { return false };
--- a/crates/scale/src/hollow_nodes/dispatcher_node.rs
+++ b/crates/scale/src/hollow_nodes/dispatcher_node.rs
@@ -1,4 +1,4 @@
-//! A hollow node that runs the decision module: it turns events into actions and executes them on real sockets.
+//! A hollow node that passes events to the decision module, and executes the resulting actions on real sockets.
 use super::connections::Pool;
 use super::endpoint_list::{self, EndpointEntry, EndpointList, LineRetention, WatchEnd};
 use super::exchange::{self, Attempt};
@@ -102,7 +102,7 @@
 
     async fn run_loop(mut self, mut inputs: mpsc::UnboundedReceiver<NodeInput>) {
         let mut rate = self.shared.request_rate.clone();
-        let mut arrival =
+        let mut next_request_at =
             Instant::now() + exchange::draw_interarrival_time(&mut self.random, *rate.borrow_and_update());
         let mut actions = Vec::new();
         loop {
@@ -121,16 +121,16 @@
                     self.timer_at = None;
                     self.dispatcher.handle_event(self.clock.now(), Event::TimerFired);
                 }
-                () = sleep_until(arrival) => {
+                () = sleep_until(next_request_at) => {
                     self.start_request();
-                    arrival = Instant::now()
+                    next_request_at = Instant::now()
                         + exchange::draw_interarrival_time(&mut self.random, *rate.borrow());
                 }
                 changed = rate.changed() => {
                     if changed.is_err() {
                         return;
                     }
-                    arrival = Instant::now()
+                    next_request_at = Instant::now()
                         + exchange::draw_interarrival_time(&mut self.random, *rate.borrow_and_update());
                 }
                 Some(_) = self.tasks.join_next() => continue,
@@ -168,8 +168,8 @@
     fn apply_list(&mut self, list: EndpointList) -> Event {
         self.version = Some(list.version);
         let update = if list.is_snapshot { ListUpdate::Snapshot } else { ListUpdate::Delta };
-        let entries = list.entries.iter().map(|entry| self.register(entry)).collect();
-        Event::EndpointsUpdated { update, endpoints: entries }
+        let endpoints = list.entries.iter().map(|entry| self.register(entry)).collect();
+        Event::EndpointsUpdated { update, endpoints }
     }
 
     fn register(&mut self, entry: &EndpointEntry) -> Endpoint {
--- a/crates/scale/src/hollow_nodes/endpoint_list.rs
+++ b/crates/scale/src/hollow_nodes/endpoint_list.rs
@@ -9,8 +9,9 @@
 
 /// Maximum length of a line in bytes; a snapshot of 50,000 executors is shorter.
 const MAX_LINE_BYTES: usize = 32 * 1024 * 1024;
-/// Time without data after which a watch is lost, and time limit for opening one, as in real nodes.
+/// Time without data after which a watch is lost, as in real nodes.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2600);
+/// Upper bound on the time to open a watch, as in real nodes.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(2200);
 
 /// A message of the list: a snapshot or a delta.
--- a/crates/scale/src/hollow_nodes/exchange.rs
+++ b/crates/scale/src/hollow_nodes/exchange.rs
@@ -15,7 +15,8 @@
 use troutknot_configuration::parse_load_report;
 
 const MAX_BODY_BYTES: usize = 64 * 1024;
-const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of a probe, and of a connection attempt if the settings contain none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One attempt at a request.
 pub struct Attempt {
@@ -36,7 +37,7 @@
 /// Creates a connection pool with the limits of the settings.
 pub fn create_pool(settings: &Settings, number: usize, counters: Arc<Counters>) -> Pool {
     let connect_timeout =
-        limit_setting(&settings.node_settings, "connect_timeout").unwrap_or(DEFAULT_CONNECT_TIMEOUT);
+        limit_setting(&settings.node_settings, "connect_timeout").unwrap_or(DEFAULT_TIMEOUT);
     let idle_timeout = limit_setting(&settings.node_settings, "conn_idle").unwrap_or(Duration::from_secs(1));
     Pool::new(
         settings.source_address(number),
@@ -63,6 +64,7 @@
     Duration::from_secs_f64(interarrival_time.min(86_400.0))
 }
 
+/// Draws the work of a request from an exponential distribution, with at most 20 times the mean.
 pub fn draw_work(random: &mut ChaCha8Rng, mean: Duration) -> Duration {
     mean.mul_f64(draw_exponential(random).min(20.0))
 }
@@ -77,7 +79,7 @@
         let body = connection.read_full_body(&mut head, MAX_BODY_BYTES).await?;
         Ok::<_, std::io::Error>((head, body))
     };
-    let (head, body) = timeout(DEFAULT_CONNECT_TIMEOUT, exchange).await.ok()?.ok()?;
+    let (head, body) = timeout(DEFAULT_TIMEOUT, exchange).await.ok()?.ok()?;
     if head.is_reusable {
         pool.release(connection);
     }
@@ -146,7 +148,7 @@
     state: &'a str,
 }
 
-/// Returns the outcome of the attempt, and whether the connection can be reused.
+/// Reads the response to an attempt; returns its outcome, and whether the connection can be reused.
 async fn read_response(
     connection: &mut super::http::Connection,
     id: RequestId,
--- a/crates/scale/src/hollow_nodes/rate_node.rs
+++ b/crates/scale/src/hollow_nodes/rate_node.rs
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Returns the executor of an idle connection, or a random one from the list at the rate at which a real node
-    /// opens connections.
+    /// Returns the executor of an idle connection. As often as a real node opens a new connection, or if none is idle,
+    /// it returns a random ready one instead.
     fn pick_executor(&mut self) -> Option<std::net::SocketAddr> {
         let is_reuse = !self.random.random_bool(self.shared.settings.rates.new_connections.clamp(0.0, 1.0));
         if is_reuse && let Some(connection) = self.pool.take_idle(None) {
