--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -14,7 +14,7 @@
 /// Upper bound on each wait of a test for the node or a scripted peer.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Polls a condition until it holds.
+/// Polls a condition until it holds; panics if it does not within [`WAIT_TIMEOUT`].
 pub fn wait_until(description: &str, mut is_met: impl FnMut() -> bool) {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !is_met() {
@@ -130,7 +130,7 @@
     /// Log lines that [`Node::wait_for_log`] read before those that it returned.
     pub skipped_lines: Mutex<Vec<String>>,
     pub config: Value,
-    pub path: String,
+    pub config_path: String,
 }
 
 impl Node {
@@ -139,7 +139,7 @@
         Node::start_with_limits(discovery, (256, 64), settings(), "info")
     }
 
-    /// As [`Node::start_with_operator_file`], without a cached list and an operator's file.
+    /// As [`Node::start_with_operator_file`], without a cached list or an operator's file.
     pub fn start_with_limits(
         discovery: &Discovery,
         limits: (u64, u64),
@@ -178,7 +178,7 @@
         let lines = BufReader::new(process.stdout.take().unwrap()).lines();
         thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
         let (addr, skipped_lines) = (([127, 0, 0, 1], 0).into(), Mutex::default());
-        let mut node = Node { process, addr, log, skipped_lines, config, path };
+        let mut node = Node { process, addr, log, skipped_lines, config, config_path: path };
         node.addr = parse_address_field(&node.wait_for_log("node listening"));
         node
     }
@@ -221,7 +221,7 @@
 
     /// Replaces the configuration and sends SIGHUP.
     pub fn reload(&self, config: &str) {
-        std::fs::write(&self.path, config).unwrap();
+        std::fs::write(&self.config_path, config).unwrap();
         self.signal("HUP");
     }
 }
@@ -233,7 +233,7 @@
     }
 }
 
-/// Parses the field `address` of a log line.
+/// Parses the field `address` of a log line; panics if the line has none.
 pub fn parse_address_field(line: &str) -> SocketAddr {
     let field = line.split_whitespace().find_map(|field| field.strip_prefix("address="));
     field.expect("the line has an address").parse().unwrap()
--- a/crates/daemon/tests/durable.rs
+++ b/crates/daemon/tests/durable.rs
@@ -312,7 +312,7 @@
     let (_executor, discovery) = start_executor_and_discovery();
     let files = create_durable_files("");
     let node = start_node(&discovery, &files);
-    let mut second = spawn_node_with_operator_file(&node.path, "info", &files.operator_file);
+    let mut second = spawn_node_with_operator_file(&node.config_path, "info", &files.operator_file);
     let mut error = String::new();
     std::io::Read::read_to_string(&mut second.stderr.take().unwrap(), &mut error).unwrap();
     assert!(!second.wait().unwrap().success());
@@ -326,7 +326,7 @@
     for (path, expected) in [("/proc/no/ledger", "No such file"), (files.operator_file.as_str(), "ledger")] {
         let operator_file = format!("{}.bad", files.operator_file);
         std::fs::write(&operator_file, format!("[durable]\npath = \"{path}\"\n")).unwrap();
-        let mut node = spawn_node_with_operator_file(&node.path, "info", &operator_file);
+        let mut node = spawn_node_with_operator_file(&node.config_path, "info", &operator_file);
         let mut error = String::new();
         std::io::Read::read_to_string(&mut node.stderr.take().unwrap(), &mut error).unwrap();
         assert!(!node.wait().unwrap().success() && error.contains(expected), "{error}");
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -45,17 +45,18 @@
         ("publish", &[Returned, Returned, Returned], 3.0, 503, 3),
         ("publish", &[Silent], 0.3, 502, 1),
     ];
-    for (number, (class, acts, timeout, status, attempts)) in cases.iter().enumerate() {
-        executor.actions.lock().unwrap().extend(acts.iter());
+    for (number, (class, actions, timeout, status, attempts)) in cases.iter().enumerate() {
+        executor.actions.lock().unwrap().extend(actions.iter());
         let body = format!("{number}").repeat(20_000);
         let (sent_at, id) = (Instant::now(), format!("{number:016x}"));
         let (actual_status, (_, result)) =
             send_request(&mut connection, build_request(class, &id, *timeout, &body));
-        assert!(sent_at.elapsed().as_secs_f64() < *timeout, "{acts:?}: answered before its timeout");
+        assert!(sent_at.elapsed().as_secs_f64() < *timeout, "{actions:?}: answered before its timeout");
         let received = std::mem::take(&mut *executor.requests.lock().unwrap());
-        assert_eq!((actual_status, received.len()), (*status, *attempts), "{class} {acts:?}");
-        let expected = acts.iter().map(|act| if let Large(size) = act { *size } else { 3 }).next_back();
-        assert_eq!(result.len(), if actual_status == 200 { expected.unwrap() } else { 0 }, "{acts:?}");
+        assert_eq!((actual_status, received.len()), (*status, *attempts), "{class} {actions:?}");
+        let expected =
+            actions.iter().map(|action| if let Large(size) = action { *size } else { 3 }).next_back();
+        assert_eq!(result.len(), if actual_status == 200 { expected.unwrap() } else { 0 }, "{actions:?}");
         for (head, received_body) in received {
             assert!(head.starts_with(&format!("POST /{class}/a?b=c HTTP/1.1\r\n")), "{head}");
             assert_eq!((field(&head, "request-id"), field(&head, "x-other")), (Some(&*id), Some("kept")));
@@ -118,14 +119,14 @@
     assert_eq!((read_response(&mut pipelined).0, read_response(&mut pipelined).0), (200, 200), "pipelined");
     executor.actions.lock().unwrap().push_back(Action::Wait);
     let mut first = node.connect();
-    let before = executor.requests.lock().unwrap().len();
+    let attempts_before = executor.requests.lock().unwrap().len();
     first.get_mut().write_all(build_request("publish", "9", 3.0, "").as_bytes()).unwrap();
-    executor.wait_for_attempts(before + 1);
+    executor.wait_for_attempts(attempts_before + 1);
     assert_eq!(node.send_request(build_request("publish", "9", 3.0, "")).0, 409, "id of an open request");
     executor.resume.send(()).unwrap();
     assert_eq!(read_response(&mut first).0, 200);
     assert_eq!(node.send_request(build_request("publish", "9", 3.0, "")).0, 409, "id of a past request");
-    assert_eq!(executor.requests.lock().unwrap().len(), before + 1);
+    assert_eq!(executor.requests.lock().unwrap().len(), attempts_before + 1);
 }
 
 /// Clients that send a request slowly or not at all must not hold connections indefinitely.
@@ -169,35 +170,33 @@
     thread::scope(|scope| cases.iter().for_each(|case| _ = scope.spawn(|| send_slowly(case))));
 }
 
-/// More connections than the node may hold are opened and send no complete request. Other clients must be served
-/// without waiting for those to time out.
+/// More connections are opened than the node may hold, and each sends nothing, a health check or part of a request.
+/// Other clients must be served before those time out, and one that has had a request answered keeps its connection.
 #[test]
 fn idle_connections_do_not_block_other_clients() {
     let (_executor, discovery) = start_executor_and_discovery();
     let node = Node::start_with_limits(&discovery, (64, 64), settings(), "info");
-    // A connection with an answered request, and then more connections than the node may hold, which send no
-    // complete request.
     let mut active = node.connect();
-    for (round, partial_request) in ["", HEALTH_CHECK, "POST /render HT"].into_iter().enumerate() {
+    for (round, first_bytes) in ["", HEALTH_CHECK, "POST /render HT"].into_iter().enumerate() {
         assert_eq!(send_request(&mut active, build_request("render", &format!("a{round}"), 3.0, "")).0, 200);
         let idle: Vec<_> = (0..100).map(|_| node.connect()).collect();
-        idle.iter().for_each(|client| client.get_ref().write_all(partial_request.as_bytes()).unwrap());
+        idle.iter().for_each(|client| client.get_ref().write_all(first_bytes.as_bytes()).unwrap());
         let started_at = Instant::now();
         for number in 0..5 {
             assert_eq!(
                 node.send_request(build_request("render", &format!("b{round}-{number}"), 3.0, "")).0,
                 200,
-                "{partial_request}"
+                "{first_bytes}"
             );
         }
         assert!(
             started_at.elapsed() < Duration::from_secs(2),
-            "{partial_request}: before the idle connections time out"
+            "{first_bytes}: before the idle connections time out"
         );
         assert_eq!(
             send_request(&mut active, build_request("render", &format!("c{round}"), 3.0, "")).0,
             200,
-            "{partial_request}"
+            "{first_bytes}"
         );
     }
 }
@@ -289,7 +288,7 @@
 /// A request of an at-most-once class may be rejected only if it was never sent: one that was sent to an executor
 /// that stops responding must be failed.
 #[test]
-fn an_unreachable_executor_neither_loses_an_answer_nor_hides_a_possible_effect() {
+fn a_request_for_an_unreachable_executor_is_rejected_only_if_it_was_never_sent() {
     let (reachable, other) = (Executor::start(), Executor::start());
     let unbound = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut unreachable = entry("s-2", &other, "Ready");
@@ -326,22 +325,22 @@
     client.get_mut().write_all(build_request("render", "1", 30.0, "").as_bytes()).unwrap();
     executor.wait_for_attempts(1);
     let descriptors = || std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count();
-    let count_before = descriptors();
+    let descriptors_before = descriptors();
     drop(client);
-    wait_until("the node closes the client's connection", || descriptors() < count_before);
-    let before = executor.requests.lock().unwrap().len();
+    wait_until("the node closes the client's connection", || descriptors() < descriptors_before);
+    let attempts_before = executor.requests.lock().unwrap().len();
     executor.resume.send(()).unwrap();
     assert_eq!(node.send_request(build_request("render", "2", 30.0, "")).0, 200);
     node.terminate();
     assert!(node.process.wait().unwrap().success());
-    assert_eq!(executor.requests.lock().unwrap().len(), before + 1);
+    assert_eq!(executor.requests.lock().unwrap().len(), attempts_before + 1);
 }
 
 /// Each attempt must be sent with no more than the rest of the client's timeout.
 #[test]
 fn each_attempt_is_sent_with_at_most_the_rest_of_the_clients_timeout() {
     /// Tolerance in seconds.
-    const SLACK: f64 = 0.15;
+    const TOLERANCE: f64 = 0.15;
     let (executor, discovery) = start_executor_and_discovery();
     let node = Node::start(&discovery);
     executor.actions.lock().unwrap().extend([Action::WaitAndReject, Action::WaitAndReject]);
@@ -355,7 +354,7 @@
         let (head, _) = executor.requests.lock().unwrap()[attempt - 1].clone();
         let attempt_timeout: f64 = field(&head, "request-timeout").unwrap().parse().unwrap();
         assert!(
-            attempt_timeout <= timeout - min_elapsed + SLACK,
+            attempt_timeout <= timeout - min_elapsed + TOLERANCE,
             "attempt {attempt}: {attempt_timeout} s, {min_elapsed} s have passed"
         );
         if attempt < 3 {
@@ -378,18 +377,18 @@
     let node = Node::start_with_limits(&discovery, (256, 64), settings, "info");
     let descriptors = || std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count();
     // One pooled connection to the executor is opened, and none of a client stays open.
-    let before = descriptors();
+    let descriptors_before = descriptors();
     node.send_request(build_request("render", &next_request_id(), 3.0, ""));
-    wait_until("the client's connection is closed", || descriptors() == before + 1);
+    wait_until("the client's connection is closed", || descriptors() == descriptors_before + 1);
     for (number, (class, kept_connections)) in [("render", 0), ("publish", 1)].into_iter().enumerate() {
         executor.actions.lock().unwrap().push_back(Action::Wait);
         let mut client = node.connect();
         client.get_mut().write_all(build_request(class, &next_request_id(), 30.0, "").as_bytes()).unwrap();
         executor.wait_for_attempts(number + 2);
-        let count_before = descriptors();
+        let descriptors_before = descriptors();
         drop(client);
         wait_until("only attempts that may not be repeated keep their connection", || {
-            descriptors() == count_before - 2 + kept_connections
+            descriptors() == descriptors_before - 2 + kept_connections
         });
         executor.resume.send(()).unwrap();
     }
--- a/crates/daemon/tests/operation.rs
+++ b/crates/daemon/tests/operation.rs
@@ -311,8 +311,8 @@
         node.reload(&config.to_string());
         node.wait_for_log(expected_log)
     };
-    let post = |class: &str, acts: &[Action]| {
-        executor.actions.lock().unwrap().extend(acts.iter());
+    let post = |class: &str, actions: &[Action]| {
+        executor.actions.lock().unwrap().extend(actions.iter());
         let status = node.send_request(build_request(class, &next_request_id(), 3.0, "")).0;
         executor.actions.lock().unwrap().clear();
         status
@@ -330,13 +330,13 @@
     reload(&config, "settings_changed=true");
     executor.resume.send(()).unwrap();
     assert_eq!(read_response(&mut client).0, 200, "three attempts by the settings of its arrival");
-    for (name, acts, status) in [
+    for (name, actions, status) in [
         ("render", &lost_twice[..], 502),
         ("publish", &[][..], 404),
         ("thumb", &lost_twice[1..], 200),
         ("thumb", &[Action::Rejected, Action::Rejected, Action::Done], 503),
     ] {
-        assert_eq!(post(name, acts), status, "{name} {acts:?}");
+        assert_eq!(post(name, actions), status, "{name} {actions:?}");
     }
     let valid = config.clone();
     for (pointer, value, expected) in [
@@ -352,7 +352,7 @@
         invalid["settings"]["project_types"][0]["name"] = json!("other");
         *invalid.pointer_mut(pointer).unwrap() = value;
         let line = reload(&invalid, "new configuration rejected");
-        assert!(line.contains(&node.path) && line.contains(expected), "{line}");
+        assert!(line.contains(&node.config_path) && line.contains(expected), "{line}");
         let statuses = (post("other", &[]), post("render", &[]), post("thumb", &[]));
         assert_eq!(statuses, (404, 200, 200), "{pointer}");
     }
--- a/crates/daemon/tests/races.rs
+++ b/crates/daemon/tests/races.rs
@@ -1,5 +1,6 @@
 //! Races in one node, each forced on real sockets: clients that disconnect and signals that arrive between two steps
-//! of the handling of a request, of the start or of a shutdown.
+//! of the handling of a request, of the start or of a shutdown. One more test checks that no name or limit of the
+//! settings is built in.
 #![allow(clippy::unwrap_used)]
 mod common;
 
@@ -61,7 +62,7 @@
     std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count()
 }
 
-/// Sends a request that the node rejects by itself, and reads the log up to that rejection.
+/// Sends a request that the node rejects because its path names no class, and reads the log up to that rejection.
 fn read_log_up_to_now(node: &Node) {
     assert_eq!(node.send_request("POST /sing HTTP/1.1\r\nHost: n\r\nRequest-Id: 1\r\n\r\n").0, 404);
     node.wait_for_log("request not admitted status=404");
@@ -92,16 +93,16 @@
     received.iter().filter(|(head, _)| field(head, "request-id") == Some(id)).count()
 }
 
-/// Sends a request, and returns its id and client once the executor has received it and carries out `act`.
+/// Sends a request, and returns its id and client once the executor has received it and carries out `action`.
 fn dispatch_and_wait(
     node: &Node,
     executor: &Executor,
-    act: Action,
+    action: Action,
     class: &str,
 ) -> (String, BufReader<TcpStream>) {
     let (id, mut client) = (next_request_id(), node.connect());
     let received_before = executor.requests.lock().unwrap().len();
-    executor.actions.lock().unwrap().push_back(act);
+    executor.actions.lock().unwrap().push_back(action);
     client.get_mut().write_all(build_request(class, &id, 30.0, "").as_bytes()).unwrap();
     executor.wait_for_attempts(received_before + 1);
     (id, client)
@@ -333,7 +334,8 @@
     });
 }
 
-/// While a request is open, the node discards input that exceeds its buffer, and so cannot read the next request.
+/// While a request is open, the node discards input that exceeds its buffer, and so cannot read the next request. It
+/// must close the connection after its answer instead of parsing the rest.
 #[test]
 fn a_client_that_pipelines_more_than_the_buffer_is_answered_and_its_connection_closes() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -405,7 +407,8 @@
     let node = Node::start_with_limits(&discovery, (256, 16), settings(), "info");
     let addr = node.addr;
     assert_eq!(node.send_request(build_request("render", &next_request_id(), 3.0, "")).0, 200);
-    // No client's socket is open or waits for the node to close its side, by the system's table of connections.
+    // By the system's table of connections, no client's socket is established (01) or waits for the node to
+    // acknowledge its close (04) or to close its own side (05).
     let table_key = |state: &str| format!(":{:04X} {state} ", addr.port());
     wait_until("the first clients have disconnected", || {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -432,8 +435,8 @@
             });
         }
     });
-    // If one in fifteen clients leaked its body, no other body would fit.
     wait_until("all clients have disconnected", || count_descriptors(&node) <= count_when_idle);
+    // If one in fifteen clients leaked its body, no other body would fit.
     let largest = "x".repeat(64 * 1024);
     for _ in 0..20 {
         assert_eq!(node.send_request(build_request("render", &next_request_id(), 20.0, &largest)).0, 200);
@@ -486,8 +489,8 @@
     }
 }
 
-/// Names, effects, tenants, limits and prices that occur nowhere else in the project, so that a built-in name or
-/// value would show.
+/// A name, effect, tenant, limit or price that the node had built in would take the place of the configured one. Those
+/// of this test occur nowhere else in the project.
 #[test]
 fn names_deadlines_and_effects_are_taken_only_from_the_settings() {
     let (executor, discovery) = start_executor_and_discovery();
@@ -506,7 +509,7 @@
             request_class("oboe", "keyed", 4_000_000, 40.0),
             request_class("viola", "safe", 9_000_000, 1.5)]});
     let node = Node::start_with_limits(&discovery, (200, 48), settings, "info");
-    for (class, tenant, acts, status, attempts) in [
+    for (class, tenant, actions, status, attempts) in [
         ("zither", "choir", &[Action::Done][..], 200, 1),
         ("zither", "band", &[Action::Lost], 502, 1),
         ("zither", "band", &[Action::Rejected, Action::Rejected], 503, 2),
@@ -517,14 +520,17 @@
         ("viola", "orchestra", &[], 400, 0),
         ("render", "choir", &[], 404, 0),
     ] {
-        executor.actions.lock().unwrap().extend(acts);
+        executor.actions.lock().unwrap().extend(actions);
         let (received_before, sent_at) = (executor.requests.lock().unwrap().len(), Instant::now());
         let request = build_request(class, &next_request_id(), 30.0, "");
         let (actual_status, (head, _)) =
             node.send_request(request.replace("X-Other", &format!("Tenant: {tenant}\r\nX-Other")));
         let received = executor.requests.lock().unwrap().len() - received_before;
-        assert_eq!((actual_status, received), (status, attempts), "{class} {tenant} {acts:?}");
-        assert!(sent_at.elapsed() < Duration::from_secs(2), "{class} {acts:?}: within the class's deadline");
+        assert_eq!((actual_status, received), (status, attempts), "{class} {tenant} {actions:?}");
+        assert!(
+            sent_at.elapsed() < Duration::from_secs(2),
+            "{class} {actions:?}: within the class's deadline"
+        );
         assert!(status == 400 || field(&head, "retry-after").is_none(), "{class}: no Retry-After");
     }
 }
