--- a/crates/consul/src/catalog/policy.rs
+++ b/crates/consul/src/catalog/policy.rs
@@ -17,7 +17,8 @@
 /// Bounds how many executors may be removed within a window because the responses no longer list them.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct RemovalLimit {
-    /// Share, from 0 to 1, of the executors listed at the start of the window; the resulting count is rounded down.
+    /// Share, from 0 to 1, of the executors listed at the start of the window or added since; the resulting count is
+    /// rounded down.
     pub max_share: f64,
     /// Length of the window, in milliseconds.
     pub window: Millis,
--- a/crates/daemon/tests/races.rs
+++ b/crates/daemon/tests/races.rs
@@ -62,7 +62,7 @@
     std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count()
 }
 
-/// Sends a request that the node rejects because its path names no class, and reads the log up to that rejection.
+/// Sends a request that the node rejects for its unknown path, and reads the log up to that rejection.
 fn read_log_up_to_now(node: &Node) {
     assert_eq!(node.send_request("POST /sing HTTP/1.1\r\nHost: n\r\nRequest-Id: 1\r\n\r\n").0, 404);
     node.wait_for_log("request not admitted status=404");
