--- a/crates/rehearsal/src/plan/step.rs
+++ b/crates/rehearsal/src/plan/step.rs
@@ -1,5 +1,5 @@
-//! The changes that a rehearsal makes to its world.
-use crate::scenario::How;
+//! The steps of a plan: changes to executors, nodes and discovery.
+use crate::scenario::DiscoveryFault;
 use troutknot_emulator::Fault;
 
 /// A change to executors, nodes or discovery at a time of the day. Executors and nodes are named by their index.
@@ -39,8 +39,8 @@
     ListFailing { executor: usize },
     /// The executor is listed as passing its health check again.
     ListPassing { executor: usize },
-    /// Consul's agents fail in the given way, or work again if `None`.
-    DiscoveryFault { fault: Option<How> },
+    /// A fault of Consul's agents begins, or ends if `None`.
+    DiscoveryFault { fault: Option<DiscoveryFault> },
     /// Operators suspend the executor at all nodes, or resume it.
     SuspendExecutor { executor: usize, suspended: bool },
     /// Operators drain a node, or activate it again.
--- a/crates/scale/src/campaign/hollow_load.rs
+++ b/crates/scale/src/campaign/hollow_load.rs
@@ -53,7 +53,7 @@
 
 /// Returns the upper limit of the requests per second of one hollow node, for a fleet of `executors`.
 fn max_rate(file: &ScaleFile, executors: usize) -> f64 {
-    let slow_start_slots = executors as f64 * file.fleet.slots * file.rules.cold_share;
+    let slow_start_slots = executors as f64 * file.fleet.slots * file.rules.initial_capacity;
     let slow_start_capacity = slow_start_slots / file.requests.mean_service_time.as_secs_f64().max(1e-9);
     MAX_TOTAL_HOLLOW_RATE.min(MAX_SHARE_OF_SLOW_START_CAPACITY * slow_start_capacity)
         / file.hollow_nodes.count.max(1) as f64
--- a/crates/scale/src/file.rs
+++ b/crates/scale/src/file.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
-use troutknot_rehearsal::faults::{Checker, Faults};
+use troutknot_rehearsal::diagnostics::{Checker, Diagnostics};
 use troutknot_rehearsal::scenario::Rules;
 
 /// A scale file. Omitted values are those of [`ScaleFile::default`], the full run.
@@ -265,16 +265,16 @@
     ///
     /// # Errors
     /// All errors of the file, each with its line and the allowed values.
-    pub fn parse(text: &str, file: &str) -> Result<Self, Faults> {
+    pub fn parse(text: &str, file: &str) -> Result<Self, Diagnostics> {
         let (scale, unreadable) = read::parse_with_recovery(text);
         let mut checker = Checker::new(text);
-        unreadable.into_iter().for_each(|fault| checker.unread(fault));
+        unreadable.into_iter().for_each(|fault| checker.report_unparsed(fault));
         if let Some(scale) = &scale {
             scale.check(&mut checker);
         }
         checker.finish(file)?;
         // A file without errors has always been parsed.
-        scale.ok_or_else(|| Faults { file: file.into(), faults: Vec::new() })
+        scale.ok_or_else(|| Diagnostics { file: file.into(), entries: Vec::new() })
     }
 
     /// Returns the largest fleet size; 0 if there is none.
--- a/crates/scale/src/file/check.rs
+++ b/crates/scale/src/file/check.rs
@@ -3,7 +3,7 @@
 use bytesize::ByteSize;
 use std::time::Duration;
 use toml::Spanned;
-use troutknot_rehearsal::faults::Checker;
+use troutknot_rehearsal::diagnostics::Checker;
 use troutknot_rehearsal::scenario::millis;
 
 const MAX_EXECUTORS: usize = 50_000;
@@ -30,7 +30,7 @@
 impl ScaleFile {
     pub(super) fn check(&self, checker: &mut Checker) {
         if self.time_limit.is_zero() || self.time_limit > MAX_TIME_LIMIT {
-            checker.fault(&(0..0), "time_limit", "`time_limit` must be over 0s and at most 4h".into());
+            checker.report(&(0..0), "time_limit", "`time_limit` must be over 0s and at most 4h".into());
         }
         self.check_fleet(checker);
         self.check_load(checker);
@@ -38,24 +38,24 @@
         self.check_nodes(checker);
         self.check_rules(checker);
         let bursts = checker.section("bursts");
-        checker.number(&bursts, "zone", self.bursts.zone as f64, 0.0..MAX_EXECUTORS as f64);
-        checker.number(&bursts, "region", self.bursts.region as f64, 0.0..MAX_EXECUTORS as f64);
+        checker.check_range(&bursts, "zone", self.bursts.zone as f64, 0.0..MAX_EXECUTORS as f64);
+        checker.check_range(&bursts, "region", self.bursts.region as f64, 0.0..MAX_EXECUTORS as f64);
         self.faults.iter().for_each(|fault| self.check_fault(checker, fault));
     }
 
     fn check_fleet(&self, checker: &mut Checker) {
         let at = checker.section("fleet");
         if self.fleet.sizes.is_empty() {
-            checker.fault(&at, "sizes", "`sizes` is empty; at least one size is required".into());
+            checker.report(&at, "sizes", "`sizes` is empty; at least one size is required".into());
         }
         for size in &self.fleet.sizes {
-            checker.number(&at, "sizes", *size as f64, 1.0..MAX_EXECUTORS as f64);
+            checker.check_range(&at, "sizes", *size as f64, 1.0..MAX_EXECUTORS as f64);
         }
         if self.fleet.sizes.windows(2).any(|pair| pair[0] >= pair[1]) {
-            checker.fault(&at, "sizes", "`sizes` must be strictly increasing".into());
+            checker.report(&at, "sizes", "`sizes` must be strictly increasing".into());
         }
-        checker.number(&at, "slots", self.fleet.slots, 1.0..1024.0);
-        checker.number(&at, "queue_capacity", self.fleet.queue_capacity as f64, 0.0..65536.0);
+        checker.check_range(&at, "slots", self.fleet.slots, 1.0..1024.0);
+        checker.check_range(&at, "queue_capacity", self.fleet.queue_capacity as f64, 0.0..65536.0);
     }
 
     fn check_load(&self, checker: &mut Checker) {
@@ -64,30 +64,30 @@
             [("turnovers", &self.load.turnovers, 0.0..100.0), ("rates", &self.load.rates, 0.1..5000.0)]
         {
             if values.is_empty() {
-                checker.fault(&at, key, format!("`{key}` is empty; at least one value is required"));
+                checker.report(&at, key, format!("`{key}` is empty; at least one value is required"));
             }
-            values.iter().for_each(|value| checker.number(&at, key, *value, allowed.clone()));
+            values.iter().for_each(|value| checker.check_range(&at, key, *value, allowed.clone()));
         }
         if self.load.turnovers.windows(2).any(|pair| pair[0] > pair[1]) {
-            checker.fault(&at, "turnovers", "`turnovers` must not decrease".into());
+            checker.report(&at, "turnovers", "`turnovers` must not decrease".into());
         }
         let total_rate = self.load.rates.iter().copied().fold(0.0, f64::max) * self.real_nodes.count as f64;
         if total_rate > MAX_REQUEST_RATE {
             let message = format!(
                 "{total_rate:.0} requests a second at all real nodes; up to {MAX_REQUEST_RATE} are allowed"
             );
-            checker.fault(&at, "rates", message);
+            checker.report(&at, "rates", message);
         }
         let points = self.fleet.sizes.len() * self.load.turnovers.len() * self.load.rates.len();
         if points > MAX_OPERATING_POINTS {
-            checker.fault(
+            checker.report(
                 &at,
                 "rates",
                 format!("{points} points are measured; up to {MAX_OPERATING_POINTS} are allowed"),
             );
         }
         if self.load.measurement_time.is_zero() {
-            checker.fault(&at, "measure", "`measure` is 0s; more than 0s is allowed".into());
+            checker.report(&at, "measure", "`measure` is 0s; more than 0s is allowed".into());
         }
         let run_time = (self.load.settle_time + self.load.measurement_time).saturating_mul(points as u32);
         if points <= MAX_OPERATING_POINTS && run_time > self.time_limit && !self.time_limit.is_zero() {
@@ -95,67 +95,68 @@
                 "{points} points of `settle` and `measure` take {run_time:?}; `time_limit` is {:?}",
                 self.time_limit
             );
-            checker.fault(&at, "measure", message);
+            checker.report(&at, "measure", message);
         }
     }
 
     fn check_requests(&self, checker: &mut Checker) {
         let at = checker.section("requests");
         let requests = &self.requests;
-        checker.number(&at, "teams", requests.tenants as f64, 1.0..10_000.0);
-        checker.number(&at, "at_most_once", requests.at_most_once, 0.0..1.0);
+        checker.check_range(&at, "teams", requests.tenants as f64, 1.0..10_000.0);
+        checker.check_range(&at, "at_most_once", requests.at_most_once, 0.0..1.0);
         if requests.mean_service_time.is_zero() {
-            checker.fault(&at, "work", "`work` is 0s; more than 0s is allowed".into());
+            checker.report(&at, "work", "`work` is 0s; more than 0s is allowed".into());
         }
         if requests.deadline.is_zero() || requests.latency_target > requests.deadline {
             let message = "`deadline` must be over 0s and not less than `latency_target`".into();
-            checker.fault(&at, "deadline", message);
+            checker.report(&at, "deadline", message);
         }
     }
 
     fn check_nodes(&self, checker: &mut Checker) {
         let at = checker.section("real_nodes");
         let real = &self.real_nodes;
-        checker.number(&at, "count", real.count as f64, 1.0..MAX_REAL_NODES as f64);
-        checker.number(&at, "sockets", real.sockets as f64, 64.0..65536.0);
-        checker.number(&at, "cpu_share", real.cpu_share, 0.0001..64.0);
+        checker.check_range(&at, "count", real.count as f64, 1.0..MAX_REAL_NODES as f64);
+        checker.check_range(&at, "sockets", real.sockets as f64, 64.0..65536.0);
+        checker.check_range(&at, "cpu_share", real.cpu_share, 0.0001..64.0);
         if !(ByteSize::mib(16)..=ByteSize::gib(4)).contains(&real.memory) {
-            checker.fault(&at, "memory", format!("`memory` is {}; 16MiB to 4GiB is allowed", real.memory));
+            checker.report(&at, "memory", format!("`memory` is {}; 16MiB to 4GiB is allowed", real.memory));
         }
         if real.bytes_per_second.as_u64() == 0 {
-            checker.fault(&at, "bytes_per_second", "`bytes_per_second` is 0B; 1B or more is allowed".into());
+            checker.report(&at, "bytes_per_second", "`bytes_per_second` is 0B; 1B or more is allowed".into());
         }
         let at = checker.section("hollow_nodes");
         let hollow = &self.hollow_nodes;
-        checker.number(&at, "count", hollow.count as f64, 0.0..MAX_HOLLOW_NODES as f64);
-        checker.number(&at, "connections", hollow.connections as f64, 1.0..1024.0);
+        checker.check_range(&at, "count", hollow.count as f64, 0.0..MAX_HOLLOW_NODES as f64);
+        checker.check_range(&at, "connections", hollow.connections as f64, 1.0..1024.0);
         if hollow.by_dispatcher > hollow.count {
             let message = format!(
                 "`by_dispatcher` is {}; up to `count`, {}, is allowed",
                 hollow.by_dispatcher, hollow.count
             );
-            checker.fault(&at, "by_dispatcher", message);
+            checker.report(&at, "by_dispatcher", message);
         }
         let at = checker.section("hollow_nodes.measured");
-        checker.number(&at, "probes_per_request", hollow.measured.probes_per_request, 0.0..100.0);
-        checker.number(&at, "pushes_per_request", hollow.measured.dispatches_per_request, 0.0..3.0);
-        checker.number(&at, "new_connections", hollow.measured.new_connections, 0.0..1.0);
+        checker.check_range(&at, "probes_per_request", hollow.measured.probes_per_request, 0.0..100.0);
+        checker.check_range(&at, "pushes_per_request", hollow.measured.dispatches_per_request, 0.0..3.0);
+        checker.check_range(&at, "new_connections", hollow.measured.new_connections, 0.0..1.0);
     }
 
     fn check_rules(&self, checker: &mut Checker) {
         let at = checker.section("rules");
-        checker.number(&at, "cold_share", self.rules.cold_share, 0.01..1.0);
-        checker.number(&at, "fall_multiple", self.rules.fall_multiple, 0.1..1000.0);
-        checker.number(&at, "most_allocations", f64::from(self.rules.most_allocations), 1.0..3.0);
-        for (key, duration) in [("ramp", self.rules.ramp), ("fall_window", self.rules.fall_window)] {
+        checker.check_range(&at, "cold_share", self.rules.initial_capacity, 0.01..1.0);
+        checker.check_range(&at, "fall_multiple", self.rules.budget_multiple, 0.1..1000.0);
+        checker.check_range(&at, "most_allocations", f64::from(self.rules.max_attempts), 1.0..3.0);
+        for (key, duration) in [("ramp", self.rules.ramp_duration), ("fall_window", self.rules.budget_window)]
+        {
             if duration.is_zero() {
-                checker.fault(&at, key, format!("`{key}` is 0s; more than 0s is allowed"));
+                checker.report(&at, key, format!("`{key}` is 0s; more than 0s is allowed"));
             }
         }
         let at = checker.section("bounds");
         for (key, duration) in [("told", self.bounds.notification_delay), ("ready", self.bounds.startup_time)]
         {
-            checker.number(&at, key, millis(duration), 1.0..600_000.0);
+            checker.check_range(&at, key, millis(duration), 1.0..600_000.0);
         }
     }
 
@@ -163,7 +164,7 @@
         let (at, fault) = (fault.span(), fault.get_ref());
         let Some(kind) = fault.kind else {
             let message = "a trouble needs a `kind`: `busy-day`, `zone-lost` or `discovery-silent`".into();
-            return checker.fault(&at, "kind", message);
+            return checker.report(&at, "kind", message);
         };
         let present = [
             ("replaced", fault.replaced.is_some()),
@@ -179,18 +180,18 @@
             if is_required != is_present {
                 let verb = if is_required { "needs" } else { "takes no" };
                 let message = format!("a trouble {kind:?} {verb} `{key}`; it takes {:?}", kind.keys());
-                checker.fault(&at, key, message);
+                checker.report(&at, key, message);
             }
         }
         let fleet = self.largest_fleet() as f64;
-        checker.number(&at, "replaced", fault.replaced.unwrap_or(0) as f64, 0.0..fleet);
-        checker.number(&at, "failed", fault.failed.unwrap_or(0) as f64, 0.0..fleet);
-        checker.number(&at, "factor", fault.factor.unwrap_or(1.0), 1.0..86_400.0);
-        checker.number(&at, "executors", fault.executors.unwrap_or(1) as f64, 1.0..fleet);
-        checker.number(&at, "restarted", fault.restarted_share.unwrap_or(0.0), 0.0..1.0);
+        checker.check_range(&at, "replaced", fault.replaced.unwrap_or(0) as f64, 0.0..fleet);
+        checker.check_range(&at, "failed", fault.failed.unwrap_or(0) as f64, 0.0..fleet);
+        checker.check_range(&at, "factor", fault.factor.unwrap_or(1.0), 1.0..86_400.0);
+        checker.check_range(&at, "executors", fault.executors.unwrap_or(1) as f64, 1.0..fleet);
+        checker.check_range(&at, "restarted", fault.restarted_share.unwrap_or(0.0), 0.0..1.0);
         for (key, duration) in [("back", fault.returns_after), ("lasts", fault.silence_duration)] {
             if duration.is_some_and(|duration| duration.is_zero() || duration > Duration::from_secs(600)) {
-                checker.fault(&at, key, format!("`{key}` must be over 0s and at most 10m"));
+                checker.report(&at, key, format!("`{key}` must be over 0s and at most 10m"));
             }
         }
     }
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -291,7 +291,7 @@
                     Ok(scenario) if scenario.durable.is_some() => {
                         faults.push(format!("`{scenario_name}`: durable requests cannot be simulated"));
                     }
-                    Ok(scenario) if scenario.is_operated() => {
+                    Ok(scenario) if scenario.has_operator_events() => {
                         faults.push(format!(
                             "`{scenario_name}`: admin calls, hot restarts and changed settings cannot be simulated"
                         ));
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -45,9 +45,9 @@
     /// if it has a retry left.
     pub(super) fn schedule_retry(&mut self, request: u32, client_attempt: u32, retry_after: Option<Millis>) {
         let clients = &self.scenario.clients;
-        if client_attempt < clients.retries {
+        if client_attempt < clients.max_retries {
             let exponent = client_attempt.min(MAX_BACKOFF_EXPONENT) as i32;
-            let backoff = millis(clients.retry_wait) * f64::powi(2.0, exponent);
+            let backoff = millis(clients.retry_delay) * f64::powi(2.0, exponent);
             let retry = WorldEvent::RetryDue { request, client_attempt: client_attempt + 1 };
             self.queue.schedule(self.now + retry_after.unwrap_or(0.0).max(backoff), retry);
         }
@@ -58,7 +58,7 @@
         let id = self.client_request_id(request, client_attempt);
         self.record(Observation::ConnectionLost { id, reused: false });
         let class = self.request_classes[self.plan.requests[request as usize].request_class];
-        if class.effect == Effect::Rerunnable {
+        if class.effect == Effect::Idempotent {
             self.schedule_retry(request, client_attempt, None);
         }
     }
@@ -91,7 +91,7 @@
         match status {
             200 => {}
             503 => self.schedule_retry(request, client_attempt, retry_after),
-            _ if class.effect == Effect::Rerunnable => self.schedule_retry(request, client_attempt, None),
+            _ if class.effect == Effect::Idempotent => self.schedule_retry(request, client_attempt, None),
             _ => {}
         }
     }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -19,9 +19,9 @@
 use troutknot_configuration::SettingsError;
 use troutknot_emulator::observations::{ListedState, Observation};
 use troutknot_emulator::{Executor, Millis};
-use troutknot_rehearsal::briefing;
+use troutknot_rehearsal::node_config;
 use troutknot_rehearsal::plan::Plan;
-use troutknot_rehearsal::scenario::{ProjectType, Scenario};
+use troutknot_rehearsal::scenario::{RequestClass, Scenario};
 
 /// Time in milliseconds at which the plan starts; nodes receive the first endpoint list before it.
 pub const PLAN_START: Millis = 100_000.0;
@@ -52,7 +52,7 @@
     scenario: &'a Scenario,
     plan: &'a Plan,
     create_module: ModuleFactory<'a>,
-    request_classes: Vec<&'a ProjectType>,
+    request_classes: Vec<&'a RequestClass>,
     /// The settings of each node.
     settings: Vec<Settings>,
     /// Names of the machine types, by their ids.
@@ -99,17 +99,17 @@
         plan: &'a Plan,
         create_module: ModuleFactory<'a>,
     ) -> Result<Self, SettingsError> {
-        let machine_types = briefing::kinds(scenario);
+        let machine_types = node_config::machine_types(scenario);
         let mut settings = Vec::new();
         for node in 0..scenario.nodes.count {
-            settings.push(troutknot_configuration::parse_settings(&briefing::settings(scenario, node))?);
+            settings.push(troutknot_configuration::parse_settings(&node_config::settings(scenario, node))?);
         }
         let count = plan.executors.len();
         let mut world = World {
             scenario,
             plan,
             create_module,
-            request_classes: scenario.project_types.iter().map(|class| class.get_ref()).collect(),
+            request_classes: scenario.request_classes.iter().map(|class| class.get_ref()).collect(),
             settings,
             machine_types,
             tokens: (0..count).map(|k| troutknot_membership::token(&format!("s-{k:05}"))).collect(),
