--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -8,7 +8,8 @@
 use troutknot_ledger::store::{Reader, Rows, Store, StoreError};
 use troutknot_ledger::{AttemptStatus, Job, Ledger};
 
-/// Largest number of attempts per request that any node allows; the ledger does not store the configured number.
+/// Largest number of attempts per request that a node can be configured to allow; the ledger does not store the
+/// configured number.
 const MAX_ATTEMPTS: usize = 3;
 
 /// Inspect, verify or compact the ledger of durable requests
@@ -20,7 +21,7 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// List open requests and their age; the node may run or not
+    /// List open requests and their age; the node may be running
     #[command(after_help = "Example: troutknot ledger show /var/lib/troutknot/ledger")]
     Show {
         path: PathBuf,
@@ -28,12 +29,12 @@
         #[arg(long)]
         all: bool,
     },
-    /// Check every row and the order of the records; reports each damaged row
+    /// Check every row and the order of the records, and report each damaged row
     #[command(after_help = "Example: troutknot ledger verify /var/lib/troutknot/ledger
 
 Exit status: 0 good, 1 damaged, 2 a file that is missing or cannot be read.")]
     Verify { path: PathBuf },
-    /// Return free pages to the file system; the node must not run
+    /// Return free pages to the file system; the node must not be running
     #[command(after_help = "Example: troutknot ledger compact /var/lib/troutknot/ledger")]
     Compact { path: PathBuf },
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -12,21 +12,21 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit status of a command.
+/// The exit status of a command; the discriminant is the status of the process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ExitStatus {
     /// The command succeeded, and all rules and bounds held.
     Passed = 0,
     /// A rule was violated or a bound was exceeded.
     Violated = 1,
-    /// The arguments or a file are not valid.
+    /// The arguments are not valid, or a file is not valid or cannot be used.
     Usage = 2,
     /// The machine could not complete the run, for lack of capacity or by an input or output error.
     Machine = 3,
 }
 
 impl ExitStatus {
-    /// Prints the reason for this status on standard error, each of its lines with the program's name in front.
+    /// Prints the reason for this status on standard error, with the program's name before each of its lines.
     pub fn report(self, reason: impl std::fmt::Display) -> Self {
         reason.to_string().lines().for_each(|line| eprintln!("troutknot: {line}"));
         self
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -14,7 +14,7 @@
 use troutknot_rehearsal::scenario::{Scenario, millis};
 
 /// Allowed values of `--time-scale`.
-const TIME_SCALES: std::ops::RangeInclusive<f64> = 0.1..=100.0;
+const ALLOWED_TIME_SCALES: std::ops::RangeInclusive<f64> = 0.1..=100.0;
 /// Interval at which the progress bar is drawn.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 
@@ -52,6 +52,8 @@
         self.try_run().unwrap_or_else(|status| status)
     }
 
+    /// Runs the rehearsal and prints the report; returns the exit status.
+    ///
     /// # Errors
     /// The exit status if the rehearsal failed or its report cannot be written. The reason has been printed on standard
     /// error.
@@ -72,8 +74,8 @@
     fn scenario(&self) -> Result<Arc<Scenario>, ExitStatus> {
         let mut scenario =
             check::scenario(&self.scenario).map_err(|error| ExitStatus::Usage.report(error))?;
-        if !TIME_SCALES.contains(&self.time_scale) {
-            let (shortest, longest) = (TIME_SCALES.start(), TIME_SCALES.end());
+        if !ALLOWED_TIME_SCALES.contains(&self.time_scale) {
+            let (shortest, longest) = (ALLOWED_TIME_SCALES.start(), ALLOWED_TIME_SCALES.end());
             let text = format!("--time-scale is {}; {shortest} to {longest} is allowed", self.time_scale);
             return Err(ExitStatus::Usage.report(text));
         }
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -47,7 +47,7 @@
     executor_worker: bool,
 }
 
-/// Interval at which the progress is drawn.
+/// Interval at which the progress display is redrawn.
 const DRAW_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Arguments that start this program as an executor worker.
@@ -75,6 +75,8 @@
         self.try_measure(path).unwrap_or_else(|status| status)
     }
 
+    /// Measures, and prints the table unless the rows are printed on standard output.
+    ///
     /// # Errors
     /// The exit status if the run cannot start or its table cannot be printed. The reason has been printed on standard
     /// error.
@@ -97,18 +99,18 @@
         Ok(match (result, write_error) {
             (Err(error), _) => failure_status(&error).report(error),
             (Ok(()), Some(error)) => ExitStatus::Machine.report(format!("cannot write rows: {error}")),
-            (Ok(()), None) => judge_rows(&rows),
+            (Ok(()), None) => evaluation_status(&rows),
         })
     }
 
     fn programs(&self) -> Result<Programs, ExitStatus> {
-        let this_program = std::env::current_exe();
-        let this_program = this_program
+        let own_path = std::env::current_exe();
+        let own_path = own_path
             .map_err(|error| ExitStatus::Machine.report(format!("cannot find this program: {error}")))?;
         let arguments = EXECUTOR_WORKER_ARGUMENTS.map(String::from).to_vec();
         Ok(Programs {
-            node: NodeProgram::at(self.node.as_ref().unwrap_or(&this_program)),
-            worker: Some(WorkerProgram { path: this_program, arguments }),
+            node: NodeProgram::at(self.node.as_ref().unwrap_or(&own_path)),
+            worker: Some(WorkerProgram { path: own_path, arguments }),
         })
     }
 }
@@ -136,14 +138,14 @@
     }
 }
 
-/// Collects the rows of a run, writes each of them immediately, and shows the progress.
+/// Collects the rows of a run, writes each of them immediately if a file is given, and shows the progress.
 struct RowRecorder {
     rows: Vec<Row>,
     json: Option<Box<dyn Write>>,
     /// The first failed write; no row is written after it.
     write_error: Option<io::Error>,
     bar: ProgressBar,
-    started: Instant,
+    started_at: Instant,
 }
 
 impl RowRecorder {
@@ -154,7 +156,7 @@
             bar.set_style(style);
         }
         bar.enable_steady_tick(DRAW_INTERVAL);
-        RowRecorder { rows: Vec::new(), json, write_error: None, bar, started: Instant::now() }
+        RowRecorder { rows: Vec::new(), json, write_error: None, bar, started_at: Instant::now() }
     }
 
     fn record(&mut self, row: Row) {
@@ -173,12 +175,12 @@
     }
 
     fn record_end(&mut self) {
-        self.record(Row::End(End { at_seconds: self.started.elapsed().as_secs_f64() }));
+        self.record(Row::End(End { at_seconds: self.started_at.elapsed().as_secs_f64() }));
     }
 }
 
-/// The exit status of a failed run. A node that ends, or that is not ready, notified or reloaded in time, violates
-/// its bounds.
+/// Returns the exit status of a failed run. A node that ends by itself, or that is not ready, notified or reloaded in
+/// time, counts as a violated bound.
 fn failure_status(error: &RunError) -> ExitStatus {
     match error {
         RunError::NodeEnded { .. }
@@ -189,11 +191,11 @@
     }
 }
 
-/// The exit status of a run by its rows.
-fn judge_rows(rows: &[Row]) -> ExitStatus {
+/// Evaluates the rows of a run and returns the exit status; also reports a run that did not complete.
+fn evaluation_status(rows: &[Row]) -> ExitStatus {
     match evaluate(rows) {
-        Some(judgements) if !judgements.is_complete => ExitStatus::Machine.report("the run did not complete"),
-        Some(judgements) if judgements.has_passed() => ExitStatus::Passed,
+        Some(evaluation) if !evaluation.is_complete => ExitStatus::Machine.report("the run did not complete"),
+        Some(evaluation) if evaluation.has_passed() => ExitStatus::Passed,
         _ => ExitStatus::Violated,
     }
 }
@@ -217,7 +219,7 @@
         Err(error) => return unreadable(&error),
     };
     match print_table(&rows) {
-        Ok(()) => judge_rows(&rows),
+        Ok(()) => evaluation_status(&rows),
         Err(error) => ExitStatus::Machine.report(error),
     }
 }
--- a/crates/cli/src/verdict.rs
+++ b/crates/cli/src/verdict.rs
@@ -3,7 +3,7 @@
 use troutknot_rehearsal::referee::{RuleViolation, Verdict};
 use troutknot_rehearsal::run::Report;
 
-/// Largest number of violations of one rule that are printed; the report file has all.
+/// Upper limit of the violations of one rule that are printed; the report file contains all of them.
 const MAX_PRINTED_VIOLATIONS: usize = 5;
 
 /// Descriptions of the four rules, which are numbered from 1.
@@ -39,7 +39,8 @@
     out
 }
 
-/// Formats a verdict: the outcomes by request class, each rule, and the service.
+/// Formats a verdict: the outcomes by request class, each rule, the service, and how far drains and slow start were
+/// respected.
 pub fn format_verdict(verdict: &Verdict, seed: u64, expected_service: f64) -> String {
     let mut out = format_outcomes(verdict);
     out.push('\n');
@@ -59,7 +60,7 @@
     );
     let _ = writeln!(
         out,
-        "  longest dispatch after a drain notice {:.0} ms; largest use of a warm-up budget {:.0}%; overloaded {}",
+        "  longest dispatch after a drain notice {:.0} ms; largest use of a warm-up budget {:.0}%; {} executors overloaded",
         verdict.longest_dispatch_after_drain_ms,
         verdict.warm_up_budget_used * 100.0,
         verdict.overload_failures
--- a/crates/scale/src/campaign.rs
+++ b/crates/scale/src/campaign.rs
@@ -38,7 +38,7 @@
     /// A system call failed.
     #[error("{action}: {source}")]
     Io { action: String, source: std::io::Error },
-    /// The process of a real node exited although nobody stopped it.
+    /// The process of a real node exited without being stopped by the run.
     #[error("real node {node} ended by itself: {reason}")]
     NodeEnded { node: usize, reason: String },
     /// A started node did not report readiness in time.
@@ -80,16 +80,17 @@
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time that discovery has to deliver the endpoint list to a node.
 const LIST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time after a change in which a node finishes the work that the change causes.
-const EFFECT_TIME: Duration = Duration::from_millis(500);
+/// Time after a change within which a node finishes the work that the change causes.
+const CHANGE_PROCESSING_TIME: Duration = Duration::from_millis(500);
 /// Violations of one rule at one operating point that get a row of their own; all of them are counted.
 const MAX_LISTED_VIOLATIONS: usize = 10;
 
-/// Upper limit of the requests to one node of a cluster; each cluster numbers its requests from a multiple of it, so
-/// that request ids of a run are unique.
-const MAX_REQUESTS_PER_CLUSTER: u64 = 1 << 32;
+/// Number of request sequence numbers that each cluster reserves for each of its nodes. The first cluster starts at 0,
+/// the next one at this number and so on, so that request ids are unique in a run as long as no cluster sends more
+/// requests to one node.
+const SEQUENCE_NUMBERS_PER_CLUSTER: u64 = 1 << 32;
 
-/// Quantile of notification delays and of latencies that stands for the slow ones.
+/// Quantile of notification delays and of latencies that is reported for the slowest ones.
 const TAIL_QUANTILE: f64 = 0.99;
 /// Quantile of the startup times of nodes that is reported.
 const STARTUP_QUANTILE: f64 = 0.9;
@@ -110,7 +111,7 @@
 pub struct Programs {
     /// Runs a node.
     pub node: NodeProgram,
-    /// Holds a part of the executors if they need more descriptors than one process may open.
+    /// Runs a part of the executors if they need more descriptors than one process may open.
     pub worker: Option<WorkerProgram>,
 }
 
@@ -232,15 +233,16 @@
         count: usize,
     ) -> Result<(Cluster<'_, 'f>, Vec<Duration>), RunError> {
         let fleet = Fleet::list(&self.executors, size, self.file.bursts.zone).await;
-        let number = self.cluster_count.get();
-        self.cluster_count.set(number + 1);
-        let mut cluster = Cluster { campaign: self, fleet: Rc::new(fleet), nodes: Vec::new(), number };
+        let cluster_number = self.cluster_count.get();
+        self.cluster_count.set(cluster_number + 1);
+        let mut cluster =
+            Cluster { campaign: self, fleet: Rc::new(fleet), nodes: Vec::new(), number: cluster_number };
         let mut startup_times = Vec::new();
-        for number in 0..count {
-            let node = RealNode::start(&cluster.surroundings(), number);
-            let node = node.context(format!("starting real node {number}"))?;
+        for node_number in 0..count {
+            let node = RealNode::start(&cluster.node_context(), node_number);
+            let node = node.context(format!("starting real node {node_number}"))?;
             let startup_time = node.wait_ready(START_TIMEOUT).await.ok_or_else(|| RunError::NotReady {
-                node: number,
+                node: node_number,
                 within: START_TIMEOUT,
                 reason: node.last_log_lines(),
             })?;
@@ -253,14 +255,14 @@
 }
 
 impl Cluster<'_, '_> {
-    fn surroundings(&self) -> NodeContext<'_> {
+    fn node_context(&self) -> NodeContext<'_> {
         NodeContext {
             file: self.campaign.file,
             program: self.campaign.program,
             folder: self.campaign.folder.path(),
             discovery: self.fleet.discovery(),
             zones: self.fleet.zone_count(),
-            first_sequence: self.number * MAX_REQUESTS_PER_CLUSTER,
+            first_sequence: self.number * SEQUENCE_NUMBERS_PER_CLUSTER,
         }
     }
 
@@ -330,7 +332,7 @@
         }
     }
 
-    /// Emits the notification delay of the list changes since the last call, if there were any.
+    /// Emits the 99th percentile of the notification delays of the list changes since the last call, if there were any.
     fn emit_notification_delay(&self, point: OperatingPoint) {
         let mut delays: Vec<f64> =
             self.nodes.iter().flat_map(|node| node.agent.take_notification_delays()).collect();
--- a/crates/scale/src/campaign/config_changes.rs
+++ b/crates/scale/src/campaign/config_changes.rs
@@ -1,5 +1,5 @@
 //! Measures configuration reloads: the time until a change is in force, and its CPU and memory cost.
-use super::{Cluster, EFFECT_TIME, IoContext, RunError, millis, quantile};
+use super::{CHANGE_PROCESSING_TIME, Cluster, IoContext, RunError, millis, quantile};
 use crate::node_config::ADDED_CLASS;
 use crate::node_process::Usage;
 use crate::real_node::RealNode;
@@ -44,13 +44,13 @@
         Ok(())
     }
 
-    fn reload(&self, node: &RealNode, added_class: bool) -> Result<(), RunError> {
-        let reloaded = node.reload(&self.surroundings(), added_class);
+    fn reload(&self, node: &RealNode, has_added_class: bool) -> Result<(), RunError> {
+        let reloaded = node.reload(&self.node_context(), has_added_class);
         reloaded.context(format!("changing the configuration of real node {}", node.number()))
     }
 
-    /// Adds a request class and returns the milliseconds from the reload signal to the sending of the first request
-    /// of that class that the node accepted.
+    /// Adds a request class and returns the time in milliseconds from the reload signal until the first request of that
+    /// class was sent that the node did not refuse as one of an unknown class.
     async fn measure_reload_delay(&self, node: &RealNode) -> Result<f64, RunError> {
         let signalled_at = Instant::now();
         self.reload(node, true)?;
@@ -67,18 +67,19 @@
         }
     }
 
-    /// Removes the added class from an otherwise idle node and returns what that costs beyond its idle CPU time.
+    /// Removes the added class from an otherwise idle node and returns the cost of that reload: its CPU time beyond the
+    /// idle CPU time, and the growth of the memory.
     async fn measure_reload_cost(&self, node: &RealNode) -> Result<ReloadCost, RunError> {
         let read_usage = || -> Result<Usage, RunError> {
             node.usage().context(format!("reading the resource usage of real node {}", node.number()))
         };
-        sleep(EFFECT_TIME).await;
+        sleep(CHANGE_PROCESSING_TIME).await;
         let idle_start = read_usage()?;
-        sleep(EFFECT_TIME).await;
+        sleep(CHANGE_PROCESSING_TIME).await;
         node.reset_peak();
         let before = read_usage()?;
         self.reload(node, false)?;
-        sleep(EFFECT_TIME).await;
+        sleep(CHANGE_PROCESSING_TIME).await;
         let after = read_usage()?;
         let idle_ms = millis(before.cpu.saturating_sub(idle_start.cpu));
         let growth = after.peak_resident_bytes.saturating_sub(before.resident_bytes);
--- a/crates/scale/src/campaign/faults.rs
+++ b/crates/scale/src/campaign/faults.rs
@@ -15,7 +15,7 @@
 /// Time after which discovery notices that an executor has died.
 const DEATH_DETECTION_DELAY: Duration = Duration::from_secs(1);
 /// Time from the detection of a death to the start of the replacement executor.
-const SUCCESSOR_START_DELAY: Duration = Duration::from_secs(2);
+const REPLACEMENT_START_DELAY: Duration = Duration::from_secs(2);
 /// Executors that start to drain while discovery is silent; without them the rule on draining executors could not be
 /// violated during the silence.
 const DRAINED_DURING_SILENCE: usize = 10;
@@ -46,20 +46,20 @@
             hollow.snapshot()
         });
         let before: Snapshot = cluster.snapshot().await?;
-        let ((outcome, sockets), executed) = tokio::join!(
+        let ((counts, max_sockets), executed) = tokio::join!(
             cluster.run_clients(rate, plan.length),
             cluster.execute_plan(&plan, &startup_times, hollow.as_ref())
         );
         executed?;
         let interval = cluster.interval_since(&before).await?;
-        cluster.emit_interval(point, &interval, &outcome);
+        cluster.emit_interval(point, &interval, &counts);
         if let Some((hollow, before)) = hollow.as_ref().zip(hollow_before) {
-            cluster.emit_hollow(point, hollow, &before);
+            cluster.emit_hollow_rates(point, hollow, &before);
         }
-        cluster.emit_outcome(point, outcome);
+        cluster.emit_answers(point, counts);
         cluster.emit_violations(point, &interval.report);
         cluster.emit_notification_delay(point);
-        self.emit_figure(point, Measurement::OpenSockets, NodeKind::Real, sockets as f64);
+        self.emit_figure(point, Measurement::OpenSockets, NodeKind::Real, max_sockets as f64);
         let mut startup_times = startup_times.into_inner();
         if !startup_times.is_empty() {
             let startup_time = quantile(&mut startup_times, STARTUP_QUANTILE);
@@ -80,7 +80,8 @@
 }
 
 impl Cluster<'_, '_> {
-    /// Runs the actions of a plan at their times. Actions that take longer run concurrently with the next ones.
+    /// Runs the actions of a plan at their times. An action that has not finished when the next one is due continues
+    /// concurrently with it.
     async fn execute_plan(
         &self,
         plan: &FaultPlan,
@@ -145,7 +146,7 @@
     async fn fail_executor(&self, executor: usize) {
         let range = executor..executor + 1;
         self.kill_and_unlist(range.clone()).await;
-        sleep(SUCCESSOR_START_DELAY).await;
+        sleep(REPLACEMENT_START_DELAY).await;
         self.fleet.restart_renamed(range).await;
     }
 
@@ -157,7 +158,7 @@
 
     async fn restart_node(&self, node: usize, startup_times: &RefCell<Vec<f64>>) -> Result<(), RunError> {
         let Some(node) = self.nodes.get(node).cloned() else { return Ok(()) };
-        let startup_time = node.restart(&self.surroundings(), START_TIMEOUT).await.map_err(|source| {
+        let startup_time = node.restart(&self.node_context(), START_TIMEOUT).await.map_err(|source| {
             RunError::Io { action: format!("restarting real node {}", node.number()), source }
         })?;
         let not_ready = || RunError::NotReady {
--- a/crates/scale/src/campaign/hollow_load.rs
+++ b/crates/scale/src/campaign/hollow_load.rs
@@ -82,7 +82,7 @@
             rates: hollow.measured,
             max_connections: hollow.connections,
             discovery_addresses: discovery,
-            node_settings: self.surroundings().settings(first_number),
+            node_settings: self.node_context().settings(first_number),
             request_rate: 0.0,
             mean_work: file.requests.mean_service_time,
             deadline: file.requests.deadline,
@@ -100,8 +100,14 @@
         Ok(Some(HollowLoad { nodes, max_rate: max_rate(file, self.fleet.size()), _agents: agents }))
     }
 
-    /// Emits the rates of each kind of hollow node since an earlier snapshot.
-    pub(super) fn emit_hollow(&self, point: OperatingPoint, load: &HollowLoad, before: &HollowSnapshot) {
+    /// Emits the number of hollow nodes of each kind, and their probes and dispatches per second since an earlier
+    /// snapshot.
+    pub(super) fn emit_hollow_rates(
+        &self,
+        point: OperatingPoint,
+        load: &HollowLoad,
+        before: &HollowSnapshot,
+    ) {
         let now = load.snapshot();
         let seconds = now.taken_at.duration_since(before.taken_at).as_secs_f64().max(1e-9);
         let hollow = &self.campaign.file.hollow_nodes;
--- a/crates/scale/src/campaign/loads.rs
+++ b/crates/scale/src/campaign/loads.rs
@@ -19,9 +19,9 @@
 pub(super) struct Snapshot {
     taken_at: Instant,
     usage: Vec<Usage>,
-    executors: Traffic,
+    executor_traffic: Traffic,
     report: ExecutorReport,
-    lists: Vec<ListTraffic>,
+    list_traffic: Vec<ListTraffic>,
 }
 
 /// Difference between two snapshots.
@@ -33,7 +33,8 @@
     cpu_time: Duration,
     /// The report of the executors at the end; its traffic counts from the start of the run.
     pub(super) report: ExecutorReport,
-    executors: Traffic,
+    /// Traffic between the real nodes and the executors.
+    executor_traffic: Traffic,
     /// Largest number of bytes that discovery sent to one node.
     list_bytes: u64,
     /// Largest number of list lines that discovery sent to one node.
@@ -48,9 +49,9 @@
         Ok(Snapshot {
             taken_at: Instant::now(),
             usage: self.usage()?,
-            executors: report.real_nodes,
+            executor_traffic: report.real_nodes,
             report,
-            lists: self.nodes.iter().map(|node| node.agent.traffic()).collect(),
+            list_traffic: self.nodes.iter().map(|node| node.agent.traffic()).collect(),
         })
     }
 
@@ -62,12 +63,12 @@
         let used = now.usage.iter().zip(&before.usage);
         let cpu: Vec<Duration> =
             used.map(|(now, before)| now.cpu.checked_sub(before.cpu).unwrap_or(now.cpu)).collect();
-        let lists = now.lists.iter().zip(&before.lists);
+        let lists = now.list_traffic.iter().zip(&before.list_traffic);
         Ok(Interval {
             seconds,
             cpu_share: cpu.iter().max().map_or(0.0, |cpu| cpu.as_secs_f64() / seconds),
             cpu_time: cpu.iter().sum(),
-            executors: now.executors.since(before.executors),
+            executor_traffic: now.executor_traffic.since(before.executor_traffic),
             report: now.report,
             list_bytes: lists.clone().map(|(now, before)| now.bytes - before.bytes).max().unwrap_or(0),
             list_lines: lists.map(|(now, before)| now.lines - before.lines).max().unwrap_or(0),
@@ -82,7 +83,7 @@
             self.replace_until(*turnover).await?;
             self.nodes.iter().for_each(|node| node.reset_peak());
             let hollow = self.start_hollow_nodes().await?;
-            let idle = self.measure_idle_cpu(load.settle_time).await?;
+            let idle_cpu = self.measure_idle_cpu(load.settle_time).await?;
             self.emit_unretained_executors(OperatingPoint {
                 turnover: *turnover,
                 ..self.point(Phase::Steady)
@@ -94,9 +95,9 @@
                     hollow.set_rate(*rate);
                     hollow.snapshot()
                 });
-                self.measure_rate(point, idle, load.measurement_time).await?;
+                self.measure_rate(point, idle_cpu, load.measurement_time).await?;
                 if let Some((hollow, before)) = hollow.as_ref().zip(before) {
-                    self.emit_hollow(point, hollow, &before);
+                    self.emit_hollow_rates(point, hollow, &before);
                 }
             }
         }
@@ -120,28 +121,33 @@
         Ok(())
     }
 
-    async fn measure_rate(&self, point: OperatingPoint, idle: f64, length: Duration) -> Result<(), RunError> {
+    async fn measure_rate(
+        &self,
+        point: OperatingPoint,
+        idle_cpu: f64,
+        length: Duration,
+    ) -> Result<(), RunError> {
         let before = self.snapshot().await?;
-        let (outcome, sockets) = self.run_clients(point.rate, length).await;
+        let (counts, max_sockets) = self.run_clients(point.rate, length).await;
         let interval = self.interval_since(&before).await?;
-        self.emit_interval(point, &interval, &outcome);
-        let requests = outcome.sent.max(1) as f64;
-        let cpu = interval.cpu_time.as_secs_f64() - idle * interval.seconds;
+        self.emit_interval(point, &interval, &counts);
+        let requests = counts.sent.max(1) as f64;
+        let cpu = interval.cpu_time.as_secs_f64() - idle_cpu * interval.seconds;
         let emit = |measurement, value| {
             self.campaign.emit_figure(point, measurement, NodeKind::Real, value);
         };
         emit(Measurement::CpuPerRequest, cpu.max(0.0) * 1000.0 / requests);
-        emit(Measurement::ConnectionsPerRequest, interval.executors.connections as f64 / requests);
-        emit(Measurement::ProbesPerRequest, interval.executors.probes as f64 / requests);
-        emit(Measurement::OpenSockets, sockets as f64);
-        self.emit_outcome(point, outcome);
+        emit(Measurement::ConnectionsPerRequest, interval.executor_traffic.connections as f64 / requests);
+        emit(Measurement::ProbesPerRequest, interval.executor_traffic.probes as f64 / requests);
+        emit(Measurement::OpenSockets, max_sockets as f64);
+        self.emit_answers(point, counts);
         self.emit_violations(point, &interval.report);
         self.emit_notification_delay(point);
         emit(Measurement::ReachedExecutors, interval.report.reached_executors as f64);
         Ok(())
     }
 
-    /// Runs the clients of all nodes. Returns the outcome of their requests and the largest number of sockets that one
+    /// Runs the clients of all nodes. Returns the counts of their requests and the largest number of sockets that one
     /// node had open.
     pub(super) async fn run_clients(&self, rate: f64, length: Duration) -> (RequestCounts, usize) {
         let mut runs = JoinSet::new();
@@ -152,8 +158,8 @@
         let (mut total, mut max_sockets) = (RequestCounts::default(), 0);
         while !runs.is_empty() {
             tokio::select! {
-                finished = runs.join_next() => if let Some(Ok(outcome)) = finished {
-                    total.add(&outcome);
+                finished = runs.join_next() => if let Some(Ok(counts)) = finished {
+                    total.add(&counts);
                 },
                 () = sleep(SOCKET_SAMPLE_INTERVAL) => {
                     let open = self.nodes.iter().filter_map(|node| node.open_sockets().ok());
@@ -164,31 +170,33 @@
         (total, max_sockets)
     }
 
-    pub(super) fn emit_interval(&self, point: OperatingPoint, interval: &Interval, outcome: &RequestCounts) {
+    /// Emits the requests of an interval, and what they and the endpoint list cost the nodes.
+    pub(super) fn emit_interval(&self, point: OperatingPoint, interval: &Interval, counts: &RequestCounts) {
         let emit = |measurement, value| {
             self.campaign.emit_figure(point, measurement, NodeKind::Real, value);
         };
         let node_seconds = interval.seconds * self.nodes.len().max(1) as f64;
-        emit(Measurement::Requests, outcome.sent as f64);
-        emit(Measurement::Completed, outcome.completed as f64);
+        emit(Measurement::Requests, counts.sent as f64);
+        emit(Measurement::Completed, counts.completed as f64);
         emit(Measurement::CpuShare, interval.cpu_share);
         emit(Measurement::Memory, interval.peak_resident_bytes as f64);
         emit(Measurement::ListBytes, interval.list_bytes as f64 / interval.seconds);
         emit(Measurement::ListUpdates, interval.list_lines as f64 / interval.seconds);
-        emit(Measurement::Probes, interval.executors.probes as f64 / node_seconds);
-        emit(Measurement::Dispatches, interval.executors.attempts as f64 / node_seconds);
-        emit(Measurement::ExecutorBytes, interval.executors.bytes_in as f64 / interval.seconds);
+        emit(Measurement::Probes, interval.executor_traffic.probes as f64 / node_seconds);
+        emit(Measurement::Dispatches, interval.executor_traffic.attempts as f64 / node_seconds);
+        emit(Measurement::ExecutorBytes, interval.executor_traffic.bytes_in as f64 / interval.seconds);
     }
 
-    pub(super) fn emit_outcome(&self, point: OperatingPoint, mut outcome: RequestCounts) {
+    /// Emits the late, missing and duplicate answers, and the latencies of the completed requests if there are any.
+    pub(super) fn emit_answers(&self, point: OperatingPoint, mut counts: RequestCounts) {
         let emit = |measurement, value| {
             self.campaign.emit_figure(point, measurement, NodeKind::Real, value);
         };
-        emit(Measurement::LateOrMissingAnswers, outcome.late_or_missing as f64);
-        emit(Measurement::DuplicateAnswers, outcome.duplicate_responses as f64);
-        if !outcome.latencies.is_empty() {
-            emit(Measurement::LatencyMedian, quantile(&mut outcome.latencies, 0.5));
-            emit(Measurement::LatencyP99, quantile(&mut outcome.latencies, TAIL_QUANTILE));
+        emit(Measurement::LateOrMissingAnswers, counts.late_or_missing as f64);
+        emit(Measurement::DuplicateAnswers, counts.duplicate_responses as f64);
+        if !counts.latencies.is_empty() {
+            emit(Measurement::LatencyMedian, quantile(&mut counts.latencies, 0.5));
+            emit(Measurement::LatencyP99, quantile(&mut counts.latencies, TAIL_QUANTILE));
         }
     }
 }
--- a/crates/scale/src/campaign/preflight.rs
+++ b/crates/scale/src/campaign/preflight.rs
@@ -13,11 +13,11 @@
 const MAX_WORKERS: usize = 16;
 /// Descriptors in this process for the connections of clients, discovery and health checks to one real node.
 const DESCRIPTORS_PER_NODE: u64 = 160;
-/// Memory of a listening executor, in this process and in the kernel.
+/// Memory of a listening executor in bytes, in this process and in the kernel.
 const BYTES_PER_EXECUTOR: u64 = 8 * 1024;
-/// Memory of an open connection, both ends together.
+/// Memory of an open connection in bytes, both ends together.
 const BYTES_PER_CONNECTION: u64 = 32 * 1024;
-/// Memory of the kit itself.
+/// Memory of the test kit in bytes, without executors, connections and real nodes.
 const BASE_BYTES: u64 = 256 * 1024 * 1024;
 /// Upper limit of the memory of a run, as a share of the available memory.
 const MAX_MEMORY_SHARE: f64 = 0.5;
@@ -61,8 +61,8 @@
     choose_placement(executor_descriptors(file), other_descriptors(file), worker, allowed_descriptors)
 }
 
-/// Decides where the executors run by the number of descriptors needed; `allow` takes the number that one process
-/// would need and returns the number that it may open.
+/// Decides by the number of descriptors needed where the executors run. `allow` takes the number that a single process
+/// would need for the run and returns the number that it may open.
 ///
 /// # Errors
 /// [`RunError::InsufficientResources`] if the descriptors do not suffice.
--- a/crates/scale/src/campaign/starts.rs
+++ b/crates/scale/src/campaign/starts.rs
@@ -1,5 +1,5 @@
 //! Measures the start of nodes, and the cost of full endpoint lists, single changes and bursts of changes.
-use super::{Campaign, Cluster, EFFECT_TIME, RunError, STARTUP_QUANTILE, millis, quantile};
+use super::{CHANGE_PROCESSING_TIME, Campaign, Cluster, RunError, STARTUP_QUANTILE, millis, quantile};
 use crate::catalog::State;
 use crate::row::{Measurement, NodeKind, OperatingPoint, Phase};
 use std::time::{Duration, Instant};
@@ -78,26 +78,26 @@
     }
 
     /// Returns the mean CPU time of a node since `started_at`, in milliseconds, beyond its idle CPU time.
-    fn cpu_cost_since(&self, started_at: Instant, before: Duration, idle: f64) -> Result<f64, RunError> {
+    fn cpu_cost_since(&self, started_at: Instant, before: Duration, idle_cpu: f64) -> Result<f64, RunError> {
         let used = self.cpu_time()?.saturating_sub(before).as_secs_f64();
-        let beyond_idle = used - idle * started_at.elapsed().as_secs_f64();
+        let beyond_idle = used - idle_cpu * started_at.elapsed().as_secs_f64();
         Ok(beyond_idle.max(0.0) * 1000.0 / self.nodes.len().max(1) as f64)
     }
 
     /// Makes discovery send the full endpoint list to each node again, and measures the CPU cost.
     pub(super) async fn measure_full_list(&self, point: OperatingPoint) -> Result<(), RunError> {
-        let idle = self.measure_idle_cpu(self.campaign.file.load.settle_time).await?;
+        let idle_cpu = self.measure_idle_cpu(self.campaign.file.load.settle_time).await?;
         let (before, started_at) = (self.cpu_time()?, Instant::now());
         self.nodes.iter().for_each(|node| node.agent.restart_with_snapshot());
         self.wait_for_list().await?;
-        sleep(EFFECT_TIME).await;
-        let cost = self.cpu_cost_since(started_at, before, idle)?;
+        sleep(CHANGE_PROCESSING_TIME).await;
+        let cost = self.cpu_cost_since(started_at, before, idle_cpu)?;
         self.campaign.emit_figure(point, Measurement::CpuPerFullList, NodeKind::Real, cost);
         Ok(())
     }
 
-    /// Emits the largest number of listed executors that a node does not retain, by the figures that it reports to
-    /// operators. Emits nothing if a node reports none.
+    /// Emits the largest number of listed executors that a node does not retain, by the counts of its admin
+    /// server. Emits nothing if a node reports no counts.
     pub(super) async fn emit_unretained_executors(&self, point: OperatingPoint) {
         let mut max_unretained = 0;
         for node in &self.nodes {
@@ -118,7 +118,7 @@
     /// Measures single changes: executors are listed as draining and as ready again, one after another.
     async fn measure_changes(&self) -> Result<(), RunError> {
         let point = self.point(Phase::Steady);
-        let idle = self.measure_idle_cpu(self.campaign.file.load.settle_time).await?;
+        let idle_cpu = self.measure_idle_cpu(self.campaign.file.load.settle_time).await?;
         let (before, started_at) = (self.cpu_time()?, Instant::now());
         for change in 0..LIST_CHANGES {
             let executor = change / 2 % self.fleet.size();
@@ -126,31 +126,31 @@
             self.fleet.publish(executor..executor + 1, state);
             self.wait_for_list().await?;
         }
-        sleep(EFFECT_TIME).await;
-        let cost = self.cpu_cost_since(started_at, before, idle)? / LIST_CHANGES as f64;
+        sleep(CHANGE_PROCESSING_TIME).await;
+        let cost = self.cpu_cost_since(started_at, before, idle_cpu)? / LIST_CHANGES as f64;
         self.campaign.emit_figure(point, Measurement::CpuPerListChange, NodeKind::Real, cost);
         self.emit_notification_delay(point);
         Ok(())
     }
 
-    /// Measures a burst: a number of executors disappears at once and returns at once. Skipped if the fleet is not
-    /// larger than the burst.
+    /// Measures a burst: a number of executors disappears at once and returns at once. Skipped if the burst
+    /// is empty or the fleet is not larger than it.
     async fn measure_burst(&self, phase: Phase, executors: usize) -> Result<(), RunError> {
         if executors == 0 || executors >= self.fleet.size() {
             return Ok(());
         }
         let point = self.point(phase);
-        let idle = self.measure_idle_cpu(self.campaign.file.load.settle_time).await?;
+        let idle_cpu = self.measure_idle_cpu(self.campaign.file.load.settle_time).await?;
         self.nodes.iter().for_each(|node| node.reset_peak());
         let (before, started_at) = (self.cpu_time()?, Instant::now());
         self.fleet.kill(0..executors).await;
         self.fleet.publish(0..executors, State::Gone);
         self.wait_for_list().await?;
-        sleep(EFFECT_TIME).await;
+        sleep(CHANGE_PROCESSING_TIME).await;
         self.fleet.restart(0..executors).await;
         self.wait_for_list().await?;
-        sleep(EFFECT_TIME).await;
-        let cost = self.cpu_cost_since(started_at, before, idle)?;
+        sleep(CHANGE_PROCESSING_TIME).await;
+        let cost = self.cpu_cost_since(started_at, before, idle_cpu)?;
         self.campaign.emit_figure(point, Measurement::CpuPerBurst, NodeKind::Real, cost);
         let peak = self.usage()?.iter().map(|usage| usage.peak_resident_bytes).max().unwrap_or(0);
         self.campaign.emit_figure(point, Measurement::Memory, NodeKind::Real, peak as f64);
--- a/crates/scale/src/evaluation.rs
+++ b/crates/scale/src/evaluation.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Evaluation {
     pub checks: Vec<BoundCheck>,
-    /// Whether the run reached its end.
+    /// Whether the run completed, so that its last row is the end row.
     pub is_complete: bool,
 }
 
@@ -73,11 +73,11 @@
     Some(Evaluation { checks, is_complete: matches!(rows.last(), Some(Row::End(_))) })
 }
 
-/// The rows to evaluate, and the operating points at which measurements are required.
+/// The figures and violations to evaluate, and the operating points at which measurements are required.
 struct Evidence<'a> {
     figures: Vec<&'a Figure>,
     violations: Vec<&'a RuleViolation>,
-    /// Operating points at which clients sent requests; rules and budgets can be evaluated there.
+    /// Operating points at which clients sent requests; the rules and the resource bounds can be evaluated there.
     loaded: Vec<OperatingPoint>,
     /// Operating points at which requests were completed.
     served: Vec<OperatingPoint>,
@@ -132,12 +132,12 @@
         if self.loaded.is_empty() {
             return Some("no request was sent".into());
         }
-        // These require a list change or a start, which not every part of a run has.
+        // These are measured at a list change or at the start of a node, which not every operating point has.
         if matches!(measurement, Measurement::NotificationDelay | Measurement::StartupTime) {
             return None;
         }
         let required_point = |point: OperatingPoint| match measurement {
-            // It depends on the endpoint list only, so one figure covers all rates.
+            // The count depends on the endpoint list only, so one figure covers all rates.
             Measurement::UnretainedExecutors => OperatingPoint { rate: 0.0, ..point },
             _ => point,
         };
--- a/crates/scale/src/fault_plan.rs
+++ b/crates/scale/src/fault_plan.rs
@@ -1,4 +1,4 @@
-//! Plans of injected faults: generates their actions and times from a seed, without running them.
+//! Fault plans: the actions of an injected fault and their times, generated from a seed. Nothing is executed here.
 use crate::file::{FaultKind, FaultSpec, ScaleFile};
 use rand::seq::{SliceRandom, index};
 use rand::{RngExt, SeedableRng};
@@ -55,9 +55,10 @@
     pub time_compression: f64,
 }
 
-/// The executors and nodes that a plan may affect.
+/// The executors and nodes that a plan may affect, and how long they take to recover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlanScope {
+    /// Number of executors in the fleet.
     pub executors: usize,
     /// Number of all nodes, real and hollow.
     pub nodes: usize,
@@ -82,11 +83,11 @@
     /// Generates a plan; equal seeds give equal plans. Returns `None` if the fault has no kind, which the check of a
     /// scale file rejects.
     pub fn generate(spec: &FaultSpec, scope: PlanScope, seed: u64) -> Option<Self> {
-        let mut random = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         Some(match spec.kind? {
-            FaultKind::BusyDay => busy_day(spec, scope, &mut random),
-            FaultKind::ZoneLost => zone_lost(spec, scope, &mut random),
-            FaultKind::DiscoverySilent => discovery_silent(spec, scope, &mut random),
+            FaultKind::BusyDay => plan_busy_day(spec, scope, &mut rng),
+            FaultKind::ZoneLost => plan_zone_loss(spec, scope, &mut rng),
+            FaultKind::DiscoverySilent => plan_discovery_silence(spec, scope, &mut rng),
         })
     }
 
@@ -99,15 +100,15 @@
 }
 
 /// Replaces and kills executors at random times of a day, no executor twice.
-fn busy_day(spec: &FaultSpec, scope: PlanScope, random: &mut ChaCha8Rng) -> FaultPlan {
+fn plan_busy_day(spec: &FaultSpec, scope: PlanScope, rng: &mut ChaCha8Rng) -> FaultPlan {
     let time_compression = spec.factor.unwrap_or(1.0);
     let length = DAY.div_f64(time_compression);
     let replaced = spec.replaced.unwrap_or(0).min(scope.executors);
     let failed = spec.failed.unwrap_or(0).min(scope.executors - replaced);
-    let chosen = index::sample(random, scope.executors, replaced + failed);
+    let chosen = index::sample(rng, scope.executors, replaced + failed);
     let mut steps = Vec::with_capacity(chosen.len());
     for (number, executor) in chosen.into_iter().enumerate() {
-        let at = LEAD_TIME + length.mul_f64(random.random::<f64>());
+        let at = LEAD_TIME + length.mul_f64(rng.random::<f64>());
         let action = if number < replaced { Action::Replace(executor) } else { Action::Fail(executor) };
         steps.push(Step { at, action });
     }
@@ -115,9 +116,9 @@
 }
 
 /// Kills a randomly placed zone and restarts it later.
-fn zone_lost(spec: &FaultSpec, scope: PlanScope, random: &mut ChaCha8Rng) -> FaultPlan {
+fn plan_zone_loss(spec: &FaultSpec, scope: PlanScope, rng: &mut ChaCha8Rng) -> FaultPlan {
     let size = spec.executors.unwrap_or(0).min(scope.executors);
-    let first = random.random_range(0..=scope.executors - size);
+    let first = rng.random_range(0..=scope.executors - size);
     let zone = first..first + size;
     let steps = vec![
         Step { at: LEAD_TIME, action: Action::KillZone(zone.clone()) },
@@ -128,13 +129,13 @@
 
 /// Silences discovery and restarts randomly chosen nodes during the first half of the silence. At least one of them is
 /// a real node, as hollow nodes are not measured.
-fn discovery_silent(spec: &FaultSpec, scope: PlanScope, random: &mut ChaCha8Rng) -> FaultPlan {
+fn plan_discovery_silence(spec: &FaultSpec, scope: PlanScope, rng: &mut ChaCha8Rng) -> FaultPlan {
     let silence = spec.silence_duration.unwrap_or_default();
     let share = spec.restarted_share.unwrap_or(0.0);
     let count = (share * scope.nodes as f64).round() as usize;
     let count = if share > 0.0 { count.clamp(1, scope.nodes) } else { 0 };
     let mut nodes: Vec<NodeNumber> = (0..scope.nodes).collect();
-    nodes.shuffle(random);
+    nodes.shuffle(rng);
     if let Some(first_real) = nodes.iter().position(|node| *node < scope.real_nodes)
         && first_real >= count
     {
@@ -145,7 +146,7 @@
         Step { at: LEAD_TIME + silence, action: Action::ResumeDiscovery },
     ];
     for node in nodes.into_iter().take(count) {
-        let at = LEAD_TIME + silence.mul_f64(0.5 * random.random::<f64>());
+        let at = LEAD_TIME + silence.mul_f64(0.5 * rng.random::<f64>());
         steps.push(Step { at, action: Action::RestartNode(node) });
     }
     FaultPlan::new(FaultKind::DiscoverySilent, scope, steps, 1.0)
--- a/crates/scale/src/file/check.rs
+++ b/crates/scale/src/file/check.rs
@@ -8,11 +8,11 @@
 
 const MAX_EXECUTORS: usize = 50_000;
 const MAX_REAL_NODES: usize = 64;
-/// Together with the real nodes, the number of nodes that a request id can encode.
+/// Upper limit of the hollow nodes: a request id can encode 256 nodes, real and hollow ones.
 const MAX_HOLLOW_NODES: usize = 256 - MAX_REAL_NODES;
-/// Requests per second at all real nodes together.
+/// Upper limit of the requests per second at all real nodes together.
 const MAX_REQUEST_RATE: f64 = 20_000.0;
-/// Operating points of one run.
+/// Upper limit of the operating points of one run.
 const MAX_OPERATING_POINTS: usize = 1000;
 const MAX_TIME_LIMIT: Duration = Duration::from_secs(4 * 3600);
 
--- a/crates/scale/src/measurement.rs
+++ b/crates/scale/src/measurement.rs
@@ -18,7 +18,7 @@
     /// 99th percentile of the time from a change of the endpoint list until a node was notified of it.
     #[serde(rename = "told")]
     NotificationDelay,
-    /// Time from the start of a node to its first answer with status 200 on `/_health`, for nine of ten nodes.
+    /// 90th percentile of the time from the start of a node to its first answer with status 200 on `/_health`.
     #[serde(rename = "ready-again")]
     StartupTime,
     /// CPU usage of a node as a share of one core.
@@ -44,7 +44,7 @@
     Dispatches,
     /// List lines per second that one node received.
     ListUpdates,
-    /// Number of hollow nodes of a [`crate::row::NodeKind`].
+    /// Number of hollow nodes of one [`crate::row::NodeKind`].
     #[serde(rename = "drivers")]
     HollowNodeCount,
     /// Requests that were answered more than once.
@@ -73,7 +73,8 @@
     ConfigCpu,
     /// Rise of the peak memory of a node by one configuration reload.
     ConfigMemory,
-    /// Time from the reload signal to the first request that the new settings accepted.
+    /// Time from the reload signal until the first request was sent whose class only the new settings contain and that
+    /// the node did not refuse as one of an unknown class.
     ConfigDelay,
     /// Listed executors that a node does not retain in its registry.
     #[serde(rename = "left-out")]
--- a/crates/scale/src/table.rs
+++ b/crates/scale/src/table.rs
@@ -1,4 +1,4 @@
-//! Formats the table of a run: the checks against its bounds, and each measurement over the fleet size.
+//! Formats the table of a run: the checks against its bounds, and each measurement by fleet size.
 use crate::evaluation::{BoundCheck, Evaluation, Verdict, evaluate};
 use crate::fit::{LinearFit, Sample, SeriesKey, group_into_series};
 use crate::row::{Measurement, NodeKind, Row, RuleViolation, Start, Unit, figures, start_of};
@@ -126,7 +126,7 @@
     }
 }
 
-/// A measurement at one kind of node, which has a section of its own in the table.
+/// A measurement and the kind of node that it was taken at; each pair has a section of its own in the table.
 type Group = (Measurement, NodeKind);
 
 fn write_series(out: &mut String, start: &Start, rows: &[Row], style: Style) {
@@ -134,10 +134,10 @@
     for (key, samples) in group_into_series(figures(rows)) {
         groups.entry((key.measurement, key.node)).or_default().push((key, samples));
     }
-    for ((measurement, node), lines) in groups {
+    for ((measurement, node), series) in groups {
         let bound =
             start.bounds.limit(measurement).filter(|_| matches!(node, NodeKind::Real | NodeKind::All));
-        write_group(out, measurement, node, bound, &lines, style);
+        write_group(out, measurement, node, bound, &series, style);
     }
 }
 
@@ -146,19 +146,19 @@
     measurement: Measurement,
     node: NodeKind,
     bound: Option<f64>,
-    lines: &[(SeriesKey, Vec<Sample>)],
+    series: &[(SeriesKey, Vec<Sample>)],
     style: Style,
 ) {
     let unit = measurement.unit();
     let sizes: BTreeSet<usize> =
-        lines.iter().flat_map(|(_, samples)| samples.iter().map(|sample| sample.executors)).collect();
+        series.iter().flat_map(|(_, samples)| samples.iter().map(|sample| sample.executors)).collect();
     let bound_text =
         bound.map_or("no bound".into(), |bound| format!("bound {}", format_with_unit(bound, unit)));
     let _ = writeln!(out, "\n{measurement}, node {node}, {}, {bound_text}", unit_name(unit));
     let mut header = format!("  {:<16} {:>8} {:>6}", "phase", "turnover", "rate");
     sizes.iter().for_each(|size| _ = write!(header, " {size:>10}"));
     let _ = writeln!(out, "{header} {:>12} {:>12} {:>6} {:>3}", "slope/1000", "intercept", "R2", "n");
-    for (key, samples) in lines {
+    for (key, samples) in series {
         let mut line = format!("  {:<16} {:>8} {:>6}", key.phase, key.turnover(), key.rate());
         sizes.iter().for_each(|size| _ = write!(line, " {}", value_cell(samples, *size, unit, bound, style)));
         let _ = writeln!(out, "{line} {}", fit_cells(samples, unit));
@@ -175,7 +175,8 @@
     format!("{:>10}", format_number(largest, unit))
 }
 
-/// Formats the line through the samples, and the size at which they deviate from it.
+/// Formats the line fitted to the samples, and the first value that deviates from the line through the smaller fleet
+/// sizes, if there is one.
 fn fit_cells(samples: &[Sample], unit: Unit) -> String {
     let Some(fit) = LinearFit::through(samples.to_vec()) else {
         return format!("{:>12} {:>12} {:>6} {:>3}", "-", "-", "-", samples.len());
@@ -197,7 +198,7 @@
     )
 }
 
-/// Returns the name of the unit that the table uses for a unit of measurement.
+/// Returns the name of the unit in which the table shows values of a unit.
 fn unit_name(unit: Unit) -> &'static str {
     match unit {
         Unit::Count => "count",
@@ -209,8 +210,8 @@
     }
 }
 
-/// Converts a value to the unit of the table.
-fn scale(value: f64, unit: Unit) -> f64 {
+/// Converts a value to the unit in which the table shows it.
+fn convert_to_table_unit(value: f64, unit: Unit) -> f64 {
     match unit {
         Unit::Cores => value * 100.0,
         Unit::Bytes => value / (1024.0 * 1024.0),
@@ -221,7 +222,7 @@
 
 /// Formats a value with three significant digits, without its unit.
 fn format_number(value: f64, unit: Unit) -> String {
-    let value = scale(value, unit);
+    let value = convert_to_table_unit(value, unit);
     match value.abs() {
         0.0 => "0".into(),
         magnitude if magnitude >= 100.0 || value.fract() == 0.0 => format!("{value:.0}"),
