--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -8,7 +8,7 @@
 use troutknot_ledger::store::{Reader, Rows, Store, StoreError};
 use troutknot_ledger::{AttemptStatus, Job, Ledger};
 
-/// Largest number of attempts per request that a node can be configured to allow; the ledger does not store the
+/// Largest number of attempts per request that a node allows, whatever is configured; the ledger does not store the
 /// configured number.
 const MAX_ATTEMPTS: usize = 3;
 
--- a/crates/cli/src/verdict.rs
+++ b/crates/cli/src/verdict.rs
@@ -60,7 +60,8 @@
     );
     let _ = writeln!(
         out,
-        "  longest dispatch after a drain notice {:.0} ms; largest use of a warm-up budget {:.0}%; {} executors overloaded",
+        "  longest dispatch after a drain notice {:.0} ms; largest use of a warm-up budget {:.0}%; {} executors \
+         overloaded",
         verdict.longest_dispatch_after_drain_ms,
         verdict.warm_up_budget_used * 100.0,
         verdict.overload_failures
