--- a/crates/simulation/src/baselines.rs
+++ b/crates/simulation/src/baselines.rs
@@ -16,11 +16,11 @@
     LoadReport, Millis, Outcome, RequestId, Settings,
 };
 
-/// Part of a warm-up budget that is spent, and part of a deduplication window within which a retry is sent.
+/// Share of a warm-up budget that may be spent, and share of a deduplication window within which a retry may be sent.
 const USABLE_SHARE: f64 = 0.8;
 /// Delay in milliseconds before a request that found no executor is tried again.
 const RETRY_INTERVAL: Millis = 20.0;
-/// Part of a request's latency objective for which it waits for an executor.
+/// Longest time that a request waits for an executor, as a share of its latency objective.
 const MAX_WAIT_SHARE: f64 = 0.25;
 
 /// How a node selects executors.
@@ -79,12 +79,13 @@
     arrived_at: Millis,
     deadline: Millis,
     attempts: Vec<Attempt>,
-    /// Sampled executors whose probe replies are outstanding, and the reports of the others.
+    /// Sampled executors whose probe replies are outstanding.
     awaited_probes: Vec<ExecutorId>,
+    /// Load reports of the sampled executors that have replied.
     reports: Vec<(ExecutorId, LoadReport)>,
 }
 
-/// The state of one executor. It is never released: a baseline runs for the length of one simulation.
+/// The state of one executor. It is never dropped: a baseline runs for the length of one simulation.
 struct ExecutorState {
     endpoint: Endpoint,
     slots: f64,
@@ -108,7 +109,8 @@
     rng: ChaCha8Rng,
     classes: Vec<RequestClass>,
     max_attempts: usize,
-    nodes: f64,
+    /// Number of nodes that share the warm-up budgets.
+    node_count: f64,
     initial_capacity: f64,
     ramp_duration: Millis,
     budget_window: Millis,
@@ -138,7 +140,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             classes: classes.map(request_class).collect(),
             max_attempts: settings.limits.max_attempts.unwrap_or(1.0) as usize,
-            nodes: settings.nodes.max(1.0),
+            node_count: settings.nodes.max(1.0),
             initial_capacity: settings.rules.initial_capacity,
             ramp_duration: settings.rules.ramp_duration,
             budget_window: settings.rules.budget_window,
@@ -180,7 +182,7 @@
         self.ready = ready.map(|(executor, _)| executor).collect();
     }
 
-    /// The share of its full capacity that an executor has at a time, by the linear ramp of slow start.
+    /// The share of its full capacity that an executor has at the time `at`, by the linear ramp of slow start.
     fn capacity_share(&self, executor: ExecutorId, at: Millis) -> f64 {
         match self.executors.get(executor).and_then(|state| state.endpoint.started_at) {
             Some(started_at) if at < started_at + self.ramp_duration => {
@@ -191,8 +193,8 @@
         }
     }
 
-    /// What is left of this node's share of an executor's warm-up budget, in slot-milliseconds; infinite for a warm
-    /// executor.
+    /// The rest of this node's share of an executor's warm-up budget, in slot-milliseconds; infinite for an executor at
+    /// full capacity.
     fn remaining_budget(&self, executor: ExecutorId, now: Millis) -> f64 {
         let window_start = now - self.budget_window;
         let capacity_share = self.capacity_share(executor, window_start);
@@ -202,11 +204,11 @@
         let Some(state) = self.executors.get(executor) else { return 0.0 };
         let budget = self.budget_multiple * capacity_share * state.slots * self.budget_window;
         let spent: f64 = state.spent.iter().filter(|(at, _)| *at >= window_start).map(|(_, cost)| cost).sum();
-        USABLE_SHARE * budget / self.nodes - spent
+        USABLE_SHARE * budget / self.node_count - spent
     }
 
-    /// Whether a request may be dispatched again, the executor to whose deduplication group that is limited, if any,
-    /// and whether the request may be rejected (otherwise it fails).
+    /// Returns whether a request may be dispatched again, the executor whose deduplication group it must stay in
+    /// (`None` if any group is allowed), and whether it may be rejected rather than failed.
     fn retry_rule(&self, now: Millis, request: &Request) -> (bool, Option<ExecutorId>, bool) {
         let class = &self.classes[request.class];
         let mut attempts = request.attempts.iter();
@@ -225,7 +227,8 @@
         }
     }
 
-    /// The executors to which a request may be dispatched; those without an attempt of it, if there are any.
+    /// The executors to which a request may be dispatched. Executors that already had an attempt of it are included
+    /// only if there are no others.
     fn candidates(&self, now: Millis, request: &Request) -> Vec<ExecutorId> {
         let (_, peer, _) = self.retry_rule(now, request);
         let group = |executor: ExecutorId| {
@@ -244,7 +247,9 @@
         if untried.is_empty() { allowed } else { untried }
     }
 
-    /// Selects an executor for a request and dispatches or probes; ends or delays a request without an executor.
+    /// Selects an executor for a request and dispatches to it, or sends the probes on which the selection depends. A
+    /// request without a candidate waits for the timer. Gives up a request that has waited too long, is past its
+    /// deadline, has no attempts left or may not be dispatched again.
     fn schedule(&mut self, now: Millis, request_id: RequestId) {
         let Some(request) = self.requests.get(&request_id) else { return };
         let (can_retry, _, can_reject) = self.retry_rule(now, request);
@@ -321,6 +326,7 @@
         });
     }
 
+    /// Rejects a request, or fails it if it may not be rejected.
     fn give_up(&mut self, request_id: RequestId, can_reject: bool) {
         if let Some(request) = self.requests.remove(&request_id) {
             let retry_after = Some(self.classes[request.class].latency_objective);
@@ -456,9 +462,9 @@
             Event::AttemptRecovered { .. }
             | Event::AttemptStarted { .. }
             | Event::AttemptProgressed { .. } => {}
-            // A baseline runs in one process and loses its state when that ends.
+            // A baseline has no sibling process, and its state ends with its process.
             Event::SiblingChanged { .. } | Event::WarmStateReceived(_) => {}
-            // It does not gossip either.
+            // Baselines do not gossip.
             Event::GossipReceived(_) => {}
         }
     }
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -18,7 +18,8 @@
 /// Largest number of runs of an experiment.
 const MAX_RUNS: usize = 1_000_000;
 
-/// Settings that are varied. Every combination of the lists is run; a setting with an empty list is not changed.
+/// Settings that are varied. Every combination of their values is run; a setting without values stays as in the
+/// scenario.
 #[derive(Deserialize, Clone, Debug, Default)]
 #[serde(deny_unknown_fields, default)]
 pub struct VariedSettings {
@@ -73,7 +74,7 @@
     pub policy: Policy,
     pub policy_name: String,
     pub seed: u64,
-    /// Index in the plan's scenarios.
+    /// Index in the `scenarios` of the plan.
     scenario: usize,
 }
 
@@ -88,10 +89,12 @@
     pub service: f64,
     #[serde(rename = "breaches")]
     pub violations: usize,
-    /// Completed requests as a share of all, as are the next two.
+    /// Completed requests as a share of all requests.
     pub completed: f64,
+    /// Rejected requests as a share of all requests.
     #[serde(rename = "deferred")]
     pub rejected: f64,
+    /// Failed requests as a share of all requests.
     #[serde(rename = "aborted")]
     pub failed: f64,
     pub p50_ms: f64,
@@ -222,7 +225,8 @@
     /// Reads an experiment, and checks every scenario that it runs.
     ///
     /// # Errors
-    /// If the experiment or a scenario is not valid; the error lists every fault and what is allowed.
+    /// If the experiment or a scenario is not valid; the error lists the faults and what is allowed. The scenarios are
+    /// not read if the experiment has too many runs.
     pub fn read(path: &Path) -> Result<Self, ExperimentError> {
         let shown = path.display();
         let text =
@@ -322,11 +326,13 @@
         }
     }
 
-    /// Runs what is not yet stored in the folder on a number of threads, and returns all rows in the order of the plan.
-    /// Calls `report_progress` with the number of stored runs at the start and after each run.
+    /// Simulates the runs that have no row in the folder yet, on the given number of threads, and returns the rows of
+    /// all runs in the order of the plan. Calls `report_progress` with the number of stored runs at the start and after
+    /// each run.
     ///
     /// # Errors
-    /// If another process writes to the folder, it belongs to another experiment, or a row cannot be stored.
+    /// If another process writes to the folder, the folder belongs to another experiment, or a run cannot be simulated
+    /// or its row stored.
     pub fn run(
         &self,
         folder: &Path,
@@ -398,7 +404,7 @@
         if let Ok(Some(error)) = first_error.into_inner() {
             return Err(ExperimentError::Io(format!("`{}`: {error}", folder.display())));
         }
-        // The order of the plan, not the order in which the runs ended.
+        // Rows are stored in the order in which the runs ended; they are returned in the order of the plan.
         let mut by_key: BTreeMap<String, Row> =
             read_rows(&path).map_err(io_error)?.into_iter().map(|row| (row.key.clone(), row)).collect();
         Ok(self.runs.iter().filter_map(|run| by_key.remove(&run.key)).collect())
@@ -436,15 +442,15 @@
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
         Err(e) => return Err(e),
     };
-    let complete = text.rfind('\n').map_or(0, |at| at + 1);
-    if complete < text.len() {
-        File::options().write(true).open(path)?.set_len(complete as u64)?;
+    let complete_length = text.rfind('\n').map_or(0, |at| at + 1);
+    if complete_length < text.len() {
+        File::options().write(true).open(path)?.set_len(complete_length as u64)?;
     }
-    let row = |line: &str| serde_json::from_str(line).map_err(io::Error::other);
-    text[..complete].lines().map(row).collect()
+    let parse_row = |line: &str| serde_json::from_str(line).map_err(io::Error::other);
+    text[..complete_length].lines().map(parse_row).collect()
 }
 
-/// Summarizes the rows by scenario, varied settings and policy, in the order of the rows.
+/// Summarizes the rows of each scenario with its varied settings and each policy, in the order of their first rows.
 pub fn summarize(rows: &[Row], reference_policy: &str) -> Vec<Summary> {
     let mut order: Vec<(&str, &str)> = Vec::new();
     for row in rows {
--- a/crates/simulation/src/world/executors.rs
+++ b/crates/simulation/src/world/executors.rs
@@ -22,7 +22,8 @@
         self.change_executor(executor, |process, now| process.kill(now));
     }
 
-    /// Changes the state of an executor, and delivers the dispatches that waited for it if it runs again.
+    /// Changes the state of an executor. If it is then neither paused nor silent, the dispatches that reached it during
+    /// a pause are delivered.
     pub(super) fn change_executor(&mut self, executor: usize, change: impl FnOnce(&mut Executor, Millis)) {
         let now = self.now;
         if let Some(process) = &mut self.executors[executor] {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Handles the last byte of an attempt at its executor, if the attempt is still in flight.
+    /// Handles the arrival of an attempt's last byte at its executor, if the attempt is still in flight.
     pub(super) fn receive_dispatch(
         &mut self,
         event: WorldEvent,
@@ -94,10 +95,10 @@
             priority: class.credit,
         };
         let id = self.client_request_id(request, client_attempt);
-        let observed_id = attempt.key;
+        let observed_attempt_id = attempt.key;
         self.record(Observation::Received {
             executor: attempt.executor,
-            attempt_id: observed_id,
+            attempt_id: observed_attempt_id,
             id,
             first_byte: self.now,
             slots: offer.slots,
@@ -113,15 +114,18 @@
                 self.attempt_origins.insert(attempt.key, origin);
             }
             Admission::Rejected => {
-                self.record(Observation::NotStarted { attempt_id: observed_id });
+                self.record(Observation::NotStarted { attempt_id: observed_attempt_id });
                 self.queue.schedule(reply_at, ended(Outcome::Rejected));
             }
             Admission::Error => {
-                self.record(Observation::ErrorAnswered { attempt_id: observed_id });
+                self.record(Observation::ErrorAnswered { attempt_id: observed_attempt_id });
                 self.queue.schedule(reply_at, ended(Outcome::Error));
             }
             Admission::Down => {
-                self.record(Observation::Ended { attempt_id: observed_id, outcome: AttemptOutcome::Reset });
+                self.record(Observation::Ended {
+                    attempt_id: observed_attempt_id,
+                    outcome: AttemptOutcome::Reset,
+                });
                 self.queue.schedule(reply_at, ended(Outcome::Reset));
             }
         }
@@ -189,7 +193,7 @@
         self.collect_output(executor);
     }
 
-    /// Handles a probe at its executor, which replies if it can.
+    /// Handles the arrival of a probe at its executor, which replies unless it is down, silent or paused.
     pub(super) fn receive_probe(&mut self, node: u32, incarnation: u32, executor: ExecutorId) {
         let Some(index) = self.nodes[node as usize].executor_ids.index(executor) else { return };
         let connect_timeout = millis(self.scenario.nodes.connect_wait);
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -25,7 +25,7 @@
 
 /// Time in milliseconds at which the plan starts; nodes receive the first endpoint list before it.
 pub const PLAN_START: Millis = 100_000.0;
-/// Time in milliseconds by which the nodes and the initial executors start before the plan.
+/// Time in milliseconds from the start of the nodes and the initial executors to the start of the plan.
 const STARTUP_TIME: Millis = 700.0;
 /// One-way latency in milliseconds between any two processes, including their processing time.
 const NETWORK_LATENCY: Millis = 0.15;
@@ -33,15 +33,15 @@
 const WATCH_IDLE_TIMEOUT: Millis = 2600.0;
 /// Interval in milliseconds of the front's health checks.
 const HEALTH_CHECK_INTERVAL: Millis = 200.0;
-/// Time in milliseconds by which a node's deadline is earlier than the client's (the node's `deadline_margin`).
+/// Time in milliseconds by which a request's deadline at a node precedes the client's (the node's `deadline_margin`).
 const DEADLINE_MARGIN: Millis = 25.0;
 
-/// The number of events and actions of a run.
+/// Counters of the work that a run did.
 #[derive(Default, Clone, Copy)]
 pub struct Counts {
     /// Events taken from the queue.
     pub events: u64,
-    /// Events handled by decision modules.
+    /// Events passed to decision modules.
     pub decisions: u64,
     /// Probes sent to executors.
     pub probes: u64,
@@ -55,7 +55,7 @@
     request_classes: Vec<&'a ProjectType>,
     /// The settings of each node.
     settings: Vec<Settings>,
-    /// Names of the machine types, by their ids.
+    /// Names of the machine types; the id of a type is its index.
     machine_types: Vec<String>,
     /// The token of each executor.
     tokens: Vec<u64>,
@@ -70,14 +70,14 @@
     /// The origin of each attempt that an executor has accepted, by key.
     attempt_origins: HashMap<u64, AttemptOrigin>,
     next_attempt_key: u64,
-    /// Every entry that discovery has had: the state of an executor and its start.
+    /// Every entry that discovery has ever listed: the state of an executor, and the start time in the list.
     entries: Vec<(ListedState, Option<Millis>)>,
-    /// Index of the current entry of each executor.
+    /// Index in `entries` of the current entry of each executor.
     current_entries: Vec<Option<u32>>,
-    /// The same as stored by the agent of each node.
+    /// The same for each node, as its discovery agent has received it; it is older while discovery is silent.
     agent_entries: Vec<Vec<Option<u32>>>,
     is_discovery_silent: bool,
-    /// Updates that agents hold back while discovery is silent: node, executor and entry.
+    /// Updates withheld from agents while discovery is silent: node, executor and entry.
     held_updates: Vec<(u32, u32, u32)>,
     nodes: Vec<Node>,
     /// The node that the front tries first for the next request.
@@ -85,7 +85,7 @@
     rng: ChaCha8Rng,
     observations: Vec<(Millis, Observation)>,
     counts: Counts,
-    /// A buffer that decisions share to avoid memory allocations.
+    /// Buffer for the actions of one event, reused to avoid memory allocations.
     actions: Vec<Action>,
 }
 
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Returns all observations in order of time, and the counts of the run.
+    /// Returns all observations in order of time, and the counters of the run.
     pub fn finish(self) -> (Vec<(Millis, Observation)>, Counts) {
         let mut observations = self.observations;
         // An executor reports its past events at the next poll, later than they occurred.
@@ -176,7 +176,7 @@
         self.observations.push((self.now, observation));
     }
 
-    /// The id that a client's attempt at a request carries.
+    /// Returns the request id that the client sends with an attempt.
     fn client_request_id(&self, request: u32, client_attempt: u32) -> Box<str> {
         self.plan.request_id(request as usize, client_attempt).into()
     }
--- a/crates/simulation/src/world/nodes.rs
+++ b/crates/simulation/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: their processes, the events that their decision modules receive, and the actions that follow.
+//! Nodes: their processes, the events that their decision modules receive, and the resulting actions.
 use super::events::{AttemptInTransit, WorldEvent};
 use super::{DEADLINE_MARGIN, HEALTH_CHECK_INTERVAL, NETWORK_LATENCY, PLAN_START, WATCH_IDLE_TIMEOUT, World};
 use crate::node::{ExecutorIds, InFlightAttempt, Node, OpenRequest};
@@ -13,7 +13,7 @@
 const MAX_DEADLINE_MARGIN_SHARE: f64 = 0.2;
 
 impl World<'_> {
-    /// Starts the first or the next process of a node.
+    /// Starts a process of a node: its first one, or the next one after a restart.
     pub(super) fn start_node(&mut self, node: usize) {
         let incarnation = self.nodes.get(node).map_or(0, |previous| previous.incarnation + 1);
         let seed = self.plan.seed ^ (node as u64) << 32 ^ u64::from(incarnation) << 48;
@@ -40,7 +40,7 @@
         self.send_list(node, ListUpdate::Snapshot);
     }
 
-    /// Passes an event to the decision module of a node, and executes the actions that follow.
+    /// Passes an event to the decision module of a node, and executes the resulting actions.
     pub(super) fn notify_node(&mut self, node: usize, event: Event) {
         let now = self.now;
         self.nodes[node].module.handle_event(now, event);
@@ -131,7 +131,8 @@
         self.queue.schedule(timeout_at, timed_out);
     }
 
-    /// Closes the connection of an attempt; returns false if the attempt is not in flight.
+    /// Closes the connection of an attempt, which its executor notices one network latency later. Returns false if the
+    /// attempt is not in flight.
     pub(super) fn cancel_attempt(
         &mut self,
         node: usize,
@@ -146,7 +147,7 @@
         true
     }
 
-    /// Sends the final answer of a node to the client, if it still waits.
+    /// Sends the final answer of a node to the client if the client is still waiting.
     fn answer_client(
         &mut self,
         node: usize,
@@ -204,7 +205,7 @@
         );
     }
 
-    /// Handles the end of an attempt at its node.
+    /// Passes the end of an attempt to its node, and answers the client if the attempt completed the request.
     pub(super) fn end_attempt(
         &mut self,
         node: usize,
@@ -265,7 +266,7 @@
         self.queue.schedule(detected_at, checked);
     }
 
-    /// Updates the front's rotation by the result of a health check.
+    /// Adds a node to the front's rotation or removes it after a health check.
     pub(super) fn update_rotation(&mut self, node: usize, is_accepting: bool) {
         let node = &mut self.nodes[node];
         // A node that is up again before the front detects its failure stays in rotation.
