--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -58,20 +58,21 @@
     /// The exit status if the rehearsal failed or its report cannot be written. The reason has been printed on standard
     /// error.
     fn try_run(&self) -> Result<ExitStatus, ExitStatus> {
-        let scenario = self.scenario()?;
-        let program = self.program()?;
-        let folder = self.folder()?;
+        let scenario = self.read_scenario()?;
+        let program = self.node_program()?;
+        let folder = self.create_log_folder()?;
         let seed = self.seed.unwrap_or(scenario.seed);
         let progress = Arc::new(Progress::default());
         let bar = RehearsalProgress::start(millis(scenario.length) as u64, progress.clone());
         let result = rehearse(&scenario, seed, Arc::new(program), folder.path(), progress);
         bar.finish();
         let report = result.map_err(|error| ExitStatus::Machine.report(error))?;
-        self.print(&report)?;
+        self.write_report(&report)?;
         Ok(exit_status(&report))
     }
 
-    fn scenario(&self) -> Result<Arc<Scenario>, ExitStatus> {
+    /// Reads the scenario and applies `--time-scale` to it.
+    fn read_scenario(&self) -> Result<Arc<Scenario>, ExitStatus> {
         let mut scenario =
             check::scenario(&self.scenario).map_err(|error| ExitStatus::Usage.report(error))?;
         if !ALLOWED_TIME_SCALES.contains(&self.time_scale) {
@@ -83,7 +84,7 @@
         Ok(Arc::new(scenario))
     }
 
-    fn program(&self) -> Result<Program, ExitStatus> {
+    fn node_program(&self) -> Result<Program, ExitStatus> {
         if let Some(path) = &self.node {
             return Ok(Program { path: path.clone(), args: Vec::new() });
         }
@@ -93,7 +94,8 @@
         }
     }
 
-    fn folder(&self) -> Result<LogFolder, ExitStatus> {
+    /// Creates the folder of `--logs`, or a temporary one without the option.
+    fn create_log_folder(&self) -> Result<LogFolder, ExitStatus> {
         let Some(folder) = &self.logs else {
             let folder = tempfile::tempdir().map(LogFolder::Temporary);
             return folder.map_err(|error| {
@@ -109,7 +111,7 @@
     }
 
     /// Writes the report file, if one is named, and prints the report.
-    fn print(&self, report: &Report) -> Result<(), ExitStatus> {
+    fn write_report(&self, report: &Report) -> Result<(), ExitStatus> {
         let json = serde_json::to_string_pretty(report).map_err(|error| ExitStatus::Machine.report(error))?;
         if let Some(path) = &self.report
             && let Err(error) = std::fs::write(path, &json)
--- a/crates/scale/src/campaign/starts.rs
+++ b/crates/scale/src/campaign/starts.rs
@@ -18,7 +18,7 @@
 }
 
 impl Campaign<'_> {
-    /// Measures a node without executors.
+    /// Measures a node with an empty endpoint list.
     pub(super) async fn measure_baseline(&self) -> Result<Baseline, RunError> {
         let (cluster, startup_times) = self.start_nodes(0, 1).await?;
         sleep(SETTLE_TIME).await;
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -136,7 +136,7 @@
     pub runs: Vec<Run>,
     pub reference_policy: String,
     scenarios: Vec<Scenario>,
-    /// The text of the experiment and of its scenarios.
+    /// The text of the experiment and of its scenarios; a folder with rows of another text is not used.
     source: String,
 }
 
@@ -217,6 +217,7 @@
         "reading_delay" => {
             tables(scenario, "executors").for_each(|group| set(subtable(group, "readings"), "delay"))
         }
+        // The remaining name, `trouble_share`.
         _ => tables(scenario, "troubles").for_each(|fault| set(Some(fault), "share")),
     }
 }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -57,7 +57,7 @@
     settings: Vec<Settings>,
     /// Names of the machine types; the id of a type is its index.
     machine_types: Vec<String>,
-    /// The token of each executor.
+    /// The token of each executor: the hash of its name, which is the same at every node.
     tokens: Vec<u64>,
     queue: EventQueue<WorldEvent>,
     now: Millis,
