--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -14,7 +14,7 @@
 use troutknot_rehearsal::scenario::{Scenario, millis};
 
 /// Allowed values of `--time-scale`.
-const TIME_SCALES: std::ops::RangeInclusive<f64> = 0.1..=100.0;
+const ALLOWED_TIME_SCALES: std::ops::RangeInclusive<f64> = 0.1..=100.0;
 /// Interval at which the progress bar is drawn.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 
@@ -52,28 +52,31 @@
         self.try_run().unwrap_or_else(|status| status)
     }
 
+    /// Runs the rehearsal and prints the report; returns the exit status.
+    ///
     /// # Errors
     /// The exit status if the rehearsal failed or its report cannot be written. The reason has been printed on standard
     /// error.
     fn try_run(&self) -> Result<ExitStatus, ExitStatus> {
-        let scenario = self.scenario()?;
-        let program = self.program()?;
-        let folder = self.folder()?;
+        let scenario = self.read_scenario()?;
+        let program = self.node_program()?;
+        let folder = self.create_log_folder()?;
         let seed = self.seed.unwrap_or(scenario.seed);
         let progress = Arc::new(Progress::default());
         let bar = RehearsalProgress::start(millis(scenario.length) as u64, progress.clone());
         let result = rehearse(&scenario, seed, Arc::new(program), folder.path(), progress);
         bar.finish();
         let report = result.map_err(|error| ExitStatus::Machine.report(error))?;
-        self.print(&report)?;
+        self.write_report(&report)?;
         Ok(exit_status(&report))
     }
 
-    fn scenario(&self) -> Result<Arc<Scenario>, ExitStatus> {
+    /// Reads the scenario and applies `--time-scale` to it.
+    fn read_scenario(&self) -> Result<Arc<Scenario>, ExitStatus> {
         let mut scenario =
             check::scenario(&self.scenario).map_err(|error| ExitStatus::Usage.report(error))?;
-        if !TIME_SCALES.contains(&self.time_scale) {
-            let (shortest, longest) = (TIME_SCALES.start(), TIME_SCALES.end());
+        if !ALLOWED_TIME_SCALES.contains(&self.time_scale) {
+            let (shortest, longest) = (ALLOWED_TIME_SCALES.start(), ALLOWED_TIME_SCALES.end());
             let text = format!("--time-scale is {}; {shortest} to {longest} is allowed", self.time_scale);
             return Err(ExitStatus::Usage.report(text));
         }
@@ -81,7 +84,7 @@
         Ok(Arc::new(scenario))
     }
 
-    fn program(&self) -> Result<NodeProgram, ExitStatus> {
+    fn node_program(&self) -> Result<NodeProgram, ExitStatus> {
         if let Some(path) = &self.node {
             return Ok(NodeProgram { path: path.clone(), args: Vec::new() });
         }
@@ -91,7 +94,8 @@
         }
     }
 
-    fn folder(&self) -> Result<LogFolder, ExitStatus> {
+    /// Creates the folder of `--logs`, or a temporary one without the option.
+    fn create_log_folder(&self) -> Result<LogFolder, ExitStatus> {
         let Some(folder) = &self.logs else {
             let folder = tempfile::tempdir().map(LogFolder::Temporary);
             return folder.map_err(|error| {
@@ -107,7 +111,7 @@
     }
 
     /// Writes the report file, if one is named, and prints the report.
-    fn print(&self, report: &Report) -> Result<(), ExitStatus> {
+    fn write_report(&self, report: &Report) -> Result<(), ExitStatus> {
         let json = serde_json::to_string_pretty(report).map_err(|error| ExitStatus::Machine.report(error))?;
         if let Some(path) = &self.report
             && let Err(error) = std::fs::write(path, &json)
