--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -46,7 +46,7 @@
 pub struct Clients {
     scenario: Arc<Scenario>,
     plan: Arc<Plan>,
-    record: Arc<ObservationLog>,
+    observation_log: Arc<ObservationLog>,
     front: Rc<Front>,
     idle_connections: RefCell<Vec<PooledConnection>>,
     /// Limits the requests in flight.
@@ -61,6 +61,7 @@
     Completed,
     /// Rejected with 429 or 503, with the `Retry-After` of the response.
     Rejected(Option<Duration>),
+    /// Any other response, an invalid result, or no response in time.
     Failed,
     /// The connection closed without a response.
     Disconnected,
@@ -75,14 +76,14 @@
     pub fn new(
         scenario: Arc<Scenario>,
         plan: Arc<Plan>,
-        record: Arc<ObservationLog>,
+        observation_log: Arc<ObservationLog>,
         front: Rc<Front>,
     ) -> Rc<Self> {
         let permits = Semaphore::new(scenario.clients.max_connections);
         Rc::new(Clients {
             scenario,
             plan,
-            record,
+            observation_log,
             front,
             idle_connections: RefCell::default(),
             permits,
@@ -111,23 +112,23 @@
             }
             self.send_delays.borrow_mut().push(due.elapsed().as_secs_f64() * 1000.0);
             let clients = self.clone();
-            open_requests.spawn_local(async move { clients.request(number, due).await });
+            open_requests.spawn_local(async move { clients.send_request(number, due).await });
             while open_requests.try_join_next().is_some() {}
         }
         while open_requests.join_next().await.is_some() {}
     }
 
-    async fn request(&self, number: usize, due: Instant) {
+    async fn send_request(&self, number: usize, due: Instant) {
         let request = &self.plan.requests[number];
         let class = self.scenario.request_classes[request.request_class].get_ref();
         let spec = &self.scenario.clients;
         let disconnects_at =
             request.disconnects_after.map(|after| due + Duration::from_secs_f64(after / 1000.0));
         if self.scenario.has_idempotency_key(class) {
-            return self.keyed_request(number, request, class).await;
+            return self.send_keyed_request(number, request, class).await;
         }
         for attempt in 0..=spec.max_retries {
-            let result = self.attempt(number, attempt, request, class, disconnects_at, None).await;
+            let result = self.send_attempt(number, attempt, request, class, disconnects_at, None).await;
             let retry_after = match result {
                 AttemptResult::Rejected(retry_after) => retry_after,
                 AttemptResult::Unreachable => None,
@@ -145,18 +146,19 @@
         self.ended_requests.set(self.ended_requests.get() + 1);
     }
 
-    /// Sends a request with an idempotency key to the same node until there is a response, because a key is known to
-    /// one node only.
-    async fn keyed_request(&self, number: usize, request: &Request, class: &RequestClass) {
+    /// Sends a request with an idempotency key to one node, the only one that knows the key, until there is a final
+    /// response. Gives up after twice the deadline and 300 ms, after 250 retries, or when a rejection exceeds the
+    /// scenario's limit of retries.
+    async fn send_keyed_request(&self, number: usize, request: &Request, class: &RequestClass) {
         let retry_until = Instant::now() + 2 * class.deadline + LATE_RESPONSE_WAIT;
         let (mut attempt, mut rejections) = (0, 0);
         let Some((node, _)) = self.front.next_node() else {
-            self.record.record(Observation::ConnectFailed { request: number });
+            self.observation_log.record(Observation::ConnectFailed { request: number });
             self.ended_requests.set(self.ended_requests.get() + 1);
             return;
         };
         loop {
-            let result = self.attempt(number, attempt, request, class, None, Some(node)).await;
+            let result = self.send_attempt(number, attempt, request, class, None, Some(node)).await;
             let delay = match result {
                 AttemptResult::Disconnected | AttemptResult::Unreachable => KEYED_RETRY_DELAY,
                 AttemptResult::Rejected(retry_after) if rejections < self.scenario.clients.max_retries => {
@@ -175,7 +177,7 @@
     }
 
     /// Takes an idle connection or opens one, to the given node or to the next one of the load balancer.
-    async fn connection(&self, node: Option<usize>) -> Option<PooledConnection> {
+    async fn acquire_connection(&self, node: Option<usize>) -> Option<PooledConnection> {
         loop {
             let pooled = {
                 let mut idle = self.idle_connections.borrow_mut();
@@ -201,7 +203,7 @@
     }
 
     /// Sends one attempt; with an idempotency key if `node` is given.
-    async fn attempt(
+    async fn send_attempt(
         &self,
         number: usize,
         attempt: u32,
@@ -212,12 +214,12 @@
     ) -> AttemptResult {
         let id = self.plan.request_id(number, attempt);
         let unreachable = || {
-            self.record.record(Observation::ConnectFailed { request: number });
+            self.observation_log.record(Observation::ConnectFailed { request: number });
             AttemptResult::Unreachable
         };
         let Ok(_permit) = self.permits.try_acquire() else { return unreachable() };
         loop {
-            let Some(mut connection) = self.connection(node).await else { return unreachable() };
+            let Some(mut connection) = self.acquire_connection(node).await else { return unreachable() };
             if connection.sender.ready().await.is_err() {
                 continue;
             }
@@ -242,14 +244,14 @@
                 return unreachable();
             };
             let (has_key, node) = (node.is_some(), connection.node);
-            self.record.record(Observation::RequestSent {
+            self.observation_log.record(Observation::RequestSent {
                 id: id.as_str().into(),
                 request: number,
                 attempt,
                 node,
             });
             let gives_up_at = Instant::now() + class.deadline + LATE_RESPONSE_WAIT;
-            // The error tells whether the connection returned the request unsent.
+            // The error is true if the connection returned the request unsent.
             let response = async {
                 let response = connection
                     .sender
@@ -270,7 +272,7 @@
                 biased;
                 response = timeout_at(gives_up_at, response) => response,
                 () = disconnect => {
-                    self.record.record(Observation::ClientDisconnected { id: id.into() });
+                    self.observation_log.record(Observation::ClientDisconnected { id: id.into() });
                     return AttemptResult::Abandoned;
                 }
             };
@@ -280,7 +282,7 @@
                 Ok(Err(true)) => continue,
                 Ok(Err(false)) => {
                     let reused = connection.reused;
-                    self.record.record(Observation::ConnectionLost { id: id.into(), reused });
+                    self.observation_log.record(Observation::ConnectionLost { id: id.into(), reused });
                     return AttemptResult::Disconnected;
                 }
                 Err(_) => return AttemptResult::Failed,
@@ -296,17 +298,17 @@
                 .and_then(|value| value.to_str().ok()?.parse::<f64>().ok())
                 .filter(|seconds| (0.0..MAX_RETRY_AFTER_S).contains(seconds))
                 .map(Duration::from_secs_f64);
-            self.record.record(Observation::RequestAnswered {
+            self.observation_log.record(Observation::RequestAnswered {
                 id: id.into(),
                 status,
                 is_valid,
                 retry_after: retry_after.map(millis),
             });
-            let closes = head
+            let closes_connection = head
                 .headers
                 .get("connection")
                 .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
-            if !closes {
+            if !closes_connection {
                 (connection.reused, connection.idle_since) = (true, Instant::now());
                 self.idle_connections.borrow_mut().push(connection);
             }
--- a/crates/rehearsal/src/endpoint_lists.rs
+++ b/crates/rehearsal/src/endpoint_lists.rs
@@ -37,7 +37,7 @@
 pub struct ConsulList {
     agent: Rc<fake_consul::Agent>,
     node: NodeNumber,
-    record: Arc<ObservationLog>,
+    observation_log: Arc<ObservationLog>,
     /// Changes that the agent could not send since its fault began.
     pending: RefCell<Vec<(ExecutorNumber, ListedState)>>,
     fault: RefCell<Option<DiscoveryFault>>,
@@ -64,11 +64,11 @@
         cluster: &Rc<Cluster>,
         node: NodeNumber,
         address: SocketAddr,
-        record: &Arc<ObservationLog>,
+        observation_log: &Arc<ObservationLog>,
     ) -> io::Result<Rc<Self>> {
         let agent = fake_consul::Agent::start(cluster, address, None)?;
         let last_sent: RefCell<HashMap<ExecutorNumber, ListedState>> = RefCell::default();
-        let callback_record = record.clone();
+        let callback_log = observation_log.clone();
         agent.set_response_callback(Box::new(move |instances| {
             let current: HashMap<ExecutorNumber, ListedState> = instances
                 .iter()
@@ -76,7 +76,7 @@
                 .collect();
             let mut last_sent = last_sent.borrow_mut();
             let record_notified = |executor, state| {
-                callback_record.record(Observation::NodeNotified { node, executor, state });
+                callback_log.record(Observation::NodeNotified { node, executor, state });
             };
             for (&executor, &state) in &current {
                 if last_sent.get(&executor) != Some(&state) {
@@ -90,7 +90,7 @@
             *last_sent = current;
         }));
         let (pending, fault) = Default::default();
-        Ok(Rc::new(ConsulList { agent, node, record: record.clone(), pending, fault }))
+        Ok(Rc::new(ConsulList { agent, node, observation_log: observation_log.clone(), pending, fault }))
     }
 
     /// Records a change that the agent knows of, or holds it back while the agent has a fault.
@@ -98,7 +98,7 @@
         if self.fault.borrow().is_some() {
             self.pending.borrow_mut().push((executor, state));
         } else {
-            self.record.record(Observation::AgentUpdated { node: self.node, executor, state });
+            self.observation_log.record(Observation::AgentUpdated { node: self.node, executor, state });
         }
     }
 
@@ -221,8 +221,8 @@
     Some(cluster)
 }
 
-/// Updates the registration of a member in Consul. A member that is not ready is listed as critical if `is_failing`,
-/// otherwise as in maintenance.
+/// Updates the registration of a member in Consul, or removes it if the member is gone. A draining member is listed as
+/// critical if `is_failing`, otherwise as in maintenance.
 pub fn register(cluster: &Cluster, member: &Member, is_failing: bool) {
     match member.state {
         ListedState::Gone => cluster.deregister(SERVICE, &member.id),
--- a/crates/rehearsal/src/node_process.rs
+++ b/crates/rehearsal/src/node_process.rs
@@ -19,7 +19,7 @@
     Kill,
 }
 
-/// The resources that a node has used since its start.
+/// The resources that one or more processes of a node have used.
 #[derive(Clone, Copy, Default, Debug, PartialEq)]
 pub struct ResourceUsage {
     /// CPU time in user and kernel mode, in milliseconds.
@@ -55,7 +55,7 @@
     pub inherited_socket: Option<(TcpListener, PathBuf)>,
 }
 
-/// Starts processes of nodes. Tests implement it by nodes that break a rule on purpose.
+/// Starts processes of nodes. Tests implement it with nodes that break a rule on purpose.
 pub trait NodeLauncher: Send + Sync {
     /// Starts a process of a node.
     ///
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -22,8 +22,8 @@
 use troutknot_emulator::front::Front;
 use troutknot_emulator::observations::ObservationLog;
 
-/// Largest 99th percentile of the delay of clients and executors, in milliseconds. Above it the run no longer follows
-/// its scenario.
+/// Maximum 99th percentile of the delay of clients and of executors, in milliseconds. Above it the run no longer
+/// follows its scenario.
 const MAX_P99_DELAY_MS: f64 = 25.0;
 const DELAY_SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 /// Time between the readiness of the nodes and the start of the day.
@@ -92,7 +92,7 @@
         self.verdict.violations.is_empty() && self.verdict.service >= self.expected_service
     }
 
-    /// Whether clients and executors ran without too much delay.
+    /// Whether the 99th percentiles of the delays of clients and executors are at most 25 ms.
     pub fn is_on_schedule(&self) -> bool {
         self.clients_late_p99_ms.max(self.executors_late_p99_ms) <= MAX_P99_DELAY_MS
     }
@@ -107,9 +107,10 @@
     pub elapsed_ms: AtomicUsize,
 }
 
-/// Estimates the file descriptors that this process needs: both ends of each connection of an executor, the listeners
-/// and the clients' connections.
-fn descriptors_needed(scenario: &Scenario, plan: &Plan) -> u64 {
+/// Estimates the file descriptors that this process needs: 2 for each executor, 8 for each node, a third of each node's
+/// own limit for its connections to executors, and one for each client connection, whose number is estimated from the
+/// requests of 4 s.
+fn estimate_file_descriptors(scenario: &Scenario, plan: &Plan) -> u64 {
     let executors = plan.executors.len() as u64;
     let nodes = scenario.nodes.count as u64;
     let executor_connections = nodes * (scenario.nodes.max_file_descriptors / 3);
@@ -131,7 +132,7 @@
         );
         return Err(RehearsalError::Machine(message));
     }
-    let needed = descriptors_needed(scenario, plan);
+    let needed = estimate_file_descriptors(scenario, plan);
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
     if current.is_some_and(|current| current < needed) {
         let raised = maximum.map_or(needed, |maximum| maximum.min(needed));
@@ -153,7 +154,8 @@
     Ok(())
 }
 
-/// The facts that the referee judges by, for a day that started at `started_at` milliseconds of the record.
+/// Builds the facts that the referee judges by; `started_at` is the start of the day in milliseconds since the
+/// observation log started.
 pub fn build_facts(scenario: &Scenario, plan: &Plan, started_at: f64) -> Facts {
     let rules = &scenario.rules;
     let classes = scenario.request_classes.iter().map(|class| class.get_ref());
@@ -197,7 +199,7 @@
     }
 }
 
-fn runtime() -> Result<tokio::runtime::Runtime> {
+fn build_runtime() -> Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -217,6 +219,7 @@
 /// The CPU time of this process in milliseconds.
 fn own_cpu_ms() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
+    // utime and stime, fields 14 and 15, counted after the name in parentheses, in ticks of 10 ms.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let ticks = |index: usize| fields.get(index).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
     (ticks(11) + ticks(12)) * 10.0
@@ -235,18 +238,18 @@
 ) -> Result<Report, RehearsalError> {
     let plan = Arc::new(Plan::generate(scenario, seed));
     check_machine(scenario, &plan)?;
-    let record = Arc::new(ObservationLog::default());
+    let observation_log = Arc::new(ObservationLog::default());
     let cpu_ms_at_start = own_cpu_ms();
     // The world sends the nodes' addresses; the clients signal the end of the day.
     let (ready_sender, ready) = mpsc::channel();
     let (end_sender, end) = oneshot::channel::<()>();
     let world = {
-        let (scenario, plan, record) = (scenario.clone(), plan.clone(), record.clone());
+        let (scenario, plan, observation_log) = (scenario.clone(), plan.clone(), observation_log.clone());
         let folder = folder.to_owned();
         move || -> Result<(Vec<ResourceUsage>, f64, f64)> {
-            let runtime = runtime()?;
+            let runtime = build_runtime()?;
             LocalSet::new().block_on(&runtime, async {
-                let world = World::start(scenario, plan, record, launcher, folder).await?;
+                let world = World::start(scenario, plan, observation_log, launcher, folder).await?;
                 let started_at = Instant::now() + START_DELAY;
                 let _ = ready_sender.send((world.node_addresses(), started_at));
                 let steps = tokio::task::spawn_local(world.clone().play(started_at));
@@ -264,18 +267,21 @@
         thread::Builder::new().name("world".into()).spawn(world).context("cannot start the world thread")?;
     let Ok((addresses, started_at)) = ready.recv() else {
         let result = world.join().map_err(|_| anyhow!("the rehearsal's world thread panicked"))?;
-        return Err(result.err().unwrap_or_else(|| anyhow!("the world ended before the day")).into());
+        return Err(result
+            .err()
+            .unwrap_or_else(|| anyhow!("the world thread ended before the nodes were ready"))
+            .into());
     };
     let clients = {
-        let (scenario, plan, record) = (scenario.clone(), plan.clone(), record.clone());
+        let (scenario, plan, observation_log) = (scenario.clone(), plan.clone(), observation_log.clone());
         move || -> Result<f64> {
-            let runtime = runtime()?;
+            let runtime = build_runtime()?;
             LocalSet::new().block_on(&runtime, async {
                 let front = Front::start(&addresses, scenario.front.detection_delay);
                 while front.healthy_count() < addresses.len() && Instant::now() < started_at {
                     sleep(FRONT_POLL_INTERVAL).await;
                 }
-                let clients = Clients::new(scenario, plan, record, front);
+                let clients = Clients::new(scenario, plan, observation_log, front);
                 let observed_clients = clients.clone();
                 tokio::task::spawn_local(async move {
                     loop {
@@ -301,8 +307,8 @@
         world.join().map_err(|_| anyhow!("the rehearsal's world thread panicked"))??;
     let clients_late_p99_ms = clients_result?;
     let own_cpu = own_cpu_ms() - cpu_ms_at_start;
-    let started_at_ms = (started_at.into_std() - record.started_at()).as_secs_f64() * 1000.0;
-    let events = record.take();
+    let started_at_ms = (started_at.into_std() - observation_log.started_at()).as_secs_f64() * 1000.0;
+    let events = observation_log.take();
     let verdict = referee::judge(&build_facts(scenario, &plan, started_at_ms), &events);
     let us_per_request = |total_ms: f64| total_ms * 1000.0 / plan.requests.len().max(1) as f64;
     let node_cpu_ms: f64 = usages.iter().map(|usage| usage.cpu_ms).sum();
--- a/crates/rehearsal/src/world/listing.rs
+++ b/crates/rehearsal/src/world/listing.rs
@@ -1,4 +1,4 @@
-//! What discovery lists of the executors.
+//! The entries of executors in discovery.
 use super::World;
 use crate::endpoint_lists;
 use crate::node_config::ZONE;
@@ -41,7 +41,7 @@
         let delay = startup_delay(&self.scenario);
         let hosts = self.hosts.borrow();
         let host = hosts[number].as_ref()?;
-        (host.is_down() || host.is_silent()).then(|| self.record.now() + delay)
+        (host.is_down() || host.is_silent()).then(|| self.observation_log.now() + delay)
     }
 
     /// Changes the listed state of an executor; each agent is notified after a random delay of its own.
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -43,19 +43,20 @@
 pub struct World {
     scenario: Arc<Scenario>,
     plan: Arc<Plan>,
-    record: Arc<ObservationLog>,
-    shared: Rc<FleetContext>,
+    observation_log: Arc<ObservationLog>,
+    fleet_context: Rc<FleetContext>,
     launcher: Arc<dyn NodeLauncher>,
     /// By their numbers in the plan; `None` before they join.
     hosts: RefCell<Vec<Option<Rc<Host>>>>,
-    /// What discovery lists of each executor.
+    /// The entry of each executor in discovery; `None` before it joins.
     listed: RefCell<Vec<Option<Member>>>,
     nodes: RefCell<Vec<Node>>,
+    /// Samples the notification delays.
     rng: RefCell<ChaCha8Rng>,
     addresses: Addresses,
     /// Consul's servers, if the scenario's endpoint lists come from Consul.
     cluster: RefCell<Option<Rc<Cluster>>>,
-    /// The Unix time of the record's start, in milliseconds.
+    /// The Unix time at the start of the observation log, in milliseconds.
     unix_offset_ms: Millis,
     max_step_delay_ms: Cell<Millis>,
     /// The attempt limit in the nodes' settings.
@@ -71,11 +72,11 @@
     pub async fn start(
         scenario: Arc<Scenario>,
         plan: Arc<Plan>,
-        record: Arc<ObservationLog>,
+        observation_log: Arc<ObservationLog>,
         launcher: Arc<dyn NodeLauncher>,
         folder: PathBuf,
     ) -> Result<Rc<Self>, WorldError> {
-        let world = Rc::new(World::new(scenario, plan, record, launcher));
+        let world = Rc::new(World::new(scenario, plan, observation_log, launcher));
         world.start_initial_executors()?;
         let members: Vec<Member> = world.listed.borrow().iter().flatten().cloned().collect();
         *world.cluster.borrow_mut() = endpoint_lists::create_cluster(&world.scenario, &members);
@@ -87,11 +88,11 @@
         Ok(world)
     }
 
-    /// A world in which nothing runs yet.
+    /// Creates a world in which nothing runs yet.
     fn new(
         scenario: Arc<Scenario>,
         plan: Arc<Plan>,
-        record: Arc<ObservationLog>,
+        observation_log: Arc<ObservationLog>,
         launcher: Arc<dyn NodeLauncher>,
     ) -> Self {
         let (work_plan, work_scenario) = (plan.clone(), scenario.clone());
@@ -100,17 +101,17 @@
         World {
             addresses: Addresses::fresh(),
             cluster: RefCell::default(),
-            unix_offset_ms: unix_now.as_secs_f64() * 1000.0 - record.now(),
+            unix_offset_ms: unix_now.as_secs_f64() * 1000.0 - observation_log.now(),
             hosts: RefCell::new(vec![None; plan.executors.len()]),
             listed: RefCell::new(vec![None; plan.executors.len()]),
             nodes: RefCell::default(),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(plan.seed ^ RNG_SALT)),
             max_step_delay_ms: Cell::new(0.0),
             max_attempts: Cell::new(scenario.rules.max_attempts),
-            shared: FleetContext::new(record.clone(), work_of, true),
+            fleet_context: FleetContext::new(observation_log.clone(), work_of, true),
             scenario,
             plan,
-            record,
+            observation_log,
             launcher,
         }
     }
@@ -136,7 +137,7 @@
         let address = self.addresses.executor(number);
         let machine = planned.machine.clone();
         let is_warm = !planned.slow_start;
-        Host::start(&self.shared, number as ExecutorNumber, machine, planned.seed, address, is_warm)
+        Host::start(&self.fleet_context, number as ExecutorNumber, machine, planned.seed, address, is_warm)
             .map_err(|source| WorldError::ExecutorAddress { address, source })
     }
 
@@ -158,7 +159,7 @@
         for (number, address) in self.node_addresses().into_iter().enumerate() {
             while check_health(address).await != Some(200) {
                 if self.has_ended(number) || Instant::now() > deadline {
-                    return Err(self.not_ready(number));
+                    return Err(self.not_ready_error(number));
                 }
                 sleep(POLL_INTERVAL).await;
             }
@@ -171,7 +172,7 @@
         nodes[number].process.as_mut().is_some_and(|process| process.exited_cleanly().is_some())
     }
 
-    fn not_ready(&self, number: usize) -> WorldError {
+    fn not_ready_error(&self, number: usize) -> WorldError {
         let log = std::fs::read_to_string(&self.nodes.borrow()[number].log).unwrap_or_default();
         let last_line = log.lines().last().unwrap_or("its log is empty").to_string();
         WorldError::NodeNotReady { node: number, last_line }
--- a/crates/rehearsal/src/world/node.rs
+++ b/crates/rehearsal/src/world/node.rs
@@ -72,7 +72,7 @@
         let listener = TcpListener::bind(address).map_err(port_error)?;
         let address = listener.local_addr().map_err(port_error)?;
         let inherited_socket = match self.scenario.has_hot_restarts() {
-            true => Some((listener, process_folder(address, number)?)),
+            true => Some((listener, create_process_folder(address, number)?)),
             false => None,
         };
         let file = |extension: &str| folder.join(format!("n{number}.{extension}"));
@@ -95,11 +95,11 @@
         let address = self.addresses.agent(number);
         let node = number as NodeNumber;
         if let Some(cluster) = &*self.cluster.borrow() {
-            let list = ConsulList::start(cluster, node, address, &self.record);
+            let list = ConsulList::start(cluster, node, address, &self.observation_log);
             let list = list.map_err(|source| WorldError::ConsulAddress { address, source })?;
             return Ok(EndpointList::Consul(list));
         }
-        let agent = Agent::start(&self.record, node, address, members.to_vec());
+        let agent = Agent::start(&self.observation_log, node, address, members.to_vec());
         let agent = agent.map_err(|source| WorldError::DiscoveryAddress { address, source })?;
         Ok(EndpointList::Platform(agent))
     }
@@ -107,7 +107,7 @@
 
 /// Creates the folder where a node's processes find each other. It is not under the rehearsal's folder because the
 /// path of a Unix socket must be short.
-fn process_folder(address: SocketAddr, number: usize) -> Result<PathBuf, WorldError> {
+fn create_process_folder(address: SocketAddr, number: usize) -> Result<PathBuf, WorldError> {
     let folder = std::env::temp_dir().join(format!("troutknot-{}-{number}", address.port()));
     std::fs::create_dir_all(&folder).map_err(WorldError::ProcessFolder)?;
     Ok(folder)
--- a/crates/rehearsal/src/world/operator.rs
+++ b/crates/rehearsal/src/world/operator.rs
@@ -16,9 +16,9 @@
 use troutknot_emulator::observations::{ExecutorNumber, NodeNumber, Observation};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long after it is drained a node's health check is read.
+/// Time between the drain of a node and the check of its health.
 const DRAIN_SETTLE_TIME: Duration = Duration::from_secs(4);
-/// How long after it is activated a node's health check is read.
+/// Time between the activation of a node and the check of its health.
 const ACTIVATE_SETTLE_TIME: Duration = Duration::from_secs(2);
 /// How long the new process of a hot restart may take to become ready.
 const HOT_RESTART_READY_TIMEOUT: Duration = Duration::from_secs(6);
@@ -32,7 +32,7 @@
             None => None,
         };
         if !status.is_some_and(|status| (200..300).contains(&status)) {
-            self.record.record(Observation::AdminCallFailed { node: number as NodeNumber, status });
+            self.observation_log.record(Observation::AdminCallFailed { node: number as NodeNumber, status });
         }
     }
 
@@ -44,38 +44,40 @@
         let change = Observation::ExecutorSuspended { node, executor, suspended };
         // A resumed executor may get requests as soon as the call is sent.
         if !suspended {
-            self.record.record(change.clone());
+            self.observation_log.record(change.clone());
         }
         let action = if suspended { "suspend" } else { "resume" };
         self.call(number, &format!("/v1/executors/{name}/{action}")).await;
         if suspended {
-            self.record.record(change);
+            self.observation_log.record(change);
         }
     }
 
     /// Drains a node, or activates it, and records its health check some time later.
     pub(super) async fn set_drained(self: Rc<Self>, number: usize, drained: bool) {
         let node = number as NodeNumber;
+        // An activated node may accept requests as soon as the call is sent.
         if !drained {
-            self.record.record(Observation::NodeDrained { node, drained });
+            self.observation_log.record(Observation::NodeDrained { node, drained });
         }
         self.call(number, if drained { "/v1/node/drain" } else { "/v1/node/activate" }).await;
         if drained {
-            self.record.record(Observation::NodeDrained { node, drained });
+            self.observation_log.record(Observation::NodeDrained { node, drained });
         }
         sleep(if drained { DRAIN_SETTLE_TIME } else { ACTIVATE_SETTLE_TIME }).await;
         let address = self.nodes.borrow()[number].address;
         let status = timeout(CALL_TIMEOUT, check_health(address)).await.ok().flatten();
-        self.record.record(Observation::HealthChecked { node, status });
+        self.observation_log.record(Observation::HealthChecked { node, status });
     }
 
-    /// Starts the next process of a node and terminates the previous one when the next is ready.
+    /// Starts the next process of a node and terminates the previous one when the next is ready or has failed to become
+    /// ready in time.
     pub(super) async fn hot_restart(self: Rc<Self>, number: usize) {
         let node = number as NodeNumber;
         if self.nodes.borrow()[number].process.is_none() {
             return;
         }
-        self.record.record(Observation::HotRestartBegan { node });
+        self.observation_log.record(Observation::HotRestartBegan { node });
         let next = match self.start_process(number) {
             Ok(next) => next,
             Err(error) => return eprintln!("node n{number} cannot be hot restarted: {error}"),
@@ -87,7 +89,7 @@
             node.admin_address
         };
         if !becomes_ready(admin_address).await {
-            self.record.record(Observation::AdminCallFailed { node, status: None });
+            self.observation_log.record(Observation::AdminCallFailed { node, status: None });
         }
         if let Some(previous) = &mut self.nodes.borrow_mut()[number].previous_process {
             let _ = previous.signal(NodeSignal::Terminate);
@@ -97,7 +99,7 @@
         while !self.reap_previous_process(number, deadline) {
             sleep(POLL_INTERVAL).await;
         }
-        self.record.record(Observation::HotRestartEnded { node });
+        self.observation_log.record(Observation::HotRestartEnded { node });
     }
 
     /// Removes the previous process if it has ended, or kills it after the deadline. Returns whether it is gone.
@@ -111,7 +113,8 @@
             return false;
         }
         if exited_cleanly == Some(false) {
-            self.record.record(Observation::NodeExited { node: number as NodeNumber, is_clean: false });
+            self.observation_log
+                .record(Observation::NodeExited { node: number as NodeNumber, is_clean: false });
         }
         let _ = previous.signal(NodeSignal::Kill);
         node.previous_process = None;
--- a/crates/rehearsal/src/world/process.rs
+++ b/crates/rehearsal/src/world/process.rs
@@ -35,7 +35,7 @@
         let log = std::fs::File::options().create(true).append(true).open(&node.log);
         let log = log.map_err(|source| WorldError::Write { path: node.log.clone(), source })?;
         if node.process.is_none() {
-            self.record.record(Observation::NodeStarted { node: number as NodeNumber });
+            self.observation_log.record(Observation::NodeStarted { node: number as NodeNumber });
         }
         self.record_configured_endpoints(number, &cached_list);
         let has_operator_config = self.write_operator_config(node)?;
@@ -69,7 +69,7 @@
         for entry in cached_list["servers"].as_array().into_iter().flatten() {
             let Some(executor) = entry["id"].as_str().and_then(|id| by_name.get(id)) else { continue };
             let state = if entry["state"] == "Ready" { ListedState::Ready } else { ListedState::Terminating };
-            self.record.record(Observation::NodeNotified {
+            self.observation_log.record(Observation::NodeNotified {
                 node: number as NodeNumber,
                 executor: *executor,
                 state,
@@ -96,11 +96,11 @@
         }
         let Some(mut process) = node.process.take() else { return };
         if let Some(is_clean) = process.exited_cleanly() {
-            self.record.record(Observation::NodeExited { node: number as NodeNumber, is_clean });
+            self.observation_log.record(Observation::NodeExited { node: number as NodeNumber, is_clean });
             return;
         }
         let usage = process.resource_usage();
-        self.record.record(Observation::NodeKilled { node: number as NodeNumber });
+        self.observation_log.record(Observation::NodeKilled { node: number as NodeNumber });
         let _ = process.signal(NodeSignal::Kill);
         node.add_usage(usage);
     }
@@ -112,7 +112,8 @@
                 let Some(process) = &mut node.process else { continue };
                 let usage = process.resource_usage();
                 if let Some(is_clean) = process.exited_cleanly() {
-                    self.record.record(Observation::NodeExited { node: number as NodeNumber, is_clean });
+                    self.observation_log
+                        .record(Observation::NodeExited { node: number as NodeNumber, is_clean });
                     node.process = None;
                     node.add_usage(usage);
                 }
--- a/crates/rehearsal/src/world/steps.rs
+++ b/crates/rehearsal/src/world/steps.rs
@@ -26,9 +26,9 @@
                 self.list_with_health(*executor, ListedState::Terminating, HealthCheck::Failing);
             }
             Step::ListPassing { executor } => self.list(*executor, ListedState::Ready),
-            Step::SilenceDiscovery { silent } => self.each_endpoint_list(|list| list.set_silent(*silent)),
-            Step::RestartDiscovery => self.each_endpoint_list(EndpointList::restart),
-            Step::DiscoveryFault { fault } => self.each_endpoint_list(|list| list.set_fault(*fault)),
+            Step::SilenceDiscovery { silent } => self.for_each_endpoint_list(|list| list.set_silent(*silent)),
+            Step::RestartDiscovery => self.for_each_endpoint_list(EndpointList::restart),
+            Step::DiscoveryFault { fault } => self.for_each_endpoint_list(|list| list.set_fault(*fault)),
             _ => self.apply_to_nodes(step),
         }
     }
@@ -36,11 +36,11 @@
     fn apply_to_executor(&self, step: &Step) {
         match step {
             Step::FaultBegins { number, executor, fault } => {
-                self.record.record(Observation::FaultBegan { number: *number });
+                self.observation_log.record(Observation::FaultBegan { number: *number });
                 self.with_host(*executor, |host| host.begin_fault(*number as u64, fault.clone()));
             }
             Step::FaultEnds { number, executor } => {
-                self.record.record(Observation::FaultEnded { number: *number });
+                self.observation_log.record(Observation::FaultEnded { number: *number });
                 self.with_host(*executor, |host| host.end_fault(*number as u64));
             }
             Step::Join { executor } => self.join(*executor),
@@ -62,7 +62,7 @@
         match step {
             Step::KillNode { node } => self.kill_node(*node),
             Step::TerminateNode { node } => {
-                self.record.record(Observation::NodeTerminating { node: *node as NodeNumber });
+                self.observation_log.record(Observation::NodeTerminating { node: *node as NodeNumber });
                 self.nodes.borrow_mut()[*node].signal(NodeSignal::Terminate);
             }
             Step::StartNode { node } => match self.start_process(*node) {
@@ -94,7 +94,7 @@
         }
     }
 
-    fn each_endpoint_list(&self, change: impl Fn(&EndpointList)) {
+    fn for_each_endpoint_list(&self, change: impl Fn(&EndpointList)) {
         self.nodes.borrow().iter().for_each(|node| change(&node.endpoint_list));
     }
 
@@ -112,7 +112,7 @@
             if moved.is_err() || self.write_config(number).is_err() {
                 continue;
             }
-            self.record.record(Observation::NodeReloaded { node: number as NodeNumber });
+            self.observation_log.record(Observation::NodeReloaded { node: number as NodeNumber });
             self.nodes.borrow_mut()[number].signal(NodeSignal::Reload);
         }
     }
@@ -120,7 +120,7 @@
     /// Gives every node another attempt limit, in settings that lack a key if `broken`.
     fn reconfigure_nodes(&self, max_attempts: u32, broken: bool) {
         if !broken {
-            self.record.record(Observation::MaxAttemptsChanged { max_attempts });
+            self.observation_log.record(Observation::MaxAttemptsChanged { max_attempts });
             self.max_attempts.set(max_attempts);
         }
         for number in 0..self.scenario.nodes.count {
@@ -130,7 +130,7 @@
             let mut nodes = self.nodes.borrow_mut();
             let node = &mut nodes[number];
             let written = if broken { break_config(&node.config, max_attempts) } else { Ok(()) };
-            self.record.record(Observation::NodeReloaded { node: number as NodeNumber });
+            self.observation_log.record(Observation::NodeReloaded { node: number as NodeNumber });
             if written.is_ok() {
                 node.signal(NodeSignal::Reload);
             }
