--- a/crates/rehearsal/src/referee/answers.rs
+++ b/crates/rehearsal/src/referee/answers.rs
@@ -55,13 +55,13 @@
 /// Whether an executor produced a result for the attempt, or for any other attempt with its idempotency key.
 fn was_produced(subject: &Subject) -> bool {
     let Subject { observations, client_attempt, .. } = *subject;
-    if subject.attempts().any(|attempt| attempt.completed) {
+    if subject.attempts().any(|attempt| attempt.was_completed) {
         return true;
     }
     subject.class().has_idempotency_key
         && (observations.client_attempts.values())
             .filter(|other| other.request == client_attempt.request)
-            .any(|other| observations.attempts_of(other).any(|attempt| attempt.completed))
+            .any(|other| observations.attempts_of(other).any(|attempt| attempt.was_completed))
 }
 
 fn check_disconnect(subject: &Subject, disconnect: Disconnect, violations: &mut Vec<RuleViolation>) {
--- a/crates/rehearsal/src/referee/effects.rs
+++ b/crates/rehearsal/src/referee/effects.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// While new settings are being applied, either limit is accepted.
+/// Checks the number of attempts. While new settings are being applied, the larger of both limits holds.
 fn check_attempt_limit(subject: &Subject, attempts: &[&Attempt], violations: &mut Vec<RuleViolation>) {
     let limit_at = |at| {
         let changed = subject.observations.max_attempts.at(at);
@@ -56,8 +56,8 @@
 
 fn check_retry(subject: &Subject, earlier: &Attempt, later: &Attempt, violations: &mut Vec<RuleViolation>) {
     let latest_notice = later.received_at + subject.facts.slack;
-    let is_known_unexecuted = earlier.unexecuted_since.is_some_and(|since| since <= latest_notice);
-    if is_known_unexecuted || is_retry_safe(subject, earlier, later) {
+    let was_unexecuted = earlier.unexecuted_since.is_some_and(|since| since <= latest_notice);
+    if was_unexecuted || is_retry_safe(subject, earlier, later) {
         return;
     }
     let prefix = if earlier.was_started && later.was_started { "ran twice, " } else { "" };
@@ -74,7 +74,7 @@
         Effect::AtMostOnce => false,
         Effect::Deduplicated => {
             let scope = class.deduplication_scope;
-            subject.facts.share_deduplication(scope, earlier.executor, later.executor)
+            subject.facts.has_shared_deduplication(scope, earlier.executor, later.executor)
                 && later.received_at <= earlier.received_at + class.deduplication_window
         }
     }
--- a/crates/rehearsal/src/referee/events.rs
+++ b/crates/rehearsal/src/referee/events.rs
@@ -1,4 +1,4 @@
-//! Arranges the recorded events of a rehearsal into [`Observations`].
+//! Builds [`Observations`] from the recorded events of a rehearsal.
 use super::facts::Facts;
 use super::observations::{Answer, Attempt, ClientAttempt, Disconnect, HotRestart, Link, Observations};
 use super::timeline::Timeline;
@@ -7,7 +7,7 @@
 use troutknot_emulator::{AttemptOutcome, Millis};
 
 impl Observations {
-    /// Arranges the recorded events, which must be in the order of time.
+    /// Builds the observations from the recorded events, which must be in the order of time.
     pub fn from_events(facts: &Facts, events: &[(Millis, Observation)]) -> Self {
         let mut observations = Observations::default();
         for (at, event) in events {
@@ -91,7 +91,7 @@
                     work: *work,
                     unexecuted_since: None,
                     was_started: false,
-                    completed: false,
+                    was_completed: false,
                     ended_at: None,
                 };
                 self.attempts.insert(*attempt_id, attempt);
@@ -123,6 +123,7 @@
             Observation::Overloaded { .. } => self.overload_failures += 1,
             Observation::AgentUpdated { node, executor, state } if *state != ListedState::Ready => {
                 let link = Link { node: *node, executor: *executor };
+                // A node that does not read the change counts as notified after the timeout.
                 let notified_at = at + facts.notification_timeout;
                 self.readiness.entry(link).or_default().push(notified_at, false);
             }
@@ -228,11 +229,11 @@
         }
     }
 
-    fn end_attempt(&mut self, number: AttemptNumber, at: Millis, outcome: AttemptOutcome) {
-        let Some(attempt) = self.attempts.get_mut(&number) else { return };
+    fn end_attempt(&mut self, attempt_id: AttemptNumber, at: Millis, outcome: AttemptOutcome) {
+        let Some(attempt) = self.attempts.get_mut(&attempt_id) else { return };
         attempt.ended_at.get_or_insert(at);
         match outcome {
-            AttemptOutcome::Done => attempt.completed = true,
+            AttemptOutcome::Done => attempt.was_completed = true,
             AttemptOutcome::Returned => attempt.unexecuted_since = Some(at),
             AttemptOutcome::Lost | AttemptOutcome::Reset => {}
         }
--- a/crates/rehearsal/src/referee/facts.rs
+++ b/crates/rehearsal/src/referee/facts.rs
@@ -1,4 +1,5 @@
-//! The input of the referee in addition to the record: the limits of the rules, the executors and the planned requests.
+//! The input of the referee in addition to the recorded events: the limits of the rules, the executors and the
+//! planned requests.
 use super::observations::ClientAttempt;
 use crate::scenario::{DeduplicationScope, Effect};
 use troutknot_emulator::observations::ExecutorNumber;
@@ -30,7 +31,7 @@
     pub executors: Vec<ExecutorFacts>,
     /// The requests by their number in the plan.
     pub requests: Vec<RequestFacts>,
-    /// When the day began, in milliseconds since the record started.
+    /// When the day began, in milliseconds since the observation log started.
     pub started_at: Millis,
 }
 
@@ -90,8 +91,8 @@
         format!("{:.3} s", (at - self.started_at) / 1000.0)
     }
 
-    /// Whether an executor drops repeats of what the other one has run.
-    pub(super) fn share_deduplication(
+    /// Whether each of two executors recognizes requests that the other one has run.
+    pub(super) fn has_shared_deduplication(
         &self,
         scope: DeduplicationScope,
         first: ExecutorNumber,
--- a/crates/rehearsal/src/referee/hot_restarts.rs
+++ b/crates/rehearsal/src/referee/hot_restarts.rs
@@ -4,12 +4,12 @@
 use super::violation::{RuleViolation, ViolationKind};
 use troutknot_emulator::Millis;
 
-/// How long after its end a restart may still affect clients.
-const AFTER_RESTART: Millis = 300.0;
-/// Requests that may be disconnected unread or refused during one restart.
+/// How long after its end a hot restart may still affect clients.
+const SETTLE_TIME: Millis = 300.0;
+/// Maximum number of requests that may be disconnected unread or refused during one hot restart.
 const MAX_INTERRUPTED_REQUESTS: usize = 2;
 
-/// Checks all restarts without downtime.
+/// Checks all hot restarts.
 pub(super) fn check(facts: &Facts, observations: &Observations, violations: &mut Vec<RuleViolation>) {
     for restart in &observations.hot_restarts {
         let disconnected = (observations.client_attempts.values())
@@ -34,7 +34,7 @@
 }
 
 fn is_affected(restart: &HotRestart, at: Millis) -> bool {
-    (restart.began_at..=restart.ended_at + AFTER_RESTART).contains(&at)
+    (restart.began_at..=restart.ended_at + SETTLE_TIME).contains(&at)
 }
 
 fn is_disconnected_unread(restart: &HotRestart, client_attempt: &ClientAttempt) -> bool {
--- a/crates/rehearsal/src/referee/mod.rs
+++ b/crates/rehearsal/src/referee/mod.rs
@@ -1,7 +1,7 @@
 //! Judges a rehearsal by what clients, executors and discovery observed on their sockets.
 //!
 //! Each violation of one of the four rules is reported with the request, the executor and the times involved.
-//! Times are in milliseconds since the record started.
+//! Times are in milliseconds since the observation log started.
 mod answers;
 mod drains;
 mod effects;
--- a/crates/rehearsal/src/referee/observations.rs
+++ b/crates/rehearsal/src/referee/observations.rs
@@ -76,7 +76,7 @@
     /// When it became certain that it did not run.
     pub unexecuted_since: Option<Millis>,
     pub was_started: bool,
-    pub completed: bool,
+    pub was_completed: bool,
     /// When it was first answered, disconnected or cancelled.
     pub ended_at: Option<Millis>,
 }
@@ -88,7 +88,7 @@
     }
 }
 
-/// A restart of a node without downtime; it lasts until `ended_at`.
+/// A hot restart of a node; `ended_at` is infinite while it lasts.
 pub(super) struct HotRestart {
     pub node: NodeNumber,
     pub began_at: Millis,
@@ -119,12 +119,12 @@
     /// Whether an operator drained the node.
     pub drained: HashMap<NodeNumber, Timeline<bool>>,
     pub hot_restarts: Vec<HotRestart>,
-    /// The limit of attempts per request, from when it was changed.
+    /// The changes of the attempt limit; empty while the initial one holds.
     pub max_attempts: Timeline<usize>,
     pub overload_failures: usize,
     /// When a client found no node to connect to.
     pub connect_failures: Vec<Millis>,
-    /// Violations that single events show.
+    /// Violations that are evident from a single event.
     pub violations: Vec<RuleViolation>,
     /// The running nodes that were asked to exit.
     pub exit_requests: HashSet<NodeNumber>,
--- a/crates/rehearsal/src/referee/subject.rs
+++ b/crates/rehearsal/src/referee/subject.rs
@@ -4,7 +4,7 @@
 use super::violation::{RuleViolation, ViolationKind};
 use troutknot_emulator::Millis;
 
-/// One client attempt, with the record that it is judged by.
+/// One client attempt, with the facts and observations that it is judged by.
 #[derive(Clone, Copy)]
 pub(super) struct Subject<'a> {
     pub facts: &'a Facts,
--- a/crates/rehearsal/src/referee/tally.rs
+++ b/crates/rehearsal/src/referee/tally.rs
@@ -84,9 +84,9 @@
 pub(super) fn tally_outcomes(facts: &Facts, observations: &Observations) -> Verdict {
     let mut classes = vec![ClassTally::default(); facts.classes.len()];
     let mut service = ServiceLevel::default();
-    for (number, attempts) in attempts_by_request(facts, observations).iter().enumerate() {
+    for (number, client_attempts) in client_attempts_by_request(facts, observations).iter().enumerate() {
         let class = &mut classes[facts.requests[number].class];
-        class.add_request(facts, number, attempts, &mut service);
+        class.add_request(facts, number, client_attempts, &mut service);
     }
     let mut all = Tally::default();
     let mut by_class = BTreeMap::new();
@@ -102,13 +102,16 @@
 }
 
 /// The client attempts of each planned request, in the order in which they were sent.
-fn attempts_by_request<'a>(facts: &Facts, observations: &'a Observations) -> Vec<Vec<&'a ClientAttempt>> {
+fn client_attempts_by_request<'a>(
+    facts: &Facts,
+    observations: &'a Observations,
+) -> Vec<Vec<&'a ClientAttempt>> {
     let mut by_request = vec![Vec::new(); facts.requests.len()];
-    for attempt in observations.client_attempts.values() {
-        by_request[attempt.request].push(attempt);
+    for client_attempt in observations.client_attempts.values() {
+        by_request[client_attempt.request].push(client_attempt);
     }
-    for attempts in &mut by_request {
-        attempts.sort_by(|a, b| a.sent_at.total_cmp(&b.sent_at));
+    for client_attempts in &mut by_request {
+        client_attempts.sort_by(|a, b| a.sent_at.total_cmp(&b.sent_at));
     }
     by_request
 }
@@ -118,17 +121,18 @@
         &mut self,
         facts: &Facts,
         number: usize,
-        attempts: &[&ClientAttempt],
+        client_attempts: &[&ClientAttempt],
         service: &mut ServiceLevel,
     ) {
         let request = &facts.requests[number];
         let class = &facts.classes[request.class];
         let due_at = facts.started_at + request.due_at;
         self.tally.requests += 1;
-        self.tally.client_attempts += attempts.len();
-        self.tally.attempts += attempts.iter().map(|attempt| attempt.attempts.len()).sum::<usize>();
-        let results = attempts.iter().filter_map(|attempt| attempt.answer);
-        if let Some(result) = results.into_iter().find(Answer::is_valid_result) {
+        self.tally.client_attempts += client_attempts.len();
+        self.tally.attempts +=
+            client_attempts.iter().map(|client_attempt| client_attempt.attempts.len()).sum::<usize>();
+        let mut answers = client_attempts.iter().filter_map(|client_attempt| client_attempt.answer);
+        if let Some(result) = answers.find(Answer::is_valid_result) {
             let is_in_time = result.at <= due_at + class.latency_objective;
             self.tally.completed += 1;
             self.tally.in_time += usize::from(is_in_time);
@@ -137,15 +141,15 @@
             service.value_in_time += if is_in_time { class.value } else { 0.0 };
             return;
         }
-        let outcome = self.count_of_unserved(attempts.last().copied());
+        let outcome = self.count_without_result(client_attempts.last().copied());
         *outcome += 1;
-        if !attempts.last().is_some_and(|attempt| attempt.was_abandoned()) {
+        if !client_attempts.last().is_some_and(|last| last.was_abandoned()) {
             service.total_value += class.value;
         }
     }
 
-    /// The count that a request without a result belongs to, by its last attempt.
-    fn count_of_unserved(&mut self, last: Option<&ClientAttempt>) -> &mut usize {
+    /// The count that a request without a valid result belongs to, by its last client attempt.
+    fn count_without_result(&mut self, last: Option<&ClientAttempt>) -> &mut usize {
         let tally = &mut self.tally;
         let Some(last) = last else { return &mut tally.unreachable };
         match last.answer {
--- a/crates/rehearsal/src/referee/timeline.rs
+++ b/crates/rehearsal/src/referee/timeline.rs
@@ -1,15 +1,15 @@
 //! A value that changes over time.
 use troutknot_emulator::Millis;
 
-/// The values of one state, each with the time since which it holds, in the order of time.
+/// The successive values of one state, in the order of time.
 #[derive(Debug)]
 pub(super) struct Timeline<T> {
-    changes: Vec<Since<T>>,
+    changes: Vec<TimedValue<T>>,
 }
 
 /// A value, and when it began to hold.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Since<T> {
+pub(super) struct TimedValue<T> {
     pub since: Millis,
     pub value: T,
 }
@@ -23,7 +23,7 @@
 impl<T: Copy + PartialEq> Timeline<T> {
     /// Appends a change. Changes that are out of order need [`Timeline::sort`] before the first query.
     pub fn push(&mut self, since: Millis, value: T) {
-        self.changes.push(Since { since, value });
+        self.changes.push(TimedValue { since, value });
     }
 
     /// Removes the changes scheduled after a time.
@@ -37,7 +37,7 @@
     }
 
     /// The value at a time, and the start of the uninterrupted period for which it has held.
-    pub fn at(&self, at: Millis) -> Option<Since<T>> {
+    pub fn at(&self, at: Millis) -> Option<TimedValue<T>> {
         let past = &self.changes[..self.changes.partition_point(|change| change.since <= at)];
         let value = past.last()?.value;
         past.iter().rev().take_while(|change| change.value == value).last().copied()
--- a/crates/rehearsal/src/referee/violation.rs
+++ b/crates/rehearsal/src/referee/violation.rs
@@ -1,4 +1,4 @@
-//! Typed violations of the four dispatch rules.
+//! Violations of the four dispatch rules, and their kinds.
 use serde::{Serialize, Serializer};
 use std::fmt;
 use troutknot_emulator::Millis;
@@ -11,9 +11,9 @@
     /// The kind of violation; serialized as its name.
     #[serde(rename = "name")]
     pub kind: ViolationKind,
-    /// When the rule was violated, in milliseconds since the record started.
+    /// When the rule was violated, in milliseconds since the observation log started.
     pub at: Millis,
-    /// The request, the executor and the times involved, for a reader.
+    /// The request, the executor and the times involved, as readable text.
     #[serde(rename = "what")]
     pub description: String,
 }
@@ -50,7 +50,7 @@
     NotReadyAgain,
     /// A drained node accepted a request and dispatched it.
     AcceptedWhileDrained,
-    /// Clients lost connections or were refused while the node restarted without downtime.
+    /// Clients lost connections or were refused during a hot restart of the node.
     HotRestartInterruption,
     /// More attempts were dispatched than the settings allow.
     TooManyAttempts,
