--- a/crates/rehearsal/src/plan/disturbances.rs
+++ b/crates/rehearsal/src/plan/disturbances.rs
@@ -58,15 +58,17 @@
     fn add_random_node_crashes(&mut self, at: Millis, end: Millis, event: &EventSpec) {
         let mean_interval = event.interval.map_or(DEFAULT_MEAN_KILL_INTERVAL, millis);
         let downtime = event.downtime.map_or(0.0, millis);
-        let mut up_at = vec![at; self.scenario.nodes.count];
+        // The earliest time of each node's next kill.
+        let mut earliest_kill_at = vec![at; self.scenario.nodes.count];
         let mut now = at + self.exponential(mean_interval);
         while now < end {
-            let earliest = up_at.iter().enumerate().min_by(|left, right| left.1.total_cmp(right.1));
+            let earliest =
+                earliest_kill_at.iter().enumerate().min_by(|left, right| left.1.total_cmp(right.1));
             let node = earliest.map_or(0, |(node, _)| node);
-            now = now.max(up_at[node]);
+            now = now.max(earliest_kill_at[node]);
             self.add(now, Step::KillNode { node });
             self.add(now + downtime, Step::StartNode { node });
-            up_at[node] = now + downtime + NODE_STARTUP_GRACE;
+            earliest_kill_at[node] = now + downtime + NODE_STARTUP_GRACE;
             now += self.exponential(mean_interval);
         }
     }
--- a/crates/rehearsal/src/plan/executors.rs
+++ b/crates/rehearsal/src/plan/executors.rs
@@ -24,7 +24,7 @@
 }
 
 /// Generates the executors that run when the day starts; one draw for each.
-pub(super) fn initial(scenario: &Scenario, mut rng: ChaCha8Rng) -> Vec<PlannedExecutor> {
+pub(super) fn generate_initial(scenario: &Scenario, mut rng: ChaCha8Rng) -> Vec<PlannedExecutor> {
     let mut executors = Vec::new();
     for (group_index, group) in scenario.executors.iter().enumerate() {
         let group = group.get_ref();
--- a/crates/rehearsal/src/plan/faults.rs
+++ b/crates/rehearsal/src/plan/faults.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{FaultKind, FaultSpec, Scenario, millis};
 use troutknot_emulator::{Fault, Millis};
 
-/// Default length of a period with contention, and of one without it.
+/// Default length of a period with contention and of a period without it, in milliseconds.
 const DEFAULT_CONTENTION_PERIOD: Millis = 1000.0;
 const DEFAULT_CORE_SHARE: f64 = 0.5;
 const DEFAULT_PARETO_EXPONENT: f64 = 1.5;
--- a/crates/rehearsal/src/plan/fingerprint.rs
+++ b/crates/rehearsal/src/plan/fingerprint.rs
@@ -1,5 +1,5 @@
-//! A plan's hash. Reports and recorded runs name a plan by it, so its input text is a format of its own and does not
-//! follow the names of the types in this crate.
+//! The hash of a plan, which identifies it in reports and recorded runs. The hashed text is a format of its own, so
+//! that the hash stays the same when types of this crate are renamed.
 use super::{Plan, PlannedExecutor, Request, Step};
 use std::fmt;
 use troutknot_emulator::{
@@ -9,7 +9,7 @@
 const HASH_DIGITS: usize = 16;
 
 impl Plan {
-    /// The hash of everything in the plan, in 16 hex digits.
+    /// The hash of the requests, executors and steps of the plan, in 16 hex digits.
     pub fn hash(&self) -> String {
         let mut hasher = blake3::Hasher::new();
         for request in &self.requests {
@@ -23,8 +23,8 @@
 }
 
 fn hash_request(hasher: &mut blake3::Hasher, request: &Request) {
-    for figure in [request.at, request.work, request.disconnects_after.unwrap_or(-1.0)] {
-        hasher.update(&figure.to_bits().to_le_bytes());
+    for value in [request.at, request.work, request.disconnects_after.unwrap_or(-1.0)] {
+        hasher.update(&value.to_bits().to_le_bytes());
     }
     hasher.update(&[request.request_class as u8, request.tenant as u8]);
 }
@@ -159,14 +159,14 @@
             Step::ListFailing { executor } => executor_step(f, "ListFailing", executor),
             Step::ListPassing { executor } => executor_step(f, "ListWell", executor),
             Step::FaultBegins { .. } | Step::FaultEnds { .. } | Step::SuspendExecutor { .. } => {
-                format_operated_executor(self.0, f)
+                format_fault_or_suspension(self.0, f)
             }
             _ => format_node_or_discovery(self.0, f),
         }
     }
 }
 
-fn format_operated_executor(step: &Step, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+fn format_fault_or_suspension(step: &Step, f: &mut fmt::Formatter<'_>) -> fmt::Result {
     match step {
         Step::FaultBegins { number, executor, fault } => f
             .debug_struct("TroubleBegins")
--- a/crates/rehearsal/src/plan/mod.rs
+++ b/crates/rehearsal/src/plan/mod.rs
@@ -1,5 +1,5 @@
-//! The plan of a day: all requests, executors and steps, generated from a scenario and a seed before the day starts. Equal
-//! seeds give equal plans, which [`Plan::hash`] shows.
+//! The plan of a day: all requests, executors and steps, generated from a scenario and a seed before the day starts.
+//! Equal seeds give equal plans, which [`Plan::hash`] shows.
 mod disturbances;
 mod executors;
 mod faults;
@@ -20,7 +20,7 @@
 use schedule::Schedule;
 use troutknot_emulator::Millis;
 
-/// Added to the longest notice delay so that every node has read the new endpoint list, in milliseconds.
+/// Time allowed for every node to read a new endpoint list after the longest notice delay, in milliseconds.
 const LIST_READ_ALLOWANCE: Millis = 100.0;
 
 /// A day, generated from a scenario and a seed.
@@ -41,7 +41,7 @@
 impl Plan {
     /// Generates the day of a scenario.
     pub fn generate(scenario: &Scenario, seed: u64) -> Self {
-        let initial = executors::initial(scenario, generator(seed, Stream::Executors));
+        let initial = executors::generate_initial(scenario, generator(seed, Stream::Executors));
         let mut schedule = Schedule::new(scenario, initial, generator(seed, Stream::Steps));
         for (number, spec) in scenario.faults.iter().enumerate() {
             schedule.add_fault(number, spec.get_ref());
--- a/crates/rehearsal/src/plan/request_id.rs
+++ b/crates/rehearsal/src/plan/request_id.rs
@@ -1,13 +1,14 @@
-//! Request ids on the wire: 16 hex digits made of a token of the seed, the request's number and the attempt.
+//! Request ids on the wire: 16 hex digits, of which 6 identify the seed, 8 are the request's number and 2 the attempt.
 use super::Plan;
 use crate::scenario::Scenario;
 use troutknot_emulator::executors::RequestSpec;
 
 const ID_DIGITS: usize = 16;
 const SEED_DIGITS: usize = 6;
+/// Index of the first digit after the request's number.
 const REQUEST_END: usize = 14;
 
-/// Formats the id of one attempt of a request; attempts above 255 share an id.
+/// Formats the id of one attempt of a request; all attempts from 255 on share an id.
 pub fn format_request_id(seed: u64, request: usize, attempt: u32) -> String {
     format!("{:06x}{:08x}{:02x}", (seed ^ (seed >> 24)) & 0xff_ffff, request, attempt.min(255))
 }
--- a/crates/rehearsal/src/plan/requests.rs
+++ b/crates/rehearsal/src/plan/requests.rs
@@ -43,7 +43,7 @@
         // Thinning turns the constant peak rate into the rate of the curve.
         let time_of_day = Duration::from_secs_f64(at / 1000.0);
         if generator.rng.random::<f64>() * peak < scenario.load_factor(time_of_day) {
-            requests.push(generator.request(at));
+            requests.push(generator.sample_request(at));
         }
     }
 }
@@ -70,24 +70,24 @@
     }
 
     /// Samples the request that arrives at `at`.
-    fn request(&mut self, at: Millis) -> Request {
+    fn sample_request(&mut self, at: Millis) -> Request {
         let request_class = weighted_index(&mut self.rng, &self.class_weights);
         let class = self.classes[request_class];
         let deviation: f64 = StandardNormal.sample(&mut self.rng);
         let log_normal = (class.work_sigma * deviation - class.work_sigma * class.work_sigma / 2.0).exp();
         let disconnects = self.rng.random::<f64>() < self.scenario.clients.disconnect_share;
         // Sampled for every request, so that all of them take the same number of draws.
-        let patience = self.rng.random::<f64>() * millis(class.latency_objective);
+        let disconnect_delay = self.rng.random::<f64>() * millis(class.latency_objective);
         Request {
             at,
             request_class,
-            tenant: self.tenant(),
+            tenant: self.sample_tenant(),
             work: millis(class.work) * log_normal,
-            disconnects_after: disconnects.then_some(patience),
+            disconnects_after: disconnects.then_some(disconnect_delay),
         }
     }
 
-    fn tenant(&mut self) -> usize {
+    fn sample_tenant(&mut self) -> usize {
         if self.tenant_weights.is_empty() {
             return 0;
         }
--- a/crates/rehearsal/src/plan/step.rs
+++ b/crates/rehearsal/src/plan/step.rs
@@ -11,7 +11,7 @@
     FaultEnds { number: usize, executor: usize },
     /// A replacement executor starts, with a slow start, and is listed.
     Join { executor: usize },
-    /// The executor is listed as draining.
+    /// The executor is listed as draining, and drains.
     Drain { executor: usize },
     /// The executor ends and is removed from the list.
     Leave { executor: usize },
--- a/crates/rehearsal/src/referee/hot_restarts.rs
+++ b/crates/rehearsal/src/referee/hot_restarts.rs
@@ -1,4 +1,5 @@
-//! Rule 1 during hot restarts: clients notice no interruption while a new process of a node takes over from the old one.
+//! Rule 1 during hot restarts: clients notice no interruption while a new process of a node takes over from the old
+//! one.
 use super::facts::Facts;
 use super::observations::{ClientAttempt, HotRestart, Observations};
 use super::violation::{RuleViolation, ViolationKind};
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The position of errors that concern the top level of the file.
+/// The section of errors that concern the top level of the file.
 const TOP_LEVEL: Range<usize> = 0..0;
 /// The shortest `every` of flapping executors.
 const MIN_FLAP_INTERVAL: Duration = Duration::from_millis(10);
@@ -232,8 +232,8 @@
             checker.report(at, "window", "receipted work needs a `window` over 0s".into());
         }
         let RequestClass { name, slots, .. } = class;
-        let fits = |group: &Spanned<ExecutorGroup>| group.get_ref().slots >= *slots;
-        if !self.executors.iter().any(fits) {
+        let has_enough_slots = |group: &Spanned<ExecutorGroup>| group.get_ref().slots >= *slots;
+        if !self.executors.iter().any(has_enough_slots) {
             checker.report(at, "slots", format!("no executor has the {slots} slots that `{name}` needs"));
         }
     }
@@ -322,8 +322,8 @@
     }
 
     /// Reports a class name that no request class has.
-    fn check_class_reference(&self, checker: &mut Checker, at: &Range<usize>, named: &Option<String>) {
-        let Some(name) = named else { return };
+    fn check_class_reference(&self, checker: &mut Checker, at: &Range<usize>, class: &Option<String>) {
+        let Some(name) = class else { return };
         let names: Vec<&String> = self.request_classes.iter().map(|class| &class.get_ref().name).collect();
         if !names.contains(&name) {
             checker.report(at, "project_type", format!("there is no project type `{name}`; {names:?} are"));
--- a/crates/rehearsal/src/scenario/disturbances.rs
+++ b/crates/rehearsal/src/scenario/disturbances.rs
@@ -13,7 +13,7 @@
     Pause,
     /// The executor is cut off: open connections are silent, and new ones are not accepted.
     Silence,
-    /// Other load takes the share `part` of the cores, in turns of `on` with and `off` without it.
+    /// Other load takes the share `part` of the cores for the time `on` and none for the time `off`, alternately.
     #[serde(rename = "neighbour")]
     CpuContention,
     /// Requests of a class are accepted and never started.
@@ -91,7 +91,7 @@
     #[serde(rename = "reread-nodes")]
     ReloadNodes,
     /// The executors of a group are replaced one at a time, at intervals of `every`: each is listed as draining,
-    /// its replacement joins with a slow start, and it leaves at the end of the drain grace.
+    /// its replacement joins with a slow start, and it leaves after the notification timeout and the drain grace.
     Deploy,
     /// An executor of a group crashes and, if `back` is given, restarts that much later with a slow start.
     KillExecutor,
--- a/crates/rehearsal/src/scenario/executors.rs
+++ b/crates/rehearsal/src/scenario/executors.rs
@@ -7,7 +7,7 @@
 #[derive(Deserialize, Clone, Copy, Debug, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum QueueOrder {
-    /// The first one; the others wait until it fits.
+    /// In the order of arrival; the others wait until the first one fits.
     InOrder,
     /// The first one that fits.
     Backfill,
@@ -39,7 +39,7 @@
     pub slots: f64,
     /// Cores of each executor; equal to `slots` if absent.
     pub cores: Option<f64>,
-    /// Speed of a core, relative to a core of speed 1.
+    /// Speed of each core, relative to the core that service times are given for.
     #[serde(default = "one")]
     pub speed: f64,
     /// Memory of each executor; unlimited if absent.
--- a/crates/rehearsal/src/scenario/load.rs
+++ b/crates/rehearsal/src/scenario/load.rs
@@ -1,4 +1,4 @@
-//! Derived figures of a scenario: capacity, request rate and number of requests, and stretching of the day.
+//! Values derived from a scenario: capacity, request rate and number of requests; and scaling of its length.
 use super::{ExecutorGroup, Scenario, millis};
 use std::time::Duration;
 use toml::Spanned;
@@ -7,8 +7,8 @@
 const LOAD_SAMPLES: usize = 1000;
 
 impl Scenario {
-    /// Stretches the day by a factor, with the times of its load curve, faults and events. Service times, limits and
-    /// delays stay the same, so a longer day has more requests at the same rate.
+    /// Multiplies the length of the day and the times of its load curve, faults and events by a factor. Service times,
+    /// limits and delays stay the same, so a longer day has more requests at the same rate.
     pub fn stretch(&mut self, factor: f64) {
         let stretch = |duration: &mut Duration| *duration = duration.mul_f64(factor);
         stretch(&mut self.length);
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The longest day, so that a mistake in a file does not cause an endless run.
+/// Maximum length of a day, so that a mistake in a file does not cause an endless run.
 const MAX_LENGTH: Duration = Duration::from_secs(3600);
 /// Maximum number of executors of a scenario.
 pub const MAX_EXECUTORS: usize = 3000;
@@ -139,7 +139,7 @@
         self.events.iter().any(|event| event.get_ref().kind == EventKind::HotRestartNode)
     }
 
-    /// Time between SIGTERM and SIGKILL to a node: the longest deadline, up to 3 s, and 700 ms.
+    /// Time between SIGTERM and SIGKILL to a node: the longest deadline, up to 3 s, plus 700 ms.
     pub fn termination_grace(&self) -> Duration {
         let deadlines = self.request_classes.iter().map(|class| class.get_ref().deadline);
         deadlines.max().unwrap_or_default().min(MAX_DRAIN_TIME) + TERMINATION_MARGIN
--- a/crates/rehearsal/tests/mutants.rs
+++ b/crates/rehearsal/tests/mutants.rs
@@ -281,7 +281,7 @@
     }
 
     /// Serves the admin interface.
-    async fn serve_operator(self: Rc<Self>, request: Request<Incoming>) -> Response<StreamedBody> {
+    async fn serve_admin(self: Rc<Self>, request: Request<Incoming>) -> Response<StreamedBody> {
         let segments: Vec<&str> = request.uri().path().split('/').collect();
         let mut operator_state = self.operator_state.lock().unwrap();
         let status = match segments[..] {
@@ -369,7 +369,7 @@
                 if let Some(admin_address) = admin_address {
                     let node = node.clone();
                     let listener = wire::listen(admin_address).unwrap();
-                    spawn_local(serve_all(listener, move |request, _| node.clone().serve_operator(request)));
+                    spawn_local(serve_all(listener, move |request, _| node.clone().serve_admin(request)));
                 }
                 let is_inherited = inherited_socket.is_some();
                 let listener = match inherited_socket {
--- a/crates/rehearsal/tests/referee.rs
+++ b/crates/rehearsal/tests/referee.rs
@@ -83,6 +83,7 @@
     Observation::ConnectionLost { id: id(0), reused }
 }
 
+/// A description, the request class, the deduplication scope, the events and the names of the expected violations.
 type Case = (&'static str, usize, DeduplicationScope, Vec<(f64, Observation)>, &'static [&'static str]);
 
 #[test]
