--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -31,7 +31,7 @@
 const MAX_IDLE_TIME: Duration = Duration::from_secs(30);
 /// Longest `Retry-After` that a client follows, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 3600.0;
-/// Bound of the exponent of the retry delay.
+/// Maximum number of times that the retry delay is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
 struct PooledConnection {
--- a/crates/rehearsal/src/plan/disturbances.rs
+++ b/crates/rehearsal/src/plan/disturbances.rs
@@ -5,9 +5,12 @@
 use rand::RngExt;
 use troutknot_emulator::Millis;
 
-/// Shortest time between the restart of a node and its next kill, so that the node opens its listener.
+/// Shortest time between the restart of a node and its next kill, so that the node opens its listener; in
+/// milliseconds.
 const NODE_STARTUP_GRACE: Millis = 150.0;
+/// Mean interval between kills of random nodes if the event gives none, in milliseconds.
 const DEFAULT_MEAN_KILL_INTERVAL: Millis = 1000.0;
+/// Interval of flapping executors if the event gives none, in milliseconds.
 const DEFAULT_FLAP_INTERVAL: Millis = 1.0;
 
 impl Schedule<'_> {
--- a/crates/rehearsal/src/plan/random.rs
+++ b/crates/rehearsal/src/plan/random.rs
@@ -1,4 +1,4 @@
-//! Sampling from a seeded generator. The number and order of draws are part of a plan's identity.
+//! Sampling from a seeded generator. The number and order of draws determine the plan of a seed.
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/rehearsal/src/referee/answers.rs
+++ b/crates/rehearsal/src/referee/answers.rs
@@ -5,9 +5,10 @@
 use super::violation::{RuleViolation, ViolationKind};
 use troutknot_emulator::Millis;
 
-/// A node that was killed this long before a request was sent may still have accepted its connection.
+/// A node that was killed up to this long before a request was sent may still have accepted its connection; in
+/// milliseconds.
 const KILL_BEFORE_SEND: Millis = 1000.0;
-/// A client may notice the disconnect by a killed node this long before the kill is recorded.
+/// A client may notice the disconnect by a killed node up to this long before the kill is recorded; in milliseconds.
 const KILL_AFTER_DISCONNECT: Millis = 100.0;
 
 /// Checks one client attempt.
--- a/crates/rehearsal/src/referee/drains.rs
+++ b/crates/rehearsal/src/referee/drains.rs
@@ -5,7 +5,7 @@
 use super::violation::{RuleViolation, ViolationKind};
 use troutknot_emulator::Millis;
 
-/// How long a node may accept requests after an operator drained it.
+/// How long a node may accept requests after an operator drained it, in milliseconds.
 const ACCEPT_GRACE: Millis = 2000.0;
 
 /// An attempt, and the client attempt that it was dispatched for.
@@ -20,8 +20,8 @@
     }
 }
 
-/// Checks dispatches to executors that discovery no longer lists as ready. Returns the longest time between a
-/// notice and a dispatch that ignored it.
+/// Checks dispatches to executors that discovery no longer lists as ready. Returns the longest time between such a
+/// change reaching a node and a later dispatch by this node, in milliseconds.
 pub(super) fn check_draining_executors(
     facts: &Facts,
     observations: &Observations,
--- a/crates/rehearsal/src/referee/effects.rs
+++ b/crates/rehearsal/src/referee/effects.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use troutknot_emulator::Millis;
 
-/// How long a node may take to apply new settings.
+/// How long a node may take to apply new settings, in milliseconds.
 const SETTINGS_APPLY_TIMEOUT: Millis = 1200.0;
 
 /// Checks the attempts of one client attempt.
--- a/crates/rehearsal/src/referee/events.rs
+++ b/crates/rehearsal/src/referee/events.rs
@@ -180,8 +180,8 @@
         }
     }
 
-    /// A node that is killed after it was asked to exit must have answered its requests, so that only a kill
-    /// without notice excuses missing responses.
+    /// Only a kill without notice excuses missing responses; a node that was asked to exit must have answered its
+    /// requests before it is killed.
     fn record_kill(&mut self, at: Millis, node: NodeNumber) {
         if !self.exit_requests.remove(&node) {
             self.kills.entry(node).or_default().push(at);
--- a/crates/rehearsal/src/referee/facts.rs
+++ b/crates/rehearsal/src/referee/facts.rs
@@ -21,7 +21,8 @@
     pub initial_capacity: f64,
     /// Duration of slow start.
     pub ramp_duration: Millis,
-    /// Work that an executor in slow start survives, as a multiple of its capacity over `budget_window`.
+    /// Work that an executor in slow start survives, as a multiple of what its current capacity performs
+    /// during `budget_window`.
     pub budget_multiple: f64,
     /// Sliding window of the warm-up budget.
     pub budget_window: Millis,
--- a/crates/rehearsal/src/referee/hot_restarts.rs
+++ b/crates/rehearsal/src/referee/hot_restarts.rs
@@ -5,7 +5,7 @@
 use super::violation::{RuleViolation, ViolationKind};
 use troutknot_emulator::Millis;
 
-/// How long after its end a hot restart may still affect clients.
+/// How long after its end a hot restart may still affect clients, in milliseconds.
 const SETTLE_TIME: Millis = 300.0;
 /// Maximum number of requests that may be disconnected unread or refused during one hot restart.
 const MAX_INTERRUPTED_REQUESTS: usize = 2;
--- a/crates/rehearsal/src/scenario/nodes.rs
+++ b/crates/rehearsal/src/scenario/nodes.rs
@@ -24,8 +24,8 @@
     /// Duration of slow start, at the end of which an executor has its full capacity.
     #[serde(rename = "ramp", with = "humantime_serde")]
     pub ramp_duration: Duration,
-    /// Work that an executor in slow start survives, as a multiple of its capacity over `budget_window`; more work
-    /// makes it fail from overload.
+    /// Work that an executor in slow start survives, as a multiple of what its current capacity performs during
+    /// `budget_window`; more work makes it fail from overload.
     #[serde(rename = "fall_multiple")]
     pub budget_multiple: f64,
     /// Sliding window of the warm-up budget.
