--- a/crates/rehearsal/src/plan/disturbances.rs
+++ b/crates/rehearsal/src/plan/disturbances.rs
@@ -5,9 +5,12 @@
 use rand::RngExt;
 use troutknot_emulator::Millis;
 
-/// Shortest time between the restart of a node and its next kill, so that the node opens its listener.
+/// Shortest time between the restart of a node and its next kill, so that the node opens its listener; in
+/// milliseconds.
 const NODE_STARTUP_GRACE: Millis = 150.0;
+/// Mean interval between kills of random nodes if the event gives none, in milliseconds.
 const DEFAULT_MEAN_KILL_INTERVAL: Millis = 1000.0;
+/// Interval of flapping executors if the event gives none, in milliseconds.
 const DEFAULT_FLAP_INTERVAL: Millis = 1.0;
 
 impl Schedule<'_> {
@@ -58,15 +61,17 @@
     fn add_random_node_crashes(&mut self, at: Millis, end: Millis, event: &EventSpec) {
         let mean_interval = event.interval.map_or(DEFAULT_MEAN_KILL_INTERVAL, millis);
         let downtime = event.downtime.map_or(0.0, millis);
-        let mut up_at = vec![at; self.scenario.nodes.count];
+        // The earliest time of each node's next kill.
+        let mut earliest_kill_at = vec![at; self.scenario.nodes.count];
         let mut now = at + self.exponential(mean_interval);
         while now < end {
-            let earliest = up_at.iter().enumerate().min_by(|left, right| left.1.total_cmp(right.1));
+            let earliest =
+                earliest_kill_at.iter().enumerate().min_by(|left, right| left.1.total_cmp(right.1));
             let node = earliest.map_or(0, |(node, _)| node);
-            now = now.max(up_at[node]);
+            now = now.max(earliest_kill_at[node]);
             self.add(now, Step::KillNode { node });
             self.add(now + downtime, Step::StartNode { node });
-            up_at[node] = now + downtime + NODE_STARTUP_GRACE;
+            earliest_kill_at[node] = now + downtime + NODE_STARTUP_GRACE;
             now += self.exponential(mean_interval);
         }
     }
--- a/crates/rehearsal/src/referee/answers.rs
+++ b/crates/rehearsal/src/referee/answers.rs
@@ -5,9 +5,10 @@
 use super::violation::{RuleViolation, ViolationKind};
 use troutknot_emulator::Millis;
 
-/// A node that was killed this long before a request was sent may still have accepted its connection.
+/// A node that was killed up to this long before a request was sent may still have accepted its connection; in
+/// milliseconds.
 const KILL_BEFORE_SEND: Millis = 1000.0;
-/// A client may notice the disconnect by a killed node this long before the kill is recorded.
+/// A client may notice the disconnect by a killed node up to this long before the kill is recorded; in milliseconds.
 const KILL_AFTER_DISCONNECT: Millis = 100.0;
 
 /// Checks one client attempt.
@@ -55,13 +56,13 @@
 /// Whether an executor produced a result for the attempt, or for any other attempt with its idempotency key.
 fn was_produced(subject: &Subject) -> bool {
     let Subject { observations, client_attempt, .. } = *subject;
-    if subject.attempts().any(|attempt| attempt.completed) {
+    if subject.attempts().any(|attempt| attempt.was_completed) {
         return true;
     }
     subject.class().has_idempotency_key
         && (observations.client_attempts.values())
             .filter(|other| other.request == client_attempt.request)
-            .any(|other| observations.attempts_of(other).any(|attempt| attempt.completed))
+            .any(|other| observations.attempts_of(other).any(|attempt| attempt.was_completed))
 }
 
 fn check_disconnect(subject: &Subject, disconnect: Disconnect, violations: &mut Vec<RuleViolation>) {
